--- a/packages/cloud/src/index.ts
+++ b/packages/cloud-client/src/index.ts
@@ -1,4 +1,4 @@
-import { Budget, Client, steady } from '@archpost/transport';
+import { Budget, Client, steady } from '@archpost/http-client';
 import {
   type Answer,
   type Listed,
@@ -14,7 +14,7 @@
   rentalBody,
   returnBody,
   unpackMap,
-} from '@archpost/wire';
+} from '@archpost/protocol';
 import { Subject } from 'rxjs';
 
 /** Connections to the cloud. */
--- a/packages/core/src/cancellations.ts
+++ b/packages/controller/src/cancellations.ts
@@ -1,5 +1,5 @@
 /** Users' cancellations: stored, then answered. What follows for other jobs is derived, not written. */
-import { JOB_ID, jobAnswer } from '@archpost/wire';
+import { JOB_ID, jobAnswer } from '@archpost/protocol';
 import type { Context } from './context.js';
 import { encodeCancelledJob } from './job-record.js';
 import type { Ms } from './model.js';
--- a/packages/core/src/commands.ts
+++ b/packages/controller/src/commands.ts
@@ -1,4 +1,4 @@
-import { type Command, MOST_COMMANDS_IN_BODY, type Report } from '@archpost/wire';
+import { type Command, MOST_COMMANDS_IN_BODY, type Report } from '@archpost/protocol';
 import type { Context } from './context.js';
 import { type Job, type Machine, type Ms, NEVER, type Need, type Placement } from './model.js';
 import { fits, take } from './placement.js';
--- a/packages/core/src/context.ts
+++ b/packages/controller/src/context.ts
@@ -1,4 +1,4 @@
-import type { PeerStatus } from '@archpost/wire';
+import type { PeerStatus } from '@archpost/protocol';
 import type { CoreSettings, Effect, Level, Ms } from './model.js';
 import type { Replica } from './replica.js';
 import type { Table } from './table.js';
--- a/packages/core/src/core.ts
+++ b/packages/controller/src/core.ts
@@ -1,5 +1,5 @@
-import type { Change, Listed, MachineType, PeerStatus, Report, Row, TxnOutcome } from '@archpost/wire';
-import { isStatus } from '@archpost/wire';
+import type { Change, Listed, MachineType, PeerStatus, Report, Row, TxnOutcome } from '@archpost/protocol';
+import { isStatus } from '@archpost/protocol';
 import { Barriers } from './barriers.js';
 import type { Context, Peer } from './context.js';
 import { Holdings } from './holdings.js';
--- a/packages/core/src/demand.ts
+++ b/packages/controller/src/demand.ts
@@ -1,5 +1,5 @@
 /** Work that waits for room, and what kinds of machines would serve it. */
-import type { MachineType, PeerDemand, PeerShare } from '@archpost/wire';
+import type { MachineType, PeerDemand, PeerShare } from '@archpost/protocol';
 import type { Context } from './context.js';
 import type { Need } from './model.js';
 import { copies } from './placement.js';
--- a/packages/core/src/effects.ts
+++ b/packages/controller/src/effects.ts
@@ -1,5 +1,5 @@
 /** What the core wants done. The edges carry it out and feed the outcome back in. */
-import type { Command, Guard, PeerStatus, Rental, Report, Write } from '@archpost/wire';
+import type { Command, Guard, PeerStatus, Rental, Report, Write } from '@archpost/protocol';
 
 export type Level = 'debug' | 'info' | 'warn';
 
--- a/packages/core/src/fleet.ts
+++ b/packages/controller/src/fleet.ts
@@ -1,4 +1,4 @@
-import { MOST_RETURNED } from '@archpost/wire';
+import { MOST_RETURNED } from '@archpost/protocol';
 import type { Context } from './context.js';
 import { GrantChanges } from './grant-changes.js';
 import type { Machine, Ms } from './model.js';
--- a/packages/core/src/grants.ts
+++ b/packages/controller/src/grants.ts
@@ -1,5 +1,5 @@
 /** Grants machines whose workers report, and which no share has, to shares: where work waits, or else by guarantees. */
-import type { PeerShare } from '@archpost/wire';
+import type { PeerShare } from '@archpost/protocol';
 import type { Context } from './context.js';
 import { type Kind, serve, suits, typeOf, type WaitingWork, waitingWork } from './demand.js';
 import { encodeGrant } from './grant-record.js';
--- a/packages/core/src/job-record.ts
+++ b/packages/controller/src/job-record.ts
@@ -16,7 +16,7 @@
  * A version that knows no awaited jobs passes over a record with `s` 3, so it can't start its tasks too early.
  */
 import { createHash } from 'node:crypto';
-import type { JobSpec } from '@archpost/wire';
+import type { JobSpec } from '@archpost/protocol';
 import { z } from 'zod';
 import { encodedBytes } from './state-limits.js';
 
--- a/packages/core/src/job-status.ts
+++ b/packages/controller/src/job-status.ts
@@ -1,5 +1,5 @@
 /** What users are told of a job, by what the replica holds. */
-import { jobAnswer } from '@archpost/wire';
+import { jobAnswer } from '@archpost/protocol';
 import type { Context } from './context.js';
 import { readJobRecord } from './job-record.js';
 import type { Job } from './model.js';
--- a/packages/core/src/job-table.ts
+++ b/packages/controller/src/job-table.ts
@@ -2,7 +2,7 @@
  * The jobs that the state service's keys tell of: their records, the parts of records that outgrew a value,
  * their completed tasks, and which awaits which.
  */
-import type { JobSpec } from '@archpost/wire';
+import type { JobSpec } from '@archpost/protocol';
 import { Dependencies } from './dependencies.js';
 import { type FinalState, type JobPart, parseJobPart, parseJobRecord, type StoredJob } from './job-record.js';
 import type { Job, Ms } from './model.js';
--- a/packages/core/src/job.ts
+++ b/packages/controller/src/job.ts
@@ -1,5 +1,5 @@
 /** A job and where its tasks are. */
-import type { JobSpec, TaskReport } from '@archpost/wire';
+import type { JobSpec, TaskReport } from '@archpost/protocol';
 import type { Machine } from './machine.js';
 import type { Ms } from './time.js';
 
--- a/packages/core/src/leader.ts
+++ b/packages/controller/src/leader.ts
@@ -1,4 +1,4 @@
-import type { MachineType, PeerShare } from '@archpost/wire';
+import type { MachineType, PeerShare } from '@archpost/protocol';
 import type { Context } from './context.js';
 import { suits, waitingWork } from './demand.js';
 import { encodeGrant } from './grant-record.js';
--- a/packages/core/src/machine.ts
+++ b/packages/controller/src/machine.ts
@@ -1,5 +1,5 @@
 /** A machine, what is stored of it and what this controller knows and intends. */
-import type { MachineType, TaskReport } from '@archpost/wire';
+import type { MachineType, TaskReport } from '@archpost/protocol';
 import type { Placement } from './job.js';
 import type { MachineLoad } from './machine-load.js';
 import type { Ms } from './time.js';
--- a/packages/core/src/moves.ts
+++ b/packages/controller/src/moves.ts
@@ -2,7 +2,7 @@
  * Which machines the leader moves from share to share: free ones, or such as bear lesser work only, go where work has
  * no room.
  */
-import type { PeerDemand, PeerMachine, PeerShare } from '@archpost/wire';
+import type { PeerDemand, PeerMachine, PeerShare } from '@archpost/protocol';
 import type { Context } from './context.js';
 import { serve, suits, type WaitingWork } from './demand.js';
 import { type Machine, type Ms, NEVER, SCARCE_AFTER_S, TOP_RANK } from './model.js';
--- a/packages/core/src/owner.ts
+++ b/packages/controller/src/owner.ts
@@ -1,4 +1,4 @@
-import type { PeerShare } from '@archpost/wire';
+import type { PeerShare } from '@archpost/protocol';
 import { Commands } from './commands.js';
 import type { Context } from './context.js';
 import { Fleet } from './fleet.js';
--- a/packages/core/src/questions.ts
+++ b/packages/controller/src/questions.ts
@@ -1,5 +1,5 @@
 /** Users' questions about jobs. One reading of the state service answers all that came before it. */
-import { JOB_ID } from '@archpost/wire';
+import { JOB_ID } from '@archpost/protocol';
 import type { Context } from './context.js';
 import { describeFinal, describeJob } from './job-status.js';
 import type { Ms } from './model.js';
--- a/packages/core/src/rentals.ts
+++ b/packages/controller/src/rentals.ts
@@ -6,7 +6,7 @@
   MOST_RETURNED,
   type PeerDemand,
   type PeerShare,
-} from '@archpost/wire';
+} from '@archpost/protocol';
 import { Boots } from './boots.js';
 import type { Context } from './context.js';
 import { type Kind, kindKey, suits, typeOf } from './demand.js';
--- a/packages/core/src/replica.ts
+++ b/packages/controller/src/replica.ts
@@ -1,4 +1,4 @@
-import type { Change, Row } from '@archpost/wire';
+import type { Change, Row } from '@archpost/protocol';
 
 export interface Entry {
   value: unknown;
--- a/packages/core/src/report-forwarding.ts
+++ b/packages/controller/src/report-forwarding.ts
@@ -2,7 +2,7 @@
  * Reports of workers whose machine another controller owns: they are answered here, and the owner is told what
  * they say. A report that differs from the last one is forwarded whole; that nothing changed goes with the status.
  */
-import type { PeerHeard, Report, TaskReport } from '@archpost/wire';
+import type { PeerHeard, Report, TaskReport } from '@archpost/protocol';
 import type { Context } from './context.js';
 import { type Ms, NEVER } from './model.js';
 
--- a/packages/core/src/reports.ts
+++ b/packages/controller/src/reports.ts
@@ -1,4 +1,4 @@
-import type { PeerHeard, Report, TaskReport } from '@archpost/wire';
+import type { PeerHeard, Report, TaskReport } from '@archpost/protocol';
 import type { Context } from './context.js';
 import type { Machine, Ms, Placement } from './model.js';
 import { ABOVE_ALL_RANKS } from './ranks.js';
--- a/packages/core/src/running-news.ts
+++ b/packages/controller/src/running-news.ts
@@ -2,7 +2,7 @@
  * What the other controllers are told of running tasks, for display: all jobs now and then, and what changed in
  * between. What doesn't fit one status goes with the next ones, so that none outgrows a frame, however many jobs run.
  */
-import type { PeerStatus } from '@archpost/wire';
+import type { PeerStatus } from '@archpost/protocol';
 
 /** Tasks of a job that run, that are done, and how often one failed of those that fail everywhere. */
 export interface RunningTasks {
--- a/packages/core/src/share-view.ts
+++ b/packages/controller/src/share-view.ts
@@ -1,5 +1,5 @@
 /** What an owner tells the leader of a share: its machines, and its work that has no room. */
-import type { PeerDemand, PeerMachine, PeerShare } from '@archpost/wire';
+import type { PeerDemand, PeerMachine, PeerShare } from '@archpost/protocol';
 import type { Context } from './context.js';
 import { type Machine, type Ms, TOP_RANK } from './model.js';
 import type { Guarantees, Order } from './order.js';
--- a/packages/core/src/state-keys.ts
+++ b/packages/controller/src/state-keys.ts
@@ -1,5 +1,5 @@
 /** The keys of the state service, and the records that are stored under them but for jobs (job-record.ts). */
-import type { MachineType } from '@archpost/wire';
+import type { MachineType } from '@archpost/protocol';
 
 export const KEY = {
   root: 'a/',
--- a/packages/core/src/status-exchange.ts
+++ b/packages/controller/src/status-exchange.ts
@@ -3,7 +3,7 @@
  * state service while the link to it is down. The limit on changes to the state service is shared out by the same
  * statuses.
  */
-import type { PeerStatus } from '@archpost/wire';
+import type { PeerStatus } from '@archpost/protocol';
 import type { Context } from './context.js';
 import { inTurn } from './in-turn.js';
 import type { Leader } from './leader.js';
--- a/packages/core/src/stored-status.ts
+++ b/packages/controller/src/stored-status.ts
@@ -4,7 +4,7 @@
  * What doesn't fit is told in turn by the statuses that follow: the first machines of a list could be such as the
  * leader can't use, and would hide the others for as long as the cut lasts.
  */
-import type { PeerStatus } from '@archpost/wire';
+import type { PeerStatus } from '@archpost/protocol';
 import { inTurn } from './in-turn.js';
 import { encodedBytes } from './state-limits.js';
 
--- a/packages/core/src/submissions.ts
+++ b/packages/controller/src/submissions.ts
@@ -1,5 +1,5 @@
 /** Users' submissions: checked, stored, then answered. */
-import { type JobSpec, jobAnswer, parseSubmission, type Submission } from '@archpost/wire';
+import { type JobSpec, jobAnswer, parseSubmission, type Submission } from '@archpost/protocol';
 import type { Context } from './context.js';
 import { type EncodedJob, encodeAcceptedJob } from './job-record.js';
 import { statusOf } from './job-status.js';
--- a/packages/core/src/table.ts
+++ b/packages/controller/src/table.ts
@@ -1,4 +1,4 @@
-import type { JobSpec, MachineType } from '@archpost/wire';
+import type { JobSpec, MachineType } from '@archpost/protocol';
 import { type Grant, parseGrant } from './grant-record.js';
 import type { FinalState } from './job-record.js';
 import { JobTable } from './job-table.js';
--- a/packages/core/src/task-commands.ts
+++ b/packages/controller/src/task-commands.ts
@@ -1,5 +1,5 @@
 /** Commands about single tasks, as a worker takes them. */
-import type { Command, TaskReport } from '@archpost/wire';
+import type { Command, TaskReport } from '@archpost/protocol';
 import type { Placement } from './model.js';
 
 /**
--- a/packages/core/src/vouching.ts
+++ b/packages/controller/src/vouching.ts
@@ -1,4 +1,4 @@
-import type { PeerStatus } from '@archpost/wire';
+import type { PeerStatus } from '@archpost/protocol';
 import type { Ms } from './model.js';
 
 /** A ping that wasn't sent back for so long never is. */
--- a/packages/core/src/worker-reports.ts
+++ b/packages/controller/src/worker-reports.ts
@@ -2,7 +2,7 @@
  * Answers to workers' reports, and who learns what they say. Any controller answers, so that work doesn't die with
  * its owner; only the owner commands. How long, and why that breaks nothing: docs/design.md, "Who may answer workers".
  */
-import { type Command, goHome, MOST_COMMANDS_IN_BODY, type Report, reportAnswer } from '@archpost/wire';
+import { type Command, goHome, MOST_COMMANDS_IN_BODY, type Report, reportAnswer } from '@archpost/protocol';
 import type { Context } from './context.js';
 import type { Leader } from './leader.js';
 import type { Ms } from './model.js';
--- a/packages/core/src/worker-routing.ts
+++ b/packages/controller/src/worker-routing.ts
@@ -2,7 +2,7 @@
  * Which controller a worker should report to. Workers stay with a controller of their own zone: a cut between
  * zones then costs them nothing, where finding another controller could take longer than their lease.
  */
-import type { Report } from '@archpost/wire';
+import type { Report } from '@archpost/protocol';
 import type { Context } from './context.js';
 import { type Ms, NEVER } from './model.js';
 
--- a/packages/core/src/write-queue.ts
+++ b/packages/controller/src/write-queue.ts
@@ -3,7 +3,7 @@
  * first start queues one for each machine; sorting all of them before each transaction took the leader most of its
  * processor time at 4,000 machines, so they are kept in order.
  */
-import type { Guard } from '@archpost/wire';
+import type { Guard } from '@archpost/protocol';
 import sortedBTree from 'sorted-btree';
 import type { Ms } from './model.js';
 
--- a/packages/core/src/writer.ts
+++ b/packages/controller/src/writer.ts
@@ -1,5 +1,5 @@
 import { isDeepStrictEqual } from 'node:util';
-import type { Guard, TxnOutcome, Write } from '@archpost/wire';
+import type { Guard, TxnOutcome, Write } from '@archpost/protocol';
 import type { Effect, Ms } from './model.js';
 import type { Replica } from './replica.js';
 import { encodedBytes, type StateSizes } from './state-limits.js';
--- a/packages/api/src/index.ts
+++ b/packages/http-api/src/index.ts
@@ -1,6 +1,6 @@
 import type http from 'node:http';
 import type net from 'node:net';
-import { MAX_BODY, PATHS, pack, parseReport, type Report, unpackMap } from '@archpost/wire';
+import { MAX_BODY, PATHS, pack, parseReport, type Report, unpackMap } from '@archpost/protocol';
 import express from 'express';
 import { type Client, Connections } from './connections.js';
 import { Front } from './front.js';
--- a/packages/api/src/report-connection.ts
+++ b/packages/http-api/src/report-connection.ts
@@ -4,7 +4,7 @@
  * an answer is one write.
  */
 import type net from 'node:net';
-import { MAX_BODY, PATHS } from '@archpost/wire';
+import { MAX_BODY, PATHS } from '@archpost/protocol';
 import { HTTPParser } from 'http-parser-js';
 import { type Answer, encodeAnswer, type Responder } from './responder.js';
 
--- a/packages/peers/src/index.ts
+++ b/packages/peer-transport/src/index.ts
@@ -1,6 +1,6 @@
 /** The links between controllers. */
 import net from 'node:net';
-import { decodePeer, encodePeer, type PeerMessage } from '@archpost/wire';
+import { decodePeer, encodePeer, type PeerMessage } from '@archpost/protocol';
 import { interval, Subject, type Subscription } from 'rxjs';
 import { encodeFrame, FrameReader, FrameTooLarge, MAX_FRAME_BYTES } from './frames.js';
 
--- a/packages/server/src/capacity.ts
+++ b/packages/server/src/capacity.ts
@@ -2,8 +2,8 @@
  * What a number of machines takes of sockets, memory and changes, and what the settings lack of it. Nothing is refused
  * for that: the service starts, and gives up what ranks lowest.
  */
-import { CLOUD_SOCKETS } from '@archpost/cloud';
-import { STATE_SOCKETS } from '@archpost/store';
+import { CLOUD_SOCKETS } from '@archpost/cloud-client';
+import { STATE_SOCKETS } from '@archpost/state-client';
 import type { Settings } from './settings.js';
 
 /** Part of the sockets that commands to workers may take; those that were not used for longest are closed. */
--- a/packages/server/src/service.ts
+++ b/packages/server/src/service.ts
@@ -1,11 +1,11 @@
 import { randomUUID } from 'node:crypto';
-import { Api, Connections, type Request, Shedding } from '@archpost/api';
-import { Cloud } from '@archpost/cloud';
-import { Core, type Effect } from '@archpost/core';
-import { Peers } from '@archpost/peers';
-import { StateStore } from '@archpost/store';
-import { splitAddr, steady } from '@archpost/transport';
-import { Workers } from '@archpost/workers';
+import { Cloud } from '@archpost/cloud-client';
+import { Core, type Effect } from '@archpost/controller';
+import { Api, Connections, type Request, Shedding } from '@archpost/http-api';
+import { splitAddr, steady } from '@archpost/http-client';
+import { Peers } from '@archpost/peer-transport';
+import { StateStore } from '@archpost/state-client';
+import { Workers } from '@archpost/worker-client';
 import type { Logger } from 'pino';
 import { interval, throttleTime, timer } from 'rxjs';
 import { commandSockets, inboundSockets } from './capacity.js';
--- a/packages/server/src/settings.ts
+++ b/packages/server/src/settings.ts
@@ -1,6 +1,6 @@
 import { readFileSync } from 'node:fs';
-import type { CoreSettings, Policy, StateLimits } from '@archpost/core';
-import { STATE_SOCKETS, WATCH_S } from '@archpost/store';
+import type { CoreSettings, Policy, StateLimits } from '@archpost/controller';
+import { STATE_SOCKETS, WATCH_S } from '@archpost/state-client';
 import { parse } from 'smol-toml';
 import { z } from 'zod';
 
--- a/packages/store/src/index.ts
+++ b/packages/state-client/src/index.ts
@@ -1,5 +1,5 @@
-import { Budget, Client, sleep, steady } from '@archpost/transport';
-import type { Answer, Change, Guard, Row, TxnOutcome, Write } from '@archpost/wire';
+import { Budget, Client, sleep, steady } from '@archpost/http-client';
+import type { Answer, Change, Guard, Row, TxnOutcome, Write } from '@archpost/protocol';
 import {
   isNoLease,
   leaseBody,
@@ -13,7 +13,7 @@
   readAnswer,
   txnBody,
   unpackMap,
-} from '@archpost/wire';
+} from '@archpost/protocol';
 import { Subject } from 'rxjs';
 
 export interface StateEvents {
--- a/packages/workers/src/index.ts
+++ b/packages/worker-client/src/index.ts
@@ -1,5 +1,5 @@
-import { Client } from '@archpost/transport';
-import { type Command, commandBody, PATHS, pack, parseReport, type Report, unpackMap } from '@archpost/wire';
+import { Client } from '@archpost/http-client';
+import { type Command, commandBody, PATHS, pack, parseReport, type Report, unpackMap } from '@archpost/protocol';
 
 export type CommandOutcome = { kind: 'ok' | 'stale'; report: Report | null } | { kind: 'lost' | 'refused' };
 
--- a/test/apart.test.ts
+++ b/test/apart.test.ts
@@ -1,7 +1,7 @@
 // Machines and controllers that are apart from some of what they need, and news that come late.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Report } from '@archpost/wire';
+import type { Report } from '@archpost/protocol';
 import { Cluster, holderOf, job, kept, type Node, shareOf, smallCluster, type WorkerStandIn } from './stand-ins.js';
 
 const cluster = (machines = 8) => smallCluster(machines);
--- a/test/cluster/cluster.ts
+++ b/test/cluster/cluster.ts
@@ -1,8 +1,8 @@
 // Controllers, state service, cloud, workers and users in one simulated time. Nothing here is random.
 import assert from 'node:assert/strict';
 import { mkdirSync, readFileSync, writeFileSync } from 'node:fs';
-import type { CoreSettings, Effect } from '@archpost/core';
-import type { Command, JobSpec, Listed, Report } from '@archpost/wire';
+import type { CoreSettings, Effect } from '@archpost/controller';
+import type { Command, JobSpec, Listed, Report } from '@archpost/protocol';
 import { Node } from './controller.js';
 import { Rules } from './rules.js';
 import { StateStandIn } from './state-service.js';
--- a/test/cluster/controller.ts
+++ b/test/cluster/controller.ts
@@ -1,6 +1,14 @@
 // A controller: a real core of some version, with its edges simulated.
-import { Core, type Effect } from '@archpost/core';
-import { decodePeer, encodePeer, type JobSpec, type PeerMessage, type PeerStatus, type Report, type Row } from '@archpost/wire';
+import { Core, type Effect } from '@archpost/controller';
+import {
+  decodePeer,
+  encodePeer,
+  type JobSpec,
+  type PeerMessage,
+  type PeerStatus,
+  type Report,
+  type Row,
+} from '@archpost/protocol';
 import type { Cluster } from './cluster.js';
 import { settings, submission, TYPES } from './fixtures.js';
 
--- a/test/cluster/fixtures.ts
+++ b/test/cluster/fixtures.ts
@@ -1,6 +1,6 @@
 // What the stand-ins and most tests start from: machine types, settings of a controller, a job.
-import type { CoreSettings } from '@archpost/core';
-import type { JobSpec, MachineType, PeerStatus } from '@archpost/wire';
+import type { CoreSettings } from '@archpost/controller';
+import type { JobSpec, MachineType, PeerStatus } from '@archpost/protocol';
 
 export const TYPES: MachineType[] = [
   {
--- a/test/cluster/rules.ts
+++ b/test/cluster/rules.ts
@@ -1,5 +1,5 @@
 // The rules, judged from outside: by what workers run and what users were told, never by the core's own tables.
-import type { JobSpec, TaskReport } from '@archpost/wire';
+import type { JobSpec, TaskReport } from '@archpost/protocol';
 import type { Cluster } from './cluster.js';
 import { settings } from './fixtures.js';
 import type { WorkerStandIn } from './worker.js';
--- a/test/cluster/state-service.ts
+++ b/test/cluster/state-service.ts
@@ -1,6 +1,6 @@
 // The state service, as PROTOCOL describes it.
-import type { Core, Effect } from '@archpost/core';
-import type { Change, Row } from '@archpost/wire';
+import type { Core, Effect } from '@archpost/controller';
+import type { Change, Row } from '@archpost/protocol';
 
 interface Key {
   value: unknown;
--- a/test/cluster/worker.ts
+++ b/test/cluster/worker.ts
@@ -1,6 +1,6 @@
 // A machine and its worker, as PROTOCOL describes them.
-import type { Core } from '@archpost/core';
-import type { Command, JobSpec, MachineType, Report, TaskReport } from '@archpost/wire';
+import type { Core } from '@archpost/controller';
+import type { Command, JobSpec, MachineType, Report, TaskReport } from '@archpost/protocol';
 import type { Cluster } from './cluster.js';
 import type { Node } from './controller.js';
 import { TYPES } from './fixtures.js';
--- a/test/commands.test.ts
+++ b/test/commands.test.ts
@@ -1,7 +1,7 @@
 // Commands and their answers that are lost, late or can't be read (docs/meetings.md).
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Report } from '@archpost/wire';
+import type { Report } from '@archpost/protocol';
 import { holderOf, job, kept, smallCluster } from './stand-ins.js';
 
 test('a start is held up on its way, its sender ends and is back at once: it finds a higher token', () => {
--- a/test/fleet/large-fleet.ts
+++ b/test/fleet/large-fleet.ts
@@ -1,8 +1,8 @@
 // Thousands of machines, at the ratios of the users' larger sites: steps of a day that any number of controllers can be
 // put through. Every rule that can be seen from workers and users is checked at each step of simulated time.
 import assert from 'node:assert/strict';
-import type { CoreSettings } from '@archpost/core';
-import type { JobSpec } from '@archpost/wire';
+import type { CoreSettings } from '@archpost/controller';
+import type { JobSpec } from '@archpost/protocol';
 import { Cluster, job, type Node, type Version, type WorkerStandIn } from '../stand-ins.js';
 
 const TEAMS = ['red', 'blue', 'green', 'pink', 'gold', 'grey', 'teal'];
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -17,8 +17,8 @@
   stateSizes,
   URGENCY,
   Writer,
-} from '@archpost/core';
-import { isStatus, type JobSpec, type MachineType, type PeerStatus, type Row } from '@archpost/wire';
+} from '@archpost/controller';
+import { isStatus, type JobSpec, type MachineType, type PeerStatus, type Row } from '@archpost/protocol';
 import { Cluster, holderOf, job, type Node, STATUS, settings, shareOf, TYPES } from './stand-ins.js';
 
 const NEXT = { valueKb: 2, txnOps: 4, writeRps: 45 };
--- a/test/loopback/cloud-server.ts
+++ b/test/loopback/cloud-server.ts
@@ -1,5 +1,5 @@
 // The cloud on loopback: machine types, a list in pages, returns; it has no further machines to rent out.
-import type { MachineType } from '@archpost/wire';
+import type { MachineType } from '@archpost/protocol';
 import { TYPES } from '../cluster/fixtures.js';
 import { type LoopbackAnswer, type LoopbackRequest, listen, serverFor } from './http.js';
 
--- a/test/loopback/http.ts
+++ b/test/loopback/http.ts
@@ -1,7 +1,7 @@
 // HTTP as PROTOCOL describes it, for stand-ins that real processes talk to over the loopback interface.
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
-import { pack, unpackMap } from '@archpost/wire';
+import { pack, unpackMap } from '@archpost/protocol';
 
 /** A request: its path and query, and its body where it has a readable one. */
 export interface LoopbackRequest {
--- a/test/loopback/state-server.ts
+++ b/test/loopback/state-server.ts
@@ -1,5 +1,5 @@
 // The state service on loopback: the stand-in of the simulated clusters behind PROTOCOL's HTTP interface.
-import type { Guard, Write } from '@archpost/wire';
+import type { Guard, Write } from '@archpost/protocol';
 import { StateStandIn } from '../cluster/state-service.js';
 import { type LoopbackAnswer, type LoopbackRequest, listen, serverFor } from './http.js';
 
--- a/test/loopback/worker-fleet.ts
+++ b/test/loopback/worker-fleet.ts
@@ -1,7 +1,7 @@
 // Workers on loopback, each with an address of its own (127.x.y.z): they report, and carry out what they are told.
 import http from 'node:http';
 import net from 'node:net';
-import { pack, unpackMap } from '@archpost/wire';
+import { pack, unpackMap } from '@archpost/protocol';
 import type { ListedMachine } from './cloud-server.js';
 import { type LoopbackAnswer, type LoopbackRequest, serverFor } from './http.js';
 
--- a/test/measure/core-load.ts
+++ b/test/measure/core-load.ts
@@ -1,8 +1,8 @@
 // What a core's inputs take at the size and mix of a small controller: `node tools/measure.mjs core-load [SECONDS]`. Three
 // controllers on the stand-ins, 460 machines, services, gangs, and more arrays than there is room for. Processor time is
 // this machine's; `NODE_OPTIONS=--cpu-prof` tells the functions.
-import type { CoreSettings } from '@archpost/core';
-import { decodePeer, encodePeer } from '../../packages/wire/src/index.js';
+import type { CoreSettings } from '@archpost/controller';
+import { decodePeer, encodePeer } from '../../packages/protocol/src/index.js';
 import { Cluster, job } from '../stand-ins.js';
 import { type InputName, meteredCore } from './metered-core.js';
 
--- a/test/measure/costs.ts
+++ b/test/measure/costs.ts
@@ -1,7 +1,7 @@
 // What a fleet costs by its size, as distributions: `node tools/measure.mjs costs [RUNS]`. Prints tables for
 // docs/results.md. Times of day are simulated, processor time is this machine's.
 import { DDSketch } from '@datadog/sketches-js';
-import { decodePeer, encodePeer } from '../../packages/wire/src/index.js';
+import { decodePeer, encodePeer } from '../../packages/protocol/src/index.js';
 import { LargeFleet } from '../fleet/large-fleet.js';
 import { meteredCore } from './metered-core.js';
 
--- a/test/measure/metered-core.ts
+++ b/test/measure/metered-core.ts
@@ -1,6 +1,6 @@
 // A core that tells what processor time its inputs take. Only for measurements: nothing is asserted of times.
 import { performance } from 'node:perf_hooks';
-import { Core } from '@archpost/core';
+import { Core } from '@archpost/controller';
 
 /** Inputs of the core, by the name of its method. */
 export type InputName =
--- a/test/ops.test.ts
+++ b/test/ops.test.ts
@@ -1,9 +1,9 @@
 // What on call met: controllers that stand still, jobs that can only fail, guests, storms of questions.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { CoreSettings } from '@archpost/core';
-import { Shedding } from '../packages/api/src/shedding.js';
-import { Boots } from '../packages/core/src/boots.js';
+import type { CoreSettings } from '@archpost/controller';
+import { Boots } from '../packages/controller/src/boots.js';
+import { Shedding } from '../packages/http-api/src/shedding.js';
 import { Cluster, holderOf, job, kept, shareOf, smallCluster } from './stand-ins.js';
 
 const dead = (c: Cluster) => c.workers.filter((w) => w.dead).map((w) => w.name);
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -1,7 +1,7 @@
 // Jobs that await others: when they start, how a cancellation reaches them, and what they inherit.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { parseSubmission } from '@archpost/wire';
+import { parseSubmission } from '@archpost/protocol';
 import { type Cluster, holderOf, job, kept, type Node, shareOf, smallCluster } from './stand-ins.js';
 import { Walk } from './walk.js';
 
--- a/test/report-connections.test.ts
+++ b/test/report-connections.test.ts
@@ -2,9 +2,9 @@
 import assert from 'node:assert/strict';
 import net from 'node:net';
 import { type TestContext, test } from 'node:test';
-import { Api, Connections, type Request, Shedding } from '@archpost/api';
-import { PATHS, pack, unpackMap } from '@archpost/wire';
-import { Front } from '../packages/api/src/front.js';
+import { Api, Connections, type Request, Shedding } from '@archpost/http-api';
+import { PATHS, pack, unpackMap } from '@archpost/protocol';
+import { Front } from '../packages/http-api/src/front.js';
 
 const REPORT = pack({
   host: 'n-1',
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -1,8 +1,8 @@
 // What broke a rule at production size, or could have: docs/meetings.md, "Rules that broke".
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Core, type Job, Replica } from '@archpost/core';
-import type { JobSpec } from '@archpost/wire';
+import { Core, type Job, Replica } from '@archpost/controller';
+import type { JobSpec } from '@archpost/protocol';
 import { Inbox } from '../packages/server/src/inbox.js';
 import { Cluster, holderOf, job, type Node, settings, shareOf, smallCluster, type WorkerStandIn } from './stand-ins.js';
 import { Random } from './walk/random.js';
--- a/test/size-limits.test.ts
+++ b/test/size-limits.test.ts
@@ -2,12 +2,12 @@
 import assert from 'node:assert/strict';
 import net from 'node:net';
 import { test } from 'node:test';
-import { Api, Connections, Shedding } from '@archpost/api';
-import { Cloud } from '@archpost/cloud';
-import { encodedBytes, fitStatus, type QueuedWrite, RunningNews, URGENCY, WriteQueue } from '@archpost/core';
-import { encodeFrame, FrameReader, MAX_FRAME_BYTES, Peers } from '@archpost/peers';
-import { StateStore } from '@archpost/store';
-import { encodePeer, MOST_COMMANDS_IN_BODY } from '@archpost/wire';
+import { Cloud } from '@archpost/cloud-client';
+import { encodedBytes, fitStatus, type QueuedWrite, RunningNews, URGENCY, WriteQueue } from '@archpost/controller';
+import { Api, Connections, Shedding } from '@archpost/http-api';
+import { encodeFrame, FrameReader, MAX_FRAME_BYTES, Peers } from '@archpost/peer-transport';
+import { encodePeer, MOST_COMMANDS_IN_BODY } from '@archpost/protocol';
+import { StateStore } from '@archpost/state-client';
 import { CollectionTrigger, heapMb, planHeap, threadHeapMb } from '../packages/server/src/memory.js';
 import { LargeFleet } from './fleet/large-fleet.js';
 import { listen, serverFor } from './loopback/http.js';
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -3,8 +3,8 @@
 import assert from 'node:assert/strict';
 import { readFileSync, writeFileSync } from 'node:fs';
 import { test } from 'node:test';
-import { Core } from '@archpost/core';
-import { decodePeer, encodePeer, type JobSpec, type Row } from '@archpost/wire';
+import { Core } from '@archpost/controller';
+import { decodePeer, encodePeer, type JobSpec, type Row } from '@archpost/protocol';
 import { Cluster, holderOf, job, kept, type Node, settings, shareOf, type Version } from './stand-ins.js';
 import * as production from './upgrade/production-core.mjs';
 import { Walk } from './walk.js';
--- a/test/walk.ts
+++ b/test/walk.ts
@@ -1,6 +1,6 @@
 // A seeded random walk: users go on submitting, asking and calling off while troubles meet in pairs, and
 // every rule of PROTOCOL that can be seen from workers and users is checked after each step.
-import type { CoreSettings } from '@archpost/core';
+import type { CoreSettings } from '@archpost/controller';
 import { Cluster, type Node, type Version } from './stand-ins.js';
 import { checkDerived } from './walk/invariants.js';
 import { Random } from './walk/random.js';
--- a/test/walk/users.ts
+++ b/test/walk/users.ts
@@ -1,5 +1,5 @@
 // The users of a walk: what they submit, ask and call off, and what they were told.
-import type { JobSpec } from '@archpost/wire';
+import type { JobSpec } from '@archpost/protocol';
 import { type Cluster, job, type Node } from '../stand-ins.js';
 import type { Random } from './random.js';
 
--- a/test/writer.test.ts
+++ b/test/writer.test.ts
@@ -1,8 +1,8 @@
 // What becomes of a write that is repeated, lost or can't be taken (docs/meetings.md).
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type Effect, Replica, URGENCY, Writer } from '@archpost/core';
-import { isNoLease } from '@archpost/wire';
+import { type Effect, Replica, URGENCY, Writer } from '@archpost/controller';
+import { isNoLease } from '@archpost/protocol';
 
 function writer(lease = () => null as number | null) {
   const replica = new Replica(() => {}, assert.ifError);
