--- a/packages/controller/src/blame.ts
+++ b/packages/controller/src/allocation/failure-attribution.ts
@@ -1,5 +1,5 @@
-import type { Context } from './context.js';
-import type { Job, Machine, Ms, Placement } from './model.js';
+import type { Context } from '../context/index.js';
+import type { Job, Machine, Ms, Placement } from '../model/index.js';
 
 /** A job that failed on so many machines, and never went well, is taken for broken. */
 const BROKEN_MACHINES = 3;
--- a/packages/controller/src/work.ts
+++ b/packages/controller/src/allocation/task-allocations.ts
@@ -1,9 +1,9 @@
-import { Blame } from './blame.js';
-import type { Context } from './context.js';
-import { loadOf, type MachineLoad } from './machine-load.js';
-import type { Job, Machine, Ms, Placement } from './model.js';
-import type { Room } from './placement.js';
-import { KEY } from './state-keys.js';
+import type { Context } from '../context/index.js';
+import type { Job, Machine, Ms, Placement } from '../model/index.js';
+import { loadOf, type MachineLoad } from '../model/machine-load.js';
+import type { Room } from '../scheduling/placement.js';
+import { KEY } from '../state/keys.js';
+import { Blame } from './failure-attribution.js';
 
 /** A share that this controller holds. */
 interface Held {
--- a/packages/controller/src/rentals.ts
+++ b/packages/controller/src/capacity/autoscaler.ts
@@ -7,11 +7,11 @@
   type PeerDemand,
   type PeerShare,
 } from '@archpost/protocol';
-import { Boots } from './boots.js';
-import type { Context } from './context.js';
+import type { Context } from '../context/index.js';
+import { type Machine, type Ms, TOP_RANK } from '../model/index.js';
+import { copies } from '../scheduling/placement.js';
+import { Boots } from './boot-time-estimator.js';
 import { type Kind, kindKey, suits, typeOf } from './demand.js';
-import { type Machine, type Ms, TOP_RANK } from './model.js';
-import { copies } from './placement.js';
 
 /** Machines of one kind that are to be rented. */
 interface Purchase extends Kind {
--- a/packages/controller/src/boots.ts
+++ b/packages/controller/src/capacity/boot-time-estimator.ts
@@ -1,5 +1,5 @@
+import type { Ms } from '../model/index.js';
 import { type Kind, kindKey } from './demand.js';
-import type { Ms } from './model.js';
 
 /** PROTOCOL: boots usually take up to one and a half times what the cloud names. */
 const USUAL = 1.6;
--- a/packages/controller/src/demand.ts
+++ b/packages/controller/src/capacity/demand.ts
@@ -1,8 +1,8 @@
 /** Work that waits for room, and what kinds of machines would serve it. */
 import type { MachineType, PeerDemand, PeerShare } from '@archpost/protocol';
-import type { Context } from './context.js';
-import type { Need } from './model.js';
-import { copies } from './placement.js';
+import type { Context } from '../context/index.js';
+import type { Need } from '../model/index.js';
+import { copies } from '../scheduling/placement.js';
 
 /** What the cloud sells: a type in a zone, ordinary or cheap. */
 export interface Kind {
--- a/packages/controller/src/grants.ts
+++ b/packages/controller/src/capacity/machine-assigner.ts
@@ -1,14 +1,14 @@
 /** Grants machines whose workers report, and which no share has, to shares: where work waits, or else by guarantees. */
 import type { PeerShare } from '@archpost/protocol';
-import type { Context } from './context.js';
+import type { Context } from '../context/index.js';
+import type { Ms } from '../model/index.js';
+import { copies } from '../scheduling/placement.js';
+import { encodeGrant } from '../state/assignment-record.js';
+import { KEY } from '../state/keys.js';
+import { URGENCY } from '../state/write-queue.js';
+import type { Rentals } from './autoscaler.js';
 import { type Kind, serve, suits, typeOf, type WaitingWork, waitingWork } from './demand.js';
-import { encodeGrant } from './grant-record.js';
-import type { Ms } from './model.js';
-import { copies } from './placement.js';
-import type { Rentals } from './rentals.js';
-import { ShareBalance } from './share-balance.js';
-import { KEY } from './state-keys.js';
-import { URGENCY } from './write-queue.js';
+import { ShareBalance } from './shard-balance.js';
 
 /** A machine without a grant whose worker reported. */
 export interface Stranger extends Kind {
--- a/packages/controller/src/share-balance.ts
+++ b/packages/controller/src/capacity/shard-balance.ts
@@ -2,9 +2,9 @@
  * What machines of each type the shares have, beside what their teams are guaranteed. Counted once for a round of
  * grants: counting for each machine made the first start cost the square of the machines.
  */
-import type { Context } from './context.js';
+import type { Context } from '../context/index.js';
 import { typeOf } from './demand.js';
-import type { RecentGrant } from './grants.js';
+import type { RecentGrant } from './machine-assigner.js';
 
 /** What a team without guaranteed accelerators weighs among those that have some. */
 const LEAST_WEIGHT = 0.1;
--- a/packages/controller/src/moves.ts
+++ b/packages/controller/src/capacity/shard-rebalancer.ts
@@ -3,10 +3,10 @@
  * no room.
  */
 import type { PeerDemand, PeerMachine, PeerShare } from '@archpost/protocol';
-import type { Context } from './context.js';
+import type { Context } from '../context/index.js';
+import { type Machine, type Ms, NEVER, SCARCE_AFTER_S, TOP_RANK } from '../model/index.js';
+import { copies } from '../scheduling/placement.js';
 import { serve, suits, type WaitingWork } from './demand.js';
-import { type Machine, type Ms, NEVER, SCARCE_AFTER_S, TOP_RANK } from './model.js';
-import { copies } from './placement.js';
 
 /** Work of the highest rank that waited for so many plan waits gets machines that bear firm work elsewhere. */
 const PRESSING_PLAN_WAITS = 1.5;
--- a/packages/controller/src/context.ts
+++ b/packages/controller/src/context/index.ts
@@ -1,8 +1,8 @@
 import type { PeerStatus } from '@archpost/protocol';
-import type { CoreSettings, Effect, Level, Ms } from './model.js';
-import type { Replica } from './replica.js';
-import type { Table } from './table.js';
-import type { Writer } from './writer.js';
+import type { CoreSettings, Effect, Level, Ms } from '../model/index.js';
+import type { Table } from '../state/cluster-state.js';
+import type { Replica } from '../state/replica.js';
+import type { Writer } from '../state/state-writer.js';
 
 export interface Peer {
   status: PeerStatus;
--- a/packages/controller/src/report-forwarding.ts
+++ b/packages/controller/src/heartbeats/heartbeat-forwarding.ts
@@ -3,8 +3,8 @@
  * they say. A report that differs from the last one is forwarded whole; that nothing changed goes with the status.
  */
 import type { PeerHeard, Report, TaskReport } from '@archpost/protocol';
-import type { Context } from './context.js';
-import { type Ms, NEVER } from './model.js';
+import type { Context } from '../context/index.js';
+import { type Ms, NEVER } from '../model/index.js';
 
 /** A machine heard within this time is named in the status. */
 const HEARD_LATELY_MS = 4000;
--- a/packages/controller/src/reports.ts
+++ b/packages/controller/src/heartbeats/heartbeat-reconciler.ts
@@ -1,10 +1,10 @@
 import type { PeerHeard, Report, TaskReport } from '@archpost/protocol';
-import type { Context } from './context.js';
-import type { Machine, Ms, Placement } from './model.js';
-import { ABOVE_ALL_RANKS } from './ranks.js';
-import type { Records } from './records.js';
-import { KEY } from './state-keys.js';
-import { taskKey, type Work } from './work.js';
+import { taskKey, type Work } from '../allocation/task-allocations.js';
+import type { Context } from '../context/index.js';
+import type { Machine, Ms, Placement } from '../model/index.js';
+import { ABOVE_ALL_RANKS } from '../model/priorities.js';
+import type { Records } from '../shards/progress-writer.js';
+import { KEY } from '../state/keys.js';
 
 /** A worker numbers its reports, two a second at most, and its answers to questions and commands. */
 const MESSAGES_PER_S = 10;
--- a/packages/controller/src/worker-reports.ts
+++ b/packages/controller/src/heartbeats/heartbeat-responder.ts
@@ -3,13 +3,13 @@
  * its owner; only the owner commands. How long, and why that breaks nothing: docs/design.md, "Who may answer workers".
  */
 import { type Command, goHome, MOST_COMMANDS_IN_BODY, type Report, reportAnswer } from '@archpost/protocol';
-import type { Context } from './context.js';
-import type { Leader } from './leader.js';
-import type { Ms } from './model.js';
-import type { Owner } from './owner.js';
-import type { ReportForwarding } from './report-forwarding.js';
-import { stopReported } from './task-commands.js';
-import type { Vouching } from './vouching.js';
+import type { Context } from '../context/index.js';
+import type { Vouching } from '../leadership/cancellation-freshness.js';
+import type { Leader } from '../leadership/leader.js';
+import type { Ms } from '../model/index.js';
+import type { Owner } from '../shards/shard-controller.js';
+import { stopReported } from '../shards/task-commands.js';
+import type { ReportForwarding } from './heartbeat-forwarding.js';
 import type { WorkerRouting } from './worker-routing.js';
 
 const NOT_ENTITLED = { error: 'not entitled' };
--- a/packages/controller/src/worker-routing.ts
+++ b/packages/controller/src/heartbeats/worker-routing.ts
@@ -3,8 +3,8 @@
  * zones then costs them nothing, where finding another controller could take longer than their lease.
  */
 import type { Report } from '@archpost/protocol';
-import type { Context } from './context.js';
-import { type Ms, NEVER } from './model.js';
+import type { Context } from '../context/index.js';
+import { type Ms, NEVER } from '../model/index.js';
 
 /** A controller that answers so many workers is known to be reached by them. */
 const HEARS_WORKERS = 3;
--- a/packages/controller/src/cancellations.ts
+++ b/packages/controller/src/jobs/cancellations.ts
@@ -1,12 +1,12 @@
 /** Users' cancellations: stored, then answered. What follows for other jobs is derived, not written. */
 import { JOB_ID, jobAnswer } from '@archpost/protocol';
-import type { Context } from './context.js';
-import { encodeCancelledJob } from './job-record.js';
-import type { Ms } from './model.js';
-import type { Entry } from './replica.js';
-import { KEY } from './state-keys.js';
-import { NO_SUCH_JOB, REQUEST_MS, type UserAnswers } from './user-answers.js';
-import { URGENCY } from './write-queue.js';
+import type { Context } from '../context/index.js';
+import type { Ms } from '../model/index.js';
+import { encodeCancelledJob } from '../state/job-record.js';
+import { KEY } from '../state/keys.js';
+import type { Entry } from '../state/replica.js';
+import { URGENCY } from '../state/write-queue.js';
+import { NO_SUCH_JOB, REQUEST_MS, type UserAnswers } from './client-responses.js';
 
 export class Cancellations {
   constructor(
--- a/packages/controller/src/user-requests.ts
+++ b/packages/controller/src/jobs/client-requests.ts
@@ -1,10 +1,11 @@
 /** Users' requests, at any controller. */
+
+import type { Context } from '../context/index.js';
+import type { Ms } from '../model/index.js';
 import { Cancellations } from './cancellations.js';
-import type { Context } from './context.js';
-import type { Ms } from './model.js';
-import { Questions } from './questions.js';
+import { UserAnswers } from './client-responses.js';
+import { Questions } from './status-queries.js';
 import { Submissions } from './submissions.js';
-import { UserAnswers } from './user-answers.js';
 
 export class UserRequests {
   private readonly answers: UserAnswers;
--- a/packages/controller/src/user-answers.ts
+++ b/packages/controller/src/jobs/client-responses.ts
@@ -1,6 +1,6 @@
 /** Answers to users: how many requests are open, which are refused for that, and which are out of time. */
-import type { Context } from './context.js';
-import type { Ms } from './model.js';
+import type { Context } from '../context/index.js';
+import type { Ms } from '../model/index.js';
 
 /** Users wait 5 s for an answer to a submission or a cancellation. */
 export const REQUEST_MS = 4000;
--- a/packages/controller/src/job-status.ts
+++ b/packages/controller/src/jobs/job-status.ts
@@ -1,9 +1,9 @@
 /** What users are told of a job, by what the replica holds. */
 import { jobAnswer } from '@archpost/protocol';
-import type { Context } from './context.js';
-import { readJobRecord } from './job-record.js';
-import type { Job } from './model.js';
-import { KEY } from './state-keys.js';
+import type { Context } from '../context/index.js';
+import type { Job } from '../model/index.js';
+import { readJobRecord } from '../state/job-record.js';
+import { KEY } from '../state/keys.js';
 
 export type JobStatus = 'queued' | 'running' | 'done' | 'cancelled';
 
--- a/packages/controller/src/questions.ts
+++ b/packages/controller/src/jobs/status-queries.ts
@@ -1,9 +1,9 @@
 /** Users' questions about jobs. One reading of the state service answers all that came before it. */
 import { JOB_ID } from '@archpost/protocol';
-import type { Context } from './context.js';
+import type { Context } from '../context/index.js';
+import type { Ms } from '../model/index.js';
+import { NO_SUCH_JOB, STATE_UNANSWERED, type UserAnswers } from './client-responses.js';
 import { describeFinal, describeJob } from './job-status.js';
-import type { Ms } from './model.js';
-import { NO_SUCH_JOB, STATE_UNANSWERED, type UserAnswers } from './user-answers.js';
 
 /** Users wait 2 s for an answer to a question. */
 const QUESTION_MS = 1700;
--- a/packages/controller/src/submissions.ts
+++ b/packages/controller/src/jobs/submissions.ts
@@ -1,13 +1,13 @@
 /** Users' submissions: checked, stored, then answered. */
 import { type JobSpec, jobAnswer, parseSubmission, type Submission } from '@archpost/protocol';
-import type { Context } from './context.js';
-import { type EncodedJob, encodeAcceptedJob } from './job-record.js';
+import type { Context } from '../context/index.js';
+import type { Ms } from '../model/index.js';
+import { copies, EPS } from '../scheduling/placement.js';
+import { type EncodedJob, encodeAcceptedJob } from '../state/job-record.js';
+import { KEY } from '../state/keys.js';
+import { URGENCY, type WriteOutcome } from '../state/write-queue.js';
+import { NOT_READY, REQUEST_MS, STATE_UNANSWERED, type UserAnswers } from './client-responses.js';
 import { statusOf } from './job-status.js';
-import type { Ms } from './model.js';
-import { copies, EPS } from './placement.js';
-import { KEY } from './state-keys.js';
-import { NOT_READY, REQUEST_MS, STATE_UNANSWERED, type UserAnswers } from './user-answers.js';
-import { URGENCY, type WriteOutcome } from './write-queue.js';
 
 /** Within this time of a job's acceptance nobody can have been told of its end. */
 const PROMPT_MS = 150;
--- a/packages/controller/src/vouching.ts
+++ b/packages/controller/src/leadership/cancellation-freshness.ts
@@ -1,5 +1,5 @@
 import type { PeerStatus } from '@archpost/protocol';
-import type { Ms } from './model.js';
+import type { Ms } from '../model/index.js';
 
 /** A ping that wasn't sent back for so long never is. */
 const PING_MS = 60_000;
--- a/packages/controller/src/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -1,15 +1,15 @@
 import type { MachineType, PeerShare } from '@archpost/protocol';
-import type { Context } from './context.js';
-import { suits, waitingWork } from './demand.js';
-import { encodeGrant } from './grant-record.js';
-import { Grants, type Stranger } from './grants.js';
-import { type Machine, type Ms, NEVER } from './model.js';
-import { Moves } from './moves.js';
-import type { Owner } from './owner.js';
-import { copies } from './placement.js';
-import { Rentals } from './rentals.js';
-import { KEY } from './state-keys.js';
-import { URGENCY } from './write-queue.js';
+import { Rentals } from '../capacity/autoscaler.js';
+import { suits, waitingWork } from '../capacity/demand.js';
+import { Grants, type Stranger } from '../capacity/machine-assigner.js';
+import { Moves } from '../capacity/shard-rebalancer.js';
+import type { Context } from '../context/index.js';
+import { type Machine, type Ms, NEVER } from '../model/index.js';
+import { copies } from '../scheduling/placement.js';
+import type { Owner } from '../shards/shard-controller.js';
+import { encodeGrant } from '../state/assignment-record.js';
+import { KEY } from '../state/keys.js';
+import { URGENCY } from '../state/write-queue.js';
 
 /** A round weighs all machines: with many of them rounds are rarer, though work that waits is never left for longer. */
 const ROUND_MS = 500;
--- a/packages/controller/src/holdings.ts
+++ b/packages/controller/src/leadership/shard-leases.ts
@@ -1,7 +1,7 @@
-import type { Context } from './context.js';
-import type { Ms } from './model.js';
-import { KEY } from './state-keys.js';
-import { URGENCY } from './write-queue.js';
+import type { Context } from '../context/index.js';
+import type { Ms } from '../model/index.js';
+import { KEY } from '../state/keys.js';
+import { URGENCY } from '../state/write-queue.js';
 
 /** A share goes home when it has been at rest for this long. */
 const SETTLED_MS = 4000;
--- a/packages/controller/src/status-exchange.ts
+++ b/packages/controller/src/leadership/status-exchange.ts
@@ -4,18 +4,18 @@
  * statuses.
  */
 import type { PeerStatus } from '@archpost/protocol';
-import type { Context } from './context.js';
-import { inTurn } from './in-turn.js';
+import type { Context } from '../context/index.js';
+import type { ReportForwarding } from '../heartbeats/heartbeat-forwarding.js';
+import type { WorkerRouting } from '../heartbeats/worker-routing.js';
+import { type Ms, NEVER } from '../model/index.js';
+import { inTurn } from '../model/round-robin.js';
+import type { Owner } from '../shards/shard-controller.js';
+import { KEY } from '../state/keys.js';
+import { URGENCY } from '../state/write-queue.js';
+import type { Vouching } from './cancellation-freshness.js';
 import type { Leader } from './leader.js';
-import { type Ms, NEVER } from './model.js';
-import type { Owner } from './owner.js';
-import type { ReportForwarding } from './report-forwarding.js';
-import { RunningNews } from './running-news.js';
-import { KEY } from './state-keys.js';
+import { RunningNews } from './running-task-deltas.js';
 import { fitStatus } from './stored-status.js';
-import type { Vouching } from './vouching.js';
-import type { WorkerRouting } from './worker-routing.js';
-import { URGENCY } from './write-queue.js';
 
 const STATUS_INTERVAL_MS = 700;
 
--- a/packages/controller/src/stored-status.ts
+++ b/packages/controller/src/leadership/stored-status.ts
@@ -5,8 +5,8 @@
  * leader can't use, and would hide the others for as long as the cut lasts.
  */
 import type { PeerStatus } from '@archpost/protocol';
-import { inTurn } from './in-turn.js';
-import { encodedBytes } from './state-limits.js';
+import { inTurn } from '../model/round-robin.js';
+import { encodedBytes } from '../state/limits.js';
 
 const MOST_MACHINES = 15;
 const MOST_DEMANDS = 8;
--- a/packages/controller/src/machine-load.ts
+++ b/packages/controller/src/model/machine-load.ts
@@ -2,9 +2,10 @@
  * What a machine's placements take of it. Plans, views and moves ask for it far more often than placements change, so
  * the machine keeps it until one does.
  */
+
+import { take } from '../scheduling/placement.js';
 import type { Need, Placement } from './job.js';
 import type { Machine } from './machine.js';
-import { take } from './placement.js';
 
 export interface MachineLoad {
   /** what is left beside all that may be there */
--- a/packages/controller/src/candidate-rooms.ts
+++ b/packages/controller/src/scheduling/candidate-machines.ts
@@ -2,7 +2,7 @@
  * The rooms that a job's tasks may take, the best first. Sorting all of them for each waiting job was most of a plan's
  * cost on a full fleet, where hardly any has room: those are sorted only once something may be stopped for the job.
  */
-import type { Job } from './model.js';
+import type { Job } from '../model/index.js';
 import { fits, type Room, zoneAllows } from './placement.js';
 
 /** A room with what it was worth when the job's turn came. */
--- a/packages/controller/src/places.ts
+++ b/packages/controller/src/scheduling/machine-scoring.ts
@@ -1,8 +1,8 @@
-import type { Context } from './context.js';
-import { type Job, type Machine, type Ms, type Need, SCARCE_AFTER_S } from './model.js';
-import type { Order } from './order.js';
+import type { Work } from '../allocation/task-allocations.js';
+import type { Context } from '../context/index.js';
+import { type Job, type Machine, type Ms, type Need, SCARCE_AFTER_S } from '../model/index.js';
 import { allowed, EPS, fits, type Room } from './placement.js';
-import type { Work } from './work.js';
+import type { Order } from './queue-order.js';
 
 const NOTHING: Need = { cpus: 0, gpus: 0, memory: 0 };
 
--- a/packages/controller/src/placement.ts
+++ b/packages/controller/src/scheduling/placement.ts
@@ -1,4 +1,4 @@
-import type { Job, Machine, Need } from './model.js';
+import type { Job, Machine, Need } from '../model/index.js';
 
 export const EPS = 1e-6;
 
--- a/packages/controller/src/preemption.ts
+++ b/packages/controller/src/scheduling/preemption.ts
@@ -1,9 +1,9 @@
-import type { Context } from './context.js';
-import { type Job, type Machine, type Ms, type Need, type Placement, TOP_RANK } from './model.js';
-import type { Guarantees } from './order.js';
+import type { Work } from '../allocation/task-allocations.js';
+import type { Context } from '../context/index.js';
+import { type Job, type Machine, type Ms, type Need, type Placement, TOP_RANK } from '../model/index.js';
+import type { Places } from './machine-scoring.js';
 import { copies, fits, type Room } from './placement.js';
-import type { Places } from './places.js';
-import type { Work } from './work.js';
+import type { Guarantees } from './queue-order.js';
 
 /** What may be stopped for what, and the least of it that makes room. */
 export class Preemption {
--- a/packages/controller/src/order.ts
+++ b/packages/controller/src/scheduling/queue-order.ts
@@ -1,7 +1,7 @@
-import type { Context } from './context.js';
-import { expectedMs } from './dependencies.js';
-import type { Job, Ms } from './model.js';
-import type { Work } from './work.js';
+import type { Work } from '../allocation/task-allocations.js';
+import type { Context } from '../context/index.js';
+import type { Job, Ms } from '../model/index.js';
+import { expectedMs } from '../state/job-dependencies.js';
 
 /** A gang that has waited for this many plan waits is aged. */
 const AGED_PLAN_WAITS = 6;
--- a/packages/controller/src/destinations.ts
+++ b/packages/controller/src/scheduling/relocation-targets.ts
@@ -3,7 +3,7 @@
  * over all rooms for each of them cost the square of the machines (eleven of each thirty milliseconds of a tick at 1,333
  * machines a share), so rooms are sorted out once for each kind of service.
  */
-import type { Job, Machine, Placement } from './model.js';
+import type { Job, Machine, Placement } from '../model/index.js';
 import { allowed, fits, type Room, take } from './placement.js';
 
 export class Destinations {
--- a/packages/controller/src/planner.ts
+++ b/packages/controller/src/scheduling/scheduler.ts
@@ -1,12 +1,12 @@
-import { CandidateRooms } from './candidate-rooms.js';
-import { Clearing } from './clearing.js';
-import type { Context } from './context.js';
-import type { Job, Machine, Ms, Need } from './model.js';
-import type { Guarantees, Order } from './order.js';
+import type { Work } from '../allocation/task-allocations.js';
+import type { Context } from '../context/index.js';
+import type { Job, Machine, Ms, Need } from '../model/index.js';
+import { CandidateRooms } from './candidate-machines.js';
+import { Places } from './machine-scoring.js';
 import { allowed, copies, domains, fits, placeGang, type Room, take, zoneAllows, zoneCounts } from './placement.js';
-import { Places } from './places.js';
 import { Preemption } from './preemption.js';
-import type { Work } from './work.js';
+import type { Guarantees, Order } from './queue-order.js';
+import { Clearing } from './service-eviction.js';
 
 /** What has no room is planned for again after this long, if nothing else happens. */
 const REPLAN_MS = 600;
--- a/packages/controller/src/clearing.ts
+++ b/packages/controller/src/scheduling/service-eviction.ts
@@ -1,9 +1,9 @@
-import type { Context } from './context.js';
-import { Destinations } from './destinations.js';
-import type { Machine, Ms, Need, Placement } from './model.js';
+import type { Work } from '../allocation/task-allocations.js';
+import type { Context } from '../context/index.js';
+import type { Machine, Ms, Need, Placement } from '../model/index.js';
+import type { Places } from './machine-scoring.js';
 import { allowed, copies, fits, type Room, take, zoneAllows, zoneCounts } from './placement.js';
-import type { Places } from './places.js';
-import type { Work } from './work.js';
+import { Destinations } from './relocation-targets.js';
 
 /** How often services of one machine are gathered elsewhere. */
 const GATHER_MS = 4000;
--- a/packages/controller/src/grant-changes.ts
+++ b/packages/controller/src/shards/assignment-updates.ts
@@ -1,10 +1,11 @@
 /** What an owner writes of its machines' grants: moves to another share, tokens that rise, and machines that are gone. */
-import type { Context } from './context.js';
-import { encodeGrant } from './grant-record.js';
-import type { Machine } from './model.js';
-import { KEY } from './state-keys.js';
-import type { Work } from './work.js';
-import { URGENCY } from './write-queue.js';
+
+import type { Work } from '../allocation/task-allocations.js';
+import type { Context } from '../context/index.js';
+import type { Machine } from '../model/index.js';
+import { encodeGrant } from '../state/assignment-record.js';
+import { KEY } from '../state/keys.js';
+import { URGENCY } from '../state/write-queue.js';
 
 /** What was stored of a gone machine's images is removed within this time, or left. */
 const IMAGES_MS = 15_000;
--- a/packages/controller/src/commands.ts
+++ b/packages/controller/src/shards/command-dispatcher.ts
@@ -1,11 +1,11 @@
 import { type Command, MOST_COMMANDS_IN_BODY, type Report } from '@archpost/protocol';
-import type { Context } from './context.js';
-import { type Job, type Machine, type Ms, NEVER, type Need, type Placement } from './model.js';
-import { fits, take } from './placement.js';
-import { ABOVE_ALL_RANKS } from './ranks.js';
-import type { Reports } from './reports.js';
+import type { Work } from '../allocation/task-allocations.js';
+import type { Context } from '../context/index.js';
+import type { Reports } from '../heartbeats/heartbeat-reconciler.js';
+import { type Job, type Machine, type Ms, NEVER, type Need, type Placement } from '../model/index.js';
+import { ABOVE_ALL_RANKS } from '../model/priorities.js';
+import { fits, take } from '../scheduling/placement.js';
 import { clearStray, forgetCommand, startCommand, stopCommand } from './task-commands.js';
-import type { Work } from './work.js';
 
 /**
  * Machines asked how they stand at once, by a whole core. After a takeover all have to be, and
--- a/packages/controller/src/reachability.ts
+++ b/packages/controller/src/shards/failure-detector.ts
@@ -2,9 +2,10 @@
  * Which workers can be reached from here, as far as their answers and their silence tell: whether a zone is cut off, and
  * whether the fault is this controller's own. What is heard isn't reachable, and no answer isn't no.
  */
-import type { Context } from './context.js';
-import type { Machine, Ms } from './model.js';
-import type { Work } from './work.js';
+
+import type { Work } from '../allocation/task-allocations.js';
+import type { Context } from '../context/index.js';
+import type { Machine, Ms } from '../model/index.js';
 
 /** No worker answers for this long, though some were asked for that: the fault is here. */
 const DOUBT_MS = 2000;
--- a/packages/controller/src/fleet.ts
+++ b/packages/controller/src/shards/machine-lifecycle.ts
@@ -1,9 +1,9 @@
 import { MOST_RETURNED } from '@archpost/protocol';
-import type { Context } from './context.js';
-import { GrantChanges } from './grant-changes.js';
-import type { Machine, Ms } from './model.js';
-import { Reachability } from './reachability.js';
-import type { Work } from './work.js';
+import type { Work } from '../allocation/task-allocations.js';
+import type { Context } from '../context/index.js';
+import type { Machine, Ms } from '../model/index.js';
+import { GrantChanges } from './assignment-updates.js';
+import { Reachability } from './failure-detector.js';
 
 /** Most machines in one return to the cloud, and how often one is made. */
 const RETURNS_AT_ONCE = MOST_RETURNED;
--- a/packages/controller/src/records.ts
+++ b/packages/controller/src/shards/progress-writer.ts
@@ -1,10 +1,10 @@
-import type { Context } from './context.js';
-import { encodeDoneJob } from './job-record.js';
-import type { Job, Machine, Ms } from './model.js';
-import { type ProgressPart, packBits } from './progress-layout.js';
-import { KEY } from './state-keys.js';
-import type { Work } from './work.js';
-import { URGENCY } from './write-queue.js';
+import type { Work } from '../allocation/task-allocations.js';
+import type { Context } from '../context/index.js';
+import type { Job, Machine, Ms } from '../model/index.js';
+import { encodeDoneJob } from '../state/job-record.js';
+import { KEY } from '../state/keys.js';
+import { type ProgressPart, packBits } from '../state/progress-layout.js';
+import { URGENCY } from '../state/write-queue.js';
 
 /** A machine's images are stored this long after one has come: others may follow. */
 const IMAGES_DELAY_MS = 15_000;
--- a/packages/controller/src/owner.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -1,15 +1,15 @@
 import type { PeerShare } from '@archpost/protocol';
-import { Commands } from './commands.js';
-import type { Context } from './context.js';
-import { Fleet } from './fleet.js';
-import { type Job, type Machine, type Ms, type Placement, TOP_RANK } from './model.js';
-import { Order } from './order.js';
-import { Planner } from './planner.js';
-import { Records } from './records.js';
-import { Reports } from './reports.js';
-import type { RunningTasks } from './running-news.js';
-import { ShareViews } from './share-view.js';
-import { Work } from './work.js';
+import { Work } from '../allocation/task-allocations.js';
+import type { Context } from '../context/index.js';
+import { Reports } from '../heartbeats/heartbeat-reconciler.js';
+import type { RunningTasks } from '../leadership/running-task-deltas.js';
+import { type Job, type Machine, type Ms, type Placement, TOP_RANK } from '../model/index.js';
+import { Order } from '../scheduling/queue-order.js';
+import { Planner } from '../scheduling/scheduler.js';
+import { Commands } from './command-dispatcher.js';
+import { Fleet } from './machine-lifecycle.js';
+import { Records } from './progress-writer.js';
+import { ShareViews } from './shard-summary.js';
 
 /** All jobs are gone over this often for what time alone brings: plans to release, completions to store. */
 const JOBS_MS = 300;
--- a/packages/controller/src/share-view.ts
+++ b/packages/controller/src/shards/shard-summary.ts
@@ -1,11 +1,11 @@
 /** What an owner tells the leader of a share: its machines, and its work that has no room. */
 import type { PeerDemand, PeerMachine, PeerShare } from '@archpost/protocol';
-import type { Context } from './context.js';
-import { type Machine, type Ms, TOP_RANK } from './model.js';
-import type { Guarantees, Order } from './order.js';
-import { zoneAllows, zoneCounts } from './placement.js';
-import type { Planner } from './planner.js';
-import type { UnmetWork, Work } from './work.js';
+import type { UnmetWork, Work } from '../allocation/task-allocations.js';
+import type { Context } from '../context/index.js';
+import { type Machine, type Ms, TOP_RANK } from '../model/index.js';
+import { zoneAllows, zoneCounts } from '../scheduling/placement.js';
+import type { Guarantees, Order } from '../scheduling/queue-order.js';
+import type { Planner } from '../scheduling/scheduler.js';
 
 /** What is told of a share is worked out anew after this long. */
 const VIEW_MS = 400;
--- a/packages/controller/src/task-commands.ts
+++ b/packages/controller/src/shards/task-commands.ts
@@ -1,6 +1,6 @@
 /** Commands about single tasks, as a worker takes them. */
 import type { Command, TaskReport } from '@archpost/protocol';
-import type { Placement } from './model.js';
+import type { Placement } from '../model/index.js';
 
 /**
  * The only place where a start is made, as the command leaves: whatever was true when it was planned, its job must be
--- a/packages/controller/src/table.ts
+++ b/packages/controller/src/state/cluster-state.ts
@@ -1,13 +1,13 @@
 import type { JobSpec, MachineType } from '@archpost/protocol';
-import { type Grant, parseGrant } from './grant-record.js';
+import { type CoreSettings, Job, Machine, type Ms, Names } from '../model/index.js';
+import { fits } from '../scheduling/placement.js';
+import { type Grant, parseGrant } from './assignment-record.js';
 import type { FinalState } from './job-record.js';
-import { JobTable } from './job-table.js';
-import { type CoreSettings, Job, Machine, type Ms, Names } from './model.js';
-import { fits } from './placement.js';
+import { JobTable } from './job-registry.js';
+import { type Holder, KEY, type MachineTypesPart, parseHolder } from './keys.js';
+import { encodedBytes, type StateSizes, stateSizes } from './limits.js';
 import { ProgressLayout } from './progress-layout.js';
 import type { Entry } from './replica.js';
-import { type Holder, KEY, type MachineTypesPart, parseHolder } from './state-keys.js';
-import { encodedBytes, type StateSizes, stateSizes } from './state-limits.js';
 
 /** Most images of a machine that are stored. */
 const MOST_IMAGES = 30;
--- a/packages/controller/src/dependencies.ts
+++ b/packages/controller/src/state/job-dependencies.ts
@@ -5,8 +5,9 @@
  * A user can only name jobs that were accepted before, so there are no cycles; a stored record that says
  * otherwise makes the jobs of its cycle wait for ever, and every walk here still ends.
  */
+
+import type { Job, Ms } from '../model/index.js';
 import type { FinalState } from './job-record.js';
-import type { Job, Ms } from './model.js';
 
 /** What the end of a job means for those that await it. */
 export interface Consequences {
--- a/packages/controller/src/job-record.ts
+++ b/packages/controller/src/state/job-record.ts
@@ -18,7 +18,7 @@
 import { createHash } from 'node:crypto';
 import type { JobSpec } from '@archpost/protocol';
 import { z } from 'zod';
-import { encodedBytes } from './state-limits.js';
+import { encodedBytes } from './limits.js';
 
 export type FinalState = 'done' | 'cancelled';
 
--- a/packages/controller/src/job-table.ts
+++ b/packages/controller/src/state/job-registry.ts
@@ -3,9 +3,9 @@
  * their completed tasks, and which awaits which.
  */
 import type { JobSpec } from '@archpost/protocol';
-import { Dependencies } from './dependencies.js';
+import type { Job, Ms } from '../model/index.js';
+import { Dependencies } from './job-dependencies.js';
 import { type FinalState, type JobPart, parseJobPart, parseJobRecord, type StoredJob } from './job-record.js';
-import type { Job, Ms } from './model.js';
 import type { ProgressLayout, StoredProgress } from './progress-layout.js';
 import type { Entry } from './replica.js';
 
--- a/packages/controller/src/state-limits.ts
+++ b/packages/controller/src/state/limits.ts
@@ -2,7 +2,7 @@
  * What the state service takes, and how fast: the size of a value and of a transaction, and the rate of
  * changes. The settings may announce limits that it will have later (`params.state.next`), without saying when.
  */
-import type { CoreSettings, Ms } from './model.js';
+import type { CoreSettings, Ms } from '../model/index.js';
 
 /** Bytes of a value left to how the service counts: it may add a field or two around what we send. */
 const VALUE_SPARE_BYTES = 64;
--- a/packages/controller/src/progress-layout.ts
+++ b/packages/controller/src/state/progress-layout.ts
@@ -8,7 +8,7 @@
  * read parts too. Bits only ever go from 0 to 1, so keys of both kinds can be united.
  */
 
-import { BYTES_PER_KIB } from './state-limits.js';
+import { BYTES_PER_KIB } from './limits.js';
 
 const TASKS_PER_DIGIT = 4;
 
--- a/packages/controller/src/barriers.ts
+++ b/packages/controller/src/state/read-barriers.ts
@@ -1,5 +1,5 @@
 /** What waits for a reading of the state service that is newer than the moment when it began to wait. */
-import type { Ms } from './model.js';
+import type { Ms } from '../model/index.js';
 
 interface Waiting {
   from: Ms;
--- a/packages/controller/src/writer.ts
+++ b/packages/controller/src/state/state-writer.ts
@@ -1,8 +1,8 @@
 import { isDeepStrictEqual } from 'node:util';
 import type { Guard, TxnOutcome, Write } from '@archpost/protocol';
-import type { Effect, Ms } from './model.js';
+import type { Effect, Ms } from '../model/index.js';
+import { encodedBytes, type StateSizes } from './limits.js';
 import type { Replica } from './replica.js';
-import { encodedBytes, type StateSizes } from './state-limits.js';
 import { type PendingWrite, type QueuedWrite, URGENCY, WriteQueue } from './write-queue.js';
 
 /** Transactions under way at once. */
--- a/packages/controller/src/write-queue.ts
+++ b/packages/controller/src/state/write-queue.ts
@@ -5,7 +5,7 @@
  */
 import type { Guard } from '@archpost/protocol';
 import sortedBTree from 'sorted-btree';
-import type { Ms } from './model.js';
+import type { Ms } from '../model/index.js';
 
 /**
  * Which writes go first. Users' answers wait for what they asked for, so neither may stand
--- a/test/ops.test.ts
+++ b/test/ops.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { CoreSettings } from '@archpost/controller';
-import { Boots } from '../packages/controller/src/boots.js';
+import { Boots } from '../packages/controller/src/capacity/boot-time-estimator.js';
 import { Shedding } from '../packages/http-api/src/shedding.js';
 import { Cluster, holderOf, job, kept, shareOf, smallCluster } from './stand-ins.js';
 
