--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -1,5 +1,4 @@
 import type { Change, Listed, MachineType, PeerStatus, Report, Row, TxnOutcome } from '@archpost/protocol';
-import { isStatus } from '@archpost/protocol';
 import type { Rentals } from './capacity/autoscaler.js';
 import type { Context, Peer } from './context/index.js';
 import { ReportForwarding } from './heartbeats/heartbeat-forwarding.js';
@@ -15,9 +14,11 @@
 import { type Applied, Table } from './state/cluster-state.js';
 import { KEY } from './state/keys.js';
 import { ChangeRate, encodedBytes } from './state/limits.js';
+import { encodeMachineTypes, encodeMachineTypesParts } from './state/machine-types-record.js';
 import { Barriers } from './state/read-barriers.js';
 import { Replica } from './state/replica.js';
 import { Writer } from './state/state-writer.js';
+import { parseStatus } from './state/status-record.js';
 import { URGENCY } from './state/write-queue.js';
 
 /** How long a peer's silence is borne before its link counts as down. */
@@ -164,7 +165,7 @@
 
   private keyChanged(key: string, entry: { value: unknown; stamp: number } | null): void {
     if (!key.startsWith(KEY.root)) return;
-    if (key.startsWith(KEY.status('')) && entry) this.statusByState(entry.value as PeerStatus);
+    if (key.startsWith(KEY.status('')) && entry) this.statusByState(entry.value);
     const c = this.read(key, entry);
     if (!c) return;
     if (c.holding !== undefined) this.holdings.changed(c.holding);
@@ -323,9 +324,10 @@
   /** Kept for a start while the cloud's interface is down; in parts where the list outgrows a value. */
   private storeTypes(list: MachineType[], now: Ms): void {
     const { changeBytes } = this.table.sizes;
-    if (encodedBytes(KEY.types, list) <= changeBytes) return this.storeOnce(KEY.types, list, now);
-    list.forEach((type, index) => {
-      this.storeOnce(KEY.typesPart(index), { count: list.length, list: [type] }, now);
+    const whole = encodeMachineTypes(list);
+    if (encodedBytes(KEY.types, whole) <= changeBytes) return this.storeOnce(KEY.types, whole, now);
+    encodeMachineTypesParts(list).forEach((part, index) => {
+      this.storeOnce(KEY.typesPart(index), part, now);
     });
   }
 
@@ -372,8 +374,9 @@
   }
 
   /** Used only while the link itself is silent: it is slower, and costs writes. */
-  private statusByState(status: PeerStatus): void {
-    if (!isStatus(status) || status.node === this.settings.node || this.peerAlive(status.node, this.now)) return;
+  private statusByState(stored: unknown): void {
+    const status = parseStatus(stored);
+    if (status === null || status.node === this.settings.node || this.peerAlive(status.node, this.now)) return;
     if (!this.replica.loaded) return;
     this.peers.set(status.node, { status, running: this.peers.get(status.node)?.running ?? new Map(), at: this.now, up: false });
   }
--- a/packages/controller/src/index.ts
+++ b/packages/controller/src/index.ts
@@ -8,4 +8,5 @@
 export * from './state/progress-layout.js';
 export * from './state/replica.js';
 export * from './state/state-writer.js';
+export * from './state/status-record.js';
 export * from './state/write-queue.js';
--- a/packages/controller/src/leadership/shard-leases.ts
+++ b/packages/controller/src/leadership/shard-leases.ts
@@ -1,6 +1,7 @@
 import type { Context } from '../context/index.js';
 import type { Ms } from '../model/index.js';
 import { KEY } from '../state/keys.js';
+import { encodeHolder, encodePresence, isPresenceOf } from '../state/lease-record.js';
 import { URGENCY } from '../state/write-queue.js';
 
 /** A share goes home when it has been at rest for this long. */
@@ -112,11 +113,11 @@
   private sign(now: Ms): void {
     const key = KEY.presence(this.context.settings.node);
     const cur = this.context.replica.get(key);
-    if (this.writing.has(key) || (cur && (cur.value as { boot: string }).boot === this.context.boot)) return;
+    if (this.writing.has(key) || (cur && isPresenceOf(cur.value, this.context.boot))) return;
     this.writing.add(key);
     this.context.writer.add({
       key,
-      value: () => ({ boot: this.context.boot }),
+      value: () => encodePresence(this.context.boot),
       guard: cur?.stamp ?? 0,
       leased: true,
       urgency: URGENCY.release,
@@ -132,7 +133,7 @@
     if (guard === 0) this.claiming.add(name);
     context.writer.add({
       key: KEY.holding(name === 'lead' ? 'lead' : Number(name)),
-      value: () => ({ node: context.settings.node, boot: context.boot }),
+      value: () => encodeHolder({ node: context.settings.node, boot: context.boot }),
       guard,
       leased: true,
       urgency: URGENCY.holding,
--- a/packages/controller/src/leadership/status-exchange.ts
+++ b/packages/controller/src/leadership/status-exchange.ts
@@ -11,6 +11,7 @@
 import { inTurn } from '../model/round-robin.js';
 import type { Owner } from '../shards/shard-controller.js';
 import { KEY } from '../state/keys.js';
+import { encodeStatus } from '../state/status-record.js';
 import { URGENCY } from '../state/write-queue.js';
 import type { Vouching } from './cancellation-freshness.js';
 import type { Leader } from './leader.js';
@@ -151,7 +152,7 @@
     const status = fitStatus(key, this.status(now), context.table.sizes.changeBytes, this.stored++);
     context.writer.add({
       key,
-      value: () => status,
+      value: () => encodeStatus(status),
       guard: context.replica.get(key)?.stamp ?? 0,
       urgency: URGENCY.progress,
       until: now + STORED_STATUS_INTERVAL_MS,
--- a/packages/controller/src/leadership/stored-status.ts
+++ b/packages/controller/src/leadership/stored-status.ts
@@ -7,6 +7,7 @@
 import type { PeerStatus } from '@archpost/protocol';
 import { inTurn } from '../model/round-robin.js';
 import { encodedBytes } from '../state/limits.js';
+import { encodeStatus } from '../state/status-record.js';
 
 const MOST_MACHINES = 15;
 const MOST_DEMANDS = 8;
@@ -50,10 +51,10 @@
 /** The status with as much of its lists as fits; each turn tells other parts of those that don't. */
 export function fitStatus(key: string, status: PeerStatus, changeBytes: number, turn = 0): PeerStatus {
   const whole = essential(status);
-  if (encodedBytes(key, whole) <= changeBytes) return whole;
+  if (encodedBytes(key, encodeStatus(whole)) <= changeBytes) return whole;
   const most: Lengths = { ...LONGEST };
   let short = shorten(whole, most, turn);
-  while (encodedBytes(key, short) > changeBytes && Object.values(most).some((length) => length > 0)) {
+  while (encodedBytes(key, encodeStatus(short)) > changeBytes && Object.values(most).some((length) => length > 0)) {
     // Waiting work is what the others act on.
     if (most.machines > 1) most.machines = Math.floor(most.machines / 2);
     else if (most.demands > 1) most.demands = Math.floor(most.demands / 2);
--- a/packages/controller/src/shards/progress-writer.ts
+++ b/packages/controller/src/shards/progress-writer.ts
@@ -1,6 +1,7 @@
 import type { Work } from '../allocation/task-allocations.js';
 import type { Context } from '../context/index.js';
 import type { Job, Machine, Ms } from '../model/index.js';
+import { encodeImageCache } from '../state/image-cache-record.js';
 import { encodeDoneJob } from '../state/job-record.js';
 import { KEY } from '../state/keys.js';
 import { type ProgressPart, packBits } from '../state/progress-layout.js';
@@ -47,7 +48,7 @@
     const key = KEY.cache(m.name);
     this.context.writer.add({
       key,
-      value: () => this.context.table.imagesOf(m),
+      value: () => encodeImageCache(this.context.table.imagesOf(m)),
       guard: this.context.replica.get(key)?.stamp ?? 0,
       urgency: URGENCY.images,
       until: this.work.now + 5_000,
--- a/packages/controller/src/state/cluster-state.ts
+++ b/packages/controller/src/state/cluster-state.ts
@@ -2,10 +2,13 @@
 import { type CoreSettings, Job, Machine, type Ms, Names } from '../model/index.js';
 import { fits } from '../scheduling/placement.js';
 import { type Grant, parseGrant } from './assignment-record.js';
+import { parseImageCache, type StoredImage } from './image-cache-record.js';
 import type { FinalState } from './job-record.js';
 import { JobTable } from './job-registry.js';
-import { type Holder, KEY, type MachineTypesPart, parseHolder } from './keys.js';
+import { KEY } from './keys.js';
+import { type Holder, parseHolder } from './lease-record.js';
 import { encodedBytes, type StateSizes, stateSizes } from './limits.js';
+import { type MachineTypesPart, parseMachineTypesPart, parseMachineTypesRecord } from './machine-types-record.js';
 import { ProgressLayout } from './progress-layout.js';
 import type { Entry } from './replica.js';
 
@@ -133,10 +136,10 @@
     if (kind === 'x/') return this.jobTable.applyPart(key.slice(4), entry, now);
     if (kind === 'g/') return this.applyGrant(key.slice(4), entry, now);
     if (kind === 'c/') {
-      if (entry) this.caches.set(key.slice(4), entry.value as [string, number][]);
+      if (entry) this.caches.set(key.slice(4), parseImageCache(entry.value));
       else this.caches.delete(key.slice(4));
     }
-    if (key === KEY.types && entry) this.setTypes(entry.value as MachineType[]);
+    if (key === KEY.types && entry) this.setTypes(parseMachineTypesRecord(entry.value));
     else if (key.startsWith(TYPES_PARTS) && entry) this.applyTypesPart(key, entry.value);
     return {};
   }
@@ -145,9 +148,8 @@
 
   /** The types are known once all parts of their list are. */
   private applyTypesPart(key: string, value: unknown): void {
-    const part = value as Partial<MachineTypesPart> | null;
-    if (!Array.isArray(part?.list) || typeof part.count !== 'number') throw new Error('not a part of the machine types');
-    this.typesParts.set(key, part as MachineTypesPart);
+    const part = parseMachineTypesPart(value);
+    this.typesParts.set(key, part);
     const parts = [...this.typesParts.values()];
     if (parts.length >= part.count && !this.typesKnown) this.setTypes(parts.flatMap((p) => p.list));
   }
@@ -183,7 +185,7 @@
     });
   }
 
-  private readonly caches = new Map<string, [string, number][]>();
+  private readonly caches = new Map<string, StoredImage[]>();
 
   /** What is stored of the machine's images, oldest use first. */
   recallImages(m: Machine): void {
@@ -192,8 +194,8 @@
   }
 
   /** The images used last, as many as fit a stored value. */
-  imagesOf(m: Machine): [string, number][] {
-    const images = [...m.images].slice(-MOST_IMAGES).map(([i, gb]): [string, number] => [this.imageNames.name(i), gb]);
+  imagesOf(m: Machine): StoredImage[] {
+    const images = [...m.images].slice(-MOST_IMAGES).map(([i, gb]): StoredImage => [this.imageNames.name(i), gb]);
     while (encodedBytes(KEY.cache(m.name), images) > this.sizes.changeBytes) images.shift();
     return images;
   }
--- a/packages/controller/src/state/keys.ts
+++ b/packages/controller/src/state/keys.ts
@@ -1,6 +1,4 @@
-/** The keys of the state service, and the records that are stored under them but for jobs (job-record.ts). */
-import type { MachineType } from '@archpost/protocol';
-
+/** The keys of the state service. What is stored under each is described by the `*-record.ts` module of its kind. */
 export const KEY = {
   root: 'a/',
   holding: (share: number | 'lead') => `a/h/${share}`,
@@ -19,21 +17,3 @@
   /** the images that a machine surely has, for whoever owns it next */
   cache: (machine: string) => `a/c/${machine}`,
 };
-
-export interface Holder {
-  node: string;
-  boot: string;
-}
-
-/** One part of the machine types, and how many parts there are. */
-export interface MachineTypesPart {
-  count: number;
-  list: MachineType[];
-}
-
-/** Throws on what names no holder. */
-export function parseHolder(value: unknown): Holder {
-  const h = value as Partial<Holder> | null;
-  if (typeof h?.node !== 'string' || typeof h.boot !== 'string') throw new Error('not a holder');
-  return h as Holder;
-}
--- a/packages/protocol/src/peer.ts
+++ b/packages/protocol/src/peer.ts
@@ -87,16 +87,6 @@
   echo: string;
 }
 
-/** Is this a status, as another controller stored it? */
-export function isStatus(value: unknown): value is PeerStatus {
-  const s = value as Partial<PeerStatus> | null;
-  return (
-    typeof s?.node === 'string' &&
-    [s.shares, s.running, s.strangers, s.heard, s.plenty].every((list) => Array.isArray(list)) &&
-    (s.shares as Partial<PeerShare>[]).every((x) => Array.isArray(x?.machines) && Array.isArray(x.demands))
-  );
-}
-
 const root = protobuf.Root.fromJSON({
   nested: {
     Machine: {
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -8,17 +8,19 @@
   encodeAcceptedJob,
   encodeCancelledJob,
   encodedBytes,
+  encodeStatus,
   fitStatus,
   ProgressLayout,
   packBits,
   parseJobPart,
   parseJobRecord,
+  parseStatus,
   Replica,
   stateSizes,
   URGENCY,
   Writer,
 } from '@archpost/controller';
-import { isStatus, type JobSpec, type MachineType, type PeerStatus, type Row } from '@archpost/protocol';
+import type { JobSpec, MachineType, PeerStatus, Row } from '@archpost/protocol';
 import { Cluster, holderOf, job, type Node, STATUS, settings, shareOf, TYPES } from './stand-ins.js';
 
 const NEXT = { valueKb: 2, txnOps: 4, writeRps: 45 };
@@ -126,9 +128,9 @@
   };
   const limit = 2 * 1024 - 64;
   const status = fitStatus('a/s/n0', whole, limit);
-  assert.ok(encodedBytes('a/s/n0', status) <= limit);
+  assert.ok(encodedBytes('a/s/n0', encodeStatus(status)) <= limit);
   assert.ok((status.shares[0]?.demands.length ?? 0) > 0, 'waiting work is told above all');
-  assert.ok(isStatus(status));
+  assert.deepEqual(parseStatus(encodeStatus(status)), status);
 
   const c = cluster(2);
   const { table } = (c.nodes[0] as Node).core;
--- a/test/size-limits.test.ts
+++ b/test/size-limits.test.ts
@@ -3,7 +3,7 @@
 import net from 'node:net';
 import { test } from 'node:test';
 import { Cloud } from '@archpost/cloud-client';
-import { encodedBytes, fitStatus, type QueuedWrite, RunningNews, URGENCY, WriteQueue } from '@archpost/controller';
+import { encodedBytes, encodeStatus, fitStatus, type QueuedWrite, RunningNews, URGENCY, WriteQueue } from '@archpost/controller';
 import { Api, Connections, Shedding } from '@archpost/http-api';
 import { encodeFrame, FrameReader, MAX_FRAME_BYTES, Peers } from '@archpost/peer-transport';
 import { encodePeer, MOST_COMMANDS_IN_BODY } from '@archpost/protocol';
@@ -89,7 +89,7 @@
   const limit = 8 * 1024;
   for (let turn = 0; turn < 25; turn++) {
     const stored = fitStatus('a/s/n0', status, limit, turn);
-    assert.ok(encodedBytes('a/s/n0', stored) <= limit);
+    assert.ok(encodedBytes('a/s/n0', encodeStatus(stored)) <= limit);
     for (const { machine } of stored.strangers) told.add(machine);
   }
   assert.equal(told.size, 500);
