--- a/packages/cloud-client/src/index.ts
+++ b/packages/cloud-client/src/index.ts
@@ -1,18 +1,18 @@
 import { Budget, Client, steady } from '@archpost/http-client';
 import {
-  type Answer,
-  type Listed,
+  encodeProvisioningRequest,
+  encodeReleaseRequest,
+  type ListedMachine,
+  MAX_MACHINES_PER_LIST,
   type MachineType,
-  MOST_LISTED,
   PATHS,
+  type ProvisioningRequest,
   pack,
-  parseListing,
-  parseRented,
-  parseTypes,
-  type Rental,
-  readAnswer,
-  rentalBody,
-  returnBody,
+  parseMachineList,
+  parseMachineTypes,
+  parseProvisionedMachines,
+  readResponse,
+  type ServiceResponse,
   unpackMap,
 } from '@archpost/protocol';
 import { Subject } from 'rxjs';
@@ -46,7 +46,7 @@
     this.client.close();
   }
 
-  private async call(method: 'GET' | 'POST', path: string, body?: unknown): Promise<Answer> {
+  private async call(method: 'GET' | 'POST', path: string, body?: unknown): Promise<ServiceResponse> {
     await this.budget.take();
     const o = await this.client.call(
       body === undefined ? { method, path, timeoutMs: 3000 } : { method, path, body: pack(body), timeoutMs: 3000 },
@@ -56,15 +56,15 @@
 
   async types(): Promise<MachineType[] | null> {
     const r = await this.call('GET', PATHS.machineTypes);
-    return this.readable(r, 'machine types', parseTypes);
+    return this.readable(r, 'machine types', parseMachineTypes);
   }
 
-  private readable<T>(answer: Answer, what: string, parse: (body: Record<string, unknown>) => T | null): T | null {
-    return readAnswer(answer, parse, () => this.unreadable$.next(what));
+  private readable<T>(answer: ServiceResponse, what: string, parse: (body: Record<string, unknown>) => T | null): T | null {
+    return readResponse(answer, parse, () => this.unreadable$.next(what));
   }
 
-  async list(): Promise<Listed[] | null> {
-    const out: Listed[] = [];
+  async list(): Promise<ListedMachine[] | null> {
+    const out: ListedMachine[] = [];
     let since = '';
     for (;;) {
       const page = await this.page(since);
@@ -76,12 +76,12 @@
   }
 
   /** A page of the list; a later one is asked for again, since all that came before it would be lost. */
-  private async page(since: string): Promise<ReturnType<typeof parseListing>> {
-    const path = `${PATHS.machines}?${since === '' ? '' : `since=${since}&`}most=${MOST_LISTED}`;
+  private async page(since: string): Promise<ReturnType<typeof parseMachineList>> {
+    const path = `${PATHS.machines}?${since === '' ? '' : `since=${since}&`}most=${MAX_MACHINES_PER_LIST}`;
     for (let tries = since === '' ? 1 : PAGE_TRIES; tries > 0; tries--) {
       await this.listBudget.take();
       const answer = await this.call('GET', path);
-      const page = this.readable(answer, 'machine list', parseListing);
+      const page = this.readable(answer, 'machine list', parseMachineList);
       if (page || answer.status === 200) return page;
     }
     return null;
@@ -91,11 +91,11 @@
    * Rents under a name that is never used again. Without an answer the name is asked for
    * once more: if the first request was carried out, the same answer comes back.
    */
-  async rent(rental: Rental): Promise<RentOutcome> {
+  async rent(rental: ProvisioningRequest): Promise<RentOutcome> {
     for (let tries = 0; tries < 3; tries++) {
-      const r = await this.call('POST', PATHS.machines, rentalBody(rental));
+      const r = await this.call('POST', PATHS.machines, encodeProvisioningRequest(rental));
       const error = r.body?.error;
-      if (r.status === 200 && r.body) return { kind: 'ok', machines: parseRented(r.body) ?? [] };
+      if (r.status === 200 && r.body) return { kind: 'ok', machines: parseProvisionedMachines(r.body) ?? [] };
       if (r.status === 503 && error === 'no capacity') return { kind: 'full' };
       if (r.status === 400) return { kind: 'full' };
     }
@@ -104,7 +104,7 @@
 
   /** True once the machines and everything on them are gone. */
   async giveBack(machines: string[]): Promise<boolean> {
-    const r = await this.call('POST', PATHS.machinesReturn, returnBody(machines));
+    const r = await this.call('POST', PATHS.machinesReturn, encodeReleaseRequest(machines));
     return r.status === 200;
   }
 }
--- a/packages/controller/src/capacity/machine-assigner.ts
+++ b/packages/controller/src/capacity/machine-assigner.ts
@@ -1,25 +1,32 @@
 /** Grants machines whose workers report, and which no share has, to shares: where work waits, or else by guarantees. */
-import type { PeerShare } from '@archpost/protocol';
-import type { Context } from '../context/index.js';
-import type { Ms } from '../model/index.js';
-import { copies } from '../scheduling/placement.js';
-import { encodeGrant } from '../state/assignment-record.js';
-import { KEY } from '../state/keys.js';
-import { URGENCY } from '../state/write-queue.js';
-import type { Rentals } from './autoscaler.js';
-import { type Kind, serve, suits, typeOf, type WaitingWork, waitingWork } from './demand.js';
-import { ShareBalance } from './shard-balance.js';
+import type { ShardSummary } from '@archpost/protocol';
+import type { ControllerContext } from '../context/index.js';
+import type { Milliseconds } from '../model/index.js';
+import { countThatFit } from '../scheduling/placement.js';
+import { encodeAssignment } from '../state/assignment-record.js';
+import { StateKey } from '../state/keys.js';
+import { WritePriority } from '../state/write-queue.js';
+import type { Autoscaler } from './autoscaler.js';
+import {
+  allocateToDemands,
+  type InstanceKind,
+  machineTypeNamed,
+  matchesDemand,
+  type PendingDemand,
+  pendingDemands,
+} from './demand.js';
+import { ShardBalance } from './shard-balance.js';
 
 /** A machine without a grant whose worker reported. */
-export interface Stranger extends Kind {
+export interface UnassignedMachine extends InstanceKind {
   machine: string;
-  addr: string;
+  address: string;
 }
 
 /** A machine granted to a share a moment ago. */
-export interface RecentGrant extends Kind {
-  share: number;
-  at: Ms;
+export interface RecentAssignment extends InstanceKind {
+  shard: number;
+  at: Milliseconds;
 }
 
 /** A granted machine is probed, planned for and told of within this time. */
@@ -33,104 +40,109 @@
 
 const GRANT_EXPIRES_MS = 8000;
 
-export class Grants {
-  private readonly strangers = new Map<string, { stranger: Stranger; at: Ms }>();
+export class MachineAssigner {
+  private readonly unassignedMachines = new Map<string, { stranger: UnassignedMachine; at: Milliseconds }>();
   private readonly writing = new Set<string>();
-  private readonly recentGrants = new Map<string, RecentGrant>();
+  private readonly recentAssignments = new Map<string, RecentAssignment>();
 
   constructor(
-    private readonly context: Context,
-    private readonly rentals: () => Rentals,
+    private readonly context: ControllerContext,
+    private readonly autoscaler: () => Autoscaler,
   ) {}
 
-  reported(stranger: Stranger, now: Ms): void {
-    this.strangers.set(stranger.machine, { stranger, at: now });
+  machineReported(stranger: UnassignedMachine, now: Milliseconds): void {
+    this.unassignedMachines.set(stranger.machine, { stranger, at: now });
   }
 
   /** Machines without a grant that reported here lately. */
-  reportedLately(now: Ms): Stranger[] {
-    for (const [name, { at }] of this.strangers)
-      if (now - at > HEARD_MS || this.context.table.machines.has(name)) this.strangers.delete(name);
-    return [...this.strangers.values()].map(({ stranger }) => stranger);
+  recentlyReported(now: Milliseconds): UnassignedMachine[] {
+    for (const [name, { at }] of this.unassignedMachines)
+      if (now - at > HEARD_MS || this.context.clusterState.machines.has(name)) this.unassignedMachines.delete(name);
+    return [...this.unassignedMachines.values()].map(({ stranger }) => stranger);
   }
 
   /** A grant of this machine is being written. */
-  pending(machine: string): boolean {
+  isAssignmentPending(machine: string): boolean {
     return this.writing.has(machine);
   }
 
   /** What was granted so lately that what its share tells doesn't show it yet. */
-  recent(now: Ms): RecentGrant[] {
-    for (const [name, grant] of this.recentGrants)
-      if (!this.writing.has(name) && now - grant.at > GRANT_SHOWS_MS) this.recentGrants.delete(name);
-    return [...this.recentGrants.values()];
+  recentlyAssigned(now: Milliseconds): RecentAssignment[] {
+    for (const [name, grant] of this.recentAssignments)
+      if (!this.writing.has(name) && now - grant.at > GRANT_SHOWS_MS) this.recentAssignments.delete(name);
+    return [...this.recentAssignments.values()];
   }
 
   /** `leaderStamp`: the stamp under which this controller leads. */
-  grantAll(shares: () => Map<number, PeerShare>, leaderStamp: number, now: Ms): void {
-    const all = this.ungranted(now);
+  assignAll(shares: () => Map<number, ShardSummary>, leaderStamp: number, now: Milliseconds): void {
+    const all = this.unassigned(now);
     if (all.size === 0) return;
-    const waiting = waitingWork(shares().values());
-    this.serveRecent(waiting, now);
-    const balance = new ShareBalance(this.context, this.recentGrants);
+    const waiting = pendingDemands(shares().values());
+    this.allocateRecentAssignments(waiting, now);
+    const balance = new ShardBalance(this.context, this.recentAssignments);
     for (const stranger of all.values()) {
-      this.rentals().up(stranger.machine, stranger, now);
-      const share = this.shareInNeed(stranger, waiting) ?? balance.worstOff(stranger.type);
+      this.autoscaler().machineStarted(stranger.machine, stranger, now);
+      const share = this.shardInNeed(stranger, waiting) ?? balance.worstOff(stranger.type);
       balance.add(stranger.type, share);
       this.write(stranger, share, leaderStamp, now);
     }
   }
 
   /** Takes off the waiting work what was granted a moment ago. */
-  serveRecent(waiting: WaitingWork[], now: Ms): void {
-    for (const grant of this.recent(now)) {
-      const capacity = typeOf(this.context, grant.type);
-      if (capacity) serve(waiting, grant.share, grant, capacity);
+  allocateRecentAssignments(waiting: PendingDemand[], now: Milliseconds): void {
+    for (const grant of this.recentlyAssigned(now)) {
+      const capacity = machineTypeNamed(this.context, grant.type);
+      if (capacity) allocateToDemands(waiting, grant.shard, grant, capacity);
     }
   }
 
   /** By name, what reported here or to another controller. */
-  private ungranted(now: Ms): Map<string, Stranger> {
-    const { table, peers } = this.context;
-    const candidates = this.reportedLately(now);
-    for (const peer of peers.values()) if (now - peer.at < PEER_TOLD_MS) candidates.push(...peer.status.strangers);
-    const all = new Map<string, Stranger>();
+  private unassigned(now: Milliseconds): Map<string, UnassignedMachine> {
+    const { clusterState: table, peers } = this.context;
+    const candidates = this.recentlyReported(now);
+    for (const peer of peers.values()) if (now - peer.heardAt < PEER_TOLD_MS) candidates.push(...peer.status.unassignedMachines);
+    const all = new Map<string, UnassignedMachine>();
     for (const stranger of candidates) {
       if (table.machines.has(stranger.machine) || this.writing.has(stranger.machine)) continue;
       // Else a late report of a machine that was given back.
-      if (!this.rentals().goneLately(stranger.machine, now)) all.set(stranger.machine, stranger);
+      if (!this.autoscaler().isRecentlyReleased(stranger.machine, now)) all.set(stranger.machine, stranger);
     }
     return all;
   }
 
-  private write({ machine, addr, type, zone, spot }: Stranger, share: number, leaderStamp: number, now: Ms): void {
+  private write(
+    { machine, address: addr, type, zone, spot }: UnassignedMachine,
+    share: number,
+    leaderStamp: number,
+    now: Milliseconds,
+  ): void {
     this.writing.add(machine);
-    this.recentGrants.set(machine, { share, type, zone, spot, at: now });
+    this.recentAssignments.set(machine, { shard: share, type, zone, spot, at: now });
     this.context.writer.add({
-      key: KEY.grant(machine),
-      value: () => encodeGrant({ share, address: addr, type, zone, spot, moveTo: null, retire: false }),
-      guard: 0,
-      also: [{ key: KEY.holding('lead'), stamp: leaderStamp }],
-      urgency: URGENCY.grant,
-      until: now + GRANT_EXPIRES_MS,
-      done: () => {
+      key: StateKey.assignment(machine),
+      value: () => encodeAssignment({ shard: share, address: addr, type, zone, spot, moveToShard: null, isRetired: false }),
+      expectedRevision: 0,
+      conditions: [{ key: StateKey.shardLease('lead'), revision: leaderStamp }],
+      priority: WritePriority.assignment,
+      expiresAt: now + GRANT_EXPIRES_MS,
+      onOutcome: () => {
         this.writing.delete(machine);
-        this.rentals().granted(machine);
+        this.autoscaler().machineAssigned(machine);
       },
     });
   }
 
   /** The share whose waiting work the machine serves best; what needs accelerators comes first on those. */
-  private shareInNeed(stranger: Stranger, waiting: WaitingWork[]): number | null {
+  private shardInNeed(stranger: UnassignedMachine, waiting: PendingDemand[]): number | null {
     const { type, zone, spot } = stranger;
-    const capacity = typeOf(this.context, type);
+    const capacity = machineTypeNamed(this.context, type);
     if (!capacity) return null;
-    const served = ({ left, demand }: WaitingWork) =>
-      left > 0 && copies(demand, capacity) >= 1 && suits(demand, type, zone, spot);
+    const served = ({ remainingTasks: left, demand }: PendingDemand) =>
+      left > 0 && countThatFit(demand, capacity) >= 1 && matchesDemand(demand, type, zone, spot);
     const accelerated = capacity.gpus > 0 && !spot ? waiting.find((work) => work.demand.gpus > 0 && served(work)) : undefined;
     const work = accelerated ?? waiting.find(served);
     if (!work) return null;
-    serve(waiting, work.share, stranger, capacity);
-    return work.share;
+    allocateToDemands(waiting, work.shard, stranger, capacity);
+    return work.shard;
   }
 }
--- a/packages/controller/src/capacity/shard-rebalancer.ts
+++ b/packages/controller/src/capacity/shard-rebalancer.ts
@@ -2,11 +2,11 @@
  * Which machines the leader moves from share to share: free ones, or such as bear lesser work only, go where work has
  * no room.
  */
-import type { PeerDemand, PeerMachine, PeerShare } from '@archpost/protocol';
-import type { Context } from '../context/index.js';
-import { type Machine, type Ms, NEVER, SCARCE_AFTER_S, TOP_RANK } from '../model/index.js';
-import { copies } from '../scheduling/placement.js';
-import { serve, suits, type WaitingWork } from './demand.js';
+import type { MachineSummary, ResourceDemand, ShardSummary } from '@archpost/protocol';
+import type { ControllerContext } from '../context/index.js';
+import { HIGHEST_PRIORITY, type Machine, type Milliseconds, NEVER, SCARCE_MACHINE_WAIT_S } from '../model/index.js';
+import { countThatFit } from '../scheduling/placement.js';
+import { allocateToDemands, matchesDemand, type PendingDemand } from './demand.js';
 
 /** Work of the highest rank that waited for so many plan waits gets machines that bear firm work elsewhere. */
 const PRESSING_PLAN_WAITS = 1.5;
@@ -39,13 +39,13 @@
 /** A machine that may be moved, as its owner tells of it. */
 interface Movable {
   machine: Machine;
-  told: PeerMachine;
-  share: PeerShare;
-  capacity: NonNullable<Machine['cap']>;
+  summary: MachineSummary;
+  shard: ShardSummary;
+  capacity: NonNullable<Machine['capacity']>;
   zone: string;
 }
 
-interface Option {
+interface MoveOption {
   movable: Movable;
   score: number;
 }
@@ -54,183 +54,201 @@
 class RoundView {
   private readonly idleCounts = new Map<number, number>();
 
-  constructor(private readonly context: Context) {}
+  constructor(private readonly context: ControllerContext) {}
 
   /** Idle ordinary machines of the share, without accelerators. */
-  idle(share: PeerShare): number {
-    const known = this.idleCounts.get(share.share);
+  idle(share: ShardSummary): number {
+    const known = this.idleCounts.get(share.shard);
     if (known !== undefined) return known;
-    const { machines } = this.context.table;
+    const { machines } = this.context.clusterState;
     const count = share.machines.filter((told) => {
       const machine = machines.get(told.name);
-      return told.tasks === 0 && machine?.spot === false && machine.cap?.gpus === 0;
+      return told.tasks === 0 && machine?.spot === false && machine.capacity?.gpus === 0;
     }).length;
-    this.idleCounts.set(share.share, count);
+    this.idleCounts.set(share.shard, count);
     return count;
   }
 }
 
-export class Moves {
+export class ShardRebalancer {
   /** moves that were ordered and are not done yet, and when */
-  private readonly ordered = new Map<string, Ms>();
-  private readonly movedAt = new Map<string, Ms>();
-  private displacedAt: Ms = NEVER;
+  private readonly orderedMoves = new Map<string, Milliseconds>();
+  private readonly lastMoveAt = new Map<string, Milliseconds>();
+  private servicesDisplacedAt: Milliseconds = NEVER;
 
-  constructor(private readonly context: Context) {}
+  constructor(private readonly context: ControllerContext) {}
 
   /** A new lead knows of no orders. */
   reset(): void {
-    this.ordered.clear();
+    this.orderedMoves.clear();
   }
 
-  machineGone(name: string): void {
-    this.movedAt.delete(name);
+  machineRemoved(name: string): void {
+    this.lastMoveAt.delete(name);
   }
 
   /** The order could not be written. */
-  dropped(name: string): void {
-    this.ordered.delete(name);
+  orderFailed(name: string): void {
+    this.orderedMoves.delete(name);
   }
 
   /** The moves of a round: at most so many, for what is waiting. Calls `order` for each. */
   plan(
-    shares: Map<number, PeerShare>,
-    waiting: WaitingWork[],
+    shares: Map<number, ShardSummary>,
+    waiting: PendingDemand[],
     most: number,
     order: (machine: Machine, share: number) => void,
-    now: Ms,
+    now: Milliseconds,
   ): void {
-    this.forgetDone(now);
-    const taken = this.serveOrdered(waiting);
+    this.forgetCompletedMoves(now);
+    const taken = this.allocateOrderedMoves(waiting);
     const movables = this.movables(shares, taken, this.highestRank(waiting), now);
     const view = new RoundView(this.context);
     let left = most;
     for (const work of waiting) {
       if (left <= 0) return;
-      for (const { movable } of this.options(movables, work, taken, view, now)) {
-        if (work.left <= 0 || left <= 0) break;
-        const { machine, told, capacity } = movable;
+      for (const { movable } of this.moveOptions(movables, work, taken, view, now)) {
+        if (work.remainingTasks <= 0 || left <= 0) break;
+        const { machine, summary: told, capacity } = movable;
         taken.add(machine.name);
         left--;
-        work.left -= copies(work.demand, capacity);
-        this.movedAt.set(machine.name, now);
-        this.ordered.set(machine.name, now);
-        order(machine, work.share);
+        work.remainingTasks -= countThatFit(work.demand, capacity);
+        this.lastMoveAt.set(machine.name, now);
+        this.orderedMoves.set(machine.name, now);
+        order(machine, work.shard);
         if (told.services === 0) continue;
-        this.displacedAt = now;
+        this.servicesDisplacedAt = now;
         break;
       }
     }
   }
 
-  private forgetDone(now: Ms): void {
-    for (const [name, at] of this.ordered) {
-      const machine = this.context.table.machines.get(name);
-      if (!machine || (machine.moveTo < 0 && now - at > ORDER_SHOWS_MS)) this.ordered.delete(name);
+  private forgetCompletedMoves(now: Milliseconds): void {
+    for (const [name, at] of this.orderedMoves) {
+      const machine = this.context.clusterState.machines.get(name);
+      if (!machine || (machine.moveToShard < 0 && now - at > ORDER_SHOWS_MS)) this.orderedMoves.delete(name);
     }
   }
 
   /** What is on its way already serves the first who want it. Returns its names. */
-  private serveOrdered(waiting: WaitingWork[]): Set<string> {
-    const { table } = this.context;
+  private allocateOrderedMoves(waiting: PendingDemand[]): Set<string> {
+    const { clusterState: table } = this.context;
     const taken = new Set<string>();
-    for (const name of this.ordered.keys()) {
+    for (const name of this.orderedMoves.keys()) {
       const machine = table.machines.get(name);
-      if (!machine || machine.moveTo < 0 || !machine.cap) continue;
-      const kind = { type: machine.cap.name, zone: table.zoneNames.name(machine.zone), spot: machine.spot };
-      serve(waiting, machine.moveTo, kind, machine.cap);
+      if (!machine || machine.moveToShard < 0 || !machine.capacity) continue;
+      const kind = { type: machine.capacity.name, zone: table.zoneNames.nameOf(machine.zoneIndex), spot: machine.spot };
+      allocateToDemands(waiting, machine.moveToShard, kind, machine.capacity);
       taken.add(name);
     }
     return taken;
   }
 
-  private highestRank(waiting: WaitingWork[]): number {
-    return waiting.reduce((highest, { demand }) => Math.max(highest, demand.rank), -1);
+  private highestRank(waiting: PendingDemand[]): number {
+    return waiting.reduce((highest, { demand }) => Math.max(highest, demand.priority), -1);
   }
 
   /** Sorted out once a round, whatever waits: going over all machines for each demand was most of a round's cost. */
-  private movables(shares: Map<number, PeerShare>, taken: Set<string>, highestRank: number, now: Ms): Movable[] {
-    const { table } = this.context;
+  private movables(shares: Map<number, ShardSummary>, taken: Set<string>, highestRank: number, now: Milliseconds): Movable[] {
+    const { clusterState: table } = this.context;
     const movables: Movable[] = [];
     for (const share of shares.values()) {
       for (const told of share.machines) {
         const machine = table.machines.get(told.name);
-        if (!machine?.cap || machine.share !== share.share || machine.moveTo >= 0 || machine.retire) continue;
-        if (taken.has(told.name) || told.firmRank >= highestRank || this.staysFor(told, now)) continue;
-        movables.push({ machine, told, share, capacity: machine.cap, zone: table.zoneNames.name(machine.zone) });
+        if (!machine?.capacity || machine.shard !== share.shard || machine.moveToShard >= 0 || machine.isRetired) continue;
+        if (taken.has(told.name) || told.protectedPriority >= highestRank || this.isRecentlyMoved(told, now)) continue;
+        movables.push({
+          machine,
+          summary: told,
+          shard: share,
+          capacity: machine.capacity,
+          zone: table.zoneNames.nameOf(machine.zoneIndex),
+        });
       }
     }
     return movables;
   }
 
-  private staysFor(told: PeerMachine, now: Ms): boolean {
-    const since = now - (this.movedAt.get(told.name) ?? NEVER);
+  private isRecentlyMoved(told: MachineSummary, now: Milliseconds): boolean {
+    const since = now - (this.lastMoveAt.get(told.name) ?? NEVER);
     return since < (told.tasks > 0 ? STAYS_WITH_WORK_MS : STAYS_EMPTY_MS);
   }
 
   /** The machines that may be moved for the work, the one that costs least first. */
-  private options(movables: Movable[], work: WaitingWork, taken: Set<string>, view: RoundView, now: Ms): Option[] {
-    const rivals = new Map<PeerShare, boolean>();
-    const options: Option[] = [];
+  private moveOptions(
+    movables: Movable[],
+    work: PendingDemand,
+    taken: Set<string>,
+    view: RoundView,
+    now: Milliseconds,
+  ): MoveOption[] {
+    const rivals = new Map<ShardSummary, boolean>();
+    const options: MoveOption[] = [];
     for (const movable of movables) {
-      const { share, machine } = movable;
-      if (share.share === work.share || taken.has(machine.name)) continue;
-      if (!this.serves(movable, work.demand, now) || this.isKept(movable, work, view)) continue;
-      const rival = rivals.get(share) ?? this.isRival(share, work.demand);
+      const { shard: share, machine } = movable;
+      if (share.shard === work.shard || taken.has(machine.name)) continue;
+      if (!this.canServe(movable, work.demand, now) || this.isReserved(movable, work, view)) continue;
+      const rival = rivals.get(share) ?? this.hasCompetingDemand(share, work.demand);
       rivals.set(share, rival);
-      if (rival && this.servesOwn(movable, work.demand)) continue;
+      if (rival && this.servesOwnDemand(movable, work.demand)) continue;
       options.push({ movable, score: this.score(movable, work) });
     }
     return options.sort((a, b) => a.score - b.score);
   }
 
-  private serves({ told, capacity, zone, machine }: Movable, demand: PeerDemand, now: Ms): boolean {
+  private canServe({ summary: told, capacity, zone, machine }: Movable, demand: ResourceDemand, now: Milliseconds): boolean {
     // A machine that bears services that would have to move stays for a while.
-    if (told.services > 0 && (demand.waitS < DISPLACE_AFTER_S || now - this.displacedAt < DISPLACE_EACH_MS)) return false;
-    if (told.firmRank >= demand.rank || copies(demand, capacity) < 1) return false;
-    return suits(demand, capacity.name, zone, machine.spot);
+    if (told.services > 0 && (demand.waitS < DISPLACE_AFTER_S || now - this.servicesDisplacedAt < DISPLACE_EACH_MS)) return false;
+    if (told.protectedPriority >= demand.priority || countThatFit(demand, capacity) < 1) return false;
+    return matchesDemand(demand, capacity.name, zone, machine.spot);
   }
 
   /** A share in the same need keeps what it has. */
-  private isRival(share: PeerShare, demand: PeerDemand): boolean {
+  private hasCompetingDemand(share: ShardSummary, demand: ResourceDemand): boolean {
     return share.demands.some(
-      (own) => own.rank > demand.rank || (own.rank === demand.rank && (own.within || !demand.within) && own.waitS > RIVAL_WAIT_S),
+      (own) =>
+        own.priority > demand.priority ||
+        (own.priority === demand.priority && (own.withinQuota || !demand.withinQuota) && own.waitS > RIVAL_WAIT_S),
     );
   }
 
-  private servesOwn({ share, capacity, zone, machine }: Movable, demand: PeerDemand): boolean {
+  private servesOwnDemand({ shard: share, capacity, zone, machine }: Movable, demand: ResourceDemand): boolean {
     return share.demands.some(
-      (own) => own.rank >= demand.rank && suits(own, capacity.name, zone, machine.spot) && copies(own, capacity) >= 1,
+      (own) =>
+        own.priority >= demand.priority &&
+        matchesDemand(own, capacity.name, zone, machine.spot) &&
+        countThatFit(own, capacity) >= 1,
     );
   }
 
   /** Is the machine kept for the work that it is made for? */
-  private isKept({ machine, told, share, capacity }: Movable, work: WaitingWork, view: RoundView): boolean {
+  private isReserved({ machine, summary: told, shard: share, capacity }: Movable, work: PendingDemand, view: RoundView): boolean {
     const { demand } = work;
     // Work on it gives way only to what has pressed for longer than its own share needs to clear one.
     const pressing =
-      demand.rank >= TOP_RANK &&
+      demand.priority >= HIGHEST_PRIORITY &&
       demand.waitS > PRESSING_PLAN_WAITS * this.context.settings.policy.planWaitS &&
-      work.left * 2 >= copies(demand, capacity);
-    if (told.firmRank >= TOP_RANK - 1 && !pressing) return true;
+      work.remainingTasks * 2 >= countThatFit(demand, capacity);
+    if (told.protectedPriority >= HIGHEST_PRIORITY - 1 && !pressing) return true;
     if (demand.gpus > 0) return false;
     if (this.isScarce(machine, share, capacity)) {
       // These may not be had again, unless the most urgent work has found nothing else for a while.
-      if (demand.rank < TOP_RANK || demand.waitS < SCARCE_AFTER_S || (told.tasks > 0 && !pressing)) return true;
+      if (demand.priority < HIGHEST_PRIORITY || demand.waitS < SCARCE_MACHINE_WAIT_S || (told.tasks > 0 && !pressing))
+        return true;
     }
     // Ordinary machines stay for what can't use others.
     if (demand.spot && !machine.spot && view.idle(share) <= KEPT_FOR_OTHERS) return true;
-    return capacity.gpus > 0 && demand.rank < 2 && told.tasks > 0;
+    return capacity.gpus > 0 && demand.priority < 2 && told.tasks > 0;
   }
 
-  private isScarce(machine: Machine, share: PeerShare, capacity: Movable['capacity']): boolean {
-    if (capacity.gpus === 0 || machine.spot || this.context.plenty(capacity.name)) return false;
-    return this.context.table.gpuShares.has(share.share);
+  private isScarce(machine: Machine, share: ShardSummary, capacity: Movable['capacity']): boolean {
+    if (capacity.gpus === 0 || machine.spot || this.context.isTypeAvailable(capacity.name)) return false;
+    return this.context.clusterState.shardsWithGpuWork.has(share.shard);
   }
 
-  private score({ told, capacity }: Movable, { demand, left }: WaitingWork): number {
+  private score({ summary: told, capacity }: Movable, { demand, remainingTasks: left }: PendingDemand): number {
     const busy = told.tasks > 0 ? COST_OF_BUSY + COST_OF_TASK * told.tasks : 0;
     const accelerators = demand.gpus === 0 && capacity.gpus > 0 ? COST_OF_ACCELERATORS : 0;
-    return told.services * COST_OF_SERVICE + busy + accelerators - Math.min(copies(demand, capacity), left);
+    return told.services * COST_OF_SERVICE + busy + accelerators - Math.min(countThatFit(demand, capacity), left);
   }
 }
--- a/packages/controller/src/context/index.ts
+++ b/packages/controller/src/context/index.ts
@@ -1,48 +1,48 @@
 import type { PeerStatus } from '@archpost/protocol';
-import type { CoreSettings, Effect, Level, Ms } from '../model/index.js';
-import type { Table } from '../state/cluster-state.js';
+import type { ControllerSettings, Effect, LogLevel, Milliseconds } from '../model/index.js';
+import type { ClusterState } from '../state/cluster-state.js';
 import type { Replica } from '../state/replica.js';
-import type { Writer } from '../state/state-writer.js';
+import type { StateWriter } from '../state/state-writer.js';
 
-export interface Peer {
+export interface PeerView {
   status: PeerStatus;
   /** tasks that run and are done there, by job */
-  running: Map<string, { count: number; done: number; failed: number }>;
-  at: Ms;
-  up: boolean;
+  runningJobs: Map<string, { count: number; done: number; failed: number }>;
+  heardAt: Milliseconds;
+  isConnected: boolean;
 }
 
 /** What the parts of the core share. */
-export interface Context {
-  readonly settings: CoreSettings;
+export interface ControllerContext {
+  readonly settings: ControllerSettings;
   /** the time of the input being taken */
-  readonly now: Ms;
-  readonly boot: string;
-  readonly table: Table;
+  readonly now: Milliseconds;
+  readonly incarnation: string;
+  readonly clusterState: ClusterState;
   readonly replica: Replica;
-  readonly writer: Writer;
-  readonly lease: { permit: number | null; validUntil: Ms };
-  readonly peers: Map<string, Peer>;
+  readonly writer: StateWriter;
+  readonly lease: { id: number | null; validUntil: Milliseconds };
+  readonly peers: Map<string, PeerView>;
   /** the replica holds everything that was so at this time */
-  freshAt: Ms;
+  replicaFreshAt: Milliseconds;
   emit(e: Effect): void;
-  log(level: Level, msg: string, data?: Record<string, unknown>): void;
-  nextId(): number;
-  leaseValid(now: Ms): boolean;
-  storeOk(now: Ms): boolean;
+  log(level: LogLevel, msg: string, data?: Record<string, unknown>): void;
+  nextEffectId(): number;
+  isLeaseValid(now: Milliseconds): boolean;
+  stateServiceAnswers(now: Milliseconds): boolean;
   /** this process stood still, and has read nothing since */
-  settling(): boolean;
+  isCatchingUp(): boolean;
   /** can workers be reached from here? */
-  reach(): boolean;
+  reachesWorkers(): boolean;
   /** held, and not being released: commands, plans and returns may leave for it */
-  acts(share: number): boolean;
-  peerAlive(node: string, now: Ms): boolean;
-  afterBarrier(now: Ms, run: (now: Ms) => void, until?: Ms, late?: () => void): void;
-  gained(holding: string, stamp: number): void;
-  lost(holding: string): void;
+  mayActFor(share: number): boolean;
+  isPeerAlive(node: string, now: Milliseconds): boolean;
+  afterBarrier(now: Milliseconds, run: (now: Milliseconds) => void, until?: Milliseconds, late?: () => void): void;
+  leaseAcquired(holding: string, stamp: number): void;
+  leaseLost(holding: string): void;
   /** do all machines of a share held here answer, and is the most urgent work placed? */
-  settled(share: number): boolean;
-  planSoon(): void;
+  isShardSettled(share: number): boolean;
+  requestScheduling(): void;
   /** can more machines of this type be had, as far as is known? */
-  plenty(type: string): boolean;
+  isTypeAvailable(type: string): boolean;
 }
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -1,25 +1,33 @@
-import type { Change, Listed, MachineType, PeerStatus, Report, Row, TxnOutcome } from '@archpost/protocol';
-import type { Rentals } from './capacity/autoscaler.js';
-import type { Context, Peer } from './context/index.js';
-import { ReportForwarding } from './heartbeats/heartbeat-forwarding.js';
-import { WorkerReports } from './heartbeats/heartbeat-responder.js';
+import type {
+  CompareAndSwapOutcome,
+  Heartbeat,
+  KeyChange,
+  ListedMachine,
+  MachineType,
+  PeerStatus,
+  StoredKey,
+} from '@archpost/protocol';
+import type { Autoscaler } from './capacity/autoscaler.js';
+import type { ControllerContext, PeerView } from './context/index.js';
+import { HeartbeatForwarding } from './heartbeats/heartbeat-forwarding.js';
+import { HeartbeatResponder } from './heartbeats/heartbeat-responder.js';
 import { WorkerRouting } from './heartbeats/worker-routing.js';
-import { UserRequests } from './jobs/client-requests.js';
-import { Vouching } from './leadership/cancellation-freshness.js';
+import { ClientRequests } from './jobs/client-requests.js';
+import { CancellationFreshness } from './leadership/cancellation-freshness.js';
 import { Leader } from './leadership/leader.js';
-import { Holdings } from './leadership/shard-leases.js';
+import { ShardLeases } from './leadership/shard-leases.js';
 import { StatusExchange } from './leadership/status-exchange.js';
-import type { CoreSettings, Effect, Level, Ms } from './model/index.js';
-import { Owner } from './shards/shard-controller.js';
-import { type Applied, Table } from './state/cluster-state.js';
-import { KEY } from './state/keys.js';
-import { ChangeRate, encodedBytes } from './state/limits.js';
+import type { ControllerSettings, Effect, LogLevel, Milliseconds } from './model/index.js';
+import { ShardController } from './shards/shard-controller.js';
+import { type AppliedChange, ClusterState } from './state/cluster-state.js';
+import { StateKey } from './state/keys.js';
+import { encodedBytes, WriteRateLimit } from './state/limits.js';
 import { encodeMachineTypes, encodeMachineTypesParts } from './state/machine-types-record.js';
-import { Barriers } from './state/read-barriers.js';
-import { Replica } from './state/replica.js';
-import { Writer } from './state/state-writer.js';
+import { ReadBarriers } from './state/read-barriers.js';
+import { Replica, type ReplicaEntry } from './state/replica.js';
+import { StateWriter } from './state/state-writer.js';
 import { parseStatus } from './state/status-record.js';
-import { URGENCY } from './state/write-queue.js';
+import { WritePriority } from './state/write-queue.js';
 
 /** How long a peer's silence is borne before its link counts as down. */
 const PEER_SILENT_MS = 3500;
@@ -34,64 +42,83 @@
  * One controller's decisions as a state machine. Inputs go in through the methods, each
  * with its time; what is to be sent, written and answered is collected by `drain`.
  */
-export class Core implements Context {
-  readonly table: Table;
+export class Controller implements ControllerContext {
+  readonly clusterState: ClusterState;
   readonly replica: Replica;
-  readonly writer: Writer;
-  readonly lease = { permit: null as number | null, validUntil: -1 };
-  readonly peers = new Map<string, Peer>();
-  freshAt: Ms = -1e12;
-  private storeAt: Ms = -1e12;
-  readonly userRequests: UserRequests;
-  readonly owner: Owner;
+  readonly writer: StateWriter;
+  readonly lease = { id: null as number | null, validUntil: -1 };
+  readonly peers = new Map<string, PeerView>();
+  replicaFreshAt: Milliseconds = -1e12;
+  private stateServiceAnsweredAt: Milliseconds = -1e12;
+  readonly clientRequests: ClientRequests;
+  readonly shardController: ShardController;
   readonly leader: Leader;
-  readonly holdings: Holdings;
-  private readonly vouching: Vouching;
-  private readonly changeRate: ChangeRate;
-  private readonly forwarding: ReportForwarding;
-  private readonly workerReports: WorkerReports;
-  private readonly barriers = new Barriers();
-  private readonly routing: WorkerRouting;
-  private readonly statuses: StatusExchange;
+  readonly shardLeases: ShardLeases;
+  private readonly cancellationFreshness: CancellationFreshness;
+  private readonly writeRateLimit: WriteRateLimit;
+  private readonly heartbeatForwarding: HeartbeatForwarding;
+  private readonly heartbeatResponder: HeartbeatResponder;
+  private readonly readBarriers = new ReadBarriers();
+  private readonly workerRouting: WorkerRouting;
+  private readonly statusExchange: StatusExchange;
   private effects: Effect[] = [];
-  private ids = 1;
-  now: Ms = 0;
-  private typesAskedAt: Ms = -1e12;
+  private nextId = 1;
+  now: Milliseconds = 0;
+  private machineTypesRequestedAt: Milliseconds = -1e12;
 
   constructor(
-    readonly settings: CoreSettings,
-    readonly boot: string,
+    readonly settings: ControllerSettings,
+    readonly incarnation: string,
   ) {
-    this.table = new Table(settings);
-    this.changeRate = new ChangeRate(settings.state);
+    this.clusterState = new ClusterState(settings);
+    this.writeRateLimit = new WriteRateLimit(settings.state);
     this.replica = new Replica(
       (key, entry) => this.keyChanged(key, entry),
       (key, error) => this.log('warn', 'a change could not be taken', { key, error: String(error) }),
     );
-    const share = 0.95 / Math.max(1, settings.nodes.length);
-    this.writer = new Writer(
-      { writesPerS: Math.max(1, settings.state.writeRps * share), ...this.table.sizes },
+    const share = 0.95 / Math.max(1, settings.controllers.length);
+    this.writer = new StateWriter(
+      { writesPerS: Math.max(1, settings.state.writesPerS * share), ...this.clusterState.sizeLimits },
       this.replica,
       (e) => this.emit(e),
-      () => this.lease.permit,
+      () => this.lease.id,
       (now, run) => this.afterBarrier(now, run),
-      () => this.leaseLost(),
+      () => this.stateLeaseLost(),
       (key, bytes) => this.log('warn', 'a change can not be stored', { key, bytes }),
     );
-    this.userRequests = new UserRequests(this);
-    this.owner = new Owner(this);
-    this.leader = new Leader(this, this.owner);
-    this.holdings = new Holdings(this);
-    this.vouching = new Vouching(
-      settings.nodes.map((n) => n.name).filter((n) => n !== settings.node),
-      boot,
+    this.clientRequests = new ClientRequests(this);
+    this.shardController = new ShardController(this);
+    this.leader = new Leader(this, this.shardController);
+    this.shardLeases = new ShardLeases(this);
+    this.cancellationFreshness = new CancellationFreshness(
+      settings.controllers.map((n) => n.name).filter((n) => n !== settings.name),
+      incarnation,
     );
-    this.forwarding = new ReportForwarding(this);
-    this.routing = new WorkerRouting(this);
-    const { owner, leader, forwarding, routing, vouching } = this;
-    this.workerReports = new WorkerReports(this, { owner, leader, forwarding, routing, vouching });
-    const mayAnswerWorkers = (now: Ms) => this.workerReports.mayAnswer(now);
-    this.statuses = new StatusExchange(this, { owner, leader, forwarding, routing, vouching, mayAnswerWorkers });
+    this.heartbeatForwarding = new HeartbeatForwarding(this);
+    this.workerRouting = new WorkerRouting(this);
+    const {
+      shardController: owner,
+      leader,
+      heartbeatForwarding: forwarding,
+      workerRouting: routing,
+      cancellationFreshness: vouching,
+    } = this;
+    this.heartbeatResponder = new HeartbeatResponder(this, {
+      shardController: owner,
+      leader,
+      heartbeatForwarding: forwarding,
+      workerRouting: routing,
+      cancellationFreshness: vouching,
+    });
+    const mayAnswerWorkers = (now: Milliseconds) => this.heartbeatResponder.mayAnswerWorkers(now);
+    this.statusExchange = new StatusExchange(this, {
+      shardController: owner,
+      leader,
+      heartbeatForwarding: forwarding,
+      workerRouting: routing,
+      cancellationFreshness: vouching,
+      mayAnswerWorkers,
+    });
   }
 
   // ---- context
@@ -100,165 +127,166 @@
     this.effects.push(e);
   }
 
-  log(level: Level, msg: string, data?: Record<string, unknown>): void {
-    this.effects.push(data ? { t: 'log', level, msg, data } : { t: 'log', level, msg });
+  log(level: LogLevel, msg: string, data?: Record<string, unknown>): void {
+    this.effects.push(data ? { type: 'log', level, message: msg, fields: data } : { type: 'log', level, message: msg });
   }
 
-  drain(): Effect[] {
+  takeEffects(): Effect[] {
     const out = this.effects;
     this.effects = [];
     return out;
   }
 
-  nextId(): number {
-    return this.ids++;
+  nextEffectId(): number {
+    return this.nextId++;
   }
 
-  leaseValid(now: Ms): boolean {
-    return this.lease.permit !== null && now < this.lease.validUntil;
+  isLeaseValid(now: Milliseconds): boolean {
+    return this.lease.id !== null && now < this.lease.validUntil;
   }
 
-  peerAlive(node: string, now: Ms): boolean {
+  isPeerAlive(node: string, now: Milliseconds): boolean {
     const p = this.peers.get(node);
-    return p?.up === true && now - p.at < PEER_SILENT_MS;
+    return p?.isConnected === true && now - p.heardAt < PEER_SILENT_MS;
   }
 
   /** Runs once the replica holds everything that was so when this was called. */
-  afterBarrier(now: Ms, run: (now: Ms) => void, until = Number.POSITIVE_INFINITY, late?: () => void): void {
-    this.barriers.add(now, run, until, late);
-    this.emit({ t: 'barrier', soon: true });
+  afterBarrier(now: Milliseconds, run: (now: Milliseconds) => void, until = Number.POSITIVE_INFINITY, late?: () => void): void {
+    this.readBarriers.add(now, run, until, late);
+    this.emit({ type: 'readBarrier', urgent: true });
   }
 
-  gained(holding: string, stamp: number): void {
-    if (holding === 'lead') this.leader.gained(stamp, this.now);
-    else this.owner.gained(Number(holding), stamp, this.now);
+  leaseAcquired(holding: string, stamp: number): void {
+    if (holding === 'lead') this.leader.leaseAcquired(stamp, this.now);
+    else this.shardController.leaseAcquired(Number(holding), stamp, this.now);
   }
 
-  lost(holding: string): void {
-    if (holding === 'lead') this.leader.lost();
-    else this.owner.lost(Number(holding));
+  leaseLost(holding: string): void {
+    if (holding === 'lead') this.leader.leaseLost();
+    else this.shardController.leaseLost(Number(holding));
   }
 
-  reach(): boolean {
-    return this.owner.fleet.reachability.reachable;
+  reachesWorkers(): boolean {
+    return this.shardController.machineLifecycle.failureDetector.reachesWorkers;
   }
 
-  acts(share: number): boolean {
-    return this.holdings.active(String(share), this.now);
+  mayActFor(share: number): boolean {
+    return this.shardLeases.mayActUnder(String(share), this.now);
   }
 
-  settled(share: number): boolean {
-    return this.owner.settled(share);
+  isShardSettled(share: number): boolean {
+    return this.shardController.isSettled(share);
   }
 
-  planSoon(): void {
-    this.owner.planSoon();
+  requestScheduling(): void {
+    this.shardController.requestScheduling();
   }
 
-  plenty(type: string): boolean {
-    if (this.leader.leading) return this.leader.rentals.plenty().includes(type);
-    for (const p of this.peers.values()) if (p.status.lead) return p.status.plenty.includes(type);
+  isTypeAvailable(type: string): boolean {
+    if (this.leader.isLeading) return this.leader.autoscaler.availableTypes().includes(type);
+    for (const p of this.peers.values()) if (p.status.isLeader) return p.status.availableTypes.includes(type);
     return false;
   }
 
   // ---- the state service
 
-  private keyChanged(key: string, entry: { value: unknown; stamp: number } | null): void {
-    if (!key.startsWith(KEY.root)) return;
-    if (key.startsWith(KEY.status('')) && entry) this.statusByState(entry.value);
-    const c = this.read(key, entry);
+  private keyChanged(key: string, entry: ReplicaEntry | null): void {
+    if (!key.startsWith(StateKey.root)) return;
+    if (key.startsWith(StateKey.status('')) && entry) this.receiveStoredStatus(entry.value);
+    const c = this.applyChange(key, entry);
     if (!c) return;
-    if (c.holding !== undefined) this.holdings.changed(c.holding);
+    if (c.lease !== undefined) this.shardLeases.leaseChanged(c.lease);
     if (c.machine) {
-      if (c.machine.share < 0) {
-        this.leader.machineGone(c.machine.name, this.now);
-        this.leader.rentals.placeFree(c.machine, this.now);
+      if (c.machine.shard < 0) {
+        this.leader.machineRemoved(c.machine.name, this.now);
+        this.leader.autoscaler.capacityFreed(c.machine, this.now);
       }
-      this.owner.machineChanged(c.machine, c.moved === true, this.now);
+      this.shardController.machineChanged(c.machine, c.movedShard === true, this.now);
     }
-    if (c.unreadable) this.log('warn', 'a stored record can not be read', { key, error: `${c.unreadable} can not be read` });
-    for (const job of c.jobs ?? []) this.owner.jobChanged(job);
+    if (c.unreadablePart)
+      this.log('warn', 'a stored record can not be read', { key, error: `${c.unreadablePart} can not be read` });
+    for (const job of c.jobs ?? []) this.shardController.jobChanged(job);
   }
 
   /** One record that can't be read, of another version say, must not keep the rest from being read. */
-  private read(key: string, entry: { value: unknown; stamp: number } | null): Applied | null {
+  private applyChange(key: string, entry: ReplicaEntry | null): AppliedChange | null {
     try {
-      return this.table.apply(key, entry, this.now);
+      return this.clusterState.apply(key, entry, this.now);
     } catch (e) {
       this.log('warn', 'a stored record can not be read', { key, error: String(e) });
       return null;
     }
   }
 
-  loaded(rows: Row[], revision: number, now: Ms): void {
+  receiveSnapshot(rows: StoredKey[], revision: number, now: Milliseconds): void {
     this.now = now;
     this.replica.reset(rows, revision);
-    this.after(now);
+    this.flushWrites(now);
   }
 
   /** Changes read by a request that was sent at `asOf`. */
-  changes(list: Change[], revision: number, asOf: Ms, now: Ms): void {
+  receiveChanges(list: KeyChange[], revision: number, asOf: Milliseconds, now: Milliseconds): void {
     this.now = now;
     this.replica.apply(list, revision);
-    if (asOf > this.freshAt) this.freshAt = asOf;
-    this.storeAt = now;
-    this.barriers.fresh(asOf, now);
-    this.userRequests.fresh(asOf);
-    this.after(now);
+    if (asOf > this.replicaFreshAt) this.replicaFreshAt = asOf;
+    this.stateServiceAnsweredAt = now;
+    this.readBarriers.completeUpTo(asOf, now);
+    this.clientRequests.replicaFreshUpTo(asOf);
+    this.flushWrites(now);
   }
 
-  txnResult(id: number, r: TxnOutcome, now: Ms): void {
+  receiveCompareAndSwapOutcome(id: number, r: CompareAndSwapOutcome, now: Milliseconds): void {
     this.now = now;
-    if (r.kind !== 'refused' && r.kind !== 'unknown') this.storeAt = now;
-    if (r.kind === 'limited') this.changeRate.refused(now);
-    this.writer.result(id, r, now);
-    this.after(now);
+    if (r.kind !== 'refused' && r.kind !== 'unknown') this.stateServiceAnsweredAt = now;
+    if (r.kind === 'limited') this.writeRateLimit.recordRefusal(now);
+    this.writer.handleOutcome(id, r, now);
+    this.flushWrites(now);
   }
 
   /** The lease stands until `validUntil` at least; null: there is none. */
-  leaseState(permit: number | null, validUntil: Ms, now: Ms): void {
+  receiveLeaseState(permit: number | null, validUntil: Milliseconds, now: Milliseconds): void {
     this.now = now;
     if (permit === null) {
-      if (this.lease.permit !== null) this.leaseLost();
+      if (this.lease.id !== null) this.stateLeaseLost();
       return;
     }
-    if (this.lease.permit !== null && this.lease.permit !== permit) this.leaseLost();
+    if (this.lease.id !== null && this.lease.id !== permit) this.stateLeaseLost();
     // It was renewed, so it never ended and nobody can have taken what is attached to it: what is
     // held goes on. An outage longer than the lease cost all machines a round of questions before.
-    else if (this.lease.permit === permit && now >= this.lease.validUntil) {
+    else if (this.lease.id === permit && now >= this.lease.validUntil) {
       this.log('info', 'state lease stands after all', { seconds: Math.round((now - this.lease.validUntil) / 1000) });
-      this.owner.paused(now - this.lease.validUntil, now);
+      this.shardController.processPaused(now - this.lease.validUntil, now);
     }
-    this.storeAt = now;
-    this.lease.permit = permit;
+    this.stateServiceAnsweredAt = now;
+    this.lease.id = permit;
     this.lease.validUntil = validUntil;
-    this.after(now);
+    this.flushWrites(now);
   }
 
-  private leaseLost(): void {
+  private stateLeaseLost(): void {
     this.log('warn', 'state lease lost');
-    this.lease.permit = null;
+    this.lease.id = null;
     this.lease.validUntil = -1;
-    this.holdings.dropAll();
+    this.shardLeases.dropAll();
   }
 
   // ---- users
 
-  submit(id: number, body: Record<string, unknown> | null, now: Ms, wall: number): void {
+  submitJob(id: number, body: Record<string, unknown> | null, now: Milliseconds, wall: number): void {
     this.now = now;
-    this.userRequests.submit(id, body, now, wall);
-    this.after(now);
+    this.clientRequests.submit(id, body, now, wall);
+    this.flushWrites(now);
   }
 
-  poll(id: number, job: string, now: Ms): void {
+  queryJobStatus(id: number, job: string, now: Milliseconds): void {
     this.now = now;
-    this.userRequests.poll(id, job, now);
+    this.clientRequests.queryStatus(id, job, now);
   }
 
-  cancel(id: number, job: string, now: Ms): void {
+  cancelJob(id: number, job: string, now: Milliseconds): void {
     this.now = now;
-    this.userRequests.cancel(id, job, now);
-    this.after(now);
+    this.clientRequests.cancel(id, job, now);
+    this.flushWrites(now);
   }
 
   /**
@@ -266,122 +294,139 @@
    * stays so; a controller that alone has lost the service says no, so that its users'
    * connections leave it.
    */
-  get ready(): boolean {
-    if (!this.replica.loaded || !this.table.typesKnown) return false;
-    if (this.storeOk(this.now)) return true;
+  get isReady(): boolean {
+    if (!this.replica.loaded || !this.clusterState.machineTypesKnown) return false;
+    if (this.stateServiceAnswers(this.now)) return true;
     let any = false;
     for (const [node, p] of this.peers) {
-      if (!this.peerAlive(node, this.now)) continue;
+      if (!this.isPeerAlive(node, this.now)) continue;
       any = true;
-      if (p.status.storeOk) return false;
+      if (p.status.stateServiceAnswers) return false;
     }
-    return any || this.settings.nodes.length === 1;
+    return any || this.settings.controllers.length === 1;
   }
 
   /** The state service has answered lately. */
-  storeOk(now: Ms): boolean {
-    return now - this.storeAt < STORE_SILENT_MS;
+  stateServiceAnswers(now: Milliseconds): boolean {
+    return now - this.stateServiceAnsweredAt < STORE_SILENT_MS;
   }
 
   // ---- workers
 
-  report(id: number, report: Report, now: Ms): void {
+  receiveHeartbeat(id: number, report: Heartbeat, now: Milliseconds): void {
     this.now = now;
-    this.workerReports.receive(id, report, now);
-    this.after(now);
+    this.heartbeatResponder.receive(id, report, now);
+    this.flushWrites(now);
   }
 
   /** A report that another controller answered and passed on. */
-  relayed(report: Report, now: Ms): void {
+  receiveForwardedHeartbeat(report: Heartbeat, now: Milliseconds): void {
     this.now = now;
-    this.workerReports.relayed(report, now);
-    this.after(now);
+    this.heartbeatResponder.receiveForwarded(report, now);
+    this.flushWrites(now);
   }
 
-  commandResult(id: number, r: Parameters<Owner['commands']['result']>[1], now: Ms): void {
+  receiveCommandOutcome(
+    id: number,
+    r: Parameters<ShardController['commandDispatcher']['handleOutcome']>[1],
+    now: Milliseconds,
+  ): void {
     this.now = now;
-    this.owner.commands.result(id, r, now);
-    this.after(now);
+    this.shardController.commandDispatcher.handleOutcome(id, r, now);
+    this.flushWrites(now);
   }
 
   /** Whether a worker answered the question that `ask` put. */
-  asked(id: number, ok: boolean, now: Ms): void {
+  receiveProbeOutcome(id: number, ok: boolean, now: Milliseconds): void {
     this.now = now;
-    this.owner.fleet.reachability.asked(id, ok);
+    this.shardController.machineLifecycle.failureDetector.handleProbeOutcome(id, ok);
   }
 
   // ---- cloud
 
-  types(list: MachineType[] | null, now: Ms): void {
+  receiveMachineTypes(list: MachineType[] | null, now: Milliseconds): void {
     this.now = now;
     if (!list || list.length === 0) return;
-    this.table.setTypes(list);
-    const known = this.replica.get(KEY.types) ?? this.replica.get(KEY.typesPart(0));
-    if (!known && this.replica.loaded) this.storeTypes(list, now);
-    this.after(now);
+    this.clusterState.setMachineTypes(list);
+    const known = this.replica.get(StateKey.machineTypes) ?? this.replica.get(StateKey.machineTypesPart(0));
+    if (!known && this.replica.loaded) this.storeMachineTypes(list, now);
+    this.flushWrites(now);
   }
 
   /** Kept for a start while the cloud's interface is down; in parts where the list outgrows a value. */
-  private storeTypes(list: MachineType[], now: Ms): void {
-    const { changeBytes } = this.table.sizes;
+  private storeMachineTypes(list: MachineType[], now: Milliseconds): void {
+    const { maxWriteBytes: changeBytes } = this.clusterState.sizeLimits;
     const whole = encodeMachineTypes(list);
-    if (encodedBytes(KEY.types, whole) <= changeBytes) return this.storeOnce(KEY.types, whole, now);
+    if (encodedBytes(StateKey.machineTypes, whole) <= changeBytes) return this.storeOnce(StateKey.machineTypes, whole, now);
     encodeMachineTypesParts(list).forEach((part, index) => {
-      this.storeOnce(KEY.typesPart(index), part, now);
+      this.storeOnce(StateKey.machineTypesPart(index), part, now);
     });
   }
 
-  private storeOnce(key: string, value: unknown, now: Ms): void {
-    this.writer.add({ key, value: () => value, guard: 0, urgency: URGENCY.progress, until: now + 10_000, done: () => {} });
+  private storeOnce(key: string, value: unknown, now: Milliseconds): void {
+    this.writer.add({
+      key,
+      value: () => value,
+      expectedRevision: 0,
+      priority: WritePriority.progress,
+      expiresAt: now + 10_000,
+      onOutcome: () => {},
+    });
   }
 
-  listed(machines: Listed[] | null, now: Ms): void {
+  receiveMachineList(machines: ListedMachine[] | null, now: Milliseconds): void {
     this.now = now;
-    this.leader.rentals.list(machines, this.leader.leading, now);
+    this.leader.autoscaler.receiveMachineList(machines, this.leader.isLeading, now);
   }
 
-  rented(id: number, r: Parameters<Rentals['rented']>[1], now: Ms): void {
+  receiveProvisioningOutcome(id: number, r: Parameters<Autoscaler['handleProvisioningOutcome']>[1], now: Milliseconds): void {
     this.now = now;
-    this.leader.rentals.rented(id, r, now);
-    this.after(now);
+    this.leader.autoscaler.handleProvisioningOutcome(id, r, now);
+    this.flushWrites(now);
   }
 
-  returned(id: number, ok: boolean, now: Ms): void {
+  receiveReleaseOutcome(id: number, ok: boolean, now: Milliseconds): void {
     this.now = now;
-    if (!this.leader.rentals.returned(id, ok, now)) this.owner.fleet.returned(id, ok, now);
-    this.after(now);
+    if (!this.leader.autoscaler.handleReleaseOutcome(id, ok, now))
+      this.shardController.machineLifecycle.handleReleaseOutcome(id, ok, now);
+    this.flushWrites(now);
   }
 
   // ---- peers
 
-  peerStatus(status: PeerStatus, now: Ms): void {
+  receivePeerStatus(status: PeerStatus, now: Milliseconds): void {
     this.now = now;
-    const running = status.runningAll ? new Map() : (this.peers.get(status.node)?.running ?? new Map());
-    for (const { job, ...r } of status.running) {
+    const running = status.runningJobsComplete ? new Map() : (this.peers.get(status.node)?.runningJobs ?? new Map());
+    for (const { job, ...r } of status.runningJobs) {
       if (r.count > 0 || r.done > 0 || r.failed > 0) running.set(job, r);
       else running.delete(job);
     }
-    this.peers.set(status.node, { status, running, at: now, up: true });
-    this.vouching.heard(status, this.replica.revision);
-    for (const h of status.heard) this.owner.reports.unchanged(h, status.node, now);
-    this.after(now);
+    this.peers.set(status.node, { status, runningJobs: running, heardAt: now, isConnected: true });
+    this.cancellationFreshness.statusReceived(status, this.replica.revision);
+    for (const h of status.unchangedHeartbeats) this.shardController.heartbeatReconciler.reconcileUnchanged(h, status.node, now);
+    this.flushWrites(now);
   }
 
-  peerDown(node: string, now: Ms): void {
+  peerDisconnected(node: string, now: Milliseconds): void {
     this.now = now;
     const p = this.peers.get(node);
-    if (p) p.up = false;
+    if (p) p.isConnected = false;
   }
 
   /** Used only while the link itself is silent: it is slower, and costs writes. */
-  private statusByState(stored: unknown): void {
+  private receiveStoredStatus(stored: unknown): void {
     const status = parseStatus(stored);
-    if (status === null || status.node === this.settings.node || this.peerAlive(status.node, this.now)) return;
+    if (status === null || status.node === this.settings.name || this.isPeerAlive(status.node, this.now)) return;
     if (!this.replica.loaded) return;
-    this.peers.set(status.node, { status, running: this.peers.get(status.node)?.running ?? new Map(), at: this.now, up: false });
+    this.peers.set(status.node, {
+      status,
+      runningJobs: this.peers.get(status.node)?.runningJobs ?? new Map(),
+      heardAt: this.now,
+      isConnected: false,
+    });
   }
 
-  private lastFigures: Ms = 0;
+  private figuresLoggedAt: Milliseconds = 0;
   // ---- time
 
   /**
@@ -390,60 +435,60 @@
    * service. What is decided waits until news from after the pause are in (`settling`). Leases
    * and the age of what was confirmed are not touched: they did run out.
    */
-  paused(ms: Ms, now: Ms): void {
+  processPaused(ms: Milliseconds, now: Milliseconds): void {
     this.now = now;
     this.log(ms > 3000 ? 'info' : 'debug', 'stood still', {
       seconds: Math.round(ms / 100) / 10,
-      leaseStands: this.leaseValid(now),
+      leaseStands: this.isLeaseValid(now),
     });
-    this.pausedAt = now;
-    if (this.storeAt > 0) this.storeAt += ms;
-    for (const p of this.peers.values()) p.at += ms;
-    this.forwarding.paused(ms);
-    this.routing.paused(ms);
-    for (const [node, at] of this.table.absentSince) this.table.absentSince.set(node, at + ms);
-    this.holdings.paused(ms);
-    this.owner.paused(ms, now);
+    this.processPausedAt = now;
+    if (this.stateServiceAnsweredAt > 0) this.stateServiceAnsweredAt += ms;
+    for (const p of this.peers.values()) p.heardAt += ms;
+    this.heartbeatForwarding.processPaused(ms);
+    this.workerRouting.processPaused(ms);
+    for (const [node, at] of this.clusterState.absentSince) this.clusterState.absentSince.set(node, at + ms);
+    this.shardLeases.processPaused(ms);
+    this.shardController.processPaused(ms, now);
   }
 
-  private pausedAt: Ms = -1e12;
+  private processPausedAt: Milliseconds = -1e12;
 
-  settling(): boolean {
-    return this.freshAt < this.pausedAt && this.now - this.pausedAt < SETTLE_MS;
+  isCatchingUp(): boolean {
+    return this.replicaFreshAt < this.processPausedAt && this.now - this.processPausedAt < SETTLE_MS;
   }
 
   /** `wall`: the time of day, to which stored times of submissions and ends refer. */
-  tick(now: Ms, wall: Ms = now): void {
+  tick(now: Milliseconds, wall: Milliseconds = now): void {
     this.now = now;
-    this.table.wallOffset = wall - now;
-    this.barriers.expire(now);
-    const soon = this.barriers.size > 0;
-    if (soon || this.userRequests.asking) this.emit({ t: 'barrier', soon });
-    this.userRequests.tick(now);
-    this.holdings.tick(now);
-    this.owner.tick(now);
+    this.clusterState.wallClockOffsetMs = wall - now;
+    this.readBarriers.expire(now);
+    const soon = this.readBarriers.size > 0;
+    if (soon || this.clientRequests.hasPendingQueries) this.emit({ type: 'readBarrier', urgent: soon });
+    this.clientRequests.tick(now);
+    this.shardLeases.tick(now);
+    this.shardController.tick(now);
     this.leader.tick(now);
-    const wantTypes = !this.table.typesKnown || this.leader.leading;
-    if (wantTypes && now - this.typesAskedAt > (this.table.typesKnown ? 60_000 : 1500)) {
-      this.typesAskedAt = now;
-      this.emit({ t: 'types' });
+    const wantTypes = !this.clusterState.machineTypesKnown || this.leader.isLeading;
+    if (wantTypes && now - this.machineTypesRequestedAt > (this.clusterState.machineTypesKnown ? 60_000 : 1500)) {
+      this.machineTypesRequestedAt = now;
+      this.emit({ type: 'fetchMachineTypes' });
     }
-    if (now - this.lastFigures > 10_000) {
-      this.lastFigures = now;
+    if (now - this.figuresLoggedAt > 10_000) {
+      this.figuresLoggedAt = now;
       this.log('debug', 'figures', {
-        changes: this.writer.purposes(),
-        workers: this.workerReports.takeCounts(),
-        jobs: this.table.jobs.size,
-        machines: this.table.machines.size,
-        barriers: this.barriers.size,
+        changes: this.writer.takeWriteCounts(),
+        workers: this.heartbeatResponder.takeResponseCounts(),
+        jobs: this.clusterState.jobs.size,
+        machines: this.clusterState.machines.size,
+        barriers: this.readBarriers.size,
       });
     }
-    this.writer.allow(this.statuses.shareOfChanges(this.changeRate.perSecond(now), now));
-    this.statuses.tick(now);
-    this.after(now);
+    this.writer.setRate(this.statusExchange.ownWritesPerS(this.writeRateLimit.perSecond(now), now));
+    this.statusExchange.tick(now);
+    this.flushWrites(now);
   }
 
-  private after(now: Ms): void {
+  private flushWrites(now: Milliseconds): void {
     this.writer.flush(now);
   }
 }
--- a/packages/controller/src/heartbeats/heartbeat-forwarding.ts
+++ b/packages/controller/src/heartbeats/heartbeat-forwarding.ts
@@ -2,9 +2,9 @@
  * Reports of workers whose machine another controller owns: they are answered here, and the owner is told what
  * they say. A report that differs from the last one is forwarded whole; that nothing changed goes with the status.
  */
-import type { PeerHeard, Report, TaskReport } from '@archpost/protocol';
-import type { Context } from '../context/index.js';
-import { type Ms, NEVER } from '../model/index.js';
+import type { Heartbeat, TaskStatus, UnchangedHeartbeat } from '@archpost/protocol';
+import type { ControllerContext } from '../context/index.js';
+import { type Milliseconds, NEVER } from '../model/index.js';
 
 /** A machine heard within this time is named in the status. */
 const HEARD_LATELY_MS = 4000;
@@ -17,81 +17,86 @@
 
 /** The newest report of a machine, and what its owner was told of it. */
 interface HeardMachine {
-  report: Report;
-  at: Ms;
+  heartbeat: Heartbeat;
+  heardAt: Milliseconds;
   /** who was last sent a report whole; null: nobody */
   forwardedTo: string | null;
   /** number of the report that was sent whole, and when */
-  forwardedSeq: number;
-  forwardedAt: Ms;
+  forwardedSequence: number;
+  forwardedAt: Milliseconds;
 }
 
-function sameTask(a: TaskReport, b: TaskReport): boolean {
+function isSameTask(a: TaskStatus, b: TaskStatus): boolean {
   return a.index === b.index && a.attempt === b.attempt && a.state === b.state && a.job === b.job;
 }
 
-function sameReport(a: Report, b: Report): boolean {
-  if (a.session !== b.session || a.token !== b.token || a.addr !== b.addr) return false;
-  if (a.noticeS !== null || b.noticeS !== null || a.tasks.length !== b.tasks.length) return false;
-  return a.tasks.every((task, i) => sameTask(task, b.tasks[i] as TaskReport));
+function isSameHeartbeat(a: Heartbeat, b: Heartbeat): boolean {
+  if (a.agentEpoch !== b.agentEpoch || a.fencingToken !== b.fencingToken || a.address !== b.address) return false;
+  if (a.preemptionNoticeS !== null || b.preemptionNoticeS !== null || a.tasks.length !== b.tasks.length) return false;
+  return a.tasks.every((task, i) => isSameTask(task, b.tasks[i] as TaskStatus));
 }
 
-export class ReportForwarding {
-  private readonly heard = new Map<string, HeardMachine>();
+export class HeartbeatForwarding {
+  private readonly heardMachines = new Map<string, HeardMachine>();
 
-  constructor(private readonly context: Context) {}
+  constructor(private readonly context: ControllerContext) {}
 
   /** A late copy must not make a silent machine seem alive: only what is newer counts. */
-  hear(report: Report, owner: string | null, now: Ms): void {
-    const old = this.heard.get(report.machine);
-    if (old && !isNewer(report, old.report)) return;
+  receive(report: Heartbeat, owner: string | null, now: Milliseconds): void {
+    const old = this.heardMachines.get(report.machine);
+    if (old && !isNewer(report, old.heartbeat)) return;
     const machine: HeardMachine = {
-      report,
-      at: now,
+      heartbeat: report,
+      heardAt: now,
       forwardedTo: old?.forwardedTo ?? null,
-      forwardedSeq: old?.forwardedSeq ?? -1,
+      forwardedSequence: old?.forwardedSequence ?? -1,
       forwardedAt: old?.forwardedAt ?? NEVER,
     };
-    this.heard.set(report.machine, machine);
-    if (owner === null || owner === this.context.settings.node || !this.context.peerAlive(owner, now)) {
+    this.heardMachines.set(report.machine, machine);
+    if (owner === null || owner === this.context.settings.name || !this.context.isPeerAlive(owner, now)) {
       machine.forwardedTo = null;
       return;
     }
-    const again = FORWARD_AGAIN_INTERVALS * this.context.settings.workers.reportS * 1000;
-    if (old && machine.forwardedTo === owner && sameReport(old.report, report) && now - machine.forwardedAt < again) return;
+    const again = FORWARD_AGAIN_INTERVALS * this.context.settings.workers.heartbeatIntervalS * 1000;
+    if (old && machine.forwardedTo === owner && isSameHeartbeat(old.heartbeat, report) && now - machine.forwardedAt < again)
+      return;
     machine.forwardedTo = owner;
-    machine.forwardedSeq = report.seq;
+    machine.forwardedSequence = report.sequence;
     machine.forwardedAt = now;
-    this.context.emit({ t: 'relay', to: owner, report });
+    this.context.emit({ type: 'forwardHeartbeat', to: owner, heartbeat: report });
   }
 
   /** The machines heard here lately, by the controller that owns them. */
-  lately(now: Ms): Map<string, PeerHeard[]> {
-    const byOwner = new Map<string, PeerHeard[]>();
+  recentByHolder(now: Milliseconds): Map<string, UnchangedHeartbeat[]> {
+    const byOwner = new Map<string, UnchangedHeartbeat[]>();
     const keptMs = KEPT_LEASES * this.context.settings.workers.leaseS * 1000;
-    for (const [name, machine] of this.heard) {
-      if (now - machine.at < HEARD_LATELY_MS) this.addTo(byOwner, name, machine);
-      else if (now - machine.at > keptMs) this.heard.delete(name);
+    for (const [name, machine] of this.heardMachines) {
+      if (now - machine.heardAt < HEARD_LATELY_MS) this.addUnchanged(byOwner, name, machine);
+      else if (now - machine.heardAt > keptMs) this.heardMachines.delete(name);
     }
     return byOwner;
   }
 
-  private addTo(byOwner: Map<string, PeerHeard[]>, name: string, { report, forwardedTo, forwardedSeq }: HeardMachine): void {
-    const machine = this.context.table.machines.get(name);
-    const owner = machine && this.context.table.holder(machine.share)?.holder.node;
+  private addUnchanged(
+    byOwner: Map<string, UnchangedHeartbeat[]>,
+    name: string,
+    { heartbeat: report, forwardedTo, forwardedSequence: forwardedSeq }: HeardMachine,
+  ): void {
+    const machine = this.context.clusterState.machines.get(name);
+    const owner = machine && this.context.clusterState.leaseOf(machine.shard)?.holder.controller;
     if (!owner) return;
     const list = byOwner.get(owner) ?? [];
     if (list.length === 0) byOwner.set(owner, list);
-    const whole = forwardedTo === owner ? forwardedSeq : report.seq;
-    list.push({ machine: name, session: report.session, seq: report.seq, whole });
+    const whole = forwardedTo === owner ? forwardedSeq : report.sequence;
+    list.push({ machine: name, agentEpoch: report.agentEpoch, sequence: report.sequence, forwardedSequence: whole });
   }
 
   /** This process stood still: what was silent meanwhile was not heard because of that. */
-  paused(ms: Ms): void {
-    for (const machine of this.heard.values()) machine.at += ms;
+  processPaused(ms: Milliseconds): void {
+    for (const machine of this.heardMachines.values()) machine.heardAt += ms;
   }
 }
 
-function isNewer(report: Report, than: Report): boolean {
-  return report.session > than.session || (report.session === than.session && report.seq > than.seq);
+function isNewer(report: Heartbeat, than: Heartbeat): boolean {
+  return report.agentEpoch > than.agentEpoch || (report.agentEpoch === than.agentEpoch && report.sequence > than.sequence);
 }
--- a/packages/controller/src/heartbeats/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeats/heartbeat-reconciler.ts
@@ -1,21 +1,21 @@
-import type { PeerHeard, Report, TaskReport } from '@archpost/protocol';
-import { taskKey, type Work } from '../allocation/task-allocations.js';
-import type { Context } from '../context/index.js';
-import type { Machine, Ms, Placement } from '../model/index.js';
-import { ABOVE_ALL_RANKS } from '../model/priorities.js';
-import type { Records } from '../shards/progress-writer.js';
-import { KEY } from '../state/keys.js';
+import type { Heartbeat, TaskStatus, UnchangedHeartbeat } from '@archpost/protocol';
+import { type TaskAllocations, taskKey } from '../allocation/task-allocations.js';
+import type { ControllerContext } from '../context/index.js';
+import type { Allocation, Machine, Milliseconds } from '../model/index.js';
+import { CANCELLED_WORK_PRIORITY } from '../model/priorities.js';
+import type { ProgressWriter } from '../shards/progress-writer.js';
+import { StateKey } from '../state/keys.js';
 
 /** A worker numbers its reports, two a second at most, and its answers to questions and commands. */
 const MESSAGES_PER_S = 10;
 const MESSAGES_AT_ONCE = 200;
 
 /** What workers say, taken for what it is worth. */
-export class Reports {
+export class HeartbeatReconciler {
   constructor(
-    private readonly context: Context,
-    private readonly work: Work,
-    private readonly records: Records,
+    private readonly context: ControllerContext,
+    private readonly allocations: TaskAllocations,
+    private readonly progressWriter: ProgressWriter,
   ) {}
 
   /**
@@ -24,181 +24,182 @@
    * all: then only the answer to our own question (`asked`: what was known when it was
    * sent) does. A start under way isn't refuted by a report: it may have been made before it.
    */
-  observe(m: Machine, r: Report, now: Ms, asked: { session: number; seq: number } | null = null): void {
-    this.work.now = now;
-    const older = (a: { session: number; seq: number }) => r.session < a.session || (r.session === a.session && r.seq <= a.seq);
+  reconcile(m: Machine, r: Heartbeat, now: Milliseconds, asked: { agentEpoch: number; sequence: number } | null = null): void {
+    this.allocations.now = now;
+    const older = (a: { agentEpoch: number; sequence: number }) =>
+      r.agentEpoch < a.agentEpoch || (r.agentEpoch === a.agentEpoch && r.sequence <= a.sequence);
     if (asked !== null && older(asked)) {
       // An answer is newer than what was known when it was asked for, unless the machine has
       // begun again: then nothing that was there is there any more.
       this.context.log('info', 'machine began again', { machine: m.name });
-      for (const p of [...m.placements.values()]) if (p.phase !== 'planned') this.work.free(p);
-      m.session = 0;
-      m.seq = -1;
-    } else if (asked === null && !m.resolved) {
+      for (const p of [...m.allocations.values()]) if (p.phase !== 'planned') this.allocations.free(p);
+      m.agentEpoch = 0;
+      m.sequence = -1;
+    } else if (asked === null && !m.isVerified) {
       // Which session to ask is all that can be learned from it.
-      if (r.session > m.session) m.session = r.session;
+      if (r.agentEpoch > m.agentEpoch) m.agentEpoch = r.agentEpoch;
       // ... and, for what it is worth, how urgent its answer is.
-      for (const t of r.tasks) m.bearsRank = Math.max(m.bearsRank, this.urgencyOf(t.job));
+      for (const t of r.tasks) m.reportedPriority = Math.max(m.reportedPriority, this.reportedPriorityOf(t.job));
       return;
     } else if (older(m)) {
       // A late copy, or a machine that began again: its answer will tell.
-      if (asked === null) this.doubt(m, now);
+      if (asked === null) this.requestProbe(m, now);
       return;
     }
     // A number so high can't be the next of what is known: a late copy of from before the machine began
     // again, or much was said elsewhere. It frees and finishes nothing before the machine itself has answered.
-    if (asked === null && this.implausible(m, r.seq, now)) {
-      this.doubt(m, now);
+    if (asked === null && this.isImplausible(m, r.sequence, now)) {
+      this.requestProbe(m, now);
       return;
     }
     // It has said something that didn't come here: perhaps our answers don't reach it.
-    if (asked === null && r.session === m.session && r.seq > m.seq + 1) this.doubt(m, now);
-    if (r.addr) m.addr = r.addr;
-    m.heardAt = now;
-    if (m.giveBack === 'silent' && !m.returning) m.giveBack = '';
-    if (r.session > m.session) {
-      if (m.session > 0) {
+    if (asked === null && r.agentEpoch === m.agentEpoch && r.sequence > m.sequence + 1) this.requestProbe(m, now);
+    if (r.address) m.address = r.address;
+    m.lastHeartbeatAt = now;
+    if (m.releaseReason === 'silent' && !m.isReleasing) m.releaseReason = '';
+    if (r.agentEpoch > m.agentEpoch) {
+      if (m.agentEpoch > 0) {
         // Its lease ran out: it has killed and forgotten everything. Starts sent to the
         // old session can't be executed in the new one.
-        const lost = [...m.placements.values()].filter((p) => p.phase !== 'planned');
+        const lost = [...m.allocations.values()].filter((p) => p.phase !== 'planned');
         if (lost.length > 0) this.context.log('info', 'lease of a machine ran out', { machine: m.name, tasks: lost.length });
-        for (const p of lost) this.work.free(p);
+        for (const p of lost) this.allocations.free(p);
       }
-      m.session = r.session;
+      m.agentEpoch = r.agentEpoch;
     }
-    m.seq = r.seq;
-    if (r.noticeS !== null && m.noticeUntil < 0) {
-      m.noticeUntil = now + r.noticeS * 1000;
-      this.context.log('info', 'spot notice', { machine: m.name, seconds: r.noticeS });
-      this.work.vacate(m);
+    m.sequence = r.sequence;
+    if (r.preemptionNoticeS !== null && m.preemptionNoticeUntil < 0) {
+      m.preemptionNoticeUntil = now + r.preemptionNoticeS * 1000;
+      this.context.log('info', 'spot notice', { machine: m.name, seconds: r.preemptionNoticeS });
+      this.allocations.drain(m);
     }
     const seen = new Set<string>();
-    m.strays = [];
+    m.orphanedTasks = [];
     for (const t of r.tasks) {
       const key = taskKey(t.job, t.index, t.attempt);
       seen.add(key);
-      const p = m.placements.get(key) ?? this.adopt(m, t, now);
+      const p = m.allocations.get(key) ?? this.adoptTask(m, t, now);
       if (!p) {
-        m.strays.push(t);
-        m.changed();
+        m.orphanedTasks.push(t);
+        m.allocationsChanged();
         continue;
       }
-      this.taskSeen(p, t, now);
+      this.reconcileTask(p, t, now);
     }
-    for (const [key, p] of [...m.placements]) {
+    for (const [key, p] of [...m.allocations]) {
       if (seen.has(key) || p.phase === 'planned' || p.phase === 'sent') continue;
       // What runs never leaves the reports of its session by itself. Where it is missing the machine began
       // again, or this is a copy of something older: the answer to our own question tells which.
-      if (asked === null && p.phase === 'there') this.doubt(m, now);
-      else this.work.free(p);
+      if (asked === null && p.phase === 'there') this.requestProbe(m, now);
+      else this.allocations.free(p);
     }
   }
 
   /** How urgent it is to learn of a job's task: what is cancelled has to be gone in time. */
-  private urgencyOf(id: string): number {
-    const { finals, jobs } = this.context.table;
-    return finals.get(id) === 'cancelled' ? ABOVE_ALL_RANKS : (jobs.get(id)?.rank ?? -1);
+  private reportedPriorityOf(id: string): number {
+    const { finishedJobs: finals, jobs } = this.context.clusterState;
+    return finals.get(id) === 'cancelled' ? CANCELLED_WORK_PRIORITY : (jobs.get(id)?.priority ?? -1);
   }
 
   /** More than a worker can have said since it was last heard. */
-  private implausible(m: Machine, seq: number, now: Ms): boolean {
-    return m.seq >= 0 && seq - m.seq > MESSAGES_AT_ONCE + (MESSAGES_PER_S * (now - m.heardAt)) / 1000;
+  private isImplausible(m: Machine, seq: number, now: Milliseconds): boolean {
+    return m.sequence >= 0 && seq - m.sequence > MESSAGES_AT_ONCE + (MESSAGES_PER_S * (now - m.lastHeartbeatAt)) / 1000;
   }
 
   /** A keeper says that a machine's reports go on as they were. */
-  unchanged(h: PeerHeard, from: string, now: Ms): void {
-    const m = this.context.table.machines.get(h.machine);
-    if (!m || !this.work.holds(m.share, now)) return;
+  reconcileUnchanged(h: UnchangedHeartbeat, from: string, now: Milliseconds): void {
+    const m = this.context.clusterState.machines.get(h.machine);
+    if (!m || !this.allocations.holdsShard(m.shard, now)) return;
     // What is older than what came here is a late copy there.
-    if (m.resolved && (h.session < m.session || (h.session === m.session && h.seq < m.seq))) return;
-    m.elsewhereAt = now;
+    if (m.isVerified && (h.agentEpoch < m.agentEpoch || (h.agentEpoch === m.agentEpoch && h.sequence < m.sequence))) return;
+    m.heardByPeerAt = now;
     // It goes from one to the next: perhaps nobody's answers reach it. One that stays is answered.
-    if (m.elsewhereBy !== from && m.elsewhereBy !== '') this.doubt(m, now);
-    m.elsewhereBy = from;
-    if (!m.resolved || h.session !== m.session || h.seq <= m.seq) return;
-    if (m.seq < h.whole || this.implausible(m, h.seq, now)) {
+    if (m.heardByPeer !== from && m.heardByPeer !== '') this.requestProbe(m, now);
+    m.heardByPeer = from;
+    if (!m.isVerified || h.agentEpoch !== m.agentEpoch || h.sequence <= m.sequence) return;
+    if (m.sequence < h.forwardedSequence || this.isImplausible(m, h.sequence, now)) {
       // The report that it refers to did not come here.
-      this.doubt(m, now);
+      this.requestProbe(m, now);
       return;
     }
-    m.seq = h.seq;
-    m.heardAt = now;
-    if (m.giveBack === 'silent' && !m.returning) m.giveBack = '';
+    m.sequence = h.sequence;
+    m.lastHeartbeatAt = now;
+    if (m.releaseReason === 'silent' && !m.isReleasing) m.releaseReason = '';
   }
 
   /** Asks the machine how it stands, now and then. */
-  doubt(m: Machine, now: Ms): void {
-    if (now - m.askedAt < this.context.settings.workers.reportS * 2000) return;
-    m.askedAt = now;
-    m.ask = true;
+  requestProbe(m: Machine, now: Milliseconds): void {
+    if (now - m.probeRequestedAt < this.context.settings.workers.heartbeatIntervalS * 2000) return;
+    m.probeRequestedAt = now;
+    m.probeRequested = true;
   }
 
   /** A task found on a machine that we have no record of: an earlier holder's work. */
-  private adopt(m: Machine, t: TaskReport, now: Ms): Placement | null {
-    const job = this.context.table.recall(t.job, this.context.replica.get(KEY.job(t.job)), now);
+  private adoptTask(m: Machine, t: TaskStatus, now: Milliseconds): Allocation | null {
+    const job = this.context.clusterState.restoreJob(t.job, this.context.replica.get(StateKey.job(t.job)), now);
     if (!job) return null;
-    if (job.share !== m.share || t.index >= job.spec.tasks) return null;
-    if (job.placements.has(t.index)) {
-      const other = job.placements.get(t.index) as Placement;
-      if (other.phase === 'planned') this.work.free(other);
+    if (job.shard !== m.shard || t.index >= job.spec.tasks) return null;
+    if (job.allocations.has(t.index)) {
+      const other = job.allocations.get(t.index) as Allocation;
+      if (other.phase === 'planned') this.allocations.free(other);
       else return null;
     }
-    const p = this.work.place(job, t.index, t.attempt, m, 'there', now);
+    const p = this.allocations.allocate(job, t.index, t.attempt, m, 'there', now);
     if (job.spec.shape === 'gang') {
       if (job.gangAttempt === 0) job.gangAttempt = t.attempt;
-      if (job.gangAttempt !== t.attempt) this.work.failGang(job);
-      if (job.gangFailed) this.work.stop(p, 0);
+      if (job.gangAttempt !== t.attempt) this.allocations.failGang(job);
+      if (job.gangFailed) this.allocations.stop(p, 0);
     }
-    if (job.state === 'cancelled') this.work.stop(p, 0);
+    if (job.state === 'cancelled') this.allocations.stop(p, 0);
     return p;
   }
 
-  private taskSeen(p: Placement, t: TaskReport, now: Ms): void {
-    const was = p.report?.state;
-    p.report = t;
+  private reconcileTask(p: Allocation, t: TaskStatus, now: Milliseconds): void {
+    const was = p.status?.state;
+    p.status = t;
     const m = p.machine;
     const j = p.job;
     if (t.state !== 'exited') {
       p.phase = 'there';
       if (t.state === 'running' && was !== 'running') {
-        p.ranSince = now;
-        const sec = (a: Ms, b: Ms) => Math.round((b - a) / 100) / 10;
+        p.runningSince = now;
+        const sec = (a: Milliseconds, b: Milliseconds) => Math.round((b - a) / 100) / 10;
         this.context.log('debug', 'task runs', {
-          task: `${j.spec.id}/${p.index}`,
+          task: `${j.spec.id}/${p.taskIndex}`,
           cls: j.spec.cls,
           machine: m.name,
-          type: m.cap?.name,
+          type: m.capacity?.name,
           sinceSubmit: sec(j.arrivedAt, now),
           sincePlan: sec(p.plannedAt, now),
           gb: j.spec.imageGb,
-          cached: m.images.has(j.image),
+          cached: m.images.has(j.imageIndex),
         });
-        const fresh = !m.images.has(j.image);
-        m.images.delete(j.image);
-        m.images.set(j.image, j.spec.imageGb);
+        const fresh = !m.images.has(j.imageIndex);
+        m.images.delete(j.imageIndex);
+        m.images.set(j.imageIndex, j.spec.imageGb);
         this.trimImages(m);
-        if (fresh) this.records.storeImages(m);
+        if (fresh) this.progressWriter.scheduleImageWrite(m);
       }
       return;
     }
     if (p.phase === 'exited') return;
     p.phase = 'exited';
-    p.machine.changed();
-    this.work.wantPlan = true;
-    if (t.why === 'done') {
-      if (p.ranSince >= 0) j.ranS = Math.max(j.ranS, (now - p.ranSince) / 1000);
-      this.work.blame.done(p);
-      this.records.markDone(j, p.index);
+    p.machine.allocationsChanged();
+    this.allocations.schedulingRequested = true;
+    if (t.exitReason === 'done') {
+      if (p.runningSince >= 0) j.longestRunS = Math.max(j.longestRunS, (now - p.runningSince) / 1000);
+      this.allocations.failureAttribution.recordSuccess(p);
+      this.progressWriter.markDone(j, p.taskIndex);
       return;
     }
-    if (t.why === 'stopped' && p.stop === null) j.stoppedElsewhereAt = now;
-    if (t.why === 'error') this.work.blame.failed(p, now);
-    if (t.why === 'unknown') j.notBefore = now + 1000;
-    if (t.why === 'no_room') m.retryAt = Math.max(m.retryAt, now + 500);
-    if (t.why !== 'stopped') {
-      this.context.log('debug', 'task ended', { task: `${j.spec.id}/${p.index}`, machine: m.name, why: t.why });
+    if (t.exitReason === 'stopped' && p.stopGraceS === null) j.stoppedByOthersAt = now;
+    if (t.exitReason === 'error') this.allocations.failureAttribution.recordFailure(p, now);
+    if (t.exitReason === 'unknown') j.retryAt = now + 1000;
+    if (t.exitReason === 'no_room') m.retryAt = Math.max(m.retryAt, now + 500);
+    if (t.exitReason !== 'stopped') {
+      this.context.log('debug', 'task ended', { task: `${j.spec.id}/${p.taskIndex}`, machine: m.name, why: t.exitReason });
     }
-    if (j.spec.shape === 'gang' && j.state === 'live' && j.doneCount < j.spec.tasks) this.work.failGang(j);
+    if (j.spec.shape === 'gang' && j.state === 'live' && j.doneCount < j.spec.tasks) this.allocations.failGang(j);
   }
 
   /** What the machine surely keeps: the most recently used images that fit its cache. */
@@ -206,7 +207,7 @@
     let sum = 0;
     for (const gb of m.images.values()) sum += gb;
     for (const [i, gb] of m.images) {
-      if (sum <= (m.cap?.cacheGb ?? 0)) break;
+      if (sum <= (m.capacity?.cacheGb ?? 0)) break;
       m.images.delete(i);
       sum -= gb;
     }
--- a/packages/controller/src/heartbeats/heartbeat-responder.ts
+++ b/packages/controller/src/heartbeats/heartbeat-responder.ts
@@ -2,68 +2,73 @@
  * Answers to workers' reports, and who learns what they say. Any controller answers, so that work doesn't die with
  * its owner; only the owner commands. How long, and why that breaks nothing: docs/design.md, "Who may answer workers".
  */
-import { type Command, goHome, MOST_COMMANDS_IN_BODY, type Report, reportAnswer } from '@archpost/protocol';
-import type { Context } from '../context/index.js';
-import type { Vouching } from '../leadership/cancellation-freshness.js';
+import { type Command, encodeHeartbeatResponse, encodeRedirect, type Heartbeat, MAX_COMMANDS_PER_BODY } from '@archpost/protocol';
+import type { ControllerContext } from '../context/index.js';
+import type { CancellationFreshness } from '../leadership/cancellation-freshness.js';
 import type { Leader } from '../leadership/leader.js';
-import type { Ms } from '../model/index.js';
-import type { Owner } from '../shards/shard-controller.js';
-import { stopReported } from '../shards/task-commands.js';
-import type { ReportForwarding } from './heartbeat-forwarding.js';
+import type { Milliseconds } from '../model/index.js';
+import type { ShardController } from '../shards/shard-controller.js';
+import { stopReportedTask } from '../shards/task-commands.js';
+import type { HeartbeatForwarding } from './heartbeat-forwarding.js';
 import type { WorkerRouting } from './worker-routing.js';
 
-const NOT_ENTITLED = { error: 'not entitled' };
+const MAY_NOT_ANSWER = { error: 'not entitled' };
 
 /** Who takes what workers say. */
-export interface ReportReceivers {
-  owner: Owner;
+export interface HeartbeatCollaborators {
+  shardController: ShardController;
   leader: Leader;
-  forwarding: ReportForwarding;
-  routing: WorkerRouting;
-  vouching: Vouching;
+  heartbeatForwarding: HeartbeatForwarding;
+  workerRouting: WorkerRouting;
+  cancellationFreshness: CancellationFreshness;
 }
 
-export class WorkerReports {
+export class HeartbeatResponder {
   /** answers since the last look, by status */
-  private readonly answered = new Map<number, number>();
+  private readonly responseCounts = new Map<number, number>();
 
   constructor(
-    private readonly context: Context,
-    private readonly receivers: ReportReceivers,
+    private readonly context: ControllerContext,
+    private readonly collaborators: HeartbeatCollaborators,
   ) {}
 
-  receive(id: number, report: Report, now: Ms): void {
-    const { owner, leader, forwarding, routing } = this.receivers;
-    const { table } = this.context;
-    if (!this.mayAnswer(now)) return this.answer(id, 503, NOT_ENTITLED);
+  receive(id: number, report: Heartbeat, now: Milliseconds): void {
+    const { shardController: owner, leader, heartbeatForwarding: forwarding, workerRouting: routing } = this.collaborators;
+    const { clusterState: table } = this.context;
+    if (!this.mayAnswerWorkers(now)) return this.respond(id, 503, MAY_NOT_ANSWER);
     const machine = table.machines.get(report.machine);
     if (!machine) {
-      const { addr, type, zone, spot } = report;
-      leader.stranger({ machine: report.machine, addr, type, zone, spot }, now);
-      return this.answer(id, 421, goHome(null));
+      const { address: addr, type, zone, spot } = report;
+      leader.unassignedMachineReported({ machine: report.machine, address: addr, type, zone, spot }, now);
+      return this.respond(id, 421, encodeRedirect(null));
     }
     // It has been told a higher token than is known here: whatever is answered, it drops, and
     // stays here while its lease runs out. Another controller must answer it.
-    if (report.token > table.token(machine)) return this.answer(id, 503, NOT_ENTITLED);
-    const holder = table.holder(machine.share)?.holder.node ?? null;
-    const elsewhere = routing.sendTo(report, holder, now);
-    if (elsewhere !== null) return this.answer(id, 421, goHome(elsewhere));
-    routing.answered(report.machine, now);
-    if (owner.work.holds(machine.share, now)) owner.reports.observe(machine, report, now);
+    if (report.fencingToken > table.fencingToken(machine)) return this.respond(id, 503, MAY_NOT_ANSWER);
+    const holder = table.leaseOf(machine.shard)?.holder.controller ?? null;
+    const elsewhere = routing.redirectTarget(report, holder, now);
+    if (elsewhere !== null) return this.respond(id, 421, encodeRedirect(elsewhere));
+    routing.workerServed(report.machine, now);
+    if (owner.allocations.holdsShard(machine.shard, now)) owner.heartbeatReconciler.reconcile(machine, report, now);
     // The work must not die because its owner did, or can't be reached from here.
-    else forwarding.hear(report, holder, now);
-    this.answer(id, 200, reportAnswer(table.token(machine), this.stopsOf(report)));
+    else forwarding.receive(report, holder, now);
+    this.respond(id, 200, encodeHeartbeatResponse(table.fencingToken(machine), this.stopsForFinishedJobs(report)));
   }
 
   /** A report that another controller answered and passed on. */
-  relayed(report: Report, now: Ms): void {
-    const { owner } = this.receivers;
-    const { table, settings } = this.context;
+  receiveForwarded(report: Heartbeat, now: Milliseconds): void {
+    const { shardController: owner } = this.collaborators;
+    const { clusterState: table, settings } = this.context;
     const machine = table.machines.get(report.machine);
-    if (!machine || table.holder(machine.share)?.holder.node !== settings.node || !owner.work.holds(machine.share, now)) return;
-    owner.reports.observe(machine, report, now);
+    if (
+      !machine ||
+      table.leaseOf(machine.shard)?.holder.controller !== settings.name ||
+      !owner.allocations.holdsShard(machine.shard, now)
+    )
+      return;
+    owner.heartbeatReconciler.reconcile(machine, report, now);
     // Workers of our own zone report here, unless this controller or the machine is apart.
-    if (report.zone === settings.zone) owner.reports.doubt(machine, now);
+    if (report.zone === settings.zone) owner.heartbeatReconciler.requestProbe(machine, now);
   }
 
   /**
@@ -72,17 +77,17 @@
    * ends by its worker's lease in time. Without a lease no command of ours goes out
    * meanwhile, and nobody counts a worker's lease as over.
    */
-  mayAnswer(now: Ms): boolean {
+  mayAnswerWorkers(now: Milliseconds): boolean {
     if (!this.context.replica.loaded) return false;
-    const { cancelS, leaseS, reportS } = this.context.settings.workers;
-    const sure = Math.max(this.context.freshAt, this.receivers.vouching.since(now));
+    const { cancelS, leaseS, heartbeatIntervalS: reportS } = this.context.settings.workers;
+    const sure = Math.max(this.context.replicaFreshAt, this.collaborators.cancellationFreshness.freshSince(now));
     return now - sure < (cancelS - leaseS - reportS) * 1000;
   }
 
   /** How many answers of each status were given since this was last asked. */
-  takeCounts(): Record<string, number> {
-    const counts = Object.fromEntries(this.answered);
-    this.answered.clear();
+  takeResponseCounts(): Record<string, number> {
+    const counts = Object.fromEntries(this.responseCounts);
+    this.responseCounts.clear();
     return counts;
   }
 
@@ -91,14 +96,14 @@
    * not get through where the answer does, and the answer is what lets the work live on. Of a job that is done a
    * second attempt may be left, which its owner knows nothing of any more.
    */
-  private stopsOf(report: Report): Command[] {
-    const { finals } = this.context.table;
+  private stopsForFinishedJobs(report: Heartbeat): Command[] {
+    const { finishedJobs: finals } = this.context.clusterState;
     const over = report.tasks.filter(({ job, state }) => state !== 'exited' && finals.has(job));
-    return over.slice(0, MOST_COMMANDS_IN_BODY).map(stopReported);
+    return over.slice(0, MAX_COMMANDS_PER_BODY).map(stopReportedTask);
   }
 
-  private answer(id: number, status: number, body: unknown): void {
-    this.answered.set(status, (this.answered.get(status) ?? 0) + 1);
-    this.context.emit({ t: 'answer', id, status, body });
+  private respond(id: number, status: number, body: unknown): void {
+    this.responseCounts.set(status, (this.responseCounts.get(status) ?? 0) + 1);
+    this.context.emit({ type: 'respond', id, status, body });
   }
 }
--- a/packages/controller/src/heartbeats/worker-routing.ts
+++ b/packages/controller/src/heartbeats/worker-routing.ts
@@ -2,9 +2,9 @@
  * Which controller a worker should report to. Workers stay with a controller of their own zone: a cut between
  * zones then costs them nothing, where finding another controller could take longer than their lease.
  */
-import type { Report } from '@archpost/protocol';
-import type { Context } from '../context/index.js';
-import { type Ms, NEVER } from '../model/index.js';
+import type { Heartbeat } from '@archpost/protocol';
+import type { ControllerContext } from '../context/index.js';
+import { type Milliseconds, NEVER } from '../model/index.js';
 
 /** A controller that answers so many workers is known to be reached by them. */
 const HEARS_WORKERS = 3;
@@ -20,40 +20,40 @@
 
 export class WorkerRouting {
   /** when each worker was last answered here */
-  private readonly served = new Map<string, Ms>();
-  private readonly sentAway = new Map<string, { to: string; at: Ms }>();
-  private triedAt: Ms = NEVER;
+  private readonly servedAt = new Map<string, Milliseconds>();
+  private readonly redirected = new Map<string, { to: string; at: Milliseconds }>();
+  private trialRedirectAt: Milliseconds = NEVER;
 
-  constructor(private readonly context: Context) {}
+  constructor(private readonly context: ControllerContext) {}
 
   /** The controller that the worker is to be sent to instead; null: it is to be answered here. */
-  sendTo(report: Report, owner: string | null, now: Ms): string | null {
-    const node = this.nearest(report.zone, owner, now);
-    if (node === this.context.settings.node) return null;
-    return this.mayLeave(report, now) && this.maySend(report.machine, node, now) ? node : null;
+  redirectTarget(report: Heartbeat, owner: string | null, now: Milliseconds): string | null {
+    const node = this.preferredController(report.zone, owner, now);
+    if (node === this.context.settings.name) return null;
+    return this.mayRedirectWorker(report, now) && this.mayRedirectTo(report.machine, node, now) ? node : null;
   }
 
-  answered(machine: string, now: Ms): void {
-    this.served.set(machine, now);
+  workerServed(machine: string, now: Milliseconds): void {
+    this.servedAt.set(machine, now);
   }
 
   /** How many workers were answered here lately. */
-  count(now: Ms): number {
-    for (const [machine, at] of this.served) if (now - at > this.servedMs) this.served.delete(machine);
-    for (const [machine, { at }] of this.sentAway) if (now - at > this.sentAgainMs) this.sentAway.delete(machine);
-    return this.served.size;
+  servedWorkers(now: Milliseconds): number {
+    for (const [machine, at] of this.servedAt) if (now - at > this.servedMs) this.servedAt.delete(machine);
+    for (const [machine, { at }] of this.redirected) if (now - at > this.sentAgainMs) this.redirected.delete(machine);
+    return this.servedAt.size;
   }
 
   /** This process stood still: what was silent meanwhile was not heard because of that. */
-  paused(ms: Ms): void {
-    for (const [machine, at] of this.served) this.served.set(machine, at + ms);
+  processPaused(ms: Milliseconds): void {
+    for (const [machine, at] of this.servedAt) this.servedAt.set(machine, at + ms);
   }
 
-  private get servedMs(): Ms {
-    return SERVED_INTERVALS * this.context.settings.workers.reportS * 1000;
+  private get servedMs(): Milliseconds {
+    return SERVED_INTERVALS * this.context.settings.workers.heartbeatIntervalS * 1000;
   }
 
-  private get sentAgainMs(): Ms {
+  private get sentAgainMs(): Milliseconds {
     return SENT_AGAIN_LEASES * this.context.settings.workers.leaseS * 1000;
   }
 
@@ -62,15 +62,15 @@
    * answered here. Nor are more than a few sent, to try, to a controller that hears no workers: one that had
    * lost them all was still thought well, and 115 leases ran out on the way to it and back.
    */
-  private maySend(machine: string, to: string, now: Ms): boolean {
-    const sent = this.sentAway.get(machine);
+  private mayRedirectTo(machine: string, to: string, now: Milliseconds): boolean {
+    const sent = this.redirected.get(machine);
     if (sent?.to === to && now - sent.at < this.sentAgainMs) return false;
-    const hears = this.context.peers.get(to)?.status.hears ?? 0;
+    const hears = this.context.peers.get(to)?.status.heardWorkers ?? 0;
     if (hears < HEARS_WORKERS) {
-      if (now - this.triedAt < TRY_MS) return false;
-      this.triedAt = now;
+      if (now - this.trialRedirectAt < TRY_MS) return false;
+      this.trialRedirectAt = now;
     }
-    this.sentAway.set(machine, { to, at: now });
+    this.redirected.set(machine, { to, at: now });
     return true;
   }
 
@@ -78,25 +78,25 @@
    * A worker that bears work and comes from elsewhere got no answer there, and part of its lease is gone: it is
    * answered here first and sent with its next report, so that trying the other controller costs it no lease.
    */
-  private mayLeave(report: Report, now: Ms): boolean {
-    return report.tasks.length === 0 || now - (this.served.get(report.machine) ?? NEVER) < this.servedMs;
+  private mayRedirectWorker(report: Heartbeat, now: Milliseconds): boolean {
+    return report.tasks.length === 0 || now - (this.servedAt.get(report.machine) ?? NEVER) < this.servedMs;
   }
 
   /** The controller that a worker of this zone should report to, as far as is seen from here. */
-  private nearest(zone: string, owner: string | null, now: Ms): string {
-    const { node: self, zone: ownZone, nodes } = this.context.settings;
-    const ownerAnswers = owner !== null && this.answers(owner, now);
+  private preferredController(zone: string, owner: string | null, now: Milliseconds): string {
+    const { name: self, zone: ownZone, controllers: nodes } = this.context.settings;
+    const ownerAnswers = owner !== null && this.canServe(owner, now);
     if (ownerAnswers && nodes.find((node) => node.name === owner)?.zone === zone) return owner;
     if (ownZone === zone) return self;
-    const near = nodes.find((node) => node.zone === zone && this.answers(node.name, now));
+    const near = nodes.find((node) => node.zone === zone && this.canServe(node.name, now));
     if (near) return near.name;
     return ownerAnswers ? owner : self;
   }
 
   /** One that the state service refuses answers no worker, so none must be sent to it. */
-  private answers(node: string, now: Ms): boolean {
-    if (node === this.context.settings.node) return true;
+  private canServe(node: string, now: Milliseconds): boolean {
+    if (node === this.context.settings.name) return true;
     const status = this.context.peers.get(node)?.status;
-    return this.context.peerAlive(node, now) && status?.entitled === true && status.reach;
+    return this.context.isPeerAlive(node, now) && status?.mayAnswerWorkers === true && status.reachesWorkers;
   }
 }
--- a/packages/controller/src/jobs/cancellations.ts
+++ b/packages/controller/src/jobs/cancellations.ts
@@ -1,56 +1,56 @@
 /** Users' cancellations: stored, then answered. What follows for other jobs is derived, not written. */
-import { JOB_ID, jobAnswer } from '@archpost/protocol';
-import type { Context } from '../context/index.js';
-import type { Ms } from '../model/index.js';
+import { encodeJobStatus, JOB_ID_PATTERN } from '@archpost/protocol';
+import type { ControllerContext } from '../context/index.js';
+import type { Milliseconds } from '../model/index.js';
 import { encodeCancelledJob } from '../state/job-record.js';
-import { KEY } from '../state/keys.js';
-import type { Entry } from '../state/replica.js';
-import { URGENCY } from '../state/write-queue.js';
-import { NO_SUCH_JOB, REQUEST_MS, type UserAnswers } from './client-responses.js';
+import { StateKey } from '../state/keys.js';
+import type { ReplicaEntry } from '../state/replica.js';
+import { WritePriority } from '../state/write-queue.js';
+import { type ClientResponses, NO_SUCH_JOB, REQUEST_TIMEOUT_MS } from './client-responses.js';
 
 export class Cancellations {
   constructor(
-    private readonly context: Context,
-    private readonly answers: UserAnswers,
+    private readonly context: ControllerContext,
+    private readonly responses: ClientResponses,
   ) {}
 
-  cancel(id: number, job: string, now: Ms): void {
-    if (!JOB_ID.test(job)) return this.answers.answer(id, 404, NO_SUCH_JOB);
-    const unready = this.answers.unready(now);
-    if (unready) return this.answers.busy(id, unready);
-    const until = now + REQUEST_MS;
+  cancel(id: number, job: string, now: Milliseconds): void {
+    if (!JOB_ID_PATTERN.test(job)) return this.responses.respond(id, 404, NO_SUCH_JOB);
+    const unready = this.responses.unavailableReason(now);
+    if (unready) return this.responses.respondUnavailable(id, unready);
+    const until = now + REQUEST_TIMEOUT_MS;
     if (this.tryCancel(id, job, until)) return;
     // It may have been accepted elsewhere a moment ago.
-    this.answers.afterBarrier(id, now, until, () => {
-      if (!this.tryCancel(id, job, until)) this.answers.answer(id, 404, NO_SUCH_JOB);
+    this.responses.afterBarrier(id, now, until, () => {
+      if (!this.tryCancel(id, job, until)) this.responses.respond(id, 404, NO_SUCH_JOB);
     });
   }
 
   /** False if no record of the job is known here. */
-  private tryCancel(id: number, job: string, until: Ms): boolean {
-    const final = this.context.table.finals.get(job);
-    const entry = this.context.replica.get(KEY.job(job));
-    if (final) this.answers.answer(id, 200, jobAnswer(job, final));
-    else if (entry) this.store(id, job, entry, until);
+  private tryCancel(id: number, job: string, until: Milliseconds): boolean {
+    const final = this.context.clusterState.finishedJobs.get(job);
+    const entry = this.context.replica.get(StateKey.job(job));
+    if (final) this.responses.respond(id, 200, encodeJobStatus(job, final));
+    else if (entry) this.storeCancellation(id, job, entry, until);
     return final !== undefined || entry !== null;
   }
 
-  private store(id: number, job: string, entry: Entry, until: Ms): void {
-    const { table, writer } = this.context;
-    const key = KEY.job(job);
-    const end = this.answers.once(id, until);
+  private storeCancellation(id: number, job: string, entry: ReplicaEntry, until: Milliseconds): void {
+    const { clusterState: table, writer } = this.context;
+    const key = StateKey.job(job);
+    const end = this.responses.respondOnce(id, until);
     writer.add({
       key,
-      value: () => encodeCancelledJob(key, entry.value, table.sizes.changeBytes),
-      guard: entry.stamp,
-      urgency: URGENCY.cancel,
-      until,
-      done: (outcome) => {
-        if (outcome === 'ok') return end(() => this.answers.answer(id, 200, jobAnswer(job, 'cancelled')));
+      value: () => encodeCancelledJob(key, entry.value, table.sizeLimits.maxWriteBytes),
+      expectedRevision: entry.revision,
+      priority: WritePriority.cancellation,
+      expiresAt: until,
+      onOutcome: (outcome) => {
+        if (outcome === 'ok') return end(() => this.responses.respond(id, 200, encodeJobStatus(job, 'cancelled')));
         // Somebody else wrote first: the replica has it by now.
-        const final = table.finals.get(job);
-        if (final) end(() => this.answers.answer(id, 200, jobAnswer(job, final)));
-        else end(() => this.answers.busy(id, 'try again'));
+        const final = table.finishedJobs.get(job);
+        if (final) end(() => this.responses.respond(id, 200, encodeJobStatus(job, final)));
+        else end(() => this.responses.respondUnavailable(id, 'try again'));
       },
     });
   }
--- a/packages/controller/src/jobs/client-requests.ts
+++ b/packages/controller/src/jobs/client-requests.ts
@@ -1,53 +1,53 @@
 /** Users' requests, at any controller. */
 
-import type { Context } from '../context/index.js';
-import type { Ms } from '../model/index.js';
+import type { ControllerContext } from '../context/index.js';
+import type { Milliseconds } from '../model/index.js';
 import { Cancellations } from './cancellations.js';
-import { UserAnswers } from './client-responses.js';
-import { Questions } from './status-queries.js';
+import { ClientResponses } from './client-responses.js';
+import { StatusQueries } from './status-queries.js';
 import { Submissions } from './submissions.js';
 
-export class UserRequests {
-  private readonly answers: UserAnswers;
+export class ClientRequests {
+  private readonly responses: ClientResponses;
   private readonly submissions: Submissions;
   private readonly cancellations: Cancellations;
-  private readonly questions: Questions;
+  private readonly statusQueries: StatusQueries;
 
-  constructor(context: Context) {
-    this.answers = new UserAnswers(context);
-    this.submissions = new Submissions(context, this.answers);
-    this.cancellations = new Cancellations(context, this.answers);
-    this.questions = new Questions(context, this.answers);
+  constructor(context: ControllerContext) {
+    this.responses = new ClientResponses(context);
+    this.submissions = new Submissions(context, this.responses);
+    this.cancellations = new Cancellations(context, this.responses);
+    this.statusQueries = new StatusQueries(context, this.responses);
   }
 
   /** `wall`: the time of day. */
-  submit(id: number, body: Record<string, unknown> | null, now: Ms, wall: Ms): void {
-    this.answers.opened();
+  submit(id: number, body: Record<string, unknown> | null, now: Milliseconds, wall: Milliseconds): void {
+    this.responses.requestOpened();
     this.submissions.submit(id, body, now, wall);
   }
 
-  cancel(id: number, job: string, now: Ms): void {
-    this.answers.opened();
+  cancel(id: number, job: string, now: Milliseconds): void {
+    this.responses.requestOpened();
     this.cancellations.cancel(id, job, now);
   }
 
-  poll(id: number, job: string, now: Ms): void {
-    this.answers.opened();
-    this.questions.ask(id, job, now);
+  queryStatus(id: number, job: string, now: Milliseconds): void {
+    this.responses.requestOpened();
+    this.statusQueries.query(id, job, now);
   }
 
   /** Questions wait for a newer reading. */
-  get asking(): boolean {
-    return this.questions.any;
+  get hasPendingQueries(): boolean {
+    return this.statusQueries.hasPending;
   }
 
   /** The replica holds everything that was so at `asOf`. */
-  fresh(asOf: Ms): void {
-    this.questions.fresh(asOf);
+  replicaFreshUpTo(asOf: Milliseconds): void {
+    this.statusQueries.answerUpTo(asOf);
   }
 
-  tick(now: Ms): void {
-    this.answers.tick(now);
-    this.questions.tick(now);
+  tick(now: Milliseconds): void {
+    this.responses.tick(now);
+    this.statusQueries.tick(now);
   }
 }
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -1,15 +1,15 @@
-import type { MachineType, PeerShare } from '@archpost/protocol';
-import { Rentals } from '../capacity/autoscaler.js';
-import { suits, waitingWork } from '../capacity/demand.js';
-import { Grants, type Stranger } from '../capacity/machine-assigner.js';
-import { Moves } from '../capacity/shard-rebalancer.js';
-import type { Context } from '../context/index.js';
-import { type Machine, type Ms, NEVER } from '../model/index.js';
-import { copies } from '../scheduling/placement.js';
-import type { Owner } from '../shards/shard-controller.js';
-import { encodeGrant } from '../state/assignment-record.js';
-import { KEY } from '../state/keys.js';
-import { URGENCY } from '../state/write-queue.js';
+import type { MachineType, ShardSummary } from '@archpost/protocol';
+import { Autoscaler } from '../capacity/autoscaler.js';
+import { matchesDemand, pendingDemands } from '../capacity/demand.js';
+import { MachineAssigner, type UnassignedMachine } from '../capacity/machine-assigner.js';
+import { ShardRebalancer } from '../capacity/shard-rebalancer.js';
+import type { ControllerContext } from '../context/index.js';
+import { type Machine, type Milliseconds, NEVER } from '../model/index.js';
+import { countThatFit } from '../scheduling/placement.js';
+import type { ShardController } from '../shards/shard-controller.js';
+import { encodeAssignment } from '../state/assignment-record.js';
+import { StateKey } from '../state/keys.js';
+import { WritePriority } from '../state/write-queue.js';
 
 /** A round weighs all machines: with many of them rounds are rarer, though work that waits is never left for longer. */
 const ROUND_MS = 500;
@@ -25,107 +25,108 @@
 
 /** The elected leader: grants machines to shares, moves them, and lets go what is idle. */
 export class Leader {
-  private since: Ms = -1;
-  private stamp = 0;
-  private lastRound: Ms = NEVER;
-  private readonly grants: Grants;
-  readonly rentals: Rentals;
-  private readonly moves: Moves;
+  private leadingSince: Milliseconds = -1;
+  private leaseRevision = 0;
+  private lastRoundAt: Milliseconds = NEVER;
+  private readonly machineAssigner: MachineAssigner;
+  readonly autoscaler: Autoscaler;
+  private readonly shardRebalancer: ShardRebalancer;
 
   constructor(
-    private readonly context: Context,
-    private readonly owner: Owner,
+    private readonly context: ControllerContext,
+    private readonly shardController: ShardController,
   ) {
-    this.grants = new Grants(context, () => this.rentals);
-    this.moves = new Moves(context);
-    this.rentals = new Rentals(
+    this.machineAssigner = new MachineAssigner(context, () => this.autoscaler);
+    this.shardRebalancer = new ShardRebalancer(context);
+    this.autoscaler = new Autoscaler(
       context,
-      (machine) => this.grants.pending(machine),
-      (now) => this.grants.recent(now),
-      (zone) => owner.fleet.reachability.isCut(zone),
+      (machine) => this.machineAssigner.isAssignmentPending(machine),
+      (now) => this.machineAssigner.recentlyAssigned(now),
+      (zone) => shardController.machineLifecycle.failureDetector.isZoneNameCut(zone),
     );
   }
 
-  gained(stamp: number, now: Ms): void {
-    this.since = now;
-    this.stamp = stamp;
-    this.moves.reset();
-    this.rentals.gained(stamp, now);
+  leaseAcquired(stamp: number, now: Milliseconds): void {
+    this.leadingSince = now;
+    this.leaseRevision = stamp;
+    this.shardRebalancer.reset();
+    this.autoscaler.leaseAcquired(stamp, now);
   }
 
-  machineGone(name: string, now: Ms): void {
-    this.moves.machineGone(name);
-    this.rentals.gone(name, now);
+  machineRemoved(name: string, now: Milliseconds): void {
+    this.shardRebalancer.machineRemoved(name);
+    this.autoscaler.machineReleased(name, now);
   }
 
-  lost(): void {
-    this.since = -1;
+  leaseLost(): void {
+    this.leadingSince = -1;
   }
 
-  get leading(): boolean {
-    return this.since >= 0;
+  get isLeading(): boolean {
+    return this.leadingSince >= 0;
   }
 
-  stranger(s: Stranger, now: Ms): void {
-    this.grants.reported(s, now);
+  unassignedMachineReported(s: UnassignedMachine, now: Milliseconds): void {
+    this.machineAssigner.machineReported(s, now);
   }
 
-  strangersNow(now: Ms): Stranger[] {
-    return this.grants.reportedLately(now);
+  unassignedMachines(now: Milliseconds): UnassignedMachine[] {
+    return this.machineAssigner.recentlyReported(now);
   }
 
-  tick(now: Ms): void {
-    if (this.since < 0 || !this.context.leaseValid(now)) return;
-    this.rentals.askList(now);
-    this.grants.grantAll(() => this.shares(now), this.stamp, now);
+  tick(now: Milliseconds): void {
+    if (this.leadingSince < 0 || !this.context.isLeaseValid(now)) return;
+    this.autoscaler.requestMachineList(now);
+    this.machineAssigner.assignAll(() => this.shardSummaries(now), this.leaseRevision, now);
     // A round weighs all machines: with many of them, rounds are rarer.
-    if (now - this.lastRound < this.roundMs || now - this.context.freshAt > 4000 || this.context.settling()) return;
-    this.lastRound = now;
-    const shares = this.shares(now);
-    this.move(shares, now);
-    if (this.context.table.typesKnown && this.rentals.known) {
-      this.rentals.rent(shares, now);
-      this.rentals.tidy(now);
-      if (!this.context.settings.policy.hold) this.giveBackIdle(shares, now);
+    if (now - this.lastRoundAt < this.roundMs || now - this.context.replicaFreshAt > 4000 || this.context.isCatchingUp()) return;
+    this.lastRoundAt = now;
+    const shares = this.shardSummaries(now);
+    this.rebalance(shares, now);
+    if (this.context.clusterState.machineTypesKnown && this.autoscaler.isListKnown) {
+      this.autoscaler.scaleOut(shares, now);
+      this.autoscaler.releaseOverdue(now);
+      if (!this.context.settings.policy.holdSpareCapacity) this.retireIdleMachines(shares, now);
     }
   }
 
-  private get roundMs(): Ms {
-    return Math.min(LONGEST_ROUND_MS, ROUND_MS + ROUND_MS_PER_MACHINE * this.context.table.machines.size);
+  private get roundMs(): Milliseconds {
+    return Math.min(LONGEST_ROUND_MS, ROUND_MS + ROUND_MS_PER_MACHINE * this.context.clusterState.machines.size);
   }
 
-  private get movesARound(): number {
-    const changes = (this.context.settings.state.writeRps * this.roundMs) / 1000;
+  private get movesPerRound(): number {
+    const changes = (this.context.settings.state.writesPerS * this.roundMs) / 1000;
     return Math.max(MOVES_A_ROUND, Math.floor(MOVES_SHARE_OF_CHANGES * changes));
   }
 
-  private shares(now: Ms): Map<number, PeerShare> {
-    const out = new Map<number, PeerShare>();
+  private shardSummaries(now: Milliseconds): Map<number, ShardSummary> {
+    const out = new Map<number, ShardSummary>();
     for (const p of this.context.peers.values()) {
-      if (now - p.at > 5000) continue;
-      for (const s of p.status.shares) if (this.context.table.holder(s.share)?.holder.node === p.status.node) out.set(s.share, s);
+      if (now - p.heardAt > 5000) continue;
+      for (const s of p.status.shards)
+        if (this.context.clusterState.leaseOf(s.shard)?.holder.controller === p.status.node) out.set(s.shard, s);
     }
-    for (const share of this.owner.held.keys()) out.set(share, this.owner.share(share, now));
+    for (const share of this.shardController.heldShards.keys()) out.set(share, this.shardController.shardSummary(share, now));
     return out;
   }
 
-  private move(shares: Map<number, PeerShare>, now: Ms): void {
-    const waiting = waitingWork(shares.values());
-    this.grants.serveRecent(waiting, now);
-    this.moves.plan(shares, waiting, this.movesARound, (machine, share) => this.order(machine, share, now), now);
+  private rebalance(shares: Map<number, ShardSummary>, now: Milliseconds): void {
+    const waiting = pendingDemands(shares.values());
+    this.machineAssigner.allocateRecentAssignments(waiting, now);
+    this.shardRebalancer.plan(shares, waiting, this.movesPerRound, (machine, share) => this.orderMove(machine, share, now), now);
   }
 
-  private order(m: Machine, share: number, now: Ms): void {
-    this.context.log('debug', 'move', { machine: m.name, from: m.share, to: share });
+  private orderMove(m: Machine, share: number, now: Milliseconds): void {
+    this.context.log('debug', 'move', { machine: m.name, from: m.shard, to: share });
     this.context.writer.add({
-      key: KEY.grant(m.name),
-      value: () => encodeGrant({ ...this.context.table.grantOf(m), moveTo: share }),
-      guard: m.grantStamp,
-      also: [{ key: KEY.holding('lead'), stamp: this.stamp }],
-      urgency: URGENCY.grant,
-      until: now + 4000,
-      done: (o) => {
-        if (o !== 'ok') this.moves.dropped(m.name);
+      key: StateKey.assignment(m.name),
+      value: () => encodeAssignment({ ...this.context.clusterState.assignmentOf(m), moveToShard: share }),
+      expectedRevision: m.assignmentRevision,
+      conditions: [{ key: StateKey.shardLease('lead'), revision: this.leaseRevision }],
+      priority: WritePriority.assignment,
+      expiresAt: now + 4000,
+      onOutcome: (o) => {
+        if (o !== 'ok') this.shardRebalancer.orderFailed(m.name);
       },
     });
   }
@@ -134,42 +135,42 @@
    * What costs little may stay idle for longer: it saves little, and to have it again takes
    * its boot time, paid and waited for. The dearest kind goes back first.
    */
-  private patience(cap: MachineType | null, spot: boolean, dearest: number): number {
+  private idlePatience(cap: MachineType | null, spot: boolean, dearest: number): number {
     if (!cap) return 1;
     return Math.min(8, Math.sqrt(dearest / Math.max(1e-6, spot ? cap.spotPrice : cap.price)));
   }
 
-  private giveBackIdle(shares: Map<number, PeerShare>, now: Ms): void {
+  private retireIdleMachines(shares: Map<number, ShardSummary>, now: Milliseconds): void {
     const demands = [...shares.values()].flatMap((s) => s.demands);
-    const dearest = Math.max(...this.rentals.options().map((o) => o.type.price));
-    let budget = Math.floor(this.movesARound * LET_GO_PER_MOVE);
+    const dearest = Math.max(...this.autoscaler.instanceOptions().map((o) => o.type.price));
+    let budget = Math.floor(this.movesPerRound * LET_GO_PER_MOVE);
     for (const s of shares.values()) {
       for (const p of s.machines) {
-        const m = this.context.table.machines.get(p.name);
-        if (!m || budget <= 0 || p.tasks > 0 || m.moveTo >= 0 || m.retire || p.firmRank > 0) continue;
-        const cap = m.cap;
-        if (p.idleS < this.context.settings.policy.idleS * this.patience(cap, m.spot, dearest)) continue;
+        const m = this.context.clusterState.machines.get(p.name);
+        if (!m || budget <= 0 || p.tasks > 0 || m.moveToShard >= 0 || m.isRetired || p.protectedPriority > 0) continue;
+        const cap = m.capacity;
+        if (p.idleS < this.context.settings.policy.idleS * this.idlePatience(cap, m.spot, dearest)) continue;
         if (
           cap &&
           demands.some(
             (d) =>
-              copies(d, cap) >= 1 &&
-              suits(d, cap.name, this.context.table.zoneNames.name(m.zone), m.spot) &&
+              countThatFit(d, cap) >= 1 &&
+              matchesDemand(d, cap.name, this.context.clusterState.zoneNames.nameOf(m.zoneIndex), m.spot) &&
               // It has been idle all the while: lesser work doesn't take a dear machine for itself.
-              (d.gpus > 0 || d.rank > 1 || cap.gpus === 0 || m.spot),
+              (d.gpus > 0 || d.priority > 1 || cap.gpus === 0 || m.spot),
           )
         )
           continue;
         budget--;
         this.context.log('info', 'not needed', { machine: m.name, idleS: Math.round(p.idleS) });
         this.context.writer.add({
-          key: KEY.grant(m.name),
-          value: () => encodeGrant({ ...this.context.table.grantOf(m), retire: true }),
-          guard: m.grantStamp,
-          also: [{ key: KEY.holding('lead'), stamp: this.stamp }],
-          urgency: URGENCY.progress,
-          until: now + 4000,
-          done: () => {},
+          key: StateKey.assignment(m.name),
+          value: () => encodeAssignment({ ...this.context.clusterState.assignmentOf(m), isRetired: true }),
+          expectedRevision: m.assignmentRevision,
+          conditions: [{ key: StateKey.shardLease('lead'), revision: this.leaseRevision }],
+          priority: WritePriority.progress,
+          expiresAt: now + 4000,
+          onOutcome: () => {},
         });
       }
     }
--- a/packages/controller/src/leadership/running-task-deltas.ts
+++ b/packages/controller/src/leadership/running-task-deltas.ts
@@ -19,37 +19,38 @@
 
 const NONE: RunningTasks = { count: 0, done: 0, failed: 0 };
 
-export class RunningNews {
+export class RunningTaskDeltas {
   /** what the others have been told, or will be by what is still to be told */
-  private known: ReadonlyMap<string, RunningTasks> = new Map();
-  private readonly untold = new Map<string, RunningTasks>();
-  private statuses = 0;
+  private lastTold: ReadonlyMap<string, RunningTasks> = new Map();
+  private readonly pending = new Map<string, RunningTasks>();
+  private statusCount = 0;
 
-  constructor(private readonly mostJobs = MOST_JOBS) {}
+  constructor(private readonly maxJobs = MOST_JOBS) {}
 
   /** What the next status says; `runningAll`: what was told before is to be forgotten. */
-  next(running: ReadonlyMap<string, RunningTasks>): Pick<PeerStatus, 'running' | 'runningAll'> {
-    const runningAll = this.statuses++ % ALL_EACH === 0 && this.untold.size === 0;
-    if (runningAll) for (const [job, tasks] of running) this.untold.set(job, tasks);
+  next(running: ReadonlyMap<string, RunningTasks>): Pick<PeerStatus, 'runningJobs' | 'runningJobsComplete'> {
+    const runningAll = this.statusCount++ % ALL_EACH === 0 && this.pending.size === 0;
+    if (runningAll) for (const [job, tasks] of running) this.pending.set(job, tasks);
     else this.noteChanges(running);
-    this.known = running;
-    return { running: this.takeSome(), runningAll };
+    this.lastTold = running;
+    return { runningJobs: this.takeSome(), runningJobsComplete: runningAll };
   }
 
   private noteChanges(running: ReadonlyMap<string, RunningTasks>): void {
     for (const [job, tasks] of running) {
-      const known = this.known.get(job);
-      if (known?.count !== tasks.count || known.done !== tasks.done || known.failed !== tasks.failed) this.untold.set(job, tasks);
+      const known = this.lastTold.get(job);
+      if (known?.count !== tasks.count || known.done !== tasks.done || known.failed !== tasks.failed)
+        this.pending.set(job, tasks);
     }
-    for (const job of this.known.keys()) if (!running.has(job)) this.untold.set(job, NONE);
+    for (const job of this.lastTold.keys()) if (!running.has(job)) this.pending.set(job, NONE);
   }
 
-  private takeSome(): PeerStatus['running'] {
-    const some: PeerStatus['running'] = [];
-    for (const [job, tasks] of this.untold) {
-      if (some.length >= this.mostJobs) break;
+  private takeSome(): PeerStatus['runningJobs'] {
+    const some: PeerStatus['runningJobs'] = [];
+    for (const [job, tasks] of this.pending) {
+      if (some.length >= this.maxJobs) break;
       some.push({ job, ...tasks });
-      this.untold.delete(job);
+      this.pending.delete(job);
     }
     return some;
   }
--- a/packages/controller/src/leadership/shard-leases.ts
+++ b/packages/controller/src/leadership/shard-leases.ts
@@ -1,8 +1,8 @@
-import type { Context } from '../context/index.js';
-import type { Ms } from '../model/index.js';
-import { KEY } from '../state/keys.js';
+import type { ControllerContext } from '../context/index.js';
+import type { Milliseconds } from '../model/index.js';
+import { StateKey } from '../state/keys.js';
 import { encodeHolder, encodePresence, isPresenceOf } from '../state/lease-record.js';
-import { URGENCY } from '../state/write-queue.js';
+import { WritePriority } from '../state/write-queue.js';
 
 /** A share goes home when it has been at rest for this long. */
 const SETTLED_MS = 4000;
@@ -16,129 +16,129 @@
  * own keys anew (same node, other boot), so that the token rises and nothing that the dead
  * process left under way is obeyed; other nodes wait until the key is gone.
  */
-export class Holdings {
-  private readonly absentSince = new Map<string, Ms>();
+export class ShardLeases {
+  private readonly absentSince = new Map<string, Milliseconds>();
   private readonly writing = new Set<string>();
   private readonly claiming = new Set<string>();
   /** stamp under which each holding is ours */
-  readonly mine = new Map<string, number>();
+  readonly heldLeases = new Map<string, number>();
   private releasing = new Set<string>();
-  private readonly homeSeen = new Map<string, Ms>();
-  private readonly settledSince = new Map<string, Ms>();
+  private readonly preferredHolderSeenAt = new Map<string, Milliseconds>();
+  private readonly settledSince = new Map<string, Milliseconds>();
 
-  constructor(private readonly context: Context) {}
+  constructor(private readonly context: ControllerContext) {}
 
   /**
    * A holding is acted for only while the lease surely stands, and no more once its release has been
    * queued: that may be carried out while its answer is late, and the next holder counts on nothing of
    * ours being started after its own claim.
    */
-  active(name: string, now: Ms): boolean {
-    return this.mine.has(name) && !this.releasing.has(name) && this.context.leaseValid(now);
+  mayActUnder(name: string, now: Milliseconds): boolean {
+    return this.heldLeases.has(name) && !this.releasing.has(name) && this.context.isLeaseValid(now);
   }
 
-  private home(name: string): string {
-    const nodes = this.context.settings.nodes;
+  private preferredHolder(name: string): string {
+    const nodes = this.context.settings.controllers;
     const i = name === 'lead' ? nodes.length - 1 : Number(name) % nodes.length;
-    return nodes[i]?.name ?? this.context.settings.node;
+    return nodes[i]?.name ?? this.context.settings.name;
   }
 
-  names(): string[] {
+  leaseNames(): string[] {
     const out = ['lead'];
-    for (let i = 0; i < this.context.settings.shares; i++) out.push(String(i));
+    for (let i = 0; i < this.context.settings.shardCount; i++) out.push(String(i));
     return out;
   }
 
-  changed(name: string): void {
-    const cur = this.context.table.holders.get(name);
-    const me = this.context.settings.node;
-    if (cur && cur.holder.node === me && cur.holder.boot === this.context.boot) {
-      if (!this.mine.has(name)) this.releasing.delete(name);
-      if (this.mine.get(name) !== cur.stamp) {
-        this.mine.set(name, cur.stamp);
-        this.context.log('info', 'holding gained', { holding: name, stamp: cur.stamp });
-        this.context.gained(name, cur.stamp);
+  leaseChanged(name: string): void {
+    const cur = this.context.clusterState.leaseHolders.get(name);
+    const me = this.context.settings.name;
+    if (cur && cur.holder.controller === me && cur.holder.incarnation === this.context.incarnation) {
+      if (!this.heldLeases.has(name)) this.releasing.delete(name);
+      if (this.heldLeases.get(name) !== cur.revision) {
+        this.heldLeases.set(name, cur.revision);
+        this.context.log('info', 'holding gained', { holding: name, stamp: cur.revision });
+        this.context.leaseAcquired(name, cur.revision);
       }
-    } else if (this.mine.delete(name)) {
+    } else if (this.heldLeases.delete(name)) {
       this.releasing.delete(name);
-      this.context.log('info', 'holding lost', { holding: name, to: cur?.holder.node ?? null });
-      this.context.lost(name);
+      this.context.log('info', 'holding lost', { holding: name, to: cur?.holder.controller ?? null });
+      this.context.leaseLost(name);
     }
   }
 
   dropAll(): void {
-    for (const name of [...this.mine.keys()]) {
-      this.mine.delete(name);
-      this.context.lost(name);
+    for (const name of [...this.heldLeases.keys()]) {
+      this.heldLeases.delete(name);
+      this.context.leaseLost(name);
     }
     this.releasing.clear();
   }
 
   /** Waiting for a holder to be gone starts where it was: its own time stood still. */
-  paused(ms: Ms): void {
-    for (const list of [this.absentSince, this.homeSeen, this.settledSince])
+  processPaused(ms: Milliseconds): void {
+    for (const list of [this.absentSince, this.preferredHolderSeenAt, this.settledSince])
       for (const [name, at] of list) list.set(name, at + ms);
   }
 
-  tick(now: Ms): void {
+  tick(now: Milliseconds): void {
     const context = this.context;
-    if (!context.replica.loaded || !context.leaseValid(now) || context.lease.permit === null) return;
-    const me = context.settings.node;
-    if (!context.reach()) this.releaseShares(now);
-    this.sign(now);
-    for (const name of this.names()) {
-      const cur = context.table.holders.get(name);
+    if (!context.replica.loaded || !context.isLeaseValid(now) || context.lease.id === null) return;
+    const me = context.settings.name;
+    if (!context.reachesWorkers()) this.releaseUnreachableShards(now);
+    this.announcePresence(now);
+    for (const name of this.leaseNames()) {
+      const cur = context.clusterState.leaseHolders.get(name);
       if (cur) {
         this.absentSince.delete(name);
         // Ours from before a restart, or from before our lease seemed over (the service was
         // away for long, and kept it): taken anew, so that the token rises.
-        if (cur.holder.node === me && !this.mine.has(name)) this.claim(name, cur.stamp, now);
+        if (cur.holder.controller === me && !this.heldLeases.has(name)) this.claim(name, cur.revision, now);
         continue;
       }
-      if (this.mine.has(name) || (name !== 'lead' && !context.reach())) continue;
+      if (this.heldLeases.has(name) || (name !== 'lead' && !context.reachesWorkers())) continue;
       const since = this.absentSince.get(name) ?? now;
       this.absentSince.set(name, since);
       // A live home node claims first; the others in turn, those with the least to hold first.
-      const rank = context.settings.nodes.findIndex((n) => n.name === me);
-      const home = this.home(name);
+      const rank = context.settings.controllers.findIndex((n) => n.name === me);
+      const home = this.preferredHolder(name);
       // What is being claimed counts as held, so that a lead and a share don't go to one together.
-      const count = this.mine.size + this.claiming.size;
-      const wait = home === me ? 0 : (this.mayHold(home, now) ? 3000 : 200) + 400 * count + 150 * rank;
+      const count = this.heldLeases.size + this.claiming.size;
+      const wait = home === me ? 0 : (this.canHoldShards(home, now) ? 3000 : 200) + 400 * count + 150 * rank;
       if (now - since >= wait) this.claim(name, 0, now);
     }
-    this.giveHome(now);
+    this.returnToPreferredHolder(now);
   }
 
   /** Shows the others that our lease stands, whether or not we hold anything. */
-  private sign(now: Ms): void {
-    const key = KEY.presence(this.context.settings.node);
+  private announcePresence(now: Milliseconds): void {
+    const key = StateKey.presence(this.context.settings.name);
     const cur = this.context.replica.get(key);
-    if (this.writing.has(key) || (cur && isPresenceOf(cur.value, this.context.boot))) return;
+    if (this.writing.has(key) || (cur && isPresenceOf(cur.value, this.context.incarnation))) return;
     this.writing.add(key);
     this.context.writer.add({
       key,
-      value: () => encodePresence(this.context.boot),
-      guard: cur?.stamp ?? 0,
-      leased: true,
-      urgency: URGENCY.release,
-      until: now + 5000,
-      done: () => this.writing.delete(key),
+      value: () => encodePresence(this.context.incarnation),
+      expectedRevision: cur?.revision ?? 0,
+      attachedToLease: true,
+      priority: WritePriority.release,
+      expiresAt: now + 5000,
+      onOutcome: () => this.writing.delete(key),
     });
   }
 
-  private claim(name: string, guard: number, now: Ms): void {
+  private claim(name: string, guard: number, now: Milliseconds): void {
     const context = this.context;
-    if (this.writing.has(name) || now - context.freshAt > 3000) return;
+    if (this.writing.has(name) || now - context.replicaFreshAt > 3000) return;
     this.writing.add(name);
     if (guard === 0) this.claiming.add(name);
     context.writer.add({
-      key: KEY.holding(name === 'lead' ? 'lead' : Number(name)),
-      value: () => encodeHolder({ node: context.settings.node, boot: context.boot }),
-      guard,
-      leased: true,
-      urgency: URGENCY.holding,
-      until: now + 5000,
-      done: () => {
+      key: StateKey.shardLease(name === 'lead' ? 'lead' : Number(name)),
+      value: () => encodeHolder({ controller: context.settings.name, incarnation: context.incarnation }),
+      expectedRevision: guard,
+      attachedToLease: true,
+      priority: WritePriority.shardLease,
+      expiresAt: now + 5000,
+      onOutcome: () => {
         this.writing.delete(name);
         this.claiming.delete(name);
       },
@@ -146,21 +146,23 @@
   }
 
   /** Hands a share back to its home node once that is alive again and holds nothing. */
-  private giveHome(now: Ms): void {
+  private returnToPreferredHolder(now: Milliseconds): void {
     const context = this.context;
-    for (const name of this.mine.keys()) {
-      const home = this.home(name);
-      if (name === 'lead' || home === context.settings.node || this.releasing.has(name)) continue;
-      const idle = this.mayHold(home, now) && ![...context.table.holders.values()].some((h) => h.holder.node === home);
+    for (const name of this.heldLeases.keys()) {
+      const home = this.preferredHolder(name);
+      if (name === 'lead' || home === context.settings.name || this.releasing.has(name)) continue;
+      const idle =
+        this.canHoldShards(home, now) &&
+        ![...context.clusterState.leaseHolders.values()].some((h) => h.holder.controller === home);
       if (!idle) {
-        this.homeSeen.delete(home);
+        this.preferredHolderSeenAt.delete(home);
         continue;
       }
-      const since = this.homeSeen.get(home) ?? now;
-      this.homeSeen.set(home, since);
+      const since = this.preferredHolderSeenAt.get(home) ?? now;
+      this.preferredHolderSeenAt.set(home, since);
       // A change of holder stops starts until all machines have answered anew: not while a share
       // is still finding its feet, after a cut say, unless that takes for ever.
-      if (!context.settled(Number(name))) this.settledSince.delete(name);
+      if (!context.isShardSettled(Number(name))) this.settledSince.delete(name);
       else if (!this.settledSince.has(name)) this.settledSince.set(name, now);
       const settled = this.settledSince.get(name);
       if (now - since < UNSETTLED_MS && (settled === undefined || now - settled < SETTLED_MS)) continue;
@@ -171,30 +173,31 @@
     }
   }
 
-  private release(name: string, now: Ms): void {
+  private release(name: string, now: Milliseconds): void {
     this.releasing.add(name);
     this.context.writer.add({
-      key: KEY.holding(Number(name)),
+      key: StateKey.shardLease(Number(name)),
       value: () => undefined,
-      guard: this.mine.get(name) ?? 0,
-      urgency: URGENCY.holding,
-      until: now + 5000,
-      done: (o) => {
+      expectedRevision: this.heldLeases.get(name) ?? 0,
+      priority: WritePriority.shardLease,
+      expiresAt: now + 5000,
+      onOutcome: (o) => {
         if (o !== 'ok') this.releasing.delete(name);
       },
     });
   }
 
   /** Is it seen to hold shares well: alive, with its lease and its workers? */
-  private mayHold(node: string, now: Ms): boolean {
+  private canHoldShards(node: string, now: Milliseconds): boolean {
     const s = this.context.peers.get(node)?.status;
-    return this.context.peerAlive(node, now) && s?.entitled === true && s.storeOk && s.reach;
+    return this.context.isPeerAlive(node, now) && s?.mayAnswerWorkers === true && s.stateServiceAnswers && s.reachesWorkers;
   }
 
   /** Our workers can't be reached from here: others take the shares over, if any is there to. */
-  private releaseShares(now: Ms): void {
-    if (!this.context.settings.nodes.some((n) => n.name !== this.context.settings.node && this.mayHold(n.name, now))) return;
-    for (const name of this.mine.keys()) {
+  private releaseUnreachableShards(now: Milliseconds): void {
+    if (!this.context.settings.controllers.some((n) => n.name !== this.context.settings.name && this.canHoldShards(n.name, now)))
+      return;
+    for (const name of this.heldLeases.keys()) {
       if (name === 'lead' || this.releasing.has(name)) continue;
       this.context.log('info', 'releasing a share whose workers can not be reached', { share: name });
       this.release(name, now);
--- a/packages/controller/src/leadership/status-exchange.ts
+++ b/packages/controller/src/leadership/status-exchange.ts
@@ -4,19 +4,19 @@
  * statuses.
  */
 import type { PeerStatus } from '@archpost/protocol';
-import type { Context } from '../context/index.js';
-import type { ReportForwarding } from '../heartbeats/heartbeat-forwarding.js';
+import type { ControllerContext } from '../context/index.js';
+import type { HeartbeatForwarding } from '../heartbeats/heartbeat-forwarding.js';
 import type { WorkerRouting } from '../heartbeats/worker-routing.js';
-import { type Ms, NEVER } from '../model/index.js';
-import { inTurn } from '../model/round-robin.js';
-import type { Owner } from '../shards/shard-controller.js';
-import { KEY } from '../state/keys.js';
+import { type Milliseconds, NEVER } from '../model/index.js';
+import { roundRobinSlice } from '../model/round-robin.js';
+import type { ShardController } from '../shards/shard-controller.js';
+import { StateKey } from '../state/keys.js';
 import { encodeStatus } from '../state/status-record.js';
-import { URGENCY } from '../state/write-queue.js';
-import type { Vouching } from './cancellation-freshness.js';
+import { WritePriority } from '../state/write-queue.js';
+import type { CancellationFreshness } from './cancellation-freshness.js';
 import type { Leader } from './leader.js';
-import { RunningNews } from './running-task-deltas.js';
-import { fitStatus } from './stored-status.js';
+import { RunningTaskDeltas } from './running-task-deltas.js';
+import { fitStoredStatus } from './stored-status.js';
 
 const STATUS_INTERVAL_MS = 700;
 
@@ -36,29 +36,29 @@
 
 /** What of this controller goes into a status. */
 export interface StatusSources {
-  owner: Owner;
+  shardController: ShardController;
   leader: Leader;
-  forwarding: ReportForwarding;
-  routing: WorkerRouting;
-  vouching: Vouching;
+  heartbeatForwarding: HeartbeatForwarding;
+  workerRouting: WorkerRouting;
+  cancellationFreshness: CancellationFreshness;
   /** may workers' reports be answered here? */
-  mayAnswerWorkers(now: Ms): boolean;
+  mayAnswerWorkers(now: Milliseconds): boolean;
 }
 
 export class StatusExchange {
-  private sentAt: Ms = NEVER;
-  private sent = 0;
-  private readonly runningNews = new RunningNews();
-  private storing = false;
-  private storedAt: Ms = NEVER;
-  private stored = 0;
+  private sentAt: Milliseconds = NEVER;
+  private statusCount = 0;
+  private readonly runningTaskDeltas = new RunningTaskDeltas();
+  private isStoring = false;
+  private storedAt: Milliseconds = NEVER;
+  private storedCount = 0;
 
   constructor(
-    private readonly context: Context,
+    private readonly context: ControllerContext,
     private readonly sources: StatusSources,
   ) {}
 
-  tick(now: Ms): void {
+  tick(now: Milliseconds): void {
     if (now - this.sentAt > STATUS_INTERVAL_MS) {
       this.sentAt = now;
       this.sendToAll(now);
@@ -67,71 +67,71 @@
   }
 
   /** What this controller may use of the changes that all may make in a second. */
-  shareOfChanges(perSecond: number, now: Ms): number {
+  ownWritesPerS(perSecond: number, now: Milliseconds): number {
     const { context } = this;
-    const count = Math.max(1, context.settings.nodes.length);
+    const count = Math.max(1, context.settings.controllers.length);
     const all = perSecond * USED_SHARE;
     const floor = (LEAST_SHARE * all) / count;
-    const own = context.writer.wanted(now);
+    const own = context.writer.wantedWritesPerS(now);
     let free = all - floor;
     let wanted = own;
-    for (const node of context.settings.nodes) {
-      if (node.name === context.settings.node) continue;
+    for (const node of context.settings.controllers) {
+      if (node.name === context.settings.name) continue;
       // What a controller that isn't heard uses is not known: an equal share is left to it.
-      const heard = context.peerAlive(node.name, now);
+      const heard = context.isPeerAlive(node.name, now);
       free -= heard ? floor : all / count;
-      if (heard) wanted += context.peers.get(node.name)?.status.writes ?? 0;
+      if (heard) wanted += context.peers.get(node.name)?.status.wantedWritesPerS ?? 0;
     }
     return Math.max(1, floor + (wanted > 0 ? (free * own) / wanted : free / count));
   }
 
   private get leader(): string | null {
-    return this.context.table.holder('lead')?.holder.node ?? null;
+    return this.context.clusterState.leaseOf('lead')?.holder.controller ?? null;
   }
 
   /** To each other controller what concerns it: the leader alone decides over machines. */
-  private sendToAll(now: Ms): void {
-    const { vouching, forwarding, owner } = this.sources;
+  private sendToAll(now: Milliseconds): void {
+    const { cancellationFreshness: vouching, heartbeatForwarding: forwarding, shardController: owner } = this.sources;
     const status = this.status(now);
-    Object.assign(status, this.runningNews.next(owner.running()));
-    const turn = this.sent++;
-    status.strangers = inTurn(status.strangers, MOST_UNGRANTED, turn);
-    const heard = forwarding.lately(now);
+    Object.assign(status, this.runningTaskDeltas.next(owner.runningJobs()));
+    const turn = this.statusCount++;
+    status.unassignedMachines = roundRobinSlice(status.unassignedMachines, MOST_UNGRANTED, turn);
+    const heard = forwarding.recentByHolder(now);
     const { leader } = this;
-    for (const { name } of this.context.settings.nodes) {
-      if (name === this.context.settings.node) continue;
+    for (const { name } of this.context.settings.controllers) {
+      if (name === this.context.settings.name) continue;
       const own: PeerStatus = {
         ...status,
-        heard: inTurn(heard.get(name) ?? [], MOST_HEARD, turn),
-        ...vouching.toTell(name, now),
+        unchangedHeartbeats: roundRobinSlice(heard.get(name) ?? [], MOST_HEARD, turn),
+        ...vouching.pingAndEcho(name, now),
       };
       if (leader !== null && name !== leader) {
-        own.shares = [];
-        own.strangers = [];
+        own.shards = [];
+        own.unassignedMachines = [];
       }
-      this.context.emit({ t: 'status', to: name, status: own });
+      this.context.emit({ type: 'sendStatus', to: name, status: own });
     }
   }
 
-  private status(now: Ms): PeerStatus {
+  private status(now: Milliseconds): PeerStatus {
     const { context } = this;
-    const { owner, leader, routing } = this.sources;
+    const { shardController: owner, leader, workerRouting: routing } = this.sources;
     return {
-      node: context.settings.node,
-      shares: [...owner.held.keys()].map((share) => owner.share(share, now)),
-      running: [],
-      runningAll: false,
-      strangers: leader.strangersNow(now),
-      heard: [],
-      plenty: leader.leading ? leader.rentals.plenty() : [],
-      lead: leader.leading,
-      entitled: this.sources.mayAnswerWorkers(now),
-      reach: owner.fleet.reachability.reachable,
-      writes: Math.round(context.writer.wanted(now)),
-      storeOk: context.storeOk(now),
-      hears: routing.count(now),
-      loaded: context.replica.loaded,
-      cancelStamp: context.table.cancelStamp,
+      node: context.settings.name,
+      shards: [...owner.heldShards.keys()].map((share) => owner.shardSummary(share, now)),
+      runningJobs: [],
+      runningJobsComplete: false,
+      unassignedMachines: leader.unassignedMachines(now),
+      unchangedHeartbeats: [],
+      availableTypes: leader.isLeading ? leader.autoscaler.availableTypes() : [],
+      isLeader: leader.isLeading,
+      mayAnswerWorkers: this.sources.mayAnswerWorkers(now),
+      reachesWorkers: owner.machineLifecycle.failureDetector.reachesWorkers,
+      wantedWritesPerS: Math.round(context.writer.wantedWritesPerS(now)),
+      stateServiceAnswers: context.stateServiceAnswers(now),
+      heardWorkers: routing.servedWorkers(now),
+      replicaLoaded: context.replica.loaded,
+      cancellationRevision: context.clusterState.cancellationRevision,
       ping: '',
       echo: '',
     };
@@ -141,23 +141,28 @@
    * A zone that is cut off still reaches the state service: without this, the leader would neither grant its new
    * machines nor rent for its waiting work until the cut ends.
    */
-  private storeForLeader(now: Ms): void {
+  private storeForLeader(now: Milliseconds): void {
     const { context, leader } = this;
-    if (leader === null || leader === context.settings.node || context.peerAlive(leader, now)) return;
-    if (!context.replica.loaded || !context.leaseValid(now) || this.storing || now - this.storedAt < STORED_STATUS_INTERVAL_MS)
+    if (leader === null || leader === context.settings.name || context.isPeerAlive(leader, now)) return;
+    if (
+      !context.replica.loaded ||
+      !context.isLeaseValid(now) ||
+      this.isStoring ||
+      now - this.storedAt < STORED_STATUS_INTERVAL_MS
+    )
       return;
     this.storedAt = now;
-    this.storing = true;
-    const key = KEY.status(context.settings.node);
-    const status = fitStatus(key, this.status(now), context.table.sizes.changeBytes, this.stored++);
+    this.isStoring = true;
+    const key = StateKey.status(context.settings.name);
+    const status = fitStoredStatus(key, this.status(now), context.clusterState.sizeLimits.maxWriteBytes, this.storedCount++);
     context.writer.add({
       key,
       value: () => encodeStatus(status),
-      guard: context.replica.get(key)?.stamp ?? 0,
-      urgency: URGENCY.progress,
-      until: now + STORED_STATUS_INTERVAL_MS,
-      done: () => {
-        this.storing = false;
+      expectedRevision: context.replica.get(key)?.revision ?? 0,
+      priority: WritePriority.progress,
+      expiresAt: now + STORED_STATUS_INTERVAL_MS,
+      onOutcome: () => {
+        this.isStoring = false;
       },
     });
   }
--- a/packages/controller/src/leadership/stored-status.ts
+++ b/packages/controller/src/leadership/stored-status.ts
@@ -5,7 +5,7 @@
  * leader can't use, and would hide the others for as long as the cut lasts.
  */
 import type { PeerStatus } from '@archpost/protocol';
-import { inTurn } from '../model/round-robin.js';
+import { roundRobinSlice } from '../model/round-robin.js';
 import { encodedBytes } from '../state/limits.js';
 import { encodeStatus } from '../state/status-record.js';
 
@@ -28,17 +28,17 @@
 
 /** What of a status the leader reads nowhere else, without what it never takes from a stored one. */
 function essential(status: PeerStatus): PeerStatus {
-  return { ...status, running: [], runningAll: false, heard: [] };
+  return { ...status, runningJobs: [], runningJobsComplete: false, unchangedHeartbeats: [] };
 }
 
 function shorten(status: PeerStatus, most: Lengths, turn: number): PeerStatus {
   return {
     ...status,
-    strangers: inTurn(status.strangers, most.ungranted, turn),
-    shares: status.shares.map((share) => ({
+    unassignedMachines: roundRobinSlice(status.unassignedMachines, most.ungranted, turn),
+    shards: status.shards.map((share) => ({
       ...share,
       // Machines that bear work can't be moved anyway.
-      machines: inTurn(
+      machines: roundRobinSlice(
         share.machines.filter((machine) => machine.tasks === 0),
         most.machines,
         turn,
@@ -49,7 +49,7 @@
 }
 
 /** The status with as much of its lists as fits; each turn tells other parts of those that don't. */
-export function fitStatus(key: string, status: PeerStatus, changeBytes: number, turn = 0): PeerStatus {
+export function fitStoredStatus(key: string, status: PeerStatus, changeBytes: number, turn = 0): PeerStatus {
   const whole = essential(status);
   if (encodedBytes(key, encodeStatus(whole)) <= changeBytes) return whole;
   const most: Lengths = { ...LONGEST };
--- a/packages/controller/src/model/effects.ts
+++ b/packages/controller/src/model/effects.ts
@@ -1,21 +1,29 @@
 /** What the core wants done. The edges carry it out and feed the outcome back in. */
-import type { Command, Guard, PeerStatus, Rental, Report, Write } from '@archpost/protocol';
+import type { Command, Heartbeat, KeyWrite, PeerStatus, ProvisioningRequest, RevisionCondition } from '@archpost/protocol';
 
-export type Level = 'debug' | 'info' | 'warn';
+export type LogLevel = 'debug' | 'info' | 'warn';
 
 /** One thing to be done. */
 export type Effect =
-  | { t: 'txn'; id: number; guards: Guard[]; writes: Write[] }
+  | { type: 'compareAndSwap'; id: number; conditions: RevisionCondition[]; writes: KeyWrite[] }
   /** the replica is to be read anew; soon: others than users' questions wait for it */
-  | { t: 'barrier'; soon: boolean }
-  | { t: 'command'; id: number; machine: string; addr: string; token: number; session: number; commands: Command[] }
+  | { type: 'readBarrier'; urgent: boolean }
+  | {
+      type: 'command';
+      id: number;
+      machine: string;
+      address: string;
+      fencingToken: number;
+      agentEpoch: number;
+      commands: Command[];
+    }
   /** asks a worker for its report, to see whether workers can be reached from here */
-  | { t: 'ask'; id: number; addr: string }
-  | { t: 'rent'; id: number; rental: Rental }
-  | { t: 'return'; id: number; machines: string[] }
-  | { t: 'list' }
-  | { t: 'types' }
-  | { t: 'answer'; id: number; status: number; body: unknown; retryAfterS?: number }
-  | { t: 'status'; to: string; status: PeerStatus }
-  | { t: 'relay'; to: string; report: Report }
-  | { t: 'log'; level: Level; msg: string; data?: Record<string, unknown> };
+  | { type: 'probe'; id: number; address: string }
+  | { type: 'provision'; id: number; request: ProvisioningRequest }
+  | { type: 'release'; id: number; machines: string[] }
+  | { type: 'listMachines' }
+  | { type: 'fetchMachineTypes' }
+  | { type: 'respond'; id: number; status: number; body: unknown; retryAfterS?: number }
+  | { type: 'sendStatus'; to: string; status: PeerStatus }
+  | { type: 'forwardHeartbeat'; to: string; heartbeat: Heartbeat }
+  | { type: 'log'; level: LogLevel; message: string; fields?: Record<string, unknown> };
--- a/packages/controller/src/model/machine-load.ts
+++ b/packages/controller/src/model/machine-load.ts
@@ -3,37 +3,37 @@
  * the machine keeps it until one does.
  */
 
-import { take } from '../scheduling/placement.js';
-import type { Need, Placement } from './job.js';
+import { subtract } from '../scheduling/placement.js';
+import type { Allocation, Resources } from './job.js';
 import type { Machine } from './machine.js';
 
 export interface MachineLoad {
   /** what is left beside all that may be there */
-  readonly free: Readonly<Need>;
+  readonly free: Readonly<Resources>;
   /** services that have not ended */
-  readonly services: readonly Placement[];
+  readonly services: readonly Allocation[];
   /** what services without accelerators take */
-  readonly serviceUse: Readonly<{ cpus: number; memory: number }>;
+  readonly serviceUsage: Readonly<{ cpus: number; memory: number }>;
 }
 
-export function loadOf(machine: Machine): MachineLoad {
-  machine.load ??= workOut(machine);
+export function machineLoadOf(machine: Machine): MachineLoad {
+  machine.load ??= computeLoad(machine);
   return machine.load;
 }
 
-function workOut(machine: Machine): MachineLoad {
-  const free = { cpus: machine.cap?.cpus ?? 0, gpus: machine.cap?.gpus ?? 0, memory: machine.cap?.memory ?? 0 };
-  const services: Placement[] = [];
+function computeLoad(machine: Machine): MachineLoad {
+  const free = { cpus: machine.capacity?.cpus ?? 0, gpus: machine.capacity?.gpus ?? 0, memory: machine.capacity?.memory ?? 0 };
+  const services: Allocation[] = [];
   const serviceUse = { cpus: 0, memory: 0 };
-  for (const placement of machine.placements.values()) {
+  for (const placement of machine.allocations.values()) {
     if (placement.phase === 'exited') continue;
-    const { need, spec } = placement.job;
-    take(free, need);
+    const { resources: need, spec } = placement.job;
+    subtract(free, need);
     if (spec.shape !== 'service') continue;
     services.push(placement);
     if (spec.gpus > 0) continue;
     serviceUse.cpus += spec.cpus;
     serviceUse.memory += spec.memory;
   }
-  return { free, services, serviceUse };
+  return { free, services, serviceUsage: serviceUse };
 }
--- a/packages/controller/src/model/machine.ts
+++ b/packages/controller/src/model/machine.ts
@@ -1,77 +1,77 @@
 /** A machine, what is stored of it and what this controller knows and intends. */
-import type { MachineType, TaskReport } from '@archpost/protocol';
-import type { Placement } from './job.js';
+import type { MachineType, TaskStatus } from '@archpost/protocol';
+import type { Allocation } from './job.js';
 import type { MachineLoad } from './machine-load.js';
-import type { Ms } from './time.js';
+import type { Milliseconds } from './time.js';
 
 export class Machine {
-  share = -1;
-  grantStamp = 0;
-  moveTo = -1;
-  retire = false;
-  session = 0;
-  seq = -1;
+  shard = -1;
+  assignmentRevision = 0;
+  moveToShard = -1;
+  isRetired = false;
+  agentEpoch = 0;
+  sequence = -1;
   /** answered our token since we took the share over: its report is all there is on it */
-  resolved = false;
+  isVerified = false;
   /** asked since we took the share over */
-  probed = false;
-  lastAskAt: Ms = -1e12;
+  isProbed = false;
+  lastProbeAt: Milliseconds = -1e12;
   /** highest rank of what its reports name while it isn't resolved: says who to ask first, no more */
-  bearsRank = -1;
+  reportedPriority = -1;
   /** may bear work of an earlier holder that we don't know of */
-  suspect = false;
+  isUnverifiedTakeover = false;
   /** a command's fate is unknown: its token must rise before it is used again */
-  dirty = false;
-  raisingToken = false;
-  inflight = 0;
+  hasUncertainCommand = false;
+  isRaisingToken = false;
+  pendingCommandId = 0;
   /** when it was last told something */
-  toldAt: Ms = -1e12;
-  retryAt: Ms = 0;
-  heardAt: Ms = 0;
+  lastCommandAt: Milliseconds = -1e12;
+  retryAt: Milliseconds = 0;
+  lastHeartbeatAt: Milliseconds = 0;
   /** when another controller last said that it hears it */
-  elsewhereAt: Ms = -1e12;
+  heardByPeerAt: Milliseconds = -1e12;
   /** who said so */
-  elsewhereBy = '';
+  heardByPeer = '';
   /** commands in a row that got no answer, and since when; heard is not reachable */
-  lostCount = 0;
-  lostSince: Ms = -1;
+  unansweredCommands = 0;
+  unansweredSince: Milliseconds = -1;
   /** something about it is odd: it is to be asked how it stands */
-  ask = false;
-  askedAt: Ms = -1e12;
-  noticeUntil: Ms = -1;
-  placements = new Map<string, Placement>();
+  probeRequested = false;
+  probeRequestedAt: Milliseconds = -1e12;
+  preemptionNoticeUntil: Milliseconds = -1;
+  allocations = new Map<string, Allocation>();
   /** what its placements take, as long as none changes; see `changed` */
   load: MachineLoad | null = null;
   /** there may be something to command: a start, a stop, or an end to clear away */
   commandsDue = true;
   /** tasks reported that belong to no job or place of ours */
-  strays: TaskReport[] = [];
+  orphanedTasks: TaskStatus[] = [];
   images = new Map<number, number>();
-  cacheQueued = false;
-  errorJobs = new Set<string>();
+  imagesWriteQueued = false;
+  failedJobs = new Set<string>();
   /** failed here, of jobs whose tasks get done elsewhere */
-  errorTasks = 0;
-  lastErrorAt: Ms = -1e12;
+  failedTaskCount = 0;
+  lastErrorAt: Milliseconds = -1e12;
   /** a return to the cloud is wanted, because: */
-  giveBack = '';
-  returning = false;
-  returnAt: Ms = 0;
-  idleSince: Ms = 0;
-  grantQueued = false;
+  releaseReason = '';
+  isReleasing = false;
+  releaseRetryAt: Milliseconds = 0;
+  idleSince: Milliseconds = 0;
+  assignmentWriteQueued = false;
   /** takes no more work without accelerators until then: it is being emptied */
-  emptyUntil: Ms = -1;
+  reservedUntil: Milliseconds = -1;
 
   constructor(
     readonly name: string,
-    public addr: string,
-    readonly type: number,
-    readonly zone: number,
+    public address: string,
+    readonly typeIndex: number,
+    readonly zoneIndex: number,
     readonly spot: boolean,
-    public cap: MachineType | null,
+    public capacity: MachineType | null,
   ) {}
 
   /** To be called whenever a placement comes, goes, ends or is to stop, and when what it may bear changes. */
-  changed(): void {
+  allocationsChanged(): void {
     this.load = null;
     this.commandsDue = true;
   }
--- a/packages/controller/src/model/name-interner.ts
+++ b/packages/controller/src/model/name-interner.ts
@@ -1,11 +1,11 @@
 /** Names are dense indices inside the core: decisions compare and count them all the time. */
 
 /** Hands out dense indices for names; index 0 is the first name seen. */
-export class Names {
+export class NameInterner {
   private readonly byName = new Map<string, number>();
   private readonly names: string[] = [];
 
-  index(name: string): number {
+  intern(name: string): number {
     let i = this.byName.get(name);
     if (i === undefined) {
       i = this.names.length;
@@ -15,11 +15,11 @@
     return i;
   }
 
-  find(name: string): number {
+  indexOf(name: string): number {
     return this.byName.get(name) ?? -1;
   }
 
-  name(i: number): string {
+  nameOf(i: number): string {
     return this.names[i] ?? '';
   }
 
--- a/packages/controller/src/model/settings.ts
+++ b/packages/controller/src/model/settings.ts
@@ -3,20 +3,20 @@
 export interface Team {
   name: string;
   cpus: number;
-  cpusMax: number;
+  maxCpus: number;
   gpus: number;
-  gpusMax: number;
+  maxGpus: number;
 }
 
 export interface Objective {
   kind: string;
-  cls: string | null;
+  jobClass: string | null;
   withinS: number | null;
   afterS: number | null;
   share: number | null;
   most: number | null;
   /** how many times its deadline's time a job may take */
-  times?: number | null;
+  deadlineMultiple?: number | null;
 }
 
 export interface Policy {
@@ -25,7 +25,7 @@
   /** a machine that answers nobody for this long is given back */
   silentS: number;
   /** hold spare machines of every kind, whatever they cost */
-  hold: boolean;
+  holdSpareCapacity: boolean;
   /** an idle machine is given back after this long, unless capacity is held */
   idleS: number;
   /** most machines held at once; null: as many as there are */
@@ -34,30 +34,30 @@
 
 /** What the state service takes: requests and changes a second, size of a value, changes in a transaction. */
 export interface StateLimits {
-  rps: number;
-  writeRps: number;
-  valueKb: number;
-  txnOps: number;
+  requestsPerS: number;
+  writesPerS: number;
+  valueKib: number;
+  writesPerTransaction: number;
 }
 
-export interface CoreSettings {
-  node: string;
+export interface ControllerSettings {
+  name: string;
   zone: string;
   /** every controller's name, sorted, with its zone */
-  nodes: { name: string; zone: string }[];
-  shares: number;
+  controllers: { name: string; zone: string }[];
+  shardCount: number;
   zones: string[];
   teams: Team[];
   objectives: Objective[];
-  workers: { reportS: number; leaseS: number; gangWaitS: number; gangPeerS: number; cancelS: number };
+  workers: { heartbeatIntervalS: number; leaseS: number; gangWaitS: number; gangPeerS: number; cancelS: number };
   /** what of a processor core this controller has */
   cpuShare: number;
   /** connections that it may have open */
-  sockets: number;
+  maxSockets: number;
   state: StateLimits & {
     /** limits that the state service will have at some later time, as far as they are announced */
     next: Partial<StateLimits> | null;
   };
-  cloud: { rps: number; listLagS: number };
+  cloud: { requestsPerS: number; listLagS: number };
   policy: Policy;
 }
--- a/packages/controller/src/model/time.ts
+++ b/packages/controller/src/model/time.ts
@@ -1,5 +1,5 @@
 /** Milliseconds of a steady clock; the core never reads one, every input brings its own. */
-export type Ms = number;
+export type Milliseconds = number;
 
 /** Before anything happened. */
-export const NEVER: Ms = -1e12;
+export const NEVER: Milliseconds = -1e12;
--- a/packages/controller/src/scheduling/candidate-machines.ts
+++ b/packages/controller/src/scheduling/candidate-machines.ts
@@ -3,58 +3,58 @@
  * cost on a full fleet, where hardly any has room: those are sorted only once something may be stopped for the job.
  */
 import type { Job } from '../model/index.js';
-import { fits, type Room, zoneAllows } from './placement.js';
+import { type FreeResources, fits, zoneAllowsTask } from './placement.js';
 
 /** A room with what it was worth when the job's turn came. */
 interface Candidate {
-  room: Room;
-  worth: number;
+  free: FreeResources;
+  score: number;
   cpus: number;
 }
 
-function byWorth(a: Candidate, b: Candidate): number {
-  return b.worth - a.worth || a.cpus - b.cpus;
+function byScore(a: Candidate, b: Candidate): number {
+  return b.score - a.score || a.cpus - b.cpus;
 }
 
-export class CandidateRooms {
+export class CandidateMachines {
   private sorted: Candidate[];
-  private isWhole = false;
+  private isComplete = false;
 
   constructor(
     private readonly job: Job,
-    private readonly rooms: readonly Room[],
-    private readonly worthOf: (room: Room) => number,
+    private readonly freeResources: readonly FreeResources[],
+    private readonly scoreOf: (room: FreeResources) => number,
   ) {
-    this.sorted = rooms.filter((room) => fits(job.need, room)).map((room) => this.candidate(room));
-    this.sorted.sort(byWorth);
+    this.sorted = freeResources.filter((room) => fits(job.resources, room)).map((room) => this.candidate(room));
+    this.sorted.sort(byScore);
   }
 
   /** The best one with room for a task, given how many tasks there are in each zone. */
-  best(tasksInZones: Map<number, number>): { room: Room; worth: number } | null {
+  best(tasksInZones: Map<number, number>): { free: FreeResources; score: number } | null {
     for (const candidate of this.sorted)
-      if (fits(this.job.need, candidate.room) && zoneAllows(this.job, tasksInZones, candidate.room.machine.zone))
+      if (fits(this.job.resources, candidate.free) && zoneAllowsTask(this.job, tasksInZones, candidate.free.machine.zoneIndex))
         return candidate;
     return null;
   }
 
   /** All that are worth more than this, whether or not they have room, the best first. */
-  worthMore(than: number, tasksInZones: Map<number, number>): Room[] {
-    const better = this.whole().filter(
-      ({ room, worth }) => worth > than && zoneAllows(this.job, tasksInZones, room.machine.zone),
+  withHigherScore(than: number, tasksInZones: Map<number, number>): FreeResources[] {
+    const better = this.allSorted().filter(
+      ({ free: room, score: worth }) => worth > than && zoneAllowsTask(this.job, tasksInZones, room.machine.zoneIndex),
     );
-    return better.map(({ room }) => room);
+    return better.map(({ free: room }) => room);
   }
 
   /** Where something was stopped there may be room for one more: from now on all are looked at. */
-  private whole(): Candidate[] {
-    if (this.isWhole) return this.sorted;
-    const known = new Map(this.sorted.map((candidate) => [candidate.room, candidate]));
-    this.sorted = this.rooms.map((room) => known.get(room) ?? this.candidate(room)).sort(byWorth);
-    this.isWhole = true;
+  private allSorted(): Candidate[] {
+    if (this.isComplete) return this.sorted;
+    const known = new Map(this.sorted.map((candidate) => [candidate.free, candidate]));
+    this.sorted = this.freeResources.map((room) => known.get(room) ?? this.candidate(room)).sort(byScore);
+    this.isComplete = true;
     return this.sorted;
   }
 
-  private candidate(room: Room): Candidate {
-    return { room, worth: this.worthOf(room), cpus: room.cpus };
+  private candidate(room: FreeResources): Candidate {
+    return { free: room, score: this.scoreOf(room), cpus: room.cpus };
   }
 }
--- a/packages/controller/src/scheduling/relocation-targets.ts
+++ b/packages/controller/src/scheduling/relocation-targets.ts
@@ -3,46 +3,46 @@
  * over all rooms for each of them cost the square of the machines (eleven of each thirty milliseconds of a tick at 1,333
  * machines a share), so rooms are sorted out once for each kind of service.
  */
-import type { Job, Machine, Placement } from '../model/index.js';
-import { allowed, fits, type Room, take } from './placement.js';
+import type { Allocation, Job, Machine } from '../model/index.js';
+import { type FreeResources, fits, isAllowedOn, subtract } from './placement.js';
 
-export class Destinations {
+export class RelocationTargets {
   /** by kind of service, the rooms that hold one and are on a machine that it may use */
-  private readonly byKind = new Map<string, Room[]>();
+  private readonly candidatesByKind = new Map<string, FreeResources[]>();
   private readonly serviceCpus = new Map<Machine, number>();
 
   constructor(
     /** room on the machines that services may move to, in the order in which they are tried */
-    private readonly rooms: readonly Room[],
+    private readonly freeResources: readonly FreeResources[],
     private readonly serviceCpusOn: (machine: Machine) => number,
   ) {}
 
   /** Is there room elsewhere for all these services of the machine at once? */
-  hold(from: Machine, services: readonly Placement[]): boolean {
-    const taken = new Map<Room, Room>();
+  canHost(from: Machine, services: readonly Allocation[]): boolean {
+    const taken = new Map<FreeResources, FreeResources>();
     for (const { job } of services) {
-      const found = this.kind(job).find((room) => this.isOpen(room, from, job, taken));
+      const found = this.candidatesFor(job).find((room) => this.canTake(room, from, job, taken));
       if (!found) return false;
       const rest = taken.get(found) ?? { ...found };
-      take(rest, job.need);
+      subtract(rest, job.resources);
       taken.set(found, rest);
     }
     return true;
   }
 
-  private isOpen(room: Room, from: Machine, job: Job, taken: Map<Room, Room>): boolean {
-    if (room.machine === from || !this.mayMove(from, room.machine)) return false;
+  private canTake(room: FreeResources, from: Machine, job: Job, taken: Map<FreeResources, FreeResources>): boolean {
+    if (room.machine === from || !this.isMoveAllowed(from, room.machine)) return false;
     const rest = taken.get(room);
-    return rest === undefined || fits(job.need, rest);
+    return rest === undefined || fits(job.resources, rest);
   }
 
   /** From one machine with accelerators services move only to one that bears more of them. */
-  private mayMove(from: Machine, to: Machine): boolean {
-    if (from.cap?.gpus === 0 || to.cap?.gpus === 0) return true;
-    return this.cpusOn(to) > this.cpusOn(from);
+  private isMoveAllowed(from: Machine, to: Machine): boolean {
+    if (from.capacity?.gpus === 0 || to.capacity?.gpus === 0) return true;
+    return this.serviceCpusOf(to) > this.serviceCpusOf(from);
   }
 
-  private cpusOn(machine: Machine): number {
+  private serviceCpusOf(machine: Machine): number {
     const known = this.serviceCpus.get(machine);
     if (known !== undefined) return known;
     const cpus = this.serviceCpusOn(machine);
@@ -50,13 +50,13 @@
     return cpus;
   }
 
-  private kind(job: Job): readonly Room[] {
-    const { cpus, gpus, memory } = job.need;
-    const name = [cpus, gpus, memory, job.zone, job.spec.spot, job.types?.join(',') ?? ''].join('/');
-    const known = this.byKind.get(name);
+  private candidatesFor(job: Job): readonly FreeResources[] {
+    const { cpus, gpus, memory } = job.resources;
+    const name = [cpus, gpus, memory, job.zoneIndex, job.spec.spot, job.typeIndices?.join(',') ?? ''].join('/');
+    const known = this.candidatesByKind.get(name);
     if (known) return known;
-    const rooms = this.rooms.filter((room) => fits(job.need, room) && allowed(job, room.machine));
-    this.byKind.set(name, rooms);
+    const rooms = this.freeResources.filter((room) => fits(job.resources, room) && isAllowedOn(job, room.machine));
+    this.candidatesByKind.set(name, rooms);
     return rooms;
   }
 }
--- a/packages/controller/src/shards/assignment-updates.ts
+++ b/packages/controller/src/shards/assignment-updates.ts
@@ -1,34 +1,34 @@
 /** What an owner writes of its machines' grants: moves to another share, tokens that rise, and machines that are gone. */
 
-import type { Work } from '../allocation/task-allocations.js';
-import type { Context } from '../context/index.js';
+import type { TaskAllocations } from '../allocation/task-allocations.js';
+import type { ControllerContext } from '../context/index.js';
 import type { Machine } from '../model/index.js';
-import { encodeGrant } from '../state/assignment-record.js';
-import { KEY } from '../state/keys.js';
-import { URGENCY } from '../state/write-queue.js';
+import { encodeAssignment } from '../state/assignment-record.js';
+import { StateKey } from '../state/keys.js';
+import { WritePriority } from '../state/write-queue.js';
 
 /** What was stored of a gone machine's images is removed within this time, or left. */
 const IMAGES_MS = 15_000;
 
-export class GrantChanges {
+export class AssignmentUpdates {
   constructor(
-    private readonly context: Context,
-    private readonly work: Work,
+    private readonly context: ControllerContext,
+    private readonly allocations: TaskAllocations,
   ) {}
 
   /** Gives the machine, which bears nothing, to the share that it is to move to. */
-  handOver(machine: Machine): void {
-    if (machine.grantQueued) return;
-    machine.grantQueued = true;
-    const to = machine.moveTo;
+  moveToShard(machine: Machine): void {
+    if (machine.assignmentWriteQueued) return;
+    machine.assignmentWriteQueued = true;
+    const to = machine.moveToShard;
     this.context.writer.add({
-      key: KEY.grant(machine.name),
-      value: () => encodeGrant({ ...this.context.table.grantOf(machine), share: to }),
-      guard: machine.grantStamp,
-      also: this.work.also(machine.share),
-      urgency: URGENCY.grant,
-      done: (outcome) => {
-        machine.grantQueued = false;
+      key: StateKey.assignment(machine.name),
+      value: () => encodeAssignment({ ...this.context.clusterState.assignmentOf(machine), shard: to }),
+      expectedRevision: machine.assignmentRevision,
+      conditions: this.allocations.leaseConditions(machine.shard),
+      priority: WritePriority.assignment,
+      onOutcome: (outcome) => {
+        machine.assignmentWriteQueued = false;
         if (outcome === 'ok') this.context.log('debug', 'machine handed over', { machine: machine.name, to });
       },
     });
@@ -38,56 +38,63 @@
    * Guards against a command that we gave up on and that is executed late: the worker
    * takes nothing older once it has seen the higher token.
    */
-  raiseToken(machine: Machine): void {
-    if (machine.grantQueued) return;
-    machine.raisingToken = true;
-    machine.grantQueued = true;
-    const rewriteOf = machine.grantStamp;
+  raiseFencingToken(machine: Machine): void {
+    if (machine.assignmentWriteQueued) return;
+    machine.isRaisingToken = true;
+    machine.assignmentWriteQueued = true;
+    const rewriteOf = machine.assignmentRevision;
     this.context.writer.add({
-      key: KEY.grant(machine.name),
+      key: StateKey.assignment(machine.name),
       value: () => {
-        const moveTo = machine.moveTo >= 0 ? machine.moveTo : null;
-        return encodeGrant({ ...this.context.table.grantOf(machine), moveTo, retire: machine.retire }, rewriteOf);
+        const moveTo = machine.moveToShard >= 0 ? machine.moveToShard : null;
+        return encodeAssignment(
+          { ...this.context.clusterState.assignmentOf(machine), moveToShard: moveTo, isRetired: machine.isRetired },
+          rewriteOf,
+        );
       },
-      guard: machine.grantStamp,
-      also: this.work.also(machine.share),
-      urgency: URGENCY.release,
+      expectedRevision: machine.assignmentRevision,
+      conditions: this.allocations.leaseConditions(machine.shard),
+      priority: WritePriority.release,
       // No command to the machine leaves before this is stored, and so no stop.
-      pressing: () => this.work.bearsCancelled(machine),
-      done: (outcome) => {
-        machine.grantQueued = false;
-        machine.raisingToken = false;
+      isUrgent: () => this.allocations.hasCancelledWork(machine),
+      onOutcome: (outcome) => {
+        machine.assignmentWriteQueued = false;
+        machine.isRaisingToken = false;
         if (outcome === 'ok') {
-          machine.dirty = false;
-          machine.resolved = false;
-          machine.probed = false;
+          machine.hasUncertainCommand = false;
+          machine.isVerified = false;
+          machine.isProbed = false;
         }
       },
     });
   }
 
   /** The machine is gone. */
-  dropGrant(machine: Machine): void {
-    const cache = KEY.cache(machine.name);
+  removeAssignment(machine: Machine): void {
+    const cache = StateKey.imageCache(machine.name);
     const kept = this.context.replica.get(cache);
     if (kept)
       this.context.writer.add({
         key: cache,
         value: () => undefined,
-        guard: kept.stamp,
-        urgency: URGENCY.images,
-        until: this.work.now + IMAGES_MS,
-        done: () => {},
+        expectedRevision: kept.revision,
+        priority: WritePriority.images,
+        expiresAt: this.allocations.now + IMAGES_MS,
+        onOutcome: () => {},
       });
     this.context.writer.add({
-      key: KEY.grant(machine.name),
+      key: StateKey.assignment(machine.name),
       value: () => undefined,
-      guard: machine.grantStamp,
-      also: this.work.also(machine.share),
-      urgency: URGENCY.release,
-      done: (outcome) => {
-        if (outcome !== 'ok' && this.context.table.machines.get(machine.name) === machine && this.work.held.has(machine.share))
-          this.dropGrant(machine);
+      expectedRevision: machine.assignmentRevision,
+      conditions: this.allocations.leaseConditions(machine.shard),
+      priority: WritePriority.release,
+      onOutcome: (outcome) => {
+        if (
+          outcome !== 'ok' &&
+          this.context.clusterState.machines.get(machine.name) === machine &&
+          this.allocations.heldShards.has(machine.shard)
+        )
+          this.removeAssignment(machine);
       },
     });
   }
--- a/packages/controller/src/state/assignment-record.ts
+++ b/packages/controller/src/state/assignment-record.ts
@@ -4,19 +4,19 @@
  */
 
 /** What is stored of a machine's grant. */
-export interface Grant {
-  share: number;
+export interface MachineAssignment {
+  shard: number;
   address: string;
   type: string;
   zone: string;
   spot: boolean;
   /** the share that it is to be handed to; null: it stays */
-  moveTo: number | null;
+  moveToShard: number | null;
   /** to be given back */
-  retire: boolean;
+  isRetired: boolean;
 }
 
-interface StoredGrant {
+interface StoredAssignment {
   s: number;
   a: string;
   t: string;
@@ -29,26 +29,26 @@
 }
 
 /** `rewriteOf`: the stamp of the same grant that is written again, so that its stamp rises. */
-export function encodeGrant(grant: Grant, rewriteOf?: number): unknown {
-  const stored: StoredGrant = { s: grant.share, a: grant.address, t: grant.type, z: grant.zone, sp: grant.spot };
-  if (grant.moveTo !== null) stored.mv = grant.moveTo;
-  if (grant.retire) stored.x = true;
+export function encodeAssignment(grant: MachineAssignment, rewriteOf?: number): unknown {
+  const stored: StoredAssignment = { s: grant.shard, a: grant.address, t: grant.type, z: grant.zone, sp: grant.spot };
+  if (grant.moveToShard !== null) stored.mv = grant.moveToShard;
+  if (grant.isRetired) stored.x = true;
   if (rewriteOf !== undefined) stored.n = rewriteOf;
   return stored;
 }
 
 /** Throws on what is no grant. */
-export function parseGrant(value: unknown): Grant {
-  const stored = value as Partial<StoredGrant> | null;
+export function parseAssignment(value: unknown): MachineAssignment {
+  const stored = value as Partial<StoredAssignment> | null;
   if (typeof stored?.s !== 'number' || typeof stored.t !== 'string' || typeof stored.z !== 'string')
     throw new Error('not a grant');
   return {
-    share: stored.s,
+    shard: stored.s,
     address: stored.a ?? '',
     type: stored.t,
     zone: stored.z,
     spot: stored.sp ?? false,
-    moveTo: stored.mv ?? null,
-    retire: stored.x ?? false,
+    moveToShard: stored.mv ?? null,
+    isRetired: stored.x ?? false,
   };
 }
--- a/packages/controller/src/state/job-dependencies.ts
+++ b/packages/controller/src/state/job-dependencies.ts
@@ -6,11 +6,11 @@
  * otherwise makes the jobs of its cycle wait for ever, and every walk here still ends.
  */
 
-import type { Job, Ms } from '../model/index.js';
+import type { Job, Milliseconds } from '../model/index.js';
 import type { FinalState } from './job-record.js';
 
 /** What the end of a job means for those that await it. */
-export interface Consequences {
+export interface DependencyOutcome {
   /** nothing is left that they await */
   released: Job[];
   /** cancelled with it */
@@ -18,55 +18,55 @@
 }
 
 /** Time that a job takes once it may start, by its owner's estimate and with the image to fetch at 1 GB a second. */
-export function expectedMs(job: Job): Ms {
-  return job.runMs + job.spec.imageGb * 1000;
+export function expectedDurationMs(job: Job): Milliseconds {
+  return job.expectedRunMs + job.spec.imageGb * 1000;
 }
 
 /**
  * The jobs that wait for others. Every controller derives the same from what is stored; nothing of this is
  * written. Each step costs in proportion to the edges that it concerns.
  */
-export class Dependencies {
+export class JobDependencies {
   /** jobs that still wait for a job, by that job's id */
   private readonly dependents = new Map<string, Set<Job>>();
   /** when jobs that are done ended, by the time of day */
-  private readonly endedAt = new Map<string, Ms>();
+  private readonly endedAt = new Map<string, Milliseconds>();
 
   constructor(
     private readonly jobs: ReadonlyMap<string, Job>,
-    private readonly finals: Map<string, FinalState>,
+    private readonly finishedJobs: Map<string, FinalState>,
   ) {}
 
   /** Adds edges to a job. Returns what is cancelled: the job itself, and those that need it. */
   add(job: Job, awaits: readonly string[]): Job[] {
     for (const id of awaits) {
-      const final = this.finals.get(id);
+      const final = this.finishedJobs.get(id);
       if (final === 'cancelled') return this.cancel(job);
-      if (final === 'done') this.noteEnd(job, id);
+      if (final === 'done') this.recordDependencyDone(job, id);
       else this.link(job, id);
     }
     // Jobs that need it may have been read first.
-    this.inherit(job);
-    this.passOn(job);
+    this.recomputeOwnRequirements(job);
+    this.propagateRequirements(job);
     return [];
   }
 
   private link(job: Job, id: string): void {
-    job.awaited.add(id);
+    job.awaitedJobs.add(id);
     const waiting = this.dependents.get(id);
     if (waiting) waiting.add(job);
     else this.dependents.set(id, new Set([job]));
   }
 
   /** A job's stored state became final. */
-  ended(id: string, final: FinalState, endedAt: Ms | null): Consequences {
+  jobFinished(id: string, final: FinalState, endedAt: Milliseconds | null): DependencyOutcome {
     if (final === 'cancelled') return { released: [], cancelled: this.cancelDependents(id) };
     if (endedAt !== null) this.endedAt.set(id, endedAt);
     const released: Job[] = [];
     for (const job of this.dependents.get(id) ?? []) {
-      job.awaited.delete(id);
-      this.noteEnd(job, id);
-      if (!job.waits) released.push(job);
+      job.awaitedJobs.delete(id);
+      this.recordDependencyDone(job, id);
+      if (!job.isBlocked) released.push(job);
     }
     this.dependents.delete(id);
     return { released, cancelled: [] };
@@ -74,18 +74,18 @@
 
   /** Cancelled by its own user: what it awaits has one job less that needs it. */
   unlink(job: Job): void {
-    for (const before of this.removeEdges(job)) this.refresh(before);
+    for (const before of this.removeEdges(job)) this.recomputeRequirements(before);
   }
 
   /** Returns the jobs that it awaited. */
   private removeEdges(job: Job): Job[] {
-    const before = this.awaitedBy(job);
-    for (const id of job.awaited) {
+    const before = this.awaitedJobsOf(job);
+    for (const id of job.awaitedJobs) {
       const waiting = this.dependents.get(id);
       waiting?.delete(job);
       if (waiting?.size === 0) this.dependents.delete(id);
     }
-    job.awaited.clear();
+    job.awaitedJobs.clear();
     return before;
   }
 
@@ -109,62 +109,62 @@
       // What is over has no edges; were one left, nothing that is over would become anything else.
       if (job.state !== 'live') continue;
       job.state = 'cancelled';
-      this.finals.set(job.spec.id, 'cancelled');
+      this.finishedJobs.set(job.spec.id, 'cancelled');
       cancelled.push(job);
       for (const before of this.removeEdges(job)) needLess.add(before);
       for (const dependent of this.dependents.get(job.spec.id) ?? []) open.push(dependent);
       this.dependents.delete(job.spec.id);
     }
-    for (const before of needLess) if (before.state === 'live') this.refresh(before);
+    for (const before of needLess) if (before.state === 'live') this.recomputeRequirements(before);
     return cancelled;
   }
 
-  private noteEnd(job: Job, id: string): void {
-    job.readyAt = Math.max(job.readyAt, this.endedAt.get(id) ?? 0);
+  private recordDependencyDone(job: Job, id: string): void {
+    job.dependenciesDoneAt = Math.max(job.dependenciesDoneAt, this.endedAt.get(id) ?? 0);
   }
 
   // ---- inherited priority and deadline
 
   /** New edges only raise what the jobs before have from this one: nothing else that needs them is looked at. */
-  private passOn(job: Job): void {
+  private propagateRequirements(job: Job): void {
     const raised = new Set<Job>([job]);
-    for (const next of this.inOrder(job)) {
+    for (const next of this.dependentsFirst(job)) {
       if (!raised.has(next)) continue;
-      for (const before of this.awaitedBy(next)) if (this.takeFrom(before, next)) raised.add(before);
+      for (const before of this.awaitedJobsOf(next)) if (this.inheritFromDependent(before, next)) raised.add(before);
     }
   }
 
-  private awaitedBy(job: Job): Job[] {
-    return [...job.awaited].flatMap((id) => this.jobs.get(id) ?? []);
+  private awaitedJobsOf(job: Job): Job[] {
+    return [...job.awaitedJobs].flatMap((id) => this.jobs.get(id) ?? []);
   }
 
   /** The job gets the priority and the deadline of one that needs it, where these are higher and earlier. */
-  private takeFrom(job: Job, dependent: Job): boolean {
-    const startBy = dependent.endBy - expectedMs(dependent);
-    const isEarlier = startBy < job.endBy;
-    if (!isEarlier && dependent.rank <= job.rank) return false;
-    job.rank = Math.max(job.rank, dependent.rank);
+  private inheritFromDependent(job: Job, dependent: Job): boolean {
+    const startBy = dependent.effectiveDeadlineAt - expectedDurationMs(dependent);
+    const isEarlier = startBy < job.effectiveDeadlineAt;
+    if (!isEarlier && dependent.priority <= job.priority) return false;
+    job.priority = Math.max(job.priority, dependent.priority);
     if (isEarlier) {
-      job.endBy = startBy;
-      job.endBySpan = dependent.endBySpan;
+      job.effectiveDeadlineAt = startBy;
+      job.effectiveDeadlineSpanMs = dependent.effectiveDeadlineSpanMs;
     }
     return true;
   }
 
   /** Works out anew what the job has from those that need it, and what the jobs before it have from it. */
-  private refresh(job: Job): void {
+  private recomputeRequirements(job: Job): void {
     const stale = new Set<Job>([job]);
-    for (const next of this.inOrder(job)) {
+    for (const next of this.dependentsFirst(job)) {
       if (!stale.has(next)) continue;
-      if (this.inherit(next)) for (const before of this.awaitedBy(next)) stale.add(before);
+      if (this.recomputeOwnRequirements(next)) for (const before of this.awaitedJobsOf(next)) stale.add(before);
     }
   }
 
   /** The job and all that it awaits through others, each after those of them that need it. */
-  private inOrder(job: Job): Job[] {
+  private dependentsFirst(job: Job): Job[] {
     const seen = new Set<Job>([job]);
     const order: Job[] = [];
-    const stack = [{ job, open: [...job.awaited] }];
+    const stack = [{ job, open: [...job.awaitedJobs] }];
     while (stack.length > 0) {
       const top = stack[stack.length - 1] as { job: Job; open: string[] };
       const id = top.open.pop();
@@ -176,27 +176,27 @@
       const next = this.jobs.get(id);
       if (!next || seen.has(next)) continue;
       seen.add(next);
-      stack.push({ job: next, open: [...next.awaited] });
+      stack.push({ job: next, open: [...next.awaitedJobs] });
     }
     return order.reverse();
   }
 
   /** The highest priority and the earliest end among the job's own and those of the jobs that need it. */
-  private inherit(job: Job): boolean {
+  private recomputeOwnRequirements(job: Job): boolean {
     let rank = job.spec.rank;
     let endBy = job.deadlineAt;
-    let slack = job.deadlineSpan;
+    let slack = job.deadlineSpanMs;
     for (const dependent of this.dependents.get(job.spec.id) ?? []) {
-      rank = Math.max(rank, dependent.rank);
-      const startBy = dependent.endBy - expectedMs(dependent);
+      rank = Math.max(rank, dependent.priority);
+      const startBy = dependent.effectiveDeadlineAt - expectedDurationMs(dependent);
       if (startBy >= endBy) continue;
       endBy = startBy;
-      slack = dependent.endBySpan;
+      slack = dependent.effectiveDeadlineSpanMs;
     }
-    if (rank === job.rank && endBy === job.endBy && slack === job.endBySpan) return false;
-    job.rank = rank;
-    job.endBy = endBy;
-    job.endBySpan = slack;
+    if (rank === job.priority && endBy === job.effectiveDeadlineAt && slack === job.effectiveDeadlineSpanMs) return false;
+    job.priority = rank;
+    job.effectiveDeadlineAt = endBy;
+    job.effectiveDeadlineSpanMs = slack;
     return true;
   }
 }
