--- a/packages/controller/src/state/job-registry.ts
+++ b/packages/controller/src/state/job-registry.ts
@@ -3,81 +3,81 @@
  * their completed tasks, and which awaits which.
  */
 import type { JobSpec } from '@archpost/protocol';
-import type { Job, Ms } from '../model/index.js';
-import { Dependencies } from './job-dependencies.js';
+import type { Job, Milliseconds } from '../model/index.js';
+import { JobDependencies } from './job-dependencies.js';
 import { type FinalState, type JobPart, parseJobPart, parseJobRecord, type StoredJob } from './job-record.js';
 import type { ProgressLayout, StoredProgress } from './progress-layout.js';
-import type { Entry } from './replica.js';
+import type { ReplicaEntry } from './replica.js';
 
 /** What a key of a job changes. */
-export interface JobChanges {
+export interface JobRecordChanges {
   /** the key's own job first, then others that are released or cancelled with it */
   jobs: Job[];
   /** what of the record can't be read, though the rest can */
-  unreadable?: string;
+  unreadablePart?: string;
 }
 
-const NOTHING: JobChanges = { jobs: [] };
+const NOTHING: JobRecordChanges = { jobs: [] };
 
 /** A part's key below its prefix: job and group, and the part's number. */
 const PART_NAME = /^([^/]+\/[^/]+)\/(\d+)$/;
 
 /** A job some of whose parts were not read yet. */
-interface Incomplete {
+interface IncompleteRecord {
   job: Job;
-  left: Set<number>;
+  missingParts: Set<number>;
 }
 
-export class JobTable {
+export class JobRegistry {
   readonly jobs = new Map<string, Job>();
   /** jobs that are over, in short, and those that are cancelled with one that they need */
-  readonly finals = new Map<string, FinalState>();
+  readonly finishedJobs = new Map<string, FinalState>();
   /** stamp of the newest cancellation that is known */
-  cancelStamp = 0;
+  cancellationRevision = 0;
   /** time of day less the steady clock, ms */
-  wallOffset: Ms = 0;
-  private readonly dependencies = new Dependencies(this.jobs, this.finals);
-  private readonly incomplete = new Map<string, Incomplete>();
+  wallClockOffsetMs: Milliseconds = 0;
+  private readonly dependencies = new JobDependencies(this.jobs, this.finishedJobs);
+  private readonly incompleteRecords = new Map<string, IncompleteRecord>();
   /** parts and progress that were read before the job's record */
-  private readonly earlyParts = new Map<string, Map<number, JobPart>>();
-  private readonly earlyProgress = new Map<string, Map<string, StoredProgress>>();
+  private readonly partsReadEarly = new Map<string, Map<number, JobPart>>();
+  private readonly progressReadEarly = new Map<string, Map<string, StoredProgress>>();
   /** when each cancellation was first read here, also of jobs that have left the table */
-  private readonly cancellationReadAt = new Map<string, Ms>();
+  private readonly cancellationReadAt = new Map<string, Milliseconds>();
 
   constructor(
     private readonly makeJob: (spec: JobSpec) => Job,
     private readonly typeIndex: (name: string) => number,
     /** called when nothing is left that a job awaits; a second call for it changes nothing */
-    private readonly startable: (job: Job) => void,
+    private readonly onStartable: (job: Job) => void,
     private readonly progress: ProgressLayout,
   ) {}
 
   // ---- records
 
-  applyRecord(id: string, entry: Entry | null, now: Ms): JobChanges {
+  applyRecord(id: string, entry: ReplicaEntry | null, now: Milliseconds): JobRecordChanges {
     if (!entry) return NOTHING;
     const stored = parseJobRecord(entry.value);
-    const others = stored.state === 'live' ? [] : this.applyFinal(id, stored.state, stored.endedAt, entry.stamp, now);
+    const others = stored.state === 'live' ? [] : this.applyFinalState(id, stored.state, stored.endedAt, entry.revision, now);
     const known = this.jobs.get(id);
     // Of a finished job nothing is left to do; of a cancelled one there may be tasks to stop.
     if (!known && (stored.spec === null || stored.state === 'done')) return { jobs: others };
-    const job = known ?? this.enter(stored.spec as JobSpec, stored, now, others);
-    job.stamp = entry.stamp;
+    const job = known ?? this.register(stored.spec as JobSpec, stored, now, others);
+    job.modRevision = entry.revision;
     if (stored.state !== 'live') {
       job.state = stored.state;
       this.dependencies.unlink(job);
     }
-    if (!known && !job.waits) this.startable(job);
-    for (const other of [job, ...others]) this.noteCancelled(other, now);
+    if (!known && !job.isBlocked) this.onStartable(job);
+    for (const other of [job, ...others]) this.recordCancellationTime(other, now);
     const jobs = [job, ...others.filter((other) => other !== job)];
-    return stored.awaits === null ? { jobs, unreadable: 'the list of awaited jobs' } : { jobs };
+    return stored.awaits === null ? { jobs, unreadablePart: 'the list of awaited jobs' } : { jobs };
   }
 
   /**
    * The job that a machine names. One that has left the table comes back by its record, as it did first; null if
    * there is none to run or to stop.
    */
-  recall(id: string, entry: Entry | null, now: Ms): Job | null {
+  restore(id: string, entry: ReplicaEntry | null, now: Milliseconds): Job | null {
     const known = this.jobs.get(id);
     if (known || !entry) return known ?? null;
     try {
@@ -92,42 +92,42 @@
    * The only way into the table. The job is in it only once all that its record says is known of it: what it
    * awaits, and whether it is over. What is cancelled by that is added to `others`.
    */
-  private enter(spec: JobSpec, stored: StoredJob, now: Ms, others: Job[]): Job {
+  private register(spec: JobSpec, stored: StoredJob, now: Milliseconds, others: Job[]): Job {
     const job = this.makeJob(spec);
     job.arrivedAt = now;
-    job.setSubmitted(stored.submittedAt);
-    const final = this.finals.get(spec.id);
+    job.setSubmittedAt(stored.submittedAt);
+    const final = this.finishedJobs.get(spec.id);
     if (final) job.state = final;
-    else others.push(...this.applyLists(job, stored, now));
+    else others.push(...this.applyRecordLists(job, stored, now));
     this.jobs.set(spec.id, job);
-    for (const progress of this.earlyProgress.get(spec.id)?.values() ?? []) this.mergeProgress(job, progress);
-    this.earlyProgress.delete(spec.id);
+    for (const progress of this.progressReadEarly.get(spec.id)?.values() ?? []) this.mergeProgress(job, progress);
+    this.progressReadEarly.delete(spec.id);
     return job;
   }
 
   /** A job is over. Returns those that awaited it and are released or cancelled by that. */
-  private applyFinal(id: string, final: FinalState, endedAt: Ms | null, stamp: number, now: Ms): Job[] {
-    if (final === 'cancelled') this.cancelStamp = Math.max(this.cancelStamp, stamp);
-    this.finals.set(id, final);
-    this.earlyProgress.delete(id);
-    const { released, cancelled } = this.dependencies.ended(id, final, endedAt);
+  private applyFinalState(id: string, final: FinalState, endedAt: Milliseconds | null, stamp: number, now: Milliseconds): Job[] {
+    if (final === 'cancelled') this.cancellationRevision = Math.max(this.cancellationRevision, stamp);
+    this.finishedJobs.set(id, final);
+    this.progressReadEarly.delete(id);
+    const { released, cancelled } = this.dependencies.jobFinished(id, final, endedAt);
     for (const job of released) this.release(job, now);
-    for (const job of cancelled) this.noteCancelled(job, now);
+    for (const job of cancelled) this.recordCancellationTime(job, now);
     return [...released, ...cancelled];
   }
 
-  private release(job: Job, now: Ms): void {
-    this.countTimes(job, now);
-    this.startable(job);
+  private release(job: Job, now: Milliseconds): void {
+    this.restartWaitingTime(job, now);
+    this.onStartable(job);
   }
 
   /** Its times count from the moment when the last job that it needs was done, whoever saw that. */
-  private countTimes(job: Job, now: Ms): void {
-    job.arrivedAt = job.readyAt > 0 ? Math.min(now, job.readyAt - this.wallOffset) : now;
+  private restartWaitingTime(job: Job, now: Milliseconds): void {
+    job.arrivedAt = job.dependenciesDoneAt > 0 ? Math.min(now, job.dependenciesDoneAt - this.wallClockOffsetMs) : now;
   }
 
   /** Its time to be gone counts from the first reading of its cancellation, whoever finds a task of it later. */
-  private noteCancelled(job: Job, now: Ms): void {
+  private recordCancellationTime(job: Job, now: Milliseconds): void {
     if (job.state !== 'cancelled') return;
     const readAt = this.cancellationReadAt.get(job.spec.id) ?? now;
     this.cancellationReadAt.set(job.spec.id, readAt);
@@ -137,67 +137,68 @@
   // ---- lists of awaited jobs and machine types
 
   /** The lists of a job that was read for the first time. Returns what is cancelled by them. */
-  private applyLists(job: Job, stored: StoredJob, now: Ms): Job[] {
+  private applyRecordLists(job: Job, stored: StoredJob, now: Milliseconds): Job[] {
     if (stored.awaits === null) {
-      job.missingParts = Number.POSITIVE_INFINITY;
+      job.missingRecordParts = Number.POSITIVE_INFINITY;
       return [];
     }
     const cancelled = this.dependencies.add(job, stored.awaits);
     if (cancelled.length > 0) return cancelled;
-    if (stored.parts) return this.awaitParts(job, `${job.spec.id}/${stored.parts.group}`, stored.parts.count, now);
-    if (!job.waits) this.countTimes(job, now);
+    if (stored.parts) return this.expectParts(job, `${job.spec.id}/${stored.parts.group}`, stored.parts.count, now);
+    if (!job.isBlocked) this.restartWaitingTime(job, now);
     return [];
   }
 
-  private awaitParts(job: Job, name: string, count: number, now: Ms): Job[] {
+  private expectParts(job: Job, name: string, count: number, now: Milliseconds): Job[] {
     const left = new Set<number>();
     for (let index = 0; index < count; index++) left.add(index);
-    job.missingParts = left.size;
-    this.incomplete.set(name, { job, left });
-    const early = this.earlyParts.get(name) ?? new Map<number, JobPart>();
-    this.earlyParts.delete(name);
+    job.missingRecordParts = left.size;
+    this.incompleteRecords.set(name, { job, missingParts: left });
+    const early = this.partsReadEarly.get(name) ?? new Map<number, JobPart>();
+    this.partsReadEarly.delete(name);
     const cancelled: Job[] = [];
     for (const [index, part] of early) cancelled.push(...this.mergePart(name, index, part, now));
     return cancelled;
   }
 
-  applyPart(key: string, entry: Entry | null, now: Ms): JobChanges {
+  applyPart(key: string, entry: ReplicaEntry | null, now: Milliseconds): JobRecordChanges {
     const [, name, number] = PART_NAME.exec(key) ?? [];
     if (!entry || name === undefined) return NOTHING;
     const part = parseJobPart(entry.value);
     const index = Number(number);
-    const job = this.incomplete.get(name)?.job;
+    const job = this.incompleteRecords.get(name)?.job;
     if (job) {
       const cancelled = this.mergePart(name, index, part, now);
       return { jobs: [job, ...cancelled.filter((other) => other !== job)] };
     }
     const id = name.slice(0, name.indexOf('/'));
-    if (this.jobs.has(id) || this.finals.has(id)) return NOTHING;
-    const early = this.earlyParts.get(name) ?? new Map<number, JobPart>();
-    this.earlyParts.set(name, early.set(index, part));
+    if (this.jobs.has(id) || this.finishedJobs.has(id)) return NOTHING;
+    const early = this.partsReadEarly.get(name) ?? new Map<number, JobPart>();
+    this.partsReadEarly.set(name, early.set(index, part));
     return NOTHING;
   }
 
-  private mergePart(name: string, index: number, part: JobPart, now: Ms): Job[] {
-    const entry = this.incomplete.get(name);
-    if (!entry?.left.delete(index)) return [];
-    const { job, left } = entry;
+  private mergePart(name: string, index: number, part: JobPart, now: Milliseconds): Job[] {
+    const entry = this.incompleteRecords.get(name);
+    if (!entry?.missingParts.delete(index)) return [];
+    const { job, missingParts: left } = entry;
     if (job.state !== 'live') {
-      this.incomplete.delete(name);
+      this.incompleteRecords.delete(name);
       return [];
     }
-    if (part.types.length > 0 && job.types) job.types = [...job.types, ...part.types.map((type) => this.typeIndex(type))];
-    job.missingParts = left.size;
+    if (part.types.length > 0 && job.typeIndices)
+      job.typeIndices = [...job.typeIndices, ...part.types.map((type) => this.typeIndex(type))];
+    job.missingRecordParts = left.size;
     const cancelled = this.dependencies.add(job, part.awaits);
-    if (left.size === 0 || cancelled.length > 0) this.incomplete.delete(name);
-    if (cancelled.length === 0 && !job.waits) this.release(job, now);
-    for (const other of cancelled) this.noteCancelled(other, now);
+    if (left.size === 0 || cancelled.length > 0) this.incompleteRecords.delete(name);
+    if (cancelled.length === 0 && !job.isBlocked) this.release(job, now);
+    for (const other of cancelled) this.recordCancellationTime(other, now);
     return cancelled;
   }
 
   // ---- progress
 
-  applyProgress(key: string, entry: Entry | null): JobChanges {
+  applyProgress(key: string, entry: ReplicaEntry | null): JobRecordChanges {
     if (!entry) return NOTHING;
     const cut = key.lastIndexOf('/');
     const id = key.slice(0, cut);
@@ -209,16 +210,16 @@
       this.mergeProgress(job, progress);
       return { jobs: [job] };
     }
-    if (this.finals.has(id)) return NOTHING;
-    const early = this.earlyProgress.get(id) ?? new Map<string, StoredProgress>();
-    this.earlyProgress.set(id, early.set(part, progress));
+    if (this.finishedJobs.has(id)) return NOTHING;
+    const early = this.progressReadEarly.get(id) ?? new Map<string, StoredProgress>();
+    this.progressReadEarly.set(id, early.set(part, progress));
     return NOTHING;
   }
 
   private mergeProgress(job: Job, progress: StoredProgress): void {
     for (const task of progress) {
       if (task >= job.spec.tasks) continue;
-      job.stored[task] = 1;
+      job.storedDone[task] = 1;
       if (job.done[task]) continue;
       job.done[task] = 1;
       job.doneCount++;
@@ -228,7 +229,7 @@
   // ---- leaving
 
   /** Nothing of a job that is over is on any machine any more. */
-  drop(job: Job): void {
-    if (job.state !== 'live' && job.placements.size === 0) this.jobs.delete(job.spec.id);
+  forgetIfFinished(job: Job): void {
+    if (job.state !== 'live' && job.allocations.size === 0) this.jobs.delete(job.spec.id);
   }
 }
--- a/packages/controller/src/state/keys.ts
+++ b/packages/controller/src/state/keys.ts
@@ -1,13 +1,13 @@
 /** The keys of the state service. What is stored under each is described by the `*-record.ts` module of its kind. */
-export const KEY = {
+export const StateKey = {
   root: 'a/',
-  holding: (share: number | 'lead') => `a/h/${share}`,
-  grant: (machine: string) => `a/g/${machine}`,
+  shardLease: (share: number | 'lead') => `a/h/${share}`,
+  assignment: (machine: string) => `a/g/${machine}`,
   job: (id: string) => `a/j/${id}`,
   progress: (id: string, part: string) => `a/p/${id}/${part}`,
-  types: 'a/types',
+  machineTypes: 'a/types',
   /** a list of machine types that is too long for one value */
-  typesPart: (index: number) => `a/types/${index}`,
+  machineTypesPart: (index: number) => `a/types/${index}`,
   /** a part of a job's lists: see job-record.ts */
   jobPart: (id: string, group: string, index: number) => `a/x/${id}/${group}/${index}`,
   /** a controller that is there: attached to its state lease */
@@ -15,5 +15,5 @@
   /** what a controller tells by way of the state service while its link to the lead is down */
   status: (node: string) => `a/s/${node}`,
   /** the images that a machine surely has, for whoever owns it next */
-  cache: (machine: string) => `a/c/${machine}`,
+  imageCache: (machine: string) => `a/c/${machine}`,
 };
--- a/packages/controller/src/state/lease-record.ts
+++ b/packages/controller/src/state/lease-record.ts
@@ -12,9 +12,9 @@
  */
 
 /** Who holds a shard, or the lead. */
-export interface Holder {
-  node: string;
-  boot: string;
+export interface LeaseHolder {
+  controller: string;
+  incarnation: string;
 }
 
 interface StoredHolder {
@@ -27,16 +27,16 @@
 }
 
 /** The record of a shard's holder, or of the leader. */
-export function encodeHolder(holder: Holder): unknown {
-  const stored: StoredHolder = { node: holder.node, boot: holder.boot };
+export function encodeHolder(holder: LeaseHolder): unknown {
+  const stored: StoredHolder = { node: holder.controller, boot: holder.incarnation };
   return stored;
 }
 
 /** Throws on what names no holder. */
-export function parseHolder(value: unknown): Holder {
+export function parseLeaseHolder(value: unknown): LeaseHolder {
   const stored = value as Partial<StoredHolder> | null;
   if (typeof stored?.node !== 'string' || typeof stored.boot !== 'string') throw new Error('not a holder');
-  return { node: stored.node, boot: stored.boot };
+  return { controller: stored.node, incarnation: stored.boot };
 }
 
 /** The record that says that a controller is present. */
--- a/packages/controller/src/state/limits.ts
+++ b/packages/controller/src/state/limits.ts
@@ -2,7 +2,7 @@
  * What the state service takes, and how fast: the size of a value and of a transaction, and the rate of
  * changes. The settings may announce limits that it will have later (`params.state.next`), without saying when.
  */
-import type { CoreSettings, Ms } from '../model/index.js';
+import type { ControllerSettings, Milliseconds } from '../model/index.js';
 
 /** Bytes of a value left to how the service counts: it may add a field or two around what we send. */
 const VALUE_SPARE_BYTES = 64;
@@ -22,18 +22,18 @@
 }
 
 /** Sizes that fit both the present limits and those that may come without notice. */
-export interface StateSizes {
+export interface StateSizeLimits {
   /** largest encoded change, its key included */
-  changeBytes: number;
+  maxWriteBytes: number;
   /** most changes in one transaction */
-  txnOps: number;
+  writesPerTransaction: number;
 }
 
-export function stateSizes(state: CoreSettings['state']): StateSizes {
-  const valueKb = Math.min(state.valueKb, state.next?.valueKb ?? state.valueKb);
+export function stateSizeLimits(state: ControllerSettings['state']): StateSizeLimits {
+  const valueKb = Math.min(state.valueKib, state.next?.valueKib ?? state.valueKib);
   return {
-    changeBytes: Math.floor(valueKb * BYTES_PER_KIB) - VALUE_SPARE_BYTES,
-    txnOps: Math.min(state.txnOps, state.next?.txnOps ?? state.txnOps),
+    maxWriteBytes: Math.floor(valueKb * BYTES_PER_KIB) - VALUE_SPARE_BYTES,
+    writesPerTransaction: Math.min(state.writesPerTransaction, state.next?.writesPerTransaction ?? state.writesPerTransaction),
   };
 }
 
@@ -42,23 +42,23 @@
  * falls to the announced one when a change is refused for the rate, and rises again slowly while none is:
  * the service may go back to what it allowed before. Without an announced limit it stays as it is.
  */
-export class ChangeRate {
+export class WriteRateLimit {
   private readonly highest: number;
   private readonly lowest: number;
-  private refusedAt: Ms | null = null;
+  private refusedAt: Milliseconds | null = null;
 
-  constructor(state: CoreSettings['state']) {
-    this.highest = state.writeRps;
-    this.lowest = Math.min(state.writeRps, state.next?.writeRps ?? state.writeRps);
+  constructor(state: ControllerSettings['state']) {
+    this.highest = state.writesPerS;
+    this.lowest = Math.min(state.writesPerS, state.next?.writesPerS ?? state.writesPerS);
   }
 
   /** A change was refused because there were too many. */
-  refused(now: Ms): void {
+  recordRefusal(now: Milliseconds): void {
     this.refusedAt = now;
   }
 
   /** Changes a second that all controllers together may make. */
-  perSecond(now: Ms): number {
+  perSecond(now: Milliseconds): number {
     if (this.refusedAt === null) return this.highest;
     const quietS = Math.max(0, now - this.refusedAt - RATE_PAUSE_MS) / 1000;
     return Math.min(this.highest, this.lowest + quietS * RATE_RISE_PER_S * this.highest);
--- a/packages/controller/src/state/read-barriers.ts
+++ b/packages/controller/src/state/read-barriers.ts
@@ -1,38 +1,38 @@
 /** What waits for a reading of the state service that is newer than the moment when it began to wait. */
-import type { Ms } from '../model/index.js';
+import type { Milliseconds } from '../model/index.js';
 
-interface Waiting {
-  from: Ms;
-  run: (now: Ms) => void;
-  until: Ms;
-  late: (() => void) | undefined;
+interface PendingRead {
+  requestedAt: Milliseconds;
+  run: (now: Milliseconds) => void;
+  expiresAt: Milliseconds;
+  onExpired: (() => void) | undefined;
 }
 
-export class Barriers {
-  private waiting: Waiting[] = [];
+export class ReadBarriers {
+  private pending: PendingRead[] = [];
 
   get size(): number {
-    return this.waiting.length;
+    return this.pending.length;
   }
 
   /** Runs `run` once a newer reading is in, or `late` if none is by `until`. */
-  add(from: Ms, run: (now: Ms) => void, until: Ms, late: (() => void) | undefined): void {
-    this.waiting.push({ from, run, until, late });
+  add(from: Milliseconds, run: (now: Milliseconds) => void, until: Milliseconds, late: (() => void) | undefined): void {
+    this.pending.push({ requestedAt: from, run, expiresAt: until, onExpired: late });
   }
 
   /** All changes up to `asOf` have been read. */
-  fresh(asOf: Ms, now: Ms): void {
-    const due = this.waiting.filter((waiting) => waiting.from <= asOf);
+  completeUpTo(asOf: Milliseconds, now: Milliseconds): void {
+    const due = this.pending.filter((waiting) => waiting.requestedAt <= asOf);
     if (due.length === 0) return;
-    this.waiting = this.waiting.filter((waiting) => waiting.from > asOf);
+    this.pending = this.pending.filter((waiting) => waiting.requestedAt > asOf);
     for (const waiting of due) waiting.run(now);
   }
 
   /** Gives up on what has waited too long. */
-  expire(now: Ms): void {
-    const late = this.waiting.filter((waiting) => now > waiting.until);
+  expire(now: Milliseconds): void {
+    const late = this.pending.filter((waiting) => now > waiting.expiresAt);
     if (late.length === 0) return;
-    this.waiting = this.waiting.filter((waiting) => now <= waiting.until);
-    for (const waiting of late) waiting.late?.();
+    this.pending = this.pending.filter((waiting) => now <= waiting.expiresAt);
+    for (const waiting of late) waiting.onExpired?.();
   }
 }
--- a/packages/controller/src/state/replica.ts
+++ b/packages/controller/src/state/replica.ts
@@ -1,10 +1,10 @@
-import type { Change, Row } from '@archpost/protocol';
+import type { KeyChange, StoredKey } from '@archpost/protocol';
 
-export interface Entry {
+export interface ReplicaEntry {
   value: unknown;
-  stamp: number;
+  revision: number;
 }
-type Listener = (key: string, entry: Entry | null) => void;
+type ChangeListener = (key: string, entry: ReplicaEntry | null) => void;
 type FailureListener = (key: string, error: unknown) => void;
 
 /**
@@ -13,18 +13,18 @@
  * removed at and takes only newer ones.
  */
 export class Replica {
-  private readonly entries = new Map<string, Entry>();
-  private readonly tombs = new Map<string, number>();
+  private readonly entries = new Map<string, ReplicaEntry>();
+  private readonly tombstones = new Map<string, number>();
   /** every change up to here is in */
   revision = 0;
   loaded = false;
 
   constructor(
-    private readonly listener: Listener,
-    private readonly failed: FailureListener,
+    private readonly onChange: ChangeListener,
+    private readonly onListenerError: FailureListener,
   ) {}
 
-  get(key: string): Entry | null {
+  get(key: string): ReplicaEntry | null {
     return this.entries.get(key) ?? null;
   }
 
@@ -34,49 +34,49 @@
 
   set(key: string, value: unknown, stamp: number): void {
     const old = this.entries.get(key);
-    if ((old && old.stamp >= stamp) || (this.tombs.get(key) ?? 0) >= stamp) return;
-    const entry = { value, stamp };
+    if ((old && old.revision >= stamp) || (this.tombstones.get(key) ?? 0) >= stamp) return;
+    const entry = { value, revision: stamp };
     this.entries.set(key, entry);
-    this.tombs.delete(key);
-    this.tell(key, entry);
+    this.tombstones.delete(key);
+    this.notify(key, entry);
   }
 
   remove(key: string, stamp: number): void {
     const old = this.entries.get(key);
-    if (old && old.stamp > stamp) return;
-    if (stamp > this.revision) this.tombs.set(key, stamp);
+    if (old && old.revision > stamp) return;
+    if (stamp > this.revision) this.tombstones.set(key, stamp);
     if (!old) return;
     this.entries.delete(key);
-    this.tell(key, null);
+    this.notify(key, null);
   }
 
   /** What can't be made of one change must not keep those that come with it from being taken: they come once. */
-  private tell(key: string, entry: Entry | null): void {
+  private notify(key: string, entry: ReplicaEntry | null): void {
     try {
-      this.listener(key, entry);
+      this.onChange(key, entry);
     } catch (error) {
-      this.failed(key, error);
+      this.onListenerError(key, error);
     }
   }
 
-  apply(changes: Change[], revision: number): void {
+  apply(changes: KeyChange[], revision: number): void {
     for (const c of changes) {
-      if (c.stamp <= this.revision) continue;
-      if (c.value === undefined) this.remove(c.key, c.stamp);
-      else this.set(c.key, c.value, c.stamp);
+      if (c.revision <= this.revision) continue;
+      if (c.value === undefined) this.remove(c.key, c.revision);
+      else this.set(c.key, c.value, c.revision);
     }
     if (revision > this.revision) this.revision = revision;
-    for (const [k, s] of this.tombs) if (s <= this.revision) this.tombs.delete(k);
+    for (const [k, s] of this.tombstones) if (s <= this.revision) this.tombstones.delete(k);
   }
 
   /**
    * Everything read anew (at the start, or after the service forgot the changes we need).
    * `revision` is that of the first page; what changed while reading comes by `apply`.
    */
-  reset(rows: Row[], revision: number): void {
+  reset(rows: StoredKey[], revision: number): void {
     const seen = new Set(rows.map((r) => r.key));
-    for (const r of rows) this.set(r.key, r.value, r.stamp);
-    for (const [k, e] of [...this.entries]) if (!seen.has(k) && e.stamp <= revision) this.remove(k, revision);
+    for (const r of rows) this.set(r.key, r.value, r.revision);
+    for (const [k, e] of [...this.entries]) if (!seen.has(k) && e.revision <= revision) this.remove(k, revision);
     if (revision > this.revision) this.revision = revision;
     this.loaded = true;
   }
--- a/packages/controller/src/state/status-record.ts
+++ b/packages/controller/src/state/status-record.ts
@@ -3,44 +3,44 @@
  * other versions read and write the same records under `a/s/`. The tables below give, for each field of the model, the name
  * under which it is stored; their order is the order of the stored fields.
  */
-import type { PeerDemand, PeerMachine, PeerShare, PeerStatus } from '@archpost/protocol';
+import type { MachineSummary, PeerStatus, ResourceDemand, ShardSummary } from '@archpost/protocol';
 
 type FieldTable<Model> = Readonly<Record<keyof Model, string>>;
 
-type Stranger = PeerStatus['strangers'][number];
+type UnassignedMachine = PeerStatus['unassignedMachines'][number];
 
-const MACHINE_FIELDS: FieldTable<PeerMachine> = {
+const MACHINE_FIELDS: FieldTable<MachineSummary> = {
   name: 'name',
   freeCpus: 'freeCpus',
   freeGpus: 'freeGpus',
   freeMemory: 'freeMemory',
   tasks: 'tasks',
-  firmRank: 'firmRank',
+  protectedPriority: 'firmRank',
   idleS: 'idleS',
   services: 'services',
 };
 
-const DEMAND_FIELDS: FieldTable<PeerDemand> = {
+const DEMAND_FIELDS: FieldTable<ResourceDemand> = {
   cpus: 'cpus',
   gpus: 'gpus',
   memory: 'memory',
   types: 'types',
   zone: 'zone',
   spot: 'spot',
-  rank: 'rank',
-  within: 'within',
+  priority: 'rank',
+  withinQuota: 'within',
   count: 'count',
   gang: 'gang',
   waitS: 'waitS',
   slackS: 'slackS',
-  notZones: 'notZones',
+  excludedZones: 'notZones',
 };
 
-const SHARD_FIELDS: FieldTable<PeerShare> = { share: 'share', machines: 'machines', demands: 'demands' };
+const SHARD_FIELDS: FieldTable<ShardSummary> = { shard: 'share', machines: 'machines', demands: 'demands' };
 
-const UNASSIGNED_MACHINE_FIELDS: FieldTable<Stranger> = {
+const UNASSIGNED_MACHINE_FIELDS: FieldTable<UnassignedMachine> = {
   machine: 'machine',
-  addr: 'addr',
+  address: 'addr',
   type: 'type',
   zone: 'zone',
   spot: 'spot',
@@ -49,20 +49,20 @@
 /** Running jobs and unchanged heartbeats are never stored: their lists are empty in every stored status. */
 const STATUS_FIELDS: FieldTable<PeerStatus> = {
   node: 'node',
-  shares: 'shares',
-  running: 'running',
-  runningAll: 'runningAll',
-  strangers: 'strangers',
-  heard: 'heard',
-  plenty: 'plenty',
-  lead: 'lead',
-  entitled: 'entitled',
-  reach: 'reach',
-  writes: 'writes',
-  storeOk: 'storeOk',
-  hears: 'hears',
-  loaded: 'loaded',
-  cancelStamp: 'cancelStamp',
+  shards: 'shares',
+  runningJobs: 'running',
+  runningJobsComplete: 'runningAll',
+  unassignedMachines: 'strangers',
+  unchangedHeartbeats: 'heard',
+  availableTypes: 'plenty',
+  isLeader: 'lead',
+  mayAnswerWorkers: 'entitled',
+  reachesWorkers: 'reach',
+  wantedWritesPerS: 'writes',
+  stateServiceAnswers: 'storeOk',
+  heardWorkers: 'hears',
+  replicaLoaded: 'loaded',
+  cancellationRevision: 'cancelStamp',
   ping: 'ping',
   echo: 'echo',
 };
@@ -86,12 +86,14 @@
 /** The record of a status. */
 export function encodeStatus(status: PeerStatus): unknown {
   const stored = toStored(status, STATUS_FIELDS);
-  stored[STATUS_FIELDS.shares] = status.shares.map((shard) => ({
+  stored[STATUS_FIELDS.shards] = status.shards.map((shard) => ({
     ...toStored(shard, SHARD_FIELDS),
     [SHARD_FIELDS.machines]: shard.machines.map((machine) => toStored(machine, MACHINE_FIELDS)),
     [SHARD_FIELDS.demands]: shard.demands.map((demand) => toStored(demand, DEMAND_FIELDS)),
   }));
-  stored[STATUS_FIELDS.strangers] = status.strangers.map((machine) => toStored(machine, UNASSIGNED_MACHINE_FIELDS));
+  stored[STATUS_FIELDS.unassignedMachines] = status.unassignedMachines.map((machine) =>
+    toStored(machine, UNASSIGNED_MACHINE_FIELDS),
+  );
   return stored;
 }
 
@@ -99,10 +101,13 @@
 function isStoredStatus(value: unknown): boolean {
   if (typeof value !== 'object' || value === null) return false;
   const stored = value as Record<string, unknown>;
-  const shards = stored[STATUS_FIELDS.shares];
-  const lists = [STATUS_FIELDS.running, STATUS_FIELDS.strangers, STATUS_FIELDS.heard, STATUS_FIELDS.plenty].map(
-    (name) => stored[name],
-  );
+  const shards = stored[STATUS_FIELDS.shards];
+  const lists = [
+    STATUS_FIELDS.runningJobs,
+    STATUS_FIELDS.unassignedMachines,
+    STATUS_FIELDS.unchangedHeartbeats,
+    STATUS_FIELDS.availableTypes,
+  ].map((name) => stored[name]);
   return (
     typeof stored[STATUS_FIELDS.node] === 'string' &&
     [shards, ...lists].every((list) => Array.isArray(list)) &&
@@ -119,12 +124,14 @@
 export function parseStatus(value: unknown): PeerStatus | null {
   if (!isStoredStatus(value)) return null;
   const status = fromStored<PeerStatus>(value, STATUS_FIELDS);
-  status.shares = status.shares.map((stored) => {
-    const shard = fromStored<PeerShare>(stored, SHARD_FIELDS);
-    shard.machines = shard.machines.map((machine) => fromStored<PeerMachine>(machine, MACHINE_FIELDS));
-    shard.demands = shard.demands.map((demand) => fromStored<PeerDemand>(demand, DEMAND_FIELDS));
+  status.shards = status.shards.map((stored) => {
+    const shard = fromStored<ShardSummary>(stored, SHARD_FIELDS);
+    shard.machines = shard.machines.map((machine) => fromStored<MachineSummary>(machine, MACHINE_FIELDS));
+    shard.demands = shard.demands.map((demand) => fromStored<ResourceDemand>(demand, DEMAND_FIELDS));
     return shard;
   });
-  status.strangers = status.strangers.map((machine) => fromStored<Stranger>(machine, UNASSIGNED_MACHINE_FIELDS));
+  status.unassignedMachines = status.unassignedMachines.map((machine) =>
+    fromStored<UnassignedMachine>(machine, UNASSIGNED_MACHINE_FIELDS),
+  );
   return status;
 }
--- a/packages/controller/src/state/write-queue.ts
+++ b/packages/controller/src/state/write-queue.ts
@@ -3,20 +3,20 @@
  * first start queues one for each machine; sorting all of them before each transaction took the leader most of its
  * processor time at 4,000 machines, so they are kept in order.
  */
-import type { Guard } from '@archpost/protocol';
+import type { RevisionCondition } from '@archpost/protocol';
 import sortedBTree from 'sorted-btree';
-import type { Ms } from '../model/index.js';
+import type { Milliseconds } from '../model/index.js';
 
 /**
  * Which writes go first. Users' answers wait for what they asked for, so neither may stand
  * behind a hundred grants; acceptances take half of a transaction at most while others wait.
  */
-export const URGENCY = {
-  holding: 0,
-  cancel: 1,
-  accept: 2,
+export const WritePriority = {
+  shardLease: 0,
+  cancellation: 1,
+  acceptance: 2,
   /** grants, moves, and jobs that are done */
-  grant: 3,
+  assignment: 3,
   /** tokens to raise, grants to drop, a controller's presence: like grants once they have waited */
   release: 4,
   progress: 5,
@@ -24,7 +24,7 @@
 } as const;
 
 /** After this long a release counts as a grant. */
-const RELEASE_MS = 300;
+const RELEASE_PROMOTION_MS = 300;
 
 /** `dropped`: it was given up, and was not carried out. */
 export type WriteOutcome = 'ok' | 'conflict' | 'dropped';
@@ -32,65 +32,65 @@
 export interface PendingWrite {
   key: string;
   /** evaluated when sent first; undefined removes the key */
-  value: (now: Ms) => unknown;
+  value: (now: Milliseconds) => unknown;
   /** stamp that the key must still have; 0: must not exist */
-  guard: number;
-  also?: Guard[];
+  expectedRevision: number;
+  conditions?: RevisionCondition[];
   /** attached to our state lease */
-  leased?: boolean;
+  attachedToLease?: boolean;
   /** smaller goes first */
-  urgency: number;
+  priority: number;
   /** what hangs on it has to be done as soon as what users ask for, whatever its urgency was at first */
-  pressing?: () => boolean;
+  isUrgent?: () => boolean;
   /** dropped unsent after this time */
-  until?: Ms;
-  done: (outcome: WriteOutcome, stamp: number) => void;
+  expiresAt?: Milliseconds;
+  onOutcome: (outcome: WriteOutcome, stamp: number) => void;
 }
 
 /** A change that waits to be sent, or to be sent again. */
 export interface QueuedWrite extends PendingWrite {
   /** an earlier send got no answer: it may be applied yet, or be applied already */
-  uncertain: boolean;
+  mayBeApplied: boolean;
   /** the state service did not take it together with others */
-  alone: boolean;
+  sendAlone: boolean;
   /** when it was queued first */
-  at: Ms;
+  queuedAt: Milliseconds;
   sentValue: unknown;
 }
 
 /** Where a write stands: smaller urgency first; of two alike the older, and then the one that was queued before. */
-interface Position {
-  urgency: number;
-  at: Ms;
-  number: number;
+interface QueuePosition {
+  priority: number;
+  queuedAt: Milliseconds;
+  sequence: number;
 }
 
-function comparePositions(a: Position, b: Position): number {
-  return a.urgency - b.urgency || a.at - b.at || a.number - b.number;
+function comparePositions(a: QueuePosition, b: QueuePosition): number {
+  return a.priority - b.priority || a.queuedAt - b.queuedAt || a.sequence - b.sequence;
 }
 
 const BTree = sortedBTree.default;
 
 export class WriteQueue {
-  private readonly ordered = new BTree<Position, QueuedWrite>(undefined, comparePositions);
-  private readonly positions = new Map<QueuedWrite, Position>();
+  private readonly ordered = new BTree<QueuePosition, QueuedWrite>(undefined, comparePositions);
+  private readonly positions = new Map<QueuedWrite, QueuePosition>();
   /** those whose urgency may change while they wait */
-  private readonly changeable = new Set<QueuedWrite>();
+  private readonly withChangingPriority = new Set<QueuedWrite>();
   private readonly counts = new Map<number, number>();
-  private nextNumber = 1;
+  private nextSequence = 1;
 
   get length(): number {
     return this.positions.size;
   }
 
-  add(write: QueuedWrite, now: Ms): void {
-    if (write.pressing !== undefined || write.urgency === URGENCY.release) this.changeable.add(write);
-    this.insert(write, this.urgencyOf(write, now));
+  add(write: QueuedWrite, now: Milliseconds): void {
+    if (write.isUrgent !== undefined || write.priority === WritePriority.release) this.withChangingPriority.add(write);
+    this.insert(write, this.priorityOf(write, now));
   }
 
   remove(write: QueuedWrite): void {
-    this.changeable.delete(write);
-    this.take(write);
+    this.withChangingPriority.delete(write);
+    this.detach(write);
   }
 
   /** How many wait that are now as urgent as this. */
@@ -99,42 +99,44 @@
   }
 
   /** All that wait, the first to be sent first, by their urgency now. Nothing may be added or removed meanwhile. */
-  inOrder(now: Ms): IterableIterator<QueuedWrite> {
-    for (const write of this.changeable) {
-      const urgency = this.urgencyOf(write, now);
-      if (this.positions.get(write)?.urgency === urgency) continue;
-      this.take(write);
+  inOrder(now: Milliseconds): IterableIterator<QueuedWrite> {
+    for (const write of this.withChangingPriority) {
+      const urgency = this.priorityOf(write, now);
+      if (this.positions.get(write)?.priority === urgency) continue;
+      this.detach(write);
       this.insert(write, urgency);
     }
     return this.ordered.values();
   }
 
   /** Takes out and returns those that must not be sent any more, since they have waited for too long. */
-  takeExpired(now: Ms): QueuedWrite[] {
+  takeExpired(now: Milliseconds): QueuedWrite[] {
     const expired: QueuedWrite[] = [];
     for (const write of this.positions.keys())
-      if (write.until !== undefined && now > write.until && !write.uncertain) expired.push(write);
+      if (write.expiresAt !== undefined && now > write.expiresAt && !write.mayBeApplied) expired.push(write);
     for (const write of expired) this.remove(write);
     return expired;
   }
 
-  private urgencyOf(write: QueuedWrite, now: Ms): number {
-    if (write.pressing?.()) return Math.min(write.urgency, URGENCY.cancel);
-    return write.urgency === URGENCY.release && now - write.at > RELEASE_MS ? URGENCY.grant : write.urgency;
+  private priorityOf(write: QueuedWrite, now: Milliseconds): number {
+    if (write.isUrgent?.()) return Math.min(write.priority, WritePriority.cancellation);
+    return write.priority === WritePriority.release && now - write.queuedAt > RELEASE_PROMOTION_MS
+      ? WritePriority.assignment
+      : write.priority;
   }
 
   private insert(write: QueuedWrite, urgency: number): void {
-    const position: Position = { urgency, at: write.at, number: this.nextNumber++ };
+    const position: QueuePosition = { priority: urgency, queuedAt: write.queuedAt, sequence: this.nextSequence++ };
     this.positions.set(write, position);
     this.ordered.set(position, write);
     this.counts.set(urgency, this.count(urgency) + 1);
   }
 
-  private take(write: QueuedWrite): void {
+  private detach(write: QueuedWrite): void {
     const position = this.positions.get(write);
     if (!position) return;
     this.positions.delete(write);
     this.ordered.delete(position);
-    this.counts.set(position.urgency, this.count(position.urgency) - 1);
+    this.counts.set(position.priority, this.count(position.priority) - 1);
   }
 }
--- a/packages/http-api/src/index.ts
+++ b/packages/http-api/src/index.ts
@@ -1,6 +1,6 @@
 import type http from 'node:http';
 import type net from 'node:net';
-import { MAX_BODY, PATHS, pack, parseReport, type Report, unpackMap } from '@archpost/protocol';
+import { type Heartbeat, MAX_BODY_BYTES, PATHS, pack, parseHeartbeat, unpackMap } from '@archpost/protocol';
 import express from 'express';
 import { type Client, Connections } from './connections.js';
 import { Front } from './front.js';
@@ -12,7 +12,7 @@
 
 /** What the edge hands on. Each carries the id that its answer must bear. */
 export type Request =
-  | { kind: 'report'; id: number; report: Report }
+  | { kind: 'report'; id: number; report: Heartbeat }
   | { kind: 'submit'; id: number; body: Record<string, unknown> | null }
   | { kind: 'poll'; id: number; job: string }
   | { kind: 'cancel'; id: number; job: string };
@@ -61,7 +61,7 @@
     app.disable('etag');
     app.set('query parser', false);
     app.set('case sensitive routing', true);
-    const raw = express.raw({ type: () => true, limit: MAX_BODY, inflate: false });
+    const raw = express.raw({ type: () => true, limit: MAX_BODY_BYTES, inflate: false });
 
     app.get(PATHS.up, (_req, res) => this.health(res));
     app.post(PATHS.jobs, raw, (req, res) => {
@@ -127,17 +127,17 @@
     let size = 0;
     req.on('data', (d: Buffer) => {
       size += d.length;
-      if (size <= MAX_BODY) parts.push(d);
+      if (size <= MAX_BODY_BYTES) parts.push(d);
     });
     req.on('end', () => {
-      this.report(new HttpResponder(res), size <= MAX_BODY ? Buffer.concat(parts) : null, req.socket);
+      this.report(new HttpResponder(res), size <= MAX_BODY_BYTES ? Buffer.concat(parts) : null, req.socket);
     });
   }
 
   /** A worker's report; null: its body is too large. */
   private report(responder: Responder, bytes: Buffer | null, socket: net.Socket): void {
     const body = bytes && unpackMap(bytes);
-    const report = body && parseReport(body);
+    const report = body && parseHeartbeat(body);
     if (!report) {
       this.unreadable(`${socket.remoteAddress}`);
       return this.reply(responder, 400, { error: 'not a report' }, undefined, 'worker');
--- a/packages/http-api/src/report-connection.ts
+++ b/packages/http-api/src/report-connection.ts
@@ -4,7 +4,7 @@
  * an answer is one write.
  */
 import type net from 'node:net';
-import { MAX_BODY, PATHS } from '@archpost/protocol';
+import { MAX_BODY_BYTES, PATHS } from '@archpost/protocol';
 import { HTTPParser } from 'http-parser-js';
 import { type Answer, encodeAnswer, type Responder } from './responder.js';
 
@@ -67,7 +67,7 @@
 
   private add(part: Buffer): void {
     this.bytes += part.length;
-    if (this.bytes <= MAX_BODY) this.parts.push(part);
+    if (this.bytes <= MAX_BODY_BYTES) this.parts.push(part);
   }
 
   private complete(): void {
@@ -76,7 +76,7 @@
     this.state = 'answering';
     this.parts = [];
     this.bytes = 0;
-    if (bytes > MAX_BODY) return this.options.report(this, null);
+    if (bytes > MAX_BODY_BYTES) return this.options.report(this, null);
     this.options.report(this, parts.length === 1 ? (parts[0] as Buffer) : Buffer.concat(parts));
   }
 
--- a/packages/peer-transport/src/index.ts
+++ b/packages/peer-transport/src/index.ts
@@ -1,6 +1,6 @@
 /** The links between controllers. */
 import net from 'node:net';
-import { decodePeer, encodePeer, type PeerMessage } from '@archpost/protocol';
+import { decodePeerMessage, encodePeerMessage, type PeerMessage } from '@archpost/protocol';
 import { interval, Subject, type Subscription } from 'rxjs';
 import { encodeFrame, FrameReader, FrameTooLarge, MAX_FRAME_BYTES } from './frames.js';
 
@@ -107,7 +107,7 @@
   private take(body: Buffer): string | null {
     let message: PeerMessage;
     try {
-      message = decodePeer(body);
+      message = decodePeerMessage(body);
       if (!this.others.some((peer) => peer.name === message.node)) throw new Error('unknown node');
     } catch (error) {
       this.unreadable$.next({ peer: 'unknown', error: String(error) });
@@ -122,7 +122,7 @@
     const socket = this.out.get(to);
     // Old news help nobody: a link that is behind gets none until it has caught up.
     if (!socket || socket.connecting || socket.writableLength > BEHIND_BYTES) return;
-    const body = encodePeer(message);
+    const body = encodePeerMessage(message);
     if (body.length <= MAX_FRAME_BYTES) socket.write(encodeFrame(body));
     else this.tooLarge(to, body.length);
   }
--- a/packages/protocol/src/cloud.ts
+++ b/packages/protocol/src/cloud.ts
@@ -30,7 +30,7 @@
   ),
 });
 
-export function parseTypes(body: Record<string, unknown>): MachineType[] | null {
+export function parseMachineTypes(body: Record<string, unknown>): MachineType[] | null {
   const r = types.safeParse(body);
   if (!r.success) return null;
   return r.data.builds.map((b) => ({
@@ -47,9 +47,9 @@
   }));
 }
 
-export interface Listed {
+export interface ListedMachine {
   machine: string;
-  addr: string;
+  address: string;
   type: string;
   zone: string;
   spot: boolean;
@@ -72,14 +72,14 @@
   has_next: z.boolean().nullish(),
 });
 
-export function parseListing(body: Record<string, unknown>): { machines: Listed[]; more: boolean } | null {
+export function parseMachineList(body: Record<string, unknown>): { machines: ListedMachine[]; more: boolean } | null {
   const r = listing.safeParse(body);
   if (!r.success) return null;
   return {
     more: r.data.has_next ?? false,
     machines: r.data.hosts.map((h) => ({
       machine: h.ref,
-      addr: h.address ?? '',
+      address: h.address ?? '',
       type: h.build,
       zone: h.yard,
       spot: h.loaners,
@@ -90,29 +90,29 @@
 }
 
 /** Most machines that the cloud takes or tells of in one request. */
-export const MOST_RENTED = 50;
-export const MOST_RETURNED = 100;
-export const MOST_LISTED = 500;
+export const MAX_MACHINES_PER_PROVISIONING = 50;
+export const MAX_MACHINES_PER_RELEASE = 100;
+export const MAX_MACHINES_PER_LIST = 500;
 
-export interface Rental {
-  request: string;
-  type: string;
+export interface ProvisioningRequest {
+  requestId: string;
+  machineType: string;
   zone: string;
   spot: boolean;
   count: number;
 }
 
-export const rentalBody = (r: Rental) => ({
-  booking: r.request,
-  build: r.type,
+export const encodeProvisioningRequest = (r: ProvisioningRequest) => ({
+  booking: r.requestId,
+  build: r.machineType,
   yard: r.zone,
   loaners: r.spot,
   number: r.count,
 });
 
-export const returnBody = (machines: string[]) => ({ hosts: machines });
+export const encodeReleaseRequest = (machines: string[]) => ({ hosts: machines });
 
-export function parseRented(body: Record<string, unknown>): string[] | null {
+export function parseProvisionedMachines(body: Record<string, unknown>): string[] | null {
   const r = z.object({ hosts: z.array(z.string()) }).safeParse(body);
   return r.success ? r.data.hosts : null;
 }
--- a/packages/protocol/src/jobs.ts
+++ b/packages/protocol/src/jobs.ts
@@ -1,5 +1,5 @@
 import { z } from 'zod';
-import { type JobState, RANK_FROM_WIRE, SHAPE_FROM_WIRE, type Shape, STATE_TO_WIRE } from './names.js';
+import { JOB_STATE_TO_WIRE, type JobState, PRIORITY_FROM_WIRE, SHAPE_FROM_WIRE, type Shape } from './names.js';
 
 export interface JobSpec {
   id: string;
@@ -27,10 +27,10 @@
 const name = z.string().min(1).max(120);
 const amount = z.number().min(0).max(1e9);
 
-export const JOB_ID = /^run-[A-Za-z0-9_.-]{1,64}$/;
+export const JOB_ID_PATTERN = /^run-[A-Za-z0-9_.-]{1,64}$/;
 
 const submission = z.object({
-  ref: z.string().regex(JOB_ID),
+  ref: z.string().regex(JOB_ID_PATTERN),
   jobclass: name,
   crew: name,
   shape: z.enum(['sweep', 'gang', 'standing']),
@@ -50,7 +50,7 @@
   snapshot_s: amount,
   stow_s: amount,
   due_s: amount.nullish(),
-  awaits: z.array(z.string().regex(JOB_ID)).nullish(),
+  awaits: z.array(z.string().regex(JOB_ID_PATTERN)).nullish(),
 });
 
 /** A job as its user wrote it, and the jobs that have to be done before it, each named once. */
@@ -71,7 +71,7 @@
       cls: b.jobclass,
       team: b.crew,
       shape: SHAPE_FROM_WIRE[b.shape] as Shape,
-      rank: RANK_FROM_WIRE[b.rank] as number,
+      rank: PRIORITY_FROM_WIRE[b.rank] as number,
       tasks: b.pieces,
       cpus: b.cores,
       gpus: b.accelerators,
@@ -92,8 +92,8 @@
 }
 
 /** PROTOCOL's answer; of a job that fails everywhere it tells so in two fields more, which others ignore. */
-export function jobAnswer(id: string, state: JobState, counts?: { done: number; running: number; failed?: number }) {
-  const answer = { ref: id, status: STATE_TO_WIRE[state] };
+export function encodeJobStatus(id: string, state: JobState, counts?: { done: number; running: number; failed?: number }) {
+  const answer = { ref: id, status: JOB_STATE_TO_WIRE[state] };
   if (!counts) return answer;
   const { done, running, failed } = counts;
   return failed
--- a/packages/protocol/src/names.ts
+++ b/packages/protocol/src/names.ts
@@ -18,20 +18,20 @@
 } as const;
 
 /** A request body, and an answer to workers or users, in the form in which PROTOCOL counts it (JSON). */
-export const MAX_BODY = 64 * 1024;
+export const MAX_BODY_BYTES = 64 * 1024;
 
 /** A command to a worker is smaller than this, so many as these fit a body. */
 const COMMAND_BYTES = 160;
-export const MOST_COMMANDS_IN_BODY = Math.floor(MAX_BODY / COMMAND_BYTES);
+export const MAX_COMMANDS_PER_BODY = Math.floor(MAX_BODY_BYTES / COMMAND_BYTES);
 
 export type Shape = 'array' | 'gang' | 'service';
 export const SHAPE_FROM_WIRE: Record<string, Shape> = { sweep: 'array', gang: 'gang', standing: 'service' };
 
 /** Larger is more urgent. */
-export const RANK_FROM_WIRE: Record<string, number> = { critical: 3, urgent: 2, standard: 1, best_effort: 0 };
+export const PRIORITY_FROM_WIRE: Record<string, number> = { critical: 3, urgent: 2, standard: 1, best_effort: 0 };
 
 export type JobState = 'queued' | 'running' | 'done' | 'cancelled';
-export const STATE_TO_WIRE: Record<JobState, string> = {
+export const JOB_STATE_TO_WIRE: Record<JobState, string> = {
   queued: 'queued',
   running: 'running',
   done: 'done',
--- a/packages/protocol/src/peer.ts
+++ b/packages/protocol/src/peer.ts
@@ -1,8 +1,8 @@
 import protobuf from 'protobufjs/light.js';
-import type { Report } from './workers.js';
+import type { Heartbeat } from './workers.js';
 
 /** What one share's owner tells of a machine. */
-export interface PeerMachine {
+export interface MachineSummary {
   name: string;
   freeCpus: number;
   freeGpus: number;
@@ -10,7 +10,7 @@
   /** tasks on it, or meant for it */
   tasks: number;
   /** highest rank of work that may not be stopped for others; -1: none */
-  firmRank: number;
+  protectedPriority: number;
   /** seconds since its last task ended */
   idleS: number;
   /** services on it, which a move would have to stop */
@@ -18,69 +18,69 @@
 }
 
 /** Work of a share that has no room. */
-export interface PeerDemand {
+export interface ResourceDemand {
   cpus: number;
   gpus: number;
   memory: number;
   types: string[];
   zone: string;
   spot: boolean;
-  rank: number;
+  priority: number;
   /** within the team's guarantee */
-  within: boolean;
+  withinQuota: boolean;
   count: number;
   gang: boolean;
   waitS: number;
   /** seconds until it should start, by its objectives */
   slackS: number;
   /** zones that its other tasks bar */
-  notZones: string[];
+  excludedZones: string[];
 }
 
-export interface PeerShare {
-  share: number;
-  machines: PeerMachine[];
-  demands: PeerDemand[];
+export interface ShardSummary {
+  shard: number;
+  machines: MachineSummary[];
+  demands: ResourceDemand[];
 }
 
 /**
  * A machine whose reports are as they were: the last one passed on whole had the number
  * `whole`, and up to `seq` nothing has changed.
  */
-export interface PeerHeard {
+export interface UnchangedHeartbeat {
   machine: string;
-  session: number;
-  seq: number;
-  whole: number;
+  agentEpoch: number;
+  sequence: number;
+  forwardedSequence: number;
 }
 
 export interface PeerStatus {
   node: string;
-  shares: PeerShare[];
+  shards: ShardSummary[];
   /** running tasks of jobs, for display: of all that have any, or of those that changed */
-  running: { job: string; count: number; done: number; failed: number }[];
-  runningAll: boolean;
+  runningJobs: { job: string; count: number; done: number; failed: number }[];
+  runningJobsComplete: boolean;
   /** machines without a grant whose workers reported here */
-  strangers: { machine: string; addr: string; type: string; zone: string; spot: boolean }[];
+  unassignedMachines: { machine: string; address: string; type: string; zone: string; spot: boolean }[];
   /** machines of the one it is told to that reported here within the last seconds */
-  heard: PeerHeard[];
+  unchangedHeartbeats: UnchangedHeartbeat[];
   /** told by the lead: machine types that the cloud still has, ordinary ones */
-  plenty: string[];
-  lead: boolean;
+  availableTypes: string[];
+  isLeader: boolean;
   /** may answer workers: its state lease stands */
-  entitled: boolean;
+  mayAnswerWorkers: boolean;
   /** workers can be reached from there */
-  reach: boolean;
+  reachesWorkers: boolean;
   /** changes a second that it could do with */
-  writes: number;
+  wantedWritesPerS: number;
   /** the state service answers it */
-  storeOk: boolean;
+  stateServiceAnswers: boolean;
   /** workers that it answered lately */
-  hears: number;
+  heardWorkers: number;
   /** holds all that the state service held at some moment since it began */
-  loaded: boolean;
+  replicaLoaded: boolean;
   /** stamp of the newest cancellation that it knows of: it has told users of no newer one */
-  cancelStamp: number;
+  cancellationRevision: number;
   /** names this status; the one that it is sent to sends it back */
   ping: string;
   /** the last ping that came from the one it is sent to, before all else here was worked out */
@@ -89,19 +89,19 @@
 
 const root = protobuf.Root.fromJSON({
   nested: {
-    Machine: {
+    MachineSummary: {
       fields: {
         name: { type: 'string', id: 1 },
         freeCpus: { type: 'double', id: 2 },
         freeGpus: { type: 'double', id: 3 },
         freeMemory: { type: 'double', id: 4 },
         tasks: { type: 'uint32', id: 5 },
-        firmRank: { type: 'sint32', id: 6 },
+        protectedPriority: { type: 'sint32', id: 6 },
         idleS: { type: 'double', id: 7 },
         services: { type: 'uint32', id: 8 },
       },
     },
-    Demand: {
+    ResourceDemand: {
       fields: {
         cpus: { type: 'double', id: 1 },
         gpus: { type: 'double', id: 2 },
@@ -109,23 +109,23 @@
         types: { rule: 'repeated', type: 'string', id: 4 },
         zone: { type: 'string', id: 5 },
         spot: { type: 'bool', id: 6 },
-        rank: { type: 'sint32', id: 7 },
-        within: { type: 'bool', id: 8 },
+        priority: { type: 'sint32', id: 7 },
+        withinQuota: { type: 'bool', id: 8 },
         count: { type: 'uint32', id: 9 },
         gang: { type: 'bool', id: 10 },
         waitS: { type: 'double', id: 11 },
         slackS: { type: 'double', id: 12 },
-        notZones: { rule: 'repeated', type: 'string', id: 13 },
+        excludedZones: { rule: 'repeated', type: 'string', id: 13 },
       },
     },
-    Share: {
+    ShardSummary: {
       fields: {
-        share: { type: 'uint32', id: 1 },
-        machines: { rule: 'repeated', type: 'Machine', id: 2 },
-        demands: { rule: 'repeated', type: 'Demand', id: 3 },
+        shard: { type: 'uint32', id: 1 },
+        machines: { rule: 'repeated', type: 'MachineSummary', id: 2 },
+        demands: { rule: 'repeated', type: 'ResourceDemand', id: 3 },
       },
     },
-    Running: {
+    RunningJob: {
       fields: {
         job: { type: 'string', id: 1 },
         count: { type: 'uint32', id: 2 },
@@ -133,72 +133,72 @@
         failed: { type: 'uint32', id: 4 },
       },
     },
-    Stranger: {
+    UnassignedMachine: {
       fields: {
         machine: { type: 'string', id: 1 },
-        addr: { type: 'string', id: 2 },
+        address: { type: 'string', id: 2 },
         type: { type: 'string', id: 3 },
         zone: { type: 'string', id: 4 },
         spot: { type: 'bool', id: 5 },
       },
     },
-    Task: {
+    TaskStatus: {
       fields: {
         job: { type: 'string', id: 1 },
         index: { type: 'uint32', id: 2 },
         attempt: { type: 'uint64', id: 3 },
         state: { type: 'string', id: 4 },
-        why: { type: 'string', id: 5 },
+        exitReason: { type: 'string', id: 5 },
         saved: { type: 'bool', id: 6 },
       },
     },
-    Heard: {
+    UnchangedHeartbeat: {
       fields: {
         machine: { type: 'string', id: 1 },
-        session: { type: 'uint64', id: 2 },
-        seq: { type: 'uint64', id: 3 },
-        whole: { type: 'uint64', id: 4 },
+        agentEpoch: { type: 'uint64', id: 2 },
+        sequence: { type: 'uint64', id: 3 },
+        forwardedSequence: { type: 'uint64', id: 4 },
       },
     },
-    Report: {
+    Heartbeat: {
       fields: {
         machine: { type: 'string', id: 1 },
-        addr: { type: 'string', id: 2 },
+        address: { type: 'string', id: 2 },
         type: { type: 'string', id: 3 },
         zone: { type: 'string', id: 4 },
         spot: { type: 'bool', id: 5 },
-        session: { type: 'uint64', id: 6 },
-        seq: { type: 'uint64', id: 7 },
-        token: { type: 'uint64', id: 8 },
-        noticeS: { type: 'double', id: 9 },
-        tasks: { rule: 'repeated', type: 'Task', id: 10 },
+        agentEpoch: { type: 'uint64', id: 6 },
+        sequence: { type: 'uint64', id: 7 },
+        fencingToken: { type: 'uint64', id: 8 },
+        preemptionNoticeS: { type: 'double', id: 9 },
+        tasks: { rule: 'repeated', type: 'TaskStatus', id: 10 },
       },
     },
     Message: {
       fields: {
-        status: { type: 'Status', id: 1 },
+        status: { type: 'PeerStatus', id: 1 },
         /** a worker's report, passed on to the owner of its machine by a keeper */
-        report: { type: 'Report', id: 2 },
+        heartbeat: { type: 'Heartbeat', id: 2 },
         node: { type: 'string', id: 3 },
       },
     },
-    Status: {
+    PeerStatus: {
       fields: {
         node: { type: 'string', id: 1 },
-        shares: { rule: 'repeated', type: 'Share', id: 2 },
-        running: { rule: 'repeated', type: 'Running', id: 3 },
-        strangers: { rule: 'repeated', type: 'Stranger', id: 4 },
-        heard: { rule: 'repeated', type: 'Heard', id: 5 },
-        plenty: { rule: 'repeated', type: 'string', id: 6 },
-        lead: { type: 'bool', id: 7 },
-        entitled: { type: 'bool', id: 9 },
-        reach: { type: 'bool', id: 10 },
-        storeOk: { type: 'bool', id: 11 },
-        writes: { type: 'uint32', id: 12 },
-        hears: { type: 'uint32', id: 13 },
-        runningAll: { type: 'bool', id: 14 },
-        loaded: { type: 'bool', id: 15 },
-        cancelStamp: { type: 'uint64', id: 16 },
+        shards: { rule: 'repeated', type: 'ShardSummary', id: 2 },
+        runningJobs: { rule: 'repeated', type: 'RunningJob', id: 3 },
+        unassignedMachines: { rule: 'repeated', type: 'UnassignedMachine', id: 4 },
+        unchangedHeartbeats: { rule: 'repeated', type: 'UnchangedHeartbeat', id: 5 },
+        availableTypes: { rule: 'repeated', type: 'string', id: 6 },
+        isLeader: { type: 'bool', id: 7 },
+        mayAnswerWorkers: { type: 'bool', id: 9 },
+        reachesWorkers: { type: 'bool', id: 10 },
+        stateServiceAnswers: { type: 'bool', id: 11 },
+        wantedWritesPerS: { type: 'uint32', id: 12 },
+        heardWorkers: { type: 'uint32', id: 13 },
+        runningJobsComplete: { type: 'bool', id: 14 },
+        replicaLoaded: { type: 'bool', id: 15 },
+        cancellationRevision: { type: 'uint64', id: 16 },
         ping: { type: 'string', id: 17 },
         echo: { type: 'string', id: 18 },
       },
@@ -211,28 +211,28 @@
 export interface PeerMessage {
   node: string;
   status: PeerStatus | null;
-  report: Report | null;
+  heartbeat: Heartbeat | null;
 }
 
-export function encodePeer(m: PeerMessage): Uint8Array {
-  const report = m.report && {
-    ...m.report,
+export function encodePeerMessage(m: PeerMessage): Uint8Array {
+  const heartbeat = m.heartbeat && {
+    ...m.heartbeat,
     // protobuf knows no null: a machine without a notice has a negative one.
-    noticeS: m.report.noticeS ?? -1,
-    tasks: m.report.tasks.map((t) => ({ ...t, why: t.why ?? '' })),
+    preemptionNoticeS: m.heartbeat.preemptionNoticeS ?? -1,
+    tasks: m.heartbeat.tasks.map((t) => ({ ...t, exitReason: t.exitReason ?? '' })),
   };
   return Message.encode({
     node: m.node,
     status: m.status ?? undefined,
-    report: report ?? undefined,
+    heartbeat: heartbeat ?? undefined,
   } as unknown as protobuf.Message).finish();
 }
 
-export function decodePeer(bytes: Uint8Array): PeerMessage {
+export function decodePeerMessage(bytes: Uint8Array): PeerMessage {
   const m = Message.toObject(Message.decode(bytes), { defaults: true, arrays: true, longs: Number }) as unknown as PeerMessage;
-  if (m.report) {
-    if ((m.report.noticeS ?? -1) < 0) m.report.noticeS = null;
-    for (const t of m.report.tasks) if ((t.why as string) === '') t.why = null;
+  if (m.heartbeat) {
+    if ((m.heartbeat.preemptionNoticeS ?? -1) < 0) m.heartbeat.preemptionNoticeS = null;
+    for (const t of m.heartbeat.tasks) if ((t.exitReason as string) === '') t.exitReason = null;
   }
   return m;
 }
--- a/packages/protocol/src/state.ts
+++ b/packages/protocol/src/state.ts
@@ -1,13 +1,13 @@
 import { z } from 'zod';
 
-export interface Guard {
+export interface RevisionCondition {
   key: string;
-  stamp: number;
+  revision: number;
 }
-export type Write = { put: string; value: unknown; lease?: number } | { del: string };
+export type KeyWrite = { put: string; value: unknown; lease?: number } | { del: string };
 
 /** What became of a transaction. */
-export type TxnOutcome =
+export type CompareAndSwapOutcome =
   | { kind: 'ok'; revision: number }
   /** its conditions on these keys did not hold */
   | { kind: 'failed'; keys: string[] }
@@ -22,8 +22,8 @@
   /** no answer: it may have been carried out, or be carried out yet */
   | { kind: 'unknown' };
 
-export const txnBody = (guards: Guard[], writes: Write[]) => ({
-  guards: guards.map((g) => ({ k: g.key, stamp: g.stamp })),
+export const encodeCompareAndSwap = (guards: RevisionCondition[], writes: KeyWrite[]) => ({
+  guards: guards.map((g) => ({ k: g.key, stamp: g.revision })),
   writes: writes.map((w) =>
     'del' in w
       ? { remove: w.del }
@@ -33,16 +33,16 @@
   ),
 });
 
-export interface Row {
+export interface StoredKey {
   key: string;
   value: unknown;
-  stamp: number;
+  revision: number;
 }
-export interface Change {
+export interface KeyChange {
   key: string;
   /** undefined: removed */
   value: unknown;
-  stamp: number;
+  revision: number;
 }
 
 const rows = z.object({
@@ -50,11 +50,11 @@
   has_next: z.boolean().nullish(),
   ledger: z.number(),
 });
-export function parseRows(b: Record<string, unknown>): { rows: Row[]; more: boolean; revision: number } | null {
+export function parseRows(b: Record<string, unknown>): { rows: StoredKey[]; more: boolean; revision: number } | null {
   const r = rows.safeParse(b);
   if (!r.success) return null;
   return {
-    rows: r.data.rows.map((x) => ({ key: x.k, value: x.v, stamp: x.stamp })),
+    rows: r.data.rows.map((x) => ({ key: x.k, value: x.v, revision: x.stamp })),
     more: r.data.has_next ?? false,
     revision: r.data.ledger,
   };
@@ -66,23 +66,23 @@
     z.object({ write: z.string().nullish(), remove: z.string().nullish(), v: z.unknown().optional(), stamp: z.number() }),
   ),
 });
-export function parseChanges(b: Record<string, unknown>): { changes: Change[]; revision: number } | null {
+export function parseChanges(b: Record<string, unknown>): { changes: KeyChange[]; revision: number } | null {
   const r = changes.safeParse(b);
   if (!r.success) return null;
   return {
     revision: r.data.ledger,
     changes: r.data.log.map((e) =>
       typeof e.write === 'string'
-        ? { key: e.write, value: e.v ?? null, stamp: e.stamp }
-        : { key: e.remove ?? '', value: undefined, stamp: e.stamp },
+        ? { key: e.write, value: e.v ?? null, revision: e.stamp }
+        : { key: e.remove ?? '', value: undefined, revision: e.stamp },
     ),
   };
 }
 
-export const leaseBody = (ttlMs: number) => ({ ttl_ms: ttlMs });
+export const encodeLeaseRequest = (ttlMs: number) => ({ ttl_ms: ttlMs });
 export const parseLease = (b: Record<string, unknown>) => (typeof b.permit === 'number' ? b.permit : null);
 /** A transaction's 400: the lease has ended, or (any other) it can't be taken as it is. */
-export const isNoLease = (b: Record<string, unknown>) => b.error === 'no such lease';
+export const isLeaseNotFound = (b: Record<string, unknown>) => b.error === 'no such lease';
 export const parseRevision = (b: Record<string, unknown>) => (typeof b.ledger === 'number' ? b.ledger : null);
-export const parseFailed = (b: Record<string, unknown>): string[] =>
+export const parseFailedKeys = (b: Record<string, unknown>): string[] =>
   Array.isArray(b.failed) ? b.failed.filter((x): x is string => typeof x === 'string') : [];
--- a/packages/protocol/src/workers.ts
+++ b/packages/protocol/src/workers.ts
@@ -1,39 +1,39 @@
 import { z } from 'zod';
 
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
-export type ExitWhy = 'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'no_room' | 'busy' | 'unknown';
+export type ExitReason = 'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'no_room' | 'busy' | 'unknown';
 
-export interface TaskReport {
+export interface TaskStatus {
   job: string;
   index: number;
   attempt: number;
   state: TaskState;
-  why: ExitWhy | null;
+  exitReason: ExitReason | null;
   saved: boolean;
 }
 
-export interface Report {
+export interface Heartbeat {
   machine: string;
-  addr: string;
+  address: string;
   type: string;
   zone: string;
   spot: boolean;
-  session: number;
-  seq: number;
-  token: number;
-  noticeS: number | null;
-  tasks: TaskReport[];
+  agentEpoch: number;
+  sequence: number;
+  fencingToken: number;
+  preemptionNoticeS: number | null;
+  tasks: TaskStatus[];
 }
 
 const count = z.number().int().min(0);
-const STATES: Record<string, TaskState> = {
+const TASK_STATE_FROM_WIRE: Record<string, TaskState> = {
   fetching: 'fetching',
   gathering: 'waiting',
   running: 'running',
   saving: 'saving',
   ended: 'exited',
 };
-const CAUSES: Record<string, ExitWhy> = {
+const EXIT_REASON_FROM_WIRE: Record<string, ExitReason> = {
   done: 'done',
   stopped: 'stopped',
   peers: 'peers',
@@ -65,20 +65,20 @@
   ),
 });
 
-export function parseReport(body: Record<string, unknown>): Report | null {
+export function parseHeartbeat(body: Record<string, unknown>): Heartbeat | null {
   const r = report.safeParse(body);
   if (!r.success) return null;
   const b = r.data;
   return {
     machine: b.host,
-    addr: b.address,
+    address: b.address,
     type: b.build,
     zone: b.yard,
     spot: b.loaners,
-    session: b.shift,
-    seq: b.tally,
-    token: b.baton ?? 0,
-    noticeS: b.warning_s ?? null,
+    agentEpoch: b.shift,
+    sequence: b.tally,
+    fencingToken: b.baton ?? 0,
+    preemptionNoticeS: b.warning_s ?? null,
     tasks: b.pieces.map((p) => {
       const cut = p.piece.lastIndexOf('/');
       return {
@@ -86,8 +86,8 @@
         index: Number(p.piece.slice(cut + 1)),
         attempt: p.try,
         // A state unknown to us still occupies its place.
-        state: STATES[p.status] ?? 'running',
-        why: p.cause ? (CAUSES[p.cause] ?? 'error') : null,
+        state: TASK_STATE_FROM_WIRE[p.status] ?? 'running',
+        exitReason: p.cause ? (EXIT_REASON_FROM_WIRE[p.cause] ?? 'error') : null,
         saved: p.saved ?? false,
       };
     }),
@@ -95,26 +95,26 @@
 }
 
 export type Command =
-  | { op: 'start'; job: string; index: number; attempt: number }
-  | { op: 'stop'; job: string; index: number; attempt: number; graceS: number }
-  | { op: 'forget'; job: string; index: number; attempt: number };
+  | { type: 'start'; job: string; index: number; attempt: number }
+  | { type: 'stop'; job: string; index: number; attempt: number; graceS: number }
+  | { type: 'forget'; job: string; index: number; attempt: number };
 
-const VERBS = { start: 'run', stop: 'stop', forget: 'clear' } as const;
+const COMMAND_TO_WIRE = { start: 'run', stop: 'stop', forget: 'clear' } as const;
 
-function order(c: Command): Record<string, unknown> {
-  const o: Record<string, unknown> = { verb: VERBS[c.op], piece: `${c.job}/${c.index}`, try: c.attempt };
-  if (c.op === 'stop') o.wind_down_s = c.graceS;
+function encodeCommand(c: Command): Record<string, unknown> {
+  const o: Record<string, unknown> = { verb: COMMAND_TO_WIRE[c.type], piece: `${c.job}/${c.index}`, try: c.attempt };
+  if (c.type === 'stop') o.wind_down_s = c.graceS;
   return o;
 }
 
-export function reportAnswer(token: number, commands: Command[]) {
-  return { baton: token, orders: commands.map(order) };
+export function encodeHeartbeatResponse(token: number, commands: Command[]) {
+  return { baton: token, orders: commands.map(encodeCommand) };
 }
 
-export function commandBody(token: number, session: number, commands: Command[]) {
-  return { baton: token, shift: session, orders: commands.map(order) };
+export function encodeCommandRequest(token: number, session: number, commands: Command[]) {
+  return { baton: token, shift: session, orders: commands.map(encodeCommand) };
 }
 
-export function goHome(node: string | null) {
+export function encodeRedirect(node: string | null) {
   return node === null ? {} : { home: node };
 }
--- a/packages/server/src/capacity.ts
+++ b/packages/server/src/capacity.ts
@@ -50,7 +50,7 @@
     // All workers may come to one controller, with a connection each.
     { what: 'machine_limits.max_sockets', have: settings.maxSockets, need: sockets },
     { what: 'machine_limits.mem_mb', have: settings.memoryMb, need: Math.ceil(EMPTY_MB + (machines * MACHINE_KB) / 1024) },
-    { what: 'state.write_rps', have: settings.core.state.writeRps, need: Math.ceil(machines / (USED_SHARE * FIRST_START_S)) },
+    { what: 'state.write_rps', have: settings.core.state.writesPerS, need: Math.ceil(machines / (USED_SHARE * FIRST_START_S)) },
   ];
   return all
     .filter(({ have, need }) => have < need)
--- a/packages/server/src/index.ts
+++ b/packages/server/src/index.ts
@@ -37,7 +37,7 @@
     const level = process.env.LOG_LEVEL ?? 'info';
     if (!['error', 'warn', 'info', 'debug'].includes(level))
       throw new SettingsError(`LOG_LEVEL: ${level}: must be error, info or debug`);
-    const log = pino({ level, base: { node: settings.core.node } }, pino.destination({ dest: 2, sync: true }));
+    const log = pino({ level, base: { node: settings.core.name } }, pino.destination({ dest: 2, sync: true }));
     process.on('unhandledRejection', (e) => log.error({ err: e }, 'unexpected'));
     process.on('uncaughtException', (e) => log.error({ err: e }, 'unexpected'));
     if (isMainThread && startsElsewhere(settings, log)) return;
--- a/packages/server/src/service.ts
+++ b/packages/server/src/service.ts
@@ -1,6 +1,6 @@
 import { randomUUID } from 'node:crypto';
 import { Cloud } from '@archpost/cloud-client';
-import { Core, type Effect } from '@archpost/controller';
+import { Controller, type Effect } from '@archpost/controller';
 import { Api, Connections, type Request, Shedding } from '@archpost/http-api';
 import { splitAddr, steady } from '@archpost/http-client';
 import { Peers } from '@archpost/peer-transport';
@@ -25,7 +25,7 @@
 
 /** Wires the core to its edges: inputs in, effects out. */
 export class Service {
-  private readonly core: Core;
+  private readonly core: Controller;
   private readonly store: StateStore;
   private readonly cloud: Cloud;
   private readonly workers: Workers;
@@ -39,16 +39,16 @@
     private readonly log: Logger,
   ) {
     const c = settings.core;
-    const nodes = c.nodes.length;
+    const nodes = c.controllers.length;
     this.shedding = new Shedding(steady, REQUESTS_PER_S_OF_CORE * c.cpuShare);
-    this.core = new Core(c, randomUUID().slice(0, 8));
+    this.core = new Controller(c, randomUUID().slice(0, 8));
     this.inbox = new Inbox({
       clock: steady,
       afterEach: () => this.carryOut(),
       staleMs: 1500,
       paused: (ms) => {
         this.carryOut(true);
-        this.core.paused(ms, steady());
+        this.core.processPaused(ms, steady());
       },
       failed: (err) => this.log.error({ err }, 'an input could not be taken'),
     });
@@ -57,18 +57,18 @@
     this.store = new StateStore(
       settings.state,
       'a/',
-      (Math.min(c.state.rps, c.state.next?.rps ?? c.state.rps) * 0.9) / nodes,
+      (Math.min(c.state.requestsPerS, c.state.next?.requestsPerS ?? c.state.requestsPerS) * 0.9) / nodes,
       ttlMs,
       0.002,
     );
-    this.cloud = new Cloud(settings.cloud, c.cloud.rps * Math.max(0.5, 0.9 / nodes));
+    this.cloud = new Cloud(settings.cloud, c.cloud.requestsPerS * Math.max(0.5, 0.9 / nodes));
     // All workers may come to one controller, with a connection each: those for commands, of which
     // the longest unused are closed, must leave room for that, and for users.
     this.workers = new Workers(commandSockets(settings));
     this.peers = new Peers(settings.others);
     this.api = new Api(
       (r) => this.request(r),
-      () => this.core.ready,
+      () => this.core.isReady,
       this.shedding,
       (from) => this.log.warn({ from }, 'a report can not be read'),
       new Connections(inboundSockets(settings)),
@@ -77,20 +77,20 @@
 
   async start(): Promise<void> {
     const { core, inbox } = this;
-    this.store.loaded$.subscribe((e) => inbox.decision(() => core.loaded(e.rows, e.revision, steady())));
-    this.store.changes$.subscribe((e) => inbox.decision(() => core.changes(e.changes, e.revision, e.asOf, steady())));
-    this.store.lease$.subscribe((e) => inbox.decision(() => core.leaseState(e.permit, e.validUntil, steady())));
+    this.store.loaded$.subscribe((e) => inbox.decision(() => core.receiveSnapshot(e.rows, e.revision, steady())));
+    this.store.changes$.subscribe((e) => inbox.decision(() => core.receiveChanges(e.changes, e.revision, e.asOf, steady())));
+    this.store.lease$.subscribe((e) => inbox.decision(() => core.receiveLeaseState(e.permit, e.validUntil, steady())));
     this.peers.message$.subscribe((m) => {
-      const { report, status } = m;
-      if (report) inbox.report(() => core.relayed(report, steady()));
-      if (status) inbox.decision(() => core.peerStatus(status, steady()));
+      const { heartbeat: report, status } = m;
+      if (report) inbox.report(() => core.receiveForwardedHeartbeat(report, steady()));
+      if (status) inbox.decision(() => core.receivePeerStatus(status, steady()));
     });
     this.peers.unreadable$.subscribe((problem) => this.log.warn(problem, 'a peer message can not be read'));
     this.peers.unsent$.subscribe((problem) => this.log.error(problem, 'a peer message can not be sent'));
     const told = throttleTime<string>(UNREADABLE_MS);
     this.cloud.unreadable$.pipe(told).subscribe((what) => this.log.error({ what }, "the cloud's answer can not be read"));
     this.store.unreadable$.pipe(told).subscribe((what) => this.log.error({ what }, "the state service's answer can not be read"));
-    this.peers.down$.subscribe((n) => inbox.decision(() => core.peerDown(n, steady())));
+    this.peers.down$.subscribe((n) => inbox.decision(() => core.peerDisconnected(n, steady())));
     this.store.start();
     const peer = splitAddr(this.settings.peerListen);
     await this.peers.listen(peer.host, peer.port);
@@ -112,7 +112,7 @@
         'process',
       );
     });
-    this.log.info({ node: this.settings.core.node, addr: this.settings.publicAddr }, 'started');
+    this.log.info({ node: this.settings.core.name, addr: this.settings.publicAddr }, 'started');
   }
 
   /** One tick after the other: one that took long is followed by as long a time for everything else. */
@@ -136,17 +136,17 @@
   private request(r: Request): void {
     const { core, inbox } = this;
     if (r.kind === 'report') {
-      inbox.report(() => core.report(r.id, r.report, steady()));
+      inbox.report(() => core.receiveHeartbeat(r.id, r.report, steady()));
       return;
     }
     const refuse = () => this.api.answer(r.id, 503, { error: 'overloaded' }, 1);
     if (r.kind === 'poll') {
-      inbox.question(() => core.poll(r.id, r.job, steady()), refuse);
+      inbox.question(() => core.queryJobStatus(r.id, r.job, steady()), refuse);
       return;
     }
     inbox.request(() => {
-      if (r.kind === 'submit') core.submit(r.id, r.body, steady(), Date.now());
-      else core.cancel(r.id, r.job, steady());
+      if (r.kind === 'submit') core.submitJob(r.id, r.body, steady(), Date.now());
+      else core.cancelJob(r.id, r.job, steady());
     }, refuse);
   }
 
@@ -155,7 +155,7 @@
     // controller may have decided since. Answers and writes go out: a late answer finds nobody,
     // and a late write fails on its guards.
     const decided = this.inbox.last;
-    for (const e of this.core.drain()) {
+    for (const e of this.core.takeEffects()) {
       if ((beforePause || steady() - decided > PAUSE_MS) && this.unsent(e)) continue;
       this.effect(e);
     }
@@ -164,9 +164,9 @@
   /** Is it kept back? Then the core learns that it never left. */
   private unsent(e: Effect): boolean {
     const { core, inbox } = this;
-    if (e.t === 'command') inbox.decision(() => core.commandResult(e.id, { kind: 'refused' }, steady()));
-    else if (e.t === 'return') inbox.decision(() => core.returned(e.id, false, steady()));
-    else if (e.t === 'rent') inbox.decision(() => core.rented(e.id, { kind: 'unknown' }, steady()));
+    if (e.type === 'command') inbox.decision(() => core.receiveCommandOutcome(e.id, { kind: 'refused' }, steady()));
+    else if (e.type === 'release') inbox.decision(() => core.receiveReleaseOutcome(e.id, false, steady()));
+    else if (e.type === 'provision') inbox.decision(() => core.receiveProvisioningOutcome(e.id, { kind: 'unknown' }, steady()));
     else return false;
     return true;
   }
@@ -174,44 +174,44 @@
   private effect(e: Effect): void {
     const { core, inbox } = this;
     const back = (run: () => void) => inbox.decision(run);
-    switch (e.t) {
-      case 'answer':
+    switch (e.type) {
+      case 'respond':
         this.api.answer(e.id, e.status, e.body, e.retryAfterS);
         break;
-      case 'barrier':
-        this.store.barrier(e.soon);
+      case 'readBarrier':
+        this.store.barrier(e.urgent);
         break;
-      case 'txn':
-        void this.store.txn(e.guards, e.writes).then((r) => back(() => core.txnResult(e.id, r, steady())));
+      case 'compareAndSwap':
+        void this.store.txn(e.conditions, e.writes).then((r) => back(() => core.receiveCompareAndSwapOutcome(e.id, r, steady())));
         break;
       case 'command':
         void this.workers
-          .command(e.addr, e.token, e.session, e.commands)
-          .then((r) => back(() => core.commandResult(e.id, r, steady())));
+          .command(e.address, e.fencingToken, e.agentEpoch, e.commands)
+          .then((r) => back(() => core.receiveCommandOutcome(e.id, r, steady())));
         break;
-      case 'ask':
-        void this.workers.ask(e.addr).then((ok) => back(() => core.asked(e.id, ok, steady())));
+      case 'probe':
+        void this.workers.ask(e.address).then((ok) => back(() => core.receiveProbeOutcome(e.id, ok, steady())));
         break;
-      case 'rent':
-        void this.cloud.rent(e.rental).then((r) => back(() => core.rented(e.id, r, steady())));
+      case 'provision':
+        void this.cloud.rent(e.request).then((r) => back(() => core.receiveProvisioningOutcome(e.id, r, steady())));
         break;
-      case 'return':
-        void this.cloud.giveBack(e.machines).then((ok) => back(() => core.returned(e.id, ok, steady())));
+      case 'release':
+        void this.cloud.giveBack(e.machines).then((ok) => back(() => core.receiveReleaseOutcome(e.id, ok, steady())));
         break;
-      case 'list':
-        void this.cloud.list().then((l) => back(() => core.listed(l, steady())));
+      case 'listMachines':
+        void this.cloud.list().then((l) => back(() => core.receiveMachineList(l, steady())));
         break;
-      case 'types':
-        void this.cloud.types().then((l) => back(() => core.types(l, steady())));
+      case 'fetchMachineTypes':
+        void this.cloud.types().then((l) => back(() => core.receiveMachineTypes(l, steady())));
         break;
-      case 'status':
-        this.peers.send({ node: this.settings.core.node, status: e.status, report: null }, e.to);
+      case 'sendStatus':
+        this.peers.send({ node: this.settings.core.name, status: e.status, heartbeat: null }, e.to);
         break;
-      case 'relay':
-        this.peers.send({ node: this.settings.core.node, status: null, report: e.report }, e.to);
+      case 'forwardHeartbeat':
+        this.peers.send({ node: this.settings.core.name, status: null, heartbeat: e.heartbeat }, e.to);
         break;
       case 'log':
-        this.log[e.level](e.data ?? {}, e.msg);
+        this.log[e.level](e.fields ?? {}, e.message);
         break;
     }
   }
--- a/packages/server/src/settings.ts
+++ b/packages/server/src/settings.ts
@@ -1,5 +1,5 @@
 import { readFileSync } from 'node:fs';
-import type { CoreSettings, Policy, StateLimits } from '@archpost/controller';
+import type { ControllerSettings, Policy, StateLimits } from '@archpost/controller';
 import { STATE_SOCKETS, WATCH_S } from '@archpost/state-client';
 import { parse } from 'smol-toml';
 import { z } from 'zod';
@@ -60,7 +60,7 @@
 });
 
 export interface Settings {
-  core: CoreSettings;
+  core: ControllerSettings;
   publicAddr: string;
   peerListen: string;
   others: { name: string; addr: string }[];
@@ -149,10 +149,10 @@
 /** Only the limits that are announced. */
 function nextLimits(next: Partial<z.infer<z.ZodObject<typeof stateLimits>>>): Partial<StateLimits> {
   const limits: Partial<StateLimits> = {};
-  if (next.rps !== undefined) limits.rps = next.rps;
-  if (next.write_rps !== undefined) limits.writeRps = next.write_rps;
-  if (next.value_kb !== undefined) limits.valueKb = next.value_kb;
-  if (next.txn_ops !== undefined) limits.txnOps = next.txn_ops;
+  if (next.rps !== undefined) limits.requestsPerS = next.rps;
+  if (next.write_rps !== undefined) limits.writesPerS = next.write_rps;
+  if (next.value_kb !== undefined) limits.valueKib = next.value_kb;
+  if (next.txn_ops !== undefined) limits.writesPerTransaction = next.txn_ops;
   return limits;
 }
 
@@ -166,53 +166,54 @@
     planWaitS: o.plan_wait_s,
     // Three reports missed, and some more for a packet sent again.
     silentS: o.silent_s ?? s.params.workers.report_s * 3.5,
-    hold: o.hold,
+    holdSpareCapacity: o.hold,
     idleS: o.idle_s,
     maxMachines: o.max_machines ?? null,
   };
   const w = s.params.workers;
   return {
     core: {
-      node: s.host_name,
+      name: s.host_name,
       zone: s.location,
-      nodes: [{ name: s.host_name, zone: s.location }, ...s.others.map((x) => ({ name: x.host_name, zone: x.location }))].sort(
-        (a, b) => (a.name < b.name ? -1 : 1),
-      ),
-      shares: s.params.initial_size,
+      controllers: [
+        { name: s.host_name, zone: s.location },
+        ...s.others.map((x) => ({ name: x.host_name, zone: x.location })),
+      ].sort((a, b) => (a.name < b.name ? -1 : 1)),
+      shardCount: s.params.initial_size,
       zones: s.params.zones,
       teams: s.params.teams.map((t) => ({
         name: t.name,
         cpus: t.cpus,
-        cpusMax: t.cpus_max,
+        maxCpus: t.cpus_max,
         gpus: t.gpus,
-        gpusMax: t.gpus_max,
+        maxGpus: t.gpus_max,
       })),
       objectives: s.params.objectives.map((x) => ({
         kind: x.kind,
-        cls: x.class ?? null,
+        jobClass: x.class ?? null,
         withinS: x.within_s ?? null,
         afterS: x.after_s ?? null,
         share: x.share ?? null,
         most: x.most ?? null,
-        times: x.times ?? null,
+        deadlineMultiple: x.times ?? null,
       })),
       workers: {
-        reportS: w.report_s,
+        heartbeatIntervalS: w.report_s,
         leaseS: w.lease_s,
         gangWaitS: w.gang_wait_s,
         gangPeerS: w.gang_peer_s,
         cancelS: w.cancel_s,
       },
       cpuShare: s.params.machine_limits.cpu_share,
-      sockets: s.params.machine_limits.max_sockets,
+      maxSockets: s.params.machine_limits.max_sockets,
       state: {
-        rps: s.params.state.rps,
-        writeRps: s.params.state.write_rps,
-        valueKb: s.params.state.value_kb,
-        txnOps: s.params.state.txn_ops,
+        requestsPerS: s.params.state.rps,
+        writesPerS: s.params.state.write_rps,
+        valueKib: s.params.state.value_kb,
+        writesPerTransaction: s.params.state.txn_ops,
         next: s.params.state.next ? nextLimits(s.params.state.next) : null,
       },
-      cloud: { rps: s.params.cloud.rps, listLagS: s.params.cloud.list_lag_s },
+      cloud: { requestsPerS: s.params.cloud.rps, listLagS: s.params.cloud.list_lag_s },
       policy,
     },
     publicAddr: s.public_addr,
--- a/packages/state-client/src/index.ts
+++ b/packages/state-client/src/index.ts
@@ -1,24 +1,31 @@
 import { Budget, Client, sleep, steady } from '@archpost/http-client';
-import type { Answer, Change, Guard, Row, TxnOutcome, Write } from '@archpost/protocol';
+import type {
+  CompareAndSwapOutcome,
+  KeyChange,
+  KeyWrite,
+  RevisionCondition,
+  ServiceResponse,
+  StoredKey,
+} from '@archpost/protocol';
 import {
-  isNoLease,
-  leaseBody,
+  encodeCompareAndSwap,
+  encodeLeaseRequest,
+  isLeaseNotFound,
   PATHS,
   pack,
   parseChanges,
-  parseFailed,
+  parseFailedKeys,
   parseLease,
   parseRevision,
   parseRows,
-  readAnswer,
-  txnBody,
+  readResponse,
   unpackMap,
 } from '@archpost/protocol';
 import { Subject } from 'rxjs';
 
 export interface StateEvents {
-  loaded: { rows: Row[]; revision: number };
-  changes: { changes: Change[]; revision: number; asOf: number };
+  loaded: { rows: StoredKey[]; revision: number };
+  changes: { changes: KeyChange[]; revision: number; asOf: number };
   lease: { permit: number | null; validUntil: number };
 }
 
@@ -81,7 +88,7 @@
     void this.watchLoop();
   }
 
-  private async get(path: string, timeoutMs: number): Promise<Answer> {
+  private async get(path: string, timeoutMs: number): Promise<ServiceResponse> {
     const o = await this.client.call({ method: 'GET', path, timeoutMs });
     return o.kind === 'answer' ? { status: o.status, body: unpackMap(o.body) } : { status: 0, body: null };
   }
@@ -95,7 +102,7 @@
       this.budget.force();
       const at = steady();
       const path: string = permit === null ? PATHS.leases : `${PATHS.leases}/${permit}/extend`;
-      const body = pack(permit === null ? leaseBody(this.ttlMs) : {});
+      const body = pack(permit === null ? encodeLeaseRequest(this.ttlMs) : {});
       const o = await this.client.call({ method: 'POST', path, body, timeoutMs: 2000 });
       let wait = 400;
       if (o.kind === 'answer' && o.status === 200) {
@@ -131,7 +138,7 @@
   }
 
   private async load(): Promise<boolean> {
-    const rows: Row[] = [];
+    const rows: StoredKey[] = [];
     let since = '';
     let first = -1;
     for (;;) {
@@ -163,8 +170,8 @@
     return null;
   }
 
-  private readable<T>(answer: Answer, what: string, parse: (body: Record<string, unknown>) => T | null): T | null {
-    return readAnswer(answer, parse, () => this.unreadable$.next(what));
+  private readable<T>(answer: ServiceResponse, what: string, parse: (body: Record<string, unknown>) => T | null): T | null {
+    return readResponse(answer, parse, () => this.unreadable$.next(what));
   }
 
   private async read(waitMs: number, timeoutMs: number): Promise<'ok' | 'old' | 'failed'> {
@@ -210,9 +217,14 @@
 
   // ---- writing
 
-  async txn(guards: Guard[], writes: Write[]): Promise<TxnOutcome> {
+  async txn(guards: RevisionCondition[], writes: KeyWrite[]): Promise<CompareAndSwapOutcome> {
     await this.budget.take();
-    const o = await this.client.call({ method: 'POST', path: PATHS.txn, body: pack(txnBody(guards, writes)), timeoutMs: 1500 });
+    const o = await this.client.call({
+      method: 'POST',
+      path: PATHS.txn,
+      body: pack(encodeCompareAndSwap(guards, writes)),
+      timeoutMs: 1500,
+    });
     if (o.kind === 'refused') return { kind: 'refused' };
     if (o.kind === 'lost') return { kind: 'unknown' };
     const body = unpackMap(o.body) ?? {};
@@ -220,8 +232,8 @@
       const revision = parseRevision(body);
       return revision === null ? { kind: 'unknown' } : { kind: 'ok', revision };
     }
-    if (o.status === 409) return { kind: 'failed', keys: parseFailed(body) };
-    if (o.status === 400) return { kind: isNoLease(body) ? 'noLease' : 'invalid' };
+    if (o.status === 409) return { kind: 'failed', keys: parseFailedKeys(body) };
+    if (o.status === 400) return { kind: isLeaseNotFound(body) ? 'noLease' : 'invalid' };
     if (o.status === 429) return { kind: 'limited' };
     return o.status === 503 ? { kind: 'refused' } : { kind: 'unknown' };
   }
--- a/packages/worker-client/src/index.ts
+++ b/packages/worker-client/src/index.ts
@@ -1,7 +1,7 @@
 import { Client } from '@archpost/http-client';
-import { type Command, commandBody, PATHS, pack, parseReport, type Report, unpackMap } from '@archpost/protocol';
+import { type Command, encodeCommandRequest, type Heartbeat, PATHS, pack, parseHeartbeat, unpackMap } from '@archpost/protocol';
 
-export type CommandOutcome = { kind: 'ok' | 'stale'; report: Report | null } | { kind: 'lost' | 'refused' };
+export type CommandOutcome = { kind: 'ok' | 'stale'; report: Heartbeat | null } | { kind: 'lost' | 'refused' };
 
 /** Commands that go directly to workers. */
 export class Workers {
@@ -38,13 +38,13 @@
     const o = await this.client(addr).call({
       method: 'POST',
       path: PATHS.commands,
-      body: pack(commandBody(token, session, commands)),
+      body: pack(encodeCommandRequest(token, session, commands)),
       timeoutMs: 2500,
     });
     if (o.kind !== 'answer') return { kind: o.kind };
     const body = unpackMap(o.body);
-    if (o.status === 200) return { kind: 'ok', report: body && parseReport(body) };
-    if (o.status === 409) return { kind: 'stale', report: body && parseReport(body) };
+    if (o.status === 200) return { kind: 'ok', report: body && parseHeartbeat(body) };
+    if (o.status === 409) return { kind: 'stale', report: body && parseHeartbeat(body) };
     return { kind: 'lost' };
   }
 }
