--- a/test/malformed-input.test.ts
+++ b/test/malformed-input.test.ts
@@ -9,25 +9,25 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { type TestContext, test } from 'node:test';
-import { Api, type Request, Shedding } from '@archpost/api';
-import { encodeFrame, FrameReader } from '@archpost/peers';
+import { Api, type Request, Shedding } from '@archpost/http-api';
+import { encodeFrame, FrameReader } from '@archpost/peer-transport';
 import {
-  decodePeer,
-  encodePeer,
-  isNoLease,
+  decodePeerMessage,
+  encodePeerMessage,
+  isLeaseNotFound,
   pack,
   parseChanges,
-  parseFailed,
+  parseFailedKeys,
+  parseHeartbeat,
   parseLease,
-  parseListing,
-  parseRented,
-  parseReport,
+  parseMachineList,
+  parseMachineTypes,
+  parseProvisionedMachines,
   parseRevision,
   parseRows,
-  parseTypes,
   unpack,
   unpackMap,
-} from '@archpost/wire';
+} from '@archpost/protocol';
 import { stringify } from 'smol-toml';
 import { loadSettings, SettingsError } from '../packages/server/src/settings.js';
 import { type Cluster, STATUS, smallCluster } from './stand-ins.js';
@@ -45,10 +45,10 @@
   const { core } = cluster.node('n0');
   const id = FIRST_REQUEST_ID + request.id;
   const { now } = cluster;
-  if (request.kind === 'report') core.report(id, request.report, now);
-  else if (request.kind === 'submit') core.submit(id, request.body, now, now);
-  else if (request.kind === 'poll') core.poll(id, request.job, now);
-  else core.cancel(id, request.job, now);
+  if (request.kind === 'report') core.receiveHeartbeat(id, request.report, now);
+  else if (request.kind === 'submit') core.submitJob(id, request.body, now, now);
+  else if (request.kind === 'poll') core.queryJobStatus(id, request.job, now);
+  else core.cancelJob(id, request.job, now);
   cluster.node('n0').run();
   cluster.until(`an answer to ${request.kind}`, isAnswered, ANSWER_WITHIN_S);
 }
@@ -57,17 +57,17 @@
 async function openController(context: TestContext): Promise<number> {
   const cluster = smallCluster(4);
   const { core } = cluster.node('n0');
-  const drain = core.drain.bind(core);
+  const takeEffects = core.takeEffects.bind(core);
   const answered = new Set<number>();
   const api: Api = new Api(
     (request) => handOver(cluster, request, () => answered.has(request.id)),
     () => true,
     new Shedding(() => 0),
   );
-  core.drain = () => {
-    const effects = drain();
+  core.takeEffects = () => {
+    const effects = takeEffects();
     for (const effect of effects) {
-      if (effect.t !== 'answer' || effect.id < FIRST_REQUEST_ID) continue;
+      if (effect.type !== 'respond' || effect.id < FIRST_REQUEST_ID) continue;
       answered.add(effect.id - FIRST_REQUEST_ID);
       api.answer(effect.id - FIRST_REQUEST_ID, effect.status, effect.body, effect.retryAfterS);
     }
@@ -95,7 +95,7 @@
 }
 
 /** The message between controllers as it is encoded again after it was read. */
-const readPeerMessage = (bytes: Buffer): string => Buffer.from(encodePeer(decodePeer(bytes))).toString('hex');
+const readPeerMessage = (bytes: Buffer): string => Buffer.from(encodePeerMessage(decodePeerMessage(bytes))).toString('hex');
 
 type Body = Record<string, unknown>;
 
@@ -105,12 +105,12 @@
   'changes of the state service': parseChanges,
   'lease of the state service': parseLease,
   'revision of a transaction': parseRevision,
-  'keys that failed a transaction': parseFailed,
-  'error of a transaction: the lease has ended': isNoLease,
-  'machine types of the cloud': parseTypes,
-  'machine list of the cloud': parseListing,
-  'rented machines of the cloud': parseRented,
-  'report in the answer of a worker': parseReport,
+  'keys that failed a transaction': parseFailedKeys,
+  'error of a transaction: the lease has ended': isLeaseNotFound,
+  'machine types of the cloud': parseMachineTypes,
+  'machine list of the cloud': parseMachineList,
+  'rented machines of the cloud': parseProvisionedMachines,
+  'report in the answer of a worker': parseHeartbeat,
 };
 
 // ---- Recorded data
@@ -820,8 +820,14 @@
 
 /** A whole message: a status and a report. */
 function wholeMessage(): Buffer {
-  const report = parseReport({ ...REPORT, shift: 2, tally: 70_000, baton: 2 ** 40, pieces: [{ ...TASK, try: 2 ** 45 + 1 }] });
-  return Buffer.from(encodePeer({ node: 'a', status: { ...STATUS, plenty: ['g8'], ping: 'p' }, report }));
+  const heartbeat = parseHeartbeat({
+    ...REPORT,
+    shift: 2,
+    tally: 70_000,
+    baton: 2 ** 40,
+    pieces: [{ ...TASK, try: 2 ** 45 + 1 }],
+  });
+  return Buffer.from(encodePeerMessage({ node: 'a', status: { ...STATUS, availableTypes: ['g8'], ping: 'p' }, heartbeat }));
 }
 
 const MESSAGES: [string, string][] = [
--- a/test/recorded-formats.test.ts
+++ b/test/recorded-formats.test.ts
@@ -9,8 +9,8 @@
 import { mkdirSync, readFileSync, writeFileSync } from 'node:fs';
 import { test } from 'node:test';
 import {
-  Core,
-  type CoreSettings,
+  Controller,
+  type ControllerSettings,
   encodeAcceptedJob,
   encodeCancelledJob,
   encodeDoneJob,
@@ -18,54 +18,74 @@
   packBits,
   parseJobPart,
   parseJobRecord,
-  stateSizes,
-} from '@archpost/core';
-import { decodePeer, encodePeer, type JobSpec, type PeerMessage, type Row, type Write } from '@archpost/wire';
+  stateSizeLimits,
+} from '@archpost/controller';
+import {
+  decodePeerMessage,
+  encodePeerMessage,
+  type JobSpec,
+  type KeyWrite,
+  type PeerMessage,
+  type StoredKey,
+} from '@archpost/protocol';
 import { Cluster, holderOf, job, settings, shareOf, TYPES } from './stand-ins.js';
 
-type Tune = (settings: CoreSettings) => CoreSettings;
+type Tune = (settings: ControllerSettings) => ControllerSettings;
+
+/** A stored key as it is recorded. */
+interface Row {
+  key: string;
+  value: unknown;
+  stamp: number;
+}
 
 // ---- The only places that touch a controller's own names
 
-function newController(tune: Tune = (s) => s): Core {
-  return new Core(tune(settings('n0')), 'present');
+function newController(tune: Tune = (s) => s): Controller {
+  return new Controller(tune(settings('n0')), 'present');
 }
 
-function loadRows(controller: Core, rows: Row[]): void {
-  controller.loaded(rows, Math.max(...rows.map((row) => row.stamp)), 0);
+function loadRows(controller: Controller, rows: Row[]): void {
+  const keys = rows.map(({ key, value, stamp }): StoredKey => ({ key, value, revision: stamp }));
+  controller.receiveSnapshot(keys, Math.max(...rows.map((row) => row.stamp)), 0);
 }
 
 /** The keys that warnings were logged for since the last call, in their order. */
-function warnedKeys(controller: Core): string[] {
-  const warnings = controller.drain().flatMap((effect) => (effect.t === 'log' && effect.level === 'warn' ? [effect] : []));
-  return warnings.map((warning) => String(warning.data?.key));
+function warnedKeys(controller: Controller): string[] {
+  const warnings = controller
+    .takeEffects()
+    .flatMap((effect) => (effect.type === 'log' && effect.level === 'warn' ? [effect] : []));
+  return warnings.map((warning) => String(warning.fields?.key));
 }
 
 /** What a controller has made of the rows, under names of this file. */
-function whatIsKnown(controller: Core): Record<string, unknown> {
-  const { table } = controller;
-  const jobs = [...table.jobs.values()].map((known) => [
+function whatIsKnown(controller: Controller): Record<string, unknown> {
+  const { clusterState } = controller;
+  const jobs = [...clusterState.jobs.values()].map((known) => [
     known.spec.id,
-    { state: known.state, done: known.doneCount, mayNotStart: known.waits, types: known.types?.length ?? null },
+    { state: known.state, done: known.doneCount, mayNotStart: known.isBlocked, types: known.typeIndices?.length ?? null },
   ]);
-  const machines = [...table.machines.values()].map((machine) => [
+  const machines = [...clusterState.machines.values()].map((machine) => [
     machine.name,
     {
-      share: machine.share,
-      address: machine.addr,
+      share: machine.shard,
+      address: machine.address,
       spot: machine.spot,
-      moveTo: machine.moveTo,
-      retire: machine.retire,
+      moveTo: machine.moveToShard,
+      retire: machine.isRetired,
       images: machine.images.size,
     },
   ]);
-  const holders = [...table.holders].map(([holding, { holder, stamp }]) => [holding, `${holder.node} ${holder.boot} ${stamp}`]);
+  const holders = [...clusterState.leaseHolders].map(([name, { holder, revision }]) => [
+    name,
+    `${holder.controller} ${holder.incarnation} ${revision}`,
+  ]);
   return {
     jobs: Object.fromEntries(jobs),
-    ended: Object.fromEntries(table.finals),
+    ended: Object.fromEntries(clusterState.finishedJobs),
     machines: Object.fromEntries(machines),
     holders: Object.fromEntries(holders),
-    machineTypes: table.typesKnown ? table.types.filter((type) => type).length : null,
+    machineTypes: clusterState.machineTypesKnown ? clusterState.machineTypes.filter((type) => type).length : null,
     heardOf: [...controller.peers.keys()],
   };
 }
@@ -134,7 +154,7 @@
   return ['a/g/ granted', ...marks].join(', ');
 }
 
-function kindOfChange(write: Write): string {
+function kindOfChange(write: KeyWrite): string {
   const key = 'put' in write ? write.put : write.del;
   const prefix = key.startsWith('a/types') ? 'a/types' : key.slice(0, 4);
   if (!('put' in write)) return `${prefix} removed`;
@@ -173,23 +193,23 @@
 ];
 
 /** All that a message tells of; the digest is over whole messages, of which this chooses the examples. */
-function kindOfMessage({ status, report }: PeerMessage): string {
-  if (report) {
-    const states = new Set(report.tasks.map((task) => task.state));
-    const notice = report.noticeS === null ? '' : ', with a notice';
+function kindOfMessage({ status, heartbeat }: PeerMessage): string {
+  if (heartbeat) {
+    const states = new Set(heartbeat.tasks.map((task) => task.state));
+    const notice = heartbeat.preemptionNoticeS === null ? '' : ', with a notice';
     return `report, tasks ${[...states].sort().join(' and ') || 'none'}${notice}`;
   }
   assert.ok(status);
   const lists = {
-    machines: status.shares.some((share) => share.machines.length > 0),
-    demands: status.shares.some((share) => share.demands.length > 0),
-    running: status.running.length > 0,
-    ungranted: status.strangers.length > 0,
-    heard: status.heard.length > 0,
-    plenty: status.plenty.length > 0,
+    machines: status.shards.some((shard) => shard.machines.length > 0),
+    demands: status.shards.some((shard) => shard.demands.length > 0),
+    running: status.runningJobs.length > 0,
+    ungranted: status.unassignedMachines.length > 0,
+    heard: status.unchangedHeartbeats.length > 0,
+    plenty: status.availableTypes.length > 0,
   };
   const told = Object.entries(lists).flatMap(([name, isTold]) => (isTold ? [name] : []));
-  return `status${status.lead ? ' of the leader' : ''}, tells ${told.join(' and ') || 'nothing'}`;
+  return `status${status.isLeader ? ' of the leader' : ''}, tells ${told.join(' and ') || 'nothing'}`;
 }
 
 const MESSAGES = [
@@ -222,8 +242,8 @@
 
 /** Limits that are announced to fall: long lists and long progress go into parts. */
 const fallingTo =
-  (valueKb: number): Tune =>
-  (s) => ({ ...s, state: { ...s.state, valueKb: 16, next: { valueKb, txnOps: 4 } } });
+  (valueKib: number): Tune =>
+  (s) => ({ ...s, state: { ...s.state, valueKib: 16, next: { valueKib, writesPerTransaction: 4 } } });
 
 function submitEachShape(cluster: Cluster): void {
   for (const team of ['red', 'blue', 'green']) {
@@ -296,7 +316,7 @@
 }
 
 function putRow(cluster: Cluster, key: string, value: unknown): void {
-  cluster.state.txn({ t: 'txn', id: 0, guards: [], writes: [{ put: key, value }] }, cluster.now);
+  cluster.state.txn({ type: 'compareAndSwap', id: 0, conditions: [], writes: [{ put: key, value }] }, cluster.now);
 }
 
 function listsInParts(cluster: Cluster): void {
@@ -332,7 +352,7 @@
 const DAYS: Record<string, Day> = {
   'work and trouble of each kind': { run: workAndTrouble },
   'machines that move and go back': {
-    tune: (s) => ({ ...s, policy: { ...s.policy, hold: false, idleS: 10, maxMachines: null } }),
+    tune: (s) => ({ ...s, policy: { ...s.policy, holdSpareCapacity: false, idleS: 10, maxMachines: null } }),
     run: machinesThatMove,
   },
   'rented machines': {
@@ -361,9 +381,12 @@
     for (const write of transaction.writes) changes.add(kindOfChange(write), JSON.stringify(write));
     return carryOut(transaction, now);
   };
-  cluster.peerBytes = (bytes) => messages.add(kindOfMessage(decodePeer(bytes)), Buffer.from(bytes).toString('hex'));
+  cluster.peerBytes = (bytes) => messages.add(kindOfMessage(decodePeerMessage(bytes)), Buffer.from(bytes).toString('hex'));
   run(cluster);
-  const rows = state.rows().sort((a, b) => (a.key < b.key ? -1 : 1));
+  const rows = state
+    .rows()
+    .map(({ key, value, revision }): Row => ({ key, value, stamp: revision }))
+    .sort((a, b) => (a.key < b.key ? -1 : 1));
   const reader = newController(tune);
   loadRows(reader, rows);
   assert.deepEqual(warnedKeys(reader), []);
@@ -411,7 +434,7 @@
 test('messages between controllers, of this version and the one in production, are decoded and encoded to the same bytes', () => {
   const present = days.flatMap((day) => Object.values(day.messages.examples).flat());
   for (const hex of [...present, ...production.messages])
-    assert.equal(Buffer.from(encodePeer(decodePeer(Buffer.from(hex, 'hex')))).toString('hex'), hex);
+    assert.equal(Buffer.from(encodePeerMessage(decodePeerMessage(Buffer.from(hex, 'hex')))).toString('hex'), hex);
 });
 
 /** Values that the recorded days don't reach: every field is set, and every state of a task is told. */
@@ -420,11 +443,20 @@
     node: 'n1',
     status: {
       node: 'n1',
-      shares: [
+      shards: [
         {
-          share: 2,
+          shard: 2,
           machines: [
-            { name: 'm1', freeCpus: 0.5, freeGpus: 1, freeMemory: 2.25, tasks: 3, firmRank: -1, idleS: 4.5, services: 5 },
+            {
+              name: 'm1',
+              freeCpus: 0.5,
+              freeGpus: 1,
+              freeMemory: 2.25,
+              tasks: 3,
+              protectedPriority: -1,
+              idleS: 4.5,
+              services: 5,
+            },
           ],
           demands: [
             {
@@ -434,53 +466,53 @@
               types: ['small', 'big'],
               zone: 'east',
               spot: true,
-              rank: 3,
-              within: true,
+              priority: 3,
+              withinQuota: true,
               count: 70_000,
               gang: true,
               waitS: 4.5,
               slackS: -5.5,
-              notZones: ['west'],
+              excludedZones: ['west'],
             },
           ],
         },
       ],
-      running: [{ job: 'run-a', count: 1, done: 2, failed: 3 }],
-      runningAll: true,
-      strangers: [{ machine: 'm2', addr: '10.0.0.2:80', type: 'small', zone: 'west', spot: true }],
-      heard: [{ machine: 'm3', session: 2 ** 40, seq: 2 ** 33, whole: 7 }],
-      plenty: ['big'],
-      lead: true,
-      entitled: true,
-      reach: true,
-      writes: 11,
-      storeOk: true,
-      hears: 12,
-      loaded: true,
-      cancelStamp: 2 ** 35,
+      runningJobs: [{ job: 'run-a', count: 1, done: 2, failed: 3 }],
+      runningJobsComplete: true,
+      unassignedMachines: [{ machine: 'm2', address: '10.0.0.2:80', type: 'small', zone: 'west', spot: true }],
+      unchangedHeartbeats: [{ machine: 'm3', agentEpoch: 2 ** 40, sequence: 2 ** 33, forwardedSequence: 7 }],
+      availableTypes: ['big'],
+      isLeader: true,
+      mayAnswerWorkers: true,
+      reachesWorkers: true,
+      wantedWritesPerS: 11,
+      stateServiceAnswers: true,
+      heardWorkers: 12,
+      replicaLoaded: true,
+      cancellationRevision: 2 ** 35,
       ping: 'n1-0/1',
       echo: 'n0-0/2',
     },
-    report: null,
+    heartbeat: null,
   },
   ...[null, 0, 9.5].map(
-    (noticeS): PeerMessage => ({
+    (preemptionNoticeS): PeerMessage => ({
       node: 'n2',
       status: null,
-      report: {
+      heartbeat: {
         machine: 'm1',
-        addr: '10.0.0.1:80',
+        address: '10.0.0.1:80',
         type: 'small',
         zone: 'east',
         spot: true,
-        session: 2 ** 40,
-        seq: 2 ** 33,
-        token: 2 ** 45,
-        noticeS,
+        agentEpoch: 2 ** 40,
+        sequence: 2 ** 33,
+        fencingToken: 2 ** 45,
+        preemptionNoticeS,
         tasks: [
-          { job: 'run-a', index: 0, attempt: 2 ** 34, state: 'waiting', why: null, saved: false },
-          { job: 'run-a', index: 1, attempt: 2, state: 'running', why: null, saved: true },
-          { job: 'run-b', index: 70_000, attempt: 3, state: 'exited', why: 'no_room', saved: false },
+          { job: 'run-a', index: 0, attempt: 2 ** 34, state: 'waiting', exitReason: null, saved: false },
+          { job: 'run-a', index: 1, attempt: 2, state: 'running', exitReason: null, saved: true },
+          { job: 'run-b', index: 70_000, attempt: 3, state: 'exited', exitReason: 'no_room', saved: false },
         ],
       },
     }),
@@ -488,9 +520,9 @@
 ];
 
 test('messages with every field set are encoded to the recorded bytes, and decoded to what they were', () => {
-  const encoded = FULL_MESSAGES.map((message) => Buffer.from(encodePeer(message)).toString('hex'));
+  const encoded = FULL_MESSAGES.map((message) => Buffer.from(encodePeerMessage(message)).toString('hex'));
   assertAsRecorded('full-messages', encoded, 1);
-  for (const [i, hex] of encoded.entries()) assert.deepEqual(decodePeer(Buffer.from(hex, 'hex')), FULL_MESSAGES[i]);
+  for (const [i, hex] of encoded.entries()) assert.deepEqual(decodePeerMessage(Buffer.from(hex, 'hex')), FULL_MESSAGES[i]);
 });
 
 /** The value of a job's record as its codec encodes what it decodes of it. */
@@ -530,7 +562,7 @@
 
 test('a record whose lists are in parts is decoded with its parts, and encoded to the same record and parts', () => {
   const rows = (played['lists of jobs in parts'] as RecordedDay).rows;
-  const { changeBytes } = stateSizes(fallingTo(2)(settings('n0')).state);
+  const { maxWriteBytes } = stateSizeLimits(fallingTo(2)(settings('n0')).state);
   let compared = 0;
   for (const { key, value } of rows.filter((row) => row.key.startsWith('a/j/'))) {
     const decoded = parseJobRecord(value);
@@ -541,7 +573,7 @@
     const parts = stored.map(parseJobPart);
     const types = [...(spec.types ?? []), ...parts.flatMap((part) => part.types)];
     const awaits = [...(decoded.awaits ?? []), ...parts.flatMap((part) => part.awaits)];
-    const encoded = encodeAcceptedJob(key, { ...spec, types }, awaits, decoded.submittedAt, changeBytes);
+    const encoded = encodeAcceptedJob(key, { ...spec, types }, awaits, decoded.submittedAt, maxWriteBytes);
     assert.equal(JSON.stringify(encoded), JSON.stringify({ record: value, parts: stored, group }));
     compared++;
   }
@@ -552,7 +584,7 @@
   let compared = 0;
   const compare = (rows: Row[], tune: Tune) => {
     const { state } = tune(settings('n0'));
-    const layout = new ProgressLayout(state.valueKb, stateSizes(state).changeBytes);
+    const layout = new ProgressLayout(state.valueKib, stateSizeLimits(state).maxWriteBytes);
     for (const { key, value } of rows.filter((row) => row.key.startsWith('a/p/'))) {
       const name = key.slice(key.lastIndexOf('/') + 1);
       const from = layout.firstTask(name) as number;
@@ -749,11 +781,11 @@
 function outcomeOfBytes(bytes: Buffer): string {
   let message: PeerMessage;
   try {
-    message = decodePeer(bytes);
+    message = decodePeerMessage(bytes);
   } catch {
     return 'refused';
   }
-  return `read as ${Buffer.from(encodePeer(message)).toString('hex')}`;
+  return `read as ${Buffer.from(encodePeerMessage(message)).toString('hex')}`;
 }
 
 test('malformed messages between controllers are refused or read as recorded', () => {
