--- a/packages/cloud-client/src/index.ts
+++ b/packages/cloud-client/src/index.ts
@@ -48,15 +48,15 @@
 
   private async call(method: 'GET' | 'POST', path: string, body?: unknown): Promise<ServiceResponse> {
     await this.budget.take();
-    const o = await this.client.call(
+    const outcome = await this.client.call(
       body === undefined ? { method, path, timeoutMs: 3000 } : { method, path, body: pack(body), timeoutMs: 3000 },
     );
-    return o.kind === 'answer' ? { status: o.status, body: unpackMap(o.body) } : { status: 0, body: null };
+    return outcome.kind === 'answer' ? { status: outcome.status, body: unpackMap(outcome.body) } : { status: 0, body: null };
   }
 
   async types(): Promise<MachineType[] | null> {
-    const r = await this.call('GET', PATHS.machineTypes);
-    return this.readable(r, 'machine types', parseMachineTypes);
+    const response = await this.call('GET', PATHS.machineTypes);
+    return this.readable(response, 'machine types', parseMachineTypes);
   }
 
   private readable<T>(answer: ServiceResponse, what: string, parse: (body: Record<string, unknown>) => T | null): T | null {
@@ -93,18 +93,19 @@
    */
   async rent(rental: ProvisioningRequest): Promise<RentOutcome> {
     for (let tries = 0; tries < 3; tries++) {
-      const r = await this.call('POST', PATHS.machines, encodeProvisioningRequest(rental));
-      const error = r.body?.error;
-      if (r.status === 200 && r.body) return { kind: 'ok', machines: parseProvisionedMachines(r.body) ?? [] };
-      if (r.status === 503 && error === 'no capacity') return { kind: 'full' };
-      if (r.status === 400) return { kind: 'full' };
+      const response = await this.call('POST', PATHS.machines, encodeProvisioningRequest(rental));
+      const error = response.body?.error;
+      if (response.status === 200 && response.body)
+        return { kind: 'ok', machines: parseProvisionedMachines(response.body) ?? [] };
+      if (response.status === 503 && error === 'no capacity') return { kind: 'full' };
+      if (response.status === 400) return { kind: 'full' };
     }
     return { kind: 'unknown' };
   }
 
   /** True once the machines and everything on them are gone. */
   async giveBack(machines: string[]): Promise<boolean> {
-    const r = await this.call('POST', PATHS.machinesReturn, encodeReleaseRequest(machines));
-    return r.status === 200;
+    const response = await this.call('POST', PATHS.machinesReturn, encodeReleaseRequest(machines));
+    return response.status === 200;
   }
 }
--- a/packages/controller/src/allocation/failure-attribution.ts
+++ b/packages/controller/src/allocation/failure-attribution.ts
@@ -27,11 +27,11 @@
   constructor(private readonly context: ControllerContext) {}
 
   /** Has any of it gone well? */
-  private hasRunWithoutError(j: Job, now: Milliseconds): boolean {
-    if (j.doneCount > 0 || j.ranWithoutError) return true;
-    for (const p of j.allocations.values()) {
-      if (p.phase === 'there' && p.runningSince >= 0 && now - p.runningSince >= ERROR_FREE_RUN_MS) {
-        j.ranWithoutError = true;
+  private hasRunWithoutError(job: Job, now: Milliseconds): boolean {
+    if (job.doneCount > 0 || job.ranWithoutError) return true;
+    for (const allocation of job.allocations.values()) {
+      if (allocation.phase === 'there' && allocation.runningSince >= 0 && now - allocation.runningSince >= ERROR_FREE_RUN_MS) {
+        job.ranWithoutError = true;
         return true;
       }
     }
@@ -39,88 +39,88 @@
   }
 
   /** It fails wherever it goes, until its user cancels it. */
-  isCrashLooping(j: Job): boolean {
-    return j.crashLoopingSince >= 0;
+  isCrashLooping(job: Job): boolean {
+    return job.crashLoopingSince >= 0;
   }
 
-  isFaulty(m: Machine, now: Milliseconds): boolean {
-    if (m.failedTaskCount >= 3) return true;
-    if (m.failedJobs.size < 2) return false;
+  isFaulty(machine: Machine, now: Milliseconds): boolean {
+    if (machine.failedTaskCount >= 3) return true;
+    if (machine.failedJobs.size < 2) return false;
     let onlyHere = 0;
-    for (const id of m.failedJobs) {
-      const j = this.context.clusterState.jobs.get(id);
-      if (!j) continue;
-      if (this.hasRunWithoutError(j, now)) return true;
-      if (j.failedOn.size === 1) onlyHere++;
+    for (const id of machine.failedJobs) {
+      const job = this.context.clusterState.jobs.get(id);
+      if (!job) continue;
+      if (this.hasRunWithoutError(job, now)) return true;
+      if (job.failedOn.size === 1) onlyHere++;
     }
     // Nothing of them has run elsewhere since, well or not.
-    return onlyHere >= 2 && now - m.lastErrorAt > DOUBT_MS / 2;
+    return onlyHere >= 2 && now - machine.lastErrorAt > DOUBT_MS / 2;
   }
 
   /** Two jobs failed there, and it isn't known yet whose fault it is. */
-  isDoubtful(m: Machine, now: Milliseconds): boolean {
-    return m.failedJobs.size >= 2 && now - m.lastErrorAt < DOUBT_MS;
+  isDoubtful(machine: Machine, now: Milliseconds): boolean {
+    return machine.failedJobs.size >= 2 && now - machine.lastErrorAt < DOUBT_MS;
   }
 
-  recordFailure(p: Allocation, now: Milliseconds): void {
-    const { job: j, machine: m } = p;
-    j.failureCount++;
-    j.failedOn.add(m.name);
+  recordFailure(allocation: Allocation, now: Milliseconds): void {
+    const { job, machine } = allocation;
+    job.failureCount++;
+    job.failedOn.add(machine.name);
     this.context.log('debug', 'task failed', {
-      task: `${j.spec.id}/${p.taskIndex}`,
-      machine: m.name,
-      jobMachines: j.failedOn.size,
-      machineJobs: m.failedJobs.size,
+      task: `${job.spec.id}/${allocation.taskIndex}`,
+      machine: machine.name,
+      jobMachines: job.failedOn.size,
+      machineJobs: machine.failedJobs.size,
     });
-    if (!this.isCrashLooping(j) && j.failedOn.size >= CRASH_LOOP_MACHINES && !this.hasRunWithoutError(j, now))
-      this.markCrashLooping(j, now);
-    if (this.isCrashLooping(j)) return;
-    m.failedJobs.add(j.spec.id);
-    m.lastErrorAt = now;
-    if (j.doneCount > 0 && j.failedOn.size === 1) m.failedTaskCount++;
-    if (j.spec.shape === 'gang') j.retryAt = now + 300;
+    if (!this.isCrashLooping(job) && job.failedOn.size >= CRASH_LOOP_MACHINES && !this.hasRunWithoutError(job, now))
+      this.markCrashLooping(job, now);
+    if (this.isCrashLooping(job)) return;
+    machine.failedJobs.add(job.spec.id);
+    machine.lastErrorAt = now;
+    if (job.doneCount > 0 && job.failedOn.size === 1) machine.failedTaskCount++;
+    if (job.spec.shape === 'gang') job.retryAt = now + 300;
   }
 
-  private markCrashLooping(j: Job, now: Milliseconds): void {
-    j.crashLoopingSince = now;
-    j.retries = 0;
-    for (const name of j.failedOn) this.context.clusterState.machines.get(name)?.failedJobs.delete(j.spec.id);
-    this.context.log('info', 'a job fails on every machine', { job: j.spec.id, machines: j.failedOn.size });
+  private markCrashLooping(job: Job, now: Milliseconds): void {
+    job.crashLoopingSince = now;
+    job.retries = 0;
+    for (const name of job.failedOn) this.context.clusterState.machines.get(name)?.failedJobs.delete(job.spec.id);
+    this.context.log('info', 'a job fails on every machine', { job: job.spec.id, machines: job.failedOn.size });
   }
 
   /** A task was done: its job is well after all, and what began after a machine's last failure clears the machine. */
-  recordSuccess(p: Allocation): void {
-    const { job: j, machine: m } = p;
-    if (p.runningSince > m.lastErrorAt) {
-      m.failedJobs.clear();
-      m.failedTaskCount = 0;
+  recordSuccess(allocation: Allocation): void {
+    const { job, machine } = allocation;
+    if (allocation.runningSince > machine.lastErrorAt) {
+      machine.failedJobs.clear();
+      machine.failedTaskCount = 0;
     }
-    if (!this.isCrashLooping(j)) return;
-    j.crashLoopingSince = -1;
-    j.retryAt = 0;
+    if (!this.isCrashLooping(job)) return;
+    job.crashLoopingSince = -1;
+    job.retryAt = 0;
     // It was the machines, then.
-    for (const name of j.failedOn) this.context.clusterState.machines.get(name)?.failedJobs.add(j.spec.id);
-    this.context.log('info', 'a job that failed goes well', { job: j.spec.id });
+    for (const name of job.failedOn) this.context.clusterState.machines.get(name)?.failedJobs.add(job.spec.id);
+    this.context.log('info', 'a job that failed goes well', { job: job.spec.id });
   }
 
   /** A faulty machine goes: what failed there says nothing about the jobs. */
-  clearJobsOf(m: Machine): void {
-    for (const id of m.failedJobs) {
-      const j = this.context.clusterState.jobs.get(id);
-      if (!j) continue;
-      j.failedOn.delete(m.name);
-      j.retryAt = 0;
+  clearJobsOf(machine: Machine): void {
+    for (const id of machine.failedJobs) {
+      const job = this.context.clusterState.jobs.get(id);
+      if (!job) continue;
+      job.failedOn.delete(machine.name);
+      job.retryAt = 0;
     }
   }
 
   /** How many tasks of a broken job are tried now; the next time is put off. */
-  nextRetryCount(j: Job, now: Milliseconds): number {
-    const fresh = j.spec.tasks - j.nextUntriedTask;
-    if (fresh > 0 && j.spec.shape !== 'gang') {
-      j.retryAt = now + RETRY_MS;
+  nextRetryCount(job: Job, now: Milliseconds): number {
+    const fresh = job.spec.tasks - job.nextUntriedTask;
+    if (fresh > 0 && job.spec.shape !== 'gang') {
+      job.retryAt = now + RETRY_MS;
       return Math.min(TRIES, fresh);
     }
-    j.retryAt = now + Math.min(LONGEST_RETRY_MS, RETRY_MS * 2 ** Math.min(5, j.retries++));
-    return j.spec.shape === 'gang' ? j.spec.tasks : 1;
+    job.retryAt = now + Math.min(LONGEST_RETRY_MS, RETRY_MS * 2 ** Math.min(5, job.retries++));
+    return job.spec.shape === 'gang' ? job.spec.tasks : 1;
   }
 }
--- a/packages/controller/src/allocation/task-allocations.ts
+++ b/packages/controller/src/allocation/task-allocations.ts
@@ -61,12 +61,19 @@
     return (this.heldShards.get(share)?.leaseRevision ?? 0) * ATTEMPTS_PER_LEASE + this.attemptCounter++;
   }
 
-  allocate(job: Job, index: number, attempt: number, m: Machine, phase: Allocation['phase'], now: Milliseconds): Allocation {
-    const p: Allocation = {
+  allocate(
+    job: Job,
+    index: number,
+    attempt: number,
+    machine: Machine,
+    phase: Allocation['phase'],
+    now: Milliseconds,
+  ): Allocation {
+    const allocation: Allocation = {
       job,
       taskIndex: index,
       attempt,
-      machine: m,
+      machine: machine,
       phase,
       status: null,
       plannedAt: now,
@@ -75,30 +82,30 @@
       firstStopSentAt: -1,
       runningSince: -1,
     };
-    job.allocations.set(index, p);
-    m.allocations.set(taskKey(job.spec.id, index, attempt), p);
-    m.allocationsChanged();
-    return p;
+    job.allocations.set(index, allocation);
+    machine.allocations.set(taskKey(job.spec.id, index, attempt), allocation);
+    machine.allocationsChanged();
+    return allocation;
   }
 
   /** The task is surely no longer on the machine. */
-  free(p: Allocation): void {
-    p.machine.allocations.delete(taskKey(p.job.spec.id, p.taskIndex, p.attempt));
-    p.machine.allocationsChanged();
-    if (p.job.allocations.get(p.taskIndex) === p) {
-      p.job.allocations.delete(p.taskIndex);
-      if (!p.job.done[p.taskIndex]) p.job.releasedTasks.push(p.taskIndex);
+  free(allocation: Allocation): void {
+    allocation.machine.allocations.delete(taskKey(allocation.job.spec.id, allocation.taskIndex, allocation.attempt));
+    allocation.machine.allocationsChanged();
+    if (allocation.job.allocations.get(allocation.taskIndex) === allocation) {
+      allocation.job.allocations.delete(allocation.taskIndex);
+      if (!allocation.job.done[allocation.taskIndex]) allocation.job.releasedTasks.push(allocation.taskIndex);
     }
-    if (p.machine.allocations.size === 0) p.machine.idleSince = this.now;
-    const j = p.job;
-    if (j.spec.shape === 'gang' && j.gangAttempt !== 0) {
-      if (j.state === 'live' && j.doneCount < j.spec.tasks) this.failGang(j);
-      if (j.allocations.size === 0) {
-        j.gangAttempt = 0;
-        j.gangFailed = false;
+    if (allocation.machine.allocations.size === 0) allocation.machine.idleSince = this.now;
+    const job = allocation.job;
+    if (job.spec.shape === 'gang' && job.gangAttempt !== 0) {
+      if (job.state === 'live' && job.doneCount < job.spec.tasks) this.failGang(job);
+      if (job.allocations.size === 0) {
+        job.gangAttempt = 0;
+        job.gangFailed = false;
       }
     }
-    this.context.clusterState.forgetIfFinished(j);
+    this.context.clusterState.forgetIfFinished(job);
     this.schedulingRequested = true;
   }
 
@@ -106,93 +113,99 @@
    * A start that surely was not carried out: its room is held on, unless the task was told to stop meanwhile or its job
    * is over. Such a start was sent again after the job's cancellation, and a gang that had failed kept its room for ever.
    */
-  startNotSent(p: Allocation): void {
-    if (!this.isStartPending(p)) return;
-    p.phase = 'planned';
-    p.machine.allocationsChanged();
-    if (p.stopGraceS !== null || p.job.state !== 'live') this.free(p);
+  startNotSent(allocation: Allocation): void {
+    if (!this.isStartPending(allocation)) return;
+    allocation.phase = 'planned';
+    allocation.machine.allocationsChanged();
+    if (allocation.stopGraceS !== null || allocation.job.state !== 'live') this.free(allocation);
   }
 
   /** Its start is under way, or was not heard of since. */
-  isStartPending(p: Allocation): boolean {
-    return p.phase === 'sent' && p.machine.allocations.get(taskKey(p.job.spec.id, p.taskIndex, p.attempt)) === p;
+  isStartPending(allocation: Allocation): boolean {
+    return (
+      allocation.phase === 'sent' &&
+      allocation.machine.allocations.get(taskKey(allocation.job.spec.id, allocation.taskIndex, allocation.attempt)) === allocation
+    );
   }
 
   /** Something on it belongs to a cancelled job: it is attended to first. */
-  hasCancelledWork(m: Machine): boolean {
-    for (const p of m.allocations.values()) if (p.job.state === 'cancelled' && p.phase !== 'exited') return true;
+  hasCancelledWork(machine: Machine): boolean {
+    for (const allocation of machine.allocations.values())
+      if (allocation.job.state === 'cancelled' && allocation.phase !== 'exited') return true;
     return false;
   }
 
   /** A gang that lost a task is stopped whole and queued again. */
-  failGang(j: Job): void {
-    if (j.gangFailed) return;
-    j.gangFailed = true;
-    for (const p of [...j.allocations.values()]) if (p.phase !== 'exited') this.stop(p, 0);
+  failGang(job: Job): void {
+    if (job.gangFailed) return;
+    job.gangFailed = true;
+    for (const allocation of [...job.allocations.values()]) if (allocation.phase !== 'exited') this.stop(allocation, 0);
   }
 
-  stop(p: Allocation, graceS: number): void {
-    if (p.phase === 'planned') {
-      this.free(p);
+  stop(allocation: Allocation, graceS: number): void {
+    if (allocation.phase === 'planned') {
+      this.free(allocation);
       return;
     }
-    if (p.phase === 'exited') return;
-    if (p.stopGraceS === null || graceS < p.stopGraceS) {
-      p.stopGraceS = graceS;
-      p.machine.allocationsChanged();
-      p.stopSentAt = -1e12;
-      p.job.lastStopAt = this.now;
+    if (allocation.phase === 'exited') return;
+    if (allocation.stopGraceS === null || graceS < allocation.stopGraceS) {
+      allocation.stopGraceS = graceS;
+      allocation.machine.allocationsChanged();
+      allocation.stopSentAt = -1e12;
+      allocation.job.lastStopAt = this.now;
     }
   }
 
   /** A checkpointing task gets time to save; others lose nothing by going at once. */
-  stopGraceS(j: Job): number {
-    return j.spec.checkpointS > 0 ? j.spec.saveS + this.context.settings.workers.gangPeerS : 0;
+  stopGraceS(job: Job): number {
+    return job.spec.checkpointS > 0 ? job.spec.saveS + this.context.settings.workers.gangPeerS : 0;
   }
 
-  stopJob(j: Job): void {
-    for (const p of [...j.allocations.values()]) this.stop(p, this.stopGraceS(j));
+  stopJob(job: Job): void {
+    for (const allocation of [...job.allocations.values()]) this.stop(allocation, this.stopGraceS(job));
   }
 
   /** Its reports come, here or to another controller. */
-  isHeardRecently(m: Machine, now: Milliseconds): boolean {
-    return now - m.lastHeartbeatAt < 4000 || now - m.heardByPeerAt < 5000;
+  isHeardRecently(machine: Machine, now: Milliseconds): boolean {
+    return now - machine.lastHeartbeatAt < 4000 || now - machine.heardByPeerAt < 5000;
   }
 
-  isSchedulable(m: Machine, now: Milliseconds): boolean {
+  isSchedulable(machine: Machine, now: Milliseconds): boolean {
     return (
-      m.isVerified &&
-      !m.hasUncertainCommand &&
-      m.capacity !== null &&
-      m.moveToShard < 0 &&
-      !m.isRetired &&
-      m.releaseReason === '' &&
-      m.preemptionNoticeUntil < 0 &&
-      !this.failureAttribution.isFaulty(m, now) &&
-      !this.failureAttribution.isDoubtful(m, now) &&
-      m.unansweredCommands === 0 &&
+      machine.isVerified &&
+      !machine.hasUncertainCommand &&
+      machine.capacity !== null &&
+      machine.moveToShard < 0 &&
+      !machine.isRetired &&
+      machine.releaseReason === '' &&
+      machine.preemptionNoticeUntil < 0 &&
+      !this.failureAttribution.isFaulty(machine, now) &&
+      !this.failureAttribution.isDoubtful(machine, now) &&
+      machine.unansweredCommands === 0 &&
       // What runs there without a place here takes room that isn't known.
-      !m.orphanedTasks.some((task) => task.state !== 'exited') &&
-      now - m.lastHeartbeatAt < this.context.settings.workers.heartbeatIntervalS * 2500
+      !machine.orphanedTasks.some((task) => task.state !== 'exited') &&
+      now - machine.lastHeartbeatAt < this.context.settings.workers.heartbeatIntervalS * 2500
     );
   }
 
-  freeResourcesOf(m: Machine): FreeResources {
-    return { machine: m, ...machineLoadOf(m).free };
+  freeResourcesOf(machine: Machine): FreeResources {
+    return { machine: machine, ...machineLoadOf(machine).free };
   }
 
   /** Shares with machines that may bear what nobody has reported. */
   shardsAwaitingVerification(): Set<number> {
     const shares = new Set<number>();
-    for (const m of this.context.clusterState.machines.values()) if (m.isUnverifiedTakeover) shares.add(m.shard);
+    for (const machine of this.context.clusterState.machines.values())
+      if (machine.isUnverifiedTakeover) shares.add(machine.shard);
     return shares;
   }
 
   /** Where could a task of this job be, of those that nobody has reported? */
-  mayRunUnseen(j: Job): boolean {
-    const held = this.heldShards.get(j.shard);
-    if (!held || j.modRevision > held.leaseRevision) return false;
-    for (const m of this.context.clusterState.machines.values()) if (m.shard === j.shard && m.isUnverifiedTakeover) return true;
+  mayRunUnseen(job: Job): boolean {
+    const held = this.heldShards.get(job.shard);
+    if (!held || job.modRevision > held.leaseRevision) return false;
+    for (const machine of this.context.clusterState.machines.values())
+      if (machine.shard === job.shard && machine.isUnverifiedTakeover) return true;
     return false;
   }
 
@@ -206,40 +219,40 @@
     const age = now - this.context.replicaFreshAt;
     if (age < WATCH_LATE_MS) return true;
     if (age >= this.context.settings.workers.cancelS * 1000 * 0.25) return false;
-    for (const [node, p] of this.context.peers)
-      if (p.status.stateServiceAnswers && this.context.isPeerAlive(node, now)) return false;
+    for (const [node, peer] of this.context.peers)
+      if (peer.status.stateServiceAnswers && this.context.isPeerAlive(node, now)) return false;
     return true;
   }
 
   /** Somebody else stopped one of its tasks: called off perhaps, which only a newer reading can tell. */
-  isStateUnconfirmed(j: Job): boolean {
-    return this.context.replicaFreshAt < j.stoppedByOthersAt;
+  isStateUnconfirmed(job: Job): boolean {
+    return this.context.replicaFreshAt < job.stoppedByOthersAt;
   }
 
   leaseConditions(share: number) {
     return [{ key: StateKey.shardLease(share), revision: this.heldShards.get(share)?.leaseRevision ?? -1 }];
   }
 
-  isEmpty(m: Machine): boolean {
-    return m.allocations.size === 0 && m.orphanedTasks.length === 0 && m.pendingCommandId === 0;
+  isEmpty(machine: Machine): boolean {
+    return machine.allocations.size === 0 && machine.orphanedTasks.length === 0 && machine.pendingCommandId === 0;
   }
 
-  drain(m: Machine): void {
-    for (const p of [...m.allocations.values()]) {
-      if (p.phase === 'exited' || p.stopGraceS !== null) continue;
+  drain(machine: Machine): void {
+    for (const allocation of [...machine.allocations.values()]) {
+      if (allocation.phase === 'exited' || allocation.stopGraceS !== null) continue;
       // Independent tasks may finish in the time of a notice; what has to move, moves now.
-      if (m.preemptionNoticeUntil > 0 && p.job.spec.shape === 'array' && p.phase !== 'planned') continue;
-      if (p.job.spec.shape === 'gang') this.stopJob(p.job);
-      else this.stop(p, this.stopGraceS(p.job));
+      if (machine.preemptionNoticeUntil > 0 && allocation.job.spec.shape === 'array' && allocation.phase !== 'planned') continue;
+      if (allocation.job.spec.shape === 'gang') this.stopJob(allocation.job);
+      else this.stop(allocation, this.stopGraceS(allocation.job));
     }
   }
 
-  servicesOn(m: Machine): readonly Allocation[] {
-    return machineLoadOf(m).services;
+  servicesOn(machine: Machine): readonly Allocation[] {
+    return machineLoadOf(machine).services;
   }
 
   /** What services without accelerators take on the machine. */
-  serviceUsage(m: Machine): MachineLoad['serviceUsage'] {
-    return machineLoadOf(m).serviceUsage;
+  serviceUsage(machine: Machine): MachineLoad['serviceUsage'] {
+    return machineLoadOf(machine).serviceUsage;
   }
 }
--- a/packages/controller/src/capacity/autoscaler.ts
+++ b/packages/controller/src/capacity/autoscaler.ts
@@ -146,50 +146,50 @@
   /** Types of which the cloud gave all that was asked for, last time. */
   availableTypes(): string[] {
     const out = new Set<string>();
-    for (const [key, m] of this.instancePools) if (m.wasFilled) out.add(key.slice(0, key.indexOf('/')));
+    for (const [key, pool] of this.instancePools) if (pool.wasFilled) out.add(key.slice(0, key.indexOf('/')));
     return [...out];
   }
 
   /** A machine that is gone leaves a place that the cloud can fill again. */
-  capacityFreed(m: Machine, now: Milliseconds): void {
-    const mk = this.instancePool(
-      this.context.clusterState.typeNames.nameOf(m.typeIndex),
-      this.context.clusterState.zoneNames.nameOf(m.zoneIndex),
-      m.spot,
+  capacityFreed(machine: Machine, now: Milliseconds): void {
+    const pool = this.instancePool(
+      this.context.clusterState.typeNames.nameOf(machine.typeIndex),
+      this.context.clusterState.zoneNames.nameOf(machine.zoneIndex),
+      machine.spot,
     );
-    mk.retryAt = Math.min(mk.retryAt, now + 500);
-    mk.refusals = 0;
+    pool.retryAt = Math.min(pool.retryAt, now + 500);
+    pool.refusals = 0;
   }
 
   receiveMachineList(machines: ListedMachine[] | null, leading: boolean, now: Milliseconds): void {
     this.isListPending = false;
     if (!machines || !leading) return;
-    this.listedMachines = new Map(machines.map((m) => [m.machine, m]));
+    this.listedMachines = new Map(machines.map((listed) => [listed.machine, listed]));
     this.listReceivedAt = now;
     for (const name of this.listedMachines.keys()) this.booting.delete(name);
   }
 
   private instancePool(type: string, zone: string, spot: boolean): InstancePool {
     const key = instanceKindKey({ type, zone, spot });
-    let m = this.instancePools.get(key);
-    if (!m) {
-      m = { retryAt: 0, refusals: 0, wasFilled: false };
-      this.instancePools.set(key, m);
+    let pool = this.instancePools.get(key);
+    if (!pool) {
+      pool = { retryAt: 0, refusals: 0, wasFilled: false };
+      this.instancePools.set(key, pool);
     }
-    return m;
+    return pool;
   }
 
   /** How long ago it was asked for, as far as is known. */
   private ageOf(machine: string, now: Milliseconds): Milliseconds | null {
-    const b = this.booting.get(machine);
-    if (b) return now - b.at;
-    const l = this.listedMachines.get(machine);
-    return l ? this.listedAge(l, now) : null;
+    const pending = this.booting.get(machine);
+    if (pending) return now - pending.at;
+    const listed = this.listedMachines.get(machine);
+    return listed ? this.listedAge(listed, now) : null;
   }
 
   /** The list told how old it was then. */
-  private listedAge(l: ListedMachine, now: Milliseconds): Milliseconds {
-    return l.ageS * 1000 + (now - this.listReceivedAt);
+  private listedAge(listed: ListedMachine, now: Milliseconds): Milliseconds {
+    return listed.ageS * 1000 + (now - this.listReceivedAt);
   }
 
   private bootLimitMs(type: string, now: Milliseconds): Milliseconds {
@@ -200,12 +200,17 @@
   provisioningMachines(now: Milliseconds): InstanceKind[] {
     const out: InstanceKind[] = [];
     const late: ListedMachine[] = [];
-    for (const b of this.booting.values()) out.push(b);
-    for (const b of this.pendingRequests.values()) for (let i = 0; i < b.count; i++) out.push(b);
-    for (const l of this.listedMachines.values()) {
-      if (l.state === 'failed' || this.context.clusterState.machines.has(l.machine) || this.releasedAt.has(l.machine)) continue;
-      if (this.listedAge(l, now) < this.bootLimitMs(l.type, now)) out.push(l);
-      else late.push(l);
+    for (const pending of this.booting.values()) out.push(pending);
+    for (const pending of this.pendingRequests.values()) for (let index = 0; index < pending.count; index++) out.push(pending);
+    for (const listed of this.listedMachines.values()) {
+      if (
+        listed.state === 'failed' ||
+        this.context.clusterState.machines.has(listed.machine) ||
+        this.releasedAt.has(listed.machine)
+      )
+        continue;
+      if (this.listedAge(listed, now) < this.bootLimitMs(listed.type, now)) out.push(listed);
+      else late.push(listed);
     }
     this.bootTimes.setOverdue(late);
     return out;
@@ -255,32 +260,39 @@
   /** No price among the objectives: hold spare room of every kind that is used. */
   private requestsToHoldSpare(shares: Map<number, ShardSummary>, now: Milliseconds): ScaleOutRequest[] {
     const room = new Map<string, { all: number; free: number }>();
-    for (const s of shares.values()) {
-      for (const p of s.machines) {
-        const m = this.context.clusterState.machines.get(p.name);
-        if (!m?.capacity) continue;
-        const r = room.get(m.capacity.name) ?? { all: 0, free: 0 };
-        r.all += m.capacity.cpus;
-        r.free += m.capacity.gpus > 0 ? (m.capacity.cpus * p.freeGpus) / m.capacity.gpus : p.freeCpus;
-        room.set(m.capacity.name, r);
+    for (const summary of shares.values()) {
+      for (const machineSummary of summary.machines) {
+        const machine = this.context.clusterState.machines.get(machineSummary.name);
+        if (!machine?.capacity) continue;
+        const r = room.get(machine.capacity.name) ?? { all: 0, free: 0 };
+        r.all += machine.capacity.cpus;
+        r.free +=
+          machine.capacity.gpus > 0
+            ? (machine.capacity.cpus * machineSummary.freeGpus) / machine.capacity.gpus
+            : machineSummary.freeCpus;
+        room.set(machine.capacity.name, r);
       }
     }
-    const unmet = [...shares.values()].flatMap((s) => s.demands);
+    const unmet = [...shares.values()].flatMap((summary) => summary.demands);
     const coming = this.provisioningMachines(now);
     let best: (Omit<ScaleOutRequest, 'urgent'> & { score: number }) | null = null;
-    for (const o of this.instanceOptions()) {
-      const mk = this.instancePool(o.type.name, o.zone, o.spot);
-      if (now < mk.retryAt) continue;
-      const r = room.get(o.type.name) ?? { all: 0, free: 0 };
-      const due = coming.filter((c) => c.type === o.type.name).length * o.type.cpus;
-      const asked = unmet.filter((d) => countThatFit(d, o.type) >= 1 && matchesDemand(d, o.type.name, o.zone, o.spot));
+    for (const option of this.instanceOptions()) {
+      const pool = this.instancePool(option.type.name, option.zone, option.spot);
+      if (now < pool.retryAt) continue;
+      const r = room.get(option.type.name) ?? { all: 0, free: 0 };
+      const due = coming.filter((kind) => kind.type === option.type.name).length * option.type.cpus;
+      const asked = unmet.filter(
+        (demand) => countThatFit(demand, option.type) >= 1 && matchesDemand(demand, option.type.name, option.zone, option.spot),
+      );
       const spare = (r.free + due) / Math.max(1, r.all + due);
       if (asked.length === 0 && spare > 0.4) continue;
       const zoneCount = [...this.context.clusterState.machines.values()].filter(
-        (m) => m.capacity?.name === o.type.name && this.context.clusterState.zoneNames.nameOf(m.zoneIndex) === o.zone,
+        (machine) =>
+          machine.capacity?.name === option.type.name &&
+          this.context.clusterState.zoneNames.nameOf(machine.zoneIndex) === option.zone,
       ).length;
-      const score = asked.length * 10 - zoneCount - (o.spot ? 1 : 0);
-      if (!best || score > best.score) best = { type: o.type.name, zone: o.zone, spot: o.spot, count: 4, score };
+      const score = asked.length * 10 - zoneCount - (option.spot ? 1 : 0);
+      if (!best || score > best.score) best = { type: option.type.name, zone: option.zone, spot: option.spot, count: 4, score };
     }
     return best ? [{ type: best.type, zone: best.zone, spot: best.spot, count: best.count, urgent: false }] : [];
   }
@@ -290,59 +302,78 @@
     const coming: { c: { type: string; zone: string; spot: boolean; idle?: boolean }; t: MachineType | null }[] = [
       ...this.provisioningMachines(now),
       ...this.recentAssignments(now),
-    ].map((c) => ({ c, t: machineTypeNamed(this.context, c.type) }));
+    ].map((kind) => ({ c: kind, t: machineTypeNamed(this.context, kind.type) }));
     // Idle machines of other shares are about to be moved to where they are wanted.
-    for (const s of shares.values()) {
-      for (const p of s.machines) {
-        const m = this.context.clusterState.machines.get(p.name);
-        if (!m?.capacity || m.spot || m.isRetired || p.tasks > 0 || (p.protectedPriority >= 0 && m.moveToShard < 0)) continue;
+    for (const summary of shares.values()) {
+      for (const machineSummary of summary.machines) {
+        const machine = this.context.clusterState.machines.get(machineSummary.name);
+        if (
+          !machine?.capacity ||
+          machine.spot ||
+          machine.isRetired ||
+          machineSummary.tasks > 0 ||
+          (machineSummary.protectedPriority >= 0 && machine.moveToShard < 0)
+        )
+          continue;
         coming.push({
-          c: { type: m.capacity.name, zone: this.context.clusterState.zoneNames.nameOf(m.zoneIndex), spot: false, idle: true },
-          t: m.capacity,
+          c: {
+            type: machine.capacity.name,
+            zone: this.context.clusterState.zoneNames.nameOf(machine.zoneIndex),
+            spot: false,
+            idle: true,
+          },
+          t: machine.capacity,
         });
       }
     }
     const free = coming
-      .filter((x) => x.t)
-      .map((x) => ({ ...x, cpus: x.t?.cpus ?? 0, gpus: x.t?.gpus ?? 0, memory: x.t?.memory ?? 0 }));
-    const wants = [...shares.values()].flatMap((s) => s.demands).sort((a, b) => b.priority - a.priority || b.waitS - a.waitS);
+      .filter((arriving) => arriving.t)
+      .map((arriving) => ({
+        ...arriving,
+        cpus: arriving.t?.cpus ?? 0,
+        gpus: arriving.t?.gpus ?? 0,
+        memory: arriving.t?.memory ?? 0,
+      }));
+    const wants = [...shares.values()]
+      .flatMap((summary) => summary.demands)
+      .sort((a, b) => b.priority - a.priority || b.waitS - a.waitS);
     const cheapest = Math.min(
-      ...this.instanceOptions().map((o) => (o.spot ? Number.POSITIVE_INFINITY : o.type.price / o.type.cpus)),
+      ...this.instanceOptions().map((option) => (option.spot ? Number.POSITIVE_INFINITY : option.type.price / option.type.cpus)),
     );
     // All wants are fitted, on paper, into what is coming and what would be rented for them.
     const buy = new Map<string, ScaleOutRequest>();
     const inZone = new Map<string, number>();
-    for (const m of this.context.clusterState.machines.values()) {
-      const z = this.context.clusterState.zoneNames.nameOf(m.zoneIndex);
-      inZone.set(z, (inZone.get(z) ?? 0) + 1);
+    for (const machine of this.context.clusterState.machines.values()) {
+      const zone = this.context.clusterState.zoneNames.nameOf(machine.zoneIndex);
+      inZone.set(zone, (inZone.get(zone) ?? 0) + 1);
     }
-    for (const d of wants) {
-      let left = d.count;
+    for (const demand of wants) {
+      let left = demand.count;
       const fill = () => {
-        for (const f of free) {
+        for (const offer of free) {
           if (left <= 0) return;
-          if (!matchesDemand(d, f.c.type, f.c.zone, f.c.spot)) continue;
-          if (f.c.idle && d.gpus === 0 && (d.priority < 2 || (f.t?.gpus ?? 0) > 0)) continue;
-          const n = Math.min(left, countThatFit(d, f));
-          left -= n;
-          f.cpus -= n * d.cpus;
-          f.gpus -= n * d.gpus;
-          f.memory -= n * d.memory;
+          if (!matchesDemand(demand, offer.c.type, offer.c.zone, offer.c.spot)) continue;
+          if (offer.c.idle && demand.gpus === 0 && (demand.priority < 2 || (offer.t?.gpus ?? 0) > 0)) continue;
+          const count = Math.min(left, countThatFit(demand, offer));
+          left -= count;
+          offer.cpus -= count * demand.cpus;
+          offer.gpus -= count * demand.gpus;
+          offer.memory -= count * demand.memory;
         }
       };
       fill();
-      if (d.waitS < 1) continue;
+      if (demand.waitS < 1) continue;
       for (let more = 0; left > 0 && more < this.maxMachinesPerDemand; more++) {
-        const o = this.cheapestFor(d, left, cheapest, inZone, now);
-        if (!o) break;
-        const c = { type: o.type.name, zone: o.zone, spot: o.spot };
-        const key = instanceKindKey(c);
-        const b = buy.get(key) ?? { ...c, count: 0, urgent: false };
-        b.count++;
-        b.urgent ||= d.priority >= HIGHEST_PRIORITY;
-        buy.set(key, b);
-        inZone.set(c.zone, (inZone.get(c.zone) ?? 0) + 1);
-        free.push({ c, t: o.type, cpus: o.type.cpus, gpus: o.type.gpus, memory: o.type.memory });
+        const option = this.cheapestFor(demand, left, cheapest, inZone, now);
+        if (!option) break;
+        const kind = { type: option.type.name, zone: option.zone, spot: option.spot };
+        const key = instanceKindKey(kind);
+        const request = buy.get(key) ?? { ...kind, count: 0, urgent: false };
+        request.count++;
+        request.urgent ||= demand.priority >= HIGHEST_PRIORITY;
+        buy.set(key, request);
+        inZone.set(kind.zone, (inZone.get(kind.zone) ?? 0) + 1);
+        free.push({ c: kind, t: option.type, cpus: option.type.cpus, gpus: option.type.gpus, memory: option.type.memory });
         fill();
       }
     }
@@ -359,63 +390,70 @@
     return Math.max(SHOWN_MS, 2 * this.listIntervalMs + 2000 * this.context.settings.cloud.listLagS);
   }
 
-  private isFailing(k: InstanceKind, now: Milliseconds): boolean {
-    const fails = this.bootTimes.isFailing(k, this.bootLimitMs(k.type, now), now);
-    const name = instanceKindKey(k);
+  private isFailing(kind: InstanceKind, now: Milliseconds): boolean {
+    const fails = this.bootTimes.isFailing(kind, this.bootLimitMs(kind.type, now), now);
+    const name = instanceKindKey(kind);
     if (fails === this.failingKinds.has(name)) return fails;
     if (fails) this.failingKinds.add(name);
     else this.failingKinds.delete(name);
-    this.context.log('info', fails ? 'machines of a kind do not come up' : 'machines of a kind come up again', { ...k });
+    this.context.log('info', fails ? 'machines of a kind do not come up' : 'machines of a kind come up again', { ...kind });
     return fails;
   }
 
   /** The kind of machine that serves most of these tasks for the money, if any is worth it. */
-  private cheapestFor(d: ResourceDemand, left: number, cheapest: number, inZone: Map<string, number>, now: Milliseconds) {
+  private cheapestFor(demand: ResourceDemand, left: number, cheapest: number, inZone: Map<string, number>, now: Milliseconds) {
     let best: { type: MachineType; zone: string; spot: boolean; score: number } | null = null;
-    for (const o of this.instanceOptions()) {
-      const n = countThatFit(d, o.type);
-      if (n < 1 || !matchesDemand(d, o.type.name, o.zone, o.spot)) continue;
-      if (now < this.instancePool(o.type.name, o.zone, o.spot).retryAt) continue;
-      const hourly = o.spot ? o.type.spotPrice : o.type.price;
+    for (const option of this.instanceOptions()) {
+      const count = countThatFit(demand, option.type);
+      if (count < 1 || !matchesDemand(demand, option.type.name, option.zone, option.spot)) continue;
+      if (now < this.instancePool(option.type.name, option.zone, option.spot).retryAt) continue;
+      const hourly = option.spot ? option.type.spotPrice : option.type.price;
       // Work that can wait doesn't take a dear machine: a cheap one may come free in time.
-      if (d.gpus === 0 && d.priority < 2 && hourly / o.type.cpus > 3 * cheapest && d.slackS > o.type.bootS + 25) continue;
+      if (
+        demand.gpus === 0 &&
+        demand.priority < 2 &&
+        hourly / option.type.cpus > 3 * cheapest &&
+        demand.slackS > option.type.bootS + 25
+      )
+        continue;
       // The lowest rank lives on what is idle and what is cheap; an ordinary machine only so that it
       // begins at all, and none with accelerators.
-      const dear = hourly / o.type.cpus > (o.type.gpus > 0 ? 1 : 3) * cheapest;
-      if (d.priority === 0 && d.gpus === 0 && (dear || (!o.spot && d.waitS < LOW_RANK_S))) continue;
+      const dear = hourly / option.type.cpus > (option.type.gpus > 0 ? 1 : 3) * cheapest;
+      if (demand.priority === 0 && demand.gpus === 0 && (dear || (!option.spot && demand.waitS < LOW_RANK_S))) continue;
       // What boots in a zone that is cut off is of no use until the cut is over.
-      const late = this.isZoneCut(o.zone) ? 10 : 1;
+      const late = this.isZoneCut(option.zone) ? 10 : 1;
       // Where boots fail, what boots well is worth more, while there is any.
-      const fails = this.isFailing({ type: o.type.name, zone: o.zone, spot: o.spot }, now) ? 2 : 1;
-      const score = (hourly / Math.min(n, left)) * (1 + 0.001 * (inZone.get(o.zone) ?? 0)) * late * fails;
-      if (!best || score < best.score) best = { ...o, score };
+      const fails = this.isFailing({ type: option.type.name, zone: option.zone, spot: option.spot }, now) ? 2 : 1;
+      const score = (hourly / Math.min(count, left)) * (1 + 0.001 * (inZone.get(option.zone) ?? 0)) * late * fails;
+      if (!best || score < best.score) best = { ...option, score };
     }
     return best;
   }
 
   handleProvisioningOutcome(
     id: number,
-    r: { kind: 'ok'; machines: string[] } | { kind: 'full' | 'unknown' },
+    outcome: { kind: 'ok'; machines: string[] } | { kind: 'full' | 'unknown' },
     now: Milliseconds,
   ): void {
-    const b = this.pendingRequests.get(id);
-    if (!b) return;
+    const pending = this.pendingRequests.get(id);
+    if (!pending) return;
     this.pendingRequests.delete(id);
-    const mk = this.instancePool(b.type, b.zone, b.spot);
-    if (r.kind === 'ok') {
-      for (const name of r.machines) if (!this.listedMachines.has(name)) this.booting.set(name, { ...b, count: 1, at: now });
-      mk.wasFilled = !b.spot && r.machines.length >= b.count;
-      mk.refusals = r.machines.length < b.count ? 1 : 0;
-      mk.retryAt = r.machines.length < b.count ? now + 15_000 : now;
+    const pool = this.instancePool(pending.type, pending.zone, pending.spot);
+    if (outcome.kind === 'ok') {
+      for (const name of outcome.machines)
+        if (!this.listedMachines.has(name)) this.booting.set(name, { ...pending, count: 1, at: now });
+      pool.wasFilled = !pending.spot && outcome.machines.length >= pending.count;
+      pool.refusals = outcome.machines.length < pending.count ? 1 : 0;
+      pool.retryAt = outcome.machines.length < pending.count ? now + 15_000 : now;
       // A kind whose boots fail is asked for again now and then only.
-      if (this.isFailing(b, now)) mk.retryAt = now + this.bootLimitMs(b.type, now) / 2;
-    } else if (r.kind === 'full') {
-      mk.refusals++;
-      mk.wasFilled = false;
-      mk.retryAt = now + Math.min(this.maxRetryDelayMs(), 10_000 * 2 ** Math.min(4, mk.refusals));
+      if (this.isFailing(pending, now)) pool.retryAt = now + this.bootLimitMs(pending.type, now) / 2;
+    } else if (outcome.kind === 'full') {
+      pool.refusals++;
+      pool.wasFilled = false;
+      pool.retryAt = now + Math.min(this.maxRetryDelayMs(), 10_000 * 2 ** Math.min(4, pool.refusals));
     } else {
       // It may have been carried out: what came of it shows in the list.
-      mk.retryAt = now + 2000 * this.context.settings.cloud.listLagS + 3000;
+      pool.retryAt = now + 2000 * this.context.settings.cloud.listLagS + 3000;
     }
   }
 
@@ -432,13 +470,13 @@
   releaseOverdue(now: Milliseconds): void {
     if (this.pendingReleases.size > 0) return;
     const back: string[] = [];
-    for (const l of this.listedMachines.values()) {
-      if (this.context.clusterState.machines.has(l.machine) || this.isBeingAssigned(l.machine)) continue;
-      const gone = this.releasedAt.get(l.machine);
+    for (const listed of this.listedMachines.values()) {
+      if (this.context.clusterState.machines.has(listed.machine) || this.isBeingAssigned(listed.machine)) continue;
+      const gone = this.releasedAt.get(listed.machine);
       if (gone !== undefined && now - gone < RETURN_SHOWS_MS) continue;
-      if (this.isOverdue(l, now)) back.push(l.machine);
+      if (this.isOverdue(listed, now)) back.push(listed.machine);
     }
-    for (const [name, b] of this.booting) if (now - b.at > this.listVisibilityMs) this.booting.delete(name);
+    for (const [name, pending] of this.booting) if (now - pending.at > this.listVisibilityMs) this.booting.delete(name);
     if (back.length === 0) return;
     const some = back.slice(0, MAX_MACHINES_PER_RELEASE);
     const id = this.context.nextEffectId();
@@ -458,11 +496,11 @@
     return listed.state !== 'running' || now - this.leadingSince > UNHEARD_MS;
   }
 
-  handleReleaseOutcome(id: number, ok: boolean, now: Milliseconds): boolean {
+  handleReleaseOutcome(id: number, isReleased: boolean, now: Milliseconds): boolean {
     const names = this.pendingReleases.get(id);
     if (!names) return false;
     this.pendingReleases.delete(id);
-    if (ok) for (const n of names) this.machineReleased(n, now);
+    if (isReleased) for (const name of names) this.machineReleased(name, now);
     return true;
   }
 }
--- a/packages/controller/src/capacity/boot-time-estimator.ts
+++ b/packages/controller/src/capacity/boot-time-estimator.ts
@@ -23,31 +23,32 @@
   private readonly overdueByKind = new Map<string, number>();
 
   /** One came up that long after it was asked for. */
-  recordBoot(k: InstanceKind, ms: Milliseconds, now: Milliseconds): void {
-    const list = (this.recent.get(k.type) ?? []).filter((x) => now - x.at < RECENT_MS);
+  recordBoot(kind: InstanceKind, ms: Milliseconds, now: Milliseconds): void {
+    const list = (this.recent.get(kind.type) ?? []).filter((boot) => now - boot.at < RECENT_MS);
     list.push({ at: now, ms });
-    this.recent.set(k.type, list.slice(-20));
-    this.lastBootAt.set(instanceKindKey(k), now);
+    this.recent.set(kind.type, list.slice(-20));
+    this.lastBootAt.set(instanceKindKey(kind), now);
   }
 
   /** One that isn't up after this long is late: it is counted on no more. */
   limitMs(type: string, bootS: number, now: Milliseconds): Milliseconds {
     let most = USUAL * bootS * 1000;
-    for (const x of this.recent.get(type) ?? []) if (now - x.at < RECENT_MS) most = Math.max(most, SPARE * x.ms);
+    for (const boot of this.recent.get(type) ?? []) if (now - boot.at < RECENT_MS) most = Math.max(most, SPARE * boot.ms);
     return Math.min(most, 3 * USUAL * bootS * 1000);
   }
 
   /** The machines that are late, of the kind of each. */
   setOverdue(kinds: InstanceKind[]): void {
     this.overdueByKind.clear();
-    for (const k of kinds) this.overdueByKind.set(instanceKindKey(k), (this.overdueByKind.get(instanceKindKey(k)) ?? 0) + 1);
+    for (const kind of kinds)
+      this.overdueByKind.set(instanceKindKey(kind), (this.overdueByKind.get(instanceKindKey(kind)) ?? 0) + 1);
   }
 
   /** Several are late and none has come up for as long as that: others are preferred meanwhile. */
-  isFailing(k: InstanceKind, limitMs: Milliseconds, now: Milliseconds): boolean {
+  isFailing(kind: InstanceKind, limitMs: Milliseconds, now: Milliseconds): boolean {
     return (
-      (this.overdueByKind.get(instanceKindKey(k)) ?? 0) >= FAILING &&
-      now - (this.lastBootAt.get(instanceKindKey(k)) ?? -1e12) > limitMs
+      (this.overdueByKind.get(instanceKindKey(kind)) ?? 0) >= FAILING &&
+      now - (this.lastBootAt.get(instanceKindKey(kind)) ?? -1e12) > limitMs
     );
   }
 }
--- a/packages/controller/src/capacity/demand.ts
+++ b/packages/controller/src/capacity/demand.ts
@@ -12,19 +12,19 @@
 }
 
 /** One name for each kind. */
-export const instanceKindKey = (k: InstanceKind): string => `${k.type}/${k.zone}/${k.spot}`;
+export const instanceKindKey = (kind: InstanceKind): string => `${kind.type}/${kind.zone}/${kind.spot}`;
 
 export function machineTypeNamed(context: ControllerContext, name: string): MachineType | null {
   return context.clusterState.machineTypes[context.clusterState.typeNames.indexOf(name)] ?? null;
 }
 
 /** May work that waits go to machines of this kind? */
-export function matchesDemand(d: ResourceDemand, type: string, zone: string, spot: boolean): boolean {
+export function matchesDemand(demand: ResourceDemand, type: string, zone: string, spot: boolean): boolean {
   return (
-    (d.types.length === 0 || d.types.includes(type)) &&
-    (d.zone === '' || d.zone === zone) &&
-    !d.excludedZones.includes(zone) &&
-    (d.spot || !spot)
+    (demand.types.length === 0 || demand.types.includes(type)) &&
+    (demand.zone === '' || demand.zone === zone) &&
+    !demand.excludedZones.includes(zone) &&
+    (demand.spot || !spot)
   );
 }
 
@@ -46,8 +46,8 @@
       if (demand.waitS > BRIEF_WAIT_S) waiting.push({ shard: share, demand, remainingTasks: demand.count });
   }
   return waiting.sort(
-    ({ demand: a }, { demand: b }) =>
-      b.priority - a.priority || Number(b.withinQuota) - Number(a.withinQuota) || b.waitS - a.waitS,
+    ({ demand }, { demand: other }) =>
+      other.priority - demand.priority || Number(other.withinQuota) - Number(demand.withinQuota) || other.waitS - demand.waitS,
   );
 }
 
--- a/packages/controller/src/context/index.ts
+++ b/packages/controller/src/context/index.ts
@@ -25,7 +25,7 @@
   readonly peers: Map<string, PeerView>;
   /** the replica holds everything that was so at this time */
   replicaFreshAt: Milliseconds;
-  emit(e: Effect): void;
+  emit(effect: Effect): void;
   log(level: LogLevel, msg: string, data?: Record<string, unknown>): void;
   nextEffectId(): number;
   isLeaseValid(now: Milliseconds): boolean;
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -80,7 +80,7 @@
     this.writer = new StateWriter(
       { writesPerS: Math.max(1, settings.state.writesPerS * share), ...this.clusterState.sizeLimits },
       this.replica,
-      (e) => this.emit(e),
+      (effect) => this.emit(effect),
       () => this.lease.id,
       (now, run) => this.afterBarrier(now, run),
       () => this.stateLeaseLost(),
@@ -91,7 +91,7 @@
     this.leader = new Leader(this, this.shardController);
     this.shardLeases = new ShardLeases(this);
     this.cancellationFreshness = new CancellationFreshness(
-      settings.controllers.map((n) => n.name).filter((n) => n !== settings.name),
+      settings.controllers.map((controller) => controller.name).filter((controller) => controller !== settings.name),
       incarnation,
     );
     this.heartbeatForwarding = new HeartbeatForwarding(this);
@@ -123,8 +123,8 @@
 
   // ---- context
 
-  emit(e: Effect): void {
-    this.effects.push(e);
+  emit(effect: Effect): void {
+    this.effects.push(effect);
   }
 
   log(level: LogLevel, msg: string, data?: Record<string, unknown>): void {
@@ -146,8 +146,8 @@
   }
 
   isPeerAlive(node: string, now: Milliseconds): boolean {
-    const p = this.peers.get(node);
-    return p?.isConnected === true && now - p.heardAt < PEER_SILENT_MS;
+    const peer = this.peers.get(node);
+    return peer?.isConnected === true && now - peer.heardAt < PEER_SILENT_MS;
   }
 
   /** Runs once the replica holds everything that was so when this was called. */
@@ -184,7 +184,7 @@
 
   isTypeAvailable(type: string): boolean {
     if (this.leader.isLeading) return this.leader.autoscaler.availableTypes().includes(type);
-    for (const p of this.peers.values()) if (p.status.isLeader) return p.status.availableTypes.includes(type);
+    for (const peer of this.peers.values()) if (peer.status.isLeader) return peer.status.availableTypes.includes(type);
     return false;
   }
 
@@ -193,27 +193,27 @@
   private keyChanged(key: string, entry: ReplicaEntry | null): void {
     if (!key.startsWith(StateKey.root)) return;
     if (key.startsWith(StateKey.status('')) && entry) this.receiveStoredStatus(entry.value);
-    const c = this.applyChange(key, entry);
-    if (!c) return;
-    if (c.lease !== undefined) this.shardLeases.leaseChanged(c.lease);
-    if (c.machine) {
-      if (c.machine.shard < 0) {
-        this.leader.machineRemoved(c.machine.name, this.now);
-        this.leader.autoscaler.capacityFreed(c.machine, this.now);
+    const applied = this.applyChange(key, entry);
+    if (!applied) return;
+    if (applied.lease !== undefined) this.shardLeases.leaseChanged(applied.lease);
+    if (applied.machine) {
+      if (applied.machine.shard < 0) {
+        this.leader.machineRemoved(applied.machine.name, this.now);
+        this.leader.autoscaler.capacityFreed(applied.machine, this.now);
       }
-      this.shardController.machineChanged(c.machine, c.movedShard === true, this.now);
+      this.shardController.machineChanged(applied.machine, applied.movedShard === true, this.now);
     }
-    if (c.unreadablePart)
-      this.log('warn', 'a stored record can not be read', { key, error: `${c.unreadablePart} can not be read` });
-    for (const job of c.jobs ?? []) this.shardController.jobChanged(job);
+    if (applied.unreadablePart)
+      this.log('warn', 'a stored record can not be read', { key, error: `${applied.unreadablePart} can not be read` });
+    for (const job of applied.jobs ?? []) this.shardController.jobChanged(job);
   }
 
   /** One record that can't be read, of another version say, must not keep the rest from being read. */
   private applyChange(key: string, entry: ReplicaEntry | null): AppliedChange | null {
     try {
       return this.clusterState.apply(key, entry, this.now);
-    } catch (e) {
-      this.log('warn', 'a stored record can not be read', { key, error: String(e) });
+    } catch (error) {
+      this.log('warn', 'a stored record can not be read', { key, error: String(error) });
       return null;
     }
   }
@@ -235,11 +235,11 @@
     this.flushWrites(now);
   }
 
-  receiveCompareAndSwapOutcome(id: number, r: CompareAndSwapOutcome, now: Milliseconds): void {
+  receiveCompareAndSwapOutcome(id: number, outcome: CompareAndSwapOutcome, now: Milliseconds): void {
     this.now = now;
-    if (r.kind !== 'refused' && r.kind !== 'unknown') this.stateServiceAnsweredAt = now;
-    if (r.kind === 'limited') this.writeRateLimit.recordRefusal(now);
-    this.writer.handleOutcome(id, r, now);
+    if (outcome.kind !== 'refused' && outcome.kind !== 'unknown') this.stateServiceAnsweredAt = now;
+    if (outcome.kind === 'limited') this.writeRateLimit.recordRefusal(now);
+    this.writer.handleOutcome(id, outcome, now);
     this.flushWrites(now);
   }
 
@@ -298,10 +298,10 @@
     if (!this.replica.loaded || !this.clusterState.machineTypesKnown) return false;
     if (this.stateServiceAnswers(this.now)) return true;
     let any = false;
-    for (const [node, p] of this.peers) {
+    for (const [node, peer] of this.peers) {
       if (!this.isPeerAlive(node, this.now)) continue;
       any = true;
-      if (p.status.stateServiceAnswers) return false;
+      if (peer.status.stateServiceAnswers) return false;
     }
     return any || this.settings.controllers.length === 1;
   }
@@ -328,18 +328,18 @@
 
   receiveCommandOutcome(
     id: number,
-    r: Parameters<ShardController['commandDispatcher']['handleOutcome']>[1],
+    outcome: Parameters<ShardController['commandDispatcher']['handleOutcome']>[1],
     now: Milliseconds,
   ): void {
     this.now = now;
-    this.shardController.commandDispatcher.handleOutcome(id, r, now);
+    this.shardController.commandDispatcher.handleOutcome(id, outcome, now);
     this.flushWrites(now);
   }
 
   /** Whether a worker answered the question that `ask` put. */
-  receiveProbeOutcome(id: number, ok: boolean, now: Milliseconds): void {
+  receiveProbeOutcome(id: number, isAnswered: boolean, now: Milliseconds): void {
     this.now = now;
-    this.shardController.machineLifecycle.failureDetector.handleProbeOutcome(id, ok);
+    this.shardController.machineLifecycle.failureDetector.handleProbeOutcome(id, isAnswered);
   }
 
   // ---- cloud
@@ -379,16 +379,20 @@
     this.leader.autoscaler.receiveMachineList(machines, this.leader.isLeading, now);
   }
 
-  receiveProvisioningOutcome(id: number, r: Parameters<Autoscaler['handleProvisioningOutcome']>[1], now: Milliseconds): void {
+  receiveProvisioningOutcome(
+    id: number,
+    outcome: Parameters<Autoscaler['handleProvisioningOutcome']>[1],
+    now: Milliseconds,
+  ): void {
     this.now = now;
-    this.leader.autoscaler.handleProvisioningOutcome(id, r, now);
+    this.leader.autoscaler.handleProvisioningOutcome(id, outcome, now);
     this.flushWrites(now);
   }
 
-  receiveReleaseOutcome(id: number, ok: boolean, now: Milliseconds): void {
+  receiveReleaseOutcome(id: number, isReleased: boolean, now: Milliseconds): void {
     this.now = now;
-    if (!this.leader.autoscaler.handleReleaseOutcome(id, ok, now))
-      this.shardController.machineLifecycle.handleReleaseOutcome(id, ok, now);
+    if (!this.leader.autoscaler.handleReleaseOutcome(id, isReleased, now))
+      this.shardController.machineLifecycle.handleReleaseOutcome(id, isReleased, now);
     this.flushWrites(now);
   }
 
@@ -397,20 +401,21 @@
   receivePeerStatus(status: PeerStatus, now: Milliseconds): void {
     this.now = now;
     const running = status.runningJobsComplete ? new Map() : (this.peers.get(status.node)?.runningJobs ?? new Map());
-    for (const { job, ...r } of status.runningJobs) {
-      if (r.count > 0 || r.done > 0 || r.failed > 0) running.set(job, r);
+    for (const { job, ...tasks } of status.runningJobs) {
+      if (tasks.count > 0 || tasks.done > 0 || tasks.failed > 0) running.set(job, tasks);
       else running.delete(job);
     }
     this.peers.set(status.node, { status, runningJobs: running, heardAt: now, isConnected: true });
     this.cancellationFreshness.statusReceived(status, this.replica.revision);
-    for (const h of status.unchangedHeartbeats) this.shardController.heartbeatReconciler.reconcileUnchanged(h, status.node, now);
+    for (const unchanged of status.unchangedHeartbeats)
+      this.shardController.heartbeatReconciler.reconcileUnchanged(unchanged, status.node, now);
     this.flushWrites(now);
   }
 
   peerDisconnected(node: string, now: Milliseconds): void {
     this.now = now;
-    const p = this.peers.get(node);
-    if (p) p.isConnected = false;
+    const peer = this.peers.get(node);
+    if (peer) peer.isConnected = false;
   }
 
   /** Used only while the link itself is silent: it is slower, and costs writes. */
@@ -443,7 +448,7 @@
     });
     this.processPausedAt = now;
     if (this.stateServiceAnsweredAt > 0) this.stateServiceAnsweredAt += ms;
-    for (const p of this.peers.values()) p.heardAt += ms;
+    for (const peer of this.peers.values()) peer.heardAt += ms;
     this.heartbeatForwarding.processPaused(ms);
     this.workerRouting.processPaused(ms);
     for (const [node, at] of this.clusterState.absentSince) this.clusterState.absentSince.set(node, at + ms);
--- a/packages/controller/src/heartbeats/heartbeat-forwarding.ts
+++ b/packages/controller/src/heartbeats/heartbeat-forwarding.ts
@@ -26,14 +26,25 @@
   forwardedAt: Milliseconds;
 }
 
-function isSameTask(a: TaskStatus, b: TaskStatus): boolean {
-  return a.index === b.index && a.attempt === b.attempt && a.state === b.state && a.job === b.job;
+function isSameTask(task: TaskStatus, taskStatus: TaskStatus): boolean {
+  return (
+    task.index === taskStatus.index &&
+    task.attempt === taskStatus.attempt &&
+    task.state === taskStatus.state &&
+    task.job === taskStatus.job
+  );
 }
 
-function isSameHeartbeat(a: Heartbeat, b: Heartbeat): boolean {
-  if (a.agentEpoch !== b.agentEpoch || a.fencingToken !== b.fencingToken || a.address !== b.address) return false;
-  if (a.preemptionNoticeS !== null || b.preemptionNoticeS !== null || a.tasks.length !== b.tasks.length) return false;
-  return a.tasks.every((task, i) => isSameTask(task, b.tasks[i] as TaskStatus));
+function isSameHeartbeat(heartbeat: Heartbeat, other: Heartbeat): boolean {
+  if (
+    heartbeat.agentEpoch !== other.agentEpoch ||
+    heartbeat.fencingToken !== other.fencingToken ||
+    heartbeat.address !== other.address
+  )
+    return false;
+  if (heartbeat.preemptionNoticeS !== null || other.preemptionNoticeS !== null || heartbeat.tasks.length !== other.tasks.length)
+    return false;
+  return heartbeat.tasks.every((task, index) => isSameTask(task, other.tasks[index] as TaskStatus));
 }
 
 export class HeartbeatForwarding {
--- a/packages/controller/src/heartbeats/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeats/heartbeat-reconciler.ts
@@ -24,74 +24,83 @@
    * all: then only the answer to our own question (`asked`: what was known when it was
    * sent) does. A start under way isn't refuted by a report: it may have been made before it.
    */
-  reconcile(m: Machine, r: Heartbeat, now: Milliseconds, asked: { agentEpoch: number; sequence: number } | null = null): void {
+  reconcile(
+    machine: Machine,
+    heartbeat: Heartbeat,
+    now: Milliseconds,
+    asked: { agentEpoch: number; sequence: number } | null = null,
+  ): void {
     this.allocations.now = now;
     const older = (a: { agentEpoch: number; sequence: number }) =>
-      r.agentEpoch < a.agentEpoch || (r.agentEpoch === a.agentEpoch && r.sequence <= a.sequence);
+      heartbeat.agentEpoch < a.agentEpoch || (heartbeat.agentEpoch === a.agentEpoch && heartbeat.sequence <= a.sequence);
     if (asked !== null && older(asked)) {
       // An answer is newer than what was known when it was asked for, unless the machine has
       // begun again: then nothing that was there is there any more.
-      this.context.log('info', 'machine began again', { machine: m.name });
-      for (const p of [...m.allocations.values()]) if (p.phase !== 'planned') this.allocations.free(p);
-      m.agentEpoch = 0;
-      m.sequence = -1;
-    } else if (asked === null && !m.isVerified) {
+      this.context.log('info', 'machine began again', { machine: machine.name });
+      for (const allocation of [...machine.allocations.values()])
+        if (allocation.phase !== 'planned') this.allocations.free(allocation);
+      machine.agentEpoch = 0;
+      machine.sequence = -1;
+    } else if (asked === null && !machine.isVerified) {
       // Which session to ask is all that can be learned from it.
-      if (r.agentEpoch > m.agentEpoch) m.agentEpoch = r.agentEpoch;
+      if (heartbeat.agentEpoch > machine.agentEpoch) machine.agentEpoch = heartbeat.agentEpoch;
       // ... and, for what it is worth, how urgent its answer is.
-      for (const t of r.tasks) m.reportedPriority = Math.max(m.reportedPriority, this.reportedPriorityOf(t.job));
+      for (const task of heartbeat.tasks)
+        machine.reportedPriority = Math.max(machine.reportedPriority, this.reportedPriorityOf(task.job));
       return;
-    } else if (older(m)) {
+    } else if (older(machine)) {
       // A late copy, or a machine that began again: its answer will tell.
-      if (asked === null) this.requestProbe(m, now);
+      if (asked === null) this.requestProbe(machine, now);
       return;
     }
     // A number so high can't be the next of what is known: a late copy of from before the machine began
     // again, or much was said elsewhere. It frees and finishes nothing before the machine itself has answered.
-    if (asked === null && this.isImplausible(m, r.sequence, now)) {
-      this.requestProbe(m, now);
+    if (asked === null && this.isImplausible(machine, heartbeat.sequence, now)) {
+      this.requestProbe(machine, now);
       return;
     }
     // It has said something that didn't come here: perhaps our answers don't reach it.
-    if (asked === null && r.agentEpoch === m.agentEpoch && r.sequence > m.sequence + 1) this.requestProbe(m, now);
-    if (r.address) m.address = r.address;
-    m.lastHeartbeatAt = now;
-    if (m.releaseReason === 'silent' && !m.isReleasing) m.releaseReason = '';
-    if (r.agentEpoch > m.agentEpoch) {
-      if (m.agentEpoch > 0) {
+    if (asked === null && heartbeat.agentEpoch === machine.agentEpoch && heartbeat.sequence > machine.sequence + 1)
+      this.requestProbe(machine, now);
+    if (heartbeat.address) machine.address = heartbeat.address;
+    machine.lastHeartbeatAt = now;
+    if (machine.releaseReason === 'silent' && !machine.isReleasing) machine.releaseReason = '';
+    if (heartbeat.agentEpoch > machine.agentEpoch) {
+      if (machine.agentEpoch > 0) {
         // Its lease ran out: it has killed and forgotten everything. Starts sent to the
         // old session can't be executed in the new one.
-        const lost = [...m.allocations.values()].filter((p) => p.phase !== 'planned');
-        if (lost.length > 0) this.context.log('info', 'lease of a machine ran out', { machine: m.name, tasks: lost.length });
-        for (const p of lost) this.allocations.free(p);
+        const lost = [...machine.allocations.values()].filter((allocation) => allocation.phase !== 'planned');
+        if (lost.length > 0)
+          this.context.log('info', 'lease of a machine ran out', { machine: machine.name, tasks: lost.length });
+        for (const allocation of lost) this.allocations.free(allocation);
       }
-      m.agentEpoch = r.agentEpoch;
+      machine.agentEpoch = heartbeat.agentEpoch;
     }
-    m.sequence = r.sequence;
-    if (r.preemptionNoticeS !== null && m.preemptionNoticeUntil < 0) {
-      m.preemptionNoticeUntil = now + r.preemptionNoticeS * 1000;
-      this.context.log('info', 'spot notice', { machine: m.name, seconds: r.preemptionNoticeS });
-      this.allocations.drain(m);
+    machine.sequence = heartbeat.sequence;
+    if (heartbeat.preemptionNoticeS !== null && machine.preemptionNoticeUntil < 0) {
+      machine.preemptionNoticeUntil = now + heartbeat.preemptionNoticeS * 1000;
+      this.context.log('info', 'spot notice', { machine: machine.name, seconds: heartbeat.preemptionNoticeS });
+      this.allocations.drain(machine);
     }
     const seen = new Set<string>();
-    m.orphanedTasks = [];
-    for (const t of r.tasks) {
-      const key = taskKey(t.job, t.index, t.attempt);
+    machine.orphanedTasks = [];
+    for (const task of heartbeat.tasks) {
+      const key = taskKey(task.job, task.index, task.attempt);
       seen.add(key);
-      const p = m.allocations.get(key) ?? this.adoptTask(m, t, now);
-      if (!p) {
-        m.orphanedTasks.push(t);
-        m.allocationsChanged();
+      const allocation = machine.allocations.get(key) ?? this.adoptTask(machine, task, now);
+      if (!allocation) {
+        machine.orphanedTasks.push(task);
+        machine.allocationsChanged();
         continue;
       }
-      this.reconcileTask(p, t, now);
+      this.reconcileTask(allocation, task, now);
     }
-    for (const [key, p] of [...m.allocations]) {
-      if (seen.has(key) || p.phase === 'planned' || p.phase === 'sent') continue;
+    for (const [key, allocation] of [...machine.allocations]) {
+      if (seen.has(key) || allocation.phase === 'planned' || allocation.phase === 'sent') continue;
       // What runs never leaves the reports of its session by itself. Where it is missing the machine began
       // again, or this is a copy of something older: the answer to our own question tells which.
-      if (asked === null && p.phase === 'there') this.requestProbe(m, now);
-      else this.allocations.free(p);
+      if (asked === null && allocation.phase === 'there') this.requestProbe(machine, now);
+      else this.allocations.free(allocation);
     }
   }
 
@@ -102,113 +111,125 @@
   }
 
   /** More than a worker can have said since it was last heard. */
-  private isImplausible(m: Machine, seq: number, now: Milliseconds): boolean {
-    return m.sequence >= 0 && seq - m.sequence > MESSAGES_AT_ONCE + (MESSAGES_PER_S * (now - m.lastHeartbeatAt)) / 1000;
+  private isImplausible(machine: Machine, seq: number, now: Milliseconds): boolean {
+    return (
+      machine.sequence >= 0 &&
+      seq - machine.sequence > MESSAGES_AT_ONCE + (MESSAGES_PER_S * (now - machine.lastHeartbeatAt)) / 1000
+    );
   }
 
   /** A keeper says that a machine's reports go on as they were. */
-  reconcileUnchanged(h: UnchangedHeartbeat, from: string, now: Milliseconds): void {
-    const m = this.context.clusterState.machines.get(h.machine);
-    if (!m || !this.allocations.holdsShard(m.shard, now)) return;
+  reconcileUnchanged(unchanged: UnchangedHeartbeat, from: string, now: Milliseconds): void {
+    const machine = this.context.clusterState.machines.get(unchanged.machine);
+    if (!machine || !this.allocations.holdsShard(machine.shard, now)) return;
     // What is older than what came here is a late copy there.
-    if (m.isVerified && (h.agentEpoch < m.agentEpoch || (h.agentEpoch === m.agentEpoch && h.sequence < m.sequence))) return;
-    m.heardByPeerAt = now;
+    if (
+      machine.isVerified &&
+      (unchanged.agentEpoch < machine.agentEpoch ||
+        (unchanged.agentEpoch === machine.agentEpoch && unchanged.sequence < machine.sequence))
+    )
+      return;
+    machine.heardByPeerAt = now;
     // It goes from one to the next: perhaps nobody's answers reach it. One that stays is answered.
-    if (m.heardByPeer !== from && m.heardByPeer !== '') this.requestProbe(m, now);
-    m.heardByPeer = from;
-    if (!m.isVerified || h.agentEpoch !== m.agentEpoch || h.sequence <= m.sequence) return;
-    if (m.sequence < h.forwardedSequence || this.isImplausible(m, h.sequence, now)) {
+    if (machine.heardByPeer !== from && machine.heardByPeer !== '') this.requestProbe(machine, now);
+    machine.heardByPeer = from;
+    if (!machine.isVerified || unchanged.agentEpoch !== machine.agentEpoch || unchanged.sequence <= machine.sequence) return;
+    if (machine.sequence < unchanged.forwardedSequence || this.isImplausible(machine, unchanged.sequence, now)) {
       // The report that it refers to did not come here.
-      this.requestProbe(m, now);
+      this.requestProbe(machine, now);
       return;
     }
-    m.sequence = h.sequence;
-    m.lastHeartbeatAt = now;
-    if (m.releaseReason === 'silent' && !m.isReleasing) m.releaseReason = '';
+    machine.sequence = unchanged.sequence;
+    machine.lastHeartbeatAt = now;
+    if (machine.releaseReason === 'silent' && !machine.isReleasing) machine.releaseReason = '';
   }
 
   /** Asks the machine how it stands, now and then. */
-  requestProbe(m: Machine, now: Milliseconds): void {
-    if (now - m.probeRequestedAt < this.context.settings.workers.heartbeatIntervalS * 2000) return;
-    m.probeRequestedAt = now;
-    m.probeRequested = true;
+  requestProbe(machine: Machine, now: Milliseconds): void {
+    if (now - machine.probeRequestedAt < this.context.settings.workers.heartbeatIntervalS * 2000) return;
+    machine.probeRequestedAt = now;
+    machine.probeRequested = true;
   }
 
   /** A task found on a machine that we have no record of: an earlier holder's work. */
-  private adoptTask(m: Machine, t: TaskStatus, now: Milliseconds): Allocation | null {
-    const job = this.context.clusterState.restoreJob(t.job, this.context.replica.get(StateKey.job(t.job)), now);
+  private adoptTask(machine: Machine, task: TaskStatus, now: Milliseconds): Allocation | null {
+    const job = this.context.clusterState.restoreJob(task.job, this.context.replica.get(StateKey.job(task.job)), now);
     if (!job) return null;
-    if (job.shard !== m.shard || t.index >= job.spec.tasks) return null;
-    if (job.allocations.has(t.index)) {
-      const other = job.allocations.get(t.index) as Allocation;
+    if (job.shard !== machine.shard || task.index >= job.spec.tasks) return null;
+    if (job.allocations.has(task.index)) {
+      const other = job.allocations.get(task.index) as Allocation;
       if (other.phase === 'planned') this.allocations.free(other);
       else return null;
     }
-    const p = this.allocations.allocate(job, t.index, t.attempt, m, 'there', now);
+    const allocation = this.allocations.allocate(job, task.index, task.attempt, machine, 'there', now);
     if (job.spec.shape === 'gang') {
-      if (job.gangAttempt === 0) job.gangAttempt = t.attempt;
-      if (job.gangAttempt !== t.attempt) this.allocations.failGang(job);
-      if (job.gangFailed) this.allocations.stop(p, 0);
+      if (job.gangAttempt === 0) job.gangAttempt = task.attempt;
+      if (job.gangAttempt !== task.attempt) this.allocations.failGang(job);
+      if (job.gangFailed) this.allocations.stop(allocation, 0);
     }
-    if (job.state === 'cancelled') this.allocations.stop(p, 0);
-    return p;
+    if (job.state === 'cancelled') this.allocations.stop(allocation, 0);
+    return allocation;
   }
 
-  private reconcileTask(p: Allocation, t: TaskStatus, now: Milliseconds): void {
-    const was = p.status?.state;
-    p.status = t;
-    const m = p.machine;
-    const j = p.job;
-    if (t.state !== 'exited') {
-      p.phase = 'there';
-      if (t.state === 'running' && was !== 'running') {
-        p.runningSince = now;
+  private reconcileTask(allocation: Allocation, task: TaskStatus, now: Milliseconds): void {
+    const was = allocation.status?.state;
+    allocation.status = task;
+    const machine = allocation.machine;
+    const job = allocation.job;
+    if (task.state !== 'exited') {
+      allocation.phase = 'there';
+      if (task.state === 'running' && was !== 'running') {
+        allocation.runningSince = now;
         const sec = (a: Milliseconds, b: Milliseconds) => Math.round((b - a) / 100) / 10;
         this.context.log('debug', 'task runs', {
-          task: `${j.spec.id}/${p.taskIndex}`,
-          cls: j.spec.cls,
-          machine: m.name,
-          type: m.capacity?.name,
-          sinceSubmit: sec(j.arrivedAt, now),
-          sincePlan: sec(p.plannedAt, now),
-          gb: j.spec.imageGb,
-          cached: m.images.has(j.imageIndex),
+          task: `${job.spec.id}/${allocation.taskIndex}`,
+          cls: job.spec.cls,
+          machine: machine.name,
+          type: machine.capacity?.name,
+          sinceSubmit: sec(job.arrivedAt, now),
+          sincePlan: sec(allocation.plannedAt, now),
+          gb: job.spec.imageGb,
+          cached: machine.images.has(job.imageIndex),
         });
-        const fresh = !m.images.has(j.imageIndex);
-        m.images.delete(j.imageIndex);
-        m.images.set(j.imageIndex, j.spec.imageGb);
-        this.trimImages(m);
-        if (fresh) this.progressWriter.scheduleImageWrite(m);
+        const fresh = !machine.images.has(job.imageIndex);
+        machine.images.delete(job.imageIndex);
+        machine.images.set(job.imageIndex, job.spec.imageGb);
+        this.trimImages(machine);
+        if (fresh) this.progressWriter.scheduleImageWrite(machine);
       }
       return;
     }
-    if (p.phase === 'exited') return;
-    p.phase = 'exited';
-    p.machine.allocationsChanged();
+    if (allocation.phase === 'exited') return;
+    allocation.phase = 'exited';
+    allocation.machine.allocationsChanged();
     this.allocations.schedulingRequested = true;
-    if (t.exitReason === 'done') {
-      if (p.runningSince >= 0) j.longestRunS = Math.max(j.longestRunS, (now - p.runningSince) / 1000);
-      this.allocations.failureAttribution.recordSuccess(p);
-      this.progressWriter.markDone(j, p.taskIndex);
+    if (task.exitReason === 'done') {
+      if (allocation.runningSince >= 0) job.longestRunS = Math.max(job.longestRunS, (now - allocation.runningSince) / 1000);
+      this.allocations.failureAttribution.recordSuccess(allocation);
+      this.progressWriter.markDone(job, allocation.taskIndex);
       return;
     }
-    if (t.exitReason === 'stopped' && p.stopGraceS === null) j.stoppedByOthersAt = now;
-    if (t.exitReason === 'error') this.allocations.failureAttribution.recordFailure(p, now);
-    if (t.exitReason === 'unknown') j.retryAt = now + 1000;
-    if (t.exitReason === 'no_room') m.retryAt = Math.max(m.retryAt, now + 500);
-    if (t.exitReason !== 'stopped') {
-      this.context.log('debug', 'task ended', { task: `${j.spec.id}/${p.taskIndex}`, machine: m.name, why: t.exitReason });
+    if (task.exitReason === 'stopped' && allocation.stopGraceS === null) job.stoppedByOthersAt = now;
+    if (task.exitReason === 'error') this.allocations.failureAttribution.recordFailure(allocation, now);
+    if (task.exitReason === 'unknown') job.retryAt = now + 1000;
+    if (task.exitReason === 'no_room') machine.retryAt = Math.max(machine.retryAt, now + 500);
+    if (task.exitReason !== 'stopped') {
+      this.context.log('debug', 'task ended', {
+        task: `${job.spec.id}/${allocation.taskIndex}`,
+        machine: machine.name,
+        why: task.exitReason,
+      });
     }
-    if (j.spec.shape === 'gang' && j.state === 'live' && j.doneCount < j.spec.tasks) this.allocations.failGang(j);
+    if (job.spec.shape === 'gang' && job.state === 'live' && job.doneCount < job.spec.tasks) this.allocations.failGang(job);
   }
 
   /** What the machine surely keeps: the most recently used images that fit its cache. */
-  private trimImages(m: Machine): void {
+  private trimImages(machine: Machine): void {
     let sum = 0;
-    for (const gb of m.images.values()) sum += gb;
-    for (const [i, gb] of m.images) {
-      if (sum <= (m.capacity?.cacheGb ?? 0)) break;
-      m.images.delete(i);
+    for (const gb of machine.images.values()) sum += gb;
+    for (const [index, gb] of machine.images) {
+      if (sum <= (machine.capacity?.cacheGb ?? 0)) break;
+      machine.images.delete(index);
       sum -= gb;
     }
   }
--- a/packages/controller/src/jobs/client-responses.ts
+++ b/packages/controller/src/jobs/client-responses.ts
@@ -85,9 +85,9 @@
   }
 
   private addDeadline(at: Milliseconds, run: () => void): void {
-    let i = this.deadlines.length;
-    while (i > 0 && (this.deadlines[i - 1] as Deadline).at > at) i--;
-    this.deadlines.splice(i, 0, { at, run });
+    let index = this.deadlines.length;
+    while (index > 0 && (this.deadlines[index - 1] as Deadline).at > at) index--;
+    this.deadlines.splice(index, 0, { at, run });
   }
 
   tick(now: Milliseconds): void {
--- a/packages/controller/src/jobs/job-status.ts
+++ b/packages/controller/src/jobs/job-status.ts
@@ -42,7 +42,8 @@
 /** By what runs here, or else by what the other controllers told last. */
 function countTasks(context: ControllerContext, job: Job): TaskCounts {
   let running = 0;
-  for (const p of job.allocations.values()) if (p.phase === 'there' && p.status?.state === 'running') running++;
+  for (const allocation of job.allocations.values())
+    if (allocation.phase === 'there' && allocation.status?.state === 'running') running++;
   let done = job.doneCount;
   let failed = job.crashLoopingSince >= 0 ? job.failureCount : 0;
   for (const peer of running === 0 ? context.peers.values() : []) {
--- a/packages/controller/src/jobs/submissions.ts
+++ b/packages/controller/src/jobs/submissions.ts
@@ -164,20 +164,20 @@
   /** Why the job can never run, or null. */
   private infeasibilityReason(spec: JobSpec): string | null {
     const { clusterState: table, settings } = this.context;
-    const team = settings.teams.find((t) => t.name === spec.team);
+    const team = settings.teams.find((team) => team.name === spec.team);
     if (!team) return `unknown team ${spec.team}`;
-    const types = table.machineTypes.filter((t) => t !== null && t !== undefined);
+    const types = table.machineTypes.filter((machineType) => machineType !== null && machineType !== undefined);
     const fit = types.some(
-      (t) =>
-        (spec.types === null || spec.types.includes(t.name)) &&
-        countThatFit(spec, t) >= 1 &&
+      (machineType) =>
+        (spec.types === null || spec.types.includes(machineType.name)) &&
+        countThatFit(spec, machineType) >= 1 &&
         (spec.zone === null || settings.zones.includes(spec.zone)) &&
-        (spec.zone === null || t.zones.length === 0 || t.zones.includes(spec.zone)),
+        (spec.zone === null || machineType.zones.length === 0 || machineType.zones.includes(spec.zone)),
     );
     if (!fit) return 'a task fits no allowed machine type';
-    const n = spec.shape === 'array' ? 1 : spec.tasks;
-    if (team.maxCpus > 0 && spec.cpus * n > team.maxCpus + RESOURCE_TOLERANCE) return 'more cpus than the team may use';
-    if (team.maxGpus > 0 && spec.gpus * n > team.maxGpus + RESOURCE_TOLERANCE) return 'more gpus than the team may use';
+    const count = spec.shape === 'array' ? 1 : spec.tasks;
+    if (team.maxCpus > 0 && spec.cpus * count > team.maxCpus + RESOURCE_TOLERANCE) return 'more cpus than the team may use';
+    if (team.maxGpus > 0 && spec.gpus * count > team.maxGpus + RESOURCE_TOLERANCE) return 'more gpus than the team may use';
     return null;
   }
 }
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -66,8 +66,8 @@
     return this.leadingSince >= 0;
   }
 
-  unassignedMachineReported(s: UnassignedMachine, now: Milliseconds): void {
-    this.machineAssigner.machineReported(s, now);
+  unassignedMachineReported(unassigned: UnassignedMachine, now: Milliseconds): void {
+    this.machineAssigner.machineReported(unassigned, now);
   }
 
   unassignedMachines(now: Milliseconds): UnassignedMachine[] {
@@ -101,10 +101,11 @@
 
   private shardSummaries(now: Milliseconds): Map<number, ShardSummary> {
     const out = new Map<number, ShardSummary>();
-    for (const p of this.context.peers.values()) {
-      if (now - p.heardAt > 5000) continue;
-      for (const s of p.status.shards)
-        if (this.context.clusterState.leaseOf(s.shard)?.holder.controller === p.status.node) out.set(s.shard, s);
+    for (const peer of this.context.peers.values()) {
+      if (now - peer.heardAt > 5000) continue;
+      for (const summary of peer.status.shards)
+        if (this.context.clusterState.leaseOf(summary.shard)?.holder.controller === peer.status.node)
+          out.set(summary.shard, summary);
     }
     for (const share of this.shardController.heldShards.keys()) out.set(share, this.shardController.shardSummary(share, now));
     return out;
@@ -116,17 +117,17 @@
     this.shardRebalancer.plan(shares, waiting, this.movesPerRound, (machine, share) => this.orderMove(machine, share, now), now);
   }
 
-  private orderMove(m: Machine, share: number, now: Milliseconds): void {
-    this.context.log('debug', 'move', { machine: m.name, from: m.shard, to: share });
+  private orderMove(machine: Machine, share: number, now: Milliseconds): void {
+    this.context.log('debug', 'move', { machine: machine.name, from: machine.shard, to: share });
     this.context.writer.add({
-      key: StateKey.assignment(m.name),
-      value: () => encodeAssignment({ ...this.context.clusterState.assignmentOf(m), moveToShard: share }),
-      expectedRevision: m.assignmentRevision,
+      key: StateKey.assignment(machine.name),
+      value: () => encodeAssignment({ ...this.context.clusterState.assignmentOf(machine), moveToShard: share }),
+      expectedRevision: machine.assignmentRevision,
       conditions: [{ key: StateKey.shardLease('lead'), revision: this.leaseRevision }],
       priority: WritePriority.assignment,
       expiresAt: now + 4000,
-      onOutcome: (o) => {
-        if (o !== 'ok') this.shardRebalancer.orderFailed(m.name);
+      onOutcome: (outcome) => {
+        if (outcome !== 'ok') this.shardRebalancer.orderFailed(machine.name);
       },
     });
   }
@@ -141,32 +142,40 @@
   }
 
   private retireIdleMachines(shares: Map<number, ShardSummary>, now: Milliseconds): void {
-    const demands = [...shares.values()].flatMap((s) => s.demands);
-    const dearest = Math.max(...this.autoscaler.instanceOptions().map((o) => o.type.price));
+    const demands = [...shares.values()].flatMap((summary) => summary.demands);
+    const dearest = Math.max(...this.autoscaler.instanceOptions().map((option) => option.type.price));
     let budget = Math.floor(this.movesPerRound * LET_GO_PER_MOVE);
-    for (const s of shares.values()) {
-      for (const p of s.machines) {
-        const m = this.context.clusterState.machines.get(p.name);
-        if (!m || budget <= 0 || p.tasks > 0 || m.moveToShard >= 0 || m.isRetired || p.protectedPriority > 0) continue;
-        const cap = m.capacity;
-        if (p.idleS < this.context.settings.policy.idleS * this.idlePatience(cap, m.spot, dearest)) continue;
+    for (const summary of shares.values()) {
+      for (const machineSummary of summary.machines) {
+        const machine = this.context.clusterState.machines.get(machineSummary.name);
+        if (
+          !machine ||
+          budget <= 0 ||
+          machineSummary.tasks > 0 ||
+          machine.moveToShard >= 0 ||
+          machine.isRetired ||
+          machineSummary.protectedPriority > 0
+        )
+          continue;
+        const cap = machine.capacity;
+        if (machineSummary.idleS < this.context.settings.policy.idleS * this.idlePatience(cap, machine.spot, dearest)) continue;
         if (
           cap &&
           demands.some(
-            (d) =>
-              countThatFit(d, cap) >= 1 &&
-              matchesDemand(d, cap.name, this.context.clusterState.zoneNames.nameOf(m.zoneIndex), m.spot) &&
+            (demand) =>
+              countThatFit(demand, cap) >= 1 &&
+              matchesDemand(demand, cap.name, this.context.clusterState.zoneNames.nameOf(machine.zoneIndex), machine.spot) &&
               // It has been idle all the while: lesser work doesn't take a dear machine for itself.
-              (d.gpus > 0 || d.priority > 1 || cap.gpus === 0 || m.spot),
+              (demand.gpus > 0 || demand.priority > 1 || cap.gpus === 0 || machine.spot),
           )
         )
           continue;
         budget--;
-        this.context.log('info', 'not needed', { machine: m.name, idleS: Math.round(p.idleS) });
+        this.context.log('info', 'not needed', { machine: machine.name, idleS: Math.round(machineSummary.idleS) });
         this.context.writer.add({
-          key: StateKey.assignment(m.name),
-          value: () => encodeAssignment({ ...this.context.clusterState.assignmentOf(m), isRetired: true }),
-          expectedRevision: m.assignmentRevision,
+          key: StateKey.assignment(machine.name),
+          value: () => encodeAssignment({ ...this.context.clusterState.assignmentOf(machine), isRetired: true }),
+          expectedRevision: machine.assignmentRevision,
           conditions: [{ key: StateKey.shardLease('lead'), revision: this.leaseRevision }],
           priority: WritePriority.progress,
           expiresAt: now + 4000,
--- a/packages/controller/src/leadership/shard-leases.ts
+++ b/packages/controller/src/leadership/shard-leases.ts
@@ -39,20 +39,20 @@
 
   private preferredHolder(name: string): string {
     const nodes = this.context.settings.controllers;
-    const i = name === 'lead' ? nodes.length - 1 : Number(name) % nodes.length;
-    return nodes[i]?.name ?? this.context.settings.name;
+    const index = name === 'lead' ? nodes.length - 1 : Number(name) % nodes.length;
+    return nodes[index]?.name ?? this.context.settings.name;
   }
 
   leaseNames(): string[] {
     const out = ['lead'];
-    for (let i = 0; i < this.context.settings.shardCount; i++) out.push(String(i));
+    for (let index = 0; index < this.context.settings.shardCount; index++) out.push(String(index));
     return out;
   }
 
   leaseChanged(name: string): void {
     const cur = this.context.clusterState.leaseHolders.get(name);
-    const me = this.context.settings.name;
-    if (cur && cur.holder.controller === me && cur.holder.incarnation === this.context.incarnation) {
+    const self = this.context.settings.name;
+    if (cur && cur.holder.controller === self && cur.holder.incarnation === this.context.incarnation) {
       if (!this.heldLeases.has(name)) this.releasing.delete(name);
       if (this.heldLeases.get(name) !== cur.revision) {
         this.heldLeases.set(name, cur.revision);
@@ -83,7 +83,7 @@
   tick(now: Milliseconds): void {
     const context = this.context;
     if (!context.replica.loaded || !context.isLeaseValid(now) || context.lease.id === null) return;
-    const me = context.settings.name;
+    const self = context.settings.name;
     if (!context.reachesWorkers()) this.releaseUnreachableShards(now);
     this.announcePresence(now);
     for (const name of this.leaseNames()) {
@@ -92,18 +92,18 @@
         this.absentSince.delete(name);
         // Ours from before a restart, or from before our lease seemed over (the service was
         // away for long, and kept it): taken anew, so that the token rises.
-        if (cur.holder.controller === me && !this.heldLeases.has(name)) this.claim(name, cur.revision, now);
+        if (cur.holder.controller === self && !this.heldLeases.has(name)) this.claim(name, cur.revision, now);
         continue;
       }
       if (this.heldLeases.has(name) || (name !== 'lead' && !context.reachesWorkers())) continue;
       const since = this.absentSince.get(name) ?? now;
       this.absentSince.set(name, since);
       // A live home node claims first; the others in turn, those with the least to hold first.
-      const rank = context.settings.controllers.findIndex((n) => n.name === me);
+      const rank = context.settings.controllers.findIndex((controller) => controller.name === self);
       const home = this.preferredHolder(name);
       // What is being claimed counts as held, so that a lead and a share don't go to one together.
       const count = this.heldLeases.size + this.claiming.size;
-      const wait = home === me ? 0 : (this.canHoldShards(home, now) ? 3000 : 200) + 400 * count + 150 * rank;
+      const wait = home === self ? 0 : (this.canHoldShards(home, now) ? 3000 : 200) + 400 * count + 150 * rank;
       if (now - since >= wait) this.claim(name, 0, now);
     }
     this.returnToPreferredHolder(now);
@@ -153,7 +153,7 @@
       if (name === 'lead' || home === context.settings.name || this.releasing.has(name)) continue;
       const idle =
         this.canHoldShards(home, now) &&
-        ![...context.clusterState.leaseHolders.values()].some((h) => h.holder.controller === home);
+        ![...context.clusterState.leaseHolders.values()].some((lease) => lease.holder.controller === home);
       if (!idle) {
         this.preferredHolderSeenAt.delete(home);
         continue;
@@ -181,21 +181,30 @@
       expectedRevision: this.heldLeases.get(name) ?? 0,
       priority: WritePriority.shardLease,
       expiresAt: now + 5000,
-      onOutcome: (o) => {
-        if (o !== 'ok') this.releasing.delete(name);
+      onOutcome: (outcome) => {
+        if (outcome !== 'ok') this.releasing.delete(name);
       },
     });
   }
 
   /** Is it seen to hold shares well: alive, with its lease and its workers? */
   private canHoldShards(node: string, now: Milliseconds): boolean {
-    const s = this.context.peers.get(node)?.status;
-    return this.context.isPeerAlive(node, now) && s?.mayAnswerWorkers === true && s.stateServiceAnswers && s.reachesWorkers;
+    const status = this.context.peers.get(node)?.status;
+    return (
+      this.context.isPeerAlive(node, now) &&
+      status?.mayAnswerWorkers === true &&
+      status.stateServiceAnswers &&
+      status.reachesWorkers
+    );
   }
 
   /** Our workers can't be reached from here: others take the shares over, if any is there to. */
   private releaseUnreachableShards(now: Milliseconds): void {
-    if (!this.context.settings.controllers.some((n) => n.name !== this.context.settings.name && this.canHoldShards(n.name, now)))
+    if (
+      !this.context.settings.controllers.some(
+        (controller) => controller.name !== this.context.settings.name && this.canHoldShards(controller.name, now),
+      )
+    )
       return;
     for (const name of this.heldLeases.keys()) {
       if (name === 'lead' || this.releasing.has(name)) continue;
--- a/packages/controller/src/model/job.ts
+++ b/packages/controller/src/model/job.ts
@@ -127,20 +127,20 @@
   /** Tasks that are neither done nor anywhere. */
   pendingCount(): number {
     let placedUndone = 0;
-    for (const p of this.allocations.values()) if (!this.done[p.taskIndex]) placedUndone++;
+    for (const allocation of this.allocations.values()) if (!this.done[allocation.taskIndex]) placedUndone++;
     return this.spec.tasks - this.doneCount - placedUndone;
   }
 
   /** A task to place: the caller does so at once. */
   nextPendingTask(): number {
     while (this.releasedTasks.length > 0) {
-      const i = this.releasedTasks[this.releasedTasks.length - 1] as number;
-      if (!this.done[i] && !this.allocations.has(i)) return i;
+      const index = this.releasedTasks[this.releasedTasks.length - 1] as number;
+      if (!this.done[index] && !this.allocations.has(index)) return index;
       this.releasedTasks.pop();
     }
     while (this.nextUntriedTask < this.spec.tasks) {
-      const i = this.nextUntriedTask++;
-      if (!this.done[i] && !this.allocations.has(i)) return i;
+      const index = this.nextUntriedTask++;
+      if (!this.done[index] && !this.allocations.has(index)) return index;
     }
     return -1;
   }
@@ -156,7 +156,7 @@
 
   pendingTasks(): number[] {
     const out: number[] = [];
-    for (let i = 0; i < this.spec.tasks; i++) if (!this.done[i] && !this.allocations.has(i)) out.push(i);
+    for (let index = 0; index < this.spec.tasks; index++) if (!this.done[index] && !this.allocations.has(index)) out.push(index);
     return out;
   }
 }
--- a/packages/controller/src/model/name-interner.ts
+++ b/packages/controller/src/model/name-interner.ts
@@ -6,21 +6,21 @@
   private readonly names: string[] = [];
 
   intern(name: string): number {
-    let i = this.byName.get(name);
-    if (i === undefined) {
-      i = this.names.length;
+    let index = this.byName.get(name);
+    if (index === undefined) {
+      index = this.names.length;
       this.names.push(name);
-      this.byName.set(name, i);
+      this.byName.set(name, index);
     }
-    return i;
+    return index;
   }
 
   indexOf(name: string): number {
     return this.byName.get(name) ?? -1;
   }
 
-  nameOf(i: number): string {
-    return this.names[i] ?? '';
+  nameOf(index: number): string {
+    return this.names[index] ?? '';
   }
 
   get size(): number {
--- a/packages/controller/src/scheduling/placement.ts
+++ b/packages/controller/src/scheduling/placement.ts
@@ -21,18 +21,18 @@
 }
 
 export function countThatFit(resources: Resources, free: Resources): number {
-  let n = 1e9;
-  if (resources.cpus > 0) n = Math.min(n, Math.floor((free.cpus + RESOURCE_TOLERANCE) / resources.cpus));
-  if (resources.gpus > 0) n = Math.min(n, Math.floor((free.gpus + RESOURCE_TOLERANCE) / resources.gpus));
-  if (resources.memory > 0) n = Math.min(n, Math.floor((free.memory + RESOURCE_TOLERANCE) / resources.memory));
-  return Math.max(0, n);
+  let count = 1e9;
+  if (resources.cpus > 0) count = Math.min(count, Math.floor((free.cpus + RESOURCE_TOLERANCE) / resources.cpus));
+  if (resources.gpus > 0) count = Math.min(count, Math.floor((free.gpus + RESOURCE_TOLERANCE) / resources.gpus));
+  if (resources.memory > 0) count = Math.min(count, Math.floor((free.memory + RESOURCE_TOLERANCE) / resources.memory));
+  return Math.max(0, count);
 }
 
-export function isAllowedOn(job: Job, m: Machine): boolean {
+export function isAllowedOn(job: Job, machine: Machine): boolean {
   return (
-    (!m.spot || job.spec.spot) &&
-    (job.typeIndices === null || job.typeIndices.includes(m.typeIndex)) &&
-    (job.zoneIndex < 0 || job.zoneIndex === m.zoneIndex)
+    (!machine.spot || job.spec.spot) &&
+    (job.typeIndices === null || job.typeIndices.includes(machine.typeIndex)) &&
+    (job.zoneIndex < 0 || job.zoneIndex === machine.zoneIndex)
   );
 }
 
@@ -43,16 +43,17 @@
 
 /** Tasks of the job in each zone: all that are, or may be, on a machine. */
 export function tasksPerZone(job: Job): Map<number, number> {
-  const n = new Map<number, number>();
-  for (const p of job.allocations.values()) {
-    if (p.phase !== 'exited') n.set(p.machine.zoneIndex, (n.get(p.machine.zoneIndex) ?? 0) + 1);
+  const counts = new Map<number, number>();
+  for (const allocation of job.allocations.values()) {
+    if (allocation.phase !== 'exited')
+      counts.set(allocation.machine.zoneIndex, (counts.get(allocation.machine.zoneIndex) ?? 0) + 1);
   }
-  return n;
+  return counts;
 }
 
 export function zoneAllowsTask(job: Job, counts: Map<number, number>, zone: number): boolean {
   if (job.spec.oneZone) {
-    for (const [z, c] of counts) if (z !== zone && c > 0) return false;
+    for (const [otherZone, count] of counts) if (otherZone !== zone && count > 0) return false;
   }
   return (counts.get(zone) ?? 0) < maxTasksPerZone(job);
 }
@@ -63,13 +64,13 @@
  */
 export function topologyDomains(rooms: FreeResources[], layer: 0 | 1 | 2): FreeResources[][] {
   const by = new Map<number, FreeResources[]>();
-  for (const r of rooms) {
-    const key = layer === 0 ? r.machine.zoneIndex * 4096 + r.machine.typeIndex : layer === 1 ? r.machine.zoneIndex : 0;
+  for (const free of rooms) {
+    const key = layer === 0 ? free.machine.zoneIndex * 4096 + free.machine.typeIndex : layer === 1 ? free.machine.zoneIndex : 0;
     const list = by.get(key);
-    if (list) list.push(r);
-    else by.set(key, [r]);
+    if (list) list.push(free);
+    else by.set(key, [free]);
   }
-  return [...by.entries()].sort((a, b) => a[1].length - b[1].length || a[0] - b[0]).map((e) => e[1]);
+  return [...by.entries()].sort((a, b) => a[1].length - b[1].length || a[0] - b[0]).map((entry) => entry[1]);
 }
 
 /** Puts `count` tasks into one domain, fullest machines first, or fails whole. */
@@ -77,16 +78,16 @@
   job: Job,
   count: number,
   domain: FreeResources[],
-  prefer: (r: FreeResources) => number,
+  prefer: (free: FreeResources) => number,
 ): FreeResources[] | null {
-  const rooms = domain.map((r) => ({ ...r })).sort((a, b) => prefer(b) - prefer(a) || a.gpus - b.gpus || a.cpus - b.cpus);
+  const rooms = domain.map((free) => ({ ...free })).sort((a, b) => prefer(b) - prefer(a) || a.gpus - b.gpus || a.cpus - b.cpus);
   const out: FreeResources[] = [];
   const zones = new Map<number, number>();
-  for (const r of rooms) {
-    while (out.length < count && fits(job.resources, r) && zoneAllowsTask(job, zones, r.machine.zoneIndex)) {
-      subtract(r, job.resources);
-      zones.set(r.machine.zoneIndex, (zones.get(r.machine.zoneIndex) ?? 0) + 1);
-      out.push(r);
+  for (const free of rooms) {
+    while (out.length < count && fits(job.resources, free) && zoneAllowsTask(job, zones, free.machine.zoneIndex)) {
+      subtract(free, job.resources);
+      zones.set(free.machine.zoneIndex, (zones.get(free.machine.zoneIndex) ?? 0) + 1);
+      out.push(free);
     }
     if (out.length === count) return out;
   }
@@ -98,13 +99,13 @@
   job: Job,
   count: number,
   rooms: FreeResources[],
-  prefer: (r: FreeResources) => number,
+  prefer: (free: FreeResources) => number,
 ): Machine[] | null {
   for (const layer of [0, 1, 2] as const) {
     if (layer === 2 && job.spec.oneZone) continue;
     for (const domain of topologyDomains(rooms, layer)) {
       const found = fillDomain(job, count, domain, prefer);
-      if (found) return found.map((r) => r.machine);
+      if (found) return found.map((free) => free.machine);
     }
   }
   return null;
--- a/packages/controller/src/scheduling/preemption.ts
+++ b/packages/controller/src/scheduling/preemption.ts
@@ -32,13 +32,14 @@
    * Can there be anything at all that may be stopped for the job? What the plan itself has placed so far is of the
    * job's rank or a higher one.
    */
-  hasVictims(j: Job, within: boolean): boolean {
-    if (within && j.spec.gpus > 0) return true;
-    return (this.lowestPriority.get(j.shard) ?? j.priority) < j.priority;
+  hasVictims(job: Job, within: boolean): boolean {
+    if (within && job.spec.gpus > 0) return true;
+    return (this.lowestPriority.get(job.shard) ?? job.priority) < job.priority;
   }
 
-  hasProtectedWork(m: Machine, guar: QuotaStatuses): boolean {
-    for (const p of m.allocations.values()) if (p.phase !== 'exited' && guar.get(p.job)?.isProtected) return true;
+  hasProtectedWork(machine: Machine, guar: QuotaStatuses): boolean {
+    for (const allocation of machine.allocations.values())
+      if (allocation.phase !== 'exited' && guar.get(allocation.job)?.isProtected) return true;
     return false;
   }
 
@@ -46,13 +47,13 @@
    * May this placement be stopped for a job of that rank? (DESIGN: above guarantee; PROTOCOL: rank)
    * Work within a guarantee is stopped for a pressing service alone.
    */
-  isVictim(p: Allocation, j: Job, within: boolean, guar: QuotaStatuses): boolean {
-    if (p.stopGraceS !== null || p.phase === 'exited' || p.job === j) return false;
-    const g = guar.get(p.job);
-    if (g?.isProtected && !this.isPressing(j, p.machine)) return false;
-    if (p.job.priority < j.priority) return true;
-    if (!within || p.job.teamIndex === j.teamIndex || g === undefined || j.spec.gpus === 0) return false;
-    return !g.withinQuota || p.job.spec.shape === 'array';
+  isVictim(allocation: Allocation, job: Job, within: boolean, guar: QuotaStatuses): boolean {
+    if (allocation.stopGraceS !== null || allocation.phase === 'exited' || allocation.job === job) return false;
+    const quota = guar.get(allocation.job);
+    if (quota?.isProtected && !this.isPressing(job, allocation.machine)) return false;
+    if (allocation.job.priority < job.priority) return true;
+    if (!within || allocation.job.teamIndex === job.teamIndex || quota === undefined || job.spec.gpus === 0) return false;
+    return !quota.withinQuota || allocation.job.spec.shape === 'array';
   }
 
   /**
@@ -61,68 +62,80 @@
    * fill half of the machine at least. Without this, 176 replicas waited out a cut of 90 s
    * while 24 machines trained on; for a few replicas, gangs that were stopped cost more.
    */
-  private isPressing(j: Job, m: Machine): boolean {
+  private isPressing(job: Job, machine: Machine): boolean {
     return (
-      m.capacity !== null &&
-      this.hasExhaustedWait(j) &&
-      (this.pressingTasks.get(j.shard) ?? 0) * 2 >= countThatFit(j.resources, m.capacity)
+      machine.capacity !== null &&
+      this.hasExhaustedWait(job) &&
+      (this.pressingTasks.get(job.shard) ?? 0) * 2 >= countThatFit(job.resources, machine.capacity)
     );
   }
 
-  hasExhaustedWait(j: Job): boolean {
+  hasExhaustedWait(job: Job): boolean {
     return (
-      j.priority === HIGHEST_PRIORITY &&
-      j.spec.shape === 'service' &&
-      j.waitingSince >= 0 &&
-      this.allocations.now - j.waitingSince > this.context.settings.policy.planWaitS * 1000
+      job.priority === HIGHEST_PRIORITY &&
+      job.spec.shape === 'service' &&
+      job.waitingSince >= 0 &&
+      this.allocations.now - job.waitingSince > this.context.settings.policy.planWaitS * 1000
     );
   }
 
-  stopCost(p: Allocation, now: Milliseconds): number {
-    const ran = p.runningSince >= 0 ? (now - p.runningSince) / 1000 : 0;
-    return p.job.priority * 1000 + (p.phase === 'planned' ? -1 : ran) + (p.job.spec.shape === 'gang' ? 500 : 0);
+  stopCost(allocation: Allocation, now: Milliseconds): number {
+    const ran = allocation.runningSince >= 0 ? (now - allocation.runningSince) / 1000 : 0;
+    return (
+      allocation.job.priority * 1000 +
+      (allocation.phase === 'planned' ? -1 : ran) +
+      (allocation.job.spec.shape === 'gang' ? 500 : 0)
+    );
   }
 
   /** The least work to stop on one machine so that a task of the job fits, or null. */
-  victimsOn(j: Job, within: boolean, r: FreeResources, guar: QuotaStatuses, now: Milliseconds, count = 1): Allocation[] | null {
-    const need: Resources = { cpus: j.spec.cpus * count, gpus: j.spec.gpus * count, memory: j.spec.memory * count };
-    const free: Resources = { cpus: r.cpus, gpus: r.gpus, memory: r.memory };
+  victimsOn(
+    job: Job,
+    within: boolean,
+    candidate: FreeResources,
+    guar: QuotaStatuses,
+    now: Milliseconds,
+    count = 1,
+  ): Allocation[] | null {
+    const need: Resources = { cpus: job.spec.cpus * count, gpus: job.spec.gpus * count, memory: job.spec.memory * count };
+    const free: Resources = { cpus: candidate.cpus, gpus: candidate.gpus, memory: candidate.memory };
     const out: Allocation[] = [];
-    const list = [...r.machine.allocations.values()]
-      .filter((p) => this.isVictim(p, j, within, guar))
+    const list = [...candidate.machine.allocations.values()]
+      .filter((allocation) => this.isVictim(allocation, job, within, guar))
       .sort((a, b) => this.stopCost(a, now) - this.stopCost(b, now));
-    for (const p of list) {
+    for (const allocation of list) {
       if (fits(need, free)) break;
-      out.push(p);
-      free.cpus += p.job.spec.cpus;
-      free.gpus += p.job.spec.gpus;
-      free.memory += p.job.spec.memory;
+      out.push(allocation);
+      free.cpus += allocation.job.spec.cpus;
+      free.gpus += allocation.job.spec.gpus;
+      free.memory += allocation.job.spec.memory;
     }
     return fits(need, free) ? out : null;
   }
 
-  evictFor(j: Job, within: boolean, rooms: FreeResources[], guar: QuotaStatuses, now: Milliseconds): FreeResources | null {
-    if (!this.hasVictims(j, within)) return null;
+  evictFor(job: Job, within: boolean, rooms: FreeResources[], guar: QuotaStatuses, now: Milliseconds): FreeResources | null {
+    if (!this.hasVictims(job, within)) return null;
     let best: { r: FreeResources; v: Allocation[]; c: number } | null = null;
-    for (const r of rooms) {
-      const v = this.victimsOn(j, within, r, guar, now);
-      if (!v) continue;
-      const c = v.reduce((a, p) => a + this.stopCost(p, now), 0) - 20 * this.machineScoring.score(j, r);
-      if (!best || c < best.c) best = { r, v, c };
+    for (const free of rooms) {
+      const allocations = this.victimsOn(job, within, free, guar, now);
+      if (!allocations) continue;
+      const cost =
+        allocations.reduce((a, allocation) => a + this.stopCost(allocation, now), 0) - 20 * this.machineScoring.score(job, free);
+      if (!best || cost < best.c) best = { r: free, v: allocations, c: cost };
     }
     if (!best) return null;
     this.evict(best.v, best.r);
     return best.r;
   }
 
-  evict(victims: Allocation[], r: FreeResources): void {
-    for (const p of victims) {
-      r.cpus += p.job.spec.cpus;
-      r.gpus += p.job.spec.gpus;
-      r.memory += p.job.spec.memory;
+  evict(victims: Allocation[], free: FreeResources): void {
+    for (const allocation of victims) {
+      free.cpus += allocation.job.spec.cpus;
+      free.gpus += allocation.job.spec.gpus;
+      free.memory += allocation.job.spec.memory;
       // A gang is stopped whole.
-      if (p.job.spec.shape === 'gang') this.allocations.stopJob(p.job);
-      else this.allocations.stop(p, this.allocations.stopGraceS(p.job));
+      if (allocation.job.spec.shape === 'gang') this.allocations.stopJob(allocation.job);
+      else this.allocations.stop(allocation, this.allocations.stopGraceS(allocation.job));
     }
   }
 }
--- a/packages/controller/src/scheduling/queue-order.ts
+++ b/packages/controller/src/scheduling/queue-order.ts
@@ -32,13 +32,21 @@
     private readonly context: ControllerContext,
     private readonly allocations: TaskAllocations,
   ) {
-    for (const o of context.settings.objectives) {
-      if (o.jobClass !== null && o.kind === 'deadline')
-        this.deadlineTimes.set(o.jobClass, [...(this.deadlineTimes.get(o.jobClass) ?? []), o.deadlineMultiple ?? 1]);
-      if (o.jobClass === null || o.withinS === null || (o.kind !== 'wait' && o.kind !== 'finished')) continue;
-      const list = this.objectives.get(o.jobClass) ?? [];
-      list.push({ wait: o.kind === 'wait', withinMs: o.withinS * 1000 });
-      this.objectives.set(o.jobClass, list);
+    for (const objective of context.settings.objectives) {
+      if (objective.jobClass !== null && objective.kind === 'deadline')
+        this.deadlineTimes.set(objective.jobClass, [
+          ...(this.deadlineTimes.get(objective.jobClass) ?? []),
+          objective.deadlineMultiple ?? 1,
+        ]);
+      if (
+        objective.jobClass === null ||
+        objective.withinS === null ||
+        (objective.kind !== 'wait' && objective.kind !== 'finished')
+      )
+        continue;
+      const list = this.objectives.get(objective.jobClass) ?? [];
+      list.push({ wait: objective.kind === 'wait', withinMs: objective.withinS * 1000 });
+      this.objectives.set(objective.jobClass, list);
     }
     const times = new Set([...this.deadlineTimes.values()].flat());
     this.inheritedTimes = times.size > 0 ? [...times] : [1];
@@ -52,22 +60,22 @@
     const out: QuotaStatuses = new Map();
     const sums = this.context.settings.teams.map(() => ({ cpus: 0, gpus: 0 }));
     const jobs = [...this.context.clusterState.jobs.values()]
-      .filter((j) => j.state === 'live' && !j.isBlocked && this.allocations.heldShards.has(j.shard))
+      .filter((job) => job.state === 'live' && !job.isBlocked && this.allocations.heldShards.has(job.shard))
       .sort((a, b) => a.modRevision - b.modRevision);
-    for (const j of jobs) {
-      const t = this.context.settings.teams[j.teamIndex];
-      const s = sums[j.teamIndex];
-      if (!t || !s) continue;
-      const left = j.spec.tasks - (j.spec.shape === 'array' ? j.doneCount : 0);
-      s.cpus += j.spec.cpus * left;
-      s.gpus += j.spec.gpus * left;
-      const promised = t.cpus > 0 || t.gpus > 0;
-      const cpusOk = t.cpus <= 0 || s.cpus <= t.cpus + 1e-6;
-      const gpusOk = t.gpus <= 0 || s.gpus <= t.gpus + 1e-6;
+    for (const job of jobs) {
+      const team = this.context.settings.teams[job.teamIndex];
+      const used = sums[job.teamIndex];
+      if (!team || !used) continue;
+      const left = job.spec.tasks - (job.spec.shape === 'array' ? job.doneCount : 0);
+      used.cpus += job.spec.cpus * left;
+      used.gpus += job.spec.gpus * left;
+      const promised = team.cpus > 0 || team.gpus > 0;
+      const cpusOk = team.cpus <= 0 || used.cpus <= team.cpus + 1e-6;
+      const gpusOk = team.gpus <= 0 || used.gpus <= team.gpus + 1e-6;
       // A team without any guarantee has none to be within: a guest's work gives way to all others'.
       const within = promised && cpusOk && gpusOk;
-      const guarded = (t.cpus > 0 && j.spec.cpus > 0) || (t.gpus > 0 && j.spec.gpus > 0);
-      out.set(j, { withinQuota: within, isProtected: within && guarded });
+      const guarded = (team.cpus > 0 && job.spec.cpus > 0) || (team.gpus > 0 && job.spec.gpus > 0);
+      out.set(job, { withinQuota: within, isProtected: within && guarded });
     }
     return out;
   }
@@ -76,20 +84,20 @@
    * When the job should start: the next of its class's objectives that can still be kept.
    * Work that has missed them all comes after what hasn't.
    */
-  startDeadlineOf(j: Job, now: Milliseconds): Milliseconds {
-    return this.startDeadlines(j, now)[0] ?? this.startDeadlineWithoutObjective(j);
+  startDeadlineOf(job: Job, now: Milliseconds): Milliseconds {
+    return this.startDeadlines(job, now)[0] ?? this.startDeadlineWithoutObjective(job);
   }
 
   /** By when the job's last task should start, for each objective that can still be kept, soonest first. */
-  private startDeadlines(j: Job, now: Milliseconds): Milliseconds[] {
-    const fetch = j.spec.imageGb * 1000;
-    const run = j.expectedRunMs;
+  private startDeadlines(job: Job, now: Milliseconds): Milliseconds[] {
+    const fetch = job.spec.imageGb * 1000;
+    const run = job.expectedRunMs;
     const out: Milliseconds[] = [];
-    for (const o of this.objectives.get(j.spec.cls) ?? []) {
-      const at = j.arrivedAt + o.withinMs - (o.wait ? fetch : run + fetch);
+    for (const objective of this.objectives.get(job.spec.cls) ?? []) {
+      const at = job.arrivedAt + objective.withinMs - (objective.wait ? fetch : run + fetch);
       if (at > now - 1000) out.push(at);
     }
-    for (const at of this.latestStarts(j)) if (at > now - 1000) out.push(at);
+    for (const at of this.latestStarts(job)) if (at > now - 1000) out.push(at);
     return out.sort((a, b) => a - b);
   }
 
@@ -97,34 +105,35 @@
    * By when the job should start for its own deadline, if its class has objectives about them, or for those of the
    * jobs that need it. Stored times are of the time of day.
    */
-  private latestStarts(j: Job): Milliseconds[] {
-    const own = this.deadlineTimes.get(j.spec.cls);
-    const inherited = j.effectiveDeadlineAt < j.deadlineAt;
+  private latestStarts(job: Job): Milliseconds[] {
+    const own = this.deadlineTimes.get(job.spec.cls);
+    const inherited = job.effectiveDeadlineAt < job.deadlineAt;
     if (own === undefined && !inherited) return [];
-    const startBy = j.effectiveDeadlineAt - this.context.clusterState.wallClockOffsetMs - expectedDurationMs(j);
+    const startBy = job.effectiveDeadlineAt - this.context.clusterState.wallClockOffsetMs - expectedDurationMs(job);
     const times = inherited ? this.inheritedTimes : (own ?? [1]);
-    return times.map((factor) => startBy + (factor - 1) * j.effectiveDeadlineSpanMs);
+    return times.map((factor) => startBy + (factor - 1) * job.effectiveDeadlineSpanMs);
   }
 
-  private startDeadlineWithoutObjective(j: Job): Milliseconds {
-    return j.arrivedAt + (this.objectives.has(j.spec.cls) ? 1e7 : (j.spec.deadlineS ?? 600) * 1000);
+  private startDeadlineWithoutObjective(job: Job): Milliseconds {
+    return job.arrivedAt + (this.objectives.has(job.spec.cls) ? 1e7 : (job.spec.deadlineS ?? 600) * 1000);
   }
 
   /** A gang that has waited for so long goes before all others of its rank. */
-  private isAged(j: Job, now: Milliseconds): boolean {
-    return j.spec.shape === 'gang' && now - j.arrivedAt > AGED_PLAN_WAITS * this.context.settings.policy.planWaitS * 1000;
+  private isAged(job: Job, now: Milliseconds): boolean {
+    return job.spec.shape === 'gang' && now - job.arrivedAt > AGED_PLAN_WAITS * this.context.settings.policy.planWaitS * 1000;
   }
 
   /** All jobs held here that have tasks without a place, in the order they are planned for. */
   queue(guar: QuotaStatuses, now: Milliseconds): QueuedJob[] {
     const out: QueuedJob[] = [];
-    for (const j of this.context.clusterState.jobs.values()) {
-      if (j.isBlocked || !this.allocations.heldShards.has(j.shard) || j.state !== 'live' || j.pendingCount() === 0) continue;
+    for (const job of this.context.clusterState.jobs.values()) {
+      if (job.isBlocked || !this.allocations.heldShards.has(job.shard) || job.state !== 'live' || job.pendingCount() === 0)
+        continue;
       out.push({
-        j,
-        g: guar.get(j) ?? { withinQuota: false, isProtected: false },
-        due: this.startDeadlineOf(j, now),
-        aged: this.isAged(j, now),
+        j: job,
+        g: guar.get(job) ?? { withinQuota: false, isProtected: false },
+        due: this.startDeadlineOf(job, now),
+        aged: this.isAged(job, now),
       });
     }
     this.postponeLargest(out, now);
@@ -148,43 +157,44 @@
    */
   private postponeLargest(queue: QueuedJob[], now: Milliseconds): void {
     const shares = new Map<string, QueuedJob[]>();
-    for (const w of queue) {
+    for (const queued of queue) {
       // Of the lowest rank there may be hundreds, and others' room to wait for: they go as they came.
       if (
-        w.j.priority === 0 ||
-        w.j.spec.shape !== 'array' ||
-        w.j.spec.gpus > 0 ||
-        this.allocations.failureAttribution.isCrashLooping(w.j)
+        queued.j.priority === 0 ||
+        queued.j.spec.shape !== 'array' ||
+        queued.j.spec.gpus > 0 ||
+        this.allocations.failureAttribution.isCrashLooping(queued.j)
       )
         continue;
-      const key = `${w.j.shard}/${w.j.priority}/${w.g.withinQuota}`;
+      const key = `${queued.j.shard}/${queued.j.priority}/${queued.g.withinQuota}`;
       const list = shares.get(key);
-      if (list) list.push(w);
-      else shares.set(key, [w]);
+      if (list) list.push(queued);
+      else shares.set(key, [queued]);
     }
     for (const list of shares.values()) {
       if (list.length < 2) continue;
       const pace = this.cpusInUseByPeers((list[0] as QueuedJob).j);
       if (pace <= 0) continue;
-      const open = list.map((w) => ({
-        w,
-        dues: this.startDeadlines(w.j, now),
-        ms: (w.j.pendingCount() * w.j.expectedRunMs * w.j.spec.cpus) / pace,
+      const open = list.map((queued) => ({
+        w: queued,
+        dues: this.startDeadlines(queued.j, now),
+        ms: (queued.j.pendingCount() * queued.j.expectedRunMs * queued.j.spec.cpus) / pace,
       }));
       for (let again = true; again; ) {
         again = false;
         const timed = open
-          .filter((o) => o.dues.length > 0)
+          .filter((entry) => entry.dues.length > 0)
           .sort((a, b) => (a.dues[0] as Milliseconds) - (b.dues[0] as Milliseconds));
         const kept: typeof open = [];
         let end = now;
-        for (const o of timed) {
-          kept.push(o);
-          end += o.ms;
-          if (end <= (o.dues[0] as Milliseconds)) continue;
+        for (const entry of timed) {
+          kept.push(entry);
+          end += entry.ms;
+          if (end <= (entry.dues[0] as Milliseconds)) continue;
           let largest = 0;
-          for (let k = 1; k < kept.length; k++) if ((kept[k] as typeof o).ms > (kept[largest] as typeof o).ms) largest = k;
-          const off = kept.splice(largest, 1)[0] as typeof o;
+          for (let index = 1; index < kept.length; index++)
+            if ((kept[index] as typeof entry).ms > (kept[largest] as typeof entry).ms) largest = index;
+          const off = kept.splice(largest, 1)[0] as typeof entry;
           off.dues.shift();
           end -= off.ms;
           again = true;
@@ -192,9 +202,9 @@
       }
       // What can keep none of its times any more comes last, the shortest first; what hasn't
       // begun for too long comes before all: being last must not mean never.
-      for (const o of open) {
-        const late = o.w.j.doneCount === 0 && o.w.j.allocations.size === 0 && now - o.w.j.arrivedAt > LONGEST_WAIT_MS;
-        o.w.due = late ? o.w.j.arrivedAt : (o.dues[0] ?? now + 1e7 + o.ms);
+      for (const entry of open) {
+        const late = entry.w.j.doneCount === 0 && entry.w.j.allocations.size === 0 && now - entry.w.j.arrivedAt > LONGEST_WAIT_MS;
+        entry.w.due = late ? entry.w.j.arrivedAt : (entry.dues[0] ?? now + 1e7 + entry.ms);
       }
     }
   }
@@ -202,9 +212,10 @@
   /** CPUs that independent tasks of the job's rank have in its share, about what comes free for more. */
   private cpusInUseByPeers(job: Job): number {
     let cpus = 0;
-    for (const j of this.context.clusterState.jobs.values()) {
-      if (j.shard !== job.shard || j.spec.shape !== 'array' || j.spec.gpus > 0 || j.priority !== job.priority) continue;
-      cpus += j.allocations.size * j.spec.cpus;
+    for (const other of this.context.clusterState.jobs.values()) {
+      if (other.shard !== job.shard || other.spec.shape !== 'array' || other.spec.gpus > 0 || other.priority !== job.priority)
+        continue;
+      cpus += other.allocations.size * other.spec.cpus;
     }
     return cpus;
   }
--- a/packages/controller/src/scheduling/scheduler.ts
+++ b/packages/controller/src/scheduling/scheduler.ts
@@ -70,22 +70,22 @@
   /** Everything of each team that is, or may be, on a machine. */
   private teamUsage(): { cpus: number; gpus: number }[] {
     const use = this.context.settings.teams.map(() => ({ cpus: 0, gpus: 0 }));
-    for (const j of this.context.clusterState.jobs.values()) {
-      const u = use[j.teamIndex];
-      if (!u || !this.allocations.heldShards.has(j.shard)) continue;
-      for (const p of j.allocations.values()) {
-        if (p.phase === 'exited') continue;
-        u.cpus += j.spec.cpus;
-        u.gpus += j.spec.gpus;
+    for (const job of this.context.clusterState.jobs.values()) {
+      const usage = use[job.teamIndex];
+      if (!usage || !this.allocations.heldShards.has(job.shard)) continue;
+      for (const allocation of job.allocations.values()) {
+        if (allocation.phase === 'exited') continue;
+        usage.cpus += job.spec.cpus;
+        usage.gpus += job.spec.gpus;
       }
     }
     // Any team of the share may have work on a machine that hasn't answered yet.
-    for (const m of this.context.clusterState.machines.values()) {
-      if (!m.isUnverifiedTakeover || !this.allocations.heldShards.has(m.shard)) continue;
-      for (let t = 0; t < use.length; t++) {
-        if (this.context.clusterState.shardOfTeam[t] !== m.shard) continue;
-        (use[t] as Resources).cpus += m.capacity?.cpus ?? 0;
-        (use[t] as Resources).gpus += m.capacity?.gpus ?? 0;
+    for (const machine of this.context.clusterState.machines.values()) {
+      if (!machine.isUnverifiedTakeover || !this.allocations.heldShards.has(machine.shard)) continue;
+      for (let teamIndex = 0; teamIndex < use.length; teamIndex++) {
+        if (this.context.clusterState.shardOfTeam[teamIndex] !== machine.shard) continue;
+        (use[teamIndex] as Resources).cpus += machine.capacity?.cpus ?? 0;
+        (use[teamIndex] as Resources).gpus += machine.capacity?.gpus ?? 0;
       }
     }
     return use;
@@ -93,62 +93,62 @@
 
   schedule(now: Milliseconds): void {
     const rooms: FreeResources[] = [];
-    for (const m of this.context.clusterState.machines.values())
-      if (this.context.mayActFor(m.shard) && this.allocations.isSchedulable(m, now))
-        rooms.push(this.allocations.freeResourcesOf(m));
+    for (const machine of this.context.clusterState.machines.values())
+      if (this.context.mayActFor(machine.shard) && this.allocations.isSchedulable(machine, now))
+        rooms.push(this.allocations.freeResourcesOf(machine));
     const use = this.teamUsage();
     const guar = this.queueOrder.quotaStatuses();
     let weighed = 0;
     const queue = this.queueOrder.queue(guar, now);
     this.preemption.beginRun();
     this.exhaustedKinds.clear();
-    for (const { j } of queue)
-      if (this.preemption.hasExhaustedWait(j) && !this.allocations.failureAttribution.isCrashLooping(j))
-        this.preemption.pressingTasks.set(j.shard, (this.preemption.pressingTasks.get(j.shard) ?? 0) + j.pendingCount());
+    for (const { j: job } of queue)
+      if (this.preemption.hasExhaustedWait(job) && !this.allocations.failureAttribution.isCrashLooping(job))
+        this.preemption.pressingTasks.set(job.shard, (this.preemption.pressingTasks.get(job.shard) ?? 0) + job.pendingCount());
     this.allocations.unmetDemand = [];
     const suspects = this.allocations.shardsAwaitingVerification();
     let later = false;
     const broken: Job[] = [];
     let open = rooms;
-    for (const { j, g, aged } of queue) {
-      if (now < j.retryAt) {
+    for (const { j: job, g: quota, aged } of queue) {
+      if (now < job.retryAt) {
         later = true;
         continue;
       }
-      if (suspects.has(j.shard) && this.allocations.mayRunUnseen(j)) continue;
-      if (this.allocations.isStateUnconfirmed(j)) {
+      if (suspects.has(job.shard) && this.allocations.mayRunUnseen(job)) continue;
+      if (this.allocations.isStateUnconfirmed(job)) {
         later = true;
         continue;
       }
-      if (this.allocations.failureAttribution.isCrashLooping(j)) {
-        broken.push(j);
+      if (this.allocations.failureAttribution.isCrashLooping(job)) {
+        broken.push(job);
         continue;
       }
-      if (this.isKnownNotToFit(j, g.withinQuota)) {
-        this.allocations.unmetDemand.push({ job: j, count: j.pendingCount(), withinQuota: g.withinQuota });
+      if (this.isKnownNotToFit(job, quota.withinQuota)) {
+        this.allocations.unmetDemand.push({ job: job, count: job.pendingCount(), withinQuota: quota.withinQuota });
         continue;
       }
       weighed += rooms.length;
       const mine = open.filter(
-        (r) => r.machine.shard === j.shard && isAllowedOn(j, r.machine) && !j.failedOn.has(r.machine.name),
+        (free) => free.machine.shard === job.shard && isAllowedOn(job, free.machine) && !job.failedOn.has(free.machine.name),
       );
       const left =
-        j.spec.shape === 'gang'
-          ? this.placeGangJob(j, g.withinQuota, mine, use, guar, now)
-          : this.placeTasks(j, g.withinQuota, mine, use, guar, now);
+        job.spec.shape === 'gang'
+          ? this.placeGangJob(job, quota.withinQuota, mine, use, guar, now)
+          : this.placeTasks(job, quota.withinQuota, mine, use, guar, now);
       if (left > 0) {
-        this.allocations.unmetDemand.push({ job: j, count: left, withinQuota: g.withinQuota });
-        this.rememberNoFit(j, g.withinQuota);
+        this.allocations.unmetDemand.push({ job: job, count: left, withinQuota: quota.withinQuota });
+        this.rememberNoFit(job, quota.withinQuota);
       }
-      if (aged && j.allocations.size === 0) open = this.reserveForAgedGang(j, open, use);
+      if (aged && job.allocations.size === 0) open = this.reserveForAgedGang(job, open, use);
     }
-    for (const j of broken) this.retryCrashLooping(j, open, use, now);
+    for (const job of broken) this.retryCrashLooping(job, open, use, now);
     later ||= broken.length > 0;
     this.nextRunAt = now + this.pauseAfter(weighed);
     this.hasUnfinishedWork = later || this.allocations.unmetDemand.length > 0;
     this.machineScoring.shardsWithWaitingGangs.clear();
-    for (const u of this.allocations.unmetDemand)
-      if (u.job.spec.gpus > 0) this.machineScoring.shardsWithWaitingGangs.add(u.job.shard);
+    for (const unmet of this.allocations.unmetDemand)
+      if (unmet.job.spec.gpus > 0) this.machineScoring.shardsWithWaitingGangs.add(unmet.job.shard);
     this.serviceEviction.evictForGangs(now);
     this.serviceEviction.consolidate(now);
   }
@@ -165,22 +165,22 @@
    * work would take each as it comes free, and the gang would never see enough at once. The
    * oldest is planned for first, so two gangs don't wait for each other's.
    */
-  private reserveForAgedGang(j: Job, rooms: FreeResources[], use: { cpus: number; gpus: number }[]): FreeResources[] {
-    const allowedNow = this.quotaLeft(j, use) >= j.spec.tasks;
+  private reserveForAgedGang(job: Job, rooms: FreeResources[], use: { cpus: number; gpus: number }[]): FreeResources[] {
+    const allowedNow = this.quotaLeft(job, use) >= job.spec.tasks;
     // Its part of the team's limit is kept too.
-    for (let i = 0; i < j.spec.tasks; i++) this.addUsage(use, j);
+    for (let index = 0; index < job.spec.tasks; index++) this.addUsage(use, job);
     if (!allowedNow) return rooms;
-    let lacks = j.spec.tasks;
+    let lacks = job.spec.tasks;
     const kept = new Set<FreeResources>();
-    for (const r of rooms) {
+    for (const free of rooms) {
       if (lacks <= 0) break;
-      if (r.machine.shard !== j.shard || !isAllowedOn(j, r.machine) || j.failedOn.has(r.machine.name)) continue;
-      const n = countThatFit(j.resources, r);
-      if (n === 0) continue;
-      kept.add(r);
-      lacks -= n;
+      if (free.machine.shard !== job.shard || !isAllowedOn(job, free.machine) || job.failedOn.has(free.machine.name)) continue;
+      const count = countThatFit(job.resources, free);
+      if (count === 0) continue;
+      kept.add(free);
+      lacks -= count;
     }
-    return kept.size === 0 ? rooms : rooms.filter((r) => !kept.has(r));
+    return kept.size === 0 ? rooms : rooms.filter((free) => !kept.has(free));
   }
 
   /**
@@ -190,171 +190,186 @@
    */
   private readonly exhaustedKinds = new Map<string, Resources[]>();
 
-  private interchangeableKind(j: Job, within: boolean): string | null {
-    const s = j.spec;
-    if (j.priority > 0 || within || s.shape !== 'array' || s.gpus > 0 || s.oneZone || s.spread || j.failedOn.size > 0)
+  private interchangeableKind(job: Job, within: boolean): string | null {
+    const spec = job.spec;
+    if (
+      job.priority > 0 ||
+      within ||
+      spec.shape !== 'array' ||
+      spec.gpus > 0 ||
+      spec.oneZone ||
+      spec.spread ||
+      job.failedOn.size > 0
+    )
       return null;
-    return `${j.shard}/${j.teamIndex}/${j.zoneIndex}/${s.spot}/${j.typeIndices?.join(',') ?? ''}`;
+    return `${job.shard}/${job.teamIndex}/${job.zoneIndex}/${spec.spot}/${job.typeIndices?.join(',') ?? ''}`;
   }
 
-  private isKnownNotToFit(j: Job, within: boolean): boolean {
-    const kind = this.interchangeableKind(j, within);
+  private isKnownNotToFit(job: Job, within: boolean): boolean {
+    const kind = this.interchangeableKind(job, within);
     if (kind === null) return false;
-    return this.exhaustedKinds.get(kind)?.some((n) => n.cpus <= j.spec.cpus && n.memory <= j.spec.memory) ?? false;
+    return (
+      this.exhaustedKinds
+        .get(kind)
+        ?.some((resources) => resources.cpus <= job.spec.cpus && resources.memory <= job.spec.memory) ?? false
+    );
   }
 
-  private rememberNoFit(j: Job, within: boolean): void {
-    const kind = this.interchangeableKind(j, within);
+  private rememberNoFit(job: Job, within: boolean): void {
+    const kind = this.interchangeableKind(job, within);
     if (kind === null) return;
     const list = this.exhaustedKinds.get(kind);
-    if (list) list.push(j.resources);
-    else this.exhaustedKinds.set(kind, [j.resources]);
+    if (list) list.push(job.resources);
+    else this.exhaustedKinds.set(kind, [job.resources]);
   }
 
-  private quotaLeft(j: Job, use: { cpus: number; gpus: number }[]): number {
-    const t = this.context.settings.teams[j.teamIndex];
-    const u = use[j.teamIndex];
-    if (!t || !u) return 0;
-    let n = j.spec.tasks;
-    if (t.maxCpus > 0 && j.spec.cpus > 0) n = Math.min(n, Math.floor((t.maxCpus - u.cpus + 1e-6) / j.spec.cpus));
-    if (t.maxGpus > 0 && j.spec.gpus > 0) n = Math.min(n, Math.floor((t.maxGpus - u.gpus + 1e-6) / j.spec.gpus));
-    return Math.max(0, n);
+  private quotaLeft(job: Job, use: { cpus: number; gpus: number }[]): number {
+    const team = this.context.settings.teams[job.teamIndex];
+    const usage = use[job.teamIndex];
+    if (!team || !usage) return 0;
+    let count = job.spec.tasks;
+    if (team.maxCpus > 0 && job.spec.cpus > 0)
+      count = Math.min(count, Math.floor((team.maxCpus - usage.cpus + 1e-6) / job.spec.cpus));
+    if (team.maxGpus > 0 && job.spec.gpus > 0)
+      count = Math.min(count, Math.floor((team.maxGpus - usage.gpus + 1e-6) / job.spec.gpus));
+    return Math.max(0, count);
   }
 
   private placeTasks(
-    j: Job,
+    job: Job,
     within: boolean,
     rooms: FreeResources[],
     use: { cpus: number; gpus: number }[],
     guar: QuotaStatuses,
     now: Milliseconds,
   ): number {
-    let left = j.pendingCount();
-    const quota = this.quotaLeft(j, use);
+    let left = job.pendingCount();
+    const quota = this.quotaLeft(job, use);
     let can = Math.min(left, quota);
     const unplaceable = left - can;
-    const counts = tasksPerZone(j);
-    if (j.waitingSince < 0) j.waitingSince = now;
-    const waited = now - j.waitingSince;
+    const counts = tasksPerZone(job);
+    if (job.waitingSince < 0) job.waitingSince = now;
+    const waited = now - job.waitingSince;
     this.machineScoring.beginJob();
     const candidates = new CandidateMachines(
-      j,
-      rooms.filter((r) => this.machineScoring.mayUseMachine(j, r, waited)),
-      (r) => this.machineScoring.score(j, r),
+      job,
+      rooms.filter((free) => this.machineScoring.mayUseMachine(job, free, waited)),
+      (free) => this.machineScoring.score(job, free),
     );
     while (can > 0) {
       const best = candidates.best(counts);
       let room: FreeResources | null = best?.free ?? null;
       // A better place (the image at hand) may be had from lesser work.
-      const mayGain = !best || (j.spec.shape === 'service' && best.score < WORTH_STOPPING_FOR);
-      if (mayGain && this.preemption.hasVictims(j, within)) {
+      const mayGain = !best || (job.spec.shape === 'service' && best.score < WORTH_STOPPING_FOR);
+      if (mayGain && this.preemption.hasVictims(job, within)) {
         const other = candidates.withHigherScore(best ? best.score + 1 : Number.NEGATIVE_INFINITY, counts);
-        const open = best ? other.filter((r) => !this.preemption.hasProtectedWork(r.machine, guar)) : other;
-        room = this.preemption.evictFor(j, within, open, guar, now) ?? room;
+        const open = best ? other.filter((free) => !this.preemption.hasProtectedWork(free.machine, guar)) : other;
+        room = this.preemption.evictFor(job, within, open, guar, now) ?? room;
       }
       if (!room) break;
-      const index = j.nextPendingTask();
+      const index = job.nextPendingTask();
       if (index < 0) break;
-      this.allocateTask(j, index, room, use, counts, now);
-      if (this.preemption.hasExhaustedWait(j))
-        this.preemption.pressingTasks.set(j.shard, (this.preemption.pressingTasks.get(j.shard) ?? 0) - 1);
+      this.allocateTask(job, index, room, use, counts, now);
+      if (this.preemption.hasExhaustedWait(job))
+        this.preemption.pressingTasks.set(job.shard, (this.preemption.pressingTasks.get(job.shard) ?? 0) - 1);
       can--;
       left--;
     }
-    if (left === 0) j.waitingSince = -1;
+    if (left === 0) job.waitingSince = -1;
     return left - unplaceable;
   }
 
   private allocateTask(
-    j: Job,
+    job: Job,
     index: number,
     room: FreeResources,
     use: { cpus: number; gpus: number }[],
     counts: Map<number, number>,
     now: Milliseconds,
   ): void {
-    subtract(room, j.resources);
-    this.allocations.allocate(j, index, this.allocations.nextAttempt(j.shard), room.machine, 'planned', now);
-    this.addUsage(use, j);
+    subtract(room, job.resources);
+    this.allocations.allocate(job, index, this.allocations.nextAttempt(job.shard), room.machine, 'planned', now);
+    this.addUsage(use, job);
     counts.set(room.machine.zoneIndex, (counts.get(room.machine.zoneIndex) ?? 0) + 1);
   }
 
-  private addUsage(use: { cpus: number; gpus: number }[], j: Job): void {
-    const u = use[j.teamIndex];
-    if (!u) return;
-    u.cpus += j.spec.cpus;
-    u.gpus += j.spec.gpus;
+  private addUsage(use: { cpus: number; gpus: number }[], job: Job): void {
+    const usage = use[job.teamIndex];
+    if (!usage) return;
+    usage.cpus += job.spec.cpus;
+    usage.gpus += job.spec.gpus;
   }
 
   private placeGangJob(
-    j: Job,
+    job: Job,
     within: boolean,
     rooms: FreeResources[],
     use: { cpus: number; gpus: number }[],
     guar: QuotaStatuses,
     now: Milliseconds,
   ): number {
-    const n = j.spec.tasks;
-    if (j.gangAttempt !== 0 || j.allocations.size > 0) return 0;
-    if (this.quotaLeft(j, use) < n) return 0;
-    let spots = placeGang(j, n, rooms, (r) => this.machineScoring.score(j, r));
+    const count = job.spec.tasks;
+    if (job.gangAttempt !== 0 || job.allocations.size > 0) return 0;
+    if (this.quotaLeft(job, use) < count) return 0;
+    let spots = placeGang(job, count, rooms, (free) => this.machineScoring.score(job, free));
     if (!spots) {
       // By layers again, with what may be stopped taken as free; the domain with the least to stop wins.
       for (const layer of [0, 1, 2] as const) {
-        if (layer === 2 && j.spec.oneZone) continue;
+        if (layer === 2 && job.spec.oneZone) continue;
         for (const domain of topologyDomains(rooms, layer)) {
-          const widened = domain.map((r) => {
-            const w = { ...r };
-            for (const p of r.machine.allocations.values()) {
-              if (!this.preemption.isVictim(p, j, within, guar)) continue;
-              w.cpus += p.job.spec.cpus;
-              w.gpus += p.job.spec.gpus;
-              w.memory += p.job.spec.memory;
+          const widened = domain.map((free) => {
+            const widened = { ...free };
+            for (const allocation of free.machine.allocations.values()) {
+              if (!this.preemption.isVictim(allocation, job, within, guar)) continue;
+              widened.cpus += allocation.job.spec.cpus;
+              widened.gpus += allocation.job.spec.gpus;
+              widened.memory += allocation.job.spec.memory;
             }
-            return w;
+            return widened;
           });
           const costs = new Map(
-            domain.map((r) => [
-              r.machine,
-              this.preemption.victimsOn(j, within, r, guar, now)?.reduce((a, p) => a + this.preemption.stopCost(p, now), 0) ??
-                1e9,
+            domain.map((free) => [
+              free.machine,
+              this.preemption
+                .victimsOn(job, within, free, guar, now)
+                ?.reduce((a, allocation) => a + this.preemption.stopCost(allocation, now), 0) ?? 1e9,
             ]),
           );
-          spots = placeGang(j, n, widened, (r) => -(costs.get(r.machine) ?? 0));
+          spots = placeGang(job, count, widened, (free) => -(costs.get(free.machine) ?? 0));
           if (spots) break;
         }
         if (spots) break;
       }
-      if (!spots) return n;
+      if (!spots) return count;
       const per = new Map<Machine, number>();
-      for (const m of spots) per.set(m, (per.get(m) ?? 0) + 1);
-      for (const [m, c] of per) {
-        const r = rooms.find((x) => x.machine === m);
-        if (!r) return n;
-        const v = this.preemption.victimsOn(j, within, r, guar, now, c);
-        if (!v) return n;
-        this.preemption.evict(v, r);
+      for (const machine of spots) per.set(machine, (per.get(machine) ?? 0) + 1);
+      for (const [machine, c] of per) {
+        const free = rooms.find((candidate) => candidate.machine === machine);
+        if (!free) return count;
+        const allocations = this.preemption.victimsOn(job, within, free, guar, now, c);
+        if (!allocations) return count;
+        this.preemption.evict(allocations, free);
       }
     }
-    this.allocateGang(j, spots, rooms, use, now);
+    this.allocateGang(job, spots, rooms, use, now);
     return 0;
   }
 
   private allocateGang(
-    j: Job,
+    job: Job,
     spots: Machine[],
     rooms: FreeResources[],
     use: { cpus: number; gpus: number }[],
     now: Milliseconds,
   ): void {
-    j.gangAttempt = this.allocations.nextAttempt(j.shard);
-    j.gangFailed = false;
-    const pending = j.pendingTasks();
-    spots.forEach((m, i) => {
-      const r = rooms.find((x) => x.machine === m);
-      if (r) subtract(r, j.resources);
-      this.allocations.allocate(j, pending[i] as number, j.gangAttempt, m, 'planned', now);
-      this.addUsage(use, j);
+    job.gangAttempt = this.allocations.nextAttempt(job.shard);
+    job.gangFailed = false;
+    const pending = job.pendingTasks();
+    spots.forEach((machine, index) => {
+      const free = rooms.find((candidate) => candidate.machine === machine);
+      if (free) subtract(free, job.resources);
+      this.allocations.allocate(job, pending[index] as number, job.gangAttempt, machine, 'planned', now);
+      this.addUsage(use, job);
     });
   }
 
@@ -362,24 +377,27 @@
    * What fails everywhere is tried now and then, after all else and where there is room: nothing
    * is stopped, moved or rented for it. Machines that have its image come first.
    */
-  private retryCrashLooping(j: Job, rooms: FreeResources[], use: { cpus: number; gpus: number }[], now: Milliseconds): void {
+  private retryCrashLooping(job: Job, rooms: FreeResources[], use: { cpus: number; gpus: number }[], now: Milliseconds): void {
     const mine = rooms.filter(
-      (r) => r.machine.shard === j.shard && isAllowedOn(j, r.machine) && j.spec.gpus > 0 === (r.machine.capacity?.gpus ?? 0) > 0,
+      (free) =>
+        free.machine.shard === job.shard &&
+        isAllowedOn(job, free.machine) &&
+        job.spec.gpus > 0 === (free.machine.capacity?.gpus ?? 0) > 0,
     );
-    const n = Math.min(this.allocations.failureAttribution.nextRetryCount(j, now), this.quotaLeft(j, use));
-    if (j.spec.shape === 'gang') {
-      if (j.gangAttempt !== 0 || j.allocations.size > 0 || n < j.spec.tasks) return;
-      const spots = placeGang(j, n, mine, (r) => this.machineScoring.score(j, r));
-      if (spots) this.allocateGang(j, spots, mine, use, now);
+    const count = Math.min(this.allocations.failureAttribution.nextRetryCount(job, now), this.quotaLeft(job, use));
+    if (job.spec.shape === 'gang') {
+      if (job.gangAttempt !== 0 || job.allocations.size > 0 || count < job.spec.tasks) return;
+      const spots = placeGang(job, count, mine, (free) => this.machineScoring.score(job, free));
+      if (spots) this.allocateGang(job, spots, mine, use, now);
       return;
     }
-    const counts = tasksPerZone(j);
-    mine.sort((a, b) => Number(b.machine.images.has(j.imageIndex)) - Number(a.machine.images.has(j.imageIndex)));
-    for (let i = 0; i < n; i++) {
-      const room = mine.find((r) => fits(j.resources, r) && zoneAllowsTask(j, counts, r.machine.zoneIndex));
-      const index = room ? j.nextUntriedTaskFirst() : -1;
+    const counts = tasksPerZone(job);
+    mine.sort((a, b) => Number(b.machine.images.has(job.imageIndex)) - Number(a.machine.images.has(job.imageIndex)));
+    for (let attempt = 0; attempt < count; attempt++) {
+      const room = mine.find((free) => fits(job.resources, free) && zoneAllowsTask(job, counts, free.machine.zoneIndex));
+      const index = room ? job.nextUntriedTaskFirst() : -1;
       if (!room || index < 0) return;
-      this.allocateTask(j, index, room, use, counts, now);
+      this.allocateTask(job, index, room, use, counts, now);
     }
   }
 }
--- a/packages/controller/src/scheduling/service-eviction.ts
+++ b/packages/controller/src/scheduling/service-eviction.ts
@@ -29,24 +29,24 @@
   evacuableMachines(share: number, now: Milliseconds): Set<Machine> {
     const out = new Set<Machine>();
     const rooms: FreeResources[] = [];
-    for (const m of this.context.clusterState.machines.values()) {
-      if (m.shard !== share || !m.capacity || m.spot || !this.allocations.isSchedulable(m, now)) continue;
-      if (m.capacity.gpus > 0 && !this.machineScoring.isDedicatedToServices(m)) continue;
-      const r = this.allocations.freeResourcesOf(m);
-      for (const p of m.allocations.values()) {
-        if (p.phase !== 'exited' && p.job.spec.shape === 'array')
-          subtract(r, { cpus: -p.job.spec.cpus, gpus: 0, memory: -p.job.spec.memory });
+    for (const machine of this.context.clusterState.machines.values()) {
+      if (machine.shard !== share || !machine.capacity || machine.spot || !this.allocations.isSchedulable(machine, now)) continue;
+      if (machine.capacity.gpus > 0 && !this.machineScoring.isDedicatedToServices(machine)) continue;
+      const free = this.allocations.freeResourcesOf(machine);
+      for (const allocation of machine.allocations.values()) {
+        if (allocation.phase !== 'exited' && allocation.job.spec.shape === 'array')
+          subtract(free, { cpus: -allocation.job.spec.cpus, gpus: 0, memory: -allocation.job.spec.memory });
       }
-      if (m.allocations.size > 0) rooms.push(r);
+      if (machine.allocations.size > 0) rooms.push(free);
     }
-    const destinations = new RelocationTargets(rooms, (m) => this.allocations.serviceUsage(m).cpus);
-    for (const m of this.context.clusterState.machines.values()) {
-      if (m.shard !== share || !m.capacity || m.spot) continue;
-      const move = this.allocations.servicesOn(m);
+    const destinations = new RelocationTargets(rooms, (machine) => this.allocations.serviceUsage(machine).cpus);
+    for (const machine of this.context.clusterState.machines.values()) {
+      if (machine.shard !== share || !machine.capacity || machine.spot) continue;
+      const move = this.allocations.servicesOn(machine);
       // What was moved lately stays where it is: moving it on would keep it from running.
-      if (move.some((p) => now - p.job.lastStopAt < 60_000)) continue;
-      if (move.length === 0 || (m.capacity.gpus === 0 && move.length > 4)) continue;
-      if (destinations.canHost(m, move)) out.add(m);
+      if (move.some((allocation) => now - allocation.job.lastStopAt < 60_000)) continue;
+      if (move.length === 0 || (machine.capacity.gpus === 0 && move.length > 4)) continue;
+      if (destinations.canHost(machine, move)) out.add(machine);
     }
     return out;
   }
@@ -62,34 +62,41 @@
       const plain: Machine[] = [];
       let room = 0;
       const can = this.evacuableMachines(job.shard, now);
-      for (const m of this.context.clusterState.machines.values()) {
-        if (m.shard !== job.shard || !m.capacity || !isAllowedOn(job, m) || !this.allocations.isSchedulable(m, now)) continue;
-        const here = countThatFit(job.resources, this.allocations.freeResourcesOf(m));
+      for (const machine of this.context.clusterState.machines.values()) {
+        if (
+          machine.shard !== job.shard ||
+          !machine.capacity ||
+          !isAllowedOn(job, machine) ||
+          !this.allocations.isSchedulable(machine, now)
+        )
+          continue;
+        const here = countThatFit(job.resources, this.allocations.freeResourcesOf(machine));
         room += here;
-        if (here > 0 || !can.has(m)) continue;
-        if ([...m.allocations.values()].some((p) => p.phase !== 'exited' && p.job.spec.gpus > 0)) continue;
-        const use = this.allocations.serviceUsage(m);
+        if (here > 0 || !can.has(machine)) continue;
+        if ([...machine.allocations.values()].some((allocation) => allocation.phase !== 'exited' && allocation.job.spec.gpus > 0))
+          continue;
+        const use = this.allocations.serviceUsage(machine);
         const without: Resources = {
-          cpus: m.capacity.cpus - use.cpus,
-          gpus: m.capacity.gpus,
-          memory: m.capacity.memory - use.memory,
+          cpus: machine.capacity.cpus - use.cpus,
+          gpus: machine.capacity.gpus,
+          memory: machine.capacity.memory - use.memory,
         };
-        if (use.cpus > 0 && !fits(job.resources, without)) plain.push(m);
+        if (use.cpus > 0 && !fits(job.resources, without)) plain.push(machine);
       }
       if (plain.length === 0 || room >= job.spec.tasks) continue;
       plain.sort((a, b) => this.allocations.serviceUsage(a).cpus - this.allocations.serviceUsage(b).cpus);
       let gained = 0;
-      const chosen = plain.filter((m) => {
+      const chosen = plain.filter((machine) => {
         if (room + gained >= job.spec.tasks) return false;
-        gained += countThatFit(job.resources, m.capacity as Resources);
+        gained += countThatFit(job.resources, machine.capacity as Resources);
         return true;
       });
       if (room + gained < job.spec.tasks) continue;
       this.evictedAt = now;
-      for (const m of chosen) {
-        this.context.log('info', 'moving services off a machine with accelerators', { machine: m.name });
-        m.reservedUntil = now + 2 * this.context.settings.policy.planWaitS * 1000;
-        for (const p of this.allocations.servicesOn(m)) this.allocations.stop(p, 0);
+      for (const machine of chosen) {
+        this.context.log('info', 'moving services off a machine with accelerators', { machine: machine.name });
+        machine.reservedUntil = now + 2 * this.context.settings.policy.planWaitS * 1000;
+        for (const allocation of this.allocations.servicesOn(machine)) this.allocations.stop(allocation, 0);
       }
       return;
     }
@@ -105,47 +112,64 @@
     for (const share of this.allocations.heldShards.keys()) {
       let best: { m: Machine; services: readonly Allocation[] } | null = null;
       const rooms: FreeResources[] = [];
-      for (const m of this.context.clusterState.machines.values()) {
-        if (m.shard !== share || !m.capacity || m.spot || !this.allocations.isSchedulable(m, now) || now < m.reservedUntil)
+      for (const machine of this.context.clusterState.machines.values()) {
+        if (
+          machine.shard !== share ||
+          !machine.capacity ||
+          machine.spot ||
+          !this.allocations.isSchedulable(machine, now) ||
+          now < machine.reservedUntil
+        )
           continue;
-        const services = this.allocations.servicesOn(m);
-        const gpuWork = [...m.allocations.values()].some((p) => p.phase !== 'exited' && p.job.spec.gpus > 0);
-        if (m.capacity.gpus === 0 || services.length > 0 || gpuWork) rooms.push(this.allocations.freeResourcesOf(m));
-        if (m.capacity.gpus === 0 || services.length === 0 || (best && services.length >= best.services.length)) continue;
-        if (services.some((p) => p.stopGraceS !== null || p.runningSince < 0 || now - p.runningSince < SETTLED_MS)) continue;
-        if (gpuWork || [...m.allocations.values()].some((p) => p.phase === 'planned')) continue;
-        best = { m, services };
+        const services = this.allocations.servicesOn(machine);
+        const gpuWork = [...machine.allocations.values()].some(
+          (allocation) => allocation.phase !== 'exited' && allocation.job.spec.gpus > 0,
+        );
+        if (machine.capacity.gpus === 0 || services.length > 0 || gpuWork) rooms.push(this.allocations.freeResourcesOf(machine));
+        if (machine.capacity.gpus === 0 || services.length === 0 || (best && services.length >= best.services.length)) continue;
+        if (
+          services.some(
+            (allocation) =>
+              allocation.stopGraceS !== null || allocation.runningSince < 0 || now - allocation.runningSince < SETTLED_MS,
+          )
+        )
+          continue;
+        if (gpuWork || [...machine.allocations.values()].some((allocation) => allocation.phase === 'planned')) continue;
+        best = { m: machine, services };
       }
       if (!best) continue;
-      const { m, services } = best;
-      const use = this.allocations.serviceUsage(m).cpus;
-      if (use > (m.capacity?.cpus ?? 0) / 2) continue;
+      const { m: machine, services } = best;
+      const use = this.allocations.serviceUsage(machine).cpus;
+      if (use > (machine.capacity?.cpus ?? 0) / 2) continue;
       const free = rooms
         .filter(
-          (r) =>
-            r.machine !== m &&
-            (r.machine.capacity?.gpus === 0 ||
-              this.machineScoring.isKeptBusy(r.machine) ||
-              this.allocations.serviceUsage(r.machine).cpus > use),
+          (free) =>
+            free.machine !== machine &&
+            (free.machine.capacity?.gpus === 0 ||
+              this.machineScoring.isKeptBusy(free.machine) ||
+              this.allocations.serviceUsage(free.machine).cpus > use),
         )
         .sort((a, b) => a.cpus - b.cpus);
-      const all = services.every((p) => {
-        const counts = tasksPerZone(p.job);
-        counts.set(m.zoneIndex, (counts.get(m.zoneIndex) ?? 1) - 1);
-        const r = free.find(
-          (x) =>
-            x.machine.images.has(p.job.imageIndex) &&
-            fits(p.job.resources, x) &&
-            isAllowedOn(p.job, x.machine) &&
-            zoneAllowsTask(p.job, counts, x.machine.zoneIndex),
+      const all = services.every((allocation) => {
+        const counts = tasksPerZone(allocation.job);
+        counts.set(machine.zoneIndex, (counts.get(machine.zoneIndex) ?? 1) - 1);
+        const candidate = free.find(
+          (free) =>
+            free.machine.images.has(allocation.job.imageIndex) &&
+            fits(allocation.job.resources, free) &&
+            isAllowedOn(allocation.job, free.machine) &&
+            zoneAllowsTask(allocation.job, counts, free.machine.zoneIndex),
         );
-        if (r) subtract(r, p.job.resources);
-        return r !== undefined;
+        if (candidate) subtract(candidate, allocation.job.resources);
+        return candidate !== undefined;
       });
       if (!all) continue;
-      this.context.log('debug', 'gathering services of a machine elsewhere', { machine: m.name, services: services.length });
-      m.reservedUntil = now + SETTLED_MS;
-      for (const p of services) this.allocations.stop(p, 0);
+      this.context.log('debug', 'gathering services of a machine elsewhere', {
+        machine: machine.name,
+        services: services.length,
+      });
+      machine.reservedUntil = now + SETTLED_MS;
+      for (const allocation of services) this.allocations.stop(allocation, 0);
     }
   }
 }
--- a/packages/controller/src/shards/failure-detector.ts
+++ b/packages/controller/src/shards/failure-detector.ts
@@ -183,8 +183,8 @@
   private startProbeRound(list: Machine[]): void {
     this.probeRound = { consecutiveAnswers: 0, silent: [] };
     const start = this.probeRoundCount++;
-    for (let i = 0; i < Math.min(PROBES_PER_ROUND, list.length); i++) {
-      const machine = list[Math.floor((i * list.length) / PROBES_PER_ROUND + start) % list.length] as Machine;
+    for (let index = 0; index < Math.min(PROBES_PER_ROUND, list.length); index++) {
+      const machine = list[Math.floor((index * list.length) / PROBES_PER_ROUND + start) % list.length] as Machine;
       const id = this.context.nextEffectId();
       this.pendingProbes.set(id, machine.name);
       this.context.emit({ type: 'probe', id, address: machine.address });
@@ -201,12 +201,12 @@
   }
 
   /** Whether a worker answered the question that `ask` put. */
-  handleProbeOutcome(id: number, ok: boolean): void {
+  handleProbeOutcome(id: number, isAnswered: boolean): void {
     const name = this.pendingProbes.get(id);
     if (name === undefined) return;
     this.pendingProbes.delete(id);
-    this.consecutiveAnswers = ok ? this.consecutiveAnswers + 1 : 0;
-    if (ok) this.probeRound.consecutiveAnswers++;
+    this.consecutiveAnswers = isAnswered ? this.consecutiveAnswers + 1 : 0;
+    if (isAnswered) this.probeRound.consecutiveAnswers++;
     else this.probeRound.silent.push(name);
     this.endProbeRound();
     // Two rounds answered whole: a share that comes home must not leave again at once.
--- a/packages/controller/src/shards/machine-lifecycle.ts
+++ b/packages/controller/src/shards/machine-lifecycle.ts
@@ -175,14 +175,14 @@
   }
 
   /** The cloud has answered a return. */
-  handleReleaseOutcome(id: number, ok: boolean, now: Milliseconds): void {
+  handleReleaseOutcome(id: number, isReleased: boolean, now: Milliseconds): void {
     const list = this.pendingReleases.get(id);
     if (!list) return;
     this.pendingReleases.delete(id);
     for (const machine of list) {
       machine.isReleasing = false;
       machine.releaseRetryAt = now + RELEASE_RETRY_MS;
-      if (!ok || !this.allocations.heldShards.has(machine.shard)) continue;
+      if (!isReleased || !this.allocations.heldShards.has(machine.shard)) continue;
       // 200: the machine and everything on it are gone.
       machine.isReleasing = true;
       machine.isVerified = true;
--- a/packages/controller/src/shards/progress-writer.ts
+++ b/packages/controller/src/shards/progress-writer.ts
@@ -14,8 +14,8 @@
 const PROGRESS_MS = 3000;
 
 /** Is a task of this part done that isn't stored as done? */
-function hasUnstoredTask(j: Job, part: ProgressPart): boolean {
-  for (let i = part.from; i < part.to; i++) if (j.done[i] && !j.storedDone[i]) return true;
+function hasUnstoredTask(job: Job, part: ProgressPart): boolean {
+  for (let index = part.from; index < part.to; index++) if (job.done[index] && !job.storedDone[index]) return true;
   return false;
 }
 
@@ -29,10 +29,10 @@
   ) {}
 
   /** A restart would forget what the machines have at hand, and fetches can take a minute. */
-  scheduleImageWrite(m: Machine): void {
-    if (m.imagesWriteQueued) return;
-    m.imagesWriteQueued = true;
-    this.imageWrites.push({ m, at: this.allocations.now + IMAGES_DELAY_MS });
+  scheduleImageWrite(machine: Machine): void {
+    if (machine.imagesWriteQueued) return;
+    machine.imagesWriteQueued = true;
+    this.imageWrites.push({ m: machine, at: this.allocations.now + IMAGES_DELAY_MS });
   }
 
   /** Several images of a machine in one write, and none while more urgent writes wait. */
@@ -42,102 +42,103 @@
       (this.imageWrites[0] as { at: Milliseconds }).at <= now &&
       this.context.writer.length < 4
     ) {
-      const m = (this.imageWrites.shift() as { m: Machine }).m;
-      if (this.allocations.heldShards.has(m.shard)) this.writeImagesOf(m);
-      else m.imagesWriteQueued = false;
+      const machine = (this.imageWrites.shift() as { m: Machine }).m;
+      if (this.allocations.heldShards.has(machine.shard)) this.writeImagesOf(machine);
+      else machine.imagesWriteQueued = false;
     }
   }
 
-  private writeImagesOf(m: Machine): void {
-    const key = StateKey.imageCache(m.name);
+  private writeImagesOf(machine: Machine): void {
+    const key = StateKey.imageCache(machine.name);
     this.context.writer.add({
       key,
-      value: () => encodeImageCache(this.context.clusterState.imagesToStore(m)),
+      value: () => encodeImageCache(this.context.clusterState.imagesToStore(machine)),
       expectedRevision: this.context.replica.get(key)?.revision ?? 0,
       priority: WritePriority.images,
       expiresAt: this.allocations.now + 5_000,
       onOutcome: () => {
-        m.imagesWriteQueued = false;
+        machine.imagesWriteQueued = false;
       },
     });
   }
 
-  storeProgress(j: Job): void {
-    const held = this.allocations.heldShards.get(j.shard);
-    if (!held || j.state !== 'live') return;
-    if (j.doneCount === j.spec.tasks && j.spec.shape !== 'service') {
-      if (j.completionWriteQueued) return;
-      j.completionWriteQueued = true;
+  storeProgress(job: Job): void {
+    const held = this.allocations.heldShards.get(job.shard);
+    if (!held || job.state !== 'live') return;
+    if (job.doneCount === job.spec.tasks && job.spec.shape !== 'service') {
+      if (job.completionWriteQueued) return;
+      job.completionWriteQueued = true;
       this.context.writer.add({
-        key: StateKey.job(j.spec.id),
-        value: (at) => encodeDoneJob(j.submittedAt, j.spec.tasks, at + this.context.clusterState.wallClockOffsetMs),
-        expectedRevision: j.modRevision,
-        conditions: this.allocations.leaseConditions(j.shard),
+        key: StateKey.job(job.spec.id),
+        value: (at) => encodeDoneJob(job.submittedAt, job.spec.tasks, at + this.context.clusterState.wallClockOffsetMs),
+        expectedRevision: job.modRevision,
+        conditions: this.allocations.leaseConditions(job.shard),
         priority: WritePriority.assignment,
         onOutcome: (outcome) => {
-          j.completionWriteQueued = false;
+          job.completionWriteQueued = false;
           this.allocations.schedulingRequested = true;
-          if (outcome === 'ok') this.logDone(j);
+          if (outcome === 'ok') this.logDone(job);
         },
       });
       return;
     }
     // Several completions in one write: until it is stored, the worker keeps the result.
-    if (j.progressWriteQueued || !j.progressUnstored || this.allocations.now - j.progressWrittenAt < PROGRESS_MS) return;
-    const part = this.context.clusterState.progressLayout.parts(j.spec.tasks).find((p) => hasUnstoredTask(j, p));
-    if (part) this.writeProgress(j, part);
-    else j.progressUnstored = false;
+    if (job.progressWriteQueued || !job.progressUnstored || this.allocations.now - job.progressWrittenAt < PROGRESS_MS) return;
+    const part = this.context.clusterState.progressLayout.parts(job.spec.tasks).find((part) => hasUnstoredTask(job, part));
+    if (part) this.writeProgress(job, part);
+    else job.progressUnstored = false;
   }
 
-  private logDone(j: Job): void {
+  private logDone(job: Job): void {
     const seconds = (ms: Milliseconds) => Math.round(ms / 100) / 10;
     const now = this.context.now;
     this.context.log('debug', 'job done', {
-      job: j.spec.id,
-      cls: j.spec.cls,
-      sinceReady: seconds(now - j.arrivedAt),
-      sinceSubmit: seconds(now + this.context.clusterState.wallClockOffsetMs - j.submittedAt),
+      job: job.spec.id,
+      cls: job.spec.cls,
+      sinceReady: seconds(now - job.arrivedAt),
+      sinceSubmit: seconds(now + this.context.clusterState.wallClockOffsetMs - job.submittedAt),
       // Against its own deadline, or the one that it has from the jobs that need it.
-      spare: Number.isFinite(j.effectiveDeadlineAt)
-        ? seconds(j.effectiveDeadlineAt - this.context.clusterState.wallClockOffsetMs - now)
+      spare: Number.isFinite(job.effectiveDeadlineAt)
+        ? seconds(job.effectiveDeadlineAt - this.context.clusterState.wallClockOffsetMs - now)
         : null,
-      guess: j.spec.estimateS,
-      longestRun: seconds(j.longestRunS * 1000),
+      guess: job.spec.estimateS,
+      longestRun: seconds(job.longestRunS * 1000),
     });
   }
 
-  private writeProgress(j: Job, part: ProgressPart): void {
-    const key = StateKey.progress(j.spec.id, part.name);
+  private writeProgress(job: Job, part: ProgressPart): void {
+    const key = StateKey.progress(job.spec.id, part.name);
     let written = new Uint8Array(0);
-    j.progressWriteQueued = true;
-    j.progressWrittenAt = this.allocations.now;
+    job.progressWriteQueued = true;
+    job.progressWrittenAt = this.allocations.now;
     this.context.writer.add({
       key,
       value: () => {
-        written = j.done.slice(part.from, part.to);
-        return packBits(j.done, part.from, part.to);
+        written = job.done.slice(part.from, part.to);
+        return packBits(job.done, part.from, part.to);
       },
       expectedRevision: this.context.replica.get(key)?.revision ?? 0,
-      conditions: this.allocations.leaseConditions(j.shard),
+      conditions: this.allocations.leaseConditions(job.shard),
       priority: WritePriority.progress,
       onOutcome: (outcome) => {
-        j.progressWriteQueued = false;
-        if (outcome === 'ok') for (let i = 0; i < written.length; i++) if (written[i]) j.storedDone[part.from + i] = 1;
+        job.progressWriteQueued = false;
+        if (outcome === 'ok')
+          for (let index = 0; index < written.length; index++) if (written[index]) job.storedDone[part.from + index] = 1;
       },
     });
   }
 
-  markDone(j: Job, index: number): void {
-    if (!j.done[index]) {
-      j.done[index] = 1;
-      j.doneCount++;
+  markDone(job: Job, index: number): void {
+    if (!job.done[index]) {
+      job.done[index] = 1;
+      job.doneCount++;
     }
-    j.progressUnstored = true;
+    job.progressUnstored = true;
     // A gang completes together: if one task is done, all are.
-    if (j.spec.shape === 'gang') {
-      j.done.fill(1);
-      j.doneCount = j.spec.tasks;
+    if (job.spec.shape === 'gang') {
+      job.done.fill(1);
+      job.doneCount = job.spec.tasks;
     }
-    this.storeProgress(j);
+    this.storeProgress(job);
   }
 }
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -44,16 +44,17 @@
   }
 
   isSettled(share: number): boolean {
-    for (const m of this.context.clusterState.machines.values()) if (m.shard === share && m.isUnverifiedTakeover) return false;
+    for (const machine of this.context.clusterState.machines.values())
+      if (machine.shard === share && machine.isUnverifiedTakeover) return false;
     // Not the last plan's leftovers: it left out what it could not prove yet.
-    for (const j of this.context.clusterState.jobs.values())
+    for (const job of this.context.clusterState.jobs.values())
       if (
-        j.shard === share &&
-        j.state === 'live' &&
-        !j.isBlocked &&
-        j.priority === HIGHEST_PRIORITY &&
-        !this.allocations.failureAttribution.isCrashLooping(j) &&
-        j.pendingCount() > 0
+        job.shard === share &&
+        job.state === 'live' &&
+        !job.isBlocked &&
+        job.priority === HIGHEST_PRIORITY &&
+        !this.allocations.failureAttribution.isCrashLooping(job) &&
+        job.pendingCount() > 0
       )
         return false;
     return true;
@@ -65,97 +66,97 @@
 
   leaseAcquired(share: number, stamp: number, now: Milliseconds): void {
     this.allocations.heldShards.set(share, { shard: share, leaseRevision: stamp });
-    for (const m of this.context.clusterState.machines.values()) {
-      if (m.shard !== share) continue;
-      this.resetMachine(m, now);
-      this.context.clusterState.restoreImages(m);
-      m.isUnverifiedTakeover = true;
+    for (const machine of this.context.clusterState.machines.values()) {
+      if (machine.shard !== share) continue;
+      this.resetMachine(machine, now);
+      this.context.clusterState.restoreImages(machine);
+      machine.isUnverifiedTakeover = true;
     }
-    for (const j of this.context.clusterState.jobs.values()) if (j.shard === share) this.resetJob(j);
+    for (const job of this.context.clusterState.jobs.values()) if (job.shard === share) this.resetJob(job);
     this.allocations.schedulingRequested = true;
   }
 
   leaseLost(share: number): void {
     this.allocations.heldShards.delete(share);
     this.shardSummaries.forget(share);
-    for (const m of this.context.clusterState.machines.values()) {
-      if (m.shard !== share) continue;
-      m.allocations.clear();
-      m.allocationsChanged();
-      m.isVerified = false;
+    for (const machine of this.context.clusterState.machines.values()) {
+      if (machine.shard !== share) continue;
+      machine.allocations.clear();
+      machine.allocationsChanged();
+      machine.isVerified = false;
     }
-    for (const j of [...this.context.clusterState.jobs.values()]) {
-      if (j.shard !== share) continue;
-      this.resetJob(j);
-      this.context.clusterState.forgetIfFinished(j);
+    for (const job of [...this.context.clusterState.jobs.values()]) {
+      if (job.shard !== share) continue;
+      this.resetJob(job);
+      this.context.clusterState.forgetIfFinished(job);
     }
   }
 
-  private resetMachine(m: Machine, now: Milliseconds): void {
-    m.allocations.clear();
-    m.allocationsChanged();
-    m.orphanedTasks = [];
-    m.isVerified = false;
-    m.isProbed = false;
-    m.reportedPriority = -1;
-    m.hasUncertainCommand = false;
-    m.isRaisingToken = false;
-    m.pendingCommandId = 0;
-    m.retryAt = 0;
-    m.agentEpoch = 0;
-    m.sequence = -1;
-    m.lastHeartbeatAt = now;
-    m.unansweredCommands = 0;
-    m.unansweredSince = -1;
-    m.releaseReason = '';
-    m.isReleasing = false;
-    m.preemptionNoticeUntil = -1;
+  private resetMachine(machine: Machine, now: Milliseconds): void {
+    machine.allocations.clear();
+    machine.allocationsChanged();
+    machine.orphanedTasks = [];
+    machine.isVerified = false;
+    machine.isProbed = false;
+    machine.reportedPriority = -1;
+    machine.hasUncertainCommand = false;
+    machine.isRaisingToken = false;
+    machine.pendingCommandId = 0;
+    machine.retryAt = 0;
+    machine.agentEpoch = 0;
+    machine.sequence = -1;
+    machine.lastHeartbeatAt = now;
+    machine.unansweredCommands = 0;
+    machine.unansweredSince = -1;
+    machine.releaseReason = '';
+    machine.isReleasing = false;
+    machine.preemptionNoticeUntil = -1;
   }
 
-  private resetJob(j: Job): void {
-    j.allocations.clear();
-    j.nextUntriedTask = 0;
-    j.releasedTasks = [];
-    j.gangAttempt = 0;
-    j.gangFailed = false;
-    j.progressWriteQueued = false;
-    j.progressUnstored = true;
-    j.completionWriteQueued = false;
+  private resetJob(job: Job): void {
+    job.allocations.clear();
+    job.nextUntriedTask = 0;
+    job.releasedTasks = [];
+    job.gangAttempt = 0;
+    job.gangFailed = false;
+    job.progressWriteQueued = false;
+    job.progressUnstored = true;
+    job.completionWriteQueued = false;
   }
 
-  machineChanged(m: Machine, moved: boolean, now: Milliseconds): void {
-    if (m.shard < 0) {
-      this.machineRemoved(m);
+  machineChanged(machine: Machine, moved: boolean, now: Milliseconds): void {
+    if (machine.shard < 0) {
+      this.machineRemoved(machine);
       return;
     }
     if (moved) {
       // Came to, or left, a share: what was known of it here is of no worth any more. Only
       // machines seen empty are handed over, so it bears nothing unknown.
-      this.machineRemoved(m);
-      this.resetMachine(m, now);
-      m.isUnverifiedTakeover = false;
+      this.machineRemoved(machine);
+      this.resetMachine(machine, now);
+      machine.isUnverifiedTakeover = false;
     }
     this.allocations.schedulingRequested = true;
   }
 
   /** Left to another share, or gone from the grants: nothing of ours is on it. */
-  private machineRemoved(m: Machine): void {
-    for (const p of [...m.allocations.values()]) this.allocations.free(p);
-    m.allocations.clear();
-    m.allocationsChanged();
+  private machineRemoved(machine: Machine): void {
+    for (const allocation of [...machine.allocations.values()]) this.allocations.free(allocation);
+    machine.allocations.clear();
+    machine.allocationsChanged();
     this.allocations.schedulingRequested = true;
   }
 
-  jobChanged(j: Job): void {
-    if (!this.allocations.heldShards.has(j.shard)) {
-      this.context.clusterState.forgetIfFinished(j);
+  jobChanged(job: Job): void {
+    if (!this.allocations.heldShards.has(job.shard)) {
+      this.context.clusterState.forgetIfFinished(job);
       return;
     }
-    if (j.state === 'cancelled') {
-      for (const p of [...j.allocations.values()]) this.allocations.stop(p, 0);
-      this.context.clusterState.forgetIfFinished(j);
+    if (job.state === 'cancelled') {
+      for (const allocation of [...job.allocations.values()]) this.allocations.stop(allocation, 0);
+      this.context.clusterState.forgetIfFinished(job);
     }
-    if (j.state === 'done') this.context.clusterState.forgetIfFinished(j);
+    if (job.state === 'done') this.context.clusterState.forgetIfFinished(job);
     this.allocations.schedulingRequested = true;
   }
 
@@ -165,10 +166,10 @@
     this.allocations.lastAnswerAt = now;
     this.allocations.unansweredMachines.clear();
     this.machineLifecycle.failureDetector.processPaused();
-    for (const m of this.context.clusterState.machines.values()) {
-      m.lastHeartbeatAt = Math.min(now, m.lastHeartbeatAt + ms);
-      m.heardByPeerAt = Math.min(now, m.heardByPeerAt + ms);
-      if (m.unansweredSince >= 0) m.unansweredSince = Math.min(now, m.unansweredSince + ms);
+    for (const machine of this.context.clusterState.machines.values()) {
+      machine.lastHeartbeatAt = Math.min(now, machine.lastHeartbeatAt + ms);
+      machine.heardByPeerAt = Math.min(now, machine.heardByPeerAt + ms);
+      if (machine.unansweredSince >= 0) machine.unansweredSince = Math.min(now, machine.unansweredSince + ms);
     }
   }
 
@@ -193,73 +194,78 @@
   /** What somebody reading the log wants to know first. */
   private logSummary(now: Milliseconds): void {
     for (const share of this.allocations.heldShards.keys()) {
-      const s = this.shardSummary(share, now);
+      const summary = this.shardSummary(share, now);
       const types: Record<string, string> = {};
       const by = new Map<string, { n: number; idle: number; unusable: number }>();
-      for (const p of s.machines) {
-        const m = this.context.clusterState.machines.get(p.name);
-        const key = `${m?.capacity?.name ?? '?'}${m?.spot ? '*' : ''}`;
-        const b = by.get(key) ?? { n: 0, idle: 0, unusable: 0 };
-        b.n++;
-        if (p.tasks === 0) b.idle++;
-        if (m && !this.allocations.isSchedulable(m, now)) b.unusable++;
-        by.set(key, b);
+      for (const machineSummary of summary.machines) {
+        const machine = this.context.clusterState.machines.get(machineSummary.name);
+        const key = `${machine?.capacity?.name ?? '?'}${machine?.spot ? '*' : ''}`;
+        const counts = by.get(key) ?? { n: 0, idle: 0, unusable: 0 };
+        counts.n++;
+        if (machineSummary.tasks === 0) counts.idle++;
+        if (machine && !this.allocations.isSchedulable(machine, now)) counts.unusable++;
+        by.set(key, counts);
       }
-      for (const [k, b] of by) types[k] = `${b.n} (${b.idle} idle, ${b.unusable} not usable)`;
+      for (const [kind, counts] of by) types[kind] = `${counts.n} (${counts.idle} idle, ${counts.unusable} not usable)`;
       const accelerated: Record<string, string> = {};
-      for (const m of this.context.clusterState.machines.values()) {
-        if (m.shard !== share || !m.capacity || m.capacity.gpus === 0) continue;
+      for (const machine of this.context.clusterState.machines.values()) {
+        if (machine.shard !== share || !machine.capacity || machine.capacity.gpus === 0) continue;
         const on = new Map<string, number>();
-        for (const p of m.allocations.values())
-          on.set(`${p.job.spec.cls} ${p.phase}`, (on.get(`${p.job.spec.cls} ${p.phase}`) ?? 0) + 1);
-        accelerated[`${m.name}${m.spot ? '*' : ''}`] = [...on].map(([k, n]) => `${n} ${k}`).join(', ');
+        for (const allocation of machine.allocations.values())
+          on.set(
+            `${allocation.job.spec.cls} ${allocation.phase}`,
+            (on.get(`${allocation.job.spec.cls} ${allocation.phase}`) ?? 0) + 1,
+          );
+        accelerated[`${machine.name}${machine.spot ? '*' : ''}`] = [...on]
+          .map(([label, count]) => `${count} ${label}`)
+          .join(', ');
       }
       const waiting = this.allocations.unmetDemand
-        .filter((u) => u.job.shard === share)
-        .map((u) => `${u.job.spec.cls} ${u.count} for ${Math.round((now - u.job.arrivedAt) / 1000)} s`);
+        .filter((unmet) => unmet.job.shard === share)
+        .map((unmet) => `${unmet.job.spec.cls} ${unmet.count} for ${Math.round((now - unmet.job.arrivedAt) / 1000)} s`);
       this.context.log('debug', 'share', { share, machines: types, accelerated, waiting });
     }
   }
 
   private checkJobs(now: Milliseconds): void {
-    for (const j of this.context.clusterState.jobs.values()) {
-      if (!this.allocations.heldShards.has(j.shard)) continue;
-      if (j.state === 'live') this.progressWriter.storeProgress(j);
-      else this.context.clusterState.forgetIfFinished(j);
-      if (j.spec.shape === 'gang' && j.gangAttempt !== 0 && !j.gangFailed) this.checkGang(j, now);
-      for (const p of j.allocations.values()) {
+    for (const job of this.context.clusterState.jobs.values()) {
+      if (!this.allocations.heldShards.has(job.shard)) continue;
+      if (job.state === 'live') this.progressWriter.storeProgress(job);
+      else this.context.clusterState.forgetIfFinished(job);
+      if (job.spec.shape === 'gang' && job.gangAttempt !== 0 && !job.gangFailed) this.checkGang(job, now);
+      for (const allocation of job.allocations.values()) {
         if (
-          j.spec.shape !== 'gang' &&
-          p.phase === 'planned' &&
-          now - p.plannedAt > this.context.settings.policy.planWaitS * 1000
+          job.spec.shape !== 'gang' &&
+          allocation.phase === 'planned' &&
+          now - allocation.plannedAt > this.context.settings.policy.planWaitS * 1000
         ) {
-          this.allocations.free(p);
+          this.allocations.free(allocation);
         }
         // Still saving long after it should have been done: end it.
         if (
-          p.stopGraceS !== null &&
-          p.stopGraceS > 0 &&
-          p.firstStopSentAt >= 0 &&
-          now - p.firstStopSentAt > (p.stopGraceS + 8) * 1000
+          allocation.stopGraceS !== null &&
+          allocation.stopGraceS > 0 &&
+          allocation.firstStopSentAt >= 0 &&
+          now - allocation.firstStopSentAt > (allocation.stopGraceS + 8) * 1000
         )
-          this.allocations.stop(p, 0);
+          this.allocations.stop(allocation, 0);
       }
     }
   }
 
-  private checkGang(j: Job, now: Milliseconds): void {
-    const all = [...j.allocations.values()];
-    const planned = all.filter((p) => p.phase === 'planned');
+  private checkGang(job: Job, now: Milliseconds): void {
+    const all = [...job.allocations.values()];
+    const planned = all.filter((allocation) => allocation.phase === 'planned');
     if (planned.length > 0) {
       if (now - (planned[0] as Allocation).plannedAt > this.context.settings.policy.planWaitS * 1000) {
-        this.context.log('info', 'plan released', { job: j.spec.id });
-        for (const p of planned) this.allocations.free(p);
+        this.context.log('info', 'plan released', { job: job.spec.id });
+        for (const allocation of planned) this.allocations.free(allocation);
       }
       return;
     }
     // Found partly started after a takeover, with nowhere for the rest to be.
-    if (all.length < j.spec.tasks && j.doneCount < j.spec.tasks && !this.allocations.mayRunUnseen(j))
-      this.allocations.failGang(j);
+    if (all.length < job.spec.tasks && job.doneCount < job.spec.tasks && !this.allocations.mayRunUnseen(job))
+      this.allocations.failGang(job);
   }
 
   /** What is told of a share to the leader. */
@@ -270,12 +276,13 @@
   /** Tasks that run and are done, by job, and how often one failed of those that fail everywhere. */
   runningJobs(): Map<string, RunningTasks> {
     const out = new Map<string, RunningTasks>();
-    for (const j of this.context.clusterState.jobs.values()) {
-      if (!this.allocations.heldShards.has(j.shard)) continue;
+    for (const job of this.context.clusterState.jobs.values()) {
+      if (!this.allocations.heldShards.has(job.shard)) continue;
       let count = 0;
-      for (const p of j.allocations.values()) if (p.phase === 'there' && p.status?.state === 'running') count++;
-      const failed = this.allocations.failureAttribution.isCrashLooping(j) ? j.failureCount : 0;
-      if (count > 0 || j.doneCount > 0 || failed > 0) out.set(j.spec.id, { count, done: j.doneCount, failed });
+      for (const allocation of job.allocations.values())
+        if (allocation.phase === 'there' && allocation.status?.state === 'running') count++;
+      const failed = this.allocations.failureAttribution.isCrashLooping(job) ? job.failureCount : 0;
+      if (count > 0 || job.doneCount > 0 || failed > 0) out.set(job.spec.id, { count, done: job.doneCount, failed });
     }
     return out;
   }
--- a/packages/controller/src/state/cluster-state.ts
+++ b/packages/controller/src/state/cluster-state.ts
@@ -18,15 +18,18 @@
 const TYPES_PARTS = `${StateKey.machineTypes}/`;
 
 /** Spreads teams over the shares, largest guarantees first, onto the share with the least. */
-export function assignTeamsToShards(s: ControllerSettings): number[] {
-  const load = new Array<number>(s.shardCount).fill(0);
-  const out = new Array<number>(s.teams.length).fill(0);
-  const order = s.teams.map((t, i) => ({ i, w: t.gpus + t.cpus / 8 + 0.5 })).sort((a, b) => b.w - a.w || a.i - b.i);
-  for (const { i, w } of order) {
+export function assignTeamsToShards(settings: ControllerSettings): number[] {
+  const load = new Array<number>(settings.shardCount).fill(0);
+  const out = new Array<number>(settings.teams.length).fill(0);
+  const order = settings.teams
+    .map((team, index) => ({ i: index, w: team.gpus + team.cpus / 8 + 0.5 }))
+    .sort((a, b) => b.w - a.w || a.i - b.i);
+  for (const { i: index, w: weight } of order) {
     let best = 0;
-    for (let k = 1; k < load.length; k++) if ((load[k] as number) < (load[best] as number)) best = k;
-    load[best] = (load[best] as number) + w;
-    out[i] = best;
+    for (let candidate = 1; candidate < load.length; candidate++)
+      if ((load[candidate] as number) < (load[best] as number)) best = candidate;
+    load[best] = (load[best] as number) + weight;
+    out[index] = best;
   }
   return out;
 }
@@ -70,8 +73,8 @@
   readonly sizeLimits: StateSizeLimits;
 
   constructor(readonly settings: ControllerSettings) {
-    for (const t of settings.teams) this.teamNames.intern(t.name);
-    for (const z of settings.zones) this.zoneNames.intern(z);
+    for (const team of settings.teams) this.teamNames.intern(team.name);
+    for (const zone of settings.zones) this.zoneNames.intern(zone);
     this.shardOfTeam = assignTeamsToShards(settings);
     this.sizeLimits = stateSizeLimits(settings.state);
     this.progressLayout = new ProgressLayout(settings.state.valueKib, this.sizeLimits.maxWriteBytes);
@@ -86,11 +89,11 @@
   }
 
   setMachineTypes(list: MachineType[]): void {
-    for (const t of list) this.machineTypes[this.typeNames.intern(t.name)] = t;
+    for (const machineType of list) this.machineTypes[this.typeNames.intern(machineType.name)] = machineType;
     this.machineTypesKnown = list.length > 0;
-    for (const m of this.machines.values()) {
-      m.capacity = this.machineTypes[m.typeIndex] ?? m.capacity;
-      m.allocationsChanged();
+    for (const machine of this.machines.values()) {
+      machine.capacity = this.machineTypes[machine.typeIndex] ?? machine.capacity;
+      machine.allocationsChanged();
     }
   }
 
@@ -119,7 +122,7 @@
       spec,
       team,
       this.shardOfTeam[team] ?? 0,
-      spec.types === null ? null : spec.types.map((t) => this.typeNames.intern(t)),
+      spec.types === null ? null : spec.types.map((name) => this.typeNames.intern(name)),
       spec.zone === null ? -1 : this.zoneNames.intern(spec.zone),
       this.imageNames.intern(spec.image),
     );
@@ -158,22 +161,22 @@
     const part = parseMachineTypesPart(value);
     this.machineTypesParts.set(key, part);
     const parts = [...this.machineTypesParts.values()];
-    if (parts.length >= part.count && !this.machineTypesKnown) this.setMachineTypes(parts.flatMap((p) => p.list));
+    if (parts.length >= part.count && !this.machineTypesKnown) this.setMachineTypes(parts.flatMap((other) => other.list));
   }
 
   /** How soon a machine without accelerators can be there for the job. */
   bootTimeFor(job: Job): Milliseconds {
-    let s = Number.POSITIVE_INFINITY;
-    for (const t of this.machineTypes) {
+    let bootS = Number.POSITIVE_INFINITY;
+    for (const machineType of this.machineTypes) {
       if (
-        t &&
-        t.gpus === 0 &&
-        fits(job.resources, t) &&
-        (job.typeIndices === null || job.typeIndices.includes(this.typeNames.indexOf(t.name)))
+        machineType &&
+        machineType.gpus === 0 &&
+        fits(job.resources, machineType) &&
+        (job.typeIndices === null || job.typeIndices.includes(this.typeNames.indexOf(machineType.name)))
       )
-        s = Math.min(s, t.bootS);
+        bootS = Math.min(bootS, machineType.bootS);
     }
-    return s === Number.POSITIVE_INFINITY ? 0 : s * 1000;
+    return bootS === Number.POSITIVE_INFINITY ? 0 : bootS * 1000;
   }
 
   /** The largest accelerator task seen that fits each type: what such a machine is wanted for. */
@@ -185,10 +188,10 @@
   private recordGpuDemand({ spec, shard: share, typeIndices: types }: Job): void {
     if (spec.gpus <= 0) return;
     this.shardsWithGpuWork.add(share);
-    this.machineTypes.forEach((t, i) => {
-      if (!t || !fits(spec, t) || (types !== null && !types.includes(i))) return;
-      const old = this.gpuDemandByType.get(i);
-      this.gpuDemandByType.set(i, {
+    this.machineTypes.forEach((machineType, index) => {
+      if (!machineType || !fits(spec, machineType) || (types !== null && !types.includes(index))) return;
+      const old = this.gpuDemandByType.get(index);
+      this.gpuDemandByType.set(index, {
         cpus: Math.max(old?.cpus ?? 0, spec.cpus),
         gpus: Math.max(old?.gpus ?? 0, spec.gpus),
         memory: Math.max(old?.memory ?? 0, spec.memory),
@@ -200,15 +203,15 @@
   private readonly storedImages = new Map<string, StoredImage[]>();
 
   /** What is stored of the machine's images, oldest use first. */
-  restoreImages(m: Machine): void {
-    m.images.clear();
-    for (const [name, gb] of this.storedImages.get(m.name) ?? []) m.images.set(this.imageNames.intern(name), gb);
+  restoreImages(machine: Machine): void {
+    machine.images.clear();
+    for (const [name, gb] of this.storedImages.get(machine.name) ?? []) machine.images.set(this.imageNames.intern(name), gb);
   }
 
   /** The images used last, as many as fit a stored value. */
-  imagesToStore(m: Machine): StoredImage[] {
-    const images = [...m.images].slice(-MOST_IMAGES).map(([i, gb]): StoredImage => [this.imageNames.nameOf(i), gb]);
-    while (encodedBytes(StateKey.imageCache(m.name), images) > this.sizeLimits.maxWriteBytes) images.shift();
+  imagesToStore(machine: Machine): StoredImage[] {
+    const images = [...machine.images].slice(-MOST_IMAGES).map(([index, gb]): StoredImage => [this.imageNames.nameOf(index), gb]);
+    while (encodedBytes(StateKey.imageCache(machine.name), images) > this.sizeLimits.maxWriteBytes) images.shift();
     return images;
   }
 
@@ -222,37 +225,44 @@
       }
       return {};
     }
-    const g = parseAssignment(entry.value);
-    let m = old;
+    const assignment = parseAssignment(entry.value);
+    let machine = old;
     let moved = false;
-    if (!m) {
-      const type = this.typeNames.intern(g.type);
-      m = new Machine(name, g.address, type, this.zoneNames.intern(g.zone), g.spot, this.machineTypes[type] ?? null);
-      m.lastHeartbeatAt = now;
-      m.idleSince = now;
-      this.machines.set(name, m);
+    if (!machine) {
+      const type = this.typeNames.intern(assignment.type);
+      machine = new Machine(
+        name,
+        assignment.address,
+        type,
+        this.zoneNames.intern(assignment.zone),
+        assignment.spot,
+        this.machineTypes[type] ?? null,
+      );
+      machine.lastHeartbeatAt = now;
+      machine.idleSince = now;
+      this.machines.set(name, machine);
     }
-    if (m.shard !== g.shard) {
-      m.shard = g.shard;
-      m.isVerified = false;
+    if (machine.shard !== assignment.shard) {
+      machine.shard = assignment.shard;
+      machine.isVerified = false;
       moved = true;
     }
-    if (moved) this.restoreImages(m);
-    if (g.address) m.address = g.address;
-    m.assignmentRevision = entry.revision;
-    m.moveToShard = g.moveToShard ?? -1;
-    m.isRetired = g.isRetired;
-    return { machine: m, moved };
+    if (moved) this.restoreImages(machine);
+    if (assignment.address) machine.address = assignment.address;
+    machine.assignmentRevision = entry.revision;
+    machine.moveToShard = assignment.moveToShard ?? -1;
+    machine.isRetired = assignment.isRetired;
+    return { machine: machine, moved };
   }
 
   /** The machine's grant to its share, with nothing else wanted of it. */
-  assignmentOf(m: Machine): MachineAssignment {
+  assignmentOf(machine: Machine): MachineAssignment {
     return {
-      shard: m.shard,
-      address: m.address,
-      type: this.typeNames.nameOf(m.typeIndex),
-      zone: this.zoneNames.nameOf(m.zoneIndex),
-      spot: m.spot,
+      shard: machine.shard,
+      address: machine.address,
+      type: this.typeNames.nameOf(machine.typeIndex),
+      zone: this.zoneNames.nameOf(machine.zoneIndex),
+      spot: machine.spot,
       moveToShard: null,
       isRetired: false,
     };
@@ -263,8 +273,8 @@
   }
 
   /** A worker obeys the largest token it has seen: this rises at each takeover and each grant. */
-  fencingToken(m: Machine): number {
-    return Math.max(m.assignmentRevision, this.leaseOf(m.shard)?.revision ?? 0);
+  fencingToken(machine: Machine): number {
+    return Math.max(machine.assignmentRevision, this.leaseOf(machine.shard)?.revision ?? 0);
   }
 
   forgetIfFinished(job: Job): void {
--- a/packages/controller/src/state/job-record.ts
+++ b/packages/controller/src/state/job-record.ts
@@ -84,17 +84,17 @@
 
 /** Throws on what is no job record. */
 export function parseJobRecord(value: unknown): StoredJob {
-  const r = record.safeParse(value);
-  if (!r.success) throw new Error('not a job record');
-  const { s, t, sp, n, e, aw, x } = r.data;
-  if (STATES[s] === 'live' && !sp) throw new Error('not a job record');
+  const parsed = record.safeParse(value);
+  if (!parsed.success) throw new Error('not a job record');
+  const { s, t, sp: spec, n: count, e, aw, x } = parsed.data;
+  if (STATES[s] === 'live' && !spec) throw new Error('not a job record');
   const awaits = aw === undefined ? NO_AWAITS : awaitedIds.safeParse(aw);
   const reference = x === undefined ? NO_PARTS : partsReference.safeParse(x);
   return {
     state: STATES[s],
     submittedAt: t ?? 0,
-    spec: sp ?? null,
-    tasks: sp?.tasks ?? n ?? 0,
+    spec: spec ?? null,
+    tasks: spec?.tasks ?? count ?? 0,
     endedAt: e ?? null,
     awaits: awaits.success && reference.success ? awaits.data : null,
     parts: reference.data ? { group: reference.data.k, count: reference.data.n } : null,
@@ -112,9 +112,9 @@
 
 /** Throws on what is no part of a job record. */
 export function parseJobPart(value: unknown): JobPart {
-  const r = part.safeParse(value);
-  if (!r.success) throw new Error('not a part of a job record');
-  return { awaits: r.data.aw ?? [], types: r.data.ty ?? [] };
+  const parsed = part.safeParse(value);
+  if (!parsed.success) throw new Error('not a part of a job record');
+  return { awaits: parsed.data.aw ?? [], types: parsed.data.ty ?? [] };
 }
 
 /** As many of the names, from the first, as fit into so many bytes of a JSON list. */
--- a/packages/controller/src/state/progress-layout.ts
+++ b/packages/controller/src/state/progress-layout.ts
@@ -99,9 +99,9 @@
 /** The digits for the tasks `from` to `to`; a task that isn't 0 in `bits` is done. */
 export function packBits(bits: Uint8Array, from: number, to: number): string {
   let out = '';
-  for (let i = from; i < to; i += TASKS_PER_DIGIT) {
+  for (let index = from; index < to; index += TASKS_PER_DIGIT) {
     let digit = 0;
-    for (let b = 0; b < TASKS_PER_DIGIT; b++) if (i + b < to && bits[i + b]) digit |= 1 << b;
+    for (let bit = 0; bit < TASKS_PER_DIGIT; bit++) if (index + bit < to && bits[index + bit]) digit |= 1 << bit;
     out += digit.toString(16);
   }
   return out;
@@ -115,9 +115,9 @@
 function doneTasks(digits: string, from: number): StoredProgress {
   return {
     *[Symbol.iterator]() {
-      for (let i = 0; i < digits.length; i++) {
-        const digit = Number.parseInt(digits[i] as string, 16);
-        for (let b = 0; b < TASKS_PER_DIGIT; b++) if (digit & (1 << b)) yield from + i * TASKS_PER_DIGIT + b;
+      for (let index = 0; index < digits.length; index++) {
+        const digit = Number.parseInt(digits[index] as string, 16);
+        for (let bit = 0; bit < TASKS_PER_DIGIT; bit++) if (digit & (1 << bit)) yield from + index * TASKS_PER_DIGIT + bit;
       }
     },
   };
--- a/packages/controller/src/state/replica.ts
+++ b/packages/controller/src/state/replica.ts
@@ -60,13 +60,13 @@
   }
 
   apply(changes: KeyChange[], revision: number): void {
-    for (const c of changes) {
-      if (c.revision <= this.revision) continue;
-      if (c.value === undefined) this.remove(c.key, c.revision);
-      else this.set(c.key, c.value, c.revision);
+    for (const change of changes) {
+      if (change.revision <= this.revision) continue;
+      if (change.value === undefined) this.remove(change.key, change.revision);
+      else this.set(change.key, change.value, change.revision);
     }
     if (revision > this.revision) this.revision = revision;
-    for (const [k, s] of this.tombstones) if (s <= this.revision) this.tombstones.delete(k);
+    for (const [key, revision] of this.tombstones) if (revision <= this.revision) this.tombstones.delete(key);
   }
 
   /**
@@ -74,9 +74,9 @@
    * `revision` is that of the first page; what changed while reading comes by `apply`.
    */
   reset(rows: StoredKey[], revision: number): void {
-    const seen = new Set(rows.map((r) => r.key));
-    for (const r of rows) this.set(r.key, r.value, r.revision);
-    for (const [k, e] of [...this.entries]) if (!seen.has(k) && e.revision <= revision) this.remove(k, revision);
+    const seen = new Set(rows.map((row) => row.key));
+    for (const row of rows) this.set(row.key, row.value, row.revision);
+    for (const [key, entry] of [...this.entries]) if (!seen.has(key) && entry.revision <= revision) this.remove(key, revision);
     if (revision > this.revision) this.revision = revision;
     this.loaded = true;
   }
