--- a/packages/controller/src/state/state-writer.ts
+++ b/packages/controller/src/state/state-writer.ts
@@ -15,7 +15,7 @@
 const CONDITIONS_PER_WRITE = 3;
 
 /** As the state service returns it: without fields that have no value. */
-const withoutUndefined = (v: unknown): unknown => JSON.parse(JSON.stringify(v));
+const withoutUndefined = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 
 /** One transaction in the making. */
 interface Batch {
@@ -57,7 +57,7 @@
   constructor(
     private readonly limits: { writesPerS: number } & StateSizeLimits,
     private readonly replica: Replica,
-    private readonly emit: (e: Effect) => void,
+    private readonly emit: (effect: Effect) => void,
     private readonly leaseId: () => number | null,
     private readonly afterBarrier: (now: Milliseconds, run: (now: Milliseconds) => void) => void,
     private readonly onLeaseLost: () => void,
@@ -87,14 +87,14 @@
   /** How many changes of each kind were sent since this was last asked, and what waits. */
   takeWriteCounts(): Record<string, number> {
     const out: Record<string, number> = { waiting: this.queue.length };
-    for (const [kind, n] of this.sentByKind) out[kind] = n;
+    for (const [kind, count] of this.sentByKind) out[kind] = count;
     this.sentByKind.clear();
     return out;
   }
 
-  add(w: PendingWrite): void {
+  add(write: PendingWrite): void {
     this.queue.add(
-      { ...w, mayBeApplied: false, sendAlone: false, sentValue: undefined, queuedAt: this.budgetRefilledAt },
+      { ...write, mayBeApplied: false, sendAlone: false, sentValue: undefined, queuedAt: this.budgetRefilledAt },
       this.budgetRefilledAt,
     );
   }
@@ -106,7 +106,7 @@
     if (now < this.pausedUntil) return;
     while (this.queue.length > 0 && this.transactions.size < MAX_CONCURRENT_TRANSACTIONS && this.budget >= 1) {
       const { batch, oversize } = this.nextBatch(now);
-      for (const w of oversize) this.dropTooLarge(w);
+      for (const write of oversize) this.dropTooLarge(write);
       if (batch.writes.length > 0) this.send(batch, now);
       else if (oversize.length === 0) return;
     }
@@ -117,16 +117,16 @@
     const waiting = this.queue.inOrder(now);
     const batch = this.emptyBatch();
     const oversize: QueuedWrite[] = [];
-    for (const w of waiting) {
+    for (const write of waiting) {
       if (batch.writes.length >= batch.maxWrites || batch.bytes >= MAX_TRANSACTION_BYTES) break;
-      if (!this.fitsBatch(w, batch)) continue;
+      if (!this.fitsBatch(write, batch)) continue;
       // What may have been carried out already is sent again as it was: its own first copy must be known by it.
-      if (!w.mayBeApplied) w.sentValue = w.value(now);
-      const size = encodedBytes(w.key, w.sentValue);
-      if (!w.mayBeApplied && size > this.limits.maxWriteBytes) oversize.push(w);
-      else this.addToBatch(w, size, batch);
+      if (!write.mayBeApplied) write.sentValue = write.value(now);
+      const size = encodedBytes(write.key, write.sentValue);
+      if (!write.mayBeApplied && size > this.limits.maxWriteBytes) oversize.push(write);
+      else this.addToBatch(write, size, batch);
     }
-    for (const w of [...batch.writes, ...oversize]) this.queue.remove(w);
+    for (const write of [...batch.writes, ...oversize]) this.queue.remove(write);
     return { batch, oversize };
   }
 
@@ -137,23 +137,23 @@
     return { writes: [], keys: new Set(), conditions: new Map(), bytes: 0, maxWrites: room, maxAcceptances: acceptances };
   }
 
-  private fitsBatch(w: QueuedWrite, { writes, keys, conditions: guards, maxAcceptances: acceptances }: Batch): boolean {
-    if (writes.length > 0 && (w.sendAlone || writes[0]?.sendAlone)) return false;
-    if (w.priority === WritePriority.acceptance && acceptances < 1) return false;
-    if (keys.has(w.key) || this.keysInFlight.has(w.key)) return false;
-    if (w.attachedToLease && this.leaseId() === null) return false;
-    const wanted = conditionsOf(w);
+  private fitsBatch(write: QueuedWrite, { writes, keys, conditions: guards, maxAcceptances: acceptances }: Batch): boolean {
+    if (writes.length > 0 && (write.sendAlone || writes[0]?.sendAlone)) return false;
+    if (write.priority === WritePriority.acceptance && acceptances < 1) return false;
+    if (keys.has(write.key) || this.keysInFlight.has(write.key)) return false;
+    if (write.attachedToLease && this.leaseId() === null) return false;
+    const wanted = conditionsOf(write);
     if (guards.size + wanted.length > CONDITIONS_PER_WRITE * this.limits.writesPerTransaction) return false;
     return wanted.every((guard) => (guards.get(guard.key) ?? guard.revision) === guard.revision);
   }
 
-  private addToBatch(w: QueuedWrite, size: number, batch: Batch): void {
-    if (w.priority === WritePriority.acceptance) batch.maxAcceptances--;
+  private addToBatch(write: QueuedWrite, size: number, batch: Batch): void {
+    if (write.priority === WritePriority.acceptance) batch.maxAcceptances--;
     batch.bytes += size;
-    batch.keys.add(w.key);
-    for (const { key, revision } of conditionsOf(w)) batch.conditions.set(key, revision);
-    batch.writes.push(w);
-    const kind = w.key.slice(2, 3);
+    batch.keys.add(write.key);
+    for (const { key, revision } of conditionsOf(write)) batch.conditions.set(key, revision);
+    batch.writes.push(write);
+    const kind = write.key.slice(2, 3);
     this.sentByKind.set(kind, (this.sentByKind.get(kind) ?? 0) + 1);
   }
 
@@ -169,11 +169,11 @@
       type: 'compareAndSwap',
       id,
       conditions: [...guards].map(([key, revision]) => ({ key, revision })),
-      writes: writes.map((w): KeyWrite => {
-        if (w.sentValue === undefined) return { del: w.key };
-        return w.attachedToLease && lease !== null
-          ? { put: w.key, value: w.sentValue, lease }
-          : { put: w.key, value: w.sentValue };
+      writes: writes.map((write): KeyWrite => {
+        if (write.sentValue === undefined) return { del: write.key };
+        return write.attachedToLease && lease !== null
+          ? { put: write.key, value: write.sentValue, lease }
+          : { put: write.key, value: write.sentValue };
       }),
     });
   }
@@ -181,40 +181,40 @@
   /** Gives up on what has waited too long. */
   private dropExpired(now: Milliseconds): void {
     this.expiredAt = now;
-    for (const w of this.queue.takeExpired(now)) w.onOutcome('dropped', 0);
+    for (const write of this.queue.takeExpired(now)) write.onOutcome('dropped', 0);
   }
 
-  handleOutcome(id: number, r: CompareAndSwapOutcome, now: Milliseconds): void {
+  handleOutcome(id: number, outcome: CompareAndSwapOutcome, now: Milliseconds): void {
     const sent = this.transactions.get(id);
     if (!sent) return;
     const { batch, leaseId: lease } = sent;
     this.transactions.delete(id);
-    for (const w of batch) this.keysInFlight.delete(w.key);
-    if (r.kind === 'ok') {
-      for (const w of batch) {
-        if (w.sentValue === undefined) this.replica.remove(w.key, r.revision);
-        else this.replica.set(w.key, w.sentValue, r.revision);
+    for (const write of batch) this.keysInFlight.delete(write.key);
+    if (outcome.kind === 'ok') {
+      for (const write of batch) {
+        if (write.sentValue === undefined) this.replica.remove(write.key, outcome.revision);
+        else this.replica.set(write.key, write.sentValue, outcome.revision);
       }
-      for (const w of batch) w.onOutcome('ok', r.revision);
-    } else if (r.kind === 'failed') {
-      const failed = new Set(r.keys);
-      for (const w of batch) {
-        const hit = failed.has(w.key) || (w.conditions ?? []).some((g) => failed.has(g.key));
-        if (hit) this.afterBarrier(now, () => this.resolveConflict(w));
-        else this.queue.add(w, now);
+      for (const write of batch) write.onOutcome('ok', outcome.revision);
+    } else if (outcome.kind === 'failed') {
+      const failed = new Set(outcome.keys);
+      for (const write of batch) {
+        const hit = failed.has(write.key) || (write.conditions ?? []).some((condition) => failed.has(condition.key));
+        if (hit) this.afterBarrier(now, () => this.resolveConflict(write));
+        else this.queue.add(write, now);
       }
       // Should the answer name no key of ours, retrying at once would spin.
       if (failed.size === 0) this.pausedUntil = now + 200;
-    } else if (r.kind === 'invalid') {
+    } else if (outcome.kind === 'invalid') {
       this.retryOneByOne(batch, now);
     } else {
       // One of a lease that we have given up ourselves says nothing of the lease we have now.
-      if (r.kind === 'noLease' && lease !== null && lease === this.leaseId()) this.onLeaseLost();
-      else if (r.kind !== 'noLease') this.pausedUntil = now + 300;
-      for (const w of batch) {
-        if (r.kind === 'unknown') w.mayBeApplied = true;
-        if (r.kind === 'noLease' && w.attachedToLease) w.onOutcome('conflict', 0);
-        else this.queue.add(w, now);
+      if (outcome.kind === 'noLease' && lease !== null && lease === this.leaseId()) this.onLeaseLost();
+      else if (outcome.kind !== 'noLease') this.pausedUntil = now + 300;
+      for (const write of batch) {
+        if (outcome.kind === 'unknown') write.mayBeApplied = true;
+        if (outcome.kind === 'noLease' && write.attachedToLease) write.onOutcome('conflict', 0);
+        else this.queue.add(write, now);
       }
     }
     this.flush(now);
@@ -222,30 +222,30 @@
 
   /** Whichever of them can't be taken must not keep the others back: each goes by itself, and it is given up. */
   private retryOneByOne(batch: QueuedWrite[], now: Milliseconds): void {
-    for (const w of batch) {
-      if (batch.length > 1) this.queue.add({ ...w, sendAlone: true }, now);
-      else if (w.mayBeApplied) this.afterBarrier(now, () => this.resolveConflict(w));
-      else this.dropTooLarge(w);
+    for (const write of batch) {
+      if (batch.length > 1) this.queue.add({ ...write, sendAlone: true }, now);
+      else if (write.mayBeApplied) this.afterBarrier(now, () => this.resolveConflict(write));
+      else this.dropTooLarge(write);
     }
   }
 
   private readonly reportedTooLarge = new Set<string>();
 
   /** The service would refuse it, or has: told once for each key, and not tried again. */
-  private dropTooLarge(w: QueuedWrite): void {
-    if (!this.reportedTooLarge.has(w.key)) this.onTooLarge(w.key, encodedBytes(w.key, w.sentValue));
-    this.reportedTooLarge.add(w.key);
-    w.onOutcome('dropped', 0);
+  private dropTooLarge(write: QueuedWrite): void {
+    if (!this.reportedTooLarge.has(write.key)) this.onTooLarge(write.key, encodedBytes(write.key, write.sentValue));
+    this.reportedTooLarge.add(write.key);
+    write.onOutcome('dropped', 0);
   }
 
-  private resolveConflict(w: QueuedWrite): void {
-    const e = this.replica.get(w.key);
+  private resolveConflict(write: QueuedWrite): void {
+    const entry = this.replica.get(write.key);
     const same =
-      w.mayBeApplied &&
+      write.mayBeApplied &&
       // Not by its text: the service may return a map's fields in another order.
-      (w.sentValue === undefined
-        ? e === null
-        : e !== null && isDeepStrictEqual(withoutUndefined(e.value), withoutUndefined(w.sentValue)));
-    w.onOutcome(same ? 'ok' : 'conflict', e?.revision ?? 0);
+      (write.sentValue === undefined
+        ? entry === null
+        : entry !== null && isDeepStrictEqual(withoutUndefined(entry.value), withoutUndefined(write.sentValue)));
+    write.onOutcome(same ? 'ok' : 'conflict', entry?.revision ?? 0);
   }
 }
--- a/packages/http-api/src/index.ts
+++ b/packages/http-api/src/index.ts
@@ -45,7 +45,7 @@
   private lastBytes: Buffer = Buffer.alloc(0);
 
   constructor(
-    private readonly handle: (r: Request) => void,
+    private readonly handle: (request: Request) => void,
     private readonly healthy: () => boolean,
     private readonly shedding: Shedding,
     private readonly unreadable: (from: string) => void = () => {},
@@ -125,9 +125,9 @@
   private reportByHttp(req: http.IncomingMessage, res: http.ServerResponse): void {
     const parts: Buffer[] = [];
     let size = 0;
-    req.on('data', (d: Buffer) => {
-      size += d.length;
-      if (size <= MAX_BODY_BYTES) parts.push(d);
+    req.on('data', (chunk: Buffer) => {
+      size += chunk.length;
+      if (size <= MAX_BODY_BYTES) parts.push(chunk);
     });
     req.on('end', () => {
       this.report(new HttpResponder(res), size <= MAX_BODY_BYTES ? Buffer.concat(parts) : null, req.socket);
--- a/packages/http-api/src/shedding.ts
+++ b/packages/http-api/src/shedding.ts
@@ -104,9 +104,9 @@
 
   /** What was refused since this was last asked. */
   refused(): { questions: number; requests: number } {
-    const r = { questions: this.refusedQuestions, requests: this.refusedRequests };
+    const refused = { questions: this.refusedQuestions, requests: this.refusedRequests };
     this.refusedQuestions = 0;
     this.refusedRequests = 0;
-    return r;
+    return refused;
   }
 }
--- a/packages/http-client/src/index.ts
+++ b/packages/http-client/src/index.ts
@@ -35,40 +35,40 @@
     this.agent = new http.Agent({ keepAlive: true, maxSockets, maxFreeSockets: maxSockets, scheduling: 'lifo' });
   }
 
-  call(c: Call): Promise<Outcome> {
+  call(call: Call): Promise<Outcome> {
     return new Promise((resolve) => {
       let sent = false;
       let over = false;
-      const finish = (o: Outcome) => {
+      const finish = (outcome: Outcome) => {
         if (over) return;
         over = true;
         clearTimeout(timer);
-        resolve(o);
+        resolve(outcome);
       };
       const req = http.request({
         agent: this.agent,
         host: this.host,
         port: this.port,
-        method: c.method,
-        path: c.path,
-        headers: c.body
-          ? { 'content-type': 'application/msgpack', 'content-length': c.body.length }
+        method: call.method,
+        path: call.path,
+        headers: call.body
+          ? { 'content-type': 'application/msgpack', 'content-length': call.body.length }
           : { accept: 'application/msgpack' },
       });
       const fail = () => {
         finish(sent ? { kind: 'lost' } : { kind: 'refused' });
         req.destroy();
       };
-      const due = steady() + c.timeoutMs;
+      const due = steady() + call.timeoutMs;
       // A timer that fires late has been waited for by answers too: they are looked at first.
       let timer = setTimeout(() => {
         if (steady() - due > LATE_MS) timer = setTimeout(fail, LATE_MS);
         else fail();
-      }, c.timeoutMs);
-      req.on('socket', (s) => {
-        if (!s.connecting) sent = true;
+      }, call.timeoutMs);
+      req.on('socket', (socket) => {
+        if (!socket.connecting) sent = true;
         else
-          s.once('connect', () => {
+          socket.once('connect', () => {
             // This process stood still while it connected: what it wanted to say is out of date.
             if (steady() > due) fail();
             else sent = true;
@@ -77,7 +77,7 @@
       req.on('error', fail);
       req.on('response', (res) => {
         const parts: Buffer[] = [];
-        res.on('data', (d: Buffer) => parts.push(d));
+        res.on('data', (chunk: Buffer) => parts.push(chunk));
         res.on('error', fail);
         res.on('aborted', fail);
         res.on('end', () =>
@@ -88,7 +88,7 @@
           }),
         );
       });
-      req.end(c.body);
+      req.end(call.body);
     });
   }
 
@@ -135,7 +135,7 @@
 }
 
 export function sleep(ms: number): Promise<void> {
-  return new Promise((r) => setTimeout(r, ms));
+  return new Promise((resolve) => setTimeout(resolve, ms));
 }
 
 /** Milliseconds of the steady clock. */
--- a/packages/protocol/src/cloud.ts
+++ b/packages/protocol/src/cloud.ts
@@ -31,9 +31,9 @@
 });
 
 export function parseMachineTypes(body: Record<string, unknown>): MachineType[] | null {
-  const r = types.safeParse(body);
-  if (!r.success) return null;
-  return r.data.builds.map((b) => ({
+  const parsed = types.safeParse(body);
+  if (!parsed.success) return null;
+  return parsed.data.builds.map((b) => ({
     name: b.name,
     cpus: b.cores,
     gpus: b.accelerators ?? 0,
@@ -73,18 +73,18 @@
 });
 
 export function parseMachineList(body: Record<string, unknown>): { machines: ListedMachine[]; more: boolean } | null {
-  const r = listing.safeParse(body);
-  if (!r.success) return null;
+  const parsed = listing.safeParse(body);
+  if (!parsed.success) return null;
   return {
-    more: r.data.has_next ?? false,
-    machines: r.data.hosts.map((h) => ({
-      machine: h.ref,
-      address: h.address ?? '',
-      type: h.build,
-      zone: h.yard,
-      spot: h.loaners,
-      state: h.status,
-      ageS: h.age_s,
+    more: parsed.data.has_next ?? false,
+    machines: parsed.data.hosts.map((host) => ({
+      machine: host.ref,
+      address: host.address ?? '',
+      type: host.build,
+      zone: host.yard,
+      spot: host.loaners,
+      state: host.status,
+      ageS: host.age_s,
     })),
   };
 }
@@ -102,17 +102,17 @@
   count: number;
 }
 
-export const encodeProvisioningRequest = (r: ProvisioningRequest) => ({
-  booking: r.requestId,
-  build: r.machineType,
-  yard: r.zone,
-  loaners: r.spot,
-  number: r.count,
+export const encodeProvisioningRequest = (request: ProvisioningRequest) => ({
+  booking: request.requestId,
+  build: request.machineType,
+  yard: request.zone,
+  loaners: request.spot,
+  number: request.count,
 });
 
 export const encodeReleaseRequest = (machines: string[]) => ({ hosts: machines });
 
 export function parseProvisionedMachines(body: Record<string, unknown>): string[] | null {
-  const r = z.object({ hosts: z.array(z.string()) }).safeParse(body);
-  return r.success ? r.data.hosts : null;
+  const parsed = z.object({ hosts: z.array(z.string()) }).safeParse(body);
+  return parsed.success ? parsed.data.hosts : null;
 }
--- a/packages/protocol/src/jobs.ts
+++ b/packages/protocol/src/jobs.ts
@@ -61,32 +61,32 @@
 
 /** A user's submission, or the name of the first field at fault. */
 export function parseSubmission(body: Record<string, unknown>): Submission | { field: string } {
-  const r = submission.safeParse(body);
-  if (!r.success) return { field: r.error.issues[0]?.path.join('.') || 'body' };
-  const b = r.data;
+  const parsed = submission.safeParse(body);
+  if (!parsed.success) return { field: parsed.error.issues[0]?.path.join('.') || 'body' };
+  const fields = parsed.data;
   return {
-    awaits: [...new Set(b.awaits ?? [])],
+    awaits: [...new Set(fields.awaits ?? [])],
     spec: {
-      id: b.ref,
-      cls: b.jobclass,
-      team: b.crew,
-      shape: SHAPE_FROM_WIRE[b.shape] as Shape,
-      rank: PRIORITY_FROM_WIRE[b.rank] as number,
-      tasks: b.pieces,
-      cpus: b.cores,
-      gpus: b.accelerators,
-      memory: b.memory_gb,
-      image: b.bundle,
-      imageGb: b.size_gb,
-      types: b.builds ?? null,
-      zone: b.yard ?? null,
-      oneZone: b.one_zone,
-      spread: b.spread,
-      spot: b.loaners,
-      estimateS: b.guess_s,
-      checkpointS: b.snapshot_s,
-      saveS: b.stow_s,
-      deadlineS: b.due_s ?? null,
+      id: fields.ref,
+      cls: fields.jobclass,
+      team: fields.crew,
+      shape: SHAPE_FROM_WIRE[fields.shape] as Shape,
+      rank: PRIORITY_FROM_WIRE[fields.rank] as number,
+      tasks: fields.pieces,
+      cpus: fields.cores,
+      gpus: fields.accelerators,
+      memory: fields.memory_gb,
+      image: fields.bundle,
+      imageGb: fields.size_gb,
+      types: fields.builds ?? null,
+      zone: fields.yard ?? null,
+      oneZone: fields.one_zone,
+      spread: fields.spread,
+      spot: fields.loaners,
+      estimateS: fields.guess_s,
+      checkpointS: fields.snapshot_s,
+      saveS: fields.stow_s,
+      deadlineS: fields.due_s ?? null,
     },
   };
 }
--- a/packages/protocol/src/pack.ts
+++ b/packages/protocol/src/pack.ts
@@ -14,8 +14,8 @@
 
 export function unpackMap(bytes: Uint8Array): Record<string, unknown> | null {
   try {
-    const v = unpack(bytes);
-    return typeof v === 'object' && v !== null && !Array.isArray(v) ? (v as Record<string, unknown>) : null;
+    const value = unpack(bytes);
+    return typeof value === 'object' && value !== null && !Array.isArray(value) ? (value as Record<string, unknown>) : null;
   } catch {
     return null;
   }
--- a/packages/protocol/src/peer.ts
+++ b/packages/protocol/src/peer.ts
@@ -214,25 +214,29 @@
   heartbeat: Heartbeat | null;
 }
 
-export function encodePeerMessage(m: PeerMessage): Uint8Array {
-  const heartbeat = m.heartbeat && {
-    ...m.heartbeat,
+export function encodePeerMessage(message: PeerMessage): Uint8Array {
+  const heartbeat = message.heartbeat && {
+    ...message.heartbeat,
     // protobuf knows no null: a machine without a notice has a negative one.
-    preemptionNoticeS: m.heartbeat.preemptionNoticeS ?? -1,
-    tasks: m.heartbeat.tasks.map((t) => ({ ...t, exitReason: t.exitReason ?? '' })),
+    preemptionNoticeS: message.heartbeat.preemptionNoticeS ?? -1,
+    tasks: message.heartbeat.tasks.map((task) => ({ ...task, exitReason: task.exitReason ?? '' })),
   };
   return Message.encode({
-    node: m.node,
-    status: m.status ?? undefined,
+    node: message.node,
+    status: message.status ?? undefined,
     heartbeat: heartbeat ?? undefined,
   } as unknown as protobuf.Message).finish();
 }
 
 export function decodePeerMessage(bytes: Uint8Array): PeerMessage {
-  const m = Message.toObject(Message.decode(bytes), { defaults: true, arrays: true, longs: Number }) as unknown as PeerMessage;
-  if (m.heartbeat) {
-    if ((m.heartbeat.preemptionNoticeS ?? -1) < 0) m.heartbeat.preemptionNoticeS = null;
-    for (const t of m.heartbeat.tasks) if ((t.exitReason as string) === '') t.exitReason = null;
+  const message = Message.toObject(Message.decode(bytes), {
+    defaults: true,
+    arrays: true,
+    longs: Number,
+  }) as unknown as PeerMessage;
+  if (message.heartbeat) {
+    if ((message.heartbeat.preemptionNoticeS ?? -1) < 0) message.heartbeat.preemptionNoticeS = null;
+    for (const task of message.heartbeat.tasks) if ((task.exitReason as string) === '') task.exitReason = null;
   }
-  return m;
+  return message;
 }
--- a/packages/protocol/src/state.ts
+++ b/packages/protocol/src/state.ts
@@ -23,13 +23,13 @@
   | { kind: 'unknown' };
 
 export const encodeCompareAndSwap = (guards: RevisionCondition[], writes: KeyWrite[]) => ({
-  guards: guards.map((g) => ({ k: g.key, stamp: g.revision })),
-  writes: writes.map((w) =>
-    'del' in w
-      ? { remove: w.del }
-      : w.lease === undefined
-        ? { write: w.put, v: w.value }
-        : { write: w.put, v: w.value, permit: w.lease },
+  guards: guards.map((condition) => ({ k: condition.key, stamp: condition.revision })),
+  writes: writes.map((write) =>
+    'del' in write
+      ? { remove: write.del }
+      : write.lease === undefined
+        ? { write: write.put, v: write.value }
+        : { write: write.put, v: write.value, permit: write.lease },
   ),
 });
 
@@ -50,13 +50,13 @@
   has_next: z.boolean().nullish(),
   ledger: z.number(),
 });
-export function parseRows(b: Record<string, unknown>): { rows: StoredKey[]; more: boolean; revision: number } | null {
-  const r = rows.safeParse(b);
-  if (!r.success) return null;
+export function parseRows(body: Record<string, unknown>): { rows: StoredKey[]; more: boolean; revision: number } | null {
+  const parsed = rows.safeParse(body);
+  if (!parsed.success) return null;
   return {
-    rows: r.data.rows.map((x) => ({ key: x.k, value: x.v, revision: x.stamp })),
-    more: r.data.has_next ?? false,
-    revision: r.data.ledger,
+    rows: parsed.data.rows.map((row) => ({ key: row.k, value: row.v, revision: row.stamp })),
+    more: parsed.data.has_next ?? false,
+    revision: parsed.data.ledger,
   };
 }
 
@@ -66,15 +66,15 @@
     z.object({ write: z.string().nullish(), remove: z.string().nullish(), v: z.unknown().optional(), stamp: z.number() }),
   ),
 });
-export function parseChanges(b: Record<string, unknown>): { changes: KeyChange[]; revision: number } | null {
-  const r = changes.safeParse(b);
-  if (!r.success) return null;
+export function parseChanges(body: Record<string, unknown>): { changes: KeyChange[]; revision: number } | null {
+  const parsed = changes.safeParse(body);
+  if (!parsed.success) return null;
   return {
-    revision: r.data.ledger,
-    changes: r.data.log.map((e) =>
-      typeof e.write === 'string'
-        ? { key: e.write, value: e.v ?? null, revision: e.stamp }
-        : { key: e.remove ?? '', value: undefined, revision: e.stamp },
+    revision: parsed.data.ledger,
+    changes: parsed.data.log.map((entry) =>
+      typeof entry.write === 'string'
+        ? { key: entry.write, value: entry.v ?? null, revision: entry.stamp }
+        : { key: entry.remove ?? '', value: undefined, revision: entry.stamp },
     ),
   };
 }
@@ -85,4 +85,4 @@
 export const isLeaseNotFound = (b: Record<string, unknown>) => b.error === 'no such lease';
 export const parseRevision = (b: Record<string, unknown>) => (typeof b.ledger === 'number' ? b.ledger : null);
 export const parseFailedKeys = (b: Record<string, unknown>): string[] =>
-  Array.isArray(b.failed) ? b.failed.filter((x): x is string => typeof x === 'string') : [];
+  Array.isArray(b.failed) ? b.failed.filter((key): key is string => typeof key === 'string') : [];
--- a/packages/protocol/src/workers.ts
+++ b/packages/protocol/src/workers.ts
@@ -66,29 +66,29 @@
 });
 
 export function parseHeartbeat(body: Record<string, unknown>): Heartbeat | null {
-  const r = report.safeParse(body);
-  if (!r.success) return null;
-  const b = r.data;
+  const parsed = report.safeParse(body);
+  if (!parsed.success) return null;
+  const fields = parsed.data;
   return {
-    machine: b.host,
-    address: b.address,
-    type: b.build,
-    zone: b.yard,
-    spot: b.loaners,
-    agentEpoch: b.shift,
-    sequence: b.tally,
-    fencingToken: b.baton ?? 0,
-    preemptionNoticeS: b.warning_s ?? null,
-    tasks: b.pieces.map((p) => {
-      const cut = p.piece.lastIndexOf('/');
+    machine: fields.host,
+    address: fields.address,
+    type: fields.build,
+    zone: fields.yard,
+    spot: fields.loaners,
+    agentEpoch: fields.shift,
+    sequence: fields.tally,
+    fencingToken: fields.baton ?? 0,
+    preemptionNoticeS: fields.warning_s ?? null,
+    tasks: fields.pieces.map((piece) => {
+      const cut = piece.piece.lastIndexOf('/');
       return {
-        job: p.piece.slice(0, cut),
-        index: Number(p.piece.slice(cut + 1)),
-        attempt: p.try,
+        job: piece.piece.slice(0, cut),
+        index: Number(piece.piece.slice(cut + 1)),
+        attempt: piece.try,
         // A state unknown to us still occupies its place.
-        state: TASK_STATE_FROM_WIRE[p.status] ?? 'running',
-        exitReason: p.cause ? (EXIT_REASON_FROM_WIRE[p.cause] ?? 'error') : null,
-        saved: p.saved ?? false,
+        state: TASK_STATE_FROM_WIRE[piece.status] ?? 'running',
+        exitReason: piece.cause ? (EXIT_REASON_FROM_WIRE[piece.cause] ?? 'error') : null,
+        saved: piece.saved ?? false,
       };
     }),
   };
@@ -101,10 +101,14 @@
 
 const COMMAND_TO_WIRE = { start: 'run', stop: 'stop', forget: 'clear' } as const;
 
-function encodeCommand(c: Command): Record<string, unknown> {
-  const o: Record<string, unknown> = { verb: COMMAND_TO_WIRE[c.type], piece: `${c.job}/${c.index}`, try: c.attempt };
-  if (c.type === 'stop') o.wind_down_s = c.graceS;
-  return o;
+function encodeCommand(command: Command): Record<string, unknown> {
+  const encoded: Record<string, unknown> = {
+    verb: COMMAND_TO_WIRE[command.type],
+    piece: `${command.job}/${command.index}`,
+    try: command.attempt,
+  };
+  if (command.type === 'stop') encoded.wind_down_s = command.graceS;
+  return encoded;
 }
 
 export function encodeHeartbeatResponse(token: number, commands: Command[]) {
--- a/packages/server/src/inbox.ts
+++ b/packages/server/src/inbox.ts
@@ -72,9 +72,9 @@
   }
 
   counts(): Inbox['taken'] {
-    const t = this.taken;
+    const taken = this.taken;
     this.taken = { reports: 0, decisions: 0, requests: 0, questions: 0, refused: 0 };
-    return t;
+    return taken;
   }
 
   private wake(): void {
@@ -96,10 +96,10 @@
     this.taken.reports += this.takeSlice(0);
     this.taken.decisions += this.takeSlice(1);
     const now = this.look();
-    for (const r of this.ranks[2].splice(0, AT_ONCE)) this.serve(r, now, 'requests');
-    if (this.ranks[2].length === 0) for (const r of this.ranks[3].splice(0, AT_ONCE)) this.serve(r, now, 'questions');
+    for (const waiting of this.ranks[2].splice(0, AT_ONCE)) this.serve(waiting, now, 'requests');
+    if (this.ranks[2].length === 0) for (const waiting of this.ranks[3].splice(0, AT_ONCE)) this.serve(waiting, now, 'questions');
     this.options.afterEach();
-    if (this.ranks.some((l) => l.length > 0)) this.wake();
+    if (this.ranks.some((list) => list.length > 0)) this.wake();
   }
 
   /** Takes inputs of the rank in their order, at least one, until its time is over. Returns how many. */
@@ -141,13 +141,13 @@
     return now;
   }
 
-  private serve(r: WaitingRequest, now: number, rank: 'requests' | 'questions'): void {
-    if (now - r.at > this.options.staleMs) {
+  private serve(waiting: WaitingRequest, now: number, rank: 'requests' | 'questions'): void {
+    if (now - waiting.at > this.options.staleMs) {
       this.taken.refused++;
-      r.refuse();
+      waiting.refuse();
     } else {
       this.taken[rank]++;
-      this.take(r.run);
+      this.take(waiting.run);
     }
   }
 }
--- a/packages/server/src/index.ts
+++ b/packages/server/src/index.ts
@@ -26,20 +26,20 @@
   .option('--operator <file>', "the operators' settings, as built from HCL (default: operator.json beside the program)")
   .option('--check', 'check the settings and end')
   .addHelpText('after', '\nEnvironment: LOG_LEVEL=error|info|debug, how much is logged to standard error.')
-  .action(async (o: { config: string; operator?: string; check?: boolean }) => {
-    const settings = loadSettings(o.config, operatorFile(o.operator));
-    if (o.check) {
+  .action(async (options: { config: string; operator?: string; check?: boolean }) => {
+    const settings = loadSettings(options.config, operatorFile(options.operator));
+    if (options.check) {
       for (const { what, short, need, have } of shortages(settings))
-        process.stdout.write(`${o.config}: ${what}: ${have} is ${short} short of ${need}\n`);
-      process.stdout.write(`${o.config}: in order\n`);
+        process.stdout.write(`${options.config}: ${what}: ${have} is ${short} short of ${need}\n`);
+      process.stdout.write(`${options.config}: in order\n`);
       return;
     }
     const level = process.env.LOG_LEVEL ?? 'info';
     if (!['error', 'warn', 'info', 'debug'].includes(level))
       throw new SettingsError(`LOG_LEVEL: ${level}: must be error, info or debug`);
     const log = pino({ level, base: { node: settings.core.name } }, pino.destination({ dest: 2, sync: true }));
-    process.on('unhandledRejection', (e) => log.error({ err: e }, 'unexpected'));
-    process.on('uncaughtException', (e) => log.error({ err: e }, 'unexpected'));
+    process.on('unhandledRejection', (reason) => log.error({ err: reason }, 'unexpected'));
+    process.on('uncaughtException', (error) => log.error({ err: error }, 'unexpected'));
     if (isMainThread && startsElsewhere(settings, log)) return;
     for (const shortage of shortages(settings)) log.warn(shortage, 'settings are short');
     await new Service(settings, log).start();
@@ -55,7 +55,7 @@
   return true;
 }
 
-program.parseAsync().catch((e: unknown) => {
-  process.stderr.write(`archpost: ${e instanceof Error ? e.message : String(e)}\n`);
-  process.exit(e instanceof SettingsError ? 2 : 1);
+program.parseAsync().catch((error: unknown) => {
+  process.stderr.write(`archpost: ${error instanceof Error ? error.message : String(error)}\n`);
+  process.exit(error instanceof SettingsError ? 2 : 1);
 });
--- a/packages/server/src/service.ts
+++ b/packages/server/src/service.ts
@@ -38,10 +38,10 @@
     private readonly settings: Settings,
     private readonly log: Logger,
   ) {
-    const c = settings.core;
-    const nodes = c.controllers.length;
-    this.shedding = new Shedding(steady, REQUESTS_PER_S_OF_CORE * c.cpuShare);
-    this.core = new Controller(c, randomUUID().slice(0, 8));
+    const controllerSettings = settings.core;
+    const nodes = controllerSettings.controllers.length;
+    this.shedding = new Shedding(steady, REQUESTS_PER_S_OF_CORE * controllerSettings.cpuShare);
+    this.core = new Controller(controllerSettings, randomUUID().slice(0, 8));
     this.inbox = new Inbox({
       clock: steady,
       afterEach: () => this.carryOut(),
@@ -53,21 +53,26 @@
       failed: (err) => this.log.error({ err }, 'an input could not be taken'),
     });
     // Half of the time a cancellation has: rides out outages, leaves time to take over.
-    const ttlMs = Math.round(Math.min(600, Math.max(1, c.workers.cancelS / 2)) * 1000);
+    const ttlMs = Math.round(Math.min(600, Math.max(1, controllerSettings.workers.cancelS / 2)) * 1000);
     this.store = new StateStore(
       settings.state,
       'a/',
-      (Math.min(c.state.requestsPerS, c.state.next?.requestsPerS ?? c.state.requestsPerS) * 0.9) / nodes,
+      (Math.min(
+        controllerSettings.state.requestsPerS,
+        controllerSettings.state.next?.requestsPerS ?? controllerSettings.state.requestsPerS,
+      ) *
+        0.9) /
+        nodes,
       ttlMs,
       0.002,
     );
-    this.cloud = new Cloud(settings.cloud, c.cloud.requestsPerS * Math.max(0.5, 0.9 / nodes));
+    this.cloud = new Cloud(settings.cloud, controllerSettings.cloud.requestsPerS * Math.max(0.5, 0.9 / nodes));
     // All workers may come to one controller, with a connection each: those for commands, of which
     // the longest unused are closed, must leave room for that, and for users.
     this.workers = new Workers(commandSockets(settings));
     this.peers = new Peers(settings.others);
     this.api = new Api(
-      (r) => this.request(r),
+      (request) => this.request(request),
       () => this.core.isReady,
       this.shedding,
       (from) => this.log.warn({ from }, 'a report can not be read'),
@@ -77,11 +82,17 @@
 
   async start(): Promise<void> {
     const { core, inbox } = this;
-    this.store.loaded$.subscribe((e) => inbox.decision(() => core.receiveSnapshot(e.rows, e.revision, steady())));
-    this.store.changes$.subscribe((e) => inbox.decision(() => core.receiveChanges(e.changes, e.revision, e.asOf, steady())));
-    this.store.lease$.subscribe((e) => inbox.decision(() => core.receiveLeaseState(e.permit, e.validUntil, steady())));
-    this.peers.message$.subscribe((m) => {
-      const { heartbeat: report, status } = m;
+    this.store.loaded$.subscribe((snapshot) =>
+      inbox.decision(() => core.receiveSnapshot(snapshot.rows, snapshot.revision, steady())),
+    );
+    this.store.changes$.subscribe((event) =>
+      inbox.decision(() => core.receiveChanges(event.changes, event.revision, event.asOf, steady())),
+    );
+    this.store.lease$.subscribe((lease) =>
+      inbox.decision(() => core.receiveLeaseState(lease.permit, lease.validUntil, steady())),
+    );
+    this.peers.message$.subscribe((message) => {
+      const { heartbeat: report, status } = message;
       if (report) inbox.report(() => core.receiveForwardedHeartbeat(report, steady()));
       if (status) inbox.decision(() => core.receivePeerStatus(status, steady()));
     });
@@ -90,7 +101,7 @@
     const told = throttleTime<string>(UNREADABLE_MS);
     this.cloud.unreadable$.pipe(told).subscribe((what) => this.log.error({ what }, "the cloud's answer can not be read"));
     this.store.unreadable$.pipe(told).subscribe((what) => this.log.error({ what }, "the state service's answer can not be read"));
-    this.peers.down$.subscribe((n) => inbox.decision(() => core.peerDisconnected(n, steady())));
+    this.peers.down$.subscribe((controller) => inbox.decision(() => core.peerDisconnected(controller, steady())));
     this.store.start();
     const peer = splitAddr(this.settings.peerListen);
     await this.peers.listen(peer.host, peer.port);
@@ -106,9 +117,9 @@
       if (connections > 0) this.log.warn({ connections }, 'connections refused');
       const cpu = process.cpuUsage();
       const { rss, heapUsed } = process.memoryUsage();
-      const mb = (n: number) => Math.round(n / 1048576);
+      const toMegabytes = (count: number) => Math.round(count / 1048576);
       this.log.debug(
-        { cpuS: (cpu.user + cpu.system) / 1e6, rssMb: mb(rss), heapMb: mb(heapUsed), ...this.inbox.counts() },
+        { cpuS: (cpu.user + cpu.system) / 1e6, rssMb: toMegabytes(rss), heapMb: toMegabytes(heapUsed), ...this.inbox.counts() },
         'process',
       );
     });
@@ -133,20 +144,20 @@
     });
   }
 
-  private request(r: Request): void {
+  private request(request: Request): void {
     const { core, inbox } = this;
-    if (r.kind === 'report') {
-      inbox.report(() => core.receiveHeartbeat(r.id, r.report, steady()));
+    if (request.kind === 'report') {
+      inbox.report(() => core.receiveHeartbeat(request.id, request.report, steady()));
       return;
     }
-    const refuse = () => this.api.answer(r.id, 503, { error: 'overloaded' }, 1);
-    if (r.kind === 'poll') {
-      inbox.question(() => core.queryJobStatus(r.id, r.job, steady()), refuse);
+    const refuse = () => this.api.answer(request.id, 503, { error: 'overloaded' }, 1);
+    if (request.kind === 'poll') {
+      inbox.question(() => core.queryJobStatus(request.id, request.job, steady()), refuse);
       return;
     }
     inbox.request(() => {
-      if (r.kind === 'submit') core.submitJob(r.id, r.body, steady(), Date.now());
-      else core.cancelJob(r.id, r.job, steady());
+      if (request.kind === 'submit') core.submitJob(request.id, request.body, steady(), Date.now());
+      else core.cancelJob(request.id, request.job, steady());
     }, refuse);
   }
 
@@ -155,63 +166,72 @@
     // controller may have decided since. Answers and writes go out: a late answer finds nobody,
     // and a late write fails on its guards.
     const decided = this.inbox.last;
-    for (const e of this.core.takeEffects()) {
-      if ((beforePause || steady() - decided > PAUSE_MS) && this.unsent(e)) continue;
-      this.effect(e);
+    for (const effect of this.core.takeEffects()) {
+      if ((beforePause || steady() - decided > PAUSE_MS) && this.unsent(effect)) continue;
+      this.effect(effect);
     }
   }
 
   /** Is it kept back? Then the core learns that it never left. */
-  private unsent(e: Effect): boolean {
+  private unsent(effect: Effect): boolean {
     const { core, inbox } = this;
-    if (e.type === 'command') inbox.decision(() => core.receiveCommandOutcome(e.id, { kind: 'refused' }, steady()));
-    else if (e.type === 'release') inbox.decision(() => core.receiveReleaseOutcome(e.id, false, steady()));
-    else if (e.type === 'provision') inbox.decision(() => core.receiveProvisioningOutcome(e.id, { kind: 'unknown' }, steady()));
+    if (effect.type === 'command') inbox.decision(() => core.receiveCommandOutcome(effect.id, { kind: 'refused' }, steady()));
+    else if (effect.type === 'release') inbox.decision(() => core.receiveReleaseOutcome(effect.id, false, steady()));
+    else if (effect.type === 'provision')
+      inbox.decision(() => core.receiveProvisioningOutcome(effect.id, { kind: 'unknown' }, steady()));
     else return false;
     return true;
   }
 
-  private effect(e: Effect): void {
+  private effect(effect: Effect): void {
     const { core, inbox } = this;
     const back = (run: () => void) => inbox.decision(run);
-    switch (e.type) {
+    switch (effect.type) {
       case 'respond':
-        this.api.answer(e.id, e.status, e.body, e.retryAfterS);
+        this.api.answer(effect.id, effect.status, effect.body, effect.retryAfterS);
         break;
       case 'readBarrier':
-        this.store.barrier(e.urgent);
+        this.store.barrier(effect.urgent);
         break;
       case 'compareAndSwap':
-        void this.store.txn(e.conditions, e.writes).then((r) => back(() => core.receiveCompareAndSwapOutcome(e.id, r, steady())));
+        void this.store
+          .txn(effect.conditions, effect.writes)
+          .then((outcome) => back(() => core.receiveCompareAndSwapOutcome(effect.id, outcome, steady())));
         break;
       case 'command':
         void this.workers
-          .command(e.address, e.fencingToken, e.agentEpoch, e.commands)
-          .then((r) => back(() => core.receiveCommandOutcome(e.id, r, steady())));
+          .command(effect.address, effect.fencingToken, effect.agentEpoch, effect.commands)
+          .then((outcome) => back(() => core.receiveCommandOutcome(effect.id, outcome, steady())));
         break;
       case 'probe':
-        void this.workers.ask(e.address).then((ok) => back(() => core.receiveProbeOutcome(e.id, ok, steady())));
+        void this.workers
+          .ask(effect.address)
+          .then((isAnswered) => back(() => core.receiveProbeOutcome(effect.id, isAnswered, steady())));
         break;
       case 'provision':
-        void this.cloud.rent(e.request).then((r) => back(() => core.receiveProvisioningOutcome(e.id, r, steady())));
+        void this.cloud
+          .rent(effect.request)
+          .then((outcome) => back(() => core.receiveProvisioningOutcome(effect.id, outcome, steady())));
         break;
       case 'release':
-        void this.cloud.giveBack(e.machines).then((ok) => back(() => core.receiveReleaseOutcome(e.id, ok, steady())));
+        void this.cloud
+          .giveBack(effect.machines)
+          .then((isReleased) => back(() => core.receiveReleaseOutcome(effect.id, isReleased, steady())));
         break;
       case 'listMachines':
-        void this.cloud.list().then((l) => back(() => core.receiveMachineList(l, steady())));
+        void this.cloud.list().then((machines) => back(() => core.receiveMachineList(machines, steady())));
         break;
       case 'fetchMachineTypes':
-        void this.cloud.types().then((l) => back(() => core.receiveMachineTypes(l, steady())));
+        void this.cloud.types().then((types) => back(() => core.receiveMachineTypes(types, steady())));
         break;
       case 'sendStatus':
-        this.peers.send({ node: this.settings.core.name, status: e.status, heartbeat: null }, e.to);
+        this.peers.send({ node: this.settings.core.name, status: effect.status, heartbeat: null }, effect.to);
         break;
       case 'forwardHeartbeat':
-        this.peers.send({ node: this.settings.core.name, status: null, heartbeat: e.heartbeat }, e.to);
+        this.peers.send({ node: this.settings.core.name, status: null, heartbeat: effect.heartbeat }, effect.to);
         break;
       case 'log':
-        this.log[e.level](e.fields ?? {}, e.message);
+        this.log[effect.level](effect.fields ?? {}, effect.message);
         break;
     }
   }
--- a/packages/server/src/settings.ts
+++ b/packages/server/src/settings.ts
@@ -72,34 +72,36 @@
 }
 
 function check<T>(name: string, schema: z.ZodType<T>, value: unknown): T {
-  const r = schema.safeParse(value);
-  if (r.success) return r.data;
-  const issue = r.error.issues[0];
+  const parsed = schema.safeParse(value);
+  if (parsed.success) return parsed.data;
+  const issue = parsed.error.issues[0];
   throw new SettingsError(`${name}: ${issue?.path.join('.') || 'file'}: ${issue?.message ?? 'invalid'}`);
 }
 
 function read(path: string): string {
   try {
     return readFileSync(path, 'utf8');
-  } catch (e) {
-    throw new SettingsError(`${path}: ${(e as NodeJS.ErrnoException).code === 'ENOENT' ? 'no such file' : (e as Error).message}`);
+  } catch (error) {
+    throw new SettingsError(
+      `${path}: ${(error as NodeJS.ErrnoException).code === 'ENOENT' ? 'no such file' : (error as Error).message}`,
+    );
   }
 }
 
 function parseToml(path: string): unknown {
   try {
     return parse(read(path));
-  } catch (e) {
-    if (e instanceof SettingsError) throw e;
-    throw new SettingsError(`${path}: not valid TOML: ${(e as Error).message.split('\n')[0]}`);
+  } catch (error) {
+    if (error instanceof SettingsError) throw error;
+    throw new SettingsError(`${path}: not valid TOML: ${(error as Error).message.split('\n')[0]}`);
   }
 }
 
 function parseOperator(path: string): unknown {
   try {
     return JSON.parse(read(path));
-  } catch (e) {
-    if (e instanceof SettingsError) throw e;
+  } catch (error) {
+    if (error instanceof SettingsError) throw error;
     throw new SettingsError(`${path}: not valid JSON (the build makes it of the HCL file)`);
   }
 }
@@ -119,18 +121,18 @@
  * Settings under which rules could not be kept, or nothing could be served, are refused here
  * rather than found out by users.
  */
-function refuseHopeless(path: string, s: z.infer<typeof file>): void {
-  const nodes = s.others.length + 1;
-  const w = s.params.workers;
+function refuseHopeless(path: string, settings: z.infer<typeof file>): void {
+  const nodes = settings.others.length + 1;
+  const workers = settings.params.workers;
   // Workers are answered for what this leaves after the last reading of all changes: no less
   // than the time between two readings (docs/design.md, "Who may answer workers").
-  const least = w.lease_s + w.report_s + WATCH_S;
-  if (w.cancel_s <= least)
+  const least = workers.lease_s + workers.report_s + WATCH_S;
+  if (workers.cancel_s <= least)
     throw new SettingsError(
-      `${path}: params.workers.cancel_s: must exceed lease_s + report_s by more than ${WATCH_S} s (${least}), but is ${w.cancel_s}`,
+      `${path}: params.workers.cancel_s: must exceed lease_s + report_s by more than ${WATCH_S} s (${least}), but is ${workers.cancel_s}`,
     );
-  const { max_sockets, mem_mb } = s.params.machine_limits;
-  const { next, ...present } = s.params.state;
+  const { max_sockets, mem_mb } = settings.params.machine_limits;
+  const { next, ...present } = settings.params.state;
   enoughState(path, 'state', present, nodes);
   if (next) enoughState(path, 'state.next', { ...present, ...next }, nodes);
   enough(path, 'machine_limits.mem_mb', mem_mb, LEAST_MB, 'the process without any work');
@@ -157,72 +159,76 @@
 }
 
 export function loadSettings(path: string, operatorPath: string | null): Settings {
-  const s = check(path, file, parseToml(path));
-  const o = check(operatorPath ?? 'operator settings', operator, operatorPath === null ? {} : parseOperator(operatorPath));
-  refuseHopeless(path, s);
-  const names = [s.host_name, ...s.others.map((x) => x.host_name)];
+  const platform = check(path, file, parseToml(path));
+  const operatorSettings = check(
+    operatorPath ?? 'operator settings',
+    operator,
+    operatorPath === null ? {} : parseOperator(operatorPath),
+  );
+  refuseHopeless(path, platform);
+  const names = [platform.host_name, ...platform.others.map((other) => other.host_name)];
   if (new Set(names).size !== names.length) throw new SettingsError(`${path}: others: host_name given twice`);
   const policy: Policy = {
-    planWaitS: o.plan_wait_s,
+    planWaitS: operatorSettings.plan_wait_s,
     // Three reports missed, and some more for a packet sent again.
-    silentS: o.silent_s ?? s.params.workers.report_s * 3.5,
-    holdSpareCapacity: o.hold,
-    idleS: o.idle_s,
-    maxMachines: o.max_machines ?? null,
+    silentS: operatorSettings.silent_s ?? platform.params.workers.report_s * 3.5,
+    holdSpareCapacity: operatorSettings.hold,
+    idleS: operatorSettings.idle_s,
+    maxMachines: operatorSettings.max_machines ?? null,
   };
-  const w = s.params.workers;
+  const workers = platform.params.workers;
   return {
     core: {
-      name: s.host_name,
-      zone: s.location,
+      name: platform.host_name,
+      zone: platform.location,
       controllers: [
-        { name: s.host_name, zone: s.location },
-        ...s.others.map((x) => ({ name: x.host_name, zone: x.location })),
+        { name: platform.host_name, zone: platform.location },
+        ...platform.others.map((other) => ({ name: other.host_name, zone: other.location })),
       ].sort((a, b) => (a.name < b.name ? -1 : 1)),
-      shardCount: s.params.initial_size,
-      zones: s.params.zones,
-      teams: s.params.teams.map((t) => ({
-        name: t.name,
-        cpus: t.cpus,
-        maxCpus: t.cpus_max,
-        gpus: t.gpus,
-        maxGpus: t.gpus_max,
+      shardCount: platform.params.initial_size,
+      zones: platform.params.zones,
+      teams: platform.params.teams.map((team) => ({
+        name: team.name,
+        cpus: team.cpus,
+        maxCpus: team.cpus_max,
+        gpus: team.gpus,
+        maxGpus: team.gpus_max,
       })),
-      objectives: s.params.objectives.map((x) => ({
-        kind: x.kind,
-        jobClass: x.class ?? null,
-        withinS: x.within_s ?? null,
-        afterS: x.after_s ?? null,
-        share: x.share ?? null,
-        most: x.most ?? null,
-        deadlineMultiple: x.times ?? null,
+      objectives: platform.params.objectives.map((objective) => ({
+        kind: objective.kind,
+        jobClass: objective.class ?? null,
+        withinS: objective.within_s ?? null,
+        afterS: objective.after_s ?? null,
+        share: objective.share ?? null,
+        most: objective.most ?? null,
+        deadlineMultiple: objective.times ?? null,
       })),
       workers: {
-        heartbeatIntervalS: w.report_s,
-        leaseS: w.lease_s,
-        gangWaitS: w.gang_wait_s,
-        gangPeerS: w.gang_peer_s,
-        cancelS: w.cancel_s,
+        heartbeatIntervalS: workers.report_s,
+        leaseS: workers.lease_s,
+        gangWaitS: workers.gang_wait_s,
+        gangPeerS: workers.gang_peer_s,
+        cancelS: workers.cancel_s,
       },
-      cpuShare: s.params.machine_limits.cpu_share,
-      maxSockets: s.params.machine_limits.max_sockets,
+      cpuShare: platform.params.machine_limits.cpu_share,
+      maxSockets: platform.params.machine_limits.max_sockets,
       state: {
-        requestsPerS: s.params.state.rps,
-        writesPerS: s.params.state.write_rps,
-        valueKib: s.params.state.value_kb,
-        writesPerTransaction: s.params.state.txn_ops,
-        next: s.params.state.next ? nextLimits(s.params.state.next) : null,
+        requestsPerS: platform.params.state.rps,
+        writesPerS: platform.params.state.write_rps,
+        valueKib: platform.params.state.value_kb,
+        writesPerTransaction: platform.params.state.txn_ops,
+        next: platform.params.state.next ? nextLimits(platform.params.state.next) : null,
       },
-      cloud: { requestsPerS: s.params.cloud.rps, listLagS: s.params.cloud.list_lag_s },
+      cloud: { requestsPerS: platform.params.cloud.rps, listLagS: platform.params.cloud.list_lag_s },
       policy,
     },
-    publicAddr: s.public_addr,
-    peerListen: s.peer_listen,
-    others: s.others.map((x) => ({ name: x.host_name, addr: x.peer_addr })),
-    cloud: s.external.cloud,
-    state: s.external.state,
-    clockErrorMs: s.params.clock_error_ms,
-    maxSockets: s.params.machine_limits.max_sockets,
-    memoryMb: s.params.machine_limits.mem_mb,
+    publicAddr: platform.public_addr,
+    peerListen: platform.peer_listen,
+    others: platform.others.map((other) => ({ name: other.host_name, addr: other.peer_addr })),
+    cloud: platform.external.cloud,
+    state: platform.external.state,
+    clockErrorMs: platform.params.clock_error_ms,
+    maxSockets: platform.params.machine_limits.max_sockets,
+    memoryMb: platform.params.machine_limits.mem_mb,
   };
 }
--- a/packages/state-client/src/index.ts
+++ b/packages/state-client/src/index.ts
@@ -89,8 +89,8 @@
   }
 
   private async get(path: string, timeoutMs: number): Promise<ServiceResponse> {
-    const o = await this.client.call({ method: 'GET', path, timeoutMs });
-    return o.kind === 'answer' ? { status: o.status, body: unpackMap(o.body) } : { status: 0, body: null };
+    const outcome = await this.client.call({ method: 'GET', path, timeoutMs });
+    return outcome.kind === 'answer' ? { status: outcome.status, body: unpackMap(outcome.body) } : { status: 0, body: null };
   }
 
   // ---- the lease
@@ -103,16 +103,16 @@
       const at = steady();
       const path: string = permit === null ? PATHS.leases : `${PATHS.leases}/${permit}/extend`;
       const body = pack(permit === null ? encodeLeaseRequest(this.ttlMs) : {});
-      const o = await this.client.call({ method: 'POST', path, body, timeoutMs: 2000 });
+      const outcome = await this.client.call({ method: 'POST', path, body, timeoutMs: 2000 });
       let wait = 400;
-      if (o.kind === 'answer' && o.status === 200) {
-        if (permit === null) permit = parseLease(unpackMap(o.body) ?? {});
+      if (outcome.kind === 'answer' && outcome.status === 200) {
+        if (permit === null) permit = parseLease(unpackMap(outcome.body) ?? {});
         if (permit !== null) {
           // Counted from the sending, on a clock that may run fast or slow.
           this.lease$.next({ permit, validUntil: at + this.ttlMs * (1 - this.driftShare) - 20 });
           wait = every;
         }
-      } else if (o.kind === 'answer' && (o.status === 404 || o.status === 400) && permit !== null) {
+      } else if (outcome.kind === 'answer' && (outcome.status === 404 || outcome.status === 400) && permit !== null) {
         permit = null;
         this.lease$.next({ permit: null, validUntil: 0 });
         wait = 0;
@@ -130,9 +130,9 @@
         continue;
       }
       while (!this.closed) {
-        const r = await this.read(WATCH_MS, WATCH_MS + 2000);
-        if (r === 'old') break;
-        await sleep(r === 'ok' ? this.pauseMs : 300);
+        const result = await this.read(WATCH_MS, WATCH_MS + 2000);
+        if (result === 'old') break;
+        await sleep(result === 'ok' ? this.pauseMs : 300);
       }
     }
   }
@@ -152,8 +152,8 @@
     // Pages can be of different times: what changed since the first one comes by the watch.
     this.revision = first;
     this.loaded$.next({ rows, revision: first });
-    const r = await this.read(0, 2000);
-    return r === 'ok';
+    const result = await this.read(0, 2000);
+    return result === 'ok';
   }
 
   /** A page of all keys; a later one is asked for again, since all that came before it would be lost. */
@@ -177,9 +177,9 @@
   private async read(waitMs: number, timeoutMs: number): Promise<'ok' | 'old' | 'failed'> {
     await this.budget.take();
     const asOf = steady();
-    const r = await this.get(`${PATHS.changes}?starts=${this.prefix}&since=${this.revision}&wait_ms=${waitMs}`, timeoutMs);
-    if (r.status === 410) return 'old';
-    const page = this.readable(r, 'changes', parseChanges);
+    const response = await this.get(`${PATHS.changes}?starts=${this.prefix}&since=${this.revision}&wait_ms=${waitMs}`, timeoutMs);
+    if (response.status === 410) return 'old';
+    const page = this.readable(response, 'changes', parseChanges);
     if (!page) return 'failed';
     if (page.revision > this.revision) this.revision = page.revision;
     if (asOf > this.readAt) this.readAt = asOf;
@@ -208,8 +208,8 @@
       }
       this.wantedBy = Number.POSITIVE_INFINITY;
       this.barrierAt = steady();
-      const r = await this.read(0, 1200);
-      if (r === 'failed') await sleep(200);
+      const result = await this.read(0, 1200);
+      if (result === 'failed') await sleep(200);
     }
     this.wantedBy = Number.POSITIVE_INFINITY;
     this.barrierBusy = false;
@@ -219,22 +219,22 @@
 
   async txn(guards: RevisionCondition[], writes: KeyWrite[]): Promise<CompareAndSwapOutcome> {
     await this.budget.take();
-    const o = await this.client.call({
+    const outcome = await this.client.call({
       method: 'POST',
       path: PATHS.txn,
       body: pack(encodeCompareAndSwap(guards, writes)),
       timeoutMs: 1500,
     });
-    if (o.kind === 'refused') return { kind: 'refused' };
-    if (o.kind === 'lost') return { kind: 'unknown' };
-    const body = unpackMap(o.body) ?? {};
-    if (o.status === 200) {
+    if (outcome.kind === 'refused') return { kind: 'refused' };
+    if (outcome.kind === 'lost') return { kind: 'unknown' };
+    const body = unpackMap(outcome.body) ?? {};
+    if (outcome.status === 200) {
       const revision = parseRevision(body);
       return revision === null ? { kind: 'unknown' } : { kind: 'ok', revision };
     }
-    if (o.status === 409) return { kind: 'failed', keys: parseFailedKeys(body) };
-    if (o.status === 400) return { kind: isLeaseNotFound(body) ? 'noLease' : 'invalid' };
-    if (o.status === 429) return { kind: 'limited' };
-    return o.status === 503 ? { kind: 'refused' } : { kind: 'unknown' };
+    if (outcome.status === 409) return { kind: 'failed', keys: parseFailedKeys(body) };
+    if (outcome.status === 400) return { kind: isLeaseNotFound(body) ? 'noLease' : 'invalid' };
+    if (outcome.status === 429) return { kind: 'limited' };
+    return outcome.status === 503 ? { kind: 'refused' } : { kind: 'unknown' };
   }
 }
--- a/packages/worker-client/src/index.ts
+++ b/packages/worker-client/src/index.ts
@@ -17,7 +17,8 @@
     }
     if (this.clients.size >= this.maxClients) {
       let oldest: string | null = null;
-      for (const [a, c] of this.clients) if (oldest === null || c.used < (this.clients.get(oldest)?.used ?? 0)) oldest = a;
+      for (const [address, connection] of this.clients)
+        if (oldest === null || connection.used < (this.clients.get(oldest)?.used ?? 0)) oldest = address;
       if (oldest !== null) {
         this.clients.get(oldest)?.client.close();
         this.clients.delete(oldest);
@@ -30,21 +31,21 @@
 
   /** Does the worker answer? */
   async ask(addr: string): Promise<boolean> {
-    const o = await this.client(addr).call({ method: 'GET', path: PATHS.status, timeoutMs: 1500 });
-    return o.kind === 'answer' && o.status === 200;
+    const outcome = await this.client(addr).call({ method: 'GET', path: PATHS.status, timeoutMs: 1500 });
+    return outcome.kind === 'answer' && outcome.status === 200;
   }
 
   async command(addr: string, token: number, session: number, commands: Command[]): Promise<CommandOutcome> {
-    const o = await this.client(addr).call({
+    const outcome = await this.client(addr).call({
       method: 'POST',
       path: PATHS.commands,
       body: pack(encodeCommandRequest(token, session, commands)),
       timeoutMs: 2500,
     });
-    if (o.kind !== 'answer') return { kind: o.kind };
-    const body = unpackMap(o.body);
-    if (o.status === 200) return { kind: 'ok', report: body && parseHeartbeat(body) };
-    if (o.status === 409) return { kind: 'stale', report: body && parseHeartbeat(body) };
+    if (outcome.kind !== 'answer') return { kind: outcome.kind };
+    const body = unpackMap(outcome.body);
+    if (outcome.status === 200) return { kind: 'ok', report: body && parseHeartbeat(body) };
+    if (outcome.status === 409) return { kind: 'stale', report: body && parseHeartbeat(body) };
     return { kind: 'lost' };
   }
 }
