--- a/test/apart.test.ts
+++ b/test/apart.test.ts
@@ -5,11 +5,11 @@
 import { Cluster, holderOf, job, kept, type Node, shareOf, smallCluster, type WorkerStandIn } from './stand-ins.js';
 
 const cluster = (machines = 8) => smallCluster(machines);
-const machineOf = (c: Cluster, id: string) => c.workers.find((w) => w.name === c.on(id)[0]) as WorkerStandIn;
+const machineOf = (cluster: Cluster, id: string) => cluster.workers.find((w) => w.name === cluster.on(id)[0]) as WorkerStandIn;
 /** Hands a copy of a report to a controller, as a network that held it back would. */
-const late = (n: Node, r: Heartbeat) => {
+const late = (node: Node, heartbeat: Heartbeat) => {
   let said = 0;
-  n.report(structuredClone(r), (status) => {
+  node.report(structuredClone(heartbeat), (status) => {
     said = status;
   });
   return said;
@@ -36,7 +36,7 @@
   c.until('running', () => c.running('run-v') === 2);
   const share = shareOf(c, 'run-v');
   const apart = holderOf(c, share);
-  const tokens = () => c.nodes.map((n) => n.core.clusterState.leaseOf(share)?.revision ?? 0);
+  const tokens = () => c.nodes.map((node) => node.core.clusterState.leaseOf(share)?.revision ?? 0);
   c.deaf = (node) => node === apart;
   c.until('taken over', () => holderOf(c, share) !== apart && holderOf(c, share) !== '', 30);
   c.submit(job('run-u', { team: c.specs.get('run-v')?.team ?? '', estimateS: 3 }));
@@ -83,7 +83,7 @@
   c.run(4);
   const w = machineOf(c, 'run-d');
   const copies: Heartbeat[] = [];
-  for (let i = 0; i < 8; i++) {
+  for (let index = 0; index < 8; index++) {
     c.run(1);
     copies.push(w.report());
   }
@@ -91,12 +91,12 @@
   const share = shareOf(c, 'run-d');
   c.node(holderOf(c, share)).crash();
   c.run(1);
-  c.nodes.find((n) => !n.up)?.restart();
+  c.nodes.find((node) => !node.up)?.restart();
   const died = c.now;
-  for (let i = 0; i < 20 && !w.dead; i++) {
+  for (let index = 0; index < 20 && !w.dead; index++) {
     c.run(1);
     // One to each controller, oldest first, for longer than its silence is borne.
-    for (const n of c.nodes) late(n, copies[i % copies.length] as Heartbeat);
+    for (const node of c.nodes) late(node, copies[index % copies.length] as Heartbeat);
   }
   assert.ok(w.dead, `not given back in ${(c.now - died) / 1000} s`);
   c.until('goes on elsewhere', () => c.running('run-d') === 1, 20);
@@ -107,12 +107,12 @@
   const c = cluster();
   const keeper = c.node('n1');
   const w = c.workers.find((x) => {
-    const m = keeper.core.clusterState.machines.get(x.name);
-    return x.zone === 'west' && m !== undefined && holderOf(c, m.shard) !== 'n1';
+    const machine = keeper.core.clusterState.machines.get(x.name);
+    return x.zone === 'west' && machine !== undefined && holderOf(c, machine.shard) !== 'n1';
   });
   assert.ok(w, 'a machine of the west whose share is held in the east');
   const copies: Heartbeat[] = [];
-  for (let i = 0; i < 8; i++) {
+  for (let index = 0; index < 8; index++) {
     c.run(1);
     copies.push(w.report());
   }
@@ -120,9 +120,9 @@
   c.run(3);
   w.hung = true;
   c.run(1);
-  for (let i = 0; i < 9 && !w.dead; i++) {
+  for (let index = 0; index < 9 && !w.dead; index++) {
     c.run(1);
-    late(keeper, copies[i % copies.length] as Heartbeat);
+    late(keeper, copies[index % copies.length] as Heartbeat);
   }
   assert.ok(w.dead, 'silent, whatever late copies say');
 });
@@ -138,13 +138,13 @@
   const done: Heartbeat = {
     ...before,
     sequence: 2,
-    tasks: w.report().tasks.map((t) => ({ ...t, state: 'exited', why: 'done' })),
+    tasks: w.report().tasks.map((task) => ({ ...task, state: 'exited', why: 'done' })),
   };
   late(owner, before);
   late(owner, done);
-  const m = owner.core.clusterState.machines.get(w.name);
-  assert.equal(m?.address, w.name);
-  assert.ok((m?.preemptionNoticeUntil ?? 0) < 0);
+  const machine = owner.core.clusterState.machines.get(w.name);
+  assert.equal(machine?.address, w.name);
+  assert.ok((machine?.preemptionNoticeUntil ?? 0) < 0);
   c.run(5);
   assert.equal(c.running('run-e'), 2);
   // Nor right after a takeover, when what was seen last is forgotten.
@@ -166,15 +166,20 @@
   c.until('running', () => c.running('run-p') === 8);
   c.run(6);
   const before = c.relays;
-  const reports = c.workers.reduce((n, w) => n + w.seq, 0);
+  const reports = c.workers.reduce((count, w) => count + w.seq, 0);
   c.run(40);
   const kept = c.workers.filter((w) => w.zone === 'west').length;
   // Each in full once in a while; without this it would be one of every two seconds.
   assert.ok(c.relays - before <= kept * 5, `${c.relays - before} passed on`);
-  assert.ok(c.workers.reduce((n, w) => n + w.seq, 0) - reports >= 8 * 18, 'and hardly any machine had to be asked');
+  assert.ok(c.workers.reduce((count, w) => count + w.seq, 0) - reports >= 8 * 18, 'and hardly any machine had to be asked');
   for (const w of c.workers) {
-    const n = c.nodes.find((x) => x.core.shardController.heldShards.has(x.core.clusterState.machines.get(w.name)?.shard ?? -1));
-    assert.ok(n && c.now - (n.core.clusterState.machines.get(w.name)?.lastHeartbeatAt ?? 0) < 4000, `${w.name} counts as heard`);
+    const node = c.nodes.find((x) =>
+      x.core.shardController.heldShards.has(x.core.clusterState.machines.get(w.name)?.shard ?? -1),
+    );
+    assert.ok(
+      node && c.now - (node.core.clusterState.machines.get(w.name)?.lastHeartbeatAt ?? 0) < 4000,
+      `${w.name} counts as heard`,
+    );
   }
 });
 
@@ -203,30 +208,30 @@
   const w = c.workers[0] as WorkerStandIn;
   c.run(5);
   const r = { ...w.report(), token: w.token + 1_000 };
-  for (const n of c.nodes) assert.ok([503, 421].includes(late(n, r)));
-  assert.ok(c.nodes.some((n) => late(n, r) === 503));
-  assert.ok(c.nodes.some((n) => late(n, w.report()) === 200));
+  for (const node of c.nodes) assert.ok([503, 421].includes(late(node, r)));
+  assert.ok(c.nodes.some((node) => late(node, r) === 503));
+  assert.ok(c.nodes.some((node) => late(node, w.report()) === 200));
 });
 
 test('a controller that alone lost the state service says so to the load balancer; in an outage of all none does', () => {
   const c = cluster();
-  const n2 = c.node('n2');
-  n2.refused = true;
+  const node = c.node('n2');
+  node.refused = true;
   c.run(8);
-  assert.equal(n2.core.isReady, false);
+  assert.equal(node.core.isReady, false);
   assert.equal(c.node('n0').core.isReady, true);
-  assert.equal(c.ask('run-none', n2), '503');
-  n2.refused = false;
+  assert.equal(c.ask('run-none', node), '503');
+  node.refused = false;
   c.run(2);
-  assert.equal(n2.core.isReady, true);
+  assert.equal(node.core.isReady, true);
   // With the other controllers gone too, nothing tells it from an outage: it says no.
-  n2.refused = true;
+  node.refused = true;
   c.cut = (a, b) =>
     (a === 'n2') !== (b === 'n2') && (a.startsWith('n') || b.startsWith('n')) && !a.startsWith('m') && !b.startsWith('m');
   c.run(8);
-  assert.equal(n2.core.isReady, false);
+  assert.equal(node.core.isReady, false);
   c.cut = () => false;
-  n2.refused = false;
+  node.refused = false;
   c.run(5);
   c.stateDown = true;
   c.run(10);
@@ -235,25 +240,25 @@
 
 test('a controller with its workers alone stops commanding with its lease, and refuses reports soon after', () => {
   const c = cluster();
-  const n2 = c.node('n2');
+  const node = c.node('n2');
   const w = c.workers.find((x) => x.zone === 'east') as WorkerStandIn;
-  n2.refused = true;
+  node.refused = true;
   c.cut = (a, b) => (a === 'n2' && b.startsWith('n')) || (b === 'n2' && a.startsWith('n'));
   c.run(10);
-  assert.equal(late(n2, w.report()), 200, 'its workers are kept for a while');
+  assert.equal(late(node, w.report()), 200, 'its workers are kept for a while');
   c.run(9);
-  for (const s of n2.core.shardController.heldShards.keys())
-    assert.ok(!n2.core.shardController.allocations.holdsShard(s, c.now), 'no share is acted for without a lease');
+  for (const s of node.core.shardController.heldShards.keys())
+    assert.ok(!node.core.shardController.allocations.holdsShard(s, c.now), 'no share is acted for without a lease');
   // Time for a cancellation that it can't know of, less what a worker's own lease takes.
   c.run(4);
-  assert.equal(late(n2, w.report()), 503);
+  assert.equal(late(node, w.report()), 503);
   c.cut = () => false;
-  n2.refused = false;
-  c.until('back', () => late(n2, w.report()) !== 503, 20);
+  node.refused = false;
+  c.until('back', () => late(node, w.report()) !== 503, 20);
   const held = c.nodes.map((n) => n.core.shardController.heldShards.size);
   c.run(30);
   assert.equal(
-    c.nodes.reduce((n, x) => n + x.core.shardController.heldShards.size, 0),
+    c.nodes.reduce((count, x) => count + x.core.shardController.heldShards.size, 0),
     3,
     `shares held: ${held}`,
   );
@@ -261,9 +266,9 @@
 
 test('once troubles are over, every accepted job is answered by every controller, whatever became of its share', () => {
   const c = cluster();
-  for (let i = 0; i < 9; i++) {
-    const team = ['red', 'blue', 'green'][i % 3] as string;
-    c.submit(job(`run-${i}`, { team, estimateS: i < 3 ? 3 : 400 }), c.nodes[i % 3]);
+  for (let index = 0; index < 9; index++) {
+    const team = ['red', 'blue', 'green'][index % 3] as string;
+    c.submit(job(`run-${index}`, { team, estimateS: index < 3 ? 3 : 400 }), c.nodes[index % 3]);
   }
   c.until('some done', () => c.finished.size >= 3, 40);
   c.cancel('run-4');
@@ -282,16 +287,16 @@
   c.stateDown = false;
   c.node('n2').refused = false;
   c.run(25);
-  for (const n of c.nodes) {
-    assert.ok(n.core.isReady, `${n.name} takes users`);
-    for (let i = 0; i < 9; i++) {
-      const said = c.ask(`run-${i}`, n);
-      const want = i < 3 ? ['done'] : i === 4 ? ['aborted'] : ['queued', 'running'];
-      assert.ok(want.includes(said), `${n.name} says ${said} of run-${i}`);
+  for (const node of c.nodes) {
+    assert.ok(node.core.isReady, `${node.name} takes users`);
+    for (let index = 0; index < 9; index++) {
+      const said = c.ask(`run-${index}`, node);
+      const want = index < 3 ? ['done'] : index === 4 ? ['aborted'] : ['queued', 'running'];
+      assert.ok(want.includes(said), `${node.name} says ${said} of run-${index}`);
     }
   }
   assert.equal(
-    c.nodes.reduce((n, x) => n + x.core.shardController.heldShards.size, 0),
+    c.nodes.reduce((count, node) => count + node.core.shardController.heldShards.size, 0),
     3,
     'each share has one holder',
   );
@@ -305,16 +310,16 @@
   c.cancel('run-gone');
   c.until('done', () => c.ask('run-once') === 'done', 40);
   const starts = c.trace.filter((l) => l.includes('starts')).length;
-  for (const n of c.nodes) {
-    c.submit(c.specs.get('run-once') as ReturnType<typeof job>, n);
-    c.submit(c.specs.get('run-gone') as ReturnType<typeof job>, n);
-    c.cancel('run-once', n);
+  for (const node of c.nodes) {
+    c.submit(c.specs.get('run-once') as ReturnType<typeof job>, node);
+    c.submit(c.specs.get('run-gone') as ReturnType<typeof job>, node);
+    c.cancel('run-once', node);
   }
   c.run(10);
   assert.equal(c.trace.filter((l) => l.includes('starts')).length, starts, 'nothing is started again');
-  for (const n of c.nodes) {
-    assert.equal(c.ask('run-once', n), 'done');
-    assert.equal(c.ask('run-gone', n), 'aborted');
+  for (const node of c.nodes) {
+    assert.equal(c.ask('run-once', node), 'done');
+    assert.equal(c.ask('run-gone', node), 'aborted');
   }
   assert.equal(c.trace.filter((l) => l.includes('user told 201')).length, 2);
 });
@@ -328,7 +333,7 @@
   const zone = c.node(home).core.settings.zone;
   const inside = (x: string) => x === home || c.workers.find((w) => w.name === x)?.zone === zone;
   // Its home is cut off whole; a machine there dies, the others' work ends by its leases.
-  for (const n of c.nodes) if (n.name !== home && n.core.settings.zone === zone) n.crash();
+  for (const node of c.nodes) if (node.name !== home && node.core.settings.zone === zone) node.crash();
   c.cut = (a, b) => inside(a) !== inside(b);
   c.node(home).refused = true;
   const dead = c.workers.find((w) => w.zone === zone && c.on('run-q').includes(w.name));
@@ -336,14 +341,14 @@
     dead.dead = true;
     dead.tasks.clear();
   }
-  const away = c.nodes.find((n) => n.up && n.name !== home) as Node;
+  const away = c.nodes.find((node) => node.up && node.name !== home) as Node;
   c.until('taken over', () => (away.core.clusterState.leaseOf(share)?.holder.controller ?? home) !== home, 40);
   c.until('its leases are over', () => !c.on('run-q').some(inside), 40);
   // The cloud can't tell that the dead one is gone for a while: what may be on it waits.
   c.cloudDown = true;
   c.cut = () => false;
   c.node(home).refused = false;
-  for (const n of c.nodes) if (!n.up) n.restart();
+  for (const node of c.nodes) if (!node.up) node.restart();
   c.at(c.now + 15_000, () => {
     c.cloudDown = false;
   });
@@ -352,25 +357,25 @@
 });
 
 test('a controller that loses all workers throws none of them away, before or after, and their leases go on elsewhere', () => {
-  const c = new Cluster(['n0', 'n1', 'n2'], (s) => ({ ...s, teams: s.teams.slice(0, 1) }));
-  for (let i = 0; i < 40; i++) c.machine(`m${100 + i}`, 'small', i % 2 === 0 ? 'east' : 'west');
-  c.settle();
-  c.submit(job('run-k', { shape: 'service', tasks: 60, rank: 3, cls: 'serve' }));
-  c.until('running', () => c.running('run-k') === 60);
-  c.run(10);
-  c.trace = [];
+  const cluster = new Cluster(['n0', 'n1', 'n2'], (settings) => ({ ...settings, teams: settings.teams.slice(0, 1) }));
+  for (let index = 0; index < 40; index++) cluster.machine(`m${100 + index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+  cluster.settle();
+  cluster.submit(job('run-k', { shape: 'service', tasks: 60, rank: 3, cls: 'serve' }));
+  cluster.until('running', () => cluster.running('run-k') === 60);
+  cluster.run(10);
+  cluster.trace = [];
   // Neither reports nor answers pass, for longer than a lease; other controllers and the state
   // service it still reaches.
-  const alone = holderOf(c, shareOf(c, 'run-k'));
-  c.cut = (a, b) => (a === alone && b.startsWith('m')) || (b === alone && a.startsWith('m'));
-  c.run(30);
-  c.cut = () => false;
-  c.run(30);
+  const alone = holderOf(cluster, shareOf(cluster, 'run-k'));
+  cluster.cut = (a, b) => (a === alone && b.startsWith('m')) || (b === alone && a.startsWith('m'));
+  cluster.run(30);
+  cluster.cut = () => false;
+  cluster.run(30);
   assert.deepEqual(
-    c.trace.filter((l) => /given back|lease over/.test(l)),
+    cluster.trace.filter((l) => /given back|lease over/.test(l)),
     [],
   );
-  assert.equal(c.running('run-k'), 60);
+  assert.equal(cluster.running('run-k'), 60);
 });
 
 test('a worker whose controller has lost its workers is answered by another before it is sent back', () => {
--- a/test/cluster/cluster.ts
+++ b/test/cluster/cluster.ts
@@ -48,7 +48,7 @@
   /** sees every message between controllers as it leaves */
   peerBytes: ((bytes: Uint8Array) => void) | null = null;
   /** sees every report as it leaves, to deliver copies late */
-  reported: ((r: Heartbeat) => void) | null = null;
+  reported: ((heartbeat: Heartbeat) => void) | null = null;
   /** how long the answer to a transaction takes, once it is carried out */
   answerMs: (node: string) => number = () => 10;
   /** the cloud has machines left: they are up so long after they were rented */
@@ -78,7 +78,7 @@
 
   constructor(
     readonly names = ['n0', 'n1', 'n2'],
-    readonly tune: (s: ControllerSettings) => ControllerSettings = (s) => s,
+    readonly tune: (settings: ControllerSettings) => ControllerSettings = (settings) => settings,
   ) {
     this.nodes = names.map((n) => new Node(this, n));
   }
@@ -88,7 +88,7 @@
   }
 
   node(name: string): Node {
-    return this.nodes.find((n) => n.name === name) as Node;
+    return this.nodes.find((node) => node.name === name) as Node;
   }
 
   note(text: string): void {
@@ -149,7 +149,7 @@
       if (this.stateDown) for (const l of this.state.leases.values()) l.until = this.now + l.ttl;
       else this.state.expire(this.now);
       for (const w of this.workers) w.tick();
-      for (const n of this.nodes) n.tick();
+      for (const node of this.nodes) node.tick();
       this.rules.checkStep();
     }
   }
@@ -163,18 +163,18 @@
     }
   }
 
-  submit(s: JobSpec, at = this.nodes.find((n) => n.up) as Node, awaits: string[] = []): void {
-    this.specs.set(s.id, s);
-    if (awaits.length > 0) this.awaits.set(s.id, awaits);
+  submit(spec: JobSpec, at = this.nodes.find((node) => node.up) as Node, awaits: string[] = []): void {
+    this.specs.set(spec.id, spec);
+    if (awaits.length > 0) this.awaits.set(spec.id, awaits);
     let status = 0;
-    at.submit(s, (code) => {
+    at.submit(spec, (code) => {
       status = code;
     });
-    this.until(`${s.id} accepted`, () => status !== 0, 6);
-    this.note(`user told ${status} for ${s.id}`);
+    this.until(`${spec.id} accepted`, () => status !== 0, 6);
+    this.note(`user told ${status} for ${spec.id}`);
   }
 
-  cancel(id: string, at = this.nodes.find((n) => n.up) as Node): void {
+  cancel(id: string, at = this.nodes.find((node) => node.up) as Node): void {
     let told = '';
     at.cancel(id, (_code, body) => {
       told = String(body.status ?? body.error);
@@ -185,7 +185,7 @@
   }
 
   /** What a user is told: status code and state. */
-  ask(id: string, at = this.nodes.find((n) => n.up) as Node): string {
+  ask(id: string, at = this.nodes.find((node) => node.up) as Node): string {
     let said = '';
     at.poll(id, (code, body) => {
       said = code === 200 ? String(body.status) : String(code);
@@ -203,7 +203,7 @@
 
   running(id: string): number {
     return this.workers.reduce(
-      (n, w) => n + (w.dead ? 0 : [...w.tasks.values()].filter((t) => t.job === id && t.state === 'running').length),
+      (count, w) => count + (w.dead ? 0 : [...w.tasks.values()].filter((t) => t.job === id && t.state === 'running').length),
       0,
     );
   }
@@ -216,7 +216,7 @@
   allDone(id: string): boolean {
     const spec = this.specs.get(id);
     if (!spec) return false;
-    const done = Array.from({ length: spec.tasks }, (_, i) => this.finished.has(`${id}/${i}`));
+    const done = Array.from({ length: spec.tasks }, (_, index) => this.finished.has(`${id}/${index}`));
     // A gang completes together: if one task is done, all are.
     return spec.shape === 'gang' ? done.some((x) => x) : done.every((x) => x);
   }
@@ -227,7 +227,7 @@
       'all machines granted',
       () =>
         this.workers.every(
-          (w) => w.dead || [...this.nodes].some((n) => n.up && n.core.clusterState.machines.get(w.name)?.isVerified),
+          (w) => w.dead || [...this.nodes].some((node) => node.up && node.core.clusterState.machines.get(w.name)?.isVerified),
         ),
       40,
     );
@@ -238,26 +238,26 @@
 
 /** Small machines in both zones by turns, granted and answering. */
 export function smallCluster(machines: number): Cluster {
-  const c = new Cluster();
-  for (let i = 0; i < machines; i++) c.machine(`m${i}`, 'small', i % 2 === 0 ? 'east' : 'west');
-  c.settle();
-  return c;
+  const cluster = new Cluster();
+  for (let index = 0; index < machines; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+  cluster.settle();
+  return cluster;
 }
 
-const anyUp = (c: Cluster) => c.nodes.find((n) => n.up);
+const anyUp = (cluster: Cluster) => cluster.nodes.find((node) => node.up);
 
 /** The share that a job belongs to, and the controller that holds a share, as any controller sees it. */
-export const shareOf = (c: Cluster, id: string): number => anyUp(c)?.core.clusterState.jobs.get(id)?.shard ?? -1;
-export const holderOf = (c: Cluster, share: number | 'lead'): string =>
-  anyUp(c)?.core.clusterState.leaseOf(share)?.holder.controller ?? '';
+export const shareOf = (cluster: Cluster, id: string): number => anyUp(cluster)?.core.clusterState.jobs.get(id)?.shard ?? -1;
+export const holderOf = (cluster: Cluster, share: number | 'lead'): string =>
+  anyUp(cluster)?.core.clusterState.leaseOf(share)?.holder.controller ?? '';
 
 /**
  * Compares what happened with the trace kept under test/traces, which is there to be read.
  * UPDATE_TRACES=1 writes it anew: look at what changed before committing it.
  */
-export function kept(c: Cluster, name: string): void {
+export function kept(cluster: Cluster, name: string): void {
   const path = `test/traces/${name}.txt`;
-  const text = `${c.trace.join('\n')}\n`;
+  const text = `${cluster.trace.join('\n')}\n`;
   if (process.env.UPDATE_TRACES === '1') {
     mkdirSync('test/traces', { recursive: true });
     writeFileSync(path, text);
--- a/test/cluster/controller.ts
+++ b/test/cluster/controller.ts
@@ -130,19 +130,19 @@
     return id;
   }
 
-  report(r: Heartbeat, then: (status: number, body: Record<string, unknown>) => void): void {
+  report(heartbeat: Heartbeat, then: (status: number, body: Record<string, unknown>) => void): void {
     const id = this.wait(then);
     this.input(
-      () => this.core.receiveHeartbeat(id, r, this.cluster.now),
+      () => this.core.receiveHeartbeat(id, heartbeat, this.cluster.now),
       () => {},
       'reports',
     );
   }
 
-  submit(s: JobSpec, then: (status: number, body: Record<string, unknown>) => void, without = ''): void {
-    const body = submission(s);
+  submit(spec: JobSpec, then: (status: number, body: Record<string, unknown>) => void, without = ''): void {
+    const body = submission(spec);
     delete body[without];
-    const awaits = this.cluster.awaits.get(s.id);
+    const awaits = this.cluster.awaits.get(spec.id);
     if (awaits) body.awaits = awaits;
     this.input(() => this.core.submitJob(this.wait(then), body, this.cluster.now, this.cluster.now));
   }
@@ -193,7 +193,7 @@
   }
 
   run(): void {
-    for (const e of this.core.takeEffects()) this.effect(e);
+    for (const effect of this.core.takeEffects()) this.effect(effect);
   }
 
   /** A message as the other controller reads it: by way of its bytes where the two run different versions. */
@@ -203,105 +203,105 @@
     return to.running.decodePeerMessage(this.running.encodePeerMessage(message));
   }
 
-  private effect(e: Effect): void {
+  private effect(effect: Effect): void {
     const { cluster, core } = this;
     const later = (ms: number, f: () => void, lost: () => void = f) =>
       cluster.at(cluster.now + ms, () => {
         if (this.up && this.core === core) this.input(f, lost);
       });
-    if (e.type === 'respond') {
-      const then = this.answers.get(e.id);
-      this.answers.delete(e.id);
-      then?.(e.status, e.body as Record<string, unknown>);
-    } else if (e.type === 'compareAndSwap') {
-      for (const w of e.writes) {
-        const kind = ('put' in w ? w.put : w.del).slice(2, 3);
+    if (effect.type === 'respond') {
+      const then = this.answers.get(effect.id);
+      this.answers.delete(effect.id);
+      then?.(effect.status, effect.body as Record<string, unknown>);
+    } else if (effect.type === 'compareAndSwap') {
+      for (const write of effect.writes) {
+        const kind = ('put' in write ? write.put : write.del).slice(2, 3);
         cluster.changes.set(kind, (cluster.changes.get(kind) ?? 0) + 1);
       }
       if (cluster.stateDown || this.refused)
-        return later(20, () => core.receiveCompareAndSwapOutcome(e.id, { kind: 'refused' }, cluster.now));
-      const apply = () => cluster.state.txn(e, cluster.now);
-      if (cluster.loseTxn?.(e, apply))
-        return later(1500, () => core.receiveCompareAndSwapOutcome(e.id, { kind: 'unknown' }, cluster.now));
-      const r = apply();
+        return later(20, () => core.receiveCompareAndSwapOutcome(effect.id, { kind: 'refused' }, cluster.now));
+      const apply = () => cluster.state.txn(effect, cluster.now);
+      if (cluster.loseTxn?.(effect, apply))
+        return later(1500, () => core.receiveCompareAndSwapOutcome(effect.id, { kind: 'unknown' }, cluster.now));
+      const outcome = apply();
       later(
         cluster.answerMs(this.name),
-        () => core.receiveCompareAndSwapOutcome(e.id, r, cluster.now),
-        () => core.receiveCompareAndSwapOutcome(e.id, { kind: 'unknown' }, cluster.now),
+        () => core.receiveCompareAndSwapOutcome(effect.id, outcome, cluster.now),
+        () => core.receiveCompareAndSwapOutcome(effect.id, { kind: 'unknown' }, cluster.now),
       );
-    } else if (e.type === 'command') {
-      const question = e.commands.length === 0 ? 1 : 0;
+    } else if (effect.type === 'command') {
+      const question = effect.commands.length === 0 ? 1 : 0;
       cluster.commands += 1 - question;
-      cluster.commanded?.(e.commands);
+      cluster.commanded?.(effect.commands);
       this.asked += question;
       cluster.mostAsked = Math.max(cluster.mostAsked, this.asked);
-      if (cluster.commandsRefused(this.name, e.machine)) {
+      if (cluster.commandsRefused(this.name, effect.machine)) {
         return later(2500, () => {
           this.asked -= question;
-          core.receiveCommandOutcome(e.id, { kind: 'refused' }, cluster.now);
+          core.receiveCommandOutcome(effect.id, { kind: 'refused' }, cluster.now);
         });
       }
-      const w = cluster.worker(e.machine);
-      const astray = cluster.deaf(this.name, e.machine) || cluster.commandsLost(this.name, e.machine);
-      if (!w || w.dead || w.hung || cluster.cut(this.name, e.machine) || astray) {
-        if (w?.hung) w.held.push(() => void w.command(e.fencingToken, e.agentEpoch, e.commands));
+      const w = cluster.worker(effect.machine);
+      const astray = cluster.deaf(this.name, effect.machine) || cluster.commandsLost(this.name, effect.machine);
+      if (!w || w.dead || w.hung || cluster.cut(this.name, effect.machine) || astray) {
+        if (w?.hung) w.held.push(() => void w.command(effect.fencingToken, effect.agentEpoch, effect.commands));
         // The network may deliver what was given up, long after.
         else if (w && cluster.lateMs) {
           cluster.at(cluster.now + cluster.lateMs(), () => {
-            const arrives = () => void w.command(e.fencingToken, e.agentEpoch, e.commands);
+            const arrives = () => void w.command(effect.fencingToken, effect.agentEpoch, effect.commands);
             if (w.hung) w.held.push(arrives);
             else if (!w.dead) arrives();
           });
         }
         return later(2500, () => {
           this.asked -= question;
-          core.receiveCommandOutcome(e.id, { kind: 'lost' }, cluster.now);
+          core.receiveCommandOutcome(effect.id, { kind: 'lost' }, cluster.now);
         });
       }
-      const answered = (r: Parameters<Controller['receiveCommandOutcome']>[1]) => () => {
+      const answered = (outcome: Parameters<Controller['receiveCommandOutcome']>[1]) => () => {
         this.asked -= question;
-        core.receiveCommandOutcome(e.id, r, cluster.now);
+        core.receiveCommandOutcome(effect.id, outcome, cluster.now);
       };
-      const r = w.command(e.fencingToken, e.agentEpoch, e.commands);
-      const unreadable = r.kind === 'ok' && cluster.garbled(this.name, e.machine);
-      later(10, answered(unreadable ? { ...r, report: null } : r), answered({ kind: 'lost' }));
-    } else if (e.type === 'probe') {
-      const w = cluster.worker(e.address);
+      const outcome = w.command(effect.fencingToken, effect.agentEpoch, effect.commands);
+      const unreadable = outcome.kind === 'ok' && cluster.garbled(this.name, effect.machine);
+      later(10, answered(unreadable ? { ...outcome, report: null } : outcome), answered({ kind: 'lost' }));
+    } else if (effect.type === 'probe') {
+      const w = cluster.worker(effect.address);
       const ok = w !== undefined && !w.dead && !w.hung && !cluster.cut(this.name, w.name) && !cluster.deaf(this.name, w.name);
-      later(ok ? 10 : 1500, () => core.receiveProbeOutcome(e.id, ok, cluster.now));
-    } else if (e.type === 'sendStatus') {
+      later(ok ? 10 : 1500, () => core.receiveProbeOutcome(effect.id, ok, cluster.now));
+    } else if (effect.type === 'sendStatus') {
       cluster.statuses++;
-      cluster.statusBytes += encodePeerMessage({ node: this.name, status: e.status, heartbeat: null }).length;
-      const n = cluster.node(e.to);
-      const copy = this.sent(n, { node: this.name, status: e.status, heartbeat: null }).status as PeerStatus;
-      if (n.up && !cluster.cut(this.name, n.name) && !cluster.unheard(this.name, n.name)) {
-        const arrives = () => n.up && n.input(() => n.core.receivePeerStatus(copy, cluster.now));
-        if (cluster.held(this.name, n.name)) cluster.at(cluster.now + 15_000, arrives);
+      cluster.statusBytes += encodePeerMessage({ node: this.name, status: effect.status, heartbeat: null }).length;
+      const node = cluster.node(effect.to);
+      const copy = this.sent(node, { node: this.name, status: effect.status, heartbeat: null }).status as PeerStatus;
+      if (node.up && !cluster.cut(this.name, node.name) && !cluster.unheard(this.name, node.name)) {
+        const arrives = () => node.up && node.input(() => node.core.receivePeerStatus(copy, cluster.now));
+        if (cluster.held(this.name, node.name)) cluster.at(cluster.now + 15_000, arrives);
         else arrives();
       }
-    } else if (e.type === 'forwardHeartbeat') {
+    } else if (effect.type === 'forwardHeartbeat') {
       cluster.relays++;
-      const n = cluster.node(e.to);
-      if (n.up && !cluster.cut(this.name, n.name)) {
-        const report = this.sent(n, { node: this.name, status: null, heartbeat: e.heartbeat }).heartbeat as Heartbeat;
-        n.input(() => n.core.receiveForwardedHeartbeat(report, cluster.now));
+      const node = cluster.node(effect.to);
+      if (node.up && !cluster.cut(this.name, node.name)) {
+        const report = this.sent(node, { node: this.name, status: null, heartbeat: effect.heartbeat }).heartbeat as Heartbeat;
+        node.input(() => node.core.receiveForwardedHeartbeat(report, cluster.now));
       }
-    } else if (e.type === 'readBarrier') {
+    } else if (effect.type === 'readBarrier') {
       cluster.barriers++;
-    } else if (e.type === 'release') {
-      if (cluster.cloudDown) return later(100, () => core.receiveReleaseOutcome(e.id, false, cluster.now));
-      for (const name of e.machines) cluster.remove(name);
-      later(100, () => core.receiveReleaseOutcome(e.id, true, cluster.now));
-    } else if (e.type === 'listMachines') {
+    } else if (effect.type === 'release') {
+      if (cluster.cloudDown) return later(100, () => core.receiveReleaseOutcome(effect.id, false, cluster.now));
+      for (const name of effect.machines) cluster.remove(name);
+      later(100, () => core.receiveReleaseOutcome(effect.id, true, cluster.now));
+    } else if (effect.type === 'listMachines') {
       cluster.lists++;
       const list = cluster.cloudDown ? null : cluster.listing();
       later(100, () => core.receiveMachineList(list, cluster.now));
-    } else if (e.type === 'provision') {
-      cluster.rents.push({ type: e.request.machineType, spot: e.request.spot, at: cluster.now });
-      const machines = cluster.rent(e.request.machineType, e.request.zone, e.request.spot, e.request.count);
+    } else if (effect.type === 'provision') {
+      cluster.rents.push({ type: effect.request.machineType, spot: effect.request.spot, at: cluster.now });
+      const machines = cluster.rent(effect.request.machineType, effect.request.zone, effect.request.spot, effect.request.count);
       later(100, () =>
-        core.receiveProvisioningOutcome(e.id, machines ? { kind: 'ok', machines } : { kind: 'full' }, cluster.now),
+        core.receiveProvisioningOutcome(effect.id, machines ? { kind: 'ok', machines } : { kind: 'full' }, cluster.now),
       );
-    } else if (e.type === 'fetchMachineTypes') later(50, () => core.receiveMachineTypes(TYPES, cluster.now));
+    } else if (effect.type === 'fetchMachineTypes') later(50, () => core.receiveMachineTypes(TYPES, cluster.now));
   }
 }
--- a/test/cluster/fixtures.ts
+++ b/test/cluster/fixtures.ts
@@ -82,28 +82,28 @@
 const RANKS = ['best_effort', 'standard', 'urgent', 'critical'];
 
 /** The job as its user would submit it. */
-export function submission(s: JobSpec): Record<string, unknown> {
+export function submission(spec: JobSpec): Record<string, unknown> {
   return {
-    ref: s.id,
-    jobclass: s.cls,
-    crew: s.team,
-    shape: SHAPES[s.shape],
-    rank: RANKS[s.rank],
-    pieces: s.tasks,
-    cores: s.cpus,
-    accelerators: s.gpus,
-    memory_gb: s.memory,
-    bundle: s.image,
-    size_gb: s.imageGb,
-    builds: s.types,
-    yard: s.zone,
-    one_zone: s.oneZone,
-    spread: s.spread,
-    loaners: s.spot,
-    guess_s: s.estimateS,
-    snapshot_s: s.checkpointS,
-    stow_s: s.saveS,
-    due_s: s.deadlineS,
+    ref: spec.id,
+    jobclass: spec.cls,
+    crew: spec.team,
+    shape: SHAPES[spec.shape],
+    rank: RANKS[spec.rank],
+    pieces: spec.tasks,
+    cores: spec.cpus,
+    accelerators: spec.gpus,
+    memory_gb: spec.memory,
+    bundle: spec.image,
+    size_gb: spec.imageGb,
+    builds: spec.types,
+    yard: spec.zone,
+    one_zone: spec.oneZone,
+    spread: spec.spread,
+    loaners: spec.spot,
+    guess_s: spec.estimateS,
+    snapshot_s: spec.checkpointS,
+    stow_s: spec.saveS,
+    due_s: spec.deadlineS,
   };
 }
 
--- a/test/cluster/state-service.ts
+++ b/test/cluster/state-service.ts
@@ -64,7 +64,7 @@
   private exceeds(e: Extract<Effect, { type: 'compareAndSwap' }>, now: number): { kind: 'invalid' } | { kind: 'limited' } | null {
     if (!this.limits) return null;
     const { valueBytes, writesPerTransaction, writesPerS } = this.limits;
-    const large = e.writes.some((w) => 'put' in w && JSON.stringify(w.value).length > valueBytes);
+    const large = e.writes.some((write) => 'put' in write && JSON.stringify(write.value).length > valueBytes);
     if (large || e.writes.length > writesPerTransaction || e.conditions.length > 4 * writesPerTransaction) {
       this.tooLarge++;
       return { kind: 'invalid' };
@@ -82,18 +82,21 @@
   txn(e: Extract<Effect, { type: 'compareAndSwap' }>, now: number): Parameters<Controller['receiveCompareAndSwapOutcome']>[1] {
     const refusal = this.exceeds(e, now);
     if (refusal) return refusal;
-    const failed = e.conditions.filter((g) => (this.keys.get(g.key)?.stamp ?? 0) !== g.revision).map((g) => g.key);
-    for (const w of e.writes) if ('put' in w && w.lease !== undefined && !this.leases.has(w.lease)) return { kind: 'noLease' };
+    const failed = e.conditions
+      .filter((condition) => (this.keys.get(condition.key)?.stamp ?? 0) !== condition.revision)
+      .map((condition) => condition.key);
+    for (const write of e.writes)
+      if ('put' in write && write.lease !== undefined && !this.leases.has(write.lease)) return { kind: 'noLease' };
     if (failed.length > 0) return { kind: 'failed', keys: failed };
     this.revision++;
-    for (const w of e.writes) {
-      if ('put' in w) {
-        const value = structuredClone(w.value);
-        this.keys.set(w.put, { value, stamp: this.revision, lease: w.lease ?? null });
-        this.log.push({ key: w.put, value, revision: this.revision });
+    for (const write of e.writes) {
+      if ('put' in write) {
+        const value = structuredClone(write.value);
+        this.keys.set(write.put, { value, stamp: this.revision, lease: write.lease ?? null });
+        this.log.push({ key: write.put, value, revision: this.revision });
       } else {
-        this.keys.delete(w.del);
-        this.log.push({ key: w.del, value: undefined, revision: this.revision });
+        this.keys.delete(write.del);
+        this.log.push({ key: write.del, value: undefined, revision: this.revision });
       }
     }
     return { kind: 'ok', revision: this.revision };
--- a/test/cluster/worker.ts
+++ b/test/cluster/worker.ts
@@ -73,21 +73,31 @@
   }
 
   obey(commands: Command[]): void {
-    for (const c of commands) {
-      const key = `${c.job}/${c.index}/${c.attempt}`;
+    for (const command of commands) {
+      const key = `${command.job}/${command.index}/${command.attempt}`;
       const t = this.tasks.get(key);
-      if (c.type === 'start' && !t) {
-        const spec = this.cluster.specs.get(c.job);
-        const state = { job: c.job, index: c.index, attempt: c.attempt, saved: false, startedAt: this.cluster.now };
+      if (command.type === 'start' && !t) {
+        const spec = this.cluster.specs.get(command.job);
+        const state = {
+          job: command.job,
+          index: command.index,
+          attempt: command.attempt,
+          saved: false,
+          startedAt: this.cluster.now,
+        };
         const used = [...this.tasks.values()].filter((x) => x.state !== 'exited');
-        const cap = TYPES.find((x) => x.name === this.type) as MachineType;
-        const sum = (f: (s: JobSpec) => number) =>
+        const cap = TYPES.find((machineType) => machineType.name === this.type) as MachineType;
+        const sum = (f: (spec: JobSpec) => number) =>
           used.reduce((a, x) => a + f(this.cluster.specs.get(x.job) as JobSpec), spec ? f(spec) : 0);
         if (!spec) this.tasks.set(key, { ...state, state: 'exited', exitReason: 'unknown' });
-        else if (sum((s) => s.cpus) > cap.cpus || sum((s) => s.gpus) > cap.gpus || sum((s) => s.memory) > cap.memory)
+        else if (
+          sum((spec) => spec.cpus) > cap.cpus ||
+          sum((spec) => spec.gpus) > cap.gpus ||
+          sum((spec) => spec.memory) > cap.memory
+        )
           this.tasks.set(key, { ...state, state: 'exited', exitReason: 'no_room' });
         else {
-          this.cluster.rules.checkStart(this, c.job, c.index);
+          this.cluster.rules.checkStart(this, command.job, command.index);
           const task: WorkerTask = {
             ...state,
             state: spec.shape === 'gang' && spec.tasks > 1 ? 'waiting' : 'running',
@@ -95,13 +105,13 @@
           };
           this.tasks.set(key, task);
           this.cluster.rules.started(this, key, task);
-          this.cluster.note(`${this.name} starts ${c.job}/${c.index}`);
+          this.cluster.note(`${this.name} starts ${command.job}/${command.index}`);
         }
-      } else if (c.type === 'stop' && t && t.state !== 'exited') {
+      } else if (command.type === 'stop' && t && t.state !== 'exited') {
         t.state = 'exited';
         t.exitReason = 'stopped';
-        this.cluster.note(`${this.name} stops ${c.job}/${c.index}`);
-      } else if (c.type === 'forget' && t?.state === 'exited') {
+        this.cluster.note(`${this.name} stops ${command.job}/${command.index}`);
+      } else if (command.type === 'forget' && t?.state === 'exited') {
         this.tasks.delete(key);
       }
     }
@@ -170,7 +180,7 @@
       if (this.dead || this.hung || session !== this.session || cluster.now - sentAt > 4000) return;
       if (cluster.deaf(node.name, this.name)) return next();
       if (status === 421 && typeof body.home === 'string') {
-        this.target = cluster.nodes.findIndex((n) => n.name === body.home);
+        this.target = cluster.nodes.findIndex((node) => node.name === body.home);
         this.nextReport = cluster.now + 100;
       } else if (status !== 200) next();
       else if (typeof body.baton === 'number' && body.baton >= this.token) {
--- a/test/edges.test.ts
+++ b/test/edges.test.ts
@@ -88,10 +88,10 @@
     () => seen.push('old user refused'),
   );
   now = 2000;
-  for (let i = 0; i < 6; i++) {
+  for (let index = 0; index < 6; index++) {
     inbox.request(
-      () => seen.push(`user ${i}`),
-      () => seen.push(`user ${i} refused`),
+      () => seen.push(`user ${index}`),
+      () => seen.push(`user ${index} refused`),
     );
   }
   inbox.decision(() => seen.push('decision'));
@@ -227,7 +227,7 @@
   const rooms = [room('a', 0, 0), room('b', 0, 0), room('c', 0, 0), room('d', 0, 1), room('e', 0, 1), room('f', 1, 1)];
   const place = (tasks: number, oneZone = false) => {
     const spec = job('run-g', { shape: 'gang', tasks, cpus: 4, oneZone });
-    return placeGang(new Job(spec, 0, 0, null, -1, 0), tasks, rooms, () => 0)?.map((m) => m.name) ?? null;
+    return placeGang(new Job(spec, 0, 0, null, -1, 0), tasks, rooms, () => 0)?.map((machine) => machine.name) ?? null;
   };
   assert.deepEqual(place(1), ['f'], 'one machine is the smallest domain');
   assert.deepEqual(place(12), new Array(12).fill('f'));
@@ -243,8 +243,8 @@
   const writer = new StateWriter(
     { writesPerS: 10, writesPerTransaction: 4, maxWriteBytes: 8192 },
     replica,
-    (e) => {
-      if (e.type === 'compareAndSwap') sent.push(e.id);
+    (effect) => {
+      if (effect.type === 'compareAndSwap') sent.push(effect.id);
     },
     () => null,
     (now, run) => run(now),
@@ -255,7 +255,7 @@
     value: () => ({ v: 1 }),
     expectedRevision: 0,
     priority: WritePriority.assignment,
-    onOutcome: (o) => outcomes.push(o),
+    onOutcome: (outcome) => outcomes.push(outcome),
   });
   writer.flush(0);
   writer.handleOutcome(sent[0] as number, { kind: 'unknown' }, 1500);
@@ -273,16 +273,17 @@
   const writer = new StateWriter(
     { writesPerS: 12, writesPerTransaction: 12, maxWriteBytes: 8192 },
     new Replica(() => {}, assert.ifError),
-    (e) => {
-      if (e.type === 'compareAndSwap') sent.push(e.writes.map((w) => ('put' in w ? w.put : w.del).slice(2, 3)));
+    (effect) => {
+      if (effect.type === 'compareAndSwap')
+        sent.push(effect.writes.map((write) => ('put' in write ? write.put : write.del).slice(2, 3)));
     },
     () => null,
     (_now, run) => run(now),
     () => {},
   );
-  const add = (kind: string, n: number, urgency: number) => {
-    for (let i = 0; i < n; i++)
-      writer.add({ key: `a/${kind}/${i}`, value: () => 1, expectedRevision: 0, priority: urgency, onOutcome: () => {} });
+  const add = (kind: string, count: number, urgency: number) => {
+    for (let index = 0; index < count; index++)
+      writer.add({ key: `a/${kind}/${index}`, value: () => 1, expectedRevision: 0, priority: urgency, onOutcome: () => {} });
   };
   add('g', 100, WritePriority.assignment);
   now = 500;
@@ -310,7 +311,7 @@
     now += 0.4 * SLICE_MS;
     taken.push(name);
   };
-  for (let i = 0; i < 5; i++) inbox.report(input(`report ${i}`));
+  for (let index = 0; index < 5; index++) inbox.report(input(`report ${index}`));
   inbox.decision(input('decision 0'));
   now += 50;
   assert.equal(inbox.waitedMs, 50);
@@ -350,9 +351,9 @@
   const shedding = new Shedding(() => 0);
   const seen: string[] = [];
   const api: Api = new Api(
-    (r) => {
-      seen.push(r.kind);
-      api.answer(r.id, 200, {});
+    (request) => {
+      seen.push(request.kind);
+      api.answer(request.id, 200, {});
     },
     () => true,
     shedding,
--- a/test/fleet/large-fleet.ts
+++ b/test/fleet/large-fleet.ts
@@ -39,12 +39,16 @@
   private readonly lost = new Set<string>();
 
   constructor(private readonly options: LargeFleetOptions) {
-    const names = Array.from({ length: options.controllers }, (_, i) => `n${i}`);
+    const names = Array.from({ length: options.controllers }, (_, index) => `n${index}`);
     this.cluster = new Cluster(names, (settings) => this.tune(settings));
     if (options.version) for (const node of this.cluster.nodes) node.version = options.version;
     if (options.version) for (const node of this.cluster.nodes) node.restart();
-    for (let i = 0; i < options.machines; i++)
-      this.cluster.machine(`m${100_000 + i}`, i % ACCELERATED_EACH === 0 ? 'big' : 'small', i % 2 === 0 ? 'east' : 'west');
+    for (let index = 0; index < options.machines; index++)
+      this.cluster.machine(
+        `m${100_000 + index}`,
+        index % ACCELERATED_EACH === 0 ? 'big' : 'small',
+        index % 2 === 0 ? 'east' : 'west',
+      );
   }
 
   private tune(settings: ControllerSettings): ControllerSettings {
@@ -90,14 +94,14 @@
     const { cluster } = this;
     const from = cluster.now;
     const count = Math.floor(this.options.machines / MACHINES_PER_SERVICE);
-    for (let i = 0; i < count; i++) {
-      const id = `run-s${i}`;
+    for (let index = 0; index < count; index++) {
+      const id = `run-s${index}`;
       this.services.push(id);
       this.submit(
-        job(id, { team: TEAMS[i % TEAMS.length], shape: 'service', tasks: REPLICAS, rank: 3, cls: 'serve', spread: true }),
-        i,
+        job(id, { team: TEAMS[index % TEAMS.length], shape: 'service', tasks: REPLICAS, rank: 3, cls: 'serve', spread: true }),
+        index,
       );
-      if (i % SUBMISSIONS_PER_STEP === SUBMISSIONS_PER_STEP - 1) cluster.run(0.1);
+      if (index % SUBMISSIONS_PER_STEP === SUBMISSIONS_PER_STEP - 1) cluster.run(0.1);
     }
     this.untilServicesRun('all replicas run', 120);
     return (cluster.now - from) / 1000;
@@ -151,7 +155,7 @@
   loseThird(): number {
     const { cluster } = this;
     const from = cluster.now;
-    const hit = this.alive.filter((_, i) => i % 3 === 1);
+    const hit = this.alive.filter((_, index) => index % 3 === 1);
     for (const worker of hit) {
       this.lost.add(worker.name);
       worker.dead = true;
@@ -168,16 +172,17 @@
    */
   cancelWhileTheLeaderEnds(arrays: number): number {
     const { cluster } = this;
-    const ids = Array.from({ length: arrays }, (_, i) => `run-c${i}`);
-    ids.forEach((id, i) => {
-      this.submit(job(id, { team: TEAMS[i % TEAMS.length], tasks: 4, cpus: 0.5, memory: 0.5, estimateS: 10_000 }), i);
+    const ids = Array.from({ length: arrays }, (_, index) => `run-c${index}`);
+    ids.forEach((id, index) => {
+      this.submit(job(id, { team: TEAMS[index % TEAMS.length], tasks: 4, cpus: 0.5, memory: 0.5, estimateS: 10_000 }), index);
     });
-    const runs = () => this.alive.reduce((n, worker) => n + [...worker.tasks.values()].filter(isCancelledArray).length, 0);
+    const runs = () =>
+      this.alive.reduce((count, worker) => count + [...worker.tasks.values()].filter(isCancelledArray).length, 0);
     cluster.until('the arrays run', () => runs() >= 2 * arrays, 90);
     const from = cluster.now;
     const told = new Set<string>();
-    ids.forEach((id, i) => {
-      cluster.at(cluster.now + 100 + 5 * i, () => this.cancel(id, i, told));
+    ids.forEach((id, index) => {
+      cluster.at(cluster.now + 100 + 5 * index, () => this.cancel(id, index, told));
     });
     cluster.run(1);
     const leader = cluster.nodes.find((node) => node.core.leader.isLeading) as Node;
@@ -230,7 +235,7 @@
     );
     // What others run is told anew every few seconds, to who began again too.
     this.cluster.run(DISPLAY_LAG_S);
-    const sample = this.services.filter((_, i) => i % Math.ceil(this.services.length / 10) === 0);
+    const sample = this.services.filter((_, index) => index % Math.ceil(this.services.length / 10) === 0);
     for (const node of this.cluster.nodes) for (const id of sample) assert.equal(this.cluster.ask(id, node), 'running');
   }
 }
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -25,21 +25,21 @@
 
 const NEXT = { valueKib: 2, writesPerTransaction: 4, writesPerS: 45 };
 
-const announced = (s: ControllerSettings): ControllerSettings => ({
-  ...s,
-  state: { ...s.state, valueKib: 16, next: NEXT },
-  policy: { ...s.policy, holdSpareCapacity: false },
+const announced = (settings: ControllerSettings): ControllerSettings => ({
+  ...settings,
+  state: { ...settings.state, valueKib: 16, next: NEXT },
+  policy: { ...settings.policy, holdSpareCapacity: false },
 });
 
 function cluster(machines: number): Cluster {
-  const c = new Cluster(undefined, announced);
-  for (let i = 0; i < machines; i++) c.machine(`m${i}`, 'small', i % 2 === 0 ? 'east' : 'west');
-  c.settle();
-  return c;
+  const cluster = new Cluster(undefined, announced);
+  for (let index = 0; index < machines; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+  cluster.settle();
+  return cluster;
 }
 
-const fall = (c: Cluster) => {
-  c.state.limits = {
+const fall = (cluster: Cluster) => {
+  cluster.state.limits = {
     valueBytes: NEXT.valueKib * 1024,
     writesPerTransaction: NEXT.writesPerTransaction,
     writesPerS: NEXT.writesPerS,
@@ -84,8 +84,8 @@
   const writer = new StateWriter(
     { writesPerS: 50, writesPerTransaction: 4, maxWriteBytes: 100 },
     new Replica(() => {}, assert.ifError),
-    (e) => {
-      if (e.type === 'compareAndSwap') sent.push(...e.writes.map((w) => ('put' in w ? w.put : w.del)));
+    (effect) => {
+      if (effect.type === 'compareAndSwap') sent.push(...effect.writes.map((write) => ('put' in write ? write.put : write.del)));
     },
     () => null,
     (now, run) => run(now),
@@ -98,7 +98,7 @@
       value: () => value,
       expectedRevision: 0,
       priority: WritePriority.assignment,
-      onOutcome: (o) => outcomes.push(`${key} ${o}`),
+      onOutcome: (outcome) => outcomes.push(`${key} ${outcome}`),
     });
   add('a/long', 'é'.repeat(50));
   add(`a/${'k'.repeat(95)}`, 'ab');
@@ -112,8 +112,8 @@
 });
 
 test('a status that is stored for the leader, the images of a machine and the machine types fit a value', () => {
-  const machines = Array.from({ length: 60 }, (_, i) => ({
-    name: `n-${String(i).padStart(6, '0')}`,
+  const machines = Array.from({ length: 60 }, (_, index) => ({
+    name: `n-${String(index).padStart(6, '0')}`,
     freeCpus: 4,
     freeGpus: 0,
     freeMemory: 16,
@@ -142,15 +142,15 @@
     shards: [{ shard: 0, machines, demands: Array.from({ length: 32 }, () => demand) }],
     runningJobs: [{ job: 'run-a', count: 1, done: 0, failed: 0 }],
     runningJobsComplete: true,
-    unassignedMachines: Array.from({ length: 30 }, (_, i) => ({
-      machine: `m${i}`,
+    unassignedMachines: Array.from({ length: 30 }, (_, index) => ({
+      machine: `m${index}`,
       address: 'x',
       type: 'small',
       zone: 'east',
       spot: false,
     })),
-    unchangedHeartbeats: Array.from({ length: 200 }, (_, i) => ({
-      machine: `m${i}`,
+    unchangedHeartbeats: Array.from({ length: 200 }, (_, index) => ({
+      machine: `m${index}`,
       agentEpoch: 1,
       sequence: 2,
       forwardedSequence: 2,
@@ -166,7 +166,7 @@
   const { clusterState: table } = (c.nodes[0] as Node).core;
   const machine = table.machines.get('m0');
   assert.ok(machine);
-  for (let i = 0; i < 30; i++) machine.images.set(table.imageNames.intern(`image-${i}-${'x'.repeat(100)}`), 1);
+  for (let index = 0; index < 30; index++) machine.images.set(table.imageNames.intern(`image-${index}-${'x'.repeat(100)}`), 1);
   const images = table.imagesToStore(machine);
   assert.ok(encodedBytes('a/c/m0', images) <= limit);
   assert.equal(images.at(-1)?.[0].startsWith('image-29'), true, 'the last used are kept');
@@ -174,7 +174,10 @@
 
 // A start while the cloud's interface is down knows the machine types by what is stored.
 test('machine types that outgrow a value are stored in parts, and known to a start once all parts are', () => {
-  const types = Array.from({ length: 20 }, (_, i) => ({ ...(TYPES[0] as MachineType), name: `type-${i}-${'x'.repeat(60)}` }));
+  const types = Array.from({ length: 20 }, (_, index) => ({
+    ...(TYPES[0] as MachineType),
+    name: `type-${index}-${'x'.repeat(60)}`,
+  }));
   const s = announced(settings('n0', ['n0']));
   const first = new Controller(s, 'first');
   first.receiveSnapshot([], 1, 0);
@@ -184,10 +187,11 @@
   const rows: StoredKey[] = [];
   for (let round = 0; round < 20; round++) {
     first.tick(round * 1000);
-    for (const e of first.takeEffects()) {
-      if (e.type !== 'compareAndSwap') continue;
-      for (const w of e.writes) if ('put' in w) rows.push({ key: w.put, value: w.value, revision: rows.length + 2 });
-      first.receiveCompareAndSwapOutcome(e.id, { kind: 'ok', revision: rows.length + 1 }, round * 1000);
+    for (const effect of first.takeEffects()) {
+      if (effect.type !== 'compareAndSwap') continue;
+      for (const write of effect.writes)
+        if ('put' in write) rows.push({ key: write.put, value: write.value, revision: rows.length + 2 });
+      first.receiveCompareAndSwapOutcome(effect.id, { kind: 'ok', revision: rows.length + 1 }, round * 1000);
     }
   }
   const parts = rows.filter((row) => row.key.startsWith('a/types'));
@@ -230,8 +234,8 @@
 });
 
 test('long lists are stored in parts, which together say what the user did; a cancelled record is short', () => {
-  const awaits = Array.from({ length: 900 }, (_, i) => `run-${String(i).padStart(6, '0')}`);
-  const types = Array.from({ length: 64 }, (_, i) => `type-${i}-${'é'.repeat(40)}`);
+  const awaits = Array.from({ length: 900 }, (_, index) => `run-${String(index).padStart(6, '0')}`);
+  const types = Array.from({ length: 64 }, (_, index) => `type-${index}-${'é'.repeat(40)}`);
   const spec = job('run-long', { types });
   const limit = 2 * 1024 - 64;
   const encoded = encodeAcceptedJob('a/j/run-long', spec, awaits, 5, limit);
@@ -258,12 +262,12 @@
 test('after the fall a job with long lists is accepted and runs, over a change of its holder', () => {
   const c = cluster(6);
   fall(c);
-  const before = Array.from({ length: 200 }, (_, i) => `run-${String(i).padStart(20, '0')}`);
+  const before = Array.from({ length: 200 }, (_, index) => `run-${String(index).padStart(20, '0')}`);
   for (const id of before) c.submit(job(id, { estimateS: 1, cpus: 0.1, memory: 0.1 }));
-  const types = Array.from({ length: 64 }, (_, i) => `none-${i}-${'x'.repeat(60)}`);
+  const types = Array.from({ length: 64 }, (_, index) => `none-${index}-${'x'.repeat(60)}`);
   const spec = job('run-long', { types: [...types.slice(1), 'small'], estimateS: 5 });
   // An acceptance that fails after its parts were stored costs no second copy of them.
-  c.loseTxn = (e) => e.writes.some((w) => 'put' in w && w.put === 'a/j/run-long');
+  c.loseTxn = (e) => e.writes.some((write) => 'put' in write && write.put === 'a/j/run-long');
   c.specs.set(spec.id, spec);
   c.awaits.set(spec.id, before);
   let status = 0;
@@ -320,7 +324,7 @@
 // Larger records of before stay as they are: completed, cancelled and handed over without being written again.
 test('after the fall large records of before can still be completed and cancelled', () => {
   const c = cluster(6);
-  const types = ['small', ...Array.from({ length: 63 }, (_, i) => `none-${i}-${'x'.repeat(60)}`)];
+  const types = ['small', ...Array.from({ length: 63 }, (_, index) => `none-${index}-${'x'.repeat(60)}`)];
   const large = (id: string) => {
     const spec = job(id, { types, estimateS: 10 });
     c.specs.set(id, spec);
@@ -336,9 +340,9 @@
   c.cancel('run-b', c.nodes[2]);
   c.until('done', () => c.allDone('run-a') && c.on('run-b').length === 0, 40);
   c.run(3);
-  for (const n of c.nodes) {
-    assert.equal(c.ask('run-a', n), 'done');
-    assert.equal(c.ask('run-b', n), 'aborted');
+  for (const node of c.nodes) {
+    assert.equal(c.ask('run-a', node), 'done');
+    assert.equal(c.ask('run-b', node), 'aborted');
   }
   assert.equal(c.state.tooLarge, 0);
 });
@@ -354,7 +358,7 @@
   put('a/p/run-many/0', whole);
   put('a/p/run-many/0.25', packBits(new Uint8Array(9000).fill(1), 8192, 9000));
   put('a/j/run-many', { s: 0, t: 0, sp: spec });
-  for (let i = 0; i < 9000; i++) if (done[i] || i >= 8192) c.finished.add(`run-many/${i}`);
+  for (let index = 0; index < 9000; index++) if (done[index] || index >= 8192) c.finished.add(`run-many/${index}`);
   fall(c);
   c.until('the rest is done', () => c.allDone('run-many'), 120);
   assert.equal(c.trace.filter((line) => line.includes('starts run-many/')).length, 192);
@@ -367,19 +371,19 @@
 test('while changes are refused for their rate, shares stay, submissions are accepted and repeats stay few', () => {
   const c = cluster(8);
   c.state.limits = { valueBytes: 2048, writesPerTransaction: 4, writesPerS: NEXT.writesPerS };
-  const before = c.nodes.map((n) => n.core.clusterState.leaseOf(0)?.revision);
-  const ids = Array.from({ length: 400 }, (_, i) => `run-${i}`);
-  ids.forEach((id, i) => {
+  const before = c.nodes.map((node) => node.core.clusterState.leaseOf(0)?.revision);
+  const ids = Array.from({ length: 400 }, (_, index) => `run-${index}`);
+  ids.forEach((id, index) => {
     c.specs.set(id, job(id, { cpus: 0.2, memory: 0.2, estimateS: 3 }));
     const ask = () =>
-      c.nodes[i % 3]?.submit(c.specs.get(id) as JobSpec, (status) => {
+      c.nodes[index % 3]?.submit(c.specs.get(id) as JobSpec, (status) => {
         if (status === 503) c.at(c.now + 1000, ask);
       });
-    c.at(c.now + i * 20, ask);
+    c.at(c.now + index * 20, ask);
   });
   c.until('all done', () => ids.every((id) => c.allDone(id)), 120);
   assert.deepEqual(
-    c.nodes.map((n) => n.core.clusterState.leaseOf(0)?.revision),
+    c.nodes.map((node) => node.core.clusterState.leaseOf(0)?.revision),
     before,
   );
   assert.ok(c.state.limited < 30, `${c.state.limited} refusals`);
--- a/test/loopback.test.ts
+++ b/test/loopback.test.ts
@@ -63,7 +63,7 @@
     const before = fleet.workers.map((worker) => worker.answered);
     await until('all are answered, again and again', MACHINES, () => {
       look();
-      return fleet.workers.filter((worker, i) => worker.answered >= (before[i] as number) + 3).length;
+      return fleet.workers.filter((worker, index) => worker.answered >= (before[index] as number) + 3).length;
     });
     assert.equal(cloud.returned.size, 0, 'machines that were given back');
     const heap = controller.log.find(({ msg }) => msg === 'heap');
@@ -102,7 +102,7 @@
   assert.equal(controller.ended?.code, 0);
   const lines = controller.said.trim().split('\n');
   assert.equal(lines.length, 4);
-  for (const [i, setting] of ['max_sockets', 'mem_mb', 'write_rps'].entries())
-    assert.match(lines[i] as string, new RegExp(setting));
+  for (const [index, setting] of ['max_sockets', 'mem_mb', 'write_rps'].entries())
+    assert.match(lines[index] as string, new RegExp(setting));
   assert.match(lines[3] as string, /in order/);
 });
--- a/test/loopback/worker-fleet.ts
+++ b/test/loopback/worker-fleet.ts
@@ -141,8 +141,8 @@
   ) {}
 
   async add(count: number, zones: string[]): Promise<void> {
-    for (let i = this.workers.length; this.workers.length < count; i++) {
-      const host = `127.${1 + (i >> 16)}.${(i >> 8) & 255}.${i & 255}`;
+    for (let index = this.workers.length; this.workers.length < count; index++) {
+      const host = `127.${1 + (index >> 16)}.${(index >> 8) & 255}.${index & 255}`;
       if (host.endsWith('.0') || host.endsWith('.255')) continue;
       const listener = net.createServer((socket) => this.server.emit('connection', socket));
       const port = await new Promise<number>((resolve, reject) => {
@@ -150,8 +150,8 @@
         listener.listen(0, host, () => resolve((listener.address() as net.AddressInfo).port));
       });
       this.listeners.push(listener);
-      const zone = zones[i % zones.length] as string;
-      const machine = { name: `n-${String(i).padStart(6, '0')}`, address: `${host}:${port}`, type: 'small', zone };
+      const zone = zones[index % zones.length] as string;
+      const machine = { name: `n-${String(index).padStart(6, '0')}`, address: `${host}:${port}`, type: 'small', zone };
       const worker = new LoopbackWorker(machine, this);
       this.byAddress.set(host, worker);
       this.workers.push(worker);
--- a/test/malformed-input.test.ts
+++ b/test/malformed-input.test.ts
@@ -456,8 +456,8 @@
   const ofAllTypes = Object.keys(SUBMISSION).flatMap((field) =>
     VALUES.map(([title, value]): [string, string, unknown] => [`${field}: ${title}`, field, value]),
   );
-  const ofTheirOwn = SUBMISSION_VALUES.map(([field, value], i): [string, string, unknown] => [
-    `${field}, special ${i}`,
+  const ofTheirOwn = SUBMISSION_VALUES.map(([field, value], index): [string, string, unknown] => [
+    `${field}, special ${index}`,
     field,
     value,
   ]);
--- a/test/measure/core-load.ts
+++ b/test/measure/core-load.ts
@@ -49,8 +49,9 @@
   node.version = { Controller: meteredCore(meter), encodePeerMessage, decodePeerMessage };
   node.restart();
 }
-for (let i = 0; i < SMALL; i++) cluster.machine(`m${1000 + i}`, 'small', i % 2 === 0 ? 'east' : 'west', i % 2 === 1);
-for (let i = 0; i < BIG; i++) cluster.machine(`g${1000 + i}`, 'big', i % 2 === 0 ? 'east' : 'west');
+for (let index = 0; index < SMALL; index++)
+  cluster.machine(`m${1000 + index}`, 'small', index % 2 === 0 ? 'east' : 'west', index % 2 === 1);
+for (let index = 0; index < BIG; index++) cluster.machine(`g${1000 + index}`, 'big', index % 2 === 0 ? 'east' : 'west');
 let submitted = 0;
 const submit = (id: string, over: Parameters<typeof job>[1]) => {
   const team = TEAMS[submitted++ % TEAMS.length] as string;
@@ -68,9 +69,17 @@
   });
 
 cluster.run(SETTLE_S);
-for (let i = 0; i < SERVICES; i++)
-  submit(`run-s${i}`, { shape: 'service', tasks: REPLICAS, rank: 3, cpus: 2, memory: 7.2, spread: true, image: `s${i % 20}` });
-for (let i = 0; i < ARRAYS_AT_FIRST; i++) array(`run-b${i}`);
+for (let index = 0; index < SERVICES; index++)
+  submit(`run-s${index}`, {
+    shape: 'service',
+    tasks: REPLICAS,
+    rank: 3,
+    cpus: 2,
+    memory: 7.2,
+    spread: true,
+    image: `s${index % 20}`,
+  });
+for (let index = 0; index < ARRAYS_AT_FIRST; index++) array(`run-b${index}`);
 cluster.run(SETTLE_S);
 sums.clear();
 for (let second = 0; second < seconds; second++) {
--- a/test/measure/ledger.ts
+++ b/test/measure/ledger.ts
@@ -45,14 +45,16 @@
 await fleet.add(machines, ZONES);
 const [cloudAddress, stateAddress] = [await cloud.listen(), await state.listen()];
 const controllers = NAMES.map(
-  (name, i) =>
+  (name, index) =>
     new ControllerProcess({
       name,
-      zone: ZONES[i] as string,
-      publicAddress: publicAddresses[i] as string,
-      peerAddress: peerAddresses[i] as string,
-      others: NAMES.flatMap((other, k) =>
-        k === i ? [] : [{ name: other, zone: ZONES[k] as string, peerAddress: peerAddresses[k] as string }],
+      zone: ZONES[index] as string,
+      publicAddress: publicAddresses[index] as string,
+      peerAddress: peerAddresses[index] as string,
+      others: NAMES.flatMap((other, candidate) =>
+        candidate === index
+          ? []
+          : [{ name: other, zone: ZONES[candidate] as string, peerAddress: peerAddresses[candidate] as string }],
       ),
       cloud: cloudAddress,
       state: stateAddress,
@@ -93,7 +95,7 @@
   const seconds = (Date.now() - from) / 1000;
   const after = totals();
   const memory = controllers.map((controller) => controller.residentMb().toFixed(0)).join(', ');
-  const perS = after.map((ms, i) => ((ms - (before[i] as number)) / seconds).toFixed(1)).join(', ');
+  const perS = after.map((ms, index) => ((ms - (before[index] as number)) / seconds).toFixed(1)).join(', ');
   console.log(`\n## ${name}: ${perS} ms of processor a second, ${memory} MB`);
   if (!isProfiled) return;
   for (const controller of controllers) controller.signal('SIGUSR2');
@@ -102,10 +104,10 @@
 
 async function ask(seconds: number, jobs: () => string[]): Promise<void> {
   const until = Date.now() + seconds * 1000;
-  for (let i = 0; Date.now() < until; i++) {
+  for (let index = 0; Date.now() < until; index++) {
     const names = jobs();
-    const address = publicAddresses[i % NAMES.length] as string;
-    void fleet.get(address, `/v2/runs/${names[i % names.length]}`);
+    const address = publicAddresses[index % NAMES.length] as string;
+    void fleet.get(address, `/v2/runs/${names[index % names.length]}`);
     await sleep(1000 / QUESTIONS_PER_S);
   }
 }
@@ -125,8 +127,8 @@
 await sleep(SETTLE_MS / 4);
 await phase('machines without work', () => sleep(phaseS * 1000));
 await phase('services submitted', async () => {
-  for (let i = 0; i < machines / MACHINES_PER_SERVICE; i++)
-    await submit(`run-s${i}`, { shape: 'service', tasks: REPLICAS, rank: 3, cpus: 1, memory: 1 });
+  for (let index = 0; index < machines / MACHINES_PER_SERVICE; index++)
+    await submit(`run-s${index}`, { shape: 'service', tasks: REPLICAS, rank: 3, cpus: 1, memory: 1 });
   await sleep(SETTLE_MS);
 });
 await phase('services run, users ask', () => ask(phaseS, () => submitted));
--- a/test/measure/loopback.ts
+++ b/test/measure/loopback.ts
@@ -25,12 +25,12 @@
 }
 
 async function watch(what: string): Promise<void> {
-  for (let i = 0; i < WINDOWS && !controller.ended; i++) {
+  for (let index = 0; index < WINDOWS && !controller.ended; index++) {
     const before = controller.processorMs();
-    const answered = fleet.workers.reduce((n, worker) => n + worker.answered, 0);
+    const answered = fleet.workers.reduce((count, worker) => count + worker.answered, 0);
     await sleep(WINDOW_MS);
     const perS = (value: number) => Math.round((value * 1000) / WINDOW_MS);
-    const reports = fleet.workers.reduce((n, worker) => n + worker.answered, 0) - answered;
+    const reports = fleet.workers.reduce((count, worker) => count + worker.answered, 0) - answered;
     console.log(
       `${what}: ${controller.residentMb().toFixed(0)} MB, ${controller.openSockets()} sockets, ` +
         `${perS(controller.processorMs() - before)} ms a second, ${perS(reports)} reports a second`,
@@ -45,12 +45,12 @@
 while (granted() < machines && !controller.ended) await sleep(LOOK_EACH_MS);
 console.log(`${granted()} granted after ${Date.now() - from} ms`);
 await watch('no work');
-for (let i = 0; i < machines / MACHINES_PER_SERVICE; i++) {
-  const service = job(`run-s${i}`, { shape: 'service', tasks: REPLICAS, rank: 3, cpus: 1, memory: 1 });
+for (let index = 0; index < machines / MACHINES_PER_SERVICE; index++) {
+  const service = job(`run-s${index}`, { shape: 'service', tasks: REPLICAS, rank: 3, cpus: 1, memory: 1 });
   await fleet.post(publicAddress, '/v2/runs', submission(service));
 }
 await watch('services');
-const tasks = fleet.workers.reduce((n, worker) => n + worker.tasks.size, 0);
+const tasks = fleet.workers.reduce((count, worker) => count + worker.tasks.size, 0);
 console.log(`${tasks} tasks run, ${cloud.returned.size} machines were given back`);
 controller.stop();
 await sleep(WINDOW_MS / 10);
--- a/test/measure/profile.ts
+++ b/test/measure/profile.ts
@@ -30,8 +30,8 @@
     const byId = new Map(profile.nodes.map((node) => [node.id, node]));
     const parent = new Map<number, number>();
     for (const node of profile.nodes) for (const child of node.children ?? []) parent.set(child, node.id);
-    profile.samples.forEach((id, i) => {
-      const us = profile.timeDeltas[i] ?? 0;
+    profile.samples.forEach((id, index) => {
+      const us = profile.timeDeltas[index] ?? 0;
       const node = byId.get(id) as ProfileNode;
       if (node.callFrame.functionName === '(idle)') return;
       busy += us;
--- a/test/ops.test.ts
+++ b/test/ops.test.ts
@@ -6,246 +6,254 @@
 import { Shedding } from '../packages/http-api/src/shedding.js';
 import { Cluster, holderOf, job, kept, shareOf, smallCluster } from './stand-ins.js';
 
-const dead = (c: Cluster) => c.workers.filter((w) => w.dead).map((w) => w.name);
-const killed = (c: Cluster) => c.trace.filter((l) => l.includes('kills'));
+const dead = (cluster: Cluster) => cluster.workers.filter((w) => w.dead).map((w) => w.name);
+const killed = (cluster: Cluster) => cluster.trace.filter((l) => l.includes('kills'));
 
 for (const seconds of [0.9, 6, 16, 19, 25, 45]) {
   test(`the owner stands still for ${seconds} s: nothing runs twice or after its cancellation, no machine is thrown away`, () => {
-    const c = smallCluster(8);
-    c.submit(job('run-v', { shape: 'service', tasks: 2, rank: 3, cls: 'serve' }));
-    c.submit(job('run-c', { tasks: 3, estimateS: 500 }));
-    c.until('running', () => c.running('run-v') === 2 && c.running('run-c') === 3);
-    const owner = c.node(holderOf(c, shareOf(c, 'run-v')));
-    const other = c.nodes.find((n) => n !== owner);
+    const cluster = smallCluster(8);
+    cluster.submit(job('run-v', { shape: 'service', tasks: 2, rank: 3, cls: 'serve' }));
+    cluster.submit(job('run-c', { tasks: 3, estimateS: 500 }));
+    cluster.until('running', () => cluster.running('run-v') === 2 && cluster.running('run-c') === 3);
+    const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-v')));
+    const other = cluster.nodes.find((node) => node !== owner);
     assert.ok(other);
     // Decided just before: starts and a write are under way when it stops.
-    c.submit(job('run-w', { tasks: 4, estimateS: 4 }));
+    cluster.submit(job('run-w', { tasks: 4, estimateS: 4 }));
     owner.freeze();
-    c.cancel('run-c', other);
-    c.submit(job('run-x', { tasks: 4, estimateS: 4 }), other);
-    c.run(seconds);
+    cluster.cancel('run-c', other);
+    cluster.submit(job('run-x', { tasks: 4, estimateS: 4 }), other);
+    cluster.run(seconds);
     owner.thaw();
-    c.until('the cancelled job is gone', () => c.on('run-c').length === 0, 36);
-    c.until('the rest is done', () => c.finished.size === 8, 60);
-    c.run(20);
-    assert.equal(c.running('run-v'), 2);
-    assert.deepEqual(dead(c), [], 'it did not hold its own sleep against the machines');
-    assert.deepEqual(killed(c), [], 'the others answered the workers');
-    assert.equal(c.ask('run-c'), 'aborted');
-    if (seconds === 25) kept(c, 'owner-stands-still');
+    cluster.until('the cancelled job is gone', () => cluster.on('run-c').length === 0, 36);
+    cluster.until('the rest is done', () => cluster.finished.size === 8, 60);
+    cluster.run(20);
+    assert.equal(cluster.running('run-v'), 2);
+    assert.deepEqual(dead(cluster), [], 'it did not hold its own sleep against the machines');
+    assert.deepEqual(killed(cluster), [], 'the others answered the workers');
+    assert.equal(cluster.ask('run-c'), 'aborted');
+    if (seconds === 25) kept(cluster, 'owner-stands-still');
   });
 }
 
 test('what came while the owner stood still is lost: it asks its machines, and throws none away', () => {
-  const c = smallCluster(8);
-  c.submit(job('run-v', { shape: 'service', tasks: 2, rank: 3, cls: 'serve' }));
-  c.until('running', () => c.running('run-v') === 2);
-  const owner = c.node(holderOf(c, shareOf(c, 'run-v')));
+  const cluster = smallCluster(8);
+  cluster.submit(job('run-v', { shape: 'service', tasks: 2, rank: 3, cls: 'serve' }));
+  cluster.until('running', () => cluster.running('run-v') === 2);
+  const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-v')));
   owner.freeze();
-  c.run(16);
+  cluster.run(16);
   owner.thaw(true);
-  c.run(20);
-  assert.deepEqual(dead(c), []);
-  assert.equal(c.running('run-v'), 2);
+  cluster.run(20);
+  assert.deepEqual(dead(cluster), []);
+  assert.equal(cluster.running('run-v'), 2);
 });
 
 test('a machine that was silent for a moment, and then while its owner stood still, is not given up', () => {
-  const c = smallCluster(12);
-  c.submit(job('run-v', { shape: 'service', tasks: 2, rank: 3, cls: 'serve' }));
-  c.until('running', () => c.running('run-v') === 2);
-  const owner = c.node(holderOf(c, shareOf(c, 'run-v')));
-  const mine = [...owner.core.clusterState.machines.values()].filter((m) => m.shard === shareOf(c, 'run-v'));
-  const w = c.workers.find((x) => mine.some((m) => m.name === x.name) && !c.on('run-v').includes(x.name));
+  const cluster = smallCluster(12);
+  cluster.submit(job('run-v', { shape: 'service', tasks: 2, rank: 3, cls: 'serve' }));
+  cluster.until('running', () => cluster.running('run-v') === 2);
+  const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-v')));
+  const mine = [...owner.core.clusterState.machines.values()].filter((machine) => machine.shard === shareOf(cluster, 'run-v'));
+  const w = cluster.workers.find((x) => mine.some((machine) => machine.name === x.name) && !cluster.on('run-v').includes(x.name));
   assert.ok(w);
   w.hung = true;
-  c.run(3);
-  c.submit(job('run-k', { tasks: 2, estimateS: 60 }));
-  c.until('a command is under way', () => mine.some((m) => m.name !== w.name && m.pendingCommandId !== 0), 5);
+  cluster.run(3);
+  cluster.submit(job('run-k', { tasks: 2, estimateS: 60 }));
+  cluster.until(
+    'a command is under way',
+    () => mine.some((machine) => machine.name !== w.name && machine.pendingCommandId !== 0),
+    5,
+  );
   owner.freeze();
-  c.run(6.5);
+  cluster.run(6.5);
   owner.thaw();
-  c.run(1);
+  cluster.run(1);
   w.hung = false;
-  c.run(10);
-  assert.deepEqual(dead(c), []);
+  cluster.run(10);
+  assert.deepEqual(dead(cluster), []);
 });
 
 test('nothing is started after a pause before what is new has been read', () => {
-  const c = smallCluster(2);
-  c.submit(job('run-a', { tasks: 4, estimateS: 4 }));
-  c.until('full', () => c.running('run-a') === 4);
-  c.submit(job('run-z', { tasks: 4, estimateS: 4 }));
-  c.run(0.5);
-  const owner = c.node(holderOf(c, shareOf(c, 'run-z')));
-  const other = c.nodes.find((n) => n !== owner);
+  const cluster = smallCluster(2);
+  cluster.submit(job('run-a', { tasks: 4, estimateS: 4 }));
+  cluster.until('full', () => cluster.running('run-a') === 4);
+  cluster.submit(job('run-z', { tasks: 4, estimateS: 4 }));
+  cluster.run(0.5);
+  const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-z')));
+  const other = cluster.nodes.find((node) => node !== owner);
   assert.ok(other);
   owner.freeze();
-  c.cancel('run-z', other);
-  c.run(6);
+  cluster.cancel('run-z', other);
+  cluster.run(6);
   // It goes on with room for the cancelled job and old news of it; the state service is slow.
   owner.refused = true;
   owner.thaw();
-  c.run(6);
+  cluster.run(6);
   owner.refused = false;
-  c.run(10);
-  assert.equal(c.finished.size, 4);
-  assert.ok(!c.trace.some((l) => l.includes('starts run-z')));
+  cluster.run(10);
+  assert.equal(cluster.finished.size, 4);
+  assert.ok(!cluster.trace.some((l) => l.includes('starts run-z')));
 });
 
 test('after standing still, the lead and owner takes no share back by force, and gets its own once at rest', () => {
-  const c = smallCluster(8);
-  const lead = c.node(holderOf(c, 2));
-  const stamp = () => c.nodes[0]?.core.clusterState.leaseOf(2)?.revision;
+  const cluster = smallCluster(8);
+  const lead = cluster.node(holderOf(cluster, 2));
+  const stamp = () => cluster.nodes[0]?.core.clusterState.leaseOf(2)?.revision;
   lead.freeze();
-  c.until('taken over', () => !['', lead.name].includes(c.nodes[0]?.core.clusterState.leaseOf(2)?.holder.controller ?? ''), 40);
+  cluster.until(
+    'taken over',
+    () => !['', lead.name].includes(cluster.nodes[0]?.core.clusterState.leaseOf(2)?.holder.controller ?? ''),
+    40,
+  );
   const during = stamp();
   lead.thaw();
-  c.run(1);
+  cluster.run(1);
   assert.equal(stamp(), during, 'no fight for it');
-  c.until('home again', () => holderOf(c, 2) === lead.name, 40);
+  cluster.until('home again', () => holderOf(cluster, 2) === lead.name, 40);
   const home = stamp();
-  c.run(20);
+  cluster.run(20);
   assert.equal(stamp(), home);
-  assert.deepEqual(dead(c), []);
+  assert.deepEqual(dead(cluster), []);
 });
 
 test('all controllers stand still for longer than a cancellation has: what was cancelled before is not started after', () => {
-  const c = smallCluster(6);
-  c.submit(job('run-s', { shape: 'service', tasks: 2, rank: 3, cls: 'serve' }));
-  c.until('running', () => c.running('run-s') === 2);
-  const owner = c.node(holderOf(c, shareOf(c, 'run-s')));
-  const other = c.nodes.find((n) => n !== owner);
+  const cluster = smallCluster(6);
+  cluster.submit(job('run-s', { shape: 'service', tasks: 2, rank: 3, cls: 'serve' }));
+  cluster.until('running', () => cluster.running('run-s') === 2);
+  const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-s')));
+  const other = cluster.nodes.find((node) => node !== owner);
   assert.ok(other);
   owner.freeze();
-  c.submit(job('run-l', { tasks: 4, estimateS: 5 }), other);
-  c.cancel('run-l', other);
-  for (const n of c.nodes) if (!n.frozen) n.freeze();
-  c.run(45);
-  for (const n of c.nodes) n.thaw();
-  c.run(40);
-  assert.ok(!c.trace.some((l) => l.includes('starts run-l')));
-  c.until('the service runs again', () => c.running('run-s') === 2, 60);
+  cluster.submit(job('run-l', { tasks: 4, estimateS: 5 }), other);
+  cluster.cancel('run-l', other);
+  for (const node of cluster.nodes) if (!node.frozen) node.freeze();
+  cluster.run(45);
+  for (const node of cluster.nodes) node.thaw();
+  cluster.run(40);
+  assert.ok(!cluster.trace.some((l) => l.includes('starts run-l')));
+  cluster.until('the service runs again', () => cluster.running('run-s') === 2, 60);
 });
 
 test('jobs that fail everywhere cost no machine, no room and no rental; they stay known, and a faulty machine is still found', () => {
-  const c = smallCluster(9);
+  const cluster = smallCluster(9);
   const ids = ['run-b0', 'run-b1', 'run-b2', 'run-b3', 'run-b4', 'run-b5'];
   for (const id of ids) {
-    c.mistaken.add(id);
-    c.submit(job(id, { tasks: id === 'run-b0' ? 30 : 1, estimateS: 5 }));
+    cluster.mistaken.add(id);
+    cluster.submit(job(id, { tasks: id === 'run-b0' ? 30 : 1, estimateS: 5 }));
   }
-  c.run(30);
-  assert.deepEqual(dead(c), [], 'no healthy machine is put aside');
-  for (const n of c.nodes)
-    for (const m of n.core.clusterState.machines.values()) assert.equal(m.failedJobs.size, 0, 'nor blamed');
-  const tried = new Set(c.trace.filter((l) => l.includes('starts run-b0/')).map((l) => l.split('/')[1]));
+  cluster.run(30);
+  assert.deepEqual(dead(cluster), [], 'no healthy machine is put aside');
+  for (const node of cluster.nodes)
+    for (const machine of node.core.clusterState.machines.values()) assert.equal(machine.failedJobs.size, 0, 'nor blamed');
+  const tried = new Set(cluster.trace.filter((l) => l.includes('starts run-b0/')).map((l) => l.split('/')[1]));
   assert.equal(tried.size, 30, 'each of its tasks was tried');
-  const share = shareOf(c, 'run-b0');
-  const told = c.node(holderOf(c, share)).core.shardController.shardSummary(share, c.now + 1000);
+  const share = shareOf(cluster, 'run-b0');
+  const told = cluster.node(holderOf(cluster, share)).core.shardController.shardSummary(share, cluster.now + 1000);
   assert.deepEqual(told.demands, [], 'nothing is rented or moved for them');
   for (const id of ids) {
     const said: Record<string, unknown>[] = [];
-    c.nodes[0]?.poll(id, (_status, body) => said.push(body));
-    c.until('answered', () => said.length === 1, 6);
+    cluster.nodes[0]?.poll(id, (_status, body) => said.push(body));
+    cluster.until('answered', () => said.length === 1, 6);
     assert.ok(said[0]?.status === 'queued' || said[0]?.status === 'running');
     assert.ok(Number(said[0]?.failed) >= 3 && String(said[0]?.note).includes('every machine'));
   }
-  const before = c.trace.length;
-  c.submit(job('run-ok', { tasks: 18, estimateS: 3 }));
-  c.until('healthy work is not held up', () => c.finished.size === 18, 20);
-  c.run(10);
-  assert.ok(c.trace.slice(before).filter((l) => l.includes('starts run-b')).length < 20, 'they are tried now and then');
-  const bad = c.workers[0];
+  const before = cluster.trace.length;
+  cluster.submit(job('run-ok', { tasks: 18, estimateS: 3 }));
+  cluster.until('healthy work is not held up', () => cluster.finished.size === 18, 20);
+  cluster.run(10);
+  assert.ok(cluster.trace.slice(before).filter((l) => l.includes('starts run-b')).length < 20, 'they are tried now and then');
+  const bad = cluster.workers[0];
   assert.ok(bad);
   bad.fails = true;
-  for (let i = 0; i < 4; i++) c.submit(job(`run-h${i}`, { tasks: 8, estimateS: 3 }));
-  c.until('all done', () => c.finished.size === 18 + 32, 90);
-  assert.deepEqual(dead(c), [bad.name]);
-  for (const id of ids) c.cancel(id);
-  c.run(5);
-  for (const id of ids) assert.equal(c.ask(id), 'aborted');
+  for (let index = 0; index < 4; index++) cluster.submit(job(`run-h${index}`, { tasks: 8, estimateS: 3 }));
+  cluster.until('all done', () => cluster.finished.size === 18 + 32, 90);
+  assert.deepEqual(dead(cluster), [bad.name]);
+  for (const id of ids) cluster.cancel(id);
+  cluster.run(5);
+  for (const id of ids) assert.equal(cluster.ask(id), 'aborted');
 });
 
 test('what a job that fails everywhere cast on machines is taken back', () => {
-  const c = smallCluster(3);
-  c.mistaken.add('run-b');
-  c.submit(job('run-b', { tasks: 6, estimateS: 3 }));
-  c.run(8);
-  c.submit(job('run-good', { tasks: 12, estimateS: 3 }));
-  c.until('some done', () => c.finished.size >= 4, 30);
-  c.run(1);
-  const w = c.workers.find((x) => [...x.tasks.values()].some((t) => t.job === 'run-good' && t.state === 'running'));
+  const cluster = smallCluster(3);
+  cluster.mistaken.add('run-b');
+  cluster.submit(job('run-b', { tasks: 6, estimateS: 3 }));
+  cluster.run(8);
+  cluster.submit(job('run-good', { tasks: 12, estimateS: 3 }));
+  cluster.until('some done', () => cluster.finished.size >= 4, 30);
+  cluster.run(1);
+  const w = cluster.workers.find((x) => [...x.tasks.values()].some((t) => t.job === 'run-good' && t.state === 'running'));
   assert.ok(w);
   w.fails = true;
-  c.run(0.1);
+  cluster.run(0.1);
   w.fails = false;
-  c.until('done', () => c.finished.size === 12, 60);
-  assert.deepEqual(dead(c), [], 'one failure of a good job is no proof');
+  cluster.until('done', () => cluster.finished.size === 12, 60);
+  assert.deepEqual(dead(cluster), [], 'one failure of a good job is no proof');
 });
 
 test('a job that failed on faulty machines only recovers', () => {
-  const c = smallCluster(8);
-  for (const w of c.workers.slice(0, 4)) w.fails = true;
-  c.submit(job('run-r', { tasks: 8, estimateS: 3 }));
-  c.run(8);
-  for (const w of c.workers) w.fails = false;
-  c.until('done', () => c.ask('run-r') === 'done', 90);
+  const cluster = smallCluster(8);
+  for (const w of cluster.workers.slice(0, 4)) w.fails = true;
+  cluster.submit(job('run-r', { tasks: 8, estimateS: 3 }));
+  cluster.run(8);
+  for (const w of cluster.workers) w.fails = false;
+  cluster.until('done', () => cluster.ask('run-r') === 'done', 90);
 });
 
-const withGuest = (s: ControllerSettings): ControllerSettings => ({
-  ...s,
-  teams: [...s.teams, { name: 'guest', cpus: 0, maxCpus: 0, gpus: 0, maxGpus: 0 }],
+const withGuest = (settings: ControllerSettings): ControllerSettings => ({
+  ...settings,
+  teams: [...settings.teams, { name: 'guest', cpus: 0, maxCpus: 0, gpus: 0, maxGpus: 0 }],
 });
 
 test('a swarm of a guest team uses what is idle and gives way at once; its changes are few', () => {
-  const c = new Cluster(['n0', 'n1', 'n2'], withGuest);
-  for (let i = 0; i < 12; i++) c.machine(`m${i}`, 'small', i % 2 === 0 ? 'east' : 'west');
-  c.settle();
-  const changes = () => [...c.changes.values()].reduce((a, n) => a + n, 0);
+  const cluster = new Cluster(['n0', 'n1', 'n2'], withGuest);
+  for (let index = 0; index < 12; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+  cluster.settle();
+  const changes = () => [...cluster.changes.values()].reduce((a, count) => a + count, 0);
   const before = changes();
-  const guests = Array.from({ length: 60 }, (_, i) => `run-g${i}`);
-  for (const id of guests) c.submit(job(id, { team: 'guest', rank: 0, cpus: 1, memory: 2, estimateS: 8 }));
-  c.submit(job('run-first', { team: 'red', shape: 'service', tasks: 4, rank: 3, cls: 'serve' }));
-  c.until('others do not wait', () => c.running('run-first') === 4, 8);
-  c.until('the guests are served', () => guests.every((id) => c.finished.has(`${id}/0`)), 120);
-  c.run(5);
-  for (const id of guests) assert.equal(c.ask(id), 'done');
+  const guests = Array.from({ length: 60 }, (_, index) => `run-g${index}`);
+  for (const id of guests) cluster.submit(job(id, { team: 'guest', rank: 0, cpus: 1, memory: 2, estimateS: 8 }));
+  cluster.submit(job('run-first', { team: 'red', shape: 'service', tasks: 4, rank: 3, cls: 'serve' }));
+  cluster.until('others do not wait', () => cluster.running('run-first') === 4, 8);
+  cluster.until('the guests are served', () => guests.every((id) => cluster.finished.has(`${id}/0`)), 120);
+  cluster.run(5);
+  for (const id of guests) assert.equal(cluster.ask(id), 'done');
   assert.ok(changes() - before < guests.length * 2.5 + 150, `${changes() - before} changes for ${guests.length} jobs`);
 });
 
 test('a guest is within no guarantee: its gangs stop none of equal rank, not even above their guarantee', () => {
-  const c = new Cluster(['n0', 'n1', 'n2'], withGuest);
-  c.machine('g0', 'big', 'east');
-  c.machine('g1', 'big', 'east');
-  c.settle();
+  const cluster = new Cluster(['n0', 'n1', 'n2'], withGuest);
+  cluster.machine('g0', 'big', 'east');
+  cluster.machine('g1', 'big', 'east');
+  cluster.settle();
   const train = { shape: 'gang' as const, gpus: 8, cpus: 40, memory: 100, estimateS: 200, rank: 1 };
-  c.submit(job('run-0', { ...train, team: 'red' }));
-  c.submit(job('run-1', { ...train, team: 'red' }));
-  c.until('both run', () => c.running('run-0') + c.running('run-1') === 2, 40);
-  c.submit(job('run-guest', { ...train, team: 'guest' }));
-  c.run(60);
-  assert.equal(c.running('run-0') + c.running('run-1'), 2);
+  cluster.submit(job('run-0', { ...train, team: 'red' }));
+  cluster.submit(job('run-1', { ...train, team: 'red' }));
+  cluster.until('both run', () => cluster.running('run-0') + cluster.running('run-1') === 2, 40);
+  cluster.submit(job('run-guest', { ...train, team: 'guest' }));
+  cluster.run(60);
+  assert.equal(cluster.running('run-0') + cluster.running('run-1'), 2);
 });
 
 test('for work of the lowest rank only what is cheap is rented, and nothing dear ever', () => {
-  const c = new Cluster(['n0', 'n1', 'n2'], (s) => ({
-    ...withGuest(s),
-    policy: { ...s.policy, holdSpareCapacity: false, maxMachines: null },
+  const cluster = new Cluster(['n0', 'n1', 'n2'], (settings) => ({
+    ...withGuest(settings),
+    policy: { ...settings.policy, holdSpareCapacity: false, maxMachines: null },
   }));
-  for (let i = 0; i < 3; i++) c.machine(`m${i}`, 'small', 'east');
-  c.settle();
-  c.rents.length = 0;
-  const start = c.now;
-  c.submit(job('run-low', { team: 'guest', rank: 0, tasks: 200, cpus: 1, memory: 2, estimateS: 400, spot: true }));
-  c.run(150);
-  const soon = c.rents.filter((r) => r.at - start < 55_000);
+  for (let index = 0; index < 3; index++) cluster.machine(`m${index}`, 'small', 'east');
+  cluster.settle();
+  cluster.rents.length = 0;
+  const start = cluster.now;
+  cluster.submit(job('run-low', { team: 'guest', rank: 0, tasks: 200, cpus: 1, memory: 2, estimateS: 400, spot: true }));
+  cluster.run(150);
+  const soon = cluster.rents.filter((r) => r.at - start < 55_000);
   assert.ok(soon.length > 0 && soon.every((r) => r.spot), 'cheap ones at first');
   assert.ok(
-    c.rents.some((r) => !r.spot && r.type === 'small'),
+    cluster.rents.some((r) => !r.spot && r.type === 'small'),
     'ordinary ones so that it begins',
   );
   assert.ok(
-    c.rents.every((r) => r.spot || r.type === 'small'),
+    cluster.rents.every((r) => r.spot || r.type === 'small'),
     'no dear one',
   );
 });
@@ -266,31 +274,31 @@
 });
 
 test('machines with short tasks of the lowest rank are told of several at once', () => {
-  const c = new Cluster(['n0', 'n1', 'n2'], withGuest);
-  for (let i = 0; i < 6; i++) c.machine(`m${i}`, 'small', i % 2 === 0 ? 'east' : 'west');
-  c.settle();
-  c.submit(job('run-tiles', { team: 'guest', rank: 0, tasks: 2000, cpus: 0.5, memory: 1, estimateS: 0.7 }));
-  c.run(10);
-  const before = c.commands;
-  const done = c.finished.size;
-  c.run(20);
-  assert.ok(c.finished.size - done > 200, 'they are served');
-  assert.ok(c.commands - before <= 6 * 20 * 1.1, `${c.commands - before} commands`);
+  const cluster = new Cluster(['n0', 'n1', 'n2'], withGuest);
+  for (let index = 0; index < 6; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+  cluster.settle();
+  cluster.submit(job('run-tiles', { team: 'guest', rank: 0, tasks: 2000, cpus: 0.5, memory: 1, estimateS: 0.7 }));
+  cluster.run(10);
+  const before = cluster.commands;
+  const done = cluster.finished.size;
+  cluster.run(20);
+  assert.ok(cluster.finished.size - done > 200, 'they are served');
+  assert.ok(cluster.commands - before <= 6 * 20 * 1.1, `${cluster.commands - before} commands`);
 });
 
 test('a storm of questions costs one reading, and everybody is answered', () => {
-  const c = smallCluster(4);
-  for (let i = 0; i < 10; i++) c.submit(job(`run-${i}`, { tasks: 1, estimateS: 600 }));
-  c.run(5);
-  const n = c.nodes[1];
-  assert.ok(n);
+  const cluster = smallCluster(4);
+  for (let index = 0; index < 10; index++) cluster.submit(job(`run-${index}`, { tasks: 1, estimateS: 600 }));
+  cluster.run(5);
+  const node = cluster.nodes[1];
+  assert.ok(node);
   const said = new Map<string, number>();
-  for (let i = 0; i < 1000; i++) {
-    const id = i < 990 ? `run-${i % 10}` : `run-none-${i}`;
-    n.poll(id, (status) => said.set(`${id} ${status}`, (said.get(`${id} ${status}`) ?? 0) + 1));
+  for (let index = 0; index < 1000; index++) {
+    const id = index < 990 ? `run-${index % 10}` : `run-none-${index}`;
+    node.poll(id, (status) => said.set(`${id} ${status}`, (said.get(`${id} ${status}`) ?? 0) + 1));
   }
-  c.run(1);
-  for (let i = 0; i < 10; i++) assert.equal(said.get(`run-${i} 200`), 99);
+  cluster.run(1);
+  for (let index = 0; index < 10; index++) assert.equal(said.get(`run-${index} 200`), 99);
   assert.equal([...said.keys()].filter((k) => k.endsWith(' 404')).length, 10);
 });
 
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -27,21 +27,25 @@
 });
 
 /** Submits at one controller and says how that was answered. */
-function told(c: Cluster, id: string, awaits: string[], node = c.nodes[0] as Node): number {
+function told(cluster: Cluster, id: string, awaits: string[], node = cluster.nodes[0] as Node): number {
   const spec = job(id);
-  c.specs.set(id, spec);
-  c.awaits.set(id, awaits);
+  cluster.specs.set(id, spec);
+  cluster.awaits.set(id, awaits);
   let status = 0;
   node.submit(spec, (code) => {
     status = code;
   });
-  c.until(`${id} answered`, () => status !== 0, 6);
+  cluster.until(`${id} answered`, () => status !== 0, 6);
   return status;
 }
 
-function chain(c: Cluster, ids: string[], over: Parameters<typeof job>[1] = {}): void {
-  ids.forEach((id, i) => {
-    c.submit(job(id, { estimateS: 3, ...over }), c.nodes[i % c.nodes.length], i === 0 ? [] : [ids[i - 1] as string]);
+function chain(cluster: Cluster, ids: string[], over: Parameters<typeof job>[1] = {}): void {
+  ids.forEach((id, index) => {
+    cluster.submit(
+      job(id, { estimateS: 3, ...over }),
+      cluster.nodes[index % cluster.nodes.length],
+      index === 0 ? [] : [ids[index - 1] as string],
+    );
   });
 }
 
@@ -61,149 +65,150 @@
 
 // too_early: a start before the end of the job awaited is stored. The cluster checks it at each start.
 test('a chain runs in its order, over a takeover of each share', () => {
-  const c = smallCluster(6);
-  chain(c, ['run-1', 'run-2', 'run-3'], { tasks: 3 });
-  c.until('the first is done', () => c.allDone('run-1'), 40);
-  const owner = holderOf(c, shareOf(c, 'run-2'));
-  c.node(owner).crash();
-  c.until('the last is done', () => c.allDone('run-3'), 120);
-  c.node(owner).restart();
-  c.run(15);
-  for (const id of ['run-1', 'run-2', 'run-3']) for (const n of c.nodes) assert.equal(c.ask(id, n), 'done');
-  kept(c, 'chain-over-a-takeover');
+  const cluster = smallCluster(6);
+  chain(cluster, ['run-1', 'run-2', 'run-3'], { tasks: 3 });
+  cluster.until('the first is done', () => cluster.allDone('run-1'), 40);
+  const owner = holderOf(cluster, shareOf(cluster, 'run-2'));
+  cluster.node(owner).crash();
+  cluster.until('the last is done', () => cluster.allDone('run-3'), 120);
+  cluster.node(owner).restart();
+  cluster.run(15);
+  for (const id of ['run-1', 'run-2', 'run-3']) for (const node of cluster.nodes) assert.equal(cluster.ask(id, node), 'done');
+  kept(cluster, 'chain-over-a-takeover');
 });
 
 test('a job that names itself or one never accepted is refused, after a reading newer than the request', () => {
-  const c = smallCluster(4);
-  assert.equal(told(c, 'run-self', ['run-self']), 422);
-  assert.equal(told(c, 'run-x', ['run-never']), 422);
+  const cluster = smallCluster(4);
+  assert.equal(told(cluster, 'run-self', ['run-self']), 422);
+  assert.equal(told(cluster, 'run-x', ['run-never']), 422);
   // Accepted elsewhere a moment ago, and not read here yet: the reading is waited for.
-  const [first, second] = c.nodes as [Node, Node];
+  const [first, second] = cluster.nodes as [Node, Node];
   first.lagging = true;
-  c.submit(job('run-new'), second);
+  cluster.submit(job('run-new'), second);
   let status = 0;
-  c.specs.set('run-y', job('run-y'));
-  c.awaits.set('run-y', ['run-new']);
+  cluster.specs.set('run-y', job('run-y'));
+  cluster.awaits.set('run-y', ['run-new']);
   first.submit(job('run-y'), (code) => {
     status = code;
   });
-  c.run(0.5);
+  cluster.run(0.5);
   assert.equal(status, 0, 'not decided by what is known here');
   first.lagging = false;
-  c.run(0.5);
+  cluster.run(0.5);
   assert.equal(status, 201);
   // Without a reading nothing is refused: the user is to ask again.
   first.lagging = true;
-  assert.equal(told(c, 'run-z', ['run-unread'], first), 503);
+  assert.equal(told(cluster, 'run-z', ['run-unread'], first), 503);
 });
 
 test('a cancellation reaches all that need the job, at every controller, by one change', () => {
-  const c = smallCluster(6);
+  const cluster = smallCluster(6);
   chain(
-    c,
-    Array.from({ length: 40 }, (_, i) => `run-${i}`),
+    cluster,
+    Array.from({ length: 40 }, (_, index) => `run-${index}`),
     { estimateS: 300 },
   );
-  c.run(2);
-  const before = c.changes.get('j') ?? 0;
-  c.cancel('run-0');
-  c.run(1);
-  assert.equal((c.changes.get('j') ?? 0) - before, 1);
-  for (const n of c.nodes) for (const id of ['run-1', 'run-20', 'run-39']) assert.equal(c.ask(id, n), 'aborted');
+  cluster.run(2);
+  const before = cluster.changes.get('j') ?? 0;
+  cluster.cancel('run-0');
+  cluster.run(1);
+  assert.equal((cluster.changes.get('j') ?? 0) - before, 1);
+  for (const node of cluster.nodes)
+    for (const id of ['run-1', 'run-20', 'run-39']) assert.equal(cluster.ask(id, node), 'aborted');
   // A controller that begins again derives the same, and nothing goes back.
-  c.node('n1').crash();
-  c.node('n1').restart();
-  c.run(20);
-  assert.equal(c.ask('run-39', c.node('n1')), 'aborted');
-  c.cancel('run-39', c.node('n1'));
-  assert.equal(c.on('run-39').length, 0);
+  cluster.node('n1').crash();
+  cluster.node('n1').restart();
+  cluster.run(20);
+  assert.equal(cluster.ask('run-39', cluster.node('n1')), 'aborted');
+  cluster.cancel('run-39', cluster.node('n1'));
+  assert.equal(cluster.on('run-39').length, 0);
 });
 
 test('a job submitted after the cancellation of one that it needs is accepted, and cancelled', () => {
-  const c = smallCluster(4);
-  c.submit(job('run-a'));
-  c.cancel('run-a');
-  assert.equal(told(c, 'run-b', ['run-a'], c.nodes[2]), 201);
-  c.run(1);
-  assert.equal(c.ask('run-b'), 'aborted');
+  const cluster = smallCluster(4);
+  cluster.submit(job('run-a'));
+  cluster.cancel('run-a');
+  assert.equal(told(cluster, 'run-b', ['run-a'], cluster.nodes[2]), 201);
+  cluster.run(1);
+  assert.equal(cluster.ask('run-b'), 'aborted');
 });
 
 // A cancellation that meets the end of the last task: one record decides, and everything follows it.
 test('a cancellation answered with done lets the jobs after it go on; one that comes first stops them', () => {
-  const c = smallCluster(6);
-  c.submit(job('run-a', { estimateS: 2 }));
-  c.submit(job('run-b', { estimateS: 2 }), c.nodes[1], ['run-a']);
-  c.until('done', () => c.allDone('run-a'), 40);
-  c.until('stored', () => c.ask('run-a') === 'done', 10);
-  c.cancel('run-a');
-  c.until('the next runs', () => c.allDone('run-b'), 40);
-  c.run(2);
-  assert.equal(c.ask('run-b'), 'done');
+  const cluster = smallCluster(6);
+  cluster.submit(job('run-a', { estimateS: 2 }));
+  cluster.submit(job('run-b', { estimateS: 2 }), cluster.nodes[1], ['run-a']);
+  cluster.until('done', () => cluster.allDone('run-a'), 40);
+  cluster.until('stored', () => cluster.ask('run-a') === 'done', 10);
+  cluster.cancel('run-a');
+  cluster.until('the next runs', () => cluster.allDone('run-b'), 40);
+  cluster.run(2);
+  assert.equal(cluster.ask('run-b'), 'done');
 });
 
 test('a cancellation meets the end of the last task at any moment: all that follows agrees with its answer', () => {
   const answers = new Set<string>();
   for (let offset = 0; offset <= 2000; offset += 100) {
-    const c = smallCluster(4);
-    c.submit(job('run-a', { estimateS: 2 }));
-    c.submit(job('run-b', { estimateS: 1, team: 'blue' }), c.nodes[1], ['run-a']);
-    c.submit(job('run-c', { estimateS: 1, team: 'green' }), c.nodes[2], ['run-b']);
-    c.until('running', () => c.running('run-a') === 1, 10);
-    c.run(1.2 + offset / 1000);
+    const cluster = smallCluster(4);
+    cluster.submit(job('run-a', { estimateS: 2 }));
+    cluster.submit(job('run-b', { estimateS: 1, team: 'blue' }), cluster.nodes[1], ['run-a']);
+    cluster.submit(job('run-c', { estimateS: 1, team: 'green' }), cluster.nodes[2], ['run-b']);
+    cluster.until('running', () => cluster.running('run-a') === 1, 10);
+    cluster.run(1.2 + offset / 1000);
     let answer = '';
-    c.nodes[2]?.cancel('run-a', (_status, body) => {
+    cluster.nodes[2]?.cancel('run-a', (_status, body) => {
       answer = String(body.status);
     });
-    c.until('answered', () => answer !== '', 6);
+    cluster.until('answered', () => answer !== '', 6);
     answers.add(answer);
-    c.run(12);
-    for (const n of c.nodes) for (const id of ['run-a', 'run-b', 'run-c']) assert.equal(c.ask(id, n), answer);
-    assert.equal(c.allDone('run-c'), answer === 'done');
+    cluster.run(12);
+    for (const node of cluster.nodes) for (const id of ['run-a', 'run-b', 'run-c']) assert.equal(cluster.ask(id, node), answer);
+    assert.equal(cluster.allDone('run-c'), answer === 'done');
   }
   assert.deepEqual([...answers].sort(), ['aborted', 'done']);
 });
 
 // Nobody can read the cancellation meanwhile; nobody may start, or call queued, what it stops.
 test('a cancellation just before an outage longer than a cancellation may take reaches all jobs after it', () => {
-  const c = smallCluster(4);
-  c.submit(job('run-a', { estimateS: 2 }));
-  c.submit(job('run-b', { estimateS: 1, team: 'blue' }), undefined, ['run-a']);
-  const [first, second] = c.nodes as [Node, Node];
+  const cluster = smallCluster(4);
+  cluster.submit(job('run-a', { estimateS: 2 }));
+  cluster.submit(job('run-b', { estimateS: 1, team: 'blue' }), undefined, ['run-a']);
+  const [first, second] = cluster.nodes as [Node, Node];
   second.lagging = true;
-  c.cancel('run-a', first);
-  c.stateDown = true;
-  c.run(50);
-  assert.equal(c.on('run-b').length, 0);
-  c.stateDown = false;
+  cluster.cancel('run-a', first);
+  cluster.stateDown = true;
+  cluster.run(50);
+  assert.equal(cluster.on('run-b').length, 0);
+  cluster.stateDown = false;
   second.lagging = false;
-  c.run(3);
-  for (const n of c.nodes) assert.equal(c.ask('run-b', n), 'aborted');
+  cluster.run(3);
+  for (const node of cluster.nodes) assert.equal(cluster.ask('run-b', node), 'aborted');
 });
 
 test('a diamond: the last job starts after both sides, and is cancelled with either', () => {
-  const c = smallCluster(8);
+  const cluster = smallCluster(8);
   const diamond = (p: string) => {
-    c.submit(job(`run-${p}0`, { estimateS: 2 }));
-    c.submit(job(`run-${p}1`, { team: 'blue', estimateS: 3 }), c.nodes[1], [`run-${p}0`]);
-    c.submit(job(`run-${p}2`, { team: 'green', estimateS: 9 }), c.nodes[2], [`run-${p}0`]);
-    c.submit(job(`run-${p}3`, { estimateS: 2 }), c.nodes[0], [`run-${p}1`, `run-${p}2`]);
+    cluster.submit(job(`run-${p}0`, { estimateS: 2 }));
+    cluster.submit(job(`run-${p}1`, { team: 'blue', estimateS: 3 }), cluster.nodes[1], [`run-${p}0`]);
+    cluster.submit(job(`run-${p}2`, { team: 'green', estimateS: 9 }), cluster.nodes[2], [`run-${p}0`]);
+    cluster.submit(job(`run-${p}3`, { estimateS: 2 }), cluster.nodes[0], [`run-${p}1`, `run-${p}2`]);
   };
   diamond('a');
-  c.until('the last is done', () => c.allDone('run-a3'), 60);
+  cluster.until('the last is done', () => cluster.allDone('run-a3'), 60);
   diamond('b');
-  c.until('one side is done', () => c.allDone('run-b1'), 40);
-  c.run(2);
-  c.cancel('run-b2');
-  c.run(2);
-  assert.equal(c.ask('run-b3'), 'aborted');
-  assert.equal(c.ask('run-b1'), 'done');
+  cluster.until('one side is done', () => cluster.allDone('run-b1'), 40);
+  cluster.run(2);
+  cluster.cancel('run-b2');
+  cluster.run(2);
+  assert.equal(cluster.ask('run-b3'), 'aborted');
+  assert.equal(cluster.ask('run-b1'), 'done');
 });
 
 test('a stored list of awaited jobs that can not be read keeps that one job waiting, and harms nothing else', () => {
-  const c = smallCluster(4);
+  const cluster = smallCluster(4);
   const guards = { type: 'compareAndSwap' as const, id: 0, conditions: [] };
   const sp = (id: string) => {
-    c.specs.set(id, job(id));
+    cluster.specs.set(id, job(id));
     return job(id);
   };
   const records: [string, unknown][] = [
@@ -215,39 +220,42 @@
     // Of a version that knows more.
     ['a/j/run-new', { s: 0, t: 0, sp: { ...sp('run-new'), colour: 'red' }, future: true }],
   ];
-  for (const [put, value] of records) c.state.txn({ ...guards, writes: [{ put, value }] }, c.now);
-  c.until('others run', () => c.allDone('run-new'), 40);
-  for (const id of ['run-odd', 'run-odder', 'run-p', 'run-q']) assert.equal(c.ask(id), 'queued');
-  c.cancel('run-q');
-  c.cancel('run-odd');
-  c.run(1);
-  for (const id of ['run-odd', 'run-p', 'run-q']) assert.equal(c.ask(id), 'aborted');
+  for (const [put, value] of records) cluster.state.txn({ ...guards, writes: [{ put, value }] }, cluster.now);
+  cluster.until('others run', () => cluster.allDone('run-new'), 40);
+  for (const id of ['run-odd', 'run-odder', 'run-p', 'run-q']) assert.equal(cluster.ask(id), 'queued');
+  cluster.cancel('run-q');
+  cluster.cancel('run-odd');
+  cluster.run(1);
+  for (const id of ['run-odd', 'run-p', 'run-q']) assert.equal(cluster.ask(id), 'aborted');
 });
 
 // Each end and each submission may cost in proportion to its edges, not to all jobs: the time is not bounded
 // here, but a cost that grew with their product would not end.
 test('a job awaited by thousands, and a chain of hundreds, are released one after another', () => {
-  const c = smallCluster(4);
-  const first = c.nodes[0] as Node;
-  c.submit(job('run-root', { estimateS: 60 }));
+  const cluster = smallCluster(4);
+  const first = cluster.nodes[0] as Node;
+  cluster.submit(job('run-root', { estimateS: 60 }));
   const guards = { type: 'compareAndSwap' as const, id: 0, conditions: [] };
-  const writes = Array.from({ length: 3000 }, (_, i) => {
-    const id = `run-w${i}`;
-    c.specs.set(id, job(id, { rank: i === 2999 ? 2 : 0 }));
-    return { put: `a/j/${id}`, value: { s: 3, t: 0, sp: c.specs.get(id), aw: ['run-root'] } };
+  const writes = Array.from({ length: 3000 }, (_, index) => {
+    const id = `run-w${index}`;
+    cluster.specs.set(id, job(id, { rank: index === 2999 ? 2 : 0 }));
+    return { put: `a/j/${id}`, value: { s: 3, t: 0, sp: cluster.specs.get(id), aw: ['run-root'] } };
   });
-  const links = Array.from({ length: 500 }, (_, i) => {
-    const id = `run-c${i}`;
-    c.specs.set(id, job(id));
-    return { put: `a/j/${id}`, value: { s: 3, t: 0, sp: c.specs.get(id), aw: [i === 0 ? 'run-w0' : `run-c${i - 1}`] } };
+  const links = Array.from({ length: 500 }, (_, index) => {
+    const id = `run-c${index}`;
+    cluster.specs.set(id, job(id));
+    return {
+      put: `a/j/${id}`,
+      value: { s: 3, t: 0, sp: cluster.specs.get(id), aw: [index === 0 ? 'run-w0' : `run-c${index - 1}`] },
+    };
   });
-  c.state.txn({ ...guards, writes: [...links, ...writes] }, c.now);
-  c.run(1);
+  cluster.state.txn({ ...guards, writes: [...links, ...writes] }, cluster.now);
+  cluster.run(1);
   assert.equal(first.core.clusterState.jobs.get('run-root')?.priority, 2);
   assert.equal(first.core.clusterState.jobs.get('run-c499')?.isBlocked, true);
-  c.cancel('run-root');
-  c.run(1);
-  assert.equal(c.ask('run-c499'), 'aborted');
+  cluster.cancel('run-root');
+  cluster.run(1);
+  assert.equal(cluster.ask('run-c499'), 'aborted');
   assert.equal(first.core.clusterState.jobs.size, 0);
 });
 
--- a/test/recorded-formats.test.ts
+++ b/test/recorded-formats.test.ts
@@ -41,7 +41,7 @@
 
 // ---- The only places that touch a controller's own names
 
-function newController(tune: Tune = (s) => s): Controller {
+function newController(tune: Tune = (settings) => settings): Controller {
   return new Controller(tune(settings('n0')), 'present');
 }
 
@@ -237,13 +237,14 @@
 const NAMES = ['n0', 'n1', 'n2'];
 
 function addMachines(cluster: Cluster, count: number, type = 'small'): void {
-  for (let i = 0; i < count; i++) cluster.machine(`m${i}`, type, i % 2 === 0 ? 'east' : 'west', i === count - 1);
+  for (let index = 0; index < count; index++)
+    cluster.machine(`m${index}`, type, index % 2 === 0 ? 'east' : 'west', index === count - 1);
 }
 
 /** Limits that are announced to fall: long lists and long progress go into parts. */
 const fallingTo =
   (valueKib: number): Tune =>
-  (s) => ({ ...s, state: { ...s.state, valueKib: 16, next: { valueKib, writesPerTransaction: 4 } } });
+  (settings) => ({ ...settings, state: { ...settings.state, valueKib: 16, next: { valueKib, writesPerTransaction: 4 } } });
 
 function submitEachShape(cluster: Cluster): void {
   for (const team of ['red', 'blue', 'green']) {
@@ -308,7 +309,7 @@
   // All but the last 500 tasks are done, and stored as one whole chunk.
   const spec = job('run-large', { tasks: 9000, cpus: 0.5, memory: 0.1, estimateS: 4 });
   cluster.specs.set(spec.id, spec);
-  for (let i = 0; i < 8500; i++) cluster.finished.add(`run-large/${i}`);
+  for (let index = 0; index < 8500; index++) cluster.finished.add(`run-large/${index}`);
   putRow(cluster, 'a/p/run-large/0', 'f'.repeat(8500 / 4));
   putRow(cluster, 'a/j/run-large', { s: 0, t: 0, sp: spec });
   cluster.until('the rest is done', () => cluster.allDone('run-large'), 200);
@@ -322,8 +323,8 @@
 function listsInParts(cluster: Cluster): void {
   addMachines(cluster, 4);
   cluster.settle();
-  const types = [...Array.from({ length: 63 }, (_, i) => `none-${i}-${'x'.repeat(60)}`), 'small'];
-  const first = Array.from({ length: 90 }, (_, i) => `run-${String(i).padStart(20, '0')}`);
+  const types = [...Array.from({ length: 63 }, (_, index) => `none-${index}-${'x'.repeat(60)}`), 'small'];
+  const first = Array.from({ length: 90 }, (_, index) => `run-${String(index).padStart(20, '0')}`);
   for (const id of first) cluster.submit(job(id, { estimateS: 1, cpus: 0.1, memory: 0.1 }));
   cluster.submit(job('run-types', { types, estimateS: 3 }));
   cluster.submit(job('run-chain', { types, estimateS: 300 }), cluster.nodes[1], first);
@@ -352,11 +353,11 @@
 const DAYS: Record<string, Day> = {
   'work and trouble of each kind': { run: workAndTrouble },
   'machines that move and go back': {
-    tune: (s) => ({ ...s, policy: { ...s.policy, holdSpareCapacity: false, idleS: 10, maxMachines: null } }),
+    tune: (settings) => ({ ...settings, policy: { ...settings.policy, holdSpareCapacity: false, idleS: 10, maxMachines: null } }),
     run: machinesThatMove,
   },
   'rented machines': {
-    tune: (s) => ({ ...s, policy: { ...s.policy, maxMachines: null } }),
+    tune: (settings) => ({ ...settings, policy: { ...settings.policy, maxMachines: null } }),
     run: rentedMachines,
   },
   'progress in parts': { tune: fallingTo(2), run: progressInParts },
@@ -522,7 +523,8 @@
 test('messages with every field set are encoded to the recorded bytes, and decoded to what they were', () => {
   const encoded = FULL_MESSAGES.map((message) => Buffer.from(encodePeerMessage(message)).toString('hex'));
   assertAsRecorded('full-messages', encoded, 1);
-  for (const [i, hex] of encoded.entries()) assert.deepEqual(decodePeerMessage(Buffer.from(hex, 'hex')), FULL_MESSAGES[i]);
+  for (const [index, hex] of encoded.entries())
+    assert.deepEqual(decodePeerMessage(Buffer.from(hex, 'hex')), FULL_MESSAGES[index]);
 });
 
 /** The value of a job's record as its codec encodes what it decodes of it. */
@@ -569,7 +571,10 @@
     if (decoded.state !== 'live' || decoded.parts === null) continue;
     const spec = decoded.spec as JobSpec;
     const { group, count } = decoded.parts;
-    const stored = Array.from({ length: count }, (_, i) => rows.find((row) => row.key === `a/x/${spec.id}/${group}/${i}`)?.value);
+    const stored = Array.from(
+      { length: count },
+      (_, index) => rows.find((row) => row.key === `a/x/${spec.id}/${group}/${index}`)?.value,
+    );
     const parts = stored.map(parseJobPart);
     const types = [...(spec.types ?? []), ...parts.flatMap((part) => part.types)];
     const awaits = [...(decoded.awaits ?? []), ...parts.flatMap((part) => part.awaits)];
@@ -595,8 +600,9 @@
       compared++;
     }
   };
-  for (const [name, { tune }] of Object.entries(DAYS)) compare((played[name] as RecordedDay).rows, tune ?? ((s) => s));
-  compare(production.rows, (s) => s);
+  for (const [name, { tune }] of Object.entries(DAYS))
+    compare((played[name] as RecordedDay).rows, tune ?? ((settings) => settings));
+  compare(production.rows, (settings) => settings);
   assert.ok(compared >= 4, `${compared}`);
 });
 
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -8,73 +8,73 @@
 import { Random } from './walk/random.js';
 
 /** Each of these breaks a rule on purpose: the judge of the stand-ins must see it. */
-const PLANTED: { rule: RegExp; plant: (c: Cluster, w: WorkerStandIn) => void }[] = [
+const PLANTED: { rule: RegExp; plant: (cluster: Cluster, w: WorkerStandIn) => void }[] = [
   {
     rule: /too_early: run-b\/0 starts before run-a is done/,
-    plant: (_c, w) => w.obey([{ type: 'start', job: 'run-b', index: 0, attempt: 1 }]),
+    plant: (cluster, w) => w.obey([{ type: 'start', job: 'run-b', index: 0, attempt: 1 }]),
   },
   {
     rule: /ran_cancelled: run-b on m0/,
-    plant: (c, w) => {
-      c.finished.add('run-a/0');
+    plant: (cluster, w) => {
+      cluster.finished.add('run-a/0');
       w.obey([{ type: 'start', job: 'run-b', index: 0, attempt: 1 }]);
-      c.finished.clear();
-      c.rules.told('run-a', 'aborted');
+      cluster.finished.clear();
+      cluster.rules.told('run-a', 'aborted');
       w.hung = true;
-      c.run(37);
+      cluster.run(37);
     },
   },
   {
     rule: /ran_cancelled: run-a starts/,
-    plant: (c, w) => {
-      c.rules.told('run-a', 'aborted');
-      c.run(37);
+    plant: (cluster, w) => {
+      cluster.rules.told('run-a', 'aborted');
+      cluster.run(37);
       w.obey([{ type: 'start', job: 'run-a', index: 0, attempt: 1 }]);
     },
   },
   {
     rule: /orphaned: run-b is called queued/,
-    plant: (c) => {
-      c.rules.told('run-a', 'aborted');
-      c.run(37);
-      c.rules.told('run-b', 'queued');
+    plant: (cluster) => {
+      cluster.rules.told('run-a', 'aborted');
+      cluster.run(37);
+      cluster.rules.told('run-b', 'queued');
     },
   },
   {
     rule: /orphaned: run-a\/0 runs on, it was told done/,
-    plant: (c, w) => {
+    plant: (cluster, w) => {
       w.obey([{ type: 'start', job: 'run-a', index: 0, attempt: 1 }]);
-      c.rules.told('run-a', 'done');
+      cluster.rules.told('run-a', 'done');
       w.hung = true;
-      c.run(37);
+      cluster.run(37);
     },
   },
 ];
 
 test('the judge of the stand-ins sees each of the rules broken', () => {
   for (const { rule, plant } of PLANTED) {
-    const c = smallCluster(1);
-    for (const n of c.nodes) n.crash();
-    c.specs.set('run-a', job('run-a'));
-    c.specs.set('run-b', job('run-b'));
-    c.awaits.set('run-b', ['run-a']);
-    assert.throws(() => plant(c, c.worker('m0') as WorkerStandIn), rule);
+    const cluster = smallCluster(1);
+    for (const node of cluster.nodes) node.crash();
+    cluster.specs.set('run-a', job('run-a'));
+    cluster.specs.set('run-b', job('run-b'));
+    cluster.awaits.set('run-b', ['run-a']);
+    assert.throws(() => plant(cluster, cluster.worker('m0') as WorkerStandIn), rule);
   }
 });
 
 /** A job is cancelled while its start is on its way; then the start comes back, not carried out. */
-function cancelledWhileItsStartIsSent(c: Cluster, fail: () => void, mend: () => void): void {
+function cancelledWhileItsStartIsSent(cluster: Cluster, fail: () => void, mend: () => void): void {
   fail();
-  c.submit(job('run-a', { tasks: 2, estimateS: 300 }));
-  const owner = c.node(holderOf(c, shareOf(c, 'run-a')));
+  cluster.submit(job('run-a', { tasks: 2, estimateS: 300 }));
+  const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-a')));
   const placements = () => [...(owner.core.clusterState.jobs.get('run-a')?.allocations.values() ?? [])];
-  c.until('sent', () => placements().some((p) => p.phase === 'sent'), 5);
-  c.cancel('run-a');
+  cluster.until('sent', () => placements().some((allocation) => allocation.phase === 'sent'), 5);
+  cluster.cancel('run-a');
   mend();
-  c.trace = [];
-  c.run(20);
+  cluster.trace = [];
+  cluster.run(20);
   assert.deepEqual(
-    c.trace.filter((line) => line.includes('starts run-a')),
+    cluster.trace.filter((line) => line.includes('starts run-a')),
     [],
   );
   assert.equal(owner.core.clusterState.jobs.has('run-a'), false, 'nothing is kept of it');
@@ -82,14 +82,14 @@
 
 // A start that came back unsent was sent again, whatever had become of its job meanwhile.
 test('a start that could not be sent is not sent again once its job is cancelled', () => {
-  const c = smallCluster(4);
+  const cluster = smallCluster(4);
   cancelledWhileItsStartIsSent(
-    c,
+    cluster,
     () => {
-      c.commandsRefused = () => true;
+      cluster.commandsRefused = () => true;
     },
     () => {
-      c.commandsRefused = () => false;
+      cluster.commandsRefused = () => false;
     },
   );
 });
@@ -123,13 +123,13 @@
 
 function* permutations<T>(list: readonly T[]): Generator<T[]> {
   if (list.length === 0) yield [];
-  for (const [i, first] of list.entries())
-    for (const rest of permutations([...list.slice(0, i), ...list.slice(i + 1)])) yield [first, ...rest];
+  for (const [index, first] of list.entries())
+    for (const rest of permutations([...list.slice(0, index), ...list.slice(index + 1)])) yield [first, ...rest];
 }
 
 /** Feeds the records in every order, and all of them anew at the end: what is derived has to be the same. */
 function inEveryOrder(history: Stored[], expected: Record<string, string>): void {
-  const stamped = history.map(([key, value], i) => ({ key, value, revision: i + 1 }));
+  const stamped = history.map(([key, value], index) => ({ key, value, revision: index + 1 }));
   const rows = [...new Map(stamped.map((row) => [row.key, row])).values()];
   for (const order of permutations(stamped)) {
     const core = new Controller(settings('n0'), 'boot');
@@ -168,7 +168,7 @@
     const core = new Controller(settings('n0'), 'boot');
     core.replica.set('a/p/run-m/0', digits, 1);
     core.replica.set('a/p/run-m/odd', 'ff', 2);
-    for (const [i, [key, value]] of HISTORY.slice(0, 3).entries()) core.replica.set(key, value, i + 3);
+    for (const [index, [key, value]] of HISTORY.slice(0, 3).entries()) core.replica.set(key, value, index + 3);
     assert.equal(core.clusterState.jobs.get('run-m')?.isBlocked, true);
     assert.equal(core.clusterState.jobs.get('run-a')?.isBlocked, false);
     core.replica.set(...cancelled('run-a'), 9);
@@ -179,7 +179,7 @@
 // What is found on a machine before its record was taken into the table came in without the jobs that it awaits.
 test('a job comes into the table by its record alone, also where a machine names it first', () => {
   const core = new Controller(settings('n0'), 'boot');
-  for (const [i, [key, value]] of HISTORY.slice(0, 4).entries()) core.replica.set(key, value, i + 1);
+  for (const [index, [key, value]] of HISTORY.slice(0, 4).entries()) core.replica.set(key, value, index + 1);
   core.clusterState.jobs.delete('run-m');
   const job = core.clusterState.restoreJob('run-m', core.replica.get('a/j/run-m'), 100);
   assert.equal(job?.isBlocked, true);
@@ -223,44 +223,46 @@
 
 // At the slowest rate of changes 240 tokens take a quarter of a minute to raise, and no stop leaves before its machine's is.
 test('hundreds of machines lost their commands: those with cancelled work get their tokens, and their stops, first', () => {
-  const c = new Cluster(undefined, (s) => ({
-    ...s,
-    state: { ...s.state, writesPerS: 15, writesPerTransaction: 4 },
-    teams: s.teams.slice(0, 1),
+  const cluster = new Cluster(undefined, (settings) => ({
+    ...settings,
+    state: { ...settings.state, writesPerS: 15, writesPerTransaction: 4 },
+    teams: settings.teams.slice(0, 1),
   }));
-  for (let i = 0; i < 240; i++) c.machine(`m${1000 + i}`, 'small', i % 2 === 0 ? 'east' : 'west');
-  c.settle();
-  const ids = Array.from({ length: 6 }, (_, i) => `run-${i}`);
-  for (const id of ids) c.submit(job(id, { tasks: 40, cpus: 3, estimateS: 500 }));
-  c.until('all run', () => ids.every((id) => c.running(id) === 40), 60);
-  c.run(20);
+  for (let index = 0; index < 240; index++) cluster.machine(`m${1000 + index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+  cluster.settle();
+  const ids = Array.from({ length: 6 }, (_, index) => `run-${index}`);
+  for (const id of ids) cluster.submit(job(id, { tasks: 40, cpus: 3, estimateS: 500 }));
+  cluster.until('all run', () => ids.every((id) => cluster.running(id) === 40), 60);
+  cluster.run(20);
   // A second task for each machine: its start is lost, and nothing is answered meanwhile that could stop anything.
-  c.commandsLost = () => true;
-  c.submit(job('run-more', { tasks: 240, cpus: 1, estimateS: 500 }));
-  const owner = c.node(holderOf(c, shareOf(c, 'run-0')));
+  cluster.commandsLost = () => true;
+  cluster.submit(job('run-more', { tasks: 240, cpus: 1, estimateS: 500 }));
+  const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-0')));
   const machines = () => [...owner.core.clusterState.machines.values()];
   const sent = () =>
-    [...(owner.core.clusterState.jobs.get('run-more')?.allocations.values() ?? [])].filter((p) => p.phase === 'sent');
-  c.until('the starts are under way', () => sent().length > 200, 20);
-  c.stateDown = true;
-  const waiting = () => machines().filter((m) => m.hasUncertainCommand).length;
-  c.until('they are lost', () => waiting() > 200, 20);
-  c.stateDown = false;
-  c.mute = () => true;
-  c.cancel('run-5');
-  c.commandsLost = () => false;
+    [...(owner.core.clusterState.jobs.get('run-more')?.allocations.values() ?? [])].filter(
+      (allocation) => allocation.phase === 'sent',
+    );
+  cluster.until('the starts are under way', () => sent().length > 200, 20);
+  cluster.stateDown = true;
+  const waiting = () => machines().filter((machine) => machine.hasUncertainCommand).length;
+  cluster.until('they are lost', () => waiting() > 200, 20);
+  cluster.stateDown = false;
+  cluster.mute = () => true;
+  cluster.cancel('run-5');
+  cluster.commandsLost = () => false;
   // Sooner than by their leases, which run out after twelve seconds.
-  c.until('what is cancelled is gone', () => c.on('run-5').length === 0, 6);
+  cluster.until('what is cancelled is gone', () => cluster.on('run-5').length === 0, 6);
   assert.ok(waiting() > 20, `${waiting()} machines still wait for their tokens`);
 });
 
 // A task that its owner knows nothing of ran on for as long as direct commands didn't get through to its machine.
 test('a second attempt of a job that is done is stopped by the answers to reports, and takes no new work meanwhile', () => {
-  const c = smallCluster(2);
-  c.submit(job('run-a', { estimateS: 2 }));
-  c.until('done', () => c.ask('run-a') === 'done', 30);
-  const w = c.worker('m0') as WorkerStandIn;
-  c.commandsLost = (_n, m) => m === 'm0';
+  const cluster = smallCluster(2);
+  cluster.submit(job('run-a', { estimateS: 2 }));
+  cluster.until('done', () => cluster.ask('run-a') === 'done', 30);
+  const w = cluster.worker('m0') as WorkerStandIn;
+  cluster.commandsLost = (_n, m) => m === 'm0';
   w.tasks.set('run-a/0/7', {
     job: 'run-a',
     index: 0,
@@ -268,26 +270,26 @@
     state: 'running',
     exitReason: null,
     saved: false,
-    startedAt: c.now + 1e6,
+    startedAt: cluster.now + 1e6,
   });
-  c.until('stopped', () => c.on('run-a').length === 0, 10);
+  cluster.until('stopped', () => cluster.on('run-a').length === 0, 10);
 });
 
 test('a report that names what can not be: it is stopped, and nothing else is harmed', () => {
-  const c = smallCluster(2);
-  c.submit(job('run-a', { tasks: 2, cpus: 1, estimateS: 300 }));
-  c.until('running', () => c.running('run-a') === 2);
-  const w = c.worker(c.on('run-a')[0] as string) as WorkerStandIn;
-  const odd = { index: 0, attempt: 99, state: 'running' as const, exitReason: null, saved: false, startedAt: c.now + 1e6 };
-  c.specs.set('run-never', job('run-never', { cpus: 1 }));
+  const cluster = smallCluster(2);
+  cluster.submit(job('run-a', { tasks: 2, cpus: 1, estimateS: 300 }));
+  cluster.until('running', () => cluster.running('run-a') === 2);
+  const w = cluster.worker(cluster.on('run-a')[0] as string) as WorkerStandIn;
+  const odd = { index: 0, attempt: 99, state: 'running' as const, exitReason: null, saved: false, startedAt: cluster.now + 1e6 };
+  cluster.specs.set('run-never', job('run-never', { cpus: 1 }));
   w.tasks.set('run-never/0/99', { ...odd, job: 'run-never' });
   w.tasks.set('run-a/7/99', { ...odd, job: 'run-a', index: 7 });
-  c.run(10);
+  cluster.run(10);
   assert.deepEqual(
     [...w.tasks.keys()].filter((key) => key.endsWith('/99')),
     [],
   );
-  assert.equal(c.running('run-a'), 2);
+  assert.equal(cluster.running('run-a'), 2);
 });
 
 // A new holder that found the work counted its time anew: jobs that are over leave the table of all but their owner.
@@ -303,23 +305,23 @@
 // The two differ in what they store: at the second controller the job awaited is done, and needs no edge any more.
 test('an acceptance without an answer is repeated elsewhere, where what it awaits is done meanwhile', () => {
   for (const isLate of [false, true]) {
-    const c = smallCluster(4);
-    const [first, second] = c.nodes as [Node, Node];
-    c.submit(job('run-a', { estimateS: 3 }), second);
-    c.loseTxn = (e, apply) => {
-      if (!e.writes.some((w) => 'put' in w && w.put === 'a/j/run-b')) return false;
-      c.at(c.now + (isLate ? 9000 : 0), apply);
+    const cluster = smallCluster(4);
+    const [first, second] = cluster.nodes as [Node, Node];
+    cluster.submit(job('run-a', { estimateS: 3 }), second);
+    cluster.loseTxn = (e, apply) => {
+      if (!e.writes.some((write) => 'put' in write && write.put === 'a/j/run-b')) return false;
+      cluster.at(cluster.now + (isLate ? 9000 : 0), apply);
       return true;
     };
-    c.specs.set('run-b', job('run-b', { tasks: 2, estimateS: 3 }));
-    c.awaits.set('run-b', ['run-a']);
-    first.submit(c.specs.get('run-b') as JobSpec, () => {});
-    c.run(0.3);
-    c.loseTxn = null;
-    c.until('the first is done', () => c.ask('run-a', second) === 'done', 30);
-    c.submit(c.specs.get('run-b') as JobSpec, second, ['run-a']);
-    c.until('the second is done', () => c.allDone('run-b'), 40);
-    for (const n of c.nodes) c.until('told', () => c.ask('run-b', n) === 'done', 10);
+    cluster.specs.set('run-b', job('run-b', { tasks: 2, estimateS: 3 }));
+    cluster.awaits.set('run-b', ['run-a']);
+    first.submit(cluster.specs.get('run-b') as JobSpec, () => {});
+    cluster.run(0.3);
+    cluster.loseTxn = null;
+    cluster.until('the first is done', () => cluster.ask('run-a', second) === 'done', 30);
+    cluster.submit(cluster.specs.get('run-b') as JobSpec, second, ['run-a']);
+    cluster.until('the second is done', () => cluster.allDone('run-b'), 40);
+    for (const node of cluster.nodes) cluster.until('told', () => cluster.ask('run-b', node) === 'done', 10);
   }
 });
 
@@ -344,21 +346,21 @@
     const random = new Random(seed);
     const specs = new Map<string, JobSpec>();
     const awaits = new Map<string, string[]>();
-    for (let i = 0; i < 14; i++) {
-      const id = `run-${i}`;
+    for (let index = 0; index < 14; index++) {
+      const id = `run-${index}`;
       const deadlineS = random.isUnder(0.4) ? 100 + random.below(900) : null;
       specs.set(id, job(id, { rank: random.below(4), estimateS: 1 + random.below(60), deadlineS }));
-      const names = Array.from({ length: Math.min(i, random.below(4)) }, () => `run-${random.below(i)}`);
+      const names = Array.from({ length: Math.min(index, random.below(4)) }, () => `run-${random.below(index)}`);
       awaits.set(id, [...new Set(names)]);
     }
     const core = new Controller(settings('n0'), 'boot');
     const order = [...specs.keys()].sort(() => random.next() - 0.5);
-    order.forEach((id, i) => {
-      core.replica.set(`a/j/${id}`, { s: 3, t: 0, sp: specs.get(id), aw: awaits.get(id) }, i + 1);
+    order.forEach((id, index) => {
+      core.replica.set(`a/j/${id}`, { s: 3, t: 0, sp: specs.get(id), aw: awaits.get(id) }, index + 1);
     });
     // One that others may need, and one that nobody does.
-    for (const [i, gone] of [`run-${random.below(14)}`, 'run-13'].entries())
-      core.replica.set(`a/j/${gone}`, { s: 2, t: 0, sp: specs.get(gone) }, 100 + i);
+    for (const [index, gone] of [`run-${random.below(14)}`, 'run-13'].entries())
+      core.replica.set(`a/j/${gone}`, { s: 2, t: 0, sp: specs.get(gone) }, 100 + index);
     for (const [id, state] of core.clusterState.finishedJobs) if (state === 'cancelled') awaits.delete(id);
     for (const id of awaits.keys()) {
       const { priority: rank, effectiveDeadlineAt: endBy } = core.clusterState.jobs.get(id) as Job;
--- a/test/safety.test.ts
+++ b/test/safety.test.ts
@@ -3,14 +3,14 @@
 import { Cluster, holderOf, job, kept, shareOf, smallCluster, type WorkerStandIn } from './stand-ins.js';
 
 const cluster = (machines = 6) => smallCluster(machines);
-const holderOfJob = (c: Cluster, id: string) => holderOf(c, shareOf(c, id));
+const holderOfJob = (cluster: Cluster, id: string) => holderOf(cluster, shareOf(cluster, id));
 
 test('an array runs to its end, once, and its user is told so by every node', () => {
   const c = cluster();
   c.submit(job('run-a', { tasks: 5, estimateS: 4 }));
   c.until('done', () => c.finished.size === 5, 40);
   c.run(3);
-  for (const n of c.nodes) assert.equal(c.ask('run-a', n), 'done');
+  for (const node of c.nodes) assert.equal(c.ask('run-a', node), 'done');
   const starts = c.trace.filter((l) => l.includes('starts run-a'));
   assert.equal(starts.length, 5);
 });
@@ -70,7 +70,7 @@
   c.submit(job('run-t', { tasks: 2, estimateS: 3 }));
   const owner = holderOfJob(c, 'run-t');
   c.loseTxn = (e, apply) => {
-    if (!e.writes.some((x) => 'put' in x && /^a\/[jp]\/run-t/.test(x.put))) return false;
+    if (!e.writes.some((write) => 'put' in write && /^a\/[jp]\/run-t/.test(write.put))) return false;
     late.push(apply);
     return true;
   };
@@ -118,41 +118,41 @@
 });
 
 test('a gang that was partly started when its owner crashed runs whole, once', () => {
-  const c = new Cluster();
-  for (let i = 0; i < 4; i++) c.machine(`m${i}`, 'small', 'east');
-  c.settle();
-  c.submit(job('run-g', { shape: 'gang', tasks: 4, cpus: 4, estimateS: 10, rank: 2 }));
-  c.until('a member started', () => c.on('run-g').length > 0, 40);
-  c.node(holderOfJob(c, 'run-g')).crash();
-  c.run(4);
-  c.nodes.find((n) => !n.up)?.restart();
-  c.until('done', () => c.ask('run-g') === 'done', 90);
-  kept(c, 'gang-partly-started');
+  const cluster = new Cluster();
+  for (let index = 0; index < 4; index++) cluster.machine(`m${index}`, 'small', 'east');
+  cluster.settle();
+  cluster.submit(job('run-g', { shape: 'gang', tasks: 4, cpus: 4, estimateS: 10, rank: 2 }));
+  cluster.until('a member started', () => cluster.on('run-g').length > 0, 40);
+  cluster.node(holderOfJob(cluster, 'run-g')).crash();
+  cluster.run(4);
+  cluster.nodes.find((node) => !node.up)?.restart();
+  cluster.until('done', () => cluster.ask('run-g') === 'done', 90);
+  kept(cluster, 'gang-partly-started');
 });
 
 test('quota holds while places are unresolved after a takeover', () => {
-  const c = new Cluster();
-  c.machine('g0', 'big', 'east');
-  c.machine('g1', 'big', 'west');
-  c.machine('g2', 'big', 'east');
-  c.settle();
+  const cluster = new Cluster();
+  cluster.machine('g0', 'big', 'east');
+  cluster.machine('g1', 'big', 'west');
+  cluster.machine('g2', 'big', 'east');
+  cluster.settle();
   // Team green may use 8 GPUs: one job of 8 runs, another waits for it.
-  c.submit(job('run-q', { team: 'green', shape: 'gang', gpus: 8, cpus: 40, estimateS: 60, rank: 2 }));
-  c.until('running', () => c.running('run-q') === 1, 40);
-  c.cloudDown = true;
-  const w = c.workers.find((x) => x.name === c.on('run-q')[0]);
+  cluster.submit(job('run-q', { team: 'green', shape: 'gang', gpus: 8, cpus: 40, estimateS: 60, rank: 2 }));
+  cluster.until('running', () => cluster.running('run-q') === 1, 40);
+  cluster.cloudDown = true;
+  const w = cluster.workers.find((x) => x.name === cluster.on('run-q')[0]);
   assert.ok(w);
-  const owner = c.node(holderOfJob(c, 'run-q'));
+  const owner = cluster.node(holderOfJob(cluster, 'run-q'));
   owner.crash();
   w.hung = true;
-  c.submit(job('run-r', { team: 'green', shape: 'gang', gpus: 8, cpus: 40, estimateS: 5, rank: 2 }));
-  c.run(3);
+  cluster.submit(job('run-r', { team: 'green', shape: 'gang', gpus: 8, cpus: 40, estimateS: 5, rank: 2 }));
+  cluster.run(3);
   owner.restart();
-  c.run(30);
-  assert.equal(c.running('run-r'), 0);
-  c.cloudDown = false;
-  c.until('its turn', () => c.running('run-r') === 1, 120);
-  kept(c, 'quota-with-unresolved-places');
+  cluster.run(30);
+  assert.equal(cluster.running('run-r'), 0);
+  cluster.cloudDown = false;
+  cluster.until('its turn', () => cluster.running('run-r') === 1, 120);
+  kept(cluster, 'quota-with-unresolved-places');
 });
 
 test('no start while the state service is away for long, and none is lost when it is back', () => {
@@ -192,8 +192,9 @@
   c.until('running', () => c.running('run-x') === 1);
   c.stateDown = true;
   c.run(45);
-  for (const n of c.nodes)
-    for (const s of n.core.shardController.heldShards.keys()) assert.ok(!n.core.shardController.allocations.holdsShard(s, c.now));
+  for (const node of c.nodes)
+    for (const s of node.core.shardController.heldShards.keys())
+      assert.ok(!node.core.shardController.allocations.holdsShard(s, c.now));
   const stamps = () => [0, 1, 2].map((s) => c.nodes[0]?.core.clusterState.leaseOf(s)?.revision);
   const before = stamps();
   c.stateDown = false;
@@ -224,7 +225,7 @@
   const bad = c.workers[0];
   assert.ok(bad);
   bad.fails = true;
-  for (let i = 0; i < 3; i++) c.submit(job(`run-${i}`, { tasks: 8, estimateS: 3 }));
+  for (let index = 0; index < 3; index++) c.submit(job(`run-${index}`, { tasks: 8, estimateS: 3 }));
   c.until('all done', () => c.finished.size === 24, 90);
   assert.ok(bad.dead, 'the faulty machine was given back');
   assert.equal(c.workers.filter((w) => w.dead).length, 1);
@@ -242,64 +243,64 @@
 });
 
 test('one job is enough to tell a faulty machine, if its tasks get done elsewhere', () => {
-  const c = new Cluster();
-  for (let i = 0; i < 6; i++) c.machine(`m${i}`, 'small', i % 2 === 0 ? 'east' : 'west');
-  for (let i = 0; i < 3; i++) c.machine(`g${i}`, 'big', 'east');
-  c.settle();
-  c.submit(job('run-one', { tasks: 250, estimateS: 4 }));
-  c.until('some done', () => c.finished.size >= 5, 60);
+  const cluster = new Cluster();
+  for (let index = 0; index < 6; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+  for (let index = 0; index < 3; index++) cluster.machine(`g${index}`, 'big', 'east');
+  cluster.settle();
+  cluster.submit(job('run-one', { tasks: 250, estimateS: 4 }));
+  cluster.until('some done', () => cluster.finished.size >= 5, 60);
   // More of them start; the machine that bears the most fails them all.
-  c.run(2);
+  cluster.run(2);
   const busy = (w: WorkerStandIn) => [...w.tasks.values()].filter((t) => t.state === 'running').length;
-  const bad = [...c.workers].sort((a, b) => busy(b) - busy(a))[0];
+  const bad = [...cluster.workers].sort((a, b) => busy(b) - busy(a))[0];
   assert.ok(bad && busy(bad) > 3);
   bad.fails = true;
-  c.until('all done', () => c.finished.size === 250, 180);
-  c.run(5);
+  cluster.until('all done', () => cluster.finished.size === 250, 180);
+  cluster.run(5);
   assert.deepEqual(
-    c.workers.filter((w) => w.dead).map((w) => w.name),
+    cluster.workers.filter((w) => w.dead).map((w) => w.name),
     [bad.name],
   );
 });
 
 test('a gang above its guarantee is stopped whole for one within its own, and runs again whole', () => {
-  const c = new Cluster();
-  c.machine('g0', 'big', 'east');
-  c.machine('g1', 'big', 'east');
-  c.settle();
+  const cluster = new Cluster();
+  cluster.machine('g0', 'big', 'east');
+  cluster.machine('g1', 'big', 'east');
+  cluster.settle();
   const low = { shape: 'gang' as const, tasks: 2, gpus: 8, cpus: 40, estimateS: 30, checkpointS: 5, saveS: 2 };
-  c.submit(job('run-low', { ...low, team: 'red', rank: 1 }));
-  c.until('both running', () => c.running('run-low') === 2, 40);
-  c.submit(job('run-high', { team: 'blue', shape: 'gang', gpus: 8, cpus: 40, estimateS: 5, rank: 2 }));
-  c.until('its turn', () => c.running('run-high') === 1, 30);
-  const stops = c.trace.filter((l) => l.includes('stops run-low')).map((l) => Number(l.trim().split(' ')[0]));
+  cluster.submit(job('run-low', { ...low, team: 'red', rank: 1 }));
+  cluster.until('both running', () => cluster.running('run-low') === 2, 40);
+  cluster.submit(job('run-high', { team: 'blue', shape: 'gang', gpus: 8, cpus: 40, estimateS: 5, rank: 2 }));
+  cluster.until('its turn', () => cluster.running('run-high') === 1, 30);
+  const stops = cluster.trace.filter((l) => l.includes('stops run-low')).map((l) => Number(l.trim().split(' ')[0]));
   assert.equal(stops.length, 2);
   assert.ok(Math.abs((stops[0] ?? 0) - (stops[1] ?? 0)) <= 4, 'all told within gang_peer_s');
-  assert.equal(c.on('run-low').length, 0);
-  c.until('whole again', () => c.running('run-low') === 2, 60);
-  c.until('done', () => c.ask('run-low') === 'done', 60);
-  kept(c, 'gang-stopped-whole');
+  assert.equal(cluster.on('run-low').length, 0);
+  cluster.until('whole again', () => cluster.running('run-low') === 2, 60);
+  cluster.until('done', () => cluster.ask('run-low') === 'done', 60);
+  kept(cluster, 'gang-stopped-whole');
 });
 
 test('a large gang that has waited gets machines kept for it, while small ones go on coming', () => {
-  const c = new Cluster();
-  for (let i = 0; i < 3; i++) c.machine(`g${i}`, 'big', 'east');
-  c.settle();
+  const cluster = new Cluster();
+  for (let index = 0; index < 3; index++) cluster.machine(`g${index}`, 'big', 'east');
+  cluster.settle();
   const one = { team: 'red', shape: 'gang' as const, gpus: 8, cpus: 40, estimateS: 18, rank: 1 };
-  let n = 0;
-  const small = () => c.submit(job(`run-s${n++}`, one));
+  let count = 0;
+  const small = () => cluster.submit(job(`run-s${count++}`, one));
   small();
-  c.run(6);
+  cluster.run(6);
   small();
-  c.until('two run', () => c.running('run-s0') === 1 && c.running('run-s1') === 1, 30);
+  cluster.until('two run', () => cluster.running('run-s0') === 1 && cluster.running('run-s1') === 1, 30);
   // Three machines, of which two are always in use; the team may use two at once.
-  c.submit(job('run-big', { ...one, tasks: 2, estimateS: 5 }));
-  const since = c.now;
-  while (c.running('run-big') < 2 && c.now - since < 240_000) {
-    c.run(7);
+  cluster.submit(job('run-big', { ...one, tasks: 2, estimateS: 5 }));
+  const since = cluster.now;
+  while (cluster.running('run-big') < 2 && cluster.now - since < 240_000) {
+    cluster.run(7);
     small();
   }
-  assert.equal(c.running('run-big'), 2, `not begun in ${(c.now - since) / 1000} s`);
+  assert.equal(cluster.running('run-big'), 2, `not begun in ${(cluster.now - since) / 1000} s`);
 });
 
 // Until parts were stored, a long list of machine types was refused by the same answer, though the job could run:
@@ -308,20 +309,24 @@
   // Control characters take six bytes each in the form in which sizes are counted.
   const name = '\u0001'.repeat(120);
   const team = { name, cpus: 0, maxCpus: 0, gpus: 8, maxGpus: 16 };
-  const c = new Cluster(undefined, (s) => ({ ...s, teams: [...s.teams, team], state: { ...s.state, valueKib: 2 } }));
-  for (let i = 0; i < 6; i++) c.machine(`m${i}`, 'small', i % 2 === 0 ? 'east' : 'west');
-  c.settle();
+  const cluster = new Cluster(undefined, (settings) => ({
+    ...settings,
+    teams: [...settings.teams, team],
+    state: { ...settings.state, valueKib: 2 },
+  }));
+  for (let index = 0; index < 6; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+  cluster.settle();
   let said = 0;
-  c.nodes[0]?.submit(job('run-huge', { cls: name, image: name, team: name }), (status) => {
+  cluster.nodes[0]?.submit(job('run-huge', { cls: name, image: name, team: name }), (status) => {
     said = status;
   });
-  c.run(1);
+  cluster.run(1);
   assert.equal(said, 400);
-  const before = c.nodes.map((n) => n.core.clusterState.leaseOf(0)?.revision);
-  c.submit(job('run-after', { estimateS: 2 }));
-  c.until('done', () => c.finished.has('run-after/0'), 20);
+  const before = cluster.nodes.map((node) => node.core.clusterState.leaseOf(0)?.revision);
+  cluster.submit(job('run-after', { estimateS: 2 }));
+  cluster.until('done', () => cluster.finished.has('run-after/0'), 20);
   assert.deepEqual(
-    c.nodes.map((n) => n.core.clusterState.leaseOf(0)?.revision),
+    cluster.nodes.map((node) => node.core.clusterState.leaseOf(0)?.revision),
     before,
   );
 });
--- a/test/size-limits.test.ts
+++ b/test/size-limits.test.ts
@@ -22,7 +22,7 @@
 import { Cluster, holderOf, job, type Node, STATUS, shareOf } from './stand-ins.js';
 
 const ungranted = (count: number) =>
-  Array.from({ length: count }, (_, i) => ({ machine: `m${i}`, addr: 'x', type: 'small', zone: 'east', spot: false }));
+  Array.from({ length: count }, (_, index) => ({ machine: `m${index}`, addr: 'x', type: 'small', zone: 'east', spot: false }));
 
 test('frames: whole whatever the chunks; put together once; one beyond the limit is refused', () => {
   const bodies = [Buffer.from('a'), Buffer.alloc(0), Buffer.alloc(70_000, 7), Buffer.from('end')];
@@ -60,7 +60,7 @@
     return { socket, say };
   };
   const until = async (what: string, holds: () => boolean) => {
-    for (let i = 0; i < 500 && !holds(); i++) await new Promise((resolve) => setTimeout(resolve, 10));
+    for (let index = 0; index < 500 && !holds(); index++) await new Promise((resolve) => setTimeout(resolve, 10));
     assert.ok(holds(), what);
   };
   const first = link('n1');
@@ -79,7 +79,7 @@
 
 test('what runs is told in parts that fit a frame, and each peer knows all of it in the end', () => {
   const news = new RunningTaskDeltas(1000);
-  const running = new Map(Array.from({ length: 2500 }, (_, i) => [`run-${i}`, { count: 1, done: 0, failed: 0 }]));
+  const running = new Map(Array.from({ length: 2500 }, (_, index) => [`run-${index}`, { count: 1, done: 0, failed: 0 }]));
   let known = new Map<string, number>();
   for (let status = 0; status < 4; status++) {
     if (status === 1) running.delete('run-7');
@@ -104,18 +104,18 @@
 });
 
 test('machines of a zone whose controllers the leader can not reach are all granted while the cut lasts', () => {
-  const c = new Cluster();
-  for (let i = 0; i < 6; i++) c.machine(`m${i}`, 'small', i % 2 === 0 ? 'east' : 'west');
-  c.settle();
+  const cluster = new Cluster();
+  for (let index = 0; index < 6; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+  cluster.settle();
   const west = (name: string) => name === 'n1' || name.startsWith('w') || ['m1', 'm3', 'm5'].includes(name);
-  c.cut = (a, b) => west(a) !== west(b);
-  c.run(8);
-  for (let i = 0; i < 120; i++) c.machine(`w${i}`, 'small', 'west');
-  const leader = c.node(holderOf(c, 'lead'));
+  cluster.cut = (a, b) => west(a) !== west(b);
+  cluster.run(8);
+  for (let index = 0; index < 120; index++) cluster.machine(`w${index}`, 'small', 'west');
+  const leader = cluster.node(holderOf(cluster, 'lead'));
   assert.ok(!west(leader.name));
-  c.until(
+  cluster.until(
     'all of them are granted',
-    () => Array.from({ length: 120 }, (_, i) => leader.core.clusterState.machines.has(`w${i}`)).every(Boolean),
+    () => Array.from({ length: 120 }, (_, index) => leader.core.clusterState.machines.has(`w${index}`)).every(Boolean),
     40,
   );
 });
@@ -154,49 +154,60 @@
 });
 
 test('a machine that was given back is remembered for as long as reports of it may be late, however many are', () => {
-  const c = new Cluster();
-  c.run(3);
-  const { autoscaler: rentals } = c.node(holderOf(c, 'lead')).core.leader;
-  for (let i = 0; i < 4000; i++) rentals.machineReleased(`gone${i}`, 1000);
+  const cluster = new Cluster();
+  cluster.run(3);
+  const { autoscaler: rentals } = cluster.node(holderOf(cluster, 'lead')).core.leader;
+  for (let index = 0; index < 4000; index++) rentals.machineReleased(`gone${index}`, 1000);
   assert.ok(rentals.isRecentlyReleased('gone0', 2000));
   rentals.machineReleased('later', 200_000);
   assert.ok(!rentals.isRecentlyReleased('gone0', 200_000));
 });
 
 test('a list of thousands takes a quarter of the requests to the cloud', () => {
-  const c = new Cluster(['n0'], (s) => ({ ...s, cloud: { requestsPerS: 3, listLagS: 8 } }));
-  c.bootMs = () => 1000;
-  for (let i = 0; i < 4000; i++) c.machine(`m${i}`);
-  c.run(30);
-  assert.equal(c.workers.filter((worker) => worker.dead).length, 0);
-  c.lists = 0;
-  c.run(60);
+  const cluster = new Cluster(['n0'], (settings) => ({ ...settings, cloud: { requestsPerS: 3, listLagS: 8 } }));
+  cluster.bootMs = () => 1000;
+  for (let index = 0; index < 4000; index++) cluster.machine(`m${index}`);
+  cluster.run(30);
+  assert.equal(cluster.workers.filter((worker) => worker.dead).length, 0);
+  cluster.lists = 0;
+  cluster.run(60);
   const pages = Math.ceil(4000 / 500);
-  assert.ok(c.lists > 0 && c.lists * pages <= 60 * 3 * 0.25 + pages, `${c.lists} lists of ${pages} pages in a minute`);
+  assert.ok(
+    cluster.lists > 0 && cluster.lists * pages <= 60 * 3 * 0.25 + pages,
+    `${cluster.lists} lists of ${pages} pages in a minute`,
+  );
 });
 
 // Each is in another session by then, which its first answer tells; while it waited for the second question it counted
 // as silent, though its reports came.
 test('a first start that outlasts the leases gives no machine back', () => {
-  const c = new Cluster(['n0'], (s) => ({ ...s, cpuShare: 0.02, state: { ...s.state, writesPerS: 20 } }));
-  for (let i = 0; i < 500; i++) c.machine(`m${i}`);
-  c.until('all have answered', () => c.workers.every((w) => c.nodes[0]?.core.clusterState.machines.get(w.name)?.isVerified), 120);
-  assert.equal(c.workers.filter((worker) => worker.dead).length, 0);
+  const cluster = new Cluster(['n0'], (settings) => ({
+    ...settings,
+    cpuShare: 0.02,
+    state: { ...settings.state, writesPerS: 20 },
+  }));
+  for (let index = 0; index < 500; index++) cluster.machine(`m${index}`);
+  cluster.until(
+    'all have answered',
+    () => cluster.workers.every((w) => cluster.nodes[0]?.core.clusterState.machines.get(w.name)?.isVerified),
+    120,
+  );
+  assert.equal(cluster.workers.filter((worker) => worker.dead).length, 0);
 });
 
 // Its workers had not come to the lead yet: within a second 71 of 100 machines were given back.
 test('a first lead over machines that have been up for long gives none of them back', () => {
-  const c = new Cluster();
-  c.bootMs = () => 1000;
-  for (const node of c.nodes) node.crash();
-  for (let i = 0; i < 60; i++) c.machine(`m${i}`, 'small', i % 2 === 0 ? 'east' : 'west');
-  c.run(300);
-  for (const node of c.nodes) node.restart();
-  for (const worker of c.workers) worker.nextReport = c.now + 4000;
-  c.settle();
-  c.run(20);
+  const cluster = new Cluster();
+  cluster.bootMs = () => 1000;
+  for (const node of cluster.nodes) node.crash();
+  for (let index = 0; index < 60; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+  cluster.run(300);
+  for (const node of cluster.nodes) node.restart();
+  for (const worker of cluster.workers) worker.nextReport = cluster.now + 4000;
+  cluster.settle();
+  cluster.run(20);
   assert.deepEqual(
-    c.workers.filter((worker) => worker.dead),
+    cluster.workers.filter((worker) => worker.dead),
     [],
   );
 });
@@ -204,7 +215,14 @@
 test('a list in pages is taken whole: a later page is asked for again, one that can not be read is told', async () => {
   let asked = 0;
   let isReadable = true;
-  const host = (i: number) => ({ ref: `n-${i}`, build: 'small', yard: 'east', loaners: false, status: 'running', age_s: 1 });
+  const host = (index: number) => ({
+    ref: `n-${index}`,
+    build: 'small',
+    yard: 'east',
+    loaners: false,
+    status: 'running',
+    age_s: 1,
+  });
   const server = serverFor(({ query }) => {
     asked++;
     if (query.get('since') === null) return { status: 200, body: { hosts: [host(1)], has_next: true } };
@@ -263,7 +281,7 @@
   const server = await api.listen('127.0.0.1', 0);
   const { port } = server.address() as net.AddressInfo;
   const sockets = Array.from({ length: 17 }, () => net.connect(port, '127.0.0.1'));
-  for (let i = 0; i < 500 && connections.count < 17; i++) await new Promise((resolve) => setTimeout(resolve, 10));
+  for (let index = 0; index < 500 && connections.count < 17; index++) await new Promise((resolve) => setTimeout(resolve, 10));
   const closes = async (path: string) => {
     const response = await fetch(`http://127.0.0.1:${port}${path}`, { method: 'POST', body: new Uint8Array([0x80]) });
     // Read to its end, so that the connection is used again: another one would change the count.
@@ -272,7 +290,7 @@
   };
   assert.equal(await closes('/v2/runs'), false, '18 of 20');
   sockets.push(net.connect(port, '127.0.0.1'));
-  for (let i = 0; i < 500 && connections.count < 19; i++) await new Promise((resolve) => setTimeout(resolve, 10));
+  for (let index = 0; index < 500 && connections.count < 19; index++) await new Promise((resolve) => setTimeout(resolve, 10));
   assert.equal(await closes('/checkin'), false, 'a worker stays with 19 of 20');
   assert.equal(await closes('/v2/runs'), true, 'a user does not');
   for (const socket of sockets) socket.destroy();
@@ -302,18 +320,21 @@
 });
 
 test('a machine with more tasks to stop than a message holds is told of all of them', () => {
-  const c = new Cluster(['n0'], (s) => ({ ...s, teams: [{ name: 'red', cpus: 0, maxCpus: 0, gpus: 0, maxGpus: 0 }] }));
-  c.machine('big', 'big');
-  c.settle();
+  const cluster = new Cluster(['n0'], (settings) => ({
+    ...settings,
+    teams: [{ name: 'red', cpus: 0, maxCpus: 0, gpus: 0, maxGpus: 0 }],
+  }));
+  cluster.machine('big', 'big');
+  cluster.settle();
   const tasks = 2 * MAX_COMMANDS_PER_BODY;
-  c.submit(job('run-many', { tasks, cpus: 0.01, memory: 0.01, estimateS: 10_000 }));
-  c.until('all run', () => c.running('run-many') === tasks, 60);
+  cluster.submit(job('run-many', { tasks, cpus: 0.01, memory: 0.01, estimateS: 10_000 }));
+  cluster.until('all run', () => cluster.running('run-many') === tasks, 60);
   let most = 0;
-  c.commanded = (commands) => {
+  cluster.commanded = (commands) => {
     most = Math.max(most, commands.length);
   };
-  c.cancel('run-many');
-  c.until('none is left', () => c.running('run-many') === 0, 10);
+  cluster.cancel('run-many');
+  cluster.until('none is left', () => cluster.running('run-many') === 0, 10);
   assert.ok(most > 0 && most <= MAX_COMMANDS_PER_BODY, `${most} commands in a message`);
 });
 
@@ -336,21 +357,21 @@
 });
 
 test('a controller that has lost its workers finds them again though every fourth has died meanwhile', () => {
-  const c = new Cluster(['n0']);
-  for (let i = 0; i < 16; i++) c.machine(`m${i}`);
-  c.settle();
-  c.submit(job('run-x', { shape: 'service', tasks: 16, rank: 3 }));
-  c.until('running', () => c.running('run-x') === 16, 30);
-  c.deaf = () => true;
-  const node = c.nodes[0] as Node;
-  c.submit(job('run-y', { tasks: 16 }));
-  c.until('its workers are lost', () => !node.core.reachesWorkers(), 30);
+  const cluster = new Cluster(['n0']);
+  for (let index = 0; index < 16; index++) cluster.machine(`m${index}`);
+  cluster.settle();
+  cluster.submit(job('run-x', { shape: 'service', tasks: 16, rank: 3 }));
+  cluster.until('running', () => cluster.running('run-x') === 16, 30);
+  cluster.deaf = () => true;
+  const node = cluster.nodes[0] as Node;
+  cluster.submit(job('run-y', { tasks: 16 }));
+  cluster.until('its workers are lost', () => !node.core.reachesWorkers(), 30);
   // Those that are asked first.
-  for (const i of [0, 4, 8, 12]) {
-    const worker = c.workers[i];
+  for (const index of [0, 4, 8, 12]) {
+    const worker = cluster.workers[index];
     if (worker) worker.dead = true;
   }
-  c.deaf = () => false;
-  c.until('they are found', () => node.core.reachesWorkers(), 30);
-  assert.ok(shareOf(c, 'run-x') >= 0);
+  cluster.deaf = () => false;
+  cluster.until('they are found', () => node.core.reachesWorkers(), 30);
+  assert.ok(shareOf(cluster, 'run-x') >= 0);
 });
--- a/test/walk.ts
+++ b/test/walk.ts
@@ -18,7 +18,7 @@
   /** machines at the start, instead of a handful */
   machines?: { small: number; big: number };
   /** settings that differ from those of the stand-ins */
-  tune?: (s: ControllerSettings) => ControllerSettings;
+  tune?: (settings: ControllerSettings) => ControllerSettings;
   /** inputs that a controller has processor time for in a tenth of a second */
   inputsPerTick?: number;
   /** changes that a watch can still be given, and pages in which all keys are read */
@@ -64,40 +64,40 @@
   private makeCluster(): Cluster {
     const { next, tune, state, inputsPerTick } = this.options;
     const { small, big } = this.machines;
-    const settings = (s: ControllerSettings): ControllerSettings => ({
-      ...s,
-      state: { ...s.state, next: next ?? null },
-      policy: { ...s.policy, holdSpareCapacity: false, idleS: 60, maxMachines: small + big + 7 },
+    const settings = (settings: ControllerSettings): ControllerSettings => ({
+      ...settings,
+      state: { ...settings.state, next: next ?? null },
+      policy: { ...settings.policy, holdSpareCapacity: false, idleS: 60, maxMachines: small + big + 7 },
     });
-    const c = new Cluster(undefined, (s) => (tune ? tune(settings(s)) : settings(s)));
-    if (state) Object.assign(c.state, state);
-    for (const n of c.nodes) n.inputsPerTick = inputsPerTick ?? Number.POSITIVE_INFINITY;
-    c.bootMs = () => 1000 + 5000 * this.random.next();
-    return c;
+    const cluster = new Cluster(undefined, (s) => (tune ? tune(settings(s)) : settings(s)));
+    if (state) Object.assign(cluster.state, state);
+    for (const node of cluster.nodes) node.inputsPerTick = inputsPerTick ?? Number.POSITIVE_INFINITY;
+    cluster.bootMs = () => 1000 + 5000 * this.random.next();
+    return cluster;
   }
 
   private addMachines(): void {
     const { small, big } = this.machines;
-    for (let i = 0; i < small; i++) this.c.machine(`m${i}`, 'small', i % 2 === 0 ? 'east' : 'west');
-    for (let i = 0; i < big; i++) this.c.machine(`g${i}`, 'big', i % 2 === 0 ? 'east' : 'west');
+    for (let index = 0; index < small; index++) this.c.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+    for (let index = 0; index < big; index++) this.c.machine(`g${index}`, 'big', index % 2 === 0 ? 'east' : 'west');
   }
 
   private startWith(old: Version): void {
-    this.c.nodes.forEach((n, i) => {
-      const present = n.version;
-      n.version = old;
-      n.restart();
-      this.c.at(UPGRADE_AT_MS + i * UPGRADE_EACH_MS, () => {
-        n.version = present;
-        if (n.up) n.crash();
-        n.restart();
+    this.c.nodes.forEach((node, index) => {
+      const present = node.version;
+      node.version = old;
+      node.restart();
+      this.c.at(UPGRADE_AT_MS + index * UPGRADE_EACH_MS, () => {
+        node.version = present;
+        if (node.up) node.crash();
+        node.restart();
       });
     });
   }
 
   /** Nothing new is asked, and no limit falls, before all controllers have the present version. */
   private get upgraded(): boolean {
-    return !this.options.from || this.c.nodes.every((n) => n.running !== this.options.from);
+    return !this.options.from || this.c.nodes.every((node) => node.running !== this.options.from);
   }
 
   private step(): void {
@@ -122,14 +122,14 @@
     while (this.c.now < end) {
       const s = 2 + 28 * random.next() * random.next();
       const long = random.next() < 0.1 ? 45 : s;
-      for (let i = 0; i < 2 + random.below(2); i++) {
+      for (let index = 0; index < 2 + random.below(2); index++) {
         troubles.begin(random.pick(this.only), long);
-        for (let k = random.below(25); k > 0; k--) {
+        for (let candidate = random.below(25); candidate > 0; candidate--) {
           users.step();
           this.step();
         }
       }
-      for (let k = 30 + random.below(250); k > 0; k--) {
+      for (let index = 30 + random.below(250); index > 0; index--) {
         users.step();
         this.step();
       }
@@ -140,70 +140,73 @@
 
   /** No share without a holder, no machine out of use, no write that waits for ever. */
   private atRest(): void {
-    const { c } = this;
+    const { c: cluster } = this;
     const odd = (): string[] => {
       const out: string[] = [];
       for (const share of ['0', '1', '2', 'lead'])
-        if (!c.nodes.some((n) => n.core.shardLeases.mayActUnder(share, c.now))) out.push(`nobody holds ${share}`);
-      for (const w of c.workers) {
+        if (!cluster.nodes.some((node) => node.core.shardLeases.mayActUnder(share, cluster.now)))
+          out.push(`nobody holds ${share}`);
+      for (const w of cluster.workers) {
         if (w.dead) continue;
-        const used = c.nodes.some((n) => {
-          const m = n.core.clusterState.machines.get(w.name);
+        const used = cluster.nodes.some((node) => {
+          const machine = node.core.clusterState.machines.get(w.name);
           return (
-            m &&
-            n.core.shardController.heldShards.has(m.shard) &&
-            (m.releaseReason !== '' || n.core.shardController.allocations.isSchedulable(m, c.now))
+            machine &&
+            node.core.shardController.heldShards.has(machine.shard) &&
+            (machine.releaseReason !== '' || node.core.shardController.allocations.isSchedulable(machine, cluster.now))
           );
         });
         if (!used) out.push(`${w.name} is out of use`);
       }
-      for (const n of c.nodes) if (n.core.writer.length > 0) out.push(`${n.name} has ${n.core.writer.length} writes waiting`);
+      for (const node of cluster.nodes)
+        if (node.core.writer.length > 0) out.push(`${node.name} has ${node.core.writer.length} writes waiting`);
       return out;
     };
     // A share may be on its way home, and a machine between two shares.
-    for (let i = 0; i < 90 && odd().length > 0; i++) c.run(1);
+    for (let index = 0; index < 90 && odd().length > 0; index++) cluster.run(1);
     if (odd().length > 0) this.c.broken(`long after the troubles:\n${odd().join('\n')}`);
   }
 
   /** Once the troubles are over every job is known everywhere, and what can run has run. */
   private peace(): void {
-    const { c, users } = this;
-    for (const [id, t] of users.told) if (!t.accepted) c.specs.has(id) && users.asks('submit', id);
-    c.run(60);
+    const { c: cluster, users } = this;
+    for (const [id, t] of users.told) if (!t.accepted) cluster.specs.has(id) && users.asks('submit', id);
+    cluster.run(60);
     // Services would run for ever; with them gone there is room for all the rest.
-    for (let i = 0; i < 5; i++) {
+    for (let index = 0; index < 5; index++) {
       for (const [id, t] of users.told)
-        if (t.accepted && t.final === null && (t.cancelAsked || c.specs.get(id)?.shape === 'service')) users.asks('cancel', id);
-      c.run(2);
+        if (t.accepted && t.final === null && (t.cancelAsked || cluster.specs.get(id)?.shape === 'service'))
+          users.asks('cancel', id);
+      cluster.run(2);
     }
     const rest = () =>
       [...users.told].filter(([id, t]) => {
-        const spec = c.specs.get(id);
+        const spec = cluster.specs.get(id);
         if (!t.accepted || t.final !== null || !spec || users.needsCancelled(id)) return false;
-        return !Array.from({ length: spec.tasks }, (_, i) => c.finished.has(`${id}/${i}`)).some((x) => x);
+        return !Array.from({ length: spec.tasks }, (_, index) => cluster.finished.has(`${id}/${index}`)).some((x) => x);
       });
-    for (let i = 0; i < 30 && rest().length > 0; i++) c.run(10);
-    const left = rest().map(([id]) => `${id} ${JSON.stringify(c.specs.get(id))}`);
+    for (let index = 0; index < 30 && rest().length > 0; index++) cluster.run(10);
+    const left = rest().map(([id]) => `${id} ${JSON.stringify(cluster.specs.get(id))}`);
     if (left.length > 0) this.c.broken(`still waiting long after the troubles:\n${left.join('\n')}`);
     this.atRest();
-    if (c.state.tooLarge > 0) c.broken(`${c.state.tooLarge} changes were too large`);
-    for (const n of c.nodes) this.allAnswered(n);
+    if (cluster.state.tooLarge > 0) cluster.broken(`${cluster.state.tooLarge} changes were too large`);
+    for (const node of cluster.nodes) this.allAnswered(node);
   }
 
   /** Every accepted job is answered by the controller, a few at a time, and what was cancelled before it is, too. */
-  private allAnswered(n: Node): void {
-    const { c, users } = this;
+  private allAnswered(node: Node): void {
+    const { c: cluster, users } = this;
     const accepted = [...users.told].filter(([, t]) => t.accepted);
     for (let at = 0; at < accepted.length; at += ASKED_AT_ONCE) {
       const some = accepted.slice(at, at + ASKED_AT_ONCE);
       for (const [id, t] of some) {
         t.answeredAt = -1;
-        users.asks('poll', id, n);
+        users.asks('poll', id, node);
       }
-      for (let i = 0; i < 30 && some.some(([, t]) => t.answeredAt < 0); i++) c.run(0.1);
+      for (let index = 0; index < 30 && some.some(([, t]) => t.answeredAt < 0); index++) cluster.run(0.1);
       for (const [id, t] of some) {
-        if (t.answeredAt < 0) c.broken(`forgotten: ${id} is not answered by ${n.name}`);
-        if (users.needsCancelled(id) && t.final !== 'aborted') c.broken(`orphaned: ${id} goes on at ${n.name}`);
+        if (t.answeredAt < 0) cluster.broken(`forgotten: ${id} is not answered by ${node.name}`);
+        if (users.needsCancelled(id) && t.final !== 'aborted') cluster.broken(`orphaned: ${id} goes on at ${node.name}`);
       }
     }
   }
--- a/test/walk/invariants.ts
+++ b/test/walk/invariants.ts
@@ -5,18 +5,18 @@
  * Cancellation through a chain is derived, not stored, which is safe only if it never meets a job that has a task
  * (docs/design.md, "Pipelines"); nor may a job that waits have one.
  */
-export function checkDerived(c: Cluster, old: Version | undefined): void {
-  for (const node of c.nodes) if (node.up && node.running !== old) checkJobs(c, node);
+export function checkDerived(cluster: Cluster, old: Version | undefined): void {
+  for (const node of cluster.nodes) if (node.up && node.running !== old) checkJobs(cluster, node);
 }
 
-function checkJobs(c: Cluster, node: Node): void {
+function checkJobs(cluster: Cluster, node: Node): void {
   const { clusterState: table, replica } = node.core;
   for (const job of table.jobs.values()) {
     if (job.allocations.size === 0) continue;
     const { id } = job.spec;
-    if (job.isBlocked) c.broken(`${id} waits at ${node.name} and has a place`);
+    if (job.isBlocked) cluster.broken(`${id} waits at ${node.name} and has a place`);
     const stored = replica.get(`a/j/${id}`)?.value as { s: number } | undefined;
     const isDerived = job.state === 'cancelled' && stored?.s !== 2;
-    if (isDerived) c.broken(`${id} is cancelled with another job at ${node.name} and has a place`);
+    if (isDerived) cluster.broken(`${id} is cancelled with another job at ${node.name} and has a place`);
   }
 }
--- a/test/walk/troubles.ts
+++ b/test/walk/troubles.ts
@@ -40,31 +40,31 @@
   private holders = '';
 
   constructor(
-    private readonly c: Cluster,
+    private readonly cluster: Cluster,
     private readonly random: Random,
     /** users call off what they submitted lately */
     private readonly cancelNow: () => void,
   ) {
-    this.c.reported = (r) => {
+    this.cluster.reported = (heartbeat) => {
       if (this.copies === 'none' || this.random.next() > 0.2) return;
-      const copy = structuredClone(r);
+      const copy = structuredClone(heartbeat);
       const send = () => {
-        for (const n of this.c.nodes) if (n.up) n.report(copy, () => {});
+        for (const node of this.cluster.nodes) if (node.up) node.report(copy, () => {});
       };
-      if (this.copies === 'late') this.c.at(this.c.now + 2000 + 20_000 * this.random.next(), send);
+      if (this.copies === 'late') this.cluster.at(this.cluster.now + 2000 + 20_000 * this.random.next(), send);
       else if (this.kept.length < COPIES_KEPT) this.kept.push(send);
     };
   }
 
   /** What is over by now is undone; a copy that was kept comes just as a new holder begins. */
   step(): void {
-    const due = this.undo.filter((u) => u.at <= this.c.now);
+    const due = this.undo.filter((u) => u.at <= this.cluster.now);
     for (const u of due) {
       this.undo.splice(this.undo.indexOf(u), 1);
       u.run();
     }
     if (this.kept.length === 0) return;
-    const holders = JSON.stringify(this.c.nodes.map((n) => [...n.core.shardLeases.heldLeases]));
+    const holders = JSON.stringify(this.cluster.nodes.map((node) => [...node.core.shardLeases.heldLeases]));
     if (holders !== this.holders) for (const send of this.kept.splice(0)) send();
     this.holders = holders;
   }
@@ -72,31 +72,31 @@
   /** All troubles are over. */
   end(): void {
     for (const u of this.undo.splice(0)) u.run();
-    for (const n of this.c.nodes) {
-      if (!n.up) n.restart();
-      if (n.frozen) n.thaw();
+    for (const node of this.cluster.nodes) {
+      if (!node.up) node.restart();
+      if (node.frozen) node.thaw();
     }
-    for (const w of this.c.workers) w.hung = false;
-    this.c.note('the troubles are over');
+    for (const w of this.cluster.workers) w.hung = false;
+    this.cluster.note('the troubles are over');
   }
 
   private after(seconds: number, run: () => void): void {
-    this.undo.push({ at: this.c.now + seconds * 1000, run });
+    this.undo.push({ at: this.cluster.now + seconds * 1000, run });
   }
 
   /** One of them begins, for so many seconds. */
   begin(kind: Trouble, s: number): void {
-    const { c } = this;
-    const node = this.random.pick(c.nodes);
-    const live = c.workers.filter((w) => !w.dead);
+    const { cluster } = this;
+    const node = this.random.pick(cluster.nodes);
+    const live = cluster.workers.filter((w) => !w.dead);
     const some = new Set(live.filter(() => this.random.next() < 0.3).map((w) => w.name));
-    c.note(`${kind} for ${s.toFixed(1)} s (${node.name})`);
+    cluster.note(`${kind} for ${s.toFixed(1)} s (${node.name})`);
     const isNode = (x: string) => x.startsWith('n');
     switch (kind) {
       case 'outage':
-        c.stateDown = true;
+        cluster.stateDown = true;
         return this.after(s, () => {
-          c.stateDown = false;
+          cluster.stateDown = false;
         });
       case 'refused':
         node.refused = true;
@@ -111,8 +111,8 @@
           if (!node.up) node.restart();
         });
       case 'crash all':
-        for (const n of c.nodes) if (n.up) n.crash();
-        for (const n of c.nodes) this.after(0.2 + 4 * this.random.next(), () => (n.up ? undefined : n.restart()));
+        for (const node of cluster.nodes) if (node.up) node.crash();
+        for (const node of cluster.nodes) this.after(0.2 + 4 * this.random.next(), () => (node.up ? undefined : node.restart()));
         return;
       case 'freeze':
         if (!node.up || node.frozen) return;
@@ -128,53 +128,53 @@
         });
       }
       case 'deaf':
-        c.deaf = (_n, m) => some.has(m);
+        cluster.deaf = (_n, m) => some.has(m);
         return this.after(s, () => {
-          c.deaf = () => false;
+          cluster.deaf = () => false;
         });
       case 'mute':
-        c.mute = (m) => some.has(m);
+        cluster.mute = (m) => some.has(m);
         return this.after(s, () => {
-          c.mute = () => false;
+          cluster.mute = () => false;
         });
       case 'commands lost':
       case 'commands late':
-        c.commandsLost = (_n, m) => some.has(m);
-        if (kind === 'commands late') c.lateMs = () => 1000 + 30_000 * this.random.next();
+        cluster.commandsLost = (_n, m) => some.has(m);
+        if (kind === 'commands late') cluster.lateMs = () => 1000 + 30_000 * this.random.next();
         return this.after(s, () => {
-          c.commandsLost = () => false;
-          c.lateMs = null;
+          cluster.commandsLost = () => false;
+          cluster.lateMs = null;
         });
       case 'zone cut': {
-        const west = (x: string) => x === 'n1' || c.worker(x)?.zone === 'west';
-        c.cut = (a, b) => west(a) !== west(b);
+        const west = (x: string) => x === 'n1' || cluster.worker(x)?.zone === 'west';
+        cluster.cut = (a, b) => west(a) !== west(b);
         return this.after(s, () => {
-          c.cut = () => false;
+          cluster.cut = () => false;
         });
       }
       case 'peers cut':
       case 'alone with its workers':
-        c.cut = (a, b) => isNode(a) && isNode(b) && (a === node.name || b === node.name);
+        cluster.cut = (a, b) => isNode(a) && isNode(b) && (a === node.name || b === node.name);
         if (kind === 'alone with its workers') node.refused = true;
         return this.after(s, () => {
-          c.cut = () => false;
+          cluster.cut = () => false;
           if (kind === 'alone with its workers') node.refused = false;
         });
       case 'lost answers':
       case 'late writes':
-        c.loseTxn = (_e, apply) => {
+        cluster.loseTxn = (_e, apply) => {
           if (this.random.next() > 0.3) return false;
           if (kind === 'lost answers') apply();
-          else c.at(c.now + 2000 + 10_000 * this.random.next(), apply);
+          else cluster.at(cluster.now + 2000 + 10_000 * this.random.next(), apply);
           return true;
         };
         return this.after(s, () => {
-          c.loseTxn = null;
+          cluster.loseTxn = null;
         });
       case 'slow answers':
-        c.answerMs = () => 10 + 1300 * this.random.next();
+        cluster.answerMs = () => 10 + 1300 * this.random.next();
         return this.after(s, () => {
-          c.answerMs = () => 10;
+          cluster.answerMs = () => 10;
         });
       case 'watch lags':
         node.lagging = true;
@@ -187,9 +187,9 @@
           this.copies = 'none';
         });
       case 'cloud down':
-        c.cloudDown = true;
+        cluster.cloudDown = true;
         return this.after(s, () => {
-          c.cloudDown = false;
+          cluster.cloudDown = false;
         });
       case 'machine dies': {
         const w = this.random.pick(live);
--- a/test/walk/users.ts
+++ b/test/walk/users.ts
@@ -47,7 +47,7 @@
   private readonly toCancel = new Set<string>();
 
   constructor(
-    private readonly c: Cluster,
+    private readonly cluster: Cluster,
     private readonly random: Random,
     private readonly options: UserOptions,
     /** nothing new is asked before all controllers have the present version */
@@ -55,7 +55,7 @@
   ) {}
 
   private node(): Node | undefined {
-    const up = this.c.nodes.filter((n) => n.up);
+    const up = this.cluster.nodes.filter((node) => node.up);
     return up.length > 0 ? this.random.pick(up) : undefined;
   }
 
@@ -63,18 +63,18 @@
   private hears(id: string, before: Told, status: number, said: string): void {
     if (status === 503 || status === 429) return;
     const t = this.told.get(id) as Told;
-    t.answeredAt = this.c.now;
+    t.answeredAt = this.cluster.now;
     if (before.accepted && (status === 404 || status === 400 || status === 422))
-      this.c.broken(`forgotten: ${id} answered ${status}`);
+      this.cluster.broken(`forgotten: ${id} answered ${status}`);
     // No user of a walk submits what can't run, nor names what was never accepted.
-    if (status === 422) this.c.broken(`forgotten: ${id} refused`);
+    if (status === 422) this.cluster.broken(`forgotten: ${id} refused`);
     if (status !== 200 && status !== 201) return;
-    if (before.final && said !== before.final) this.c.broken(`went_back: ${id} was ${before.final}, is called ${said}`);
-    if (said === 'aborted' && !this.mayBeCancelled(id)) this.c.broken(`went_back: ${id} called cancelled, its user didn't`);
-    if (said === 'done' && !this.c.allDone(id)) this.c.broken(`not_done: ${id} is called done`);
+    if (before.final && said !== before.final) this.cluster.broken(`went_back: ${id} was ${before.final}, is called ${said}`);
+    if (said === 'aborted' && !this.mayBeCancelled(id)) this.cluster.broken(`went_back: ${id} called cancelled, its user didn't`);
+    if (said === 'done' && !this.cluster.allDone(id)) this.cluster.broken(`not_done: ${id} is called done`);
     if (said === 'done' || said === 'aborted') t.final = said;
     t.accepted = true;
-    this.c.rules.told(id, said);
+    this.cluster.rules.told(id, said);
   }
 
   /** Its user asked to cancel it, or one that it needs. */
@@ -88,28 +88,30 @@
   }
 
   private awaited(id: string): string[] {
-    return this.c.awaits.get(id) ?? [];
+    return this.cluster.awaits.get(id) ?? [];
   }
 
   /** Half of the jobs need a few of those that were accepted lately, in whatever state these are. */
   private chooseAwaited(id: string): void {
     if (!this.options.pipelines || !this.mayAskNewThings() || this.random.next() < 0.5) return;
-    const known = [...this.told].filter(([other, t]) => t.accepted && this.c.specs.get(other)?.shape !== 'service').slice(-8);
+    const known = [...this.told]
+      .filter(([other, t]) => t.accepted && this.cluster.specs.get(other)?.shape !== 'service')
+      .slice(-8);
     if (known.length === 0) return;
     const names = Array.from({ length: 1 + this.random.below(3) }, () => this.random.pick(known)[0]);
-    this.c.awaits.set(id, [...new Set(names)]);
+    this.cluster.awaits.set(id, [...new Set(names)]);
   }
 
-  asks(kind: 'submit' | 'poll' | 'cancel', id: string, n = this.node()): void {
-    const spec = this.c.specs.get(id);
+  asks(kind: 'submit' | 'poll' | 'cancel', id: string, node = this.node()): void {
+    const spec = this.cluster.specs.get(id);
     const t = this.told.get(id);
-    if (!n || !spec || !t) return;
+    if (!node || !spec || !t) return;
     const before = { ...t };
     if (kind === 'cancel') t.cancelAsked = true;
     const then = (status: number, body: Record<string, unknown>) => this.hears(id, before, status, String(body.status));
-    if (kind === 'submit') n.submit(spec, then);
-    else if (kind === 'poll') n.poll(id, then);
-    else n.cancel(id, then);
+    if (kind === 'submit') node.submit(spec, then);
+    else if (kind === 'poll') node.poll(id, then);
+    else node.cancel(id, then);
   }
 
   private newJob(): void {
@@ -122,14 +124,14 @@
       zone: this.random.next() < 0.1 ? this.random.pick(['east', 'west']) : null,
     };
     if (kind < 0.4)
-      this.c.specs.set(id, job(id, { ...common, tasks: 1 + this.random.below(4), estimateS: 1 + this.random.below(15) }));
+      this.cluster.specs.set(id, job(id, { ...common, tasks: 1 + this.random.below(4), estimateS: 1 + this.random.below(15) }));
     else if (kind < 0.55)
-      this.c.specs.set(
+      this.cluster.specs.set(
         id,
         job(id, { ...common, tasks: 1 + this.random.below(3), estimateS: 60 + this.random.below(60), types: ['small'] }),
       );
     else if (kind < 0.7)
-      this.c.specs.set(
+      this.cluster.specs.set(
         id,
         job(id, {
           ...common,
@@ -142,12 +144,12 @@
         }),
       );
     else if (kind < 0.85)
-      this.c.specs.set(
+      this.cluster.specs.set(
         id,
         job(id, { ...common, shape: 'gang', gpus: 8, cpus: 20, memory: 60, estimateS: 5 + this.random.below(30) }),
       );
     else
-      this.c.specs.set(
+      this.cluster.specs.set(
         id,
         job(id, {
           ...common,
@@ -159,7 +161,7 @@
         }),
       );
     this.chooseAwaited(id);
-    this.told.set(id, { accepted: false, final: null, cancelAsked: false, answeredAt: this.c.now });
+    this.told.set(id, { accepted: false, final: null, cancelAsked: false, answeredAt: this.cluster.now });
     this.asks('submit', id);
   }
 
@@ -212,16 +214,16 @@
 
   private submitNew(over: Partial<JobSpec>, awaits: string[] = []): string {
     const id = `run-w${this.jobs++}`;
-    this.c.specs.set(id, job(id, { team: this.random.pick(TEAMS), ...over }));
-    if (awaits.length > 0) this.c.awaits.set(id, awaits);
-    this.told.set(id, { accepted: false, final: null, cancelAsked: false, answeredAt: this.c.now });
+    this.cluster.specs.set(id, job(id, { team: this.random.pick(TEAMS), ...over }));
+    if (awaits.length > 0) this.cluster.awaits.set(id, awaits);
+    this.told.set(id, { accepted: false, final: null, cancelAsked: false, answeredAt: this.cluster.now });
     this.asks('submit', id);
     return id;
   }
 
   /** Any of the jobs that there are by then. */
   private cancelLater(ids: string[]): void {
-    this.c.at(this.c.now + 500 + 15_000 * this.random.next(), () => {
+    this.cluster.at(this.cluster.now + 500 + 15_000 * this.random.next(), () => {
       const id = this.random.pick(ids);
       if (id !== undefined) this.toCancel.add(id);
     });
@@ -234,7 +236,7 @@
       else if (this.random.next() < 0.05) this.asks('cancel', id);
     }
     const open = [...this.told].filter(([, t]) => t.accepted && t.final === null);
-    for (let i = 0; i < open.length / 50; i++) this.asks('poll', this.random.pick(open)[0]);
+    for (let index = 0; index < open.length / 50; index++) this.asks('poll', this.random.pick(open)[0]);
   }
 
   /** What users do in a tenth of a second. */
@@ -252,7 +254,7 @@
     // Close looks: at all controllers at once.
     if (this.random.next() < 0.1) {
       const id = this.random.pick(late);
-      for (const n of this.c.nodes) if (n.up) this.asks(this.random.next() < 0.3 ? 'submit' : 'poll', id, n);
+      for (const node of this.cluster.nodes) if (node.up) this.asks(this.random.next() < 0.3 ? 'submit' : 'poll', id, node);
     }
     if (this.random.next() < 0.05) this.asks('submit', this.random.pick(ids));
     if (this.random.next() < 0.025) this.asks('cancel', this.random.pick(late));
--- a/test/walks.test.ts
+++ b/test/walks.test.ts
@@ -24,12 +24,12 @@
   inputsPerTick: 60,
   state: { changesKept: 500, pages: 3 },
   load: { chainsPerS: 1, singlesPerS: 4, cancelled: 0.5 },
-  tune: (s) => ({
-    ...s,
+  tune: (settings) => ({
+    ...settings,
     cpuShare: 0.136,
     maxSockets: 1200,
-    state: { ...s.state, requestsPerS: 100, writesPerS: 20, valueKib: 16, writesPerTransaction: 12 },
-    teams: s.teams.map((team) => ({ ...team, gpus: 60, maxGpus: 120 })),
+    state: { ...settings.state, requestsPerS: 100, writesPerS: 20, valueKib: 16, writesPerTransaction: 12 },
+    teams: settings.teams.map((team) => ({ ...team, gpus: 60, maxGpus: 120 })),
   }),
 };
 
--- a/test/writer.test.ts
+++ b/test/writer.test.ts
@@ -11,7 +11,7 @@
   const w = new StateWriter(
     { writesPerS: 50, writesPerTransaction: 8, maxWriteBytes: 8192 },
     replica,
-    (e) => e.type === 'compareAndSwap' && sent.push(e),
+    (effect) => effect.type === 'compareAndSwap' && sent.push(effect),
     lease,
     (now, run) => run(now),
     () => gone.push(1),
@@ -28,7 +28,7 @@
     value: () => value,
     expectedRevision: 0,
     priority: WritePriority.assignment,
-    onOutcome: (o) => outcomes.push(o),
+    onOutcome: (outcome) => outcomes.push(outcome),
   });
   w.flush(0);
   value = { a: 9, b: 9 };
@@ -52,7 +52,7 @@
       expectedRevision: 0,
       attachedToLease: leased,
       priority: WritePriority.assignment,
-      onOutcome: (o) => outcomes.push(`${key} ${o}`),
+      onOutcome: (outcome) => outcomes.push(`${key} ${outcome}`),
     });
   add('a/big');
   add('a/small');
@@ -61,7 +61,7 @@
   for (const t of sent.slice(1))
     w.handleOutcome(
       t.id,
-      t.writes.some((x) => 'put' in x && x.put === 'a/big') ? { kind: 'invalid' } : { kind: 'ok', revision: 3 },
+      t.writes.some((write) => 'put' in write && write.put === 'a/big') ? { kind: 'invalid' } : { kind: 'ok', revision: 3 },
       20,
     );
   assert.deepEqual(outcomes.sort(), ['a/big dropped', 'a/small ok']);
