--- a/packages/cloud-client/src/index.ts
+++ b/packages/cloud-client/src/index.ts
@@ -36,8 +36,8 @@
   private readonly listBudget: Budget;
   readonly unreadable$ = new Subject<string>();
 
-  constructor(addr: string, rps: number) {
-    this.client = new Client(addr, CLOUD_SOCKETS);
+  constructor(address: string, rps: number) {
+    this.client = new Client(address, CLOUD_SOCKETS);
     this.budget = new Budget(rps, steady);
     this.listBudget = new Budget(rps * LIST_SHARE, steady);
   }
@@ -64,13 +64,13 @@
   }
 
   async list(): Promise<ListedMachine[] | null> {
-    const out: ListedMachine[] = [];
+    const result: ListedMachine[] = [];
     let since = '';
     for (;;) {
       const page = await this.page(since);
       if (!page) return null;
-      out.push(...page.machines);
-      if (!page.more || page.machines.length === 0) return out;
+      result.push(...page.machines);
+      if (!page.more || page.machines.length === 0) return result;
       since = page.machines[page.machines.length - 1]?.machine ?? '';
     }
   }
--- a/packages/controller/src/allocation/task-allocations.ts
+++ b/packages/controller/src/allocation/task-allocations.ts
@@ -46,19 +46,19 @@
   }
 
   /** Its workers' reports are this controller's to take. */
-  holdsShard(share: number, now: Milliseconds): boolean {
-    return this.heldShards.has(share) && this.context.isLeaseValid(now);
+  holdsShard(shard: number, now: Milliseconds): boolean {
+    return this.heldShards.has(shard) && this.context.isLeaseValid(now);
   }
 
   /** The shares held here that commands, plans and returns may leave for. */
   actingShards(): ReadonlySet<number> {
-    const shares = new Set<number>();
-    for (const share of this.heldShards.keys()) if (this.context.mayActFor(share)) shares.add(share);
-    return shares;
+    const shards = new Set<number>();
+    for (const shard of this.heldShards.keys()) if (this.context.mayActFor(shard)) shards.add(shard);
+    return shards;
   }
 
-  nextAttempt(share: number): number {
-    return (this.heldShards.get(share)?.leaseRevision ?? 0) * ATTEMPTS_PER_LEASE + this.attemptCounter++;
+  nextAttempt(shard: number): number {
+    return (this.heldShards.get(shard)?.leaseRevision ?? 0) * ATTEMPTS_PER_LEASE + this.attemptCounter++;
   }
 
   allocate(
@@ -73,7 +73,7 @@
       job,
       taskIndex: index,
       attempt,
-      machine: machine,
+      machine,
       phase,
       status: null,
       plannedAt: now,
@@ -189,15 +189,15 @@
   }
 
   freeResourcesOf(machine: Machine): FreeResources {
-    return { machine: machine, ...machineLoadOf(machine).free };
+    return { machine, ...machineLoadOf(machine).free };
   }
 
   /** Shares with machines that may bear what nobody has reported. */
   shardsAwaitingVerification(): Set<number> {
-    const shares = new Set<number>();
+    const shards = new Set<number>();
     for (const machine of this.context.clusterState.machines.values())
-      if (machine.isUnverifiedTakeover) shares.add(machine.shard);
-    return shares;
+      if (machine.isUnverifiedTakeover) shards.add(machine.shard);
+    return shards;
   }
 
   /** Where could a task of this job be, of those that nobody has reported? */
@@ -219,8 +219,8 @@
     const age = now - this.context.replicaFreshAt;
     if (age < WATCH_LATE_MS) return true;
     if (age >= this.context.settings.workers.cancelS * 1000 * 0.25) return false;
-    for (const [node, peer] of this.context.peers)
-      if (peer.status.stateServiceAnswers && this.context.isPeerAlive(node, now)) return false;
+    for (const [controller, peer] of this.context.peers)
+      if (peer.status.stateServiceAnswers && this.context.isPeerAlive(controller, now)) return false;
     return true;
   }
 
@@ -229,8 +229,8 @@
     return this.context.replicaFreshAt < job.stoppedByOthersAt;
   }
 
-  leaseConditions(share: number) {
-    return [{ key: StateKey.shardLease(share), revision: this.heldShards.get(share)?.leaseRevision ?? -1 }];
+  leaseConditions(shard: number) {
+    return [{ key: StateKey.shardLease(shard), revision: this.heldShards.get(shard)?.leaseRevision ?? -1 }];
   }
 
   isEmpty(machine: Machine): boolean {
--- a/packages/controller/src/capacity/autoscaler.ts
+++ b/packages/controller/src/capacity/autoscaler.ts
@@ -87,10 +87,10 @@
     private readonly isZoneCut: (zone: string) => boolean,
   ) {}
 
-  leaseAcquired(stamp: number, now: Milliseconds): void {
+  leaseAcquired(revision: number, now: Milliseconds): void {
     this.leadingSince = now;
     this.isTakeover = this.context.clusterState.machines.size > 0;
-    this.leaseRevision = stamp;
+    this.leaseRevision = revision;
     this.requestCounter = 0;
     this.booting.clear();
     this.pendingRequests.clear();
@@ -145,9 +145,9 @@
 
   /** Types of which the cloud gave all that was asked for, last time. */
   availableTypes(): string[] {
-    const out = new Set<string>();
-    for (const [key, pool] of this.instancePools) if (pool.wasFilled) out.add(key.slice(0, key.indexOf('/')));
-    return [...out];
+    const result = new Set<string>();
+    for (const [key, pool] of this.instancePools) if (pool.wasFilled) result.add(key.slice(0, key.indexOf('/')));
+    return [...result];
   }
 
   /** A machine that is gone leaves a place that the cloud can fill again. */
@@ -198,10 +198,10 @@
 
   /** Room that is on its way: rented machines that nobody has been granted yet. */
   provisioningMachines(now: Milliseconds): InstanceKind[] {
-    const out: InstanceKind[] = [];
+    const result: InstanceKind[] = [];
     const late: ListedMachine[] = [];
-    for (const pending of this.booting.values()) out.push(pending);
-    for (const pending of this.pendingRequests.values()) for (let index = 0; index < pending.count; index++) out.push(pending);
+    for (const pending of this.booting.values()) result.push(pending);
+    for (const pending of this.pendingRequests.values()) for (let index = 0; index < pending.count; index++) result.push(pending);
     for (const listed of this.listedMachines.values()) {
       if (
         listed.state === 'failed' ||
@@ -209,36 +209,36 @@
         this.releasedAt.has(listed.machine)
       )
         continue;
-      if (this.listedAge(listed, now) < this.bootLimitMs(listed.type, now)) out.push(listed);
+      if (this.listedAge(listed, now) < this.bootLimitMs(listed.type, now)) result.push(listed);
       else late.push(listed);
     }
     this.bootTimes.setOverdue(late);
-    return out;
+    return result;
   }
 
-  scaleOut(shares: Map<number, ShardSummary>, now: Milliseconds): void {
+  scaleOut(shards: Map<number, ShardSummary>, now: Milliseconds): void {
     // A new lead doesn't know what the last one rented: the list will tell.
     if (now - this.leadingSince < 2000 * this.context.settings.cloud.listLagS + 2000 && this.isTakeover) return;
     if (now < this.nextRequestAt) return;
-    const { settings, clusterState: table } = this.context;
+    const { settings, clusterState } = this.context;
     const max = settings.policy.maxMachines;
-    let held = table.machines.size + this.provisioningMachines(now).length;
+    let held = clusterState.machines.size + this.provisioningMachines(now).length;
     // What a wave of losses took from services is asked for at once, all kinds: a round each would
     // add seconds to the boot time that everybody waits for. For the rest one kind a round will
     // do: what comes free meanwhile need not be rented.
     let first = true;
-    for (const want of settings.policy.holdSpareCapacity
-      ? this.requestsToHoldSpare(shares, now)
-      : this.requestsByDemand(shares, now)) {
+    for (const gpuDemand of settings.policy.holdSpareCapacity
+      ? this.requestsToHoldSpare(shards, now)
+      : this.requestsByDemand(shards, now)) {
       if (this.pendingRequests.size >= BOOKINGS || (max !== null && held >= max)) return;
-      if (!first && !want.urgent) continue;
+      if (!first && !gpuDemand.urgent) continue;
       first = false;
-      const most = this.isFailing(want, now) ? 2 : MAX_MACHINES_PER_PROVISIONING;
-      const count = Math.max(1, Math.min(want.count, most, max === null ? MAX_MACHINES_PER_PROVISIONING : max - held));
+      const limit = this.isFailing(gpuDemand, now) ? 2 : MAX_MACHINES_PER_PROVISIONING;
+      const count = Math.max(1, Math.min(gpuDemand.count, limit, max === null ? MAX_MACHINES_PER_PROVISIONING : max - held));
       held += count;
       const id = this.context.nextEffectId();
       const request = `r-${this.leaseRevision}-${++this.requestCounter}`;
-      const { type, zone, spot } = want;
+      const { type, zone, spot } = gpuDemand;
       this.pendingRequests.set(id, { type, zone, spot, count, at: now });
       this.context.log('info', 'renting', { request, type, zone, spot, count });
       this.context.emit({ type: 'provision', id, request: { requestId: request, machineType: type, zone, spot, count } });
@@ -247,39 +247,39 @@
   }
 
   instanceOptions(): { type: MachineType; zone: string; spot: boolean }[] {
-    const out: { type: MachineType; zone: string; spot: boolean }[] = [];
+    const result: { type: MachineType; zone: string; spot: boolean }[] = [];
     for (const type of this.context.clusterState.machineTypes) {
       if (!type) continue;
       for (const zone of type.zones.length > 0 ? type.zones : this.context.settings.zones) {
-        for (const spot of [false, true]) out.push({ type, zone, spot });
+        for (const spot of [false, true]) result.push({ type, zone, spot });
       }
     }
-    return out;
+    return result;
   }
 
   /** No price among the objectives: hold spare room of every kind that is used. */
-  private requestsToHoldSpare(shares: Map<number, ShardSummary>, now: Milliseconds): ScaleOutRequest[] {
-    const room = new Map<string, { all: number; free: number }>();
-    for (const summary of shares.values()) {
+  private requestsToHoldSpare(shards: Map<number, ShardSummary>, now: Milliseconds): ScaleOutRequest[] {
+    const capacityByType = new Map<string, { all: number; free: number }>();
+    for (const summary of shards.values()) {
       for (const machineSummary of summary.machines) {
         const machine = this.context.clusterState.machines.get(machineSummary.name);
         if (!machine?.capacity) continue;
-        const r = room.get(machine.capacity.name) ?? { all: 0, free: 0 };
+        const r = capacityByType.get(machine.capacity.name) ?? { all: 0, free: 0 };
         r.all += machine.capacity.cpus;
         r.free +=
           machine.capacity.gpus > 0
             ? (machine.capacity.cpus * machineSummary.freeGpus) / machine.capacity.gpus
             : machineSummary.freeCpus;
-        room.set(machine.capacity.name, r);
+        capacityByType.set(machine.capacity.name, r);
       }
     }
-    const unmet = [...shares.values()].flatMap((summary) => summary.demands);
+    const unmet = [...shards.values()].flatMap((summary) => summary.demands);
     const coming = this.provisioningMachines(now);
     let best: (Omit<ScaleOutRequest, 'urgent'> & { score: number }) | null = null;
     for (const option of this.instanceOptions()) {
       const pool = this.instancePool(option.type.name, option.zone, option.spot);
       if (now < pool.retryAt) continue;
-      const r = room.get(option.type.name) ?? { all: 0, free: 0 };
+      const r = capacityByType.get(option.type.name) ?? { all: 0, free: 0 };
       const due = coming.filter((kind) => kind.type === option.type.name).length * option.type.cpus;
       const asked = unmet.filter(
         (demand) => countThatFit(demand, option.type) >= 1 && matchesDemand(demand, option.type.name, option.zone, option.spot),
@@ -298,13 +298,13 @@
   }
 
   /** Money is an objective: rent for what waits, the cheapest kind per task. */
-  private requestsByDemand(shares: Map<number, ShardSummary>, now: Milliseconds): ScaleOutRequest[] {
+  private requestsByDemand(shards: Map<number, ShardSummary>, now: Milliseconds): ScaleOutRequest[] {
     const coming: { c: { type: string; zone: string; spot: boolean; idle?: boolean }; t: MachineType | null }[] = [
       ...this.provisioningMachines(now),
       ...this.recentAssignments(now),
     ].map((kind) => ({ c: kind, t: machineTypeNamed(this.context, kind.type) }));
     // Idle machines of other shares are about to be moved to where they are wanted.
-    for (const summary of shares.values()) {
+    for (const summary of shards.values()) {
       for (const machineSummary of summary.machines) {
         const machine = this.context.clusterState.machines.get(machineSummary.name);
         if (
@@ -334,7 +334,7 @@
         gpus: arriving.t?.gpus ?? 0,
         memory: arriving.t?.memory ?? 0,
       }));
-    const wants = [...shares.values()]
+    const wants = [...shards.values()]
       .flatMap((summary) => summary.demands)
       .sort((a, b) => b.priority - a.priority || b.waitS - a.waitS);
     const cheapest = Math.min(
@@ -407,24 +407,24 @@
       const count = countThatFit(demand, option.type);
       if (count < 1 || !matchesDemand(demand, option.type.name, option.zone, option.spot)) continue;
       if (now < this.instancePool(option.type.name, option.zone, option.spot).retryAt) continue;
-      const hourly = option.spot ? option.type.spotPrice : option.type.price;
+      const hourlyPrice = option.spot ? option.type.spotPrice : option.type.price;
       // Work that can wait doesn't take a dear machine: a cheap one may come free in time.
       if (
         demand.gpus === 0 &&
         demand.priority < 2 &&
-        hourly / option.type.cpus > 3 * cheapest &&
+        hourlyPrice / option.type.cpus > 3 * cheapest &&
         demand.slackS > option.type.bootS + 25
       )
         continue;
       // The lowest rank lives on what is idle and what is cheap; an ordinary machine only so that it
       // begins at all, and none with accelerators.
-      const dear = hourly / option.type.cpus > (option.type.gpus > 0 ? 1 : 3) * cheapest;
+      const dear = hourlyPrice / option.type.cpus > (option.type.gpus > 0 ? 1 : 3) * cheapest;
       if (demand.priority === 0 && demand.gpus === 0 && (dear || (!option.spot && demand.waitS < LOW_RANK_S))) continue;
       // What boots in a zone that is cut off is of no use until the cut is over.
       const late = this.isZoneCut(option.zone) ? 10 : 1;
       // Where boots fail, what boots well is worth more, while there is any.
       const fails = this.isFailing({ type: option.type.name, zone: option.zone, spot: option.spot }, now) ? 2 : 1;
-      const score = (hourly / Math.min(count, left)) * (1 + 0.001 * (inZone.get(option.zone) ?? 0)) * late * fails;
+      const score = (hourlyPrice / Math.min(count, left)) * (1 + 0.001 * (inZone.get(option.zone) ?? 0)) * late * fails;
       if (!best || score < best.score) best = { ...option, score };
     }
     return best;
--- a/packages/controller/src/capacity/boot-time-estimator.ts
+++ b/packages/controller/src/capacity/boot-time-estimator.ts
@@ -24,7 +24,7 @@
 
   /** One came up that long after it was asked for. */
   recordBoot(kind: InstanceKind, ms: Milliseconds, now: Milliseconds): void {
-    const list = (this.recent.get(kind.type) ?? []).filter((boot) => now - boot.at < RECENT_MS);
+    const list = (this.recent.get(kind.type) ?? []).filter((incarnation) => now - incarnation.at < RECENT_MS);
     list.push({ at: now, ms });
     this.recent.set(kind.type, list.slice(-20));
     this.lastBootAt.set(instanceKindKey(kind), now);
@@ -32,9 +32,10 @@
 
   /** One that isn't up after this long is late: it is counted on no more. */
   limitMs(type: string, bootS: number, now: Milliseconds): Milliseconds {
-    let most = USUAL * bootS * 1000;
-    for (const boot of this.recent.get(type) ?? []) if (now - boot.at < RECENT_MS) most = Math.max(most, SPARE * boot.ms);
-    return Math.min(most, 3 * USUAL * bootS * 1000);
+    let limit = USUAL * bootS * 1000;
+    for (const incarnation of this.recent.get(type) ?? [])
+      if (now - incarnation.at < RECENT_MS) limit = Math.max(limit, SPARE * incarnation.ms);
+    return Math.min(limit, 3 * USUAL * bootS * 1000);
   }
 
   /** The machines that are late, of the kind of each. */
--- a/packages/controller/src/capacity/demand.ts
+++ b/packages/controller/src/capacity/demand.ts
@@ -39,11 +39,10 @@
 const BRIEF_WAIT_S = 0.2;
 
 /** What waits for room, the most urgent first. */
-export function pendingDemands(shares: Iterable<ShardSummary>): PendingDemand[] {
+export function pendingDemands(shards: Iterable<ShardSummary>): PendingDemand[] {
   const waiting: PendingDemand[] = [];
-  for (const { shard: share, demands } of shares) {
-    for (const demand of demands)
-      if (demand.waitS > BRIEF_WAIT_S) waiting.push({ shard: share, demand, remainingTasks: demand.count });
+  for (const { shard, demands } of shards) {
+    for (const demand of demands) if (demand.waitS > BRIEF_WAIT_S) waiting.push({ shard, demand, remainingTasks: demand.count });
   }
   return waiting.sort(
     ({ demand }, { demand: other }) =>
@@ -52,11 +51,11 @@
 }
 
 /** Takes off what a machine of this kind will serve of a share's waiting work. */
-export function allocateToDemands(waiting: PendingDemand[], share: number, kind: InstanceKind, capacity: MachineType): void {
+export function allocateToDemands(waiting: PendingDemand[], shard: number, kind: InstanceKind, capacity: MachineType): void {
   const free: Resources = { cpus: capacity.cpus, gpus: capacity.gpus, memory: capacity.memory };
   for (const work of waiting) {
     const { demand } = work;
-    if (work.shard !== share || work.remainingTasks <= 0) continue;
+    if (work.shard !== shard || work.remainingTasks <= 0) continue;
     if (!matchesDemand(demand, kind.type, kind.zone, kind.spot)) continue;
     const count = Math.min(work.remainingTasks, countThatFit(demand, free));
     work.remainingTasks -= count;
--- a/packages/controller/src/capacity/machine-assigner.ts
+++ b/packages/controller/src/capacity/machine-assigner.ts
@@ -50,15 +50,15 @@
     private readonly autoscaler: () => Autoscaler,
   ) {}
 
-  machineReported(stranger: UnassignedMachine, now: Milliseconds): void {
-    this.unassignedMachines.set(stranger.machine, { stranger, at: now });
+  machineReported(unassigned: UnassignedMachine, now: Milliseconds): void {
+    this.unassignedMachines.set(unassigned.machine, { stranger: unassigned, at: now });
   }
 
   /** Machines without a grant that reported here lately. */
   recentlyReported(now: Milliseconds): UnassignedMachine[] {
     for (const [name, { at }] of this.unassignedMachines)
       if (now - at > HEARD_MS || this.context.clusterState.machines.has(name)) this.unassignedMachines.delete(name);
-    return [...this.unassignedMachines.values()].map(({ stranger }) => stranger);
+    return [...this.unassignedMachines.values()].map(({ stranger: unassigned }) => unassigned);
   }
 
   /** A grant of this machine is being written. */
@@ -68,61 +68,61 @@
 
   /** What was granted so lately that what its share tells doesn't show it yet. */
   recentlyAssigned(now: Milliseconds): RecentAssignment[] {
-    for (const [name, grant] of this.recentAssignments)
-      if (!this.writing.has(name) && now - grant.at > GRANT_SHOWS_MS) this.recentAssignments.delete(name);
+    for (const [name, assignment] of this.recentAssignments)
+      if (!this.writing.has(name) && now - assignment.at > GRANT_SHOWS_MS) this.recentAssignments.delete(name);
     return [...this.recentAssignments.values()];
   }
 
   /** `leaderStamp`: the stamp under which this controller leads. */
-  assignAll(shares: () => Map<number, ShardSummary>, leaderStamp: number, now: Milliseconds): void {
+  assignAll(shards: () => Map<number, ShardSummary>, leaderRevision: number, now: Milliseconds): void {
     const all = this.unassigned(now);
     if (all.size === 0) return;
-    const waiting = pendingDemands(shares().values());
+    const waiting = pendingDemands(shards().values());
     this.allocateRecentAssignments(waiting, now);
     const balance = new ShardBalance(this.context, this.recentAssignments);
-    for (const stranger of all.values()) {
-      this.autoscaler().machineStarted(stranger.machine, stranger, now);
-      const share = this.shardInNeed(stranger, waiting) ?? balance.worstOff(stranger.type);
-      balance.add(stranger.type, share);
-      this.write(stranger, share, leaderStamp, now);
+    for (const unassigned of all.values()) {
+      this.autoscaler().machineStarted(unassigned.machine, unassigned, now);
+      const shard = this.shardInNeed(unassigned, waiting) ?? balance.worstOff(unassigned.type);
+      balance.add(unassigned.type, shard);
+      this.write(unassigned, shard, leaderRevision, now);
     }
   }
 
   /** Takes off the waiting work what was granted a moment ago. */
   allocateRecentAssignments(waiting: PendingDemand[], now: Milliseconds): void {
-    for (const grant of this.recentlyAssigned(now)) {
-      const capacity = machineTypeNamed(this.context, grant.type);
-      if (capacity) allocateToDemands(waiting, grant.shard, grant, capacity);
+    for (const assignment of this.recentlyAssigned(now)) {
+      const capacity = machineTypeNamed(this.context, assignment.type);
+      if (capacity) allocateToDemands(waiting, assignment.shard, assignment, capacity);
     }
   }
 
   /** By name, what reported here or to another controller. */
   private unassigned(now: Milliseconds): Map<string, UnassignedMachine> {
-    const { clusterState: table, peers } = this.context;
+    const { clusterState, peers } = this.context;
     const candidates = this.recentlyReported(now);
     for (const peer of peers.values()) if (now - peer.heardAt < PEER_TOLD_MS) candidates.push(...peer.status.unassignedMachines);
     const all = new Map<string, UnassignedMachine>();
-    for (const stranger of candidates) {
-      if (table.machines.has(stranger.machine) || this.writing.has(stranger.machine)) continue;
+    for (const unassigned of candidates) {
+      if (clusterState.machines.has(unassigned.machine) || this.writing.has(unassigned.machine)) continue;
       // Else a late report of a machine that was given back.
-      if (!this.autoscaler().isRecentlyReleased(stranger.machine, now)) all.set(stranger.machine, stranger);
+      if (!this.autoscaler().isRecentlyReleased(unassigned.machine, now)) all.set(unassigned.machine, unassigned);
     }
     return all;
   }
 
   private write(
-    { machine, address: addr, type, zone, spot }: UnassignedMachine,
-    share: number,
-    leaderStamp: number,
+    { machine, address, type, zone, spot }: UnassignedMachine,
+    shard: number,
+    leaderRevision: number,
     now: Milliseconds,
   ): void {
     this.writing.add(machine);
-    this.recentAssignments.set(machine, { shard: share, type, zone, spot, at: now });
+    this.recentAssignments.set(machine, { shard, type, zone, spot, at: now });
     this.context.writer.add({
       key: StateKey.assignment(machine),
-      value: () => encodeAssignment({ shard: share, address: addr, type, zone, spot, moveToShard: null, isRetired: false }),
+      value: () => encodeAssignment({ shard, address, type, zone, spot, moveToShard: null, isRetired: false }),
       expectedRevision: 0,
-      conditions: [{ key: StateKey.shardLease('lead'), revision: leaderStamp }],
+      conditions: [{ key: StateKey.shardLease('lead'), revision: leaderRevision }],
       priority: WritePriority.assignment,
       expiresAt: now + GRANT_EXPIRES_MS,
       onOutcome: () => {
@@ -133,8 +133,8 @@
   }
 
   /** The share whose waiting work the machine serves best; what needs accelerators comes first on those. */
-  private shardInNeed(stranger: UnassignedMachine, waiting: PendingDemand[]): number | null {
-    const { type, zone, spot } = stranger;
+  private shardInNeed(unassigned: UnassignedMachine, waiting: PendingDemand[]): number | null {
+    const { type, zone, spot } = unassigned;
     const capacity = machineTypeNamed(this.context, type);
     if (!capacity) return null;
     const served = ({ remainingTasks: left, demand }: PendingDemand) =>
@@ -142,7 +142,7 @@
     const accelerated = capacity.gpus > 0 && !spot ? waiting.find((work) => work.demand.gpus > 0 && served(work)) : undefined;
     const work = accelerated ?? waiting.find(served);
     if (!work) return null;
-    allocateToDemands(waiting, work.shard, stranger, capacity);
+    allocateToDemands(waiting, work.shard, unassigned, capacity);
     return work.shard;
   }
 }
--- a/packages/controller/src/capacity/shard-balance.ts
+++ b/packages/controller/src/capacity/shard-balance.ts
@@ -16,30 +16,31 @@
 
   constructor(
     private readonly context: ControllerContext,
-    recentGrants: ReadonlyMap<string, RecentAssignment>,
+    recentAssignments: ReadonlyMap<string, RecentAssignment>,
   ) {
-    const { clusterState: table } = context;
-    for (const machine of table.machines.values()) {
-      const share = machine.moveToShard >= 0 ? machine.moveToShard : machine.shard;
-      if (share >= 0) this.add(table.typeNames.nameOf(machine.typeIndex), share);
+    const { clusterState } = context;
+    for (const machine of clusterState.machines.values()) {
+      const shard = machine.moveToShard >= 0 ? machine.moveToShard : machine.shard;
+      if (shard >= 0) this.add(clusterState.typeNames.nameOf(machine.typeIndex), shard);
     }
-    for (const [name, grant] of recentGrants) if (!table.machines.has(name)) this.add(grant.type, grant.shard);
+    for (const [name, assignment] of recentAssignments)
+      if (!clusterState.machines.has(name)) this.add(assignment.type, assignment.shard);
   }
 
   /** One more machine of the type is given to the share. */
-  add(type: string, share: number): void {
+  add(type: string, shard: number): void {
     const counts = this.of(type);
-    counts[share] = (counts[share] ?? 0) + 1;
+    counts[shard] = (counts[shard] ?? 0) + 1;
   }
 
   /** The share that is worst off for this type, by what its teams are guaranteed. */
   worstOff(type: string): number {
     const counts = this.of(type);
     const weights = this.weightsFor((machineTypeNamed(this.context, type)?.gpus ?? 0) > 0);
-    const part = (share: number) => (counts[share] ?? 0) / (weights[share] ?? 1);
+    const part = (shard: number) => (counts[shard] ?? 0) / (weights[shard] ?? 1);
     // A share without teams has no use for machines.
-    const entitled = weights.flatMap((weight, share) => (weight > 0 ? [share] : []));
-    return entitled.reduce((best, share) => (part(share) < part(best) ? share : best), entitled[0] ?? 0);
+    const entitled = weights.flatMap((weight, shard) => (weight > 0 ? [shard] : []));
+    return entitled.reduce((best, shard) => (part(shard) < part(best) ? shard : best), entitled[0] ?? 0);
   }
 
   private of(type: string): number[] {
@@ -53,11 +54,11 @@
   private weightsFor(accelerated: boolean): number[] {
     const known = this.weights.get(accelerated);
     if (known) return known;
-    const { clusterState: table, settings } = this.context;
+    const { clusterState, settings } = this.context;
     const weights = new Array<number>(settings.shardCount).fill(0);
     settings.teams.forEach((team, index) => {
-      const share = table.shardOfTeam[index] ?? 0;
-      weights[share] = (weights[share] ?? 0) + (accelerated ? team.gpus + LEAST_WEIGHT : 1);
+      const shard = clusterState.shardOfTeam[index] ?? 0;
+      weights[shard] = (weights[shard] ?? 0) + (accelerated ? team.gpus + LEAST_WEIGHT : 1);
     });
     this.weights.set(accelerated, weights);
     return weights;
--- a/packages/controller/src/capacity/shard-rebalancer.ts
+++ b/packages/controller/src/capacity/shard-rebalancer.ts
@@ -57,15 +57,15 @@
   constructor(private readonly context: ControllerContext) {}
 
   /** Idle ordinary machines of the share, without accelerators. */
-  idle(share: ShardSummary): number {
-    const known = this.idleCounts.get(share.shard);
+  idle(shard: ShardSummary): number {
+    const known = this.idleCounts.get(shard.shard);
     if (known !== undefined) return known;
     const { machines } = this.context.clusterState;
-    const count = share.machines.filter((told) => {
-      const machine = machines.get(told.name);
-      return told.tasks === 0 && machine?.spot === false && machine.capacity?.gpus === 0;
+    const count = shard.machines.filter((summary) => {
+      const machine = machines.get(summary.name);
+      return summary.tasks === 0 && machine?.spot === false && machine.capacity?.gpus === 0;
     }).length;
-    this.idleCounts.set(share.shard, count);
+    this.idleCounts.set(shard.shard, count);
     return count;
   }
 }
@@ -94,29 +94,29 @@
 
   /** The moves of a round: at most so many, for what is waiting. Calls `order` for each. */
   plan(
-    shares: Map<number, ShardSummary>,
+    shards: Map<number, ShardSummary>,
     waiting: PendingDemand[],
-    most: number,
-    order: (machine: Machine, share: number) => void,
+    limit: number,
+    order: (machine: Machine, shard: number) => void,
     now: Milliseconds,
   ): void {
     this.forgetCompletedMoves(now);
     const taken = this.allocateOrderedMoves(waiting);
-    const movables = this.movables(shares, taken, this.highestRank(waiting), now);
+    const movables = this.movables(shards, taken, this.highestRank(waiting), now);
     const view = new RoundView(this.context);
-    let left = most;
+    let left = limit;
     for (const work of waiting) {
       if (left <= 0) return;
       for (const { movable } of this.moveOptions(movables, work, taken, view, now)) {
         if (work.remainingTasks <= 0 || left <= 0) break;
-        const { machine, summary: told, capacity } = movable;
+        const { machine, summary, capacity } = movable;
         taken.add(machine.name);
         left--;
         work.remainingTasks -= countThatFit(work.demand, capacity);
         this.lastMoveAt.set(machine.name, now);
         this.orderedMoves.set(machine.name, now);
         order(machine, work.shard);
-        if (told.services === 0) continue;
+        if (summary.services === 0) continue;
         this.servicesDisplacedAt = now;
         break;
       }
@@ -132,12 +132,12 @@
 
   /** What is on its way already serves the first who want it. Returns its names. */
   private allocateOrderedMoves(waiting: PendingDemand[]): Set<string> {
-    const { clusterState: table } = this.context;
+    const { clusterState } = this.context;
     const taken = new Set<string>();
     for (const name of this.orderedMoves.keys()) {
-      const machine = table.machines.get(name);
+      const machine = clusterState.machines.get(name);
       if (!machine || machine.moveToShard < 0 || !machine.capacity) continue;
-      const kind = { type: machine.capacity.name, zone: table.zoneNames.nameOf(machine.zoneIndex), spot: machine.spot };
+      const kind = { type: machine.capacity.name, zone: clusterState.zoneNames.nameOf(machine.zoneIndex), spot: machine.spot };
       allocateToDemands(waiting, machine.moveToShard, kind, machine.capacity);
       taken.add(name);
     }
@@ -149,29 +149,29 @@
   }
 
   /** Sorted out once a round, whatever waits: going over all machines for each demand was most of a round's cost. */
-  private movables(shares: Map<number, ShardSummary>, taken: Set<string>, highestRank: number, now: Milliseconds): Movable[] {
-    const { clusterState: table } = this.context;
+  private movables(shards: Map<number, ShardSummary>, taken: Set<string>, highestRank: number, now: Milliseconds): Movable[] {
+    const { clusterState } = this.context;
     const movables: Movable[] = [];
-    for (const share of shares.values()) {
-      for (const told of share.machines) {
-        const machine = table.machines.get(told.name);
-        if (!machine?.capacity || machine.shard !== share.shard || machine.moveToShard >= 0 || machine.isRetired) continue;
-        if (taken.has(told.name) || told.protectedPriority >= highestRank || this.isRecentlyMoved(told, now)) continue;
+    for (const shard of shards.values()) {
+      for (const summary of shard.machines) {
+        const machine = clusterState.machines.get(summary.name);
+        if (!machine?.capacity || machine.shard !== shard.shard || machine.moveToShard >= 0 || machine.isRetired) continue;
+        if (taken.has(summary.name) || summary.protectedPriority >= highestRank || this.isRecentlyMoved(summary, now)) continue;
         movables.push({
           machine,
-          summary: told,
-          shard: share,
+          summary,
+          shard,
           capacity: machine.capacity,
-          zone: table.zoneNames.nameOf(machine.zoneIndex),
+          zone: clusterState.zoneNames.nameOf(machine.zoneIndex),
         });
       }
     }
     return movables;
   }
 
-  private isRecentlyMoved(told: MachineSummary, now: Milliseconds): boolean {
-    const since = now - (this.lastMoveAt.get(told.name) ?? NEVER);
-    return since < (told.tasks > 0 ? STAYS_WITH_WORK_MS : STAYS_EMPTY_MS);
+  private isRecentlyMoved(summary: MachineSummary, now: Milliseconds): boolean {
+    const since = now - (this.lastMoveAt.get(summary.name) ?? NEVER);
+    return since < (summary.tasks > 0 ? STAYS_WITH_WORK_MS : STAYS_EMPTY_MS);
   }
 
   /** The machines that may be moved for the work, the one that costs least first. */
@@ -185,35 +185,36 @@
     const rivals = new Map<ShardSummary, boolean>();
     const options: MoveOption[] = [];
     for (const movable of movables) {
-      const { shard: share, machine } = movable;
-      if (share.shard === work.shard || taken.has(machine.name)) continue;
+      const { shard, machine } = movable;
+      if (shard.shard === work.shard || taken.has(machine.name)) continue;
       if (!this.canServe(movable, work.demand, now) || this.isReserved(movable, work, view)) continue;
-      const rival = rivals.get(share) ?? this.hasCompetingDemand(share, work.demand);
-      rivals.set(share, rival);
+      const rival = rivals.get(shard) ?? this.hasCompetingDemand(shard, work.demand);
+      rivals.set(shard, rival);
       if (rival && this.servesOwnDemand(movable, work.demand)) continue;
       options.push({ movable, score: this.score(movable, work) });
     }
     return options.sort((a, b) => a.score - b.score);
   }
 
-  private canServe({ summary: told, capacity, zone, machine }: Movable, demand: ResourceDemand, now: Milliseconds): boolean {
+  private canServe({ summary, capacity, zone, machine }: Movable, demand: ResourceDemand, now: Milliseconds): boolean {
     // A machine that bears services that would have to move stays for a while.
-    if (told.services > 0 && (demand.waitS < DISPLACE_AFTER_S || now - this.servicesDisplacedAt < DISPLACE_EACH_MS)) return false;
-    if (told.protectedPriority >= demand.priority || countThatFit(demand, capacity) < 1) return false;
+    if (summary.services > 0 && (demand.waitS < DISPLACE_AFTER_S || now - this.servicesDisplacedAt < DISPLACE_EACH_MS))
+      return false;
+    if (summary.protectedPriority >= demand.priority || countThatFit(demand, capacity) < 1) return false;
     return matchesDemand(demand, capacity.name, zone, machine.spot);
   }
 
   /** A share in the same need keeps what it has. */
-  private hasCompetingDemand(share: ShardSummary, demand: ResourceDemand): boolean {
-    return share.demands.some(
+  private hasCompetingDemand(shard: ShardSummary, demand: ResourceDemand): boolean {
+    return shard.demands.some(
       (own) =>
         own.priority > demand.priority ||
         (own.priority === demand.priority && (own.withinQuota || !demand.withinQuota) && own.waitS > RIVAL_WAIT_S),
     );
   }
 
-  private servesOwnDemand({ shard: share, capacity, zone, machine }: Movable, demand: ResourceDemand): boolean {
-    return share.demands.some(
+  private servesOwnDemand({ shard, capacity, zone, machine }: Movable, demand: ResourceDemand): boolean {
+    return shard.demands.some(
       (own) =>
         own.priority >= demand.priority &&
         matchesDemand(own, capacity.name, zone, machine.spot) &&
@@ -222,33 +223,33 @@
   }
 
   /** Is the machine kept for the work that it is made for? */
-  private isReserved({ machine, summary: told, shard: share, capacity }: Movable, work: PendingDemand, view: RoundView): boolean {
+  private isReserved({ machine, summary, shard, capacity }: Movable, work: PendingDemand, view: RoundView): boolean {
     const { demand } = work;
     // Work on it gives way only to what has pressed for longer than its own share needs to clear one.
     const pressing =
       demand.priority >= HIGHEST_PRIORITY &&
       demand.waitS > PRESSING_PLAN_WAITS * this.context.settings.policy.planWaitS &&
       work.remainingTasks * 2 >= countThatFit(demand, capacity);
-    if (told.protectedPriority >= HIGHEST_PRIORITY - 1 && !pressing) return true;
+    if (summary.protectedPriority >= HIGHEST_PRIORITY - 1 && !pressing) return true;
     if (demand.gpus > 0) return false;
-    if (this.isScarce(machine, share, capacity)) {
+    if (this.isScarce(machine, shard, capacity)) {
       // These may not be had again, unless the most urgent work has found nothing else for a while.
-      if (demand.priority < HIGHEST_PRIORITY || demand.waitS < SCARCE_MACHINE_WAIT_S || (told.tasks > 0 && !pressing))
+      if (demand.priority < HIGHEST_PRIORITY || demand.waitS < SCARCE_MACHINE_WAIT_S || (summary.tasks > 0 && !pressing))
         return true;
     }
     // Ordinary machines stay for what can't use others.
-    if (demand.spot && !machine.spot && view.idle(share) <= KEPT_FOR_OTHERS) return true;
-    return capacity.gpus > 0 && demand.priority < 2 && told.tasks > 0;
+    if (demand.spot && !machine.spot && view.idle(shard) <= KEPT_FOR_OTHERS) return true;
+    return capacity.gpus > 0 && demand.priority < 2 && summary.tasks > 0;
   }
 
-  private isScarce(machine: Machine, share: ShardSummary, capacity: Movable['capacity']): boolean {
+  private isScarce(machine: Machine, shard: ShardSummary, capacity: Movable['capacity']): boolean {
     if (capacity.gpus === 0 || machine.spot || this.context.isTypeAvailable(capacity.name)) return false;
-    return this.context.clusterState.shardsWithGpuWork.has(share.shard);
+    return this.context.clusterState.shardsWithGpuWork.has(shard.shard);
   }
 
-  private score({ summary: told, capacity }: Movable, { demand, remainingTasks: left }: PendingDemand): number {
-    const busy = told.tasks > 0 ? COST_OF_BUSY + COST_OF_TASK * told.tasks : 0;
+  private score({ summary, capacity }: Movable, { demand, remainingTasks: left }: PendingDemand): number {
+    const busy = summary.tasks > 0 ? COST_OF_BUSY + COST_OF_TASK * summary.tasks : 0;
     const accelerators = demand.gpus === 0 && capacity.gpus > 0 ? COST_OF_ACCELERATORS : 0;
-    return told.services * COST_OF_SERVICE + busy + accelerators - Math.min(countThatFit(demand, capacity), left);
+    return summary.services * COST_OF_SERVICE + busy + accelerators - Math.min(countThatFit(demand, capacity), left);
   }
 }
--- a/packages/controller/src/context/index.ts
+++ b/packages/controller/src/context/index.ts
@@ -26,7 +26,7 @@
   /** the replica holds everything that was so at this time */
   replicaFreshAt: Milliseconds;
   emit(effect: Effect): void;
-  log(level: LogLevel, msg: string, data?: Record<string, unknown>): void;
+  log(level: LogLevel, message: string, data?: Record<string, unknown>): void;
   nextEffectId(): number;
   isLeaseValid(now: Milliseconds): boolean;
   stateServiceAnswers(now: Milliseconds): boolean;
@@ -35,13 +35,13 @@
   /** can workers be reached from here? */
   reachesWorkers(): boolean;
   /** held, and not being released: commands, plans and returns may leave for it */
-  mayActFor(share: number): boolean;
-  isPeerAlive(node: string, now: Milliseconds): boolean;
+  mayActFor(shard: number): boolean;
+  isPeerAlive(controller: string, now: Milliseconds): boolean;
   afterBarrier(now: Milliseconds, run: (now: Milliseconds) => void, until?: Milliseconds, late?: () => void): void;
-  leaseAcquired(holding: string, stamp: number): void;
-  leaseLost(holding: string): void;
+  leaseAcquired(lease: string, revision: number): void;
+  leaseLost(lease: string): void;
   /** do all machines of a share held here answer, and is the most urgent work placed? */
-  isShardSettled(share: number): boolean;
+  isShardSettled(shard: number): boolean;
   requestScheduling(): void;
   /** can more machines of this type be had, as far as is known? */
   isTypeAvailable(type: string): boolean;
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -76,9 +76,9 @@
       (key, entry) => this.keyChanged(key, entry),
       (key, error) => this.log('warn', 'a change could not be taken', { key, error: String(error) }),
     );
-    const share = 0.95 / Math.max(1, settings.controllers.length);
+    const shard = 0.95 / Math.max(1, settings.controllers.length);
     this.writer = new StateWriter(
-      { writesPerS: Math.max(1, settings.state.writesPerS * share), ...this.clusterState.sizeLimits },
+      { writesPerS: Math.max(1, settings.state.writesPerS * shard), ...this.clusterState.sizeLimits },
       this.replica,
       (effect) => this.emit(effect),
       () => this.lease.id,
@@ -96,27 +96,21 @@
     );
     this.heartbeatForwarding = new HeartbeatForwarding(this);
     this.workerRouting = new WorkerRouting(this);
-    const {
-      shardController: owner,
-      leader,
-      heartbeatForwarding: forwarding,
-      workerRouting: routing,
-      cancellationFreshness: vouching,
-    } = this;
+    const { shardController, leader, heartbeatForwarding, workerRouting, cancellationFreshness } = this;
     this.heartbeatResponder = new HeartbeatResponder(this, {
-      shardController: owner,
+      shardController,
       leader,
-      heartbeatForwarding: forwarding,
-      workerRouting: routing,
-      cancellationFreshness: vouching,
+      heartbeatForwarding,
+      workerRouting,
+      cancellationFreshness,
     });
     const mayAnswerWorkers = (now: Milliseconds) => this.heartbeatResponder.mayAnswerWorkers(now);
     this.statusExchange = new StatusExchange(this, {
-      shardController: owner,
+      shardController,
       leader,
-      heartbeatForwarding: forwarding,
-      workerRouting: routing,
-      cancellationFreshness: vouching,
+      heartbeatForwarding,
+      workerRouting,
+      cancellationFreshness,
       mayAnswerWorkers,
     });
   }
@@ -127,14 +121,14 @@
     this.effects.push(effect);
   }
 
-  log(level: LogLevel, msg: string, data?: Record<string, unknown>): void {
-    this.effects.push(data ? { type: 'log', level, message: msg, fields: data } : { type: 'log', level, message: msg });
+  log(level: LogLevel, message: string, data?: Record<string, unknown>): void {
+    this.effects.push(data ? { type: 'log', level, message, fields: data } : { type: 'log', level, message });
   }
 
   takeEffects(): Effect[] {
-    const out = this.effects;
+    const result = this.effects;
     this.effects = [];
-    return out;
+    return result;
   }
 
   nextEffectId(): number {
@@ -145,8 +139,8 @@
     return this.lease.id !== null && now < this.lease.validUntil;
   }
 
-  isPeerAlive(node: string, now: Milliseconds): boolean {
-    const peer = this.peers.get(node);
+  isPeerAlive(controller: string, now: Milliseconds): boolean {
+    const peer = this.peers.get(controller);
     return peer?.isConnected === true && now - peer.heardAt < PEER_SILENT_MS;
   }
 
@@ -156,26 +150,26 @@
     this.emit({ type: 'readBarrier', urgent: true });
   }
 
-  leaseAcquired(holding: string, stamp: number): void {
-    if (holding === 'lead') this.leader.leaseAcquired(stamp, this.now);
-    else this.shardController.leaseAcquired(Number(holding), stamp, this.now);
+  leaseAcquired(lease: string, revision: number): void {
+    if (lease === 'lead') this.leader.leaseAcquired(revision, this.now);
+    else this.shardController.leaseAcquired(Number(lease), revision, this.now);
   }
 
-  leaseLost(holding: string): void {
-    if (holding === 'lead') this.leader.leaseLost();
-    else this.shardController.leaseLost(Number(holding));
+  leaseLost(lease: string): void {
+    if (lease === 'lead') this.leader.leaseLost();
+    else this.shardController.leaseLost(Number(lease));
   }
 
   reachesWorkers(): boolean {
     return this.shardController.machineLifecycle.failureDetector.reachesWorkers;
   }
 
-  mayActFor(share: number): boolean {
-    return this.shardLeases.mayActUnder(String(share), this.now);
+  mayActFor(shard: number): boolean {
+    return this.shardLeases.mayActUnder(String(shard), this.now);
   }
 
-  isShardSettled(share: number): boolean {
-    return this.shardController.isSettled(share);
+  isShardSettled(shard: number): boolean {
+    return this.shardController.isSettled(shard);
   }
 
   requestScheduling(): void {
@@ -244,21 +238,21 @@
   }
 
   /** The lease stands until `validUntil` at least; null: there is none. */
-  receiveLeaseState(permit: number | null, validUntil: Milliseconds, now: Milliseconds): void {
+  receiveLeaseState(leaseId: number | null, validUntil: Milliseconds, now: Milliseconds): void {
     this.now = now;
-    if (permit === null) {
+    if (leaseId === null) {
       if (this.lease.id !== null) this.stateLeaseLost();
       return;
     }
-    if (this.lease.id !== null && this.lease.id !== permit) this.stateLeaseLost();
+    if (this.lease.id !== null && this.lease.id !== leaseId) this.stateLeaseLost();
     // It was renewed, so it never ended and nobody can have taken what is attached to it: what is
     // held goes on. An outage longer than the lease cost all machines a round of questions before.
-    else if (this.lease.id === permit && now >= this.lease.validUntil) {
+    else if (this.lease.id === leaseId && now >= this.lease.validUntil) {
       this.log('info', 'state lease stands after all', { seconds: Math.round((now - this.lease.validUntil) / 1000) });
       this.shardController.processPaused(now - this.lease.validUntil, now);
     }
     this.stateServiceAnsweredAt = now;
-    this.lease.id = permit;
+    this.lease.id = leaseId;
     this.lease.validUntil = validUntil;
     this.flushWrites(now);
   }
@@ -272,9 +266,9 @@
 
   // ---- users
 
-  submitJob(id: number, body: Record<string, unknown> | null, now: Milliseconds, wall: number): void {
+  submitJob(id: number, body: Record<string, unknown> | null, now: Milliseconds, wallClockMs: number): void {
     this.now = now;
-    this.clientRequests.submit(id, body, now, wall);
+    this.clientRequests.submit(id, body, now, wallClockMs);
     this.flushWrites(now);
   }
 
@@ -298,8 +292,8 @@
     if (!this.replica.loaded || !this.clusterState.machineTypesKnown) return false;
     if (this.stateServiceAnswers(this.now)) return true;
     let any = false;
-    for (const [node, peer] of this.peers) {
-      if (!this.isPeerAlive(node, this.now)) continue;
+    for (const [controller, peer] of this.peers) {
+      if (!this.isPeerAlive(controller, this.now)) continue;
       any = true;
       if (peer.status.stateServiceAnswers) return false;
     }
@@ -313,16 +307,16 @@
 
   // ---- workers
 
-  receiveHeartbeat(id: number, report: Heartbeat, now: Milliseconds): void {
+  receiveHeartbeat(id: number, heartbeat: Heartbeat, now: Milliseconds): void {
     this.now = now;
-    this.heartbeatResponder.receive(id, report, now);
+    this.heartbeatResponder.receive(id, heartbeat, now);
     this.flushWrites(now);
   }
 
   /** A report that another controller answered and passed on. */
-  receiveForwardedHeartbeat(report: Heartbeat, now: Milliseconds): void {
+  receiveForwardedHeartbeat(heartbeat: Heartbeat, now: Milliseconds): void {
     this.now = now;
-    this.heartbeatResponder.receiveForwarded(report, now);
+    this.heartbeatResponder.receiveForwarded(heartbeat, now);
     this.flushWrites(now);
   }
 
@@ -412,9 +406,9 @@
     this.flushWrites(now);
   }
 
-  peerDisconnected(node: string, now: Milliseconds): void {
+  peerDisconnected(controller: string, now: Milliseconds): void {
     this.now = now;
-    const peer = this.peers.get(node);
+    const peer = this.peers.get(controller);
     if (peer) peer.isConnected = false;
   }
 
@@ -451,7 +445,7 @@
     for (const peer of this.peers.values()) peer.heardAt += ms;
     this.heartbeatForwarding.processPaused(ms);
     this.workerRouting.processPaused(ms);
-    for (const [node, at] of this.clusterState.absentSince) this.clusterState.absentSince.set(node, at + ms);
+    for (const [controller, at] of this.clusterState.absentSince) this.clusterState.absentSince.set(controller, at + ms);
     this.shardLeases.processPaused(ms);
     this.shardController.processPaused(ms, now);
   }
@@ -463,9 +457,9 @@
   }
 
   /** `wall`: the time of day, to which stored times of submissions and ends refer. */
-  tick(now: Milliseconds, wall: Milliseconds = now): void {
+  tick(now: Milliseconds, wallClockMs: Milliseconds = now): void {
     this.now = now;
-    this.clusterState.wallClockOffsetMs = wall - now;
+    this.clusterState.wallClockOffsetMs = wallClockMs - now;
     this.readBarriers.expire(now);
     const soon = this.readBarriers.size > 0;
     if (soon || this.clientRequests.hasPendingQueries) this.emit({ type: 'readBarrier', urgent: soon });
--- a/packages/controller/src/heartbeats/heartbeat-forwarding.ts
+++ b/packages/controller/src/heartbeats/heartbeat-forwarding.ts
@@ -53,28 +53,28 @@
   constructor(private readonly context: ControllerContext) {}
 
   /** A late copy must not make a silent machine seem alive: only what is newer counts. */
-  receive(report: Heartbeat, owner: string | null, now: Milliseconds): void {
-    const old = this.heardMachines.get(report.machine);
-    if (old && !isNewer(report, old.heartbeat)) return;
+  receive(heartbeat: Heartbeat, holder: string | null, now: Milliseconds): void {
+    const old = this.heardMachines.get(heartbeat.machine);
+    if (old && !isNewer(heartbeat, old.heartbeat)) return;
     const machine: HeardMachine = {
-      heartbeat: report,
+      heartbeat,
       heardAt: now,
       forwardedTo: old?.forwardedTo ?? null,
       forwardedSequence: old?.forwardedSequence ?? -1,
       forwardedAt: old?.forwardedAt ?? NEVER,
     };
-    this.heardMachines.set(report.machine, machine);
-    if (owner === null || owner === this.context.settings.name || !this.context.isPeerAlive(owner, now)) {
+    this.heardMachines.set(heartbeat.machine, machine);
+    if (holder === null || holder === this.context.settings.name || !this.context.isPeerAlive(holder, now)) {
       machine.forwardedTo = null;
       return;
     }
     const again = FORWARD_AGAIN_INTERVALS * this.context.settings.workers.heartbeatIntervalS * 1000;
-    if (old && machine.forwardedTo === owner && isSameHeartbeat(old.heartbeat, report) && now - machine.forwardedAt < again)
+    if (old && machine.forwardedTo === holder && isSameHeartbeat(old.heartbeat, heartbeat) && now - machine.forwardedAt < again)
       return;
-    machine.forwardedTo = owner;
-    machine.forwardedSequence = report.sequence;
+    machine.forwardedTo = holder;
+    machine.forwardedSequence = heartbeat.sequence;
     machine.forwardedAt = now;
-    this.context.emit({ type: 'forwardHeartbeat', to: owner, heartbeat: report });
+    this.context.emit({ type: 'forwardHeartbeat', to: holder, heartbeat });
   }
 
   /** The machines heard here lately, by the controller that owns them. */
@@ -91,15 +91,15 @@
   private addUnchanged(
     byOwner: Map<string, UnchangedHeartbeat[]>,
     name: string,
-    { heartbeat: report, forwardedTo, forwardedSequence: forwardedSeq }: HeardMachine,
+    { heartbeat, forwardedTo, forwardedSequence: forwardedSeq }: HeardMachine,
   ): void {
     const machine = this.context.clusterState.machines.get(name);
-    const owner = machine && this.context.clusterState.leaseOf(machine.shard)?.holder.controller;
-    if (!owner) return;
-    const list = byOwner.get(owner) ?? [];
-    if (list.length === 0) byOwner.set(owner, list);
-    const whole = forwardedTo === owner ? forwardedSeq : report.sequence;
-    list.push({ machine: name, agentEpoch: report.agentEpoch, sequence: report.sequence, forwardedSequence: whole });
+    const holder = machine && this.context.clusterState.leaseOf(machine.shard)?.holder.controller;
+    if (!holder) return;
+    const list = byOwner.get(holder) ?? [];
+    if (list.length === 0) byOwner.set(holder, list);
+    const whole = forwardedTo === holder ? forwardedSeq : heartbeat.sequence;
+    list.push({ machine: name, agentEpoch: heartbeat.agentEpoch, sequence: heartbeat.sequence, forwardedSequence: whole });
   }
 
   /** This process stood still: what was silent meanwhile was not heard because of that. */
@@ -108,6 +108,8 @@
   }
 }
 
-function isNewer(report: Heartbeat, than: Heartbeat): boolean {
-  return report.agentEpoch > than.agentEpoch || (report.agentEpoch === than.agentEpoch && report.sequence > than.sequence);
+function isNewer(heartbeat: Heartbeat, than: Heartbeat): boolean {
+  return (
+    heartbeat.agentEpoch > than.agentEpoch || (heartbeat.agentEpoch === than.agentEpoch && heartbeat.sequence > than.sequence)
+  );
 }
--- a/packages/controller/src/heartbeats/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeats/heartbeat-reconciler.ts
@@ -106,15 +106,15 @@
 
   /** How urgent it is to learn of a job's task: what is cancelled has to be gone in time. */
   private reportedPriorityOf(id: string): number {
-    const { finishedJobs: finals, jobs } = this.context.clusterState;
-    return finals.get(id) === 'cancelled' ? CANCELLED_WORK_PRIORITY : (jobs.get(id)?.priority ?? -1);
+    const { finishedJobs, jobs } = this.context.clusterState;
+    return finishedJobs.get(id) === 'cancelled' ? CANCELLED_WORK_PRIORITY : (jobs.get(id)?.priority ?? -1);
   }
 
   /** More than a worker can have said since it was last heard. */
-  private isImplausible(machine: Machine, seq: number, now: Milliseconds): boolean {
+  private isImplausible(machine: Machine, sequence: number, now: Milliseconds): boolean {
     return (
       machine.sequence >= 0 &&
-      seq - machine.sequence > MESSAGES_AT_ONCE + (MESSAGES_PER_S * (now - machine.lastHeartbeatAt)) / 1000
+      sequence - machine.sequence > MESSAGES_AT_ONCE + (MESSAGES_PER_S * (now - machine.lastHeartbeatAt)) / 1000
     );
   }
 
--- a/packages/controller/src/heartbeats/heartbeat-responder.ts
+++ b/packages/controller/src/heartbeats/heartbeat-responder.ts
@@ -32,43 +32,44 @@
     private readonly collaborators: HeartbeatCollaborators,
   ) {}
 
-  receive(id: number, report: Heartbeat, now: Milliseconds): void {
-    const { shardController: owner, leader, heartbeatForwarding: forwarding, workerRouting: routing } = this.collaborators;
-    const { clusterState: table } = this.context;
+  receive(id: number, heartbeat: Heartbeat, now: Milliseconds): void {
+    const { shardController, leader, heartbeatForwarding, workerRouting } = this.collaborators;
+    const { clusterState } = this.context;
     if (!this.mayAnswerWorkers(now)) return this.respond(id, 503, MAY_NOT_ANSWER);
-    const machine = table.machines.get(report.machine);
+    const machine = clusterState.machines.get(heartbeat.machine);
     if (!machine) {
-      const { address: addr, type, zone, spot } = report;
-      leader.unassignedMachineReported({ machine: report.machine, address: addr, type, zone, spot }, now);
+      const { address, type, zone, spot } = heartbeat;
+      leader.unassignedMachineReported({ machine: heartbeat.machine, address, type, zone, spot }, now);
       return this.respond(id, 421, encodeRedirect(null));
     }
     // It has been told a higher token than is known here: whatever is answered, it drops, and
     // stays here while its lease runs out. Another controller must answer it.
-    if (report.fencingToken > table.fencingToken(machine)) return this.respond(id, 503, MAY_NOT_ANSWER);
-    const holder = table.leaseOf(machine.shard)?.holder.controller ?? null;
-    const elsewhere = routing.redirectTarget(report, holder, now);
+    if (heartbeat.fencingToken > clusterState.fencingToken(machine)) return this.respond(id, 503, MAY_NOT_ANSWER);
+    const holder = clusterState.leaseOf(machine.shard)?.holder.controller ?? null;
+    const elsewhere = workerRouting.redirectTarget(heartbeat, holder, now);
     if (elsewhere !== null) return this.respond(id, 421, encodeRedirect(elsewhere));
-    routing.workerServed(report.machine, now);
-    if (owner.allocations.holdsShard(machine.shard, now)) owner.heartbeatReconciler.reconcile(machine, report, now);
+    workerRouting.workerServed(heartbeat.machine, now);
+    if (shardController.allocations.holdsShard(machine.shard, now))
+      shardController.heartbeatReconciler.reconcile(machine, heartbeat, now);
     // The work must not die because its owner did, or can't be reached from here.
-    else forwarding.receive(report, holder, now);
-    this.respond(id, 200, encodeHeartbeatResponse(table.fencingToken(machine), this.stopsForFinishedJobs(report)));
+    else heartbeatForwarding.receive(heartbeat, holder, now);
+    this.respond(id, 200, encodeHeartbeatResponse(clusterState.fencingToken(machine), this.stopsForFinishedJobs(heartbeat)));
   }
 
   /** A report that another controller answered and passed on. */
-  receiveForwarded(report: Heartbeat, now: Milliseconds): void {
-    const { shardController: owner } = this.collaborators;
-    const { clusterState: table, settings } = this.context;
-    const machine = table.machines.get(report.machine);
+  receiveForwarded(heartbeat: Heartbeat, now: Milliseconds): void {
+    const { shardController } = this.collaborators;
+    const { clusterState, settings } = this.context;
+    const machine = clusterState.machines.get(heartbeat.machine);
     if (
       !machine ||
-      table.leaseOf(machine.shard)?.holder.controller !== settings.name ||
-      !owner.allocations.holdsShard(machine.shard, now)
+      clusterState.leaseOf(machine.shard)?.holder.controller !== settings.name ||
+      !shardController.allocations.holdsShard(machine.shard, now)
     )
       return;
-    owner.heartbeatReconciler.reconcile(machine, report, now);
+    shardController.heartbeatReconciler.reconcile(machine, heartbeat, now);
     // Workers of our own zone report here, unless this controller or the machine is apart.
-    if (report.zone === settings.zone) owner.heartbeatReconciler.requestProbe(machine, now);
+    if (heartbeat.zone === settings.zone) shardController.heartbeatReconciler.requestProbe(machine, now);
   }
 
   /**
@@ -96,9 +97,9 @@
    * not get through where the answer does, and the answer is what lets the work live on. Of a job that is done a
    * second attempt may be left, which its owner knows nothing of any more.
    */
-  private stopsForFinishedJobs(report: Heartbeat): Command[] {
-    const { finishedJobs: finals } = this.context.clusterState;
-    const over = report.tasks.filter(({ job, state }) => state !== 'exited' && finals.has(job));
+  private stopsForFinishedJobs(heartbeat: Heartbeat): Command[] {
+    const { finishedJobs } = this.context.clusterState;
+    const over = heartbeat.tasks.filter(({ job, state }) => state !== 'exited' && finishedJobs.has(job));
     return over.slice(0, MAX_COMMANDS_PER_BODY).map(stopReportedTask);
   }
 
--- a/packages/controller/src/heartbeats/worker-routing.ts
+++ b/packages/controller/src/heartbeats/worker-routing.ts
@@ -27,10 +27,10 @@
   constructor(private readonly context: ControllerContext) {}
 
   /** The controller that the worker is to be sent to instead; null: it is to be answered here. */
-  redirectTarget(report: Heartbeat, owner: string | null, now: Milliseconds): string | null {
-    const node = this.preferredController(report.zone, owner, now);
-    if (node === this.context.settings.name) return null;
-    return this.mayRedirectWorker(report, now) && this.mayRedirectTo(report.machine, node, now) ? node : null;
+  redirectTarget(heartbeat: Heartbeat, holder: string | null, now: Milliseconds): string | null {
+    const controller = this.preferredController(heartbeat.zone, holder, now);
+    if (controller === this.context.settings.name) return null;
+    return this.mayRedirectWorker(heartbeat, now) && this.mayRedirectTo(heartbeat.machine, controller, now) ? controller : null;
   }
 
   workerServed(machine: string, now: Milliseconds): void {
@@ -78,25 +78,25 @@
    * A worker that bears work and comes from elsewhere got no answer there, and part of its lease is gone: it is
    * answered here first and sent with its next report, so that trying the other controller costs it no lease.
    */
-  private mayRedirectWorker(report: Heartbeat, now: Milliseconds): boolean {
-    return report.tasks.length === 0 || now - (this.servedAt.get(report.machine) ?? NEVER) < this.servedMs;
+  private mayRedirectWorker(heartbeat: Heartbeat, now: Milliseconds): boolean {
+    return heartbeat.tasks.length === 0 || now - (this.servedAt.get(heartbeat.machine) ?? NEVER) < this.servedMs;
   }
 
   /** The controller that a worker of this zone should report to, as far as is seen from here. */
-  private preferredController(zone: string, owner: string | null, now: Milliseconds): string {
+  private preferredController(zone: string, holder: string | null, now: Milliseconds): string {
     const { name: self, zone: ownZone, controllers: nodes } = this.context.settings;
-    const ownerAnswers = owner !== null && this.canServe(owner, now);
-    if (ownerAnswers && nodes.find((node) => node.name === owner)?.zone === zone) return owner;
+    const ownerAnswers = holder !== null && this.canServe(holder, now);
+    if (ownerAnswers && nodes.find((node) => node.name === holder)?.zone === zone) return holder;
     if (ownZone === zone) return self;
     const near = nodes.find((node) => node.zone === zone && this.canServe(node.name, now));
     if (near) return near.name;
-    return ownerAnswers ? owner : self;
+    return ownerAnswers ? holder : self;
   }
 
   /** One that the state service refuses answers no worker, so none must be sent to it. */
-  private canServe(node: string, now: Milliseconds): boolean {
-    if (node === this.context.settings.name) return true;
-    const status = this.context.peers.get(node)?.status;
-    return this.context.isPeerAlive(node, now) && status?.mayAnswerWorkers === true && status.reachesWorkers;
+  private canServe(controller: string, now: Milliseconds): boolean {
+    if (controller === this.context.settings.name) return true;
+    const status = this.context.peers.get(controller)?.status;
+    return this.context.isPeerAlive(controller, now) && status?.mayAnswerWorkers === true && status.reachesWorkers;
   }
 }
--- a/packages/controller/src/jobs/cancellations.ts
+++ b/packages/controller/src/jobs/cancellations.ts
@@ -36,19 +36,19 @@
   }
 
   private storeCancellation(id: number, job: string, entry: ReplicaEntry, until: Milliseconds): void {
-    const { clusterState: table, writer } = this.context;
+    const { clusterState, writer } = this.context;
     const key = StateKey.job(job);
     const end = this.responses.respondOnce(id, until);
     writer.add({
       key,
-      value: () => encodeCancelledJob(key, entry.value, table.sizeLimits.maxWriteBytes),
+      value: () => encodeCancelledJob(key, entry.value, clusterState.sizeLimits.maxWriteBytes),
       expectedRevision: entry.revision,
       priority: WritePriority.cancellation,
       expiresAt: until,
       onOutcome: (outcome) => {
         if (outcome === 'ok') return end(() => this.responses.respond(id, 200, encodeJobStatus(job, 'cancelled')));
         // Somebody else wrote first: the replica has it by now.
-        const final = table.finishedJobs.get(job);
+        const final = clusterState.finishedJobs.get(job);
         if (final) end(() => this.responses.respond(id, 200, encodeJobStatus(job, final)));
         else end(() => this.responses.respondUnavailable(id, 'try again'));
       },
--- a/packages/controller/src/jobs/client-requests.ts
+++ b/packages/controller/src/jobs/client-requests.ts
@@ -21,9 +21,9 @@
   }
 
   /** `wall`: the time of day. */
-  submit(id: number, body: Record<string, unknown> | null, now: Milliseconds, wall: Milliseconds): void {
+  submit(id: number, body: Record<string, unknown> | null, now: Milliseconds, wallClockMs: Milliseconds): void {
     this.responses.requestOpened();
-    this.submissions.submit(id, body, now, wall);
+    this.submissions.submit(id, body, now, wallClockMs);
   }
 
   cancel(id: number, job: string, now: Milliseconds): void {
--- a/packages/controller/src/jobs/submissions.ts
+++ b/packages/controller/src/jobs/submissions.ts
@@ -18,7 +18,7 @@
     private readonly responses: ClientResponses,
   ) {}
 
-  submit(id: number, body: Record<string, unknown> | null, now: Milliseconds, wall: number): void {
+  submit(id: number, body: Record<string, unknown> | null, now: Milliseconds, wallClockMs: number): void {
     if (!body) return this.responses.respond(id, 400, { error: 'the body is not a MessagePack map' });
     const parsed = parseSubmission(body);
     if ('field' in parsed) return this.responses.respond(id, 400, { error: `field ${parsed.field} is missing or invalid` });
@@ -28,8 +28,8 @@
     const unready = this.context.clusterState.machineTypesKnown ? this.responses.unavailableReason(now) : NOT_READY;
     if (unready) return this.responses.respondUnavailable(id, unready);
     if (this.context.clusterState.jobs.has(spec.id)) return this.respondWithKnownStatus(id, spec.id, now);
-    if (this.rejectionReason(parsed)) return this.confirmRejection(id, parsed, now, wall);
-    this.accept(id, parsed, wall, now + REQUEST_TIMEOUT_MS);
+    if (this.rejectionReason(parsed)) return this.confirmRejection(id, parsed, now, wallClockMs);
+    this.accept(id, parsed, wallClockMs, now + REQUEST_TIMEOUT_MS);
   }
 
   /** Why the submission is to be refused, by what is known here, or null. */
@@ -46,7 +46,7 @@
   }
 
   /** The job, or one that it awaits, may have been accepted elsewhere a moment ago: only a newer reading tells. */
-  private confirmRejection(id: number, submission: Submission, now: Milliseconds, wall: number): void {
+  private confirmRejection(id: number, submission: Submission, now: Milliseconds, wallClockMs: number): void {
     const { spec } = submission;
     const until = now + REQUEST_TIMEOUT_MS;
     this.responses.afterBarrier(id, now, until, () => {
@@ -54,15 +54,15 @@
       const refusal = this.rejectionReason(submission);
       if (state) this.responses.respond(id, 200, encodeJobStatus(spec.id, state));
       else if (refusal) this.responses.respond(id, 422, { error: refusal });
-      else this.accept(id, submission, wall, until);
+      else this.accept(id, submission, wallClockMs, until);
     });
   }
 
   /** Stores the job, and answers once it is stored. */
-  private accept(id: number, { spec, awaits }: Submission, wall: number, until: Milliseconds): void {
+  private accept(id: number, { spec, awaits }: Submission, wallClockMs: number, until: Milliseconds): void {
     if (this.responses.isOverloaded) return this.responses.respondUnavailable(id, 'overloaded');
     const key = StateKey.job(spec.id);
-    const encoded = this.encode(key, spec, awaits, wall);
+    const encoded = this.encode(key, spec, awaits, wallClockMs);
     if (!encoded) return this.responses.respond(id, 400, { error: 'its names are too long to be stored' });
     const end = this.responses.respondOnce(id, until);
     const unanswered = () => end(() => this.responses.respondUnavailable(id, STATE_SERVICE_UNAVAILABLE));
@@ -76,15 +76,15 @@
     });
   }
 
-  private encode(key: string, spec: JobSpec, awaits: string[], wall: number): EncodedJob | null {
-    const { clusterState: table } = this.context;
+  private encode(key: string, spec: JobSpec, awaits: string[], wallClockMs: number): EncodedJob | null {
+    const { clusterState } = this.context;
     const ordered = spec.types === null ? spec : { ...spec, types: this.knownTypesFirst(spec.types) };
     // What is stored as done needs no edge.
-    const open = awaits.filter((other) => table.finishedJobs.get(other) !== 'done');
-    const encoded = encodeAcceptedJob(key, ordered, open, wall, table.sizeLimits.maxWriteBytes);
+    const open = awaits.filter((other) => clusterState.finishedJobs.get(other) !== 'done');
+    const encoded = encodeAcceptedJob(key, ordered, open, wallClockMs, clusterState.sizeLimits.maxWriteBytes);
     if (encoded === null || encoded.parts.length === 0) return encoded;
     // In parts the whole list is stored, so that a repeated submission finds the same parts.
-    return encodeAcceptedJob(key, ordered, awaits, wall, table.sizeLimits.maxWriteBytes);
+    return encodeAcceptedJob(key, ordered, awaits, wallClockMs, clusterState.sizeLimits.maxWriteBytes);
   }
 
   /** An older version reads only the machine types that come first: such as it can use serve it best. */
@@ -163,10 +163,10 @@
 
   /** Why the job can never run, or null. */
   private infeasibilityReason(spec: JobSpec): string | null {
-    const { clusterState: table, settings } = this.context;
+    const { clusterState, settings } = this.context;
     const team = settings.teams.find((team) => team.name === spec.team);
     if (!team) return `unknown team ${spec.team}`;
-    const types = table.machineTypes.filter((machineType) => machineType !== null && machineType !== undefined);
+    const types = clusterState.machineTypes.filter((machineType) => machineType !== null && machineType !== undefined);
     const fit = types.some(
       (machineType) =>
         (spec.types === null || spec.types.includes(machineType.name)) &&
--- a/packages/controller/src/leadership/cancellation-freshness.ts
+++ b/packages/controller/src/leadership/cancellation-freshness.ts
@@ -25,14 +25,14 @@
   ) {}
 
   /** What a status to another controller says for its sake. */
-  pingAndEcho(node: string, now: Milliseconds): { ping: string; echo: string } {
+  pingAndEcho(controller: string, now: Milliseconds): { ping: string; echo: string } {
     const ping = `${this.incarnation}/${++this.pingCount}`;
     this.sentPings.set(ping, now);
     for (const [old, at] of this.sentPings) {
       if (now - at <= PING_EXPIRY_MS) break;
       this.sentPings.delete(old);
     }
-    return { ping, echo: this.lastPings.get(node) ?? '' };
+    return { ping, echo: this.lastPings.get(controller) ?? '' };
   }
 
   /** `revision`: all changes up to it are known here. */
@@ -46,7 +46,7 @@
 
   freshSince(now: Milliseconds): Milliseconds {
     let all = now;
-    for (const node of this.others) all = Math.min(all, this.freshUntil.get(node) ?? Number.NEGATIVE_INFINITY);
+    for (const controller of this.others) all = Math.min(all, this.freshUntil.get(controller) ?? Number.NEGATIVE_INFINITY);
     return all;
   }
 }
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -46,11 +46,11 @@
     );
   }
 
-  leaseAcquired(stamp: number, now: Milliseconds): void {
+  leaseAcquired(revision: number, now: Milliseconds): void {
     this.leadingSince = now;
-    this.leaseRevision = stamp;
+    this.leaseRevision = revision;
     this.shardRebalancer.reset();
-    this.autoscaler.leaseAcquired(stamp, now);
+    this.autoscaler.leaseAcquired(revision, now);
   }
 
   machineRemoved(name: string, now: Milliseconds): void {
@@ -81,12 +81,12 @@
     // A round weighs all machines: with many of them, rounds are rarer.
     if (now - this.lastRoundAt < this.roundMs || now - this.context.replicaFreshAt > 4000 || this.context.isCatchingUp()) return;
     this.lastRoundAt = now;
-    const shares = this.shardSummaries(now);
-    this.rebalance(shares, now);
+    const shards = this.shardSummaries(now);
+    this.rebalance(shards, now);
     if (this.context.clusterState.machineTypesKnown && this.autoscaler.isListKnown) {
-      this.autoscaler.scaleOut(shares, now);
+      this.autoscaler.scaleOut(shards, now);
       this.autoscaler.releaseOverdue(now);
-      if (!this.context.settings.policy.holdSpareCapacity) this.retireIdleMachines(shares, now);
+      if (!this.context.settings.policy.holdSpareCapacity) this.retireIdleMachines(shards, now);
     }
   }
 
@@ -100,28 +100,28 @@
   }
 
   private shardSummaries(now: Milliseconds): Map<number, ShardSummary> {
-    const out = new Map<number, ShardSummary>();
+    const result = new Map<number, ShardSummary>();
     for (const peer of this.context.peers.values()) {
       if (now - peer.heardAt > 5000) continue;
       for (const summary of peer.status.shards)
         if (this.context.clusterState.leaseOf(summary.shard)?.holder.controller === peer.status.node)
-          out.set(summary.shard, summary);
+          result.set(summary.shard, summary);
     }
-    for (const share of this.shardController.heldShards.keys()) out.set(share, this.shardController.shardSummary(share, now));
-    return out;
+    for (const shard of this.shardController.heldShards.keys()) result.set(shard, this.shardController.shardSummary(shard, now));
+    return result;
   }
 
-  private rebalance(shares: Map<number, ShardSummary>, now: Milliseconds): void {
-    const waiting = pendingDemands(shares.values());
+  private rebalance(shards: Map<number, ShardSummary>, now: Milliseconds): void {
+    const waiting = pendingDemands(shards.values());
     this.machineAssigner.allocateRecentAssignments(waiting, now);
-    this.shardRebalancer.plan(shares, waiting, this.movesPerRound, (machine, share) => this.orderMove(machine, share, now), now);
+    this.shardRebalancer.plan(shards, waiting, this.movesPerRound, (machine, shard) => this.orderMove(machine, shard, now), now);
   }
 
-  private orderMove(machine: Machine, share: number, now: Milliseconds): void {
-    this.context.log('debug', 'move', { machine: machine.name, from: machine.shard, to: share });
+  private orderMove(machine: Machine, shard: number, now: Milliseconds): void {
+    this.context.log('debug', 'move', { machine: machine.name, from: machine.shard, to: shard });
     this.context.writer.add({
       key: StateKey.assignment(machine.name),
-      value: () => encodeAssignment({ ...this.context.clusterState.assignmentOf(machine), moveToShard: share }),
+      value: () => encodeAssignment({ ...this.context.clusterState.assignmentOf(machine), moveToShard: shard }),
       expectedRevision: machine.assignmentRevision,
       conditions: [{ key: StateKey.shardLease('lead'), revision: this.leaseRevision }],
       priority: WritePriority.assignment,
@@ -136,16 +136,16 @@
    * What costs little may stay idle for longer: it saves little, and to have it again takes
    * its boot time, paid and waited for. The dearest kind goes back first.
    */
-  private idlePatience(cap: MachineType | null, spot: boolean, dearest: number): number {
-    if (!cap) return 1;
-    return Math.min(8, Math.sqrt(dearest / Math.max(1e-6, spot ? cap.spotPrice : cap.price)));
+  private idlePatience(capacity: MachineType | null, spot: boolean, dearest: number): number {
+    if (!capacity) return 1;
+    return Math.min(8, Math.sqrt(dearest / Math.max(1e-6, spot ? capacity.spotPrice : capacity.price)));
   }
 
-  private retireIdleMachines(shares: Map<number, ShardSummary>, now: Milliseconds): void {
-    const demands = [...shares.values()].flatMap((summary) => summary.demands);
+  private retireIdleMachines(shards: Map<number, ShardSummary>, now: Milliseconds): void {
+    const demands = [...shards.values()].flatMap((summary) => summary.demands);
     const dearest = Math.max(...this.autoscaler.instanceOptions().map((option) => option.type.price));
     let budget = Math.floor(this.movesPerRound * LET_GO_PER_MOVE);
-    for (const summary of shares.values()) {
+    for (const summary of shards.values()) {
       for (const machineSummary of summary.machines) {
         const machine = this.context.clusterState.machines.get(machineSummary.name);
         if (
@@ -157,16 +157,17 @@
           machineSummary.protectedPriority > 0
         )
           continue;
-        const cap = machine.capacity;
-        if (machineSummary.idleS < this.context.settings.policy.idleS * this.idlePatience(cap, machine.spot, dearest)) continue;
+        const capacity = machine.capacity;
+        if (machineSummary.idleS < this.context.settings.policy.idleS * this.idlePatience(capacity, machine.spot, dearest))
+          continue;
         if (
-          cap &&
+          capacity &&
           demands.some(
             (demand) =>
-              countThatFit(demand, cap) >= 1 &&
-              matchesDemand(demand, cap.name, this.context.clusterState.zoneNames.nameOf(machine.zoneIndex), machine.spot) &&
+              countThatFit(demand, capacity) >= 1 &&
+              matchesDemand(demand, capacity.name, this.context.clusterState.zoneNames.nameOf(machine.zoneIndex), machine.spot) &&
               // It has been idle all the while: lesser work doesn't take a dear machine for itself.
-              (demand.gpus > 0 || demand.priority > 1 || cap.gpus === 0 || machine.spot),
+              (demand.gpus > 0 || demand.priority > 1 || capacity.gpus === 0 || machine.spot),
           )
         )
           continue;
--- a/packages/controller/src/leadership/shard-leases.ts
+++ b/packages/controller/src/leadership/shard-leases.ts
@@ -44,24 +44,24 @@
   }
 
   leaseNames(): string[] {
-    const out = ['lead'];
-    for (let index = 0; index < this.context.settings.shardCount; index++) out.push(String(index));
-    return out;
+    const result = ['lead'];
+    for (let index = 0; index < this.context.settings.shardCount; index++) result.push(String(index));
+    return result;
   }
 
   leaseChanged(name: string): void {
-    const cur = this.context.clusterState.leaseHolders.get(name);
+    const current = this.context.clusterState.leaseHolders.get(name);
     const self = this.context.settings.name;
-    if (cur && cur.holder.controller === self && cur.holder.incarnation === this.context.incarnation) {
+    if (current && current.holder.controller === self && current.holder.incarnation === this.context.incarnation) {
       if (!this.heldLeases.has(name)) this.releasing.delete(name);
-      if (this.heldLeases.get(name) !== cur.revision) {
-        this.heldLeases.set(name, cur.revision);
-        this.context.log('info', 'holding gained', { holding: name, stamp: cur.revision });
-        this.context.leaseAcquired(name, cur.revision);
+      if (this.heldLeases.get(name) !== current.revision) {
+        this.heldLeases.set(name, current.revision);
+        this.context.log('info', 'holding gained', { holding: name, stamp: current.revision });
+        this.context.leaseAcquired(name, current.revision);
       }
     } else if (this.heldLeases.delete(name)) {
       this.releasing.delete(name);
-      this.context.log('info', 'holding lost', { holding: name, to: cur?.holder.controller ?? null });
+      this.context.log('info', 'holding lost', { holding: name, to: current?.holder.controller ?? null });
       this.context.leaseLost(name);
     }
   }
@@ -87,23 +87,23 @@
     if (!context.reachesWorkers()) this.releaseUnreachableShards(now);
     this.announcePresence(now);
     for (const name of this.leaseNames()) {
-      const cur = context.clusterState.leaseHolders.get(name);
-      if (cur) {
+      const current = context.clusterState.leaseHolders.get(name);
+      if (current) {
         this.absentSince.delete(name);
         // Ours from before a restart, or from before our lease seemed over (the service was
         // away for long, and kept it): taken anew, so that the token rises.
-        if (cur.holder.controller === self && !this.heldLeases.has(name)) this.claim(name, cur.revision, now);
+        if (current.holder.controller === self && !this.heldLeases.has(name)) this.claim(name, current.revision, now);
         continue;
       }
       if (this.heldLeases.has(name) || (name !== 'lead' && !context.reachesWorkers())) continue;
       const since = this.absentSince.get(name) ?? now;
       this.absentSince.set(name, since);
       // A live home node claims first; the others in turn, those with the least to hold first.
-      const rank = context.settings.controllers.findIndex((controller) => controller.name === self);
+      const priority = context.settings.controllers.findIndex((controller) => controller.name === self);
       const home = this.preferredHolder(name);
       // What is being claimed counts as held, so that a lead and a share don't go to one together.
       const count = this.heldLeases.size + this.claiming.size;
-      const wait = home === self ? 0 : (this.canHoldShards(home, now) ? 3000 : 200) + 400 * count + 150 * rank;
+      const wait = home === self ? 0 : (this.canHoldShards(home, now) ? 3000 : 200) + 400 * count + 150 * priority;
       if (now - since >= wait) this.claim(name, 0, now);
     }
     this.returnToPreferredHolder(now);
@@ -112,13 +112,13 @@
   /** Shows the others that our lease stands, whether or not we hold anything. */
   private announcePresence(now: Milliseconds): void {
     const key = StateKey.presence(this.context.settings.name);
-    const cur = this.context.replica.get(key);
-    if (this.writing.has(key) || (cur && isPresenceOf(cur.value, this.context.incarnation))) return;
+    const current = this.context.replica.get(key);
+    if (this.writing.has(key) || (current && isPresenceOf(current.value, this.context.incarnation))) return;
     this.writing.add(key);
     this.context.writer.add({
       key,
       value: () => encodePresence(this.context.incarnation),
-      expectedRevision: cur?.revision ?? 0,
+      expectedRevision: current?.revision ?? 0,
       attachedToLease: true,
       priority: WritePriority.release,
       expiresAt: now + 5000,
@@ -126,15 +126,15 @@
     });
   }
 
-  private claim(name: string, guard: number, now: Milliseconds): void {
+  private claim(name: string, condition: number, now: Milliseconds): void {
     const context = this.context;
     if (this.writing.has(name) || now - context.replicaFreshAt > 3000) return;
     this.writing.add(name);
-    if (guard === 0) this.claiming.add(name);
+    if (condition === 0) this.claiming.add(name);
     context.writer.add({
       key: StateKey.shardLease(name === 'lead' ? 'lead' : Number(name)),
       value: () => encodeHolder({ controller: context.settings.name, incarnation: context.incarnation }),
-      expectedRevision: guard,
+      expectedRevision: condition,
       attachedToLease: true,
       priority: WritePriority.shardLease,
       expiresAt: now + 5000,
@@ -188,10 +188,10 @@
   }
 
   /** Is it seen to hold shares well: alive, with its lease and its workers? */
-  private canHoldShards(node: string, now: Milliseconds): boolean {
-    const status = this.context.peers.get(node)?.status;
+  private canHoldShards(controller: string, now: Milliseconds): boolean {
+    const status = this.context.peers.get(controller)?.status;
     return (
-      this.context.isPeerAlive(node, now) &&
+      this.context.isPeerAlive(controller, now) &&
       status?.mayAnswerWorkers === true &&
       status.stateServiceAnswers &&
       status.reachesWorkers
--- a/packages/controller/src/leadership/status-exchange.ts
+++ b/packages/controller/src/leadership/status-exchange.ts
@@ -91,19 +91,19 @@
 
   /** To each other controller what concerns it: the leader alone decides over machines. */
   private sendToAll(now: Milliseconds): void {
-    const { cancellationFreshness: vouching, heartbeatForwarding: forwarding, shardController: owner } = this.sources;
+    const { cancellationFreshness, heartbeatForwarding, shardController } = this.sources;
     const status = this.status(now);
-    Object.assign(status, this.runningTaskDeltas.next(owner.runningJobs()));
+    Object.assign(status, this.runningTaskDeltas.next(shardController.runningJobs()));
     const turn = this.statusCount++;
     status.unassignedMachines = roundRobinSlice(status.unassignedMachines, MOST_UNGRANTED, turn);
-    const heard = forwarding.recentByHolder(now);
+    const heard = heartbeatForwarding.recentByHolder(now);
     const { leader } = this;
     for (const { name } of this.context.settings.controllers) {
       if (name === this.context.settings.name) continue;
       const own: PeerStatus = {
         ...status,
         unchangedHeartbeats: roundRobinSlice(heard.get(name) ?? [], MOST_HEARD, turn),
-        ...vouching.pingAndEcho(name, now),
+        ...cancellationFreshness.pingAndEcho(name, now),
       };
       if (leader !== null && name !== leader) {
         own.shards = [];
@@ -115,10 +115,10 @@
 
   private status(now: Milliseconds): PeerStatus {
     const { context } = this;
-    const { shardController: owner, leader, workerRouting: routing } = this.sources;
+    const { shardController, leader, workerRouting } = this.sources;
     return {
       node: context.settings.name,
-      shards: [...owner.heldShards.keys()].map((share) => owner.shardSummary(share, now)),
+      shards: [...shardController.heldShards.keys()].map((shard) => shardController.shardSummary(shard, now)),
       runningJobs: [],
       runningJobsComplete: false,
       unassignedMachines: leader.unassignedMachines(now),
@@ -126,10 +126,10 @@
       availableTypes: leader.isLeading ? leader.autoscaler.availableTypes() : [],
       isLeader: leader.isLeading,
       mayAnswerWorkers: this.sources.mayAnswerWorkers(now),
-      reachesWorkers: owner.machineLifecycle.failureDetector.reachesWorkers,
+      reachesWorkers: shardController.machineLifecycle.failureDetector.reachesWorkers,
       wantedWritesPerS: Math.round(context.writer.wantedWritesPerS(now)),
       stateServiceAnswers: context.stateServiceAnswers(now),
-      heardWorkers: routing.servedWorkers(now),
+      heardWorkers: workerRouting.servedWorkers(now),
       replicaLoaded: context.replica.loaded,
       cancellationRevision: context.clusterState.cancellationRevision,
       ping: '',
--- a/packages/controller/src/leadership/stored-status.ts
+++ b/packages/controller/src/leadership/stored-status.ts
@@ -31,19 +31,19 @@
   return { ...status, runningJobs: [], runningJobsComplete: false, unchangedHeartbeats: [] };
 }
 
-function shorten(status: PeerStatus, most: Lengths, turn: number): PeerStatus {
+function shorten(status: PeerStatus, limit: Lengths, turn: number): PeerStatus {
   return {
     ...status,
-    unassignedMachines: roundRobinSlice(status.unassignedMachines, most.ungranted, turn),
-    shards: status.shards.map((share) => ({
-      ...share,
+    unassignedMachines: roundRobinSlice(status.unassignedMachines, limit.ungranted, turn),
+    shards: status.shards.map((shard) => ({
+      ...shard,
       // Machines that bear work can't be moved anyway.
       machines: roundRobinSlice(
-        share.machines.filter((machine) => machine.tasks === 0),
-        most.machines,
+        shard.machines.filter((machine) => machine.tasks === 0),
+        limit.machines,
         turn,
       ),
-      demands: share.demands.slice(0, most.demands),
+      demands: shard.demands.slice(0, limit.demands),
     })),
   };
 }
@@ -52,16 +52,16 @@
 export function fitStoredStatus(key: string, status: PeerStatus, changeBytes: number, turn = 0): PeerStatus {
   const whole = essential(status);
   if (encodedBytes(key, encodeStatus(whole)) <= changeBytes) return whole;
-  const most: Lengths = { ...LONGEST };
-  let short = shorten(whole, most, turn);
-  while (encodedBytes(key, encodeStatus(short)) > changeBytes && Object.values(most).some((length) => length > 0)) {
+  const limit: Lengths = { ...LONGEST };
+  let short = shorten(whole, limit, turn);
+  while (encodedBytes(key, encodeStatus(short)) > changeBytes && Object.values(limit).some((length) => length > 0)) {
     // Waiting work is what the others act on.
-    if (most.machines > 1) most.machines = Math.floor(most.machines / 2);
-    else if (most.demands > 1) most.demands = Math.floor(most.demands / 2);
-    else if (most.ungranted > 0) most.ungranted = Math.floor(most.ungranted / 2);
-    else if (most.machines > 0) most.machines = 0;
-    else most.demands = 0;
-    short = shorten(whole, most, turn);
+    if (limit.machines > 1) limit.machines = Math.floor(limit.machines / 2);
+    else if (limit.demands > 1) limit.demands = Math.floor(limit.demands / 2);
+    else if (limit.ungranted > 0) limit.ungranted = Math.floor(limit.ungranted / 2);
+    else if (limit.machines > 0) limit.machines = 0;
+    else limit.demands = 0;
+    short = shorten(whole, limit, turn);
   }
   return short;
 }
--- a/packages/controller/src/model/job.ts
+++ b/packages/controller/src/model/job.ts
@@ -155,8 +155,9 @@
   }
 
   pendingTasks(): number[] {
-    const out: number[] = [];
-    for (let index = 0; index < this.spec.tasks; index++) if (!this.done[index] && !this.allocations.has(index)) out.push(index);
-    return out;
+    const result: number[] = [];
+    for (let index = 0; index < this.spec.tasks; index++)
+      if (!this.done[index] && !this.allocations.has(index)) result.push(index);
+    return result;
   }
 }
--- a/packages/controller/src/model/machine-load.ts
+++ b/packages/controller/src/model/machine-load.ts
@@ -25,12 +25,12 @@
   const free = { cpus: machine.capacity?.cpus ?? 0, gpus: machine.capacity?.gpus ?? 0, memory: machine.capacity?.memory ?? 0 };
   const services: Allocation[] = [];
   const serviceUse = { cpus: 0, memory: 0 };
-  for (const placement of machine.allocations.values()) {
-    if (placement.phase === 'exited') continue;
-    const { resources: need, spec } = placement.job;
-    subtract(free, need);
+  for (const allocation of machine.allocations.values()) {
+    if (allocation.phase === 'exited') continue;
+    const { resources, spec } = allocation.job;
+    subtract(free, resources);
     if (spec.shape !== 'service') continue;
-    services.push(placement);
+    services.push(allocation);
     if (spec.gpus > 0) continue;
     serviceUse.cpus += spec.cpus;
     serviceUse.memory += spec.memory;
--- a/packages/controller/src/scheduling/candidate-machines.ts
+++ b/packages/controller/src/scheduling/candidate-machines.ts
@@ -23,9 +23,9 @@
   constructor(
     private readonly job: Job,
     private readonly freeResources: readonly FreeResources[],
-    private readonly scoreOf: (room: FreeResources) => number,
+    private readonly scoreOf: (free: FreeResources) => number,
   ) {
-    this.sorted = freeResources.filter((room) => fits(job.resources, room)).map((room) => this.candidate(room));
+    this.sorted = freeResources.filter((free) => fits(job.resources, free)).map((free) => this.candidate(free));
     this.sorted.sort(byScore);
   }
 
@@ -40,21 +40,21 @@
   /** All that are worth more than this, whether or not they have room, the best first. */
   withHigherScore(than: number, tasksInZones: Map<number, number>): FreeResources[] {
     const better = this.allSorted().filter(
-      ({ free: room, score: worth }) => worth > than && zoneAllowsTask(this.job, tasksInZones, room.machine.zoneIndex),
+      ({ free, score: worth }) => worth > than && zoneAllowsTask(this.job, tasksInZones, free.machine.zoneIndex),
     );
-    return better.map(({ free: room }) => room);
+    return better.map(({ free }) => free);
   }
 
   /** Where something was stopped there may be room for one more: from now on all are looked at. */
   private allSorted(): Candidate[] {
     if (this.isComplete) return this.sorted;
     const known = new Map(this.sorted.map((candidate) => [candidate.free, candidate]));
-    this.sorted = this.freeResources.map((room) => known.get(room) ?? this.candidate(room)).sort(byScore);
+    this.sorted = this.freeResources.map((free) => known.get(free) ?? this.candidate(free)).sort(byScore);
     this.isComplete = true;
     return this.sorted;
   }
 
-  private candidate(room: FreeResources): Candidate {
-    return { free: room, score: this.scoreOf(room), cpus: room.cpus };
+  private candidate(free: FreeResources): Candidate {
+    return { free, score: this.scoreOf(free), cpus: free.cpus };
   }
 }
--- a/packages/controller/src/scheduling/machine-scoring.ts
+++ b/packages/controller/src/scheduling/machine-scoring.ts
@@ -24,16 +24,16 @@
    */
   score(job: Job, free: FreeResources): number {
     const machine = free.machine;
-    const cap = machine.capacity;
-    if (!cap) return -100;
+    const capacity = machine.capacity;
+    if (!capacity) return -100;
     let score = 0;
     if (!machine.images.has(job.imageIndex)) {
       let coming = false;
       for (const allocation of machine.allocations.values())
         if (allocation.job.imageIndex === job.imageIndex && allocation.phase !== 'exited') coming = true;
-      score -= (job.spec.imageGb / cap.fetchGbPerS) * (coming ? 0.5 : 1);
+      score -= (job.spec.imageGb / capacity.fetchGbPerS) * (coming ? 0.5 : 1);
     }
-    if (job.spec.gpus === 0 && cap.gpus > 0) score -= this.gpuMachinePenalty(job, free);
+    if (job.spec.gpus === 0 && capacity.gpus > 0) score -= this.gpuMachinePenalty(job, free);
     if (machine.spot && job.spec.shape === 'array') score += 1;
     // Services stand together, so that whole machines stay free for others.
     if (job.spec.shape === 'service' && this.allocations.serviceUsage(machine).cpus > 0) score += 0.6;
@@ -45,13 +45,13 @@
    * nothing else has come free for a while: there they would stand in the way for hours.
    */
   mayUseMachine(job: Job, free: FreeResources, waitedMs: Milliseconds): boolean {
-    const cap = free.machine.capacity;
+    const capacity = free.machine.capacity;
     // Fetches share a machine's rate: a small image would hold up a gang's large one.
     if (job.spec.gpus === 0 && this.allocations.now < free.machine.reservedUntil) return false;
     if (job.spec.gpus === 0 && !free.machine.images.has(job.imageIndex) && this.isFetchingForGang(free.machine)) return false;
-    if (job.spec.gpus > 0 || !cap || cap.gpus === 0 || free.machine.spot) return true;
+    if (job.spec.gpus > 0 || !capacity || capacity.gpus === 0 || free.machine.spot) return true;
     if (job.spec.shape !== 'service') return this.arrayMayUseGpuMachine(job, free);
-    if (this.context.isTypeAvailable(cap.name)) return true;
+    if (this.context.isTypeAvailable(capacity.name)) return true;
     // One machine given to services whole leaves the others to the work they are made for.
     if (this.isDedicatedToServices(free.machine)) return waitedMs > 800;
     if (this.leavesSpaceForGpuWork(free.machine, job.resources)) return waitedMs > 1500;
@@ -82,7 +82,7 @@
         continue;
       if (fits(job.resources, this.allocations.freeResourcesOf(machine))) machines.push(machine);
     }
-    this.dedicatedMachinesCache = { job: job, machines };
+    this.dedicatedMachinesCache = { job, machines };
     return machines;
   }
 
@@ -102,16 +102,16 @@
 
   /** Independent tasks take a dear machine whole only when their time runs out. */
   private arrayMayUseGpuMachine(job: Job, free: FreeResources): boolean {
-    const cap = free.machine.capacity;
-    if (!cap) return true;
-    const want = this.context.clusterState.gpuDemandByType.get(free.machine.typeIndex);
+    const capacity = free.machine.capacity;
+    if (!capacity) return true;
+    const gpuDemand = this.context.clusterState.gpuDemandByType.get(free.machine.typeIndex);
     // Where no more are to be had and what needs them outranks this, it does no harm there.
-    if (!want || (want.rank > job.priority && !this.context.isTypeAvailable(cap.name))) return true;
+    if (!gpuDemand || (gpuDemand.rank > job.priority && !this.context.isTypeAvailable(capacity.name))) return true;
     let cpus = job.spec.cpus;
     for (const allocation of free.machine.allocations.values())
       if (allocation.phase !== 'exited' && allocation.job.spec.gpus === 0) cpus += allocation.job.spec.cpus;
     // Beside what keeps the machine here anyway, it costs nothing; alone it would keep it.
-    if (cpus <= cap.cpus - want.cpus + RESOURCE_TOLERANCE && this.isKeptBusy(free.machine)) return true;
+    if (cpus <= capacity.cpus - gpuDemand.cpus + RESOURCE_TOLERANCE && this.isKeptBusy(free.machine)) return true;
     if (this.shardsWithWaitingGangs.has(job.shard)) return false;
     const due = this.queueOrder.startDeadlineOf(job, this.allocations.now) - this.allocations.now;
     // Half of the run on top: estimates are often wrong by as much.
@@ -127,20 +127,20 @@
 
   /** Would accelerator work of the largest kind seen still fit beside the machine's services and this? */
   private leavesSpaceForGpuWork(machine: Machine, more: Resources): boolean {
-    const want = this.context.clusterState.gpuDemandByType.get(machine.typeIndex);
-    if (!want || !machine.capacity) return true;
+    const gpuDemand = this.context.clusterState.gpuDemandByType.get(machine.typeIndex);
+    if (!gpuDemand || !machine.capacity) return true;
     const used = this.allocations.serviceUsage(machine);
     return (
-      used.cpus + more.cpus <= machine.capacity.cpus - want.cpus + RESOURCE_TOLERANCE &&
-      used.memory + more.memory <= machine.capacity.memory - want.memory + RESOURCE_TOLERANCE
+      used.cpus + more.cpus <= machine.capacity.cpus - gpuDemand.cpus + RESOURCE_TOLERANCE &&
+      used.memory + more.memory <= machine.capacity.memory - gpuDemand.memory + RESOURCE_TOLERANCE
     );
   }
 
   private gpuMachinePenalty(job: Job, free: FreeResources): number {
     const machine = free.machine;
     if (machine.spot) return 1;
-    const want = this.context.clusterState.gpuDemandByType.get(machine.typeIndex);
-    if (!want || !machine.capacity) return 5;
+    const gpuDemand = this.context.clusterState.gpuDemandByType.get(machine.typeIndex);
+    if (!gpuDemand || !machine.capacity) return 5;
     // What an accelerator task leaves over is free for others; where services stand in its
     // way already, more of them cost nothing.
     if (this.leavesSpaceForGpuWork(machine, job.resources)) {
@@ -149,7 +149,7 @@
       return this.isKeptBusy(machine) ? (job.spec.shape === 'service' ? 1.5 : 0) : 20;
     }
     if (job.spec.shape === 'service' && this.isDedicatedToServices(machine)) return 2;
-    return job.priority < want.rank ? 8 : 40;
+    return job.priority < gpuDemand.rank ? 8 : 40;
   }
 
   /** Bears work for accelerators, or is full of services. */
--- a/packages/controller/src/scheduling/placement.ts
+++ b/packages/controller/src/scheduling/placement.ts
@@ -62,9 +62,9 @@
  * The domains of a layer, in the order they are tried. DESIGN: the layers are one machine
  * type within one zone, one zone, all zones; domains go by rising machine count.
  */
-export function topologyDomains(rooms: FreeResources[], layer: 0 | 1 | 2): FreeResources[][] {
+export function topologyDomains(candidates: FreeResources[], layer: 0 | 1 | 2): FreeResources[][] {
   const by = new Map<number, FreeResources[]>();
-  for (const free of rooms) {
+  for (const free of candidates) {
     const key = layer === 0 ? free.machine.zoneIndex * 4096 + free.machine.typeIndex : layer === 1 ? free.machine.zoneIndex : 0;
     const list = by.get(key);
     if (list) list.push(free);
@@ -81,15 +81,15 @@
   prefer: (free: FreeResources) => number,
 ): FreeResources[] | null {
   const rooms = domain.map((free) => ({ ...free })).sort((a, b) => prefer(b) - prefer(a) || a.gpus - b.gpus || a.cpus - b.cpus);
-  const out: FreeResources[] = [];
+  const result: FreeResources[] = [];
   const zones = new Map<number, number>();
   for (const free of rooms) {
-    while (out.length < count && fits(job.resources, free) && zoneAllowsTask(job, zones, free.machine.zoneIndex)) {
+    while (result.length < count && fits(job.resources, free) && zoneAllowsTask(job, zones, free.machine.zoneIndex)) {
       subtract(free, job.resources);
       zones.set(free.machine.zoneIndex, (zones.get(free.machine.zoneIndex) ?? 0) + 1);
-      out.push(free);
+      result.push(free);
     }
-    if (out.length === count) return out;
+    if (result.length === count) return result;
   }
   return null;
 }
@@ -98,12 +98,12 @@
 export function placeGang(
   job: Job,
   count: number,
-  rooms: FreeResources[],
+  candidates: FreeResources[],
   prefer: (free: FreeResources) => number,
 ): Machine[] | null {
   for (const layer of [0, 1, 2] as const) {
     if (layer === 2 && job.spec.oneZone) continue;
-    for (const domain of topologyDomains(rooms, layer)) {
+    for (const domain of topologyDomains(candidates, layer)) {
       const found = fillDomain(job, count, domain, prefer);
       if (found) return found.map((free) => free.machine);
     }
--- a/packages/controller/src/scheduling/preemption.ts
+++ b/packages/controller/src/scheduling/preemption.ts
@@ -32,14 +32,14 @@
    * Can there be anything at all that may be stopped for the job? What the plan itself has placed so far is of the
    * job's rank or a higher one.
    */
-  hasVictims(job: Job, within: boolean): boolean {
-    if (within && job.spec.gpus > 0) return true;
+  hasVictims(job: Job, withinQuota: boolean): boolean {
+    if (withinQuota && job.spec.gpus > 0) return true;
     return (this.lowestPriority.get(job.shard) ?? job.priority) < job.priority;
   }
 
-  hasProtectedWork(machine: Machine, guar: QuotaStatuses): boolean {
+  hasProtectedWork(machine: Machine, quotaStatuses: QuotaStatuses): boolean {
     for (const allocation of machine.allocations.values())
-      if (allocation.phase !== 'exited' && guar.get(allocation.job)?.isProtected) return true;
+      if (allocation.phase !== 'exited' && quotaStatuses.get(allocation.job)?.isProtected) return true;
     return false;
   }
 
@@ -47,12 +47,12 @@
    * May this placement be stopped for a job of that rank? (DESIGN: above guarantee; PROTOCOL: rank)
    * Work within a guarantee is stopped for a pressing service alone.
    */
-  isVictim(allocation: Allocation, job: Job, within: boolean, guar: QuotaStatuses): boolean {
+  isVictim(allocation: Allocation, job: Job, withinQuota: boolean, quotaStatuses: QuotaStatuses): boolean {
     if (allocation.stopGraceS !== null || allocation.phase === 'exited' || allocation.job === job) return false;
-    const quota = guar.get(allocation.job);
+    const quota = quotaStatuses.get(allocation.job);
     if (quota?.isProtected && !this.isPressing(job, allocation.machine)) return false;
     if (allocation.job.priority < job.priority) return true;
-    if (!within || allocation.job.teamIndex === job.teamIndex || quota === undefined || job.spec.gpus === 0) return false;
+    if (!withinQuota || allocation.job.teamIndex === job.teamIndex || quota === undefined || job.spec.gpus === 0) return false;
     return !quota.withinQuota || allocation.job.spec.shape === 'array';
   }
 
@@ -91,33 +91,39 @@
   /** The least work to stop on one machine so that a task of the job fits, or null. */
   victimsOn(
     job: Job,
-    within: boolean,
+    withinQuota: boolean,
     candidate: FreeResources,
-    guar: QuotaStatuses,
+    quotaStatuses: QuotaStatuses,
     now: Milliseconds,
     count = 1,
   ): Allocation[] | null {
-    const need: Resources = { cpus: job.spec.cpus * count, gpus: job.spec.gpus * count, memory: job.spec.memory * count };
+    const resources: Resources = { cpus: job.spec.cpus * count, gpus: job.spec.gpus * count, memory: job.spec.memory * count };
     const free: Resources = { cpus: candidate.cpus, gpus: candidate.gpus, memory: candidate.memory };
-    const out: Allocation[] = [];
+    const result: Allocation[] = [];
     const list = [...candidate.machine.allocations.values()]
-      .filter((allocation) => this.isVictim(allocation, job, within, guar))
+      .filter((allocation) => this.isVictim(allocation, job, withinQuota, quotaStatuses))
       .sort((a, b) => this.stopCost(a, now) - this.stopCost(b, now));
     for (const allocation of list) {
-      if (fits(need, free)) break;
-      out.push(allocation);
+      if (fits(resources, free)) break;
+      result.push(allocation);
       free.cpus += allocation.job.spec.cpus;
       free.gpus += allocation.job.spec.gpus;
       free.memory += allocation.job.spec.memory;
     }
-    return fits(need, free) ? out : null;
+    return fits(resources, free) ? result : null;
   }
 
-  evictFor(job: Job, within: boolean, rooms: FreeResources[], guar: QuotaStatuses, now: Milliseconds): FreeResources | null {
-    if (!this.hasVictims(job, within)) return null;
+  evictFor(
+    job: Job,
+    withinQuota: boolean,
+    candidates: FreeResources[],
+    quotaStatuses: QuotaStatuses,
+    now: Milliseconds,
+  ): FreeResources | null {
+    if (!this.hasVictims(job, withinQuota)) return null;
     let best: { r: FreeResources; v: Allocation[]; c: number } | null = null;
-    for (const free of rooms) {
-      const allocations = this.victimsOn(job, within, free, guar, now);
+    for (const free of candidates) {
+      const allocations = this.victimsOn(job, withinQuota, free, quotaStatuses, now);
       if (!allocations) continue;
       const cost =
         allocations.reduce((a, allocation) => a + this.stopCost(allocation, now), 0) - 20 * this.machineScoring.score(job, free);
--- a/packages/controller/src/scheduling/queue-order.ts
+++ b/packages/controller/src/scheduling/queue-order.ts
@@ -57,7 +57,7 @@
    * without a guarantee in what a job uses has nothing to protect it with.
    */
   quotaStatuses(): QuotaStatuses {
-    const out: QuotaStatuses = new Map();
+    const result: QuotaStatuses = new Map();
     const sums = this.context.settings.teams.map(() => ({ cpus: 0, gpus: 0 }));
     const jobs = [...this.context.clusterState.jobs.values()]
       .filter((job) => job.state === 'live' && !job.isBlocked && this.allocations.heldShards.has(job.shard))
@@ -73,11 +73,11 @@
       const cpusOk = team.cpus <= 0 || used.cpus <= team.cpus + 1e-6;
       const gpusOk = team.gpus <= 0 || used.gpus <= team.gpus + 1e-6;
       // A team without any guarantee has none to be within: a guest's work gives way to all others'.
-      const within = promised && cpusOk && gpusOk;
+      const withinQuota = promised && cpusOk && gpusOk;
       const guarded = (team.cpus > 0 && job.spec.cpus > 0) || (team.gpus > 0 && job.spec.gpus > 0);
-      out.set(job, { withinQuota: within, isProtected: within && guarded });
+      result.set(job, { withinQuota, isProtected: withinQuota && guarded });
     }
-    return out;
+    return result;
   }
 
   /**
@@ -92,13 +92,13 @@
   private startDeadlines(job: Job, now: Milliseconds): Milliseconds[] {
     const fetch = job.spec.imageGb * 1000;
     const run = job.expectedRunMs;
-    const out: Milliseconds[] = [];
+    const result: Milliseconds[] = [];
     for (const objective of this.objectives.get(job.spec.cls) ?? []) {
       const at = job.arrivedAt + objective.withinMs - (objective.wait ? fetch : run + fetch);
-      if (at > now - 1000) out.push(at);
+      if (at > now - 1000) result.push(at);
     }
-    for (const at of this.latestStarts(job)) if (at > now - 1000) out.push(at);
-    return out.sort((a, b) => a - b);
+    for (const at of this.latestStarts(job)) if (at > now - 1000) result.push(at);
+    return result.sort((a, b) => a - b);
   }
 
   /**
@@ -124,20 +124,20 @@
   }
 
   /** All jobs held here that have tasks without a place, in the order they are planned for. */
-  queue(guar: QuotaStatuses, now: Milliseconds): QueuedJob[] {
-    const out: QueuedJob[] = [];
+  queue(quotaStatuses: QuotaStatuses, now: Milliseconds): QueuedJob[] {
+    const result: QueuedJob[] = [];
     for (const job of this.context.clusterState.jobs.values()) {
       if (job.isBlocked || !this.allocations.heldShards.has(job.shard) || job.state !== 'live' || job.pendingCount() === 0)
         continue;
-      out.push({
+      result.push({
         j: job,
-        g: guar.get(job) ?? { withinQuota: false, isProtected: false },
+        g: quotaStatuses.get(job) ?? { withinQuota: false, isProtected: false },
         due: this.startDeadlineOf(job, now),
         aged: this.isAged(job, now),
       });
     }
-    this.postponeLargest(out, now);
-    return out.sort(
+    this.postponeLargest(result, now);
+    return result.sort(
       (a, b) =>
         b.j.priority - a.j.priority ||
         Number(b.aged) - Number(a.aged) ||
@@ -156,7 +156,7 @@
    * in the way than that.
    */
   private postponeLargest(queue: QueuedJob[], now: Milliseconds): void {
-    const shares = new Map<string, QueuedJob[]>();
+    const shards = new Map<string, QueuedJob[]>();
     for (const queued of queue) {
       // Of the lowest rank there may be hundreds, and others' room to wait for: they go as they came.
       if (
@@ -167,11 +167,11 @@
       )
         continue;
       const key = `${queued.j.shard}/${queued.j.priority}/${queued.g.withinQuota}`;
-      const list = shares.get(key);
+      const list = shards.get(key);
       if (list) list.push(queued);
-      else shares.set(key, [queued]);
+      else shards.set(key, [queued]);
     }
-    for (const list of shares.values()) {
+    for (const list of shards.values()) {
       if (list.length < 2) continue;
       const pace = this.cpusInUseByPeers((list[0] as QueuedJob).j);
       if (pace <= 0) continue;
--- a/packages/controller/src/scheduling/relocation-targets.ts
+++ b/packages/controller/src/scheduling/relocation-targets.ts
@@ -21,7 +21,7 @@
   canHost(from: Machine, services: readonly Allocation[]): boolean {
     const taken = new Map<FreeResources, FreeResources>();
     for (const { job } of services) {
-      const found = this.candidatesFor(job).find((room) => this.canTake(room, from, job, taken));
+      const found = this.candidatesFor(job).find((free) => this.canTake(free, from, job, taken));
       if (!found) return false;
       const rest = taken.get(found) ?? { ...found };
       subtract(rest, job.resources);
@@ -30,9 +30,9 @@
     return true;
   }
 
-  private canTake(room: FreeResources, from: Machine, job: Job, taken: Map<FreeResources, FreeResources>): boolean {
-    if (room.machine === from || !this.isMoveAllowed(from, room.machine)) return false;
-    const rest = taken.get(room);
+  private canTake(free: FreeResources, from: Machine, job: Job, taken: Map<FreeResources, FreeResources>): boolean {
+    if (free.machine === from || !this.isMoveAllowed(from, free.machine)) return false;
+    const rest = taken.get(free);
     return rest === undefined || fits(job.resources, rest);
   }
 
@@ -55,8 +55,8 @@
     const name = [cpus, gpus, memory, job.zoneIndex, job.spec.spot, job.typeIndices?.join(',') ?? ''].join('/');
     const known = this.candidatesByKind.get(name);
     if (known) return known;
-    const rooms = this.freeResources.filter((room) => fits(job.resources, room) && isAllowedOn(job, room.machine));
-    this.candidatesByKind.set(name, rooms);
-    return rooms;
+    const candidates = this.freeResources.filter((free) => fits(job.resources, free) && isAllowedOn(job, free.machine));
+    this.candidatesByKind.set(name, candidates);
+    return candidates;
   }
 }
--- a/packages/controller/src/scheduling/scheduler.ts
+++ b/packages/controller/src/scheduling/scheduler.ts
@@ -51,8 +51,8 @@
   }
 
   /** Machines that can be cleared of their services. */
-  evacuableMachines(share: number, now: Milliseconds): Set<Machine> {
-    return this.serviceEviction.evacuableMachines(share, now);
+  evacuableMachines(shard: number, now: Milliseconds): Set<Machine> {
+    return this.serviceEviction.evacuableMachines(shard, now);
   }
 
   /**
@@ -92,14 +92,14 @@
   }
 
   schedule(now: Milliseconds): void {
-    const rooms: FreeResources[] = [];
+    const candidates: FreeResources[] = [];
     for (const machine of this.context.clusterState.machines.values())
       if (this.context.mayActFor(machine.shard) && this.allocations.isSchedulable(machine, now))
-        rooms.push(this.allocations.freeResourcesOf(machine));
-    const use = this.teamUsage();
-    const guar = this.queueOrder.quotaStatuses();
+        candidates.push(this.allocations.freeResourcesOf(machine));
+    const usage = this.teamUsage();
+    const quotaStatuses = this.queueOrder.quotaStatuses();
     let weighed = 0;
-    const queue = this.queueOrder.queue(guar, now);
+    const queue = this.queueOrder.queue(quotaStatuses, now);
     this.preemption.beginRun();
     this.exhaustedKinds.clear();
     for (const { j: job } of queue)
@@ -109,7 +109,7 @@
     const suspects = this.allocations.shardsAwaitingVerification();
     let later = false;
     const broken: Job[] = [];
-    let open = rooms;
+    let open = candidates;
     for (const { j: job, g: quota, aged } of queue) {
       if (now < job.retryAt) {
         later = true;
@@ -125,24 +125,24 @@
         continue;
       }
       if (this.isKnownNotToFit(job, quota.withinQuota)) {
-        this.allocations.unmetDemand.push({ job: job, count: job.pendingCount(), withinQuota: quota.withinQuota });
+        this.allocations.unmetDemand.push({ job, count: job.pendingCount(), withinQuota: quota.withinQuota });
         continue;
       }
-      weighed += rooms.length;
+      weighed += candidates.length;
       const mine = open.filter(
         (free) => free.machine.shard === job.shard && isAllowedOn(job, free.machine) && !job.failedOn.has(free.machine.name),
       );
       const left =
         job.spec.shape === 'gang'
-          ? this.placeGangJob(job, quota.withinQuota, mine, use, guar, now)
-          : this.placeTasks(job, quota.withinQuota, mine, use, guar, now);
+          ? this.placeGangJob(job, quota.withinQuota, mine, usage, quotaStatuses, now)
+          : this.placeTasks(job, quota.withinQuota, mine, usage, quotaStatuses, now);
       if (left > 0) {
-        this.allocations.unmetDemand.push({ job: job, count: left, withinQuota: quota.withinQuota });
+        this.allocations.unmetDemand.push({ job, count: left, withinQuota: quota.withinQuota });
         this.rememberNoFit(job, quota.withinQuota);
       }
-      if (aged && job.allocations.size === 0) open = this.reserveForAgedGang(job, open, use);
+      if (aged && job.allocations.size === 0) open = this.reserveForAgedGang(job, open, usage);
     }
-    for (const job of broken) this.retryCrashLooping(job, open, use, now);
+    for (const job of broken) this.retryCrashLooping(job, open, usage, now);
     later ||= broken.length > 0;
     this.nextRunAt = now + this.pauseAfter(weighed);
     this.hasUnfinishedWork = later || this.allocations.unmetDemand.length > 0;
@@ -165,14 +165,14 @@
    * work would take each as it comes free, and the gang would never see enough at once. The
    * oldest is planned for first, so two gangs don't wait for each other's.
    */
-  private reserveForAgedGang(job: Job, rooms: FreeResources[], use: { cpus: number; gpus: number }[]): FreeResources[] {
-    const allowedNow = this.quotaLeft(job, use) >= job.spec.tasks;
+  private reserveForAgedGang(job: Job, candidates: FreeResources[], usage: { cpus: number; gpus: number }[]): FreeResources[] {
+    const allowedNow = this.quotaLeft(job, usage) >= job.spec.tasks;
     // Its part of the team's limit is kept too.
-    for (let index = 0; index < job.spec.tasks; index++) this.addUsage(use, job);
-    if (!allowedNow) return rooms;
+    for (let index = 0; index < job.spec.tasks; index++) this.addUsage(usage, job);
+    if (!allowedNow) return candidates;
     let lacks = job.spec.tasks;
     const kept = new Set<FreeResources>();
-    for (const free of rooms) {
+    for (const free of candidates) {
       if (lacks <= 0) break;
       if (free.machine.shard !== job.shard || !isAllowedOn(job, free.machine) || job.failedOn.has(free.machine.name)) continue;
       const count = countThatFit(job.resources, free);
@@ -180,7 +180,7 @@
       kept.add(free);
       lacks -= count;
     }
-    return kept.size === 0 ? rooms : rooms.filter((free) => !kept.has(free));
+    return kept.size === 0 ? candidates : candidates.filter((free) => !kept.has(free));
   }
 
   /**
@@ -190,11 +190,11 @@
    */
   private readonly exhaustedKinds = new Map<string, Resources[]>();
 
-  private interchangeableKind(job: Job, within: boolean): string | null {
+  private interchangeableKind(job: Job, withinQuota: boolean): string | null {
     const spec = job.spec;
     if (
       job.priority > 0 ||
-      within ||
+      withinQuota ||
       spec.shape !== 'array' ||
       spec.gpus > 0 ||
       spec.oneZone ||
@@ -205,8 +205,8 @@
     return `${job.shard}/${job.teamIndex}/${job.zoneIndex}/${spec.spot}/${job.typeIndices?.join(',') ?? ''}`;
   }
 
-  private isKnownNotToFit(job: Job, within: boolean): boolean {
-    const kind = this.interchangeableKind(job, within);
+  private isKnownNotToFit(job: Job, withinQuota: boolean): boolean {
+    const kind = this.interchangeableKind(job, withinQuota);
     if (kind === null) return false;
     return (
       this.exhaustedKinds
@@ -215,8 +215,8 @@
     );
   }
 
-  private rememberNoFit(job: Job, within: boolean): void {
-    const kind = this.interchangeableKind(job, within);
+  private rememberNoFit(job: Job, withinQuota: boolean): void {
+    const kind = this.interchangeableKind(job, withinQuota);
     if (kind === null) return;
     const list = this.exhaustedKinds.get(kind);
     if (list) list.push(job.resources);
@@ -237,14 +237,14 @@
 
   private placeTasks(
     job: Job,
-    within: boolean,
-    rooms: FreeResources[],
-    use: { cpus: number; gpus: number }[],
-    guar: QuotaStatuses,
+    withinQuota: boolean,
+    freeResources: FreeResources[],
+    usage: { cpus: number; gpus: number }[],
+    quotaStatuses: QuotaStatuses,
     now: Milliseconds,
   ): number {
     let left = job.pendingCount();
-    const quota = this.quotaLeft(job, use);
+    const quota = this.quotaLeft(job, usage);
     let can = Math.min(left, quota);
     const unplaceable = left - can;
     const counts = tasksPerZone(job);
@@ -253,23 +253,23 @@
     this.machineScoring.beginJob();
     const candidates = new CandidateMachines(
       job,
-      rooms.filter((free) => this.machineScoring.mayUseMachine(job, free, waited)),
+      freeResources.filter((free) => this.machineScoring.mayUseMachine(job, free, waited)),
       (free) => this.machineScoring.score(job, free),
     );
     while (can > 0) {
       const best = candidates.best(counts);
-      let room: FreeResources | null = best?.free ?? null;
+      let candidate: FreeResources | null = best?.free ?? null;
       // A better place (the image at hand) may be had from lesser work.
       const mayGain = !best || (job.spec.shape === 'service' && best.score < WORTH_STOPPING_FOR);
-      if (mayGain && this.preemption.hasVictims(job, within)) {
+      if (mayGain && this.preemption.hasVictims(job, withinQuota)) {
         const other = candidates.withHigherScore(best ? best.score + 1 : Number.NEGATIVE_INFINITY, counts);
-        const open = best ? other.filter((free) => !this.preemption.hasProtectedWork(free.machine, guar)) : other;
-        room = this.preemption.evictFor(job, within, open, guar, now) ?? room;
+        const open = best ? other.filter((free) => !this.preemption.hasProtectedWork(free.machine, quotaStatuses)) : other;
+        candidate = this.preemption.evictFor(job, withinQuota, open, quotaStatuses, now) ?? candidate;
       }
-      if (!room) break;
+      if (!candidate) break;
       const index = job.nextPendingTask();
       if (index < 0) break;
-      this.allocateTask(job, index, room, use, counts, now);
+      this.allocateTask(job, index, candidate, usage, counts, now);
       if (this.preemption.hasExhaustedWait(job))
         this.preemption.pressingTasks.set(job.shard, (this.preemption.pressingTasks.get(job.shard) ?? 0) - 1);
       can--;
@@ -282,15 +282,15 @@
   private allocateTask(
     job: Job,
     index: number,
-    room: FreeResources,
-    use: { cpus: number; gpus: number }[],
+    free: FreeResources,
+    usage: { cpus: number; gpus: number }[],
     counts: Map<number, number>,
     now: Milliseconds,
   ): void {
-    subtract(room, job.resources);
-    this.allocations.allocate(job, index, this.allocations.nextAttempt(job.shard), room.machine, 'planned', now);
-    this.addUsage(use, job);
-    counts.set(room.machine.zoneIndex, (counts.get(room.machine.zoneIndex) ?? 0) + 1);
+    subtract(free, job.resources);
+    this.allocations.allocate(job, index, this.allocations.nextAttempt(job.shard), free.machine, 'planned', now);
+    this.addUsage(usage, job);
+    counts.set(free.machine.zoneIndex, (counts.get(free.machine.zoneIndex) ?? 0) + 1);
   }
 
   private addUsage(use: { cpus: number; gpus: number }[], job: Job): void {
@@ -302,25 +302,25 @@
 
   private placeGangJob(
     job: Job,
-    within: boolean,
-    rooms: FreeResources[],
-    use: { cpus: number; gpus: number }[],
-    guar: QuotaStatuses,
+    withinQuota: boolean,
+    candidates: FreeResources[],
+    usage: { cpus: number; gpus: number }[],
+    quotaStatuses: QuotaStatuses,
     now: Milliseconds,
   ): number {
     const count = job.spec.tasks;
     if (job.gangAttempt !== 0 || job.allocations.size > 0) return 0;
-    if (this.quotaLeft(job, use) < count) return 0;
-    let spots = placeGang(job, count, rooms, (free) => this.machineScoring.score(job, free));
-    if (!spots) {
+    if (this.quotaLeft(job, usage) < count) return 0;
+    let machines = placeGang(job, count, candidates, (free) => this.machineScoring.score(job, free));
+    if (!machines) {
       // By layers again, with what may be stopped taken as free; the domain with the least to stop wins.
       for (const layer of [0, 1, 2] as const) {
         if (layer === 2 && job.spec.oneZone) continue;
-        for (const domain of topologyDomains(rooms, layer)) {
+        for (const domain of topologyDomains(candidates, layer)) {
           const widened = domain.map((free) => {
             const widened = { ...free };
             for (const allocation of free.machine.allocations.values()) {
-              if (!this.preemption.isVictim(allocation, job, within, guar)) continue;
+              if (!this.preemption.isVictim(allocation, job, withinQuota, quotaStatuses)) continue;
               widened.cpus += allocation.job.spec.cpus;
               widened.gpus += allocation.job.spec.gpus;
               widened.memory += allocation.job.spec.memory;
@@ -331,45 +331,45 @@
             domain.map((free) => [
               free.machine,
               this.preemption
-                .victimsOn(job, within, free, guar, now)
+                .victimsOn(job, withinQuota, free, quotaStatuses, now)
                 ?.reduce((a, allocation) => a + this.preemption.stopCost(allocation, now), 0) ?? 1e9,
             ]),
           );
-          spots = placeGang(job, count, widened, (free) => -(costs.get(free.machine) ?? 0));
-          if (spots) break;
+          machines = placeGang(job, count, widened, (free) => -(costs.get(free.machine) ?? 0));
+          if (machines) break;
         }
-        if (spots) break;
+        if (machines) break;
       }
-      if (!spots) return count;
+      if (!machines) return count;
       const per = new Map<Machine, number>();
-      for (const machine of spots) per.set(machine, (per.get(machine) ?? 0) + 1);
+      for (const machine of machines) per.set(machine, (per.get(machine) ?? 0) + 1);
       for (const [machine, c] of per) {
-        const free = rooms.find((candidate) => candidate.machine === machine);
+        const free = candidates.find((candidate) => candidate.machine === machine);
         if (!free) return count;
-        const allocations = this.preemption.victimsOn(job, within, free, guar, now, c);
+        const allocations = this.preemption.victimsOn(job, withinQuota, free, quotaStatuses, now, c);
         if (!allocations) return count;
         this.preemption.evict(allocations, free);
       }
     }
-    this.allocateGang(job, spots, rooms, use, now);
+    this.allocateGang(job, machines, candidates, usage, now);
     return 0;
   }
 
   private allocateGang(
     job: Job,
-    spots: Machine[],
-    rooms: FreeResources[],
-    use: { cpus: number; gpus: number }[],
+    machines: Machine[],
+    candidates: FreeResources[],
+    usage: { cpus: number; gpus: number }[],
     now: Milliseconds,
   ): void {
     job.gangAttempt = this.allocations.nextAttempt(job.shard);
     job.gangFailed = false;
     const pending = job.pendingTasks();
-    spots.forEach((machine, index) => {
-      const free = rooms.find((candidate) => candidate.machine === machine);
+    machines.forEach((machine, index) => {
+      const free = candidates.find((candidate) => candidate.machine === machine);
       if (free) subtract(free, job.resources);
       this.allocations.allocate(job, pending[index] as number, job.gangAttempt, machine, 'planned', now);
-      this.addUsage(use, job);
+      this.addUsage(usage, job);
     });
   }
 
@@ -377,27 +377,32 @@
    * What fails everywhere is tried now and then, after all else and where there is room: nothing
    * is stopped, moved or rented for it. Machines that have its image come first.
    */
-  private retryCrashLooping(job: Job, rooms: FreeResources[], use: { cpus: number; gpus: number }[], now: Milliseconds): void {
-    const mine = rooms.filter(
+  private retryCrashLooping(
+    job: Job,
+    candidates: FreeResources[],
+    usage: { cpus: number; gpus: number }[],
+    now: Milliseconds,
+  ): void {
+    const mine = candidates.filter(
       (free) =>
         free.machine.shard === job.shard &&
         isAllowedOn(job, free.machine) &&
         job.spec.gpus > 0 === (free.machine.capacity?.gpus ?? 0) > 0,
     );
-    const count = Math.min(this.allocations.failureAttribution.nextRetryCount(job, now), this.quotaLeft(job, use));
+    const count = Math.min(this.allocations.failureAttribution.nextRetryCount(job, now), this.quotaLeft(job, usage));
     if (job.spec.shape === 'gang') {
       if (job.gangAttempt !== 0 || job.allocations.size > 0 || count < job.spec.tasks) return;
-      const spots = placeGang(job, count, mine, (free) => this.machineScoring.score(job, free));
-      if (spots) this.allocateGang(job, spots, mine, use, now);
+      const machines = placeGang(job, count, mine, (free) => this.machineScoring.score(job, free));
+      if (machines) this.allocateGang(job, machines, mine, usage, now);
       return;
     }
     const counts = tasksPerZone(job);
     mine.sort((a, b) => Number(b.machine.images.has(job.imageIndex)) - Number(a.machine.images.has(job.imageIndex)));
     for (let attempt = 0; attempt < count; attempt++) {
-      const room = mine.find((free) => fits(job.resources, free) && zoneAllowsTask(job, counts, free.machine.zoneIndex));
-      const index = room ? job.nextUntriedTaskFirst() : -1;
-      if (!room || index < 0) return;
-      this.allocateTask(job, index, room, use, counts, now);
+      const candidate = mine.find((free) => fits(job.resources, free) && zoneAllowsTask(job, counts, free.machine.zoneIndex));
+      const index = candidate ? job.nextUntriedTaskFirst() : -1;
+      if (!candidate || index < 0) return;
+      this.allocateTask(job, index, candidate, usage, counts, now);
     }
   }
 }
--- a/packages/controller/src/scheduling/service-eviction.ts
+++ b/packages/controller/src/scheduling/service-eviction.ts
@@ -26,29 +26,29 @@
    * Machines whose services the share has other room for: these can be cleared, for work
    * that needs an accelerator or for another share.
    */
-  evacuableMachines(share: number, now: Milliseconds): Set<Machine> {
-    const out = new Set<Machine>();
-    const rooms: FreeResources[] = [];
+  evacuableMachines(shard: number, now: Milliseconds): Set<Machine> {
+    const result = new Set<Machine>();
+    const candidates: FreeResources[] = [];
     for (const machine of this.context.clusterState.machines.values()) {
-      if (machine.shard !== share || !machine.capacity || machine.spot || !this.allocations.isSchedulable(machine, now)) continue;
+      if (machine.shard !== shard || !machine.capacity || machine.spot || !this.allocations.isSchedulable(machine, now)) continue;
       if (machine.capacity.gpus > 0 && !this.machineScoring.isDedicatedToServices(machine)) continue;
       const free = this.allocations.freeResourcesOf(machine);
       for (const allocation of machine.allocations.values()) {
         if (allocation.phase !== 'exited' && allocation.job.spec.shape === 'array')
           subtract(free, { cpus: -allocation.job.spec.cpus, gpus: 0, memory: -allocation.job.spec.memory });
       }
-      if (machine.allocations.size > 0) rooms.push(free);
+      if (machine.allocations.size > 0) candidates.push(free);
     }
-    const destinations = new RelocationTargets(rooms, (machine) => this.allocations.serviceUsage(machine).cpus);
+    const destinations = new RelocationTargets(candidates, (machine) => this.allocations.serviceUsage(machine).cpus);
     for (const machine of this.context.clusterState.machines.values()) {
-      if (machine.shard !== share || !machine.capacity || machine.spot) continue;
+      if (machine.shard !== shard || !machine.capacity || machine.spot) continue;
       const move = this.allocations.servicesOn(machine);
       // What was moved lately stays where it is: moving it on would keep it from running.
       if (move.some((allocation) => now - allocation.job.lastStopAt < 60_000)) continue;
       if (move.length === 0 || (machine.capacity.gpus === 0 && move.length > 4)) continue;
-      if (destinations.canHost(machine, move)) out.add(machine);
+      if (destinations.canHost(machine, move)) result.add(machine);
     }
-    return out;
+    return result;
   }
 
   /**
@@ -60,7 +60,7 @@
     for (const { job } of this.allocations.unmetDemand) {
       if (job.spec.gpus === 0 || job.spec.shape !== 'gang') continue;
       const plain: Machine[] = [];
-      let room = 0;
+      let remaining = 0;
       const can = this.evacuableMachines(job.shard, now);
       for (const machine of this.context.clusterState.machines.values()) {
         if (
@@ -71,27 +71,27 @@
         )
           continue;
         const here = countThatFit(job.resources, this.allocations.freeResourcesOf(machine));
-        room += here;
+        remaining += here;
         if (here > 0 || !can.has(machine)) continue;
         if ([...machine.allocations.values()].some((allocation) => allocation.phase !== 'exited' && allocation.job.spec.gpus > 0))
           continue;
-        const use = this.allocations.serviceUsage(machine);
+        const usage = this.allocations.serviceUsage(machine);
         const without: Resources = {
-          cpus: machine.capacity.cpus - use.cpus,
+          cpus: machine.capacity.cpus - usage.cpus,
           gpus: machine.capacity.gpus,
-          memory: machine.capacity.memory - use.memory,
+          memory: machine.capacity.memory - usage.memory,
         };
-        if (use.cpus > 0 && !fits(job.resources, without)) plain.push(machine);
+        if (usage.cpus > 0 && !fits(job.resources, without)) plain.push(machine);
       }
-      if (plain.length === 0 || room >= job.spec.tasks) continue;
+      if (plain.length === 0 || remaining >= job.spec.tasks) continue;
       plain.sort((a, b) => this.allocations.serviceUsage(a).cpus - this.allocations.serviceUsage(b).cpus);
       let gained = 0;
       const chosen = plain.filter((machine) => {
-        if (room + gained >= job.spec.tasks) return false;
+        if (remaining + gained >= job.spec.tasks) return false;
         gained += countThatFit(job.resources, machine.capacity as Resources);
         return true;
       });
-      if (room + gained < job.spec.tasks) continue;
+      if (remaining + gained < job.spec.tasks) continue;
       this.evictedAt = now;
       for (const machine of chosen) {
         this.context.log('info', 'moving services off a machine with accelerators', { machine: machine.name });
@@ -109,12 +109,12 @@
   consolidate(now: Milliseconds): void {
     if (this.context.settings.policy.holdSpareCapacity || now - this.consolidatedAt < CONSOLIDATION_INTERVAL_MS) return;
     this.consolidatedAt = now;
-    for (const share of this.allocations.heldShards.keys()) {
+    for (const shard of this.allocations.heldShards.keys()) {
       let best: { m: Machine; services: readonly Allocation[] } | null = null;
-      const rooms: FreeResources[] = [];
+      const candidates: FreeResources[] = [];
       for (const machine of this.context.clusterState.machines.values()) {
         if (
-          machine.shard !== share ||
+          machine.shard !== shard ||
           !machine.capacity ||
           machine.spot ||
           !this.allocations.isSchedulable(machine, now) ||
@@ -125,7 +125,8 @@
         const gpuWork = [...machine.allocations.values()].some(
           (allocation) => allocation.phase !== 'exited' && allocation.job.spec.gpus > 0,
         );
-        if (machine.capacity.gpus === 0 || services.length > 0 || gpuWork) rooms.push(this.allocations.freeResourcesOf(machine));
+        if (machine.capacity.gpus === 0 || services.length > 0 || gpuWork)
+          candidates.push(this.allocations.freeResourcesOf(machine));
         if (machine.capacity.gpus === 0 || services.length === 0 || (best && services.length >= best.services.length)) continue;
         if (
           services.some(
@@ -139,15 +140,15 @@
       }
       if (!best) continue;
       const { m: machine, services } = best;
-      const use = this.allocations.serviceUsage(machine).cpus;
-      if (use > (machine.capacity?.cpus ?? 0) / 2) continue;
-      const free = rooms
+      const usage = this.allocations.serviceUsage(machine).cpus;
+      if (usage > (machine.capacity?.cpus ?? 0) / 2) continue;
+      const free = candidates
         .filter(
           (free) =>
             free.machine !== machine &&
             (free.machine.capacity?.gpus === 0 ||
               this.machineScoring.isKeptBusy(free.machine) ||
-              this.allocations.serviceUsage(free.machine).cpus > use),
+              this.allocations.serviceUsage(free.machine).cpus > usage),
         )
         .sort((a, b) => a.cpus - b.cpus);
       const all = services.every((allocation) => {
--- a/packages/controller/src/shards/command-dispatcher.ts
+++ b/packages/controller/src/shards/command-dispatcher.ts
@@ -53,8 +53,8 @@
 /** What became of a command. `lost`: it may be carried out yet; `refused`: it never left. */
 export type CommandOutcome = { kind: 'ok' | 'stale'; report: Heartbeat | null } | { kind: 'lost' | 'refused' };
 
-function capacityOf({ capacity: cap }: Machine): Resources {
-  return { cpus: cap?.cpus ?? 0, gpus: cap?.gpus ?? 0, memory: cap?.memory ?? 0 };
+function capacityOf({ capacity }: Machine): Resources {
+  return { cpus: capacity?.cpus ?? 0, gpus: capacity?.gpus ?? 0, memory: capacity?.memory ?? 0 };
 }
 
 /** Commands to workers: what is sent, and what its outcome means. */
@@ -94,15 +94,15 @@
 
   /** As many as there is processor time for; questions to a silent zone must not close connections to live machines. */
   private probeSome(machines: Machine[], now: Milliseconds): void {
-    let room = Math.max(2, Math.round(PROBES_PER_TICK * this.context.settings.cpuShare));
-    if (machines.length > room) this.sortForProbing(machines);
+    let remaining = Math.max(2, Math.round(PROBES_PER_TICK * this.context.settings.cpuShare));
+    if (machines.length > remaining) this.sortForProbing(machines);
     for (const machine of machines) {
-      if (room < 1) return;
+      if (remaining < 1) return;
       // What is heard and has answered so far doesn't wait for what isn't.
       const well = machine.isVerified && machine.unansweredCommands === 0 && this.allocations.isHeardRecently(machine, now);
       const part = well ? SOCKETS_PER_HEALTHY_PROBE : SOCKETS_PER_PROBE;
       if (this.pendingProbes >= this.context.settings.maxSockets / part) continue;
-      room--;
+      remaining--;
       this.probe(machine, now);
     }
   }
@@ -113,11 +113,11 @@
    * asked again and again, and 31 live ones, never asked, were given back as silent.
    */
   private sortForProbing(machines: Machine[]): void {
-    const ranks = machines.map(
+    const priorities = machines.map(
       (machine) =>
         [machine, this.allocations.hasCancelledWork(machine) ? CANCELLED_WORK_PRIORITY : machine.reportedPriority] as const,
     );
-    const rankOf = new Map(ranks);
+    const rankOf = new Map(priorities);
     const rank = (machine: Machine) => rankOf.get(machine) ?? machine.reportedPriority;
     machines.sort((a, b) => unansweredRank(a) - unansweredRank(b) || rank(b) - rank(a) || a.lastProbeAt - b.lastProbeAt);
   }
@@ -142,16 +142,16 @@
       ? this.startableTasks(machine, free, MAX_COMMANDS_WITH_STARTS - commands.length)
       : [];
     commands.push(...started.map(({ command }) => command));
-    const placements = started.map(({ placement }) => placement);
-    if (commands.length > 0 && !this.canBeDelayed(machine, commands, placements, now))
-      this.send(machine, commands, placements, false);
+    const allocations = started.map(({ placement: allocation }) => allocation);
+    if (commands.length > 0 && !this.canBeDelayed(machine, commands, allocations, now))
+      this.send(machine, commands, allocations, false);
     machine.commandsDue = this.hasCommandsDue(machine);
   }
 
   /** Is there anything that a command is due for, now or later, though nothing else happens? */
-  private hasCommandsDue({ orphanedTasks: strays, allocations: placements }: Machine): boolean {
-    if (strays.length > 0) return true;
-    for (const { phase, stopGraceS: stop } of placements.values())
+  private hasCommandsDue({ orphanedTasks, allocations }: Machine): boolean {
+    if (orphanedTasks.length > 0) return true;
+    for (const { phase, stopGraceS: stop } of allocations.values())
       if (phase === 'planned' || phase === 'exited' || stop !== null) return true;
     return false;
   }
@@ -160,43 +160,43 @@
    * What is to be stopped or cleared away, up to `most`; the others come with the next message. Takes what the rest
    * needs from `free`.
    */
-  private stopAndForgetCommands(machine: Machine, free: Resources, most: number, now: Milliseconds): Command[] {
+  private stopAndForgetCommands(machine: Machine, free: Resources, limit: number, now: Milliseconds): Command[] {
     const commands: Command[] = [];
-    const isFull = () => commands.length >= most;
-    for (const placement of machine.allocations.values()) {
-      if (placement.phase === 'planned') continue;
-      if (placement.phase === 'exited') {
-        if (!isFull() && !this.isResultUnstored(placement)) commands.push(forgetCommand(placement));
+    const isFull = () => commands.length >= limit;
+    for (const allocation of machine.allocations.values()) {
+      if (allocation.phase === 'planned') continue;
+      if (allocation.phase === 'exited') {
+        if (!isFull() && !this.isResultUnstored(allocation)) commands.push(forgetCommand(allocation));
         continue;
       }
-      if (placement.stopGraceS !== null && !isFull() && now - placement.stopSentAt > STOP_RETRY_MS) {
-        commands.push(stopCommand(placement, placement.stopGraceS));
-        placement.stopSentAt = now;
-        if (placement.firstStopSentAt < 0) placement.firstStopSentAt = now;
+      if (allocation.stopGraceS !== null && !isFull() && now - allocation.stopSentAt > STOP_RETRY_MS) {
+        commands.push(stopCommand(allocation, allocation.stopGraceS));
+        allocation.stopSentAt = now;
+        if (allocation.firstStopSentAt < 0) allocation.firstStopSentAt = now;
       }
       // What is told to go without saving is gone before the next command.
-      if (placement.stopGraceS !== 0) subtract(free, placement.job.resources);
+      if (allocation.stopGraceS !== 0) subtract(free, allocation.job.resources);
     }
     return commands;
   }
 
   /** The worker keeps a result until it is stored. */
-  private isResultUnstored({ status: report, job, taskIndex: index }: Allocation): boolean {
-    return report?.exitReason === 'done' && job.state === 'live' && !job.storedDone[index];
+  private isResultUnstored({ status, job, taskIndex: index }: Allocation): boolean {
+    return status?.exitReason === 'done' && job.state === 'live' && !job.storedDone[index];
   }
 
-  private startableTasks(machine: Machine, free: Resources, most: number): { placement: Allocation; command: Command }[] {
-    const out: { placement: Allocation; command: Command }[] = [];
-    for (const placement of machine.allocations.values()) {
-      const { job } = placement;
-      if (placement.phase !== 'planned' || out.length > most || this.allocations.isStateUnconfirmed(job)) continue;
+  private startableTasks(machine: Machine, free: Resources, limit: number): { placement: Allocation; command: Command }[] {
+    const result: { placement: Allocation; command: Command }[] = [];
+    for (const allocation of machine.allocations.values()) {
+      const { job } = allocation;
+      if (allocation.phase !== 'planned' || result.length > limit || this.allocations.isStateUnconfirmed(job)) continue;
       if (job.spec.shape === 'gang' ? !this.isGangReady(job) : !fits(job.resources, free)) continue;
-      const command = startCommand(placement);
+      const command = startCommand(allocation);
       if (command === null) continue;
       subtract(free, job.resources);
-      out.push({ placement, command });
+      result.push({ placement: allocation, command });
     }
-    return out;
+    return result;
   }
 
   /**
@@ -204,16 +204,16 @@
    * its answer for each, a swarm of them took what processor time there was.
    */
   private canBeDelayed(machine: Machine, commands: Command[], started: Allocation[], now: Milliseconds): boolean {
-    if (commands.some((command) => command.type === 'stop') || started.some((placement) => placement.job.priority > 0))
+    if (commands.some((command) => command.type === 'stop') || started.some((allocation) => allocation.job.priority > 0))
       return false;
     if (started.length > 0) return now - machine.lastCommandAt < LOW_PRIORITY_START_INTERVAL_MS;
     // What would be empty without them may be wanted elsewhere.
     if (machine.moveToShard >= 0 || machine.isRetired || machine.preemptionNoticeUntil >= 0) return false;
     let bears = false;
-    for (const placement of machine.allocations.values()) {
+    for (const allocation of machine.allocations.values()) {
       // What was stopped or failed can't start again before it is cleared away.
-      if (placement.phase === 'exited' && placement.status?.exitReason !== 'done') return false;
-      bears ||= placement.phase === 'there';
+      if (allocation.phase === 'exited' && allocation.status?.exitReason !== 'done') return false;
+      bears ||= allocation.phase === 'there';
     }
     return bears && now - machine.lastCommandAt < FORGET_INTERVAL_MS;
   }
@@ -237,7 +237,7 @@
   private send(machine: Machine, commands: Command[], starts: Allocation[], isProbe: boolean): void {
     const id = this.context.nextEffectId();
     // Marked before anything leaves: from here on the tasks may be there.
-    for (const placement of starts) placement.phase = 'sent';
+    for (const allocation of starts) allocation.phase = 'sent';
     machine.pendingCommandId = id;
     machine.lastCommandAt = this.allocations.now;
     machine.probeRequested = false;
@@ -286,29 +286,30 @@
 
   private handleExecuted(
     { machine, starts, isProbe, knownBefore: seen }: PendingCommand,
-    report: Heartbeat | null,
+    heartbeat: Heartbeat | null,
     now: Milliseconds,
   ): void {
-    if (report) this.reconciler.reconcile(machine, report, now, seen);
+    if (heartbeat) this.reconciler.reconcile(machine, heartbeat, now, seen);
     // What was started and isn't reported was there and is gone.
-    for (const placement of starts) if (this.allocations.isStartPending(placement)) this.allocations.free(placement);
+    for (const allocation of starts) if (this.allocations.isStartPending(allocation)) this.allocations.free(allocation);
     if (!isProbe || machine.isVerified) return;
     machine.isVerified = true;
     machine.isUnverifiedTakeover = false;
     // Under the new token nothing older can start any more: what the report lacks isn't there.
-    for (const placement of [...machine.allocations.values()]) if (placement.phase === 'sent') this.allocations.free(placement);
+    for (const allocation of [...machine.allocations.values()])
+      if (allocation.phase === 'sent') this.allocations.free(allocation);
   }
 
   /** The machine is in another session, or has seen a higher token. */
   private handleRejected(
     { machine, starts, knownBefore: seen }: PendingCommand,
-    report: Heartbeat | null,
+    heartbeat: Heartbeat | null,
     now: Milliseconds,
   ): void {
-    for (const placement of starts) this.allocations.startNotSent(placement);
-    if (!report) return;
-    this.reconciler.reconcile(machine, report, now, seen);
-    if (report.fencingToken > this.context.clusterState.fencingToken(machine)) machine.retryAt = now + HIGHER_TOKEN_RETRY_MS;
+    for (const allocation of starts) this.allocations.startNotSent(allocation);
+    if (!heartbeat) return;
+    this.reconciler.reconcile(machine, heartbeat, now, seen);
+    if (heartbeat.fencingToken > this.context.clusterState.fencingToken(machine)) machine.retryAt = now + HIGHER_TOKEN_RETRY_MS;
   }
 
   private handleUnanswered({ machine, starts, isProbe }: PendingCommand, kind: 'lost' | 'refused', now: Milliseconds): void {
@@ -316,8 +317,8 @@
     machine.unansweredCommands++;
     if (machine.unansweredSince < 0) machine.unansweredSince = now;
     machine.retryAt = now + UNANSWERED_RETRY_MS;
-    for (const placement of machine.allocations.values()) placement.stopSentAt = NEVER;
-    if (kind === 'refused') for (const placement of starts) this.allocations.startNotSent(placement);
+    for (const allocation of machine.allocations.values()) allocation.stopSentAt = NEVER;
+    if (kind === 'refused') for (const allocation of starts) this.allocations.startNotSent(allocation);
     // It may be carried out late; a question that is does nothing.
     else if (!isProbe) machine.hasUncertainCommand = true;
   }
--- a/packages/controller/src/shards/machine-lifecycle.ts
+++ b/packages/controller/src/shards/machine-lifecycle.ts
@@ -147,7 +147,8 @@
    */
   private isCutOffBeyondLease(machine: Machine, now: Milliseconds): boolean {
     const bears =
-      machine.isUnverifiedTakeover || [...machine.allocations.values()].some((placement) => placement.job.spec.shape !== 'array');
+      machine.isUnverifiedTakeover ||
+      [...machine.allocations.values()].some((allocation) => allocation.job.spec.shape !== 'array');
     const { cancelS, leaseS, heartbeatIntervalS: reportS } = this.context.settings.workers;
     if (!bears || now - machine.lastHeartbeatAt < (leaseS + 2 * reportS) * 1000) return false;
     const zone = this.context.clusterState.zoneNames.nameOf(machine.zoneIndex);
@@ -187,7 +188,7 @@
       machine.isReleasing = true;
       machine.isVerified = true;
       machine.isUnverifiedTakeover = false;
-      for (const placement of [...machine.allocations.values()]) this.allocations.free(placement);
+      for (const allocation of [...machine.allocations.values()]) this.allocations.free(allocation);
       this.assignmentUpdates.removeAssignment(machine);
     }
   }
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -43,13 +43,13 @@
     return this.allocations.heldShards;
   }
 
-  isSettled(share: number): boolean {
+  isSettled(shard: number): boolean {
     for (const machine of this.context.clusterState.machines.values())
-      if (machine.shard === share && machine.isUnverifiedTakeover) return false;
+      if (machine.shard === shard && machine.isUnverifiedTakeover) return false;
     // Not the last plan's leftovers: it left out what it could not prove yet.
     for (const job of this.context.clusterState.jobs.values())
       if (
-        job.shard === share &&
+        job.shard === shard &&
         job.state === 'live' &&
         !job.isBlocked &&
         job.priority === HIGHEST_PRIORITY &&
@@ -64,29 +64,29 @@
     this.allocations.schedulingRequested = true;
   }
 
-  leaseAcquired(share: number, stamp: number, now: Milliseconds): void {
-    this.allocations.heldShards.set(share, { shard: share, leaseRevision: stamp });
+  leaseAcquired(shard: number, revision: number, now: Milliseconds): void {
+    this.allocations.heldShards.set(shard, { shard, leaseRevision: revision });
     for (const machine of this.context.clusterState.machines.values()) {
-      if (machine.shard !== share) continue;
+      if (machine.shard !== shard) continue;
       this.resetMachine(machine, now);
       this.context.clusterState.restoreImages(machine);
       machine.isUnverifiedTakeover = true;
     }
-    for (const job of this.context.clusterState.jobs.values()) if (job.shard === share) this.resetJob(job);
+    for (const job of this.context.clusterState.jobs.values()) if (job.shard === shard) this.resetJob(job);
     this.allocations.schedulingRequested = true;
   }
 
-  leaseLost(share: number): void {
-    this.allocations.heldShards.delete(share);
-    this.shardSummaries.forget(share);
+  leaseLost(shard: number): void {
+    this.allocations.heldShards.delete(shard);
+    this.shardSummaries.forget(shard);
     for (const machine of this.context.clusterState.machines.values()) {
-      if (machine.shard !== share) continue;
+      if (machine.shard !== shard) continue;
       machine.allocations.clear();
       machine.allocationsChanged();
       machine.isVerified = false;
     }
     for (const job of [...this.context.clusterState.jobs.values()]) {
-      if (job.shard !== share) continue;
+      if (job.shard !== shard) continue;
       this.resetJob(job);
       this.context.clusterState.forgetIfFinished(job);
     }
@@ -193,8 +193,8 @@
 
   /** What somebody reading the log wants to know first. */
   private logSummary(now: Milliseconds): void {
-    for (const share of this.allocations.heldShards.keys()) {
-      const summary = this.shardSummary(share, now);
+    for (const shard of this.allocations.heldShards.keys()) {
+      const summary = this.shardSummary(shard, now);
       const types: Record<string, string> = {};
       const by = new Map<string, { n: number; idle: number; unusable: number }>();
       for (const machineSummary of summary.machines) {
@@ -209,7 +209,7 @@
       for (const [kind, counts] of by) types[kind] = `${counts.n} (${counts.idle} idle, ${counts.unusable} not usable)`;
       const accelerated: Record<string, string> = {};
       for (const machine of this.context.clusterState.machines.values()) {
-        if (machine.shard !== share || !machine.capacity || machine.capacity.gpus === 0) continue;
+        if (machine.shard !== shard || !machine.capacity || machine.capacity.gpus === 0) continue;
         const on = new Map<string, number>();
         for (const allocation of machine.allocations.values())
           on.set(
@@ -221,9 +221,9 @@
           .join(', ');
       }
       const waiting = this.allocations.unmetDemand
-        .filter((unmet) => unmet.job.shard === share)
+        .filter((unmet) => unmet.job.shard === shard)
         .map((unmet) => `${unmet.job.spec.cls} ${unmet.count} for ${Math.round((now - unmet.job.arrivedAt) / 1000)} s`);
-      this.context.log('debug', 'share', { share, machines: types, accelerated, waiting });
+      this.context.log('debug', 'share', { share: shard, machines: types, accelerated, waiting });
     }
   }
 
@@ -269,21 +269,21 @@
   }
 
   /** What is told of a share to the leader. */
-  shardSummary(share: number, now: Milliseconds): ShardSummary {
-    return this.shardSummaries.summaryOf(share, now);
+  shardSummary(shard: number, now: Milliseconds): ShardSummary {
+    return this.shardSummaries.summaryOf(shard, now);
   }
 
   /** Tasks that run and are done, by job, and how often one failed of those that fail everywhere. */
   runningJobs(): Map<string, RunningTasks> {
-    const out = new Map<string, RunningTasks>();
+    const result = new Map<string, RunningTasks>();
     for (const job of this.context.clusterState.jobs.values()) {
       if (!this.allocations.heldShards.has(job.shard)) continue;
       let count = 0;
       for (const allocation of job.allocations.values())
         if (allocation.phase === 'there' && allocation.status?.state === 'running') count++;
       const failed = this.allocations.failureAttribution.isCrashLooping(job) ? job.failureCount : 0;
-      if (count > 0 || job.doneCount > 0 || failed > 0) out.set(job.spec.id, { count, done: job.doneCount, failed });
+      if (count > 0 || job.doneCount > 0 || failed > 0) result.set(job.spec.id, { count, done: job.doneCount, failed });
     }
-    return out;
+    return result;
   }
 }
--- a/packages/controller/src/shards/shard-summary.ts
+++ b/packages/controller/src/shards/shard-summary.ts
@@ -35,33 +35,33 @@
   ) {}
 
   /** As it was at most a moment ago: the leader and the status both ask. */
-  summaryOf(share: number, now: Milliseconds): ShardSummary {
-    const old = this.summaries.get(share);
-    if (old && now - old.at < VIEW_MS && this.allocations.heldShards.has(share)) return old.share;
-    const fresh = { shard: share, machines: this.machines(share, now), demands: this.demands(share, now) };
-    this.summaries.set(share, { at: now, share: fresh });
+  summaryOf(shard: number, now: Milliseconds): ShardSummary {
+    const old = this.summaries.get(shard);
+    if (old && now - old.at < VIEW_MS && this.allocations.heldShards.has(shard)) return old.share;
+    const fresh = { shard, machines: this.machines(shard, now), demands: this.demands(shard, now) };
+    this.summaries.set(shard, { at: now, share: fresh });
     return fresh;
   }
 
-  forget(share: number): void {
-    this.summaries.delete(share);
+  forget(shard: number): void {
+    this.summaries.delete(shard);
   }
 
-  private machines(share: number, now: Milliseconds): MachineSummary[] {
-    const guarantees = this.queueOrder.quotaStatuses();
-    const clearable = this.scheduler.evacuableMachines(share, now);
+  private machines(shard: number, now: Milliseconds): MachineSummary[] {
+    const quotaStatuses = this.queueOrder.quotaStatuses();
+    const clearable = this.scheduler.evacuableMachines(shard, now);
     const told: MachineSummary[] = [];
     for (const machine of this.context.clusterState.machines.values()) {
-      if (machine.shard !== share) continue;
-      const room = this.allocations.freeResourcesOf(machine);
+      if (machine.shard !== shard) continue;
+      const free = this.allocations.freeResourcesOf(machine);
       told.push({
         name: machine.name,
-        freeCpus: Math.max(0, room.cpus),
-        freeGpus: Math.max(0, room.gpus),
-        freeMemory: Math.max(0, room.memory),
+        freeCpus: Math.max(0, free.cpus),
+        freeGpus: Math.max(0, free.gpus),
+        freeMemory: Math.max(0, free.memory),
         tasks: machine.allocations.size,
         protectedPriority: this.allocations.isSchedulable(machine, now)
-          ? this.protectedPriority(machine, guarantees, clearable)
+          ? this.protectedPriority(machine, quotaStatuses, clearable)
           : UNMOVABLE_RANK,
         idleS: machine.allocations.size === 0 ? (now - machine.idleSince) / 1000 : 0,
         services: this.allocations.servicesOn(machine).length,
@@ -71,24 +71,24 @@
   }
 
   /** The highest rank of work on the machine that may not be stopped for others. */
-  private protectedPriority(machine: Machine, guarantees: QuotaStatuses, clearable: Set<Machine>): number {
-    let rank = -1;
+  private protectedPriority(machine: Machine, quotaStatuses: QuotaStatuses, clearable: Set<Machine>): number {
+    let priority = -1;
     for (const { job, phase } of machine.allocations.values()) {
       if (phase === 'exited' || (job.spec.shape === 'service' && clearable.has(machine))) continue;
       // Within a guarantee it gives way to the highest rank only.
-      rank = Math.max(rank, job.priority, guarantees.get(job)?.isProtected ? HIGHEST_PRIORITY - 1 : -1);
+      priority = Math.max(priority, job.priority, quotaStatuses.get(job)?.isProtected ? HIGHEST_PRIORITY - 1 : -1);
     }
-    return rank;
+    return priority;
   }
 
   /** Work that is alike in what it wants is told as one. */
-  private demands(share: number, now: Milliseconds): ResourceDemand[] {
+  private demands(shard: number, now: Milliseconds): ResourceDemand[] {
     const demands = new Map<string, ResourceDemand>();
     for (const unmet of this.allocations.unmetDemand) {
-      if (unmet.job.shard !== share) continue;
+      if (unmet.job.shard !== shard) continue;
       const demand = this.demandOf(unmet, now);
-      const { cpus, gpus, memory, types, zone, spot, priority: rank, withinQuota: within, excludedZones: notZones } = demand;
-      const key = [cpus, gpus, memory, types, zone, spot, rank, within, unmet.job.spec.shape, notZones].join('/');
+      const { cpus, gpus, memory, types, zone, spot, priority, withinQuota, excludedZones: notZones } = demand;
+      const key = [cpus, gpus, memory, types, zone, spot, priority, withinQuota, unmet.job.spec.shape, notZones].join('/');
       const old = demands.get(key);
       if (old) {
         old.count += demand.count;
@@ -99,7 +99,7 @@
     return [...demands.values()];
   }
 
-  private demandOf({ job, count, withinQuota: within }: UnmetDemand, now: Milliseconds): ResourceDemand {
+  private demandOf({ job, count, withinQuota }: UnmetDemand, now: Milliseconds): ResourceDemand {
     const { cpus, gpus, memory, zone, spot, shape } = job.spec;
     const { typeNames } = this.context.clusterState;
     const slackS = (this.queueOrder.startDeadlineOf(job, now) - now) / 1000;
@@ -111,7 +111,7 @@
       zone: zone ?? '',
       spot,
       priority: job.priority,
-      withinQuota: within,
+      withinQuota,
       count,
       gang: shape === 'gang',
       waitS: (now - Math.max(job.arrivedAt, job.waitingSince)) / 1000,
@@ -122,8 +122,8 @@
 
   /** Zones that the job's other tasks bar for one more. */
   private excludedZones(job: UnmetDemand['job']): string[] {
-    const { settings, clusterState: table } = this.context;
+    const { settings, clusterState } = this.context;
     const counts = tasksPerZone(job);
-    return settings.zones.filter((zone) => !zoneAllowsTask(job, counts, table.zoneNames.indexOf(zone)));
+    return settings.zones.filter((zone) => !zoneAllowsTask(job, counts, clusterState.zoneNames.indexOf(zone)));
   }
 }
--- a/packages/controller/src/shards/task-commands.ts
+++ b/packages/controller/src/shards/task-commands.ts
@@ -6,18 +6,18 @@
  * The only place where a start is made, as the command leaves: whatever was true when it was planned, its job must be
  * one that runs, with nothing left to await, and the task not one that was told to stop meanwhile.
  */
-export function startCommand(placement: Allocation): Command | null {
-  const { job, stopGraceS: stop } = placement;
+export function startCommand(allocation: Allocation): Command | null {
+  const { job, stopGraceS: stop } = allocation;
   if (job.state !== 'live' || job.isBlocked || stop !== null) return null;
-  return { type: 'start', ...taskOf(placement) };
+  return { type: 'start', ...taskOf(allocation) };
 }
 
-export function stopCommand(placement: Allocation, graceS: number): Command {
-  return { type: 'stop', ...taskOf(placement), graceS };
+export function stopCommand(allocation: Allocation, graceS: number): Command {
+  return { type: 'stop', ...taskOf(allocation), graceS };
 }
 
-export function forgetCommand(placement: Allocation): Command {
-  return { type: 'forget', ...taskOf(placement) };
+export function forgetCommand(allocation: Allocation): Command {
+  return { type: 'forget', ...taskOf(allocation) };
 }
 
 function taskOf({ job, taskIndex: index, attempt }: Allocation) {
--- a/packages/controller/src/state/assignment-record.ts
+++ b/packages/controller/src/state/assignment-record.ts
@@ -29,10 +29,16 @@
 }
 
 /** `rewriteOf`: the stamp of the same grant that is written again, so that its stamp rises. */
-export function encodeAssignment(grant: MachineAssignment, rewriteOf?: number): unknown {
-  const stored: StoredAssignment = { s: grant.shard, a: grant.address, t: grant.type, z: grant.zone, sp: grant.spot };
-  if (grant.moveToShard !== null) stored.mv = grant.moveToShard;
-  if (grant.isRetired) stored.x = true;
+export function encodeAssignment(assignment: MachineAssignment, rewriteOf?: number): unknown {
+  const stored: StoredAssignment = {
+    s: assignment.shard,
+    a: assignment.address,
+    t: assignment.type,
+    z: assignment.zone,
+    sp: assignment.spot,
+  };
+  if (assignment.moveToShard !== null) stored.mv = assignment.moveToShard;
+  if (assignment.isRetired) stored.x = true;
   if (rewriteOf !== undefined) stored.n = rewriteOf;
   return stored;
 }
--- a/packages/controller/src/state/cluster-state.ts
+++ b/packages/controller/src/state/cluster-state.ts
@@ -20,7 +20,7 @@
 /** Spreads teams over the shares, largest guarantees first, onto the share with the least. */
 export function assignTeamsToShards(settings: ControllerSettings): number[] {
   const load = new Array<number>(settings.shardCount).fill(0);
-  const out = new Array<number>(settings.teams.length).fill(0);
+  const result = new Array<number>(settings.teams.length).fill(0);
   const order = settings.teams
     .map((team, index) => ({ i: index, w: team.gpus + team.cpus / 8 + 0.5 }))
     .sort((a, b) => b.w - a.w || a.i - b.i);
@@ -29,9 +29,9 @@
     for (let candidate = 1; candidate < load.length; candidate++)
       if ((load[candidate] as number) < (load[best] as number)) best = candidate;
     load[best] = (load[best] as number) + weight;
-    out[index] = best;
+    result[index] = best;
   }
-  return out;
+  return result;
 }
 
 /** A shard's lease, or the leader's, as it is stored. */
@@ -185,9 +185,9 @@
   /** shares whose teams have had work for accelerators */
   readonly shardsWithGpuWork = new Set<number>();
 
-  private recordGpuDemand({ spec, shard: share, typeIndices: types }: Job): void {
+  private recordGpuDemand({ spec, shard, typeIndices: types }: Job): void {
     if (spec.gpus <= 0) return;
-    this.shardsWithGpuWork.add(share);
+    this.shardsWithGpuWork.add(shard);
     this.machineTypes.forEach((machineType, index) => {
       if (!machineType || !fits(spec, machineType) || (types !== null && !types.includes(index))) return;
       const old = this.gpuDemandByType.get(index);
@@ -252,7 +252,7 @@
     machine.assignmentRevision = entry.revision;
     machine.moveToShard = assignment.moveToShard ?? -1;
     machine.isRetired = assignment.isRetired;
-    return { machine: machine, moved };
+    return { machine, moved };
   }
 
   /** The machine's grant to its share, with nothing else wanted of it. */
@@ -268,8 +268,8 @@
     };
   }
 
-  leaseOf(share: number | 'lead'): ShardLease | null {
-    return this.leaseHolders.get(String(share)) ?? null;
+  leaseOf(shard: number | 'lead'): ShardLease | null {
+    return this.leaseHolders.get(String(shard)) ?? null;
   }
 
   /** A worker obeys the largest token it has seen: this rises at each takeover and each grant. */
--- a/packages/controller/src/state/job-dependencies.ts
+++ b/packages/controller/src/state/job-dependencies.ts
@@ -183,18 +183,18 @@
 
   /** The highest priority and the earliest end among the job's own and those of the jobs that need it. */
   private recomputeOwnRequirements(job: Job): boolean {
-    let rank = job.spec.rank;
+    let priority = job.spec.rank;
     let endBy = job.deadlineAt;
     let slack = job.deadlineSpanMs;
     for (const dependent of this.dependents.get(job.spec.id) ?? []) {
-      rank = Math.max(rank, dependent.priority);
+      priority = Math.max(priority, dependent.priority);
       const startBy = dependent.effectiveDeadlineAt - expectedDurationMs(dependent);
       if (startBy >= endBy) continue;
       endBy = startBy;
       slack = dependent.effectiveDeadlineSpanMs;
     }
-    if (rank === job.priority && endBy === job.effectiveDeadlineAt && slack === job.effectiveDeadlineSpanMs) return false;
-    job.priority = rank;
+    if (priority === job.priority && endBy === job.effectiveDeadlineAt && slack === job.effectiveDeadlineSpanMs) return false;
+    job.priority = priority;
     job.effectiveDeadlineAt = endBy;
     job.effectiveDeadlineSpanMs = slack;
     return true;
--- a/packages/controller/src/state/job-record.ts
+++ b/packages/controller/src/state/job-record.ts
@@ -162,12 +162,12 @@
   if (encodedBytes(key, whole) <= changeBytes) return { record: whole, parts: [], group: '' };
   const types = spec.types ?? [];
   const bare = { s, t: submittedAt, sp: { ...spec, types: spec.types && [] }, x: { k: 'x'.repeat(GROUP_LENGTH), n: 1_000_000 } };
-  let room = changeBytes - encodedBytes(key, bare);
-  const typesHere = namesThatFit(types, room);
+  let remaining = changeBytes - encodedBytes(key, bare);
+  const typesHere = namesThatFit(types, remaining);
   // An empty list of types allows none, for a version that knows no parts; null would allow all.
-  if (room < 0 || (types.length > 0 && typesHere === 0)) return null;
-  room -= Buffer.byteLength(JSON.stringify(types.slice(0, typesHere)));
-  const awaitsHere = namesThatFit(awaits, room - Buffer.byteLength(',"aw":[]'));
+  if (remaining < 0 || (types.length > 0 && typesHere === 0)) return null;
+  remaining -= Buffer.byteLength(JSON.stringify(types.slice(0, typesHere)));
+  const awaitsHere = namesThatFit(awaits, remaining - Buffer.byteLength(',"aw":[]'));
   const parts = [
     ...split(types.slice(typesHere), changeBytes, (ty) => ({ ty })),
     ...split(awaits.slice(awaitsHere), changeBytes, (aw) => ({ aw })),
--- a/packages/controller/src/state/job-registry.ts
+++ b/packages/controller/src/state/job-registry.ts
@@ -106,8 +106,14 @@
   }
 
   /** A job is over. Returns those that awaited it and are released or cancelled by that. */
-  private applyFinalState(id: string, final: FinalState, endedAt: Milliseconds | null, stamp: number, now: Milliseconds): Job[] {
-    if (final === 'cancelled') this.cancellationRevision = Math.max(this.cancellationRevision, stamp);
+  private applyFinalState(
+    id: string,
+    final: FinalState,
+    endedAt: Milliseconds | null,
+    revision: number,
+    now: Milliseconds,
+  ): Job[] {
+    if (final === 'cancelled') this.cancellationRevision = Math.max(this.cancellationRevision, revision);
     this.finishedJobs.set(id, final);
     this.progressReadEarly.delete(id);
     const { released, cancelled } = this.dependencies.jobFinished(id, final, endedAt);
--- a/packages/controller/src/state/progress-layout.ts
+++ b/packages/controller/src/state/progress-layout.ts
@@ -61,15 +61,16 @@
   /** The keys that hold the progress of a job with so many tasks. */
   parts(tasks: number): ProgressPart[] {
     const split = tasks > this.partStart(1) * TASKS_PER_DIGIT;
-    const out: ProgressPart[] = [];
+    const result: ProgressPart[] = [];
     for (let chunk = 0; chunk * this.chunkTasks < tasks; chunk++) {
-      if (split && this.partsPerChunk > 1) this.addParts(out, chunk, tasks);
-      else out.push({ name: String(chunk), from: chunk * this.chunkTasks, to: Math.min(tasks, (chunk + 1) * this.chunkTasks) });
+      if (split && this.partsPerChunk > 1) this.addParts(result, chunk, tasks);
+      else
+        result.push({ name: String(chunk), from: chunk * this.chunkTasks, to: Math.min(tasks, (chunk + 1) * this.chunkTasks) });
     }
-    return out;
+    return result;
   }
 
-  private addParts(out: ProgressPart[], chunk: number, tasks: number): void {
+  private addParts(result: ProgressPart[], chunk: number, tasks: number): void {
     for (let part = 0; part < this.partsPerChunk; part++) {
       const from = chunk * this.chunkTasks + this.partStart(part) * TASKS_PER_DIGIT;
       const to = chunk * this.chunkTasks + this.partStart(part + 1) * TASKS_PER_DIGIT;
@@ -77,7 +78,7 @@
       // Never the name of a whole chunk, which another version may have stored under its number.
       const fraction = this.partStart(part) / this.chunkDigits;
       const name = fraction === 0 ? `${chunk}.0` : String(chunk + fraction);
-      out.push({ name, from, to: Math.min(tasks, to) });
+      result.push({ name, from, to: Math.min(tasks, to) });
     }
   }
 
@@ -98,13 +99,13 @@
 
 /** The digits for the tasks `from` to `to`; a task that isn't 0 in `bits` is done. */
 export function packBits(bits: Uint8Array, from: number, to: number): string {
-  let out = '';
+  let result = '';
   for (let index = from; index < to; index += TASKS_PER_DIGIT) {
     let digit = 0;
     for (let bit = 0; bit < TASKS_PER_DIGIT; bit++) if (index + bit < to && bits[index + bit]) digit |= 1 << bit;
-    out += digit.toString(16);
+    result += digit.toString(16);
   }
-  return out;
+  return result;
 }
 
 function isDigits(value: unknown): value is string {
--- a/packages/controller/src/state/replica.ts
+++ b/packages/controller/src/state/replica.ts
@@ -32,19 +32,19 @@
     return this.entries.keys();
   }
 
-  set(key: string, value: unknown, stamp: number): void {
+  set(key: string, value: unknown, revision: number): void {
     const old = this.entries.get(key);
-    if ((old && old.revision >= stamp) || (this.tombstones.get(key) ?? 0) >= stamp) return;
-    const entry = { value, revision: stamp };
+    if ((old && old.revision >= revision) || (this.tombstones.get(key) ?? 0) >= revision) return;
+    const entry = { value, revision };
     this.entries.set(key, entry);
     this.tombstones.delete(key);
     this.notify(key, entry);
   }
 
-  remove(key: string, stamp: number): void {
+  remove(key: string, revision: number): void {
     const old = this.entries.get(key);
-    if (old && old.revision > stamp) return;
-    if (stamp > this.revision) this.tombstones.set(key, stamp);
+    if (old && old.revision > revision) return;
+    if (revision > this.revision) this.tombstones.set(key, revision);
     if (!old) return;
     this.entries.delete(key);
     this.notify(key, null);
--- a/packages/controller/src/state/state-writer.ts
+++ b/packages/controller/src/state/state-writer.ts
@@ -86,10 +86,10 @@
 
   /** How many changes of each kind were sent since this was last asked, and what waits. */
   takeWriteCounts(): Record<string, number> {
-    const out: Record<string, number> = { waiting: this.queue.length };
-    for (const [kind, count] of this.sentByKind) out[kind] = count;
+    const result: Record<string, number> = { waiting: this.queue.length };
+    for (const [kind, count] of this.sentByKind) result[kind] = count;
     this.sentByKind.clear();
-    return out;
+    return result;
   }
 
   add(write: PendingWrite): void {
@@ -131,20 +131,20 @@
   }
 
   private emptyBatch(): Batch {
-    const room = Math.min(this.limits.writesPerTransaction, this.budget);
+    const remaining = Math.min(this.limits.writesPerTransaction, this.budget);
     const others = this.queue.count(WritePriority.assignment) + this.queue.count(WritePriority.release) > 0;
-    const acceptances = others ? Math.max(1, Math.floor(room / 2)) : room;
-    return { writes: [], keys: new Set(), conditions: new Map(), bytes: 0, maxWrites: room, maxAcceptances: acceptances };
+    const acceptances = others ? Math.max(1, Math.floor(remaining / 2)) : remaining;
+    return { writes: [], keys: new Set(), conditions: new Map(), bytes: 0, maxWrites: remaining, maxAcceptances: acceptances };
   }
 
-  private fitsBatch(write: QueuedWrite, { writes, keys, conditions: guards, maxAcceptances: acceptances }: Batch): boolean {
+  private fitsBatch(write: QueuedWrite, { writes, keys, conditions, maxAcceptances: acceptances }: Batch): boolean {
     if (writes.length > 0 && (write.sendAlone || writes[0]?.sendAlone)) return false;
     if (write.priority === WritePriority.acceptance && acceptances < 1) return false;
     if (keys.has(write.key) || this.keysInFlight.has(write.key)) return false;
     if (write.attachedToLease && this.leaseId() === null) return false;
     const wanted = conditionsOf(write);
-    if (guards.size + wanted.length > CONDITIONS_PER_WRITE * this.limits.writesPerTransaction) return false;
-    return wanted.every((guard) => (guards.get(guard.key) ?? guard.revision) === guard.revision);
+    if (conditions.size + wanted.length > CONDITIONS_PER_WRITE * this.limits.writesPerTransaction) return false;
+    return wanted.every((condition) => (conditions.get(condition.key) ?? condition.revision) === condition.revision);
   }
 
   private addToBatch(write: QueuedWrite, size: number, batch: Batch): void {
@@ -157,7 +157,7 @@
     this.sentByKind.set(kind, (this.sentByKind.get(kind) ?? 0) + 1);
   }
 
-  private send({ writes, keys, conditions: guards }: Batch, now: Milliseconds): void {
+  private send({ writes, keys, conditions }: Batch, now: Milliseconds): void {
     this.budget -= writes.length;
     this.wantedWritesPerS(now);
     this.recentWrites += writes.length;
@@ -168,7 +168,7 @@
     this.emit({
       type: 'compareAndSwap',
       id,
-      conditions: [...guards].map(([key, revision]) => ({ key, revision })),
+      conditions: [...conditions].map(([key, revision]) => ({ key, revision })),
       writes: writes.map((write): KeyWrite => {
         if (write.sentValue === undefined) return { del: write.key };
         return write.attachedToLease && lease !== null
--- a/packages/controller/src/state/write-queue.ts
+++ b/packages/controller/src/state/write-queue.ts
@@ -44,7 +44,7 @@
   isUrgent?: () => boolean;
   /** dropped unsent after this time */
   expiresAt?: Milliseconds;
-  onOutcome: (outcome: WriteOutcome, stamp: number) => void;
+  onOutcome: (outcome: WriteOutcome, revision: number) => void;
 }
 
 /** A change that waits to be sent, or to be sent again. */
--- a/packages/http-api/src/index.ts
+++ b/packages/http-api/src/index.ts
@@ -90,8 +90,8 @@
       });
     }
     app.use((_req, res) => this.reply(new HttpResponder(res), 404, { error: 'no such path' }));
-    app.use((err: { status?: number }, _req: express.Request, res: express.Response, _next: express.NextFunction) => {
-      this.reply(new HttpResponder(res), 400, { error: err.status === 413 ? 'the body is too large' : 'malformed request' });
+    app.use((error: { status?: number }, _req: express.Request, res: express.Response, _next: express.NextFunction) => {
+      this.reply(new HttpResponder(res), 400, { error: error.status === 413 ? 'the body is too large' : 'malformed request' });
     });
   }
 
@@ -137,12 +137,12 @@
   /** A worker's report; null: its body is too large. */
   private report(responder: Responder, bytes: Buffer | null, socket: net.Socket): void {
     const body = bytes && unpackMap(bytes);
-    const report = body && parseHeartbeat(body);
-    if (!report) {
+    const heartbeat = body && parseHeartbeat(body);
+    if (!heartbeat) {
       this.unreadable(`${socket.remoteAddress}`);
       return this.reply(responder, 400, { error: 'not a report' }, undefined, 'worker');
     }
-    this.handle({ kind: 'report', id: this.keep(responder, null, 'worker'), report });
+    this.handle({ kind: 'report', id: this.keep(responder, null, 'worker'), report: heartbeat });
   }
 
   /**
--- a/packages/http-api/src/shedding.ts
+++ b/packages/http-api/src/shedding.ts
@@ -30,8 +30,8 @@
 
   take(): boolean {
     const now = this.clock();
-    const most = this.perS > 0 ? Math.max(1, this.perS) : 0;
-    this.left = Math.min(most, this.left + ((now - this.at) / 1000) * this.perS);
+    const limit = this.perS > 0 ? Math.max(1, this.perS) : 0;
+    this.left = Math.min(limit, this.left + ((now - this.at) / 1000) * this.perS);
     this.at = now;
     if (this.left < 1) return false;
     this.left--;
--- a/packages/http-client/src/index.ts
+++ b/packages/http-client/src/index.ts
@@ -14,9 +14,9 @@
   timeoutMs: number;
 }
 
-export function splitAddr(addr: string): { host: string; port: number } {
-  const cut = addr.lastIndexOf(':');
-  return { host: addr.slice(0, cut), port: Number(addr.slice(cut + 1)) };
+export function splitAddr(address: string): { host: string; port: number } {
+  const cut = address.lastIndexOf(':');
+  return { host: address.slice(0, cut), port: Number(address.slice(cut + 1)) };
 }
 
 /** Timers that fire so much later than asked for: this process stood still, or had no processor. */
@@ -28,8 +28,8 @@
   private readonly host: string;
   private readonly port: number;
 
-  constructor(addr: string, maxSockets: number) {
-    const { host, port } = splitAddr(addr);
+  constructor(address: string, maxSockets: number) {
+    const { host, port } = splitAddr(address);
     this.host = host;
     this.port = port;
     this.agent = new http.Agent({ keepAlive: true, maxSockets, maxFreeSockets: maxSockets, scheduling: 'lifo' });
--- a/packages/peer-transport/src/index.ts
+++ b/packages/peer-transport/src/index.ts
@@ -71,9 +71,9 @@
     for (const socket of [...this.out.values(), ...this.accepted]) socket.destroy();
   }
 
-  private dial({ name, addr }: Peer): void {
-    const cut = addr.lastIndexOf(':');
-    const socket = net.connect({ host: addr.slice(0, cut), port: Number(addr.slice(cut + 1)), noDelay: true });
+  private dial({ name, addr: address }: Peer): void {
+    const cut = address.lastIndexOf(':');
+    const socket = net.connect({ host: address.slice(0, cut), port: Number(address.slice(cut + 1)), noDelay: true });
     this.out.set(name, socket);
     socket.setTimeout(DIAL_MS, () => socket.destroy());
     socket.on('error', () => socket.destroy());
--- a/packages/protocol/src/state.ts
+++ b/packages/protocol/src/state.ts
@@ -22,8 +22,8 @@
   /** no answer: it may have been carried out, or be carried out yet */
   | { kind: 'unknown' };
 
-export const encodeCompareAndSwap = (guards: RevisionCondition[], writes: KeyWrite[]) => ({
-  guards: guards.map((condition) => ({ k: condition.key, stamp: condition.revision })),
+export const encodeCompareAndSwap = (conditions: RevisionCondition[], writes: KeyWrite[]) => ({
+  guards: conditions.map((condition) => ({ k: condition.key, stamp: condition.revision })),
   writes: writes.map((write) =>
     'del' in write
       ? { remove: write.del }
--- a/packages/protocol/src/workers.ts
+++ b/packages/protocol/src/workers.ts
@@ -119,6 +119,6 @@
   return { baton: token, shift: session, orders: commands.map(encodeCommand) };
 }
 
-export function encodeRedirect(node: string | null) {
-  return node === null ? {} : { home: node };
+export function encodeRedirect(controller: string | null) {
+  return controller === null ? {} : { home: controller };
 }
--- a/packages/server/src/capacity.ts
+++ b/packages/server/src/capacity.ts
@@ -53,6 +53,6 @@
     { what: 'state.write_rps', have: settings.core.state.writesPerS, need: Math.ceil(machines / (USED_SHARE * FIRST_START_S)) },
   ];
   return all
-    .filter(({ have, need }) => have < need)
+    .filter(({ have, need: resources }) => have < resources)
     .map((lack) => ({ ...lack, machines, short: Math.ceil(lack.need - lack.have) }));
 }
--- a/packages/server/src/index.ts
+++ b/packages/server/src/index.ts
@@ -29,8 +29,8 @@
   .action(async (options: { config: string; operator?: string; check?: boolean }) => {
     const settings = loadSettings(options.config, operatorFile(options.operator));
     if (options.check) {
-      for (const { what, short, need, have } of shortages(settings))
-        process.stdout.write(`${options.config}: ${what}: ${have} is ${short} short of ${need}\n`);
+      for (const { what, short, need: resources, have } of shortages(settings))
+        process.stdout.write(`${options.config}: ${what}: ${have} is ${short} short of ${resources}\n`);
       process.stdout.write(`${options.config}: in order\n`);
       return;
     }
--- a/packages/server/src/service.ts
+++ b/packages/server/src/service.ts
@@ -39,7 +39,7 @@
     private readonly log: Logger,
   ) {
     const controllerSettings = settings.core;
-    const nodes = controllerSettings.controllers.length;
+    const controllerCount = controllerSettings.controllers.length;
     this.shedding = new Shedding(steady, REQUESTS_PER_S_OF_CORE * controllerSettings.cpuShare);
     this.core = new Controller(controllerSettings, randomUUID().slice(0, 8));
     this.inbox = new Inbox({
@@ -50,7 +50,7 @@
         this.carryOut(true);
         this.core.processPaused(ms, steady());
       },
-      failed: (err) => this.log.error({ err }, 'an input could not be taken'),
+      failed: (error) => this.log.error({ err: error }, 'an input could not be taken'),
     });
     // Half of the time a cancellation has: rides out outages, leaves time to take over.
     const ttlMs = Math.round(Math.min(600, Math.max(1, controllerSettings.workers.cancelS / 2)) * 1000);
@@ -62,11 +62,11 @@
         controllerSettings.state.next?.requestsPerS ?? controllerSettings.state.requestsPerS,
       ) *
         0.9) /
-        nodes,
+        controllerCount,
       ttlMs,
       0.002,
     );
-    this.cloud = new Cloud(settings.cloud, controllerSettings.cloud.requestsPerS * Math.max(0.5, 0.9 / nodes));
+    this.cloud = new Cloud(settings.cloud, controllerSettings.cloud.requestsPerS * Math.max(0.5, 0.9 / controllerCount));
     // All workers may come to one controller, with a connection each: those for commands, of which
     // the longest unused are closed, must leave room for that, and for users.
     this.workers = new Workers(commandSockets(settings));
@@ -92,8 +92,8 @@
       inbox.decision(() => core.receiveLeaseState(lease.permit, lease.validUntil, steady())),
     );
     this.peers.message$.subscribe((message) => {
-      const { heartbeat: report, status } = message;
-      if (report) inbox.report(() => core.receiveForwardedHeartbeat(report, steady()));
+      const { heartbeat, status } = message;
+      if (heartbeat) inbox.report(() => core.receiveForwardedHeartbeat(heartbeat, steady()));
       if (status) inbox.decision(() => core.receivePeerStatus(status, steady()));
     });
     this.peers.unreadable$.subscribe((problem) => this.log.warn(problem, 'a peer message can not be read'));
--- a/packages/server/src/settings.ts
+++ b/packages/server/src/settings.ts
@@ -107,13 +107,18 @@
 }
 
 /** What of a limit has to be there for a controller to run at all; the reason is what it is for. */
-function enough(path: string, field: string, have: number, need: number, what: string): void {
-  if (have < need) throw new SettingsError(`${path}: params.${field}: ${have} is too little: ${what} takes ${need}`);
+function enough(path: string, field: string, have: number, resources: number, what: string): void {
+  if (have < resources) throw new SettingsError(`${path}: params.${field}: ${have} is too little: ${what} takes ${resources}`);
 }
 
-function enoughState(path: string, field: string, limits: z.infer<z.ZodObject<typeof stateLimits>>, nodes: number): void {
-  enough(path, `${field}.write_rps`, limits.write_rps, nodes, 'a change a second for each controller');
-  enough(path, `${field}.rps`, limits.rps, 4 * nodes, 'lease, watch and a transaction a second for each controller');
+function enoughState(
+  path: string,
+  field: string,
+  limits: z.infer<z.ZodObject<typeof stateLimits>>,
+  controllerCount: number,
+): void {
+  enough(path, `${field}.write_rps`, limits.write_rps, controllerCount, 'a change a second for each controller');
+  enough(path, `${field}.rps`, limits.rps, 4 * controllerCount, 'lease, watch and a transaction a second for each controller');
   enough(path, `${field}.value_kb`, limits.value_kb, 2, 'the record of a job');
 }
 
@@ -122,7 +127,7 @@
  * rather than found out by users.
  */
 function refuseHopeless(path: string, settings: z.infer<typeof file>): void {
-  const nodes = settings.others.length + 1;
+  const controllerCount = settings.others.length + 1;
   const workers = settings.params.workers;
   // Workers are answered for what this leaves after the last reading of all changes: no less
   // than the time between two readings (docs/design.md, "Who may answer workers").
@@ -133,14 +138,14 @@
     );
   const { max_sockets, mem_mb } = settings.params.machine_limits;
   const { next, ...present } = settings.params.state;
-  enoughState(path, 'state', present, nodes);
-  if (next) enoughState(path, 'state.next', { ...present, ...next }, nodes);
+  enoughState(path, 'state', present, controllerCount);
+  if (next) enoughState(path, 'state.next', { ...present, ...next }, controllerCount);
   enough(path, 'machine_limits.mem_mb', mem_mb, LEAST_MB, 'the process without any work');
   enough(
     path,
     'machine_limits.max_sockets',
     max_sockets,
-    STATE_SOCKETS + 4 * nodes + 64,
+    STATE_SOCKETS + 4 * controllerCount + 64,
     'the state service, the other controllers and a few workers and users',
   );
 }
--- a/packages/state-client/src/index.ts
+++ b/packages/state-client/src/index.ts
@@ -65,13 +65,13 @@
   private readonly pauseMs: number;
 
   constructor(
-    addr: string,
+    address: string,
     private readonly prefix: string,
     rps: number,
     private readonly ttlMs: number,
     private readonly driftShare: number,
   ) {
-    this.client = new Client(addr, STATE_SOCKETS);
+    this.client = new Client(address, STATE_SOCKETS);
     this.budget = new Budget(rps, steady);
     // Watch, barriers and writes share the budget: a third of it for re-opening the watch.
     this.pauseMs = Math.max(40, Math.min(250, 3000 / rps));
@@ -96,24 +96,24 @@
   // ---- the lease
 
   private async leaseLoop(): Promise<void> {
-    let permit: number | null = null;
+    let leaseId: number | null = null;
     const every = Math.min(this.ttlMs / 6, 2500);
     while (!this.closed) {
       this.budget.force();
       const at = steady();
-      const path: string = permit === null ? PATHS.leases : `${PATHS.leases}/${permit}/extend`;
-      const body = pack(permit === null ? encodeLeaseRequest(this.ttlMs) : {});
+      const path: string = leaseId === null ? PATHS.leases : `${PATHS.leases}/${leaseId}/extend`;
+      const body = pack(leaseId === null ? encodeLeaseRequest(this.ttlMs) : {});
       const outcome = await this.client.call({ method: 'POST', path, body, timeoutMs: 2000 });
       let wait = 400;
       if (outcome.kind === 'answer' && outcome.status === 200) {
-        if (permit === null) permit = parseLease(unpackMap(outcome.body) ?? {});
-        if (permit !== null) {
+        if (leaseId === null) leaseId = parseLease(unpackMap(outcome.body) ?? {});
+        if (leaseId !== null) {
           // Counted from the sending, on a clock that may run fast or slow.
-          this.lease$.next({ permit, validUntil: at + this.ttlMs * (1 - this.driftShare) - 20 });
+          this.lease$.next({ permit: leaseId, validUntil: at + this.ttlMs * (1 - this.driftShare) - 20 });
           wait = every;
         }
-      } else if (outcome.kind === 'answer' && (outcome.status === 404 || outcome.status === 400) && permit !== null) {
-        permit = null;
+      } else if (outcome.kind === 'answer' && (outcome.status === 404 || outcome.status === 400) && leaseId !== null) {
+        leaseId = null;
         this.lease$.next({ permit: null, validUntil: 0 });
         wait = 0;
       }
@@ -217,12 +217,12 @@
 
   // ---- writing
 
-  async txn(guards: RevisionCondition[], writes: KeyWrite[]): Promise<CompareAndSwapOutcome> {
+  async txn(conditions: RevisionCondition[], writes: KeyWrite[]): Promise<CompareAndSwapOutcome> {
     await this.budget.take();
     const outcome = await this.client.call({
       method: 'POST',
       path: PATHS.txn,
-      body: pack(encodeCompareAndSwap(guards, writes)),
+      body: pack(encodeCompareAndSwap(conditions, writes)),
       timeoutMs: 1500,
     });
     if (outcome.kind === 'refused') return { kind: 'refused' };
--- a/packages/worker-client/src/index.ts
+++ b/packages/worker-client/src/index.ts
@@ -30,13 +30,13 @@
   }
 
   /** Does the worker answer? */
-  async ask(addr: string): Promise<boolean> {
-    const outcome = await this.client(addr).call({ method: 'GET', path: PATHS.status, timeoutMs: 1500 });
+  async ask(address: string): Promise<boolean> {
+    const outcome = await this.client(address).call({ method: 'GET', path: PATHS.status, timeoutMs: 1500 });
     return outcome.kind === 'answer' && outcome.status === 200;
   }
 
-  async command(addr: string, token: number, session: number, commands: Command[]): Promise<CommandOutcome> {
-    const outcome = await this.client(addr).call({
+  async command(address: string, token: number, session: number, commands: Command[]): Promise<CommandOutcome> {
+    const outcome = await this.client(address).call({
       method: 'POST',
       path: PATHS.commands,
       body: pack(encodeCommandRequest(token, session, commands)),
--- a/test/answers.test.ts
+++ b/test/answers.test.ts
@@ -142,7 +142,7 @@
   const cluster = smallCluster(4);
   cluster.submit(job('run-a', { tasks: 2, estimateS: 30 }));
   cluster.until('running', () => cluster.running('run-a') === 2);
-  const guards = { type: 'compareAndSwap' as const, id: 0, conditions: [] };
+  const conditions = { type: 'compareAndSwap' as const, id: 0, conditions: [] };
   const odd: [string, unknown][] = [
     ['a/j/run-odd', { s: 0, t: 0 }],
     ['a/j/run-null', null],
@@ -152,7 +152,7 @@
     ['a/p/run-a/x', 7],
     ['a/zzz', [1]],
   ];
-  for (const [put, value] of odd) cluster.state.txn({ ...guards, writes: [{ put, value }] }, cluster.now);
+  for (const [put, value] of odd) cluster.state.txn({ ...conditions, writes: [{ put, value }] }, cluster.now);
   cluster.run(2);
   const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-a')));
   owner.crash();
--- a/test/apart.test.ts
+++ b/test/apart.test.ts
@@ -34,17 +34,17 @@
   const c = cluster(9);
   c.submit(job('run-v', { shape: 'service', tasks: 2, rank: 3, cls: 'serve' }));
   c.until('running', () => c.running('run-v') === 2);
-  const share = shareOf(c, 'run-v');
-  const apart = holderOf(c, share);
-  const tokens = () => c.nodes.map((node) => node.core.clusterState.leaseOf(share)?.revision ?? 0);
-  c.deaf = (node) => node === apart;
-  c.until('taken over', () => holderOf(c, share) !== apart && holderOf(c, share) !== '', 30);
+  const shard = shareOf(c, 'run-v');
+  const apart = holderOf(c, shard);
+  const tokens = () => c.nodes.map((node) => node.core.clusterState.leaseOf(shard)?.revision ?? 0);
+  c.deaf = (controller) => controller === apart;
+  c.until('taken over', () => holderOf(c, shard) !== apart && holderOf(c, shard) !== '', 30);
   c.submit(job('run-u', { team: c.specs.get('run-v')?.team ?? '', estimateS: 3 }));
   c.until('the new holder starts work', () => c.finished.has('run-u/0'), 30);
   c.run(20);
   const during = tokens();
   c.deaf = () => false;
-  c.until('home again', () => holderOf(c, share) === apart, 40);
+  c.until('home again', () => holderOf(c, shard) === apart, 40);
   const home = tokens();
   c.run(30);
   assert.deepEqual(tokens(), home, 'it does not go to and fro');
@@ -88,8 +88,8 @@
     copies.push(w.report());
   }
   w.hung = true;
-  const share = shareOf(c, 'run-d');
-  c.node(holderOf(c, share)).crash();
+  const shard = shareOf(c, 'run-d');
+  c.node(holderOf(c, shard)).crash();
   c.run(1);
   c.nodes.find((node) => !node.up)?.restart();
   const died = c.now;
@@ -166,12 +166,12 @@
   c.until('running', () => c.running('run-p') === 8);
   c.run(6);
   const before = c.relays;
-  const reports = c.workers.reduce((count, w) => count + w.seq, 0);
+  const heartbeats = c.workers.reduce((count, w) => count + w.seq, 0);
   c.run(40);
   const kept = c.workers.filter((w) => w.zone === 'west').length;
   // Each in full once in a while; without this it would be one of every two seconds.
   assert.ok(c.relays - before <= kept * 5, `${c.relays - before} passed on`);
-  assert.ok(c.workers.reduce((count, w) => count + w.seq, 0) - reports >= 8 * 18, 'and hardly any machine had to be asked');
+  assert.ok(c.workers.reduce((count, w) => count + w.seq, 0) - heartbeats >= 8 * 18, 'and hardly any machine had to be asked');
   for (const w of c.workers) {
     const node = c.nodes.find((x) =>
       x.core.shardController.heldShards.has(x.core.clusterState.machines.get(w.name)?.shard ?? -1),
@@ -291,8 +291,8 @@
     assert.ok(node.core.isReady, `${node.name} takes users`);
     for (let index = 0; index < 9; index++) {
       const said = c.ask(`run-${index}`, node);
-      const want = index < 3 ? ['done'] : index === 4 ? ['aborted'] : ['queued', 'running'];
-      assert.ok(want.includes(said), `${node.name} says ${said} of run-${index}`);
+      const gpuDemand = index < 3 ? ['done'] : index === 4 ? ['aborted'] : ['queued', 'running'];
+      assert.ok(gpuDemand.includes(said), `${node.name} says ${said} of run-${index}`);
     }
   }
   assert.equal(
@@ -328,8 +328,8 @@
   const c = cluster(12);
   c.submit(job('run-q', { team: 'blue', shape: 'service', tasks: 10, rank: 3, cls: 'serve' }));
   c.until('running', () => c.running('run-q') === 10);
-  const share = shareOf(c, 'run-q');
-  const home = holderOf(c, share);
+  const shard = shareOf(c, 'run-q');
+  const home = holderOf(c, shard);
   const zone = c.node(home).core.settings.zone;
   const inside = (x: string) => x === home || c.workers.find((w) => w.name === x)?.zone === zone;
   // Its home is cut off whole; a machine there dies, the others' work ends by its leases.
@@ -342,7 +342,7 @@
     dead.tasks.clear();
   }
   const away = c.nodes.find((node) => node.up && node.name !== home) as Node;
-  c.until('taken over', () => (away.core.clusterState.leaseOf(share)?.holder.controller ?? home) !== home, 40);
+  c.until('taken over', () => (away.core.clusterState.leaseOf(shard)?.holder.controller ?? home) !== home, 40);
   c.until('its leases are over', () => !c.on('run-q').some(inside), 40);
   // The cloud can't tell that the dead one is gone for a while: what may be on it waits.
   c.cloudDown = true;
@@ -352,7 +352,7 @@
   c.at(c.now + 15_000, () => {
     c.cloudDown = false;
   });
-  c.until('at home', () => away.core.clusterState.leaseOf(share)?.holder.controller === home, 90);
+  c.until('at home', () => away.core.clusterState.leaseOf(shard)?.holder.controller === home, 90);
   assert.equal(c.running('run-q'), 10);
 });
 
--- a/test/cluster/cluster.ts
+++ b/test/cluster/cluster.ts
@@ -32,17 +32,17 @@
   /** true if the two can't reach each other */
   cut: (a: string, b: string) => boolean = () => false;
   /** true if what this controller sends doesn't reach the machine, though its reports arrive */
-  deaf: (node: string, machine: string) => boolean = () => false;
+  deaf: (controller: string, machine: string) => boolean = () => false;
   /** true if direct commands to it are lost, while its reports are answered */
-  commandsLost: (node: string, machine: string) => boolean = () => false;
+  commandsLost: (controller: string, machine: string) => boolean = () => false;
   /** true if no connection to the machine can be opened: a direct command never leaves */
-  commandsRefused: (node: string, machine: string) => boolean = () => false;
+  commandsRefused: (controller: string, machine: string) => boolean = () => false;
   /** true if what the first controller tells the second is lost, though not the other way round */
   unheard: (from: string, to: string) => boolean = () => false;
   /** true if it comes late */
   held: (from: string, to: string) => boolean = () => false;
   /** true if the machine's answers to commands, which it carries out, can't be read */
-  garbled: (node: string, machine: string) => boolean = () => false;
+  garbled: (controller: string, machine: string) => boolean = () => false;
   /** true if the machine reaches no controller, though direct commands reach it */
   mute: (machine: string) => boolean = () => false;
   /** sees every message between controllers as it leaves */
@@ -50,7 +50,7 @@
   /** sees every report as it leaves, to deliver copies late */
   reported: ((heartbeat: Heartbeat) => void) | null = null;
   /** how long the answer to a transaction takes, once it is carried out */
-  answerMs: (node: string) => number = () => 10;
+  answerMs: (controller: string) => number = () => 10;
   /** the cloud has machines left: they are up so long after they were rented */
   bootMs: (() => number) | null = null;
   private rented = 0;
@@ -248,8 +248,8 @@
 
 /** The share that a job belongs to, and the controller that holds a share, as any controller sees it. */
 export const shareOf = (cluster: Cluster, id: string): number => anyUp(cluster)?.core.clusterState.jobs.get(id)?.shard ?? -1;
-export const holderOf = (cluster: Cluster, share: number | 'lead'): string =>
-  anyUp(cluster)?.core.clusterState.leaseOf(share)?.holder.controller ?? '';
+export const holderOf = (cluster: Cluster, shard: number | 'lead'): string =>
+  anyUp(cluster)?.core.clusterState.leaseOf(shard)?.holder.controller ?? '';
 
 /**
  * Compares what happened with the trace kept under test/traces, which is there to be read.
--- a/test/cluster/controller.ts
+++ b/test/cluster/controller.ts
@@ -117,9 +117,9 @@
 
   /** As many of the inputs that wait as there is processor time for. */
   private takeWaiting(): void {
-    const { reports, others } = this.waiting;
-    for (let taken = 0; taken < this.inputsPerTick && reports.length + others.length > 0; taken++) {
-      (reports.shift() ?? others.shift())?.();
+    const { reports: heartbeats, others } = this.waiting;
+    for (let taken = 0; taken < this.inputsPerTick && heartbeats.length + others.length > 0; taken++) {
+      (heartbeats.shift() ?? others.shift())?.();
       this.run();
     }
   }
@@ -283,8 +283,8 @@
       cluster.relays++;
       const node = cluster.node(effect.to);
       if (node.up && !cluster.cut(this.name, node.name)) {
-        const report = this.sent(node, { node: this.name, status: null, heartbeat: effect.heartbeat }).heartbeat as Heartbeat;
-        node.input(() => node.core.receiveForwardedHeartbeat(report, cluster.now));
+        const heartbeat = this.sent(node, { node: this.name, status: null, heartbeat: effect.heartbeat }).heartbeat as Heartbeat;
+        node.input(() => node.core.receiveForwardedHeartbeat(heartbeat, cluster.now));
       }
     } else if (effect.type === 'readBarrier') {
       cluster.barriers++;
