--- a/test/cluster/fixtures.ts
+++ b/test/cluster/fixtures.ts
@@ -29,11 +29,11 @@
   },
 ];
 
-export function settings(node: string, nodes = ['n0', 'n1', 'n2']): ControllerSettings {
+export function settings(controller: string, nodes = ['n0', 'n1', 'n2']): ControllerSettings {
   const zone = (n: string) => (n === 'n1' ? 'west' : 'east');
   return {
-    name: node,
-    zone: zone(node),
+    name: controller,
+    zone: zone(controller),
     controllers: nodes.map((name) => ({ name, zone: zone(name) })),
     shardCount: nodes.length,
     zones: ['east', 'west'],
--- a/test/cluster/rules.ts
+++ b/test/cluster/rules.ts
@@ -73,20 +73,20 @@
   checkStep(): void {
     const { cluster } = this;
     this.byJobAt = -1;
-    const use = new Map<string, number>();
+    const usage = new Map<string, number>();
     for (const worker of cluster.workers) {
       if (worker.dead) continue;
       for (const task of worker.tasks.values()) {
         if (task.state === 'exited') continue;
         const spec = cluster.specs.get(task.job) as JobSpec;
-        use.set(spec.team, (use.get(spec.team) ?? 0) + spec.gpus);
+        usage.set(spec.team, (usage.get(spec.team) ?? 0) + spec.gpus);
         if (this.isOverdue(this.cancelledAt(task.job))) cluster.broken(`ran_cancelled: ${task.job} on ${worker.name}`);
         if (this.isOverdue(this.doneAt.get(task.job)))
           cluster.broken(`orphaned: ${task.job}/${task.index} runs on, it was told done`);
       }
     }
     for (const team of cluster.tune(settings('n0', cluster.names)).teams)
-      if ((use.get(team.name) ?? 0) > team.maxGpus) cluster.broken(`quota: ${team.name}`);
+      if ((usage.get(team.name) ?? 0) > team.maxGpus) cluster.broken(`quota: ${team.name}`);
   }
 
   /** A user was told this of the job. `orphaned`: it goes on though one that it needs was told to be cancelled. */
--- a/test/cluster/worker.ts
+++ b/test/cluster/worker.ts
@@ -86,14 +86,14 @@
           startedAt: this.cluster.now,
         };
         const used = [...this.tasks.values()].filter((x) => x.state !== 'exited');
-        const cap = TYPES.find((machineType) => machineType.name === this.type) as MachineType;
+        const capacity = TYPES.find((machineType) => machineType.name === this.type) as MachineType;
         const sum = (f: (spec: JobSpec) => number) =>
           used.reduce((a, x) => a + f(this.cluster.specs.get(x.job) as JobSpec), spec ? f(spec) : 0);
         if (!spec) this.tasks.set(key, { ...state, state: 'exited', exitReason: 'unknown' });
         else if (
-          sum((spec) => spec.cpus) > cap.cpus ||
-          sum((spec) => spec.gpus) > cap.gpus ||
-          sum((spec) => spec.memory) > cap.memory
+          sum((spec) => spec.cpus) > capacity.cpus ||
+          sum((spec) => spec.gpus) > capacity.gpus ||
+          sum((spec) => spec.memory) > capacity.memory
         )
           this.tasks.set(key, { ...state, state: 'exited', exitReason: 'no_room' });
         else {
@@ -174,9 +174,9 @@
       this.target++;
       this.nextReport = cluster.now + 5000;
     }
-    const report = this.report();
-    cluster.reported?.(report);
-    node.report(report, (status, body) => {
+    const heartbeat = this.report();
+    cluster.reported?.(heartbeat);
+    node.report(heartbeat, (status, body) => {
       if (this.dead || this.hung || session !== this.session || cluster.now - sentAt > 4000) return;
       if (cluster.deaf(node.name, this.name)) return next();
       if (status === 421 && typeof body.home === 'string') {
--- a/test/edges.test.ts
+++ b/test/edges.test.ts
@@ -216,18 +216,18 @@
 });
 
 function room(name: string, type: number, zone: number): FreeResources {
-  const cap = TYPES[type];
-  assert.ok(cap);
-  const machine = new Machine(name, '', type, zone, false, cap);
-  return { machine, cpus: cap.cpus, gpus: cap.gpus, memory: cap.memory };
+  const capacity = TYPES[type];
+  assert.ok(capacity);
+  const machine = new Machine(name, '', type, zone, false, capacity);
+  return { machine, cpus: capacity.cpus, gpus: capacity.gpus, memory: capacity.memory };
 }
 
 test('a gang takes the finest layer, and in it the smallest domain that holds it', () => {
   // Zone 0 has three small machines, zone 1 two, and one big one.
-  const rooms = [room('a', 0, 0), room('b', 0, 0), room('c', 0, 0), room('d', 0, 1), room('e', 0, 1), room('f', 1, 1)];
+  const candidates = [room('a', 0, 0), room('b', 0, 0), room('c', 0, 0), room('d', 0, 1), room('e', 0, 1), room('f', 1, 1)];
   const place = (tasks: number, oneZone = false) => {
     const spec = job('run-g', { shape: 'gang', tasks, cpus: 4, oneZone });
-    return placeGang(new Job(spec, 0, 0, null, -1, 0), tasks, rooms, () => 0)?.map((machine) => machine.name) ?? null;
+    return placeGang(new Job(spec, 0, 0, null, -1, 0), tasks, candidates, () => 0)?.map((machine) => machine.name) ?? null;
   };
   assert.deepEqual(place(1), ['f'], 'one machine is the smallest domain');
   assert.deepEqual(place(12), new Array(12).fill('f'));
--- a/test/fleet/large-fleet.ts
+++ b/test/fleet/large-fleet.ts
@@ -62,7 +62,7 @@
       state: {
         ...settings.state,
         requestsPerS: Math.max(100, REQUESTS_PER_MACHINE * machines),
-        writesPerS: writesPerS,
+        writesPerS,
         writesPerTransaction: 24,
       },
     };
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -163,11 +163,12 @@
   assert.deepEqual(parseStatus(encodeStatus(status)), status);
 
   const c = cluster(2);
-  const { clusterState: table } = (c.nodes[0] as Node).core;
-  const machine = table.machines.get('m0');
+  const { clusterState } = (c.nodes[0] as Node).core;
+  const machine = clusterState.machines.get('m0');
   assert.ok(machine);
-  for (let index = 0; index < 30; index++) machine.images.set(table.imageNames.intern(`image-${index}-${'x'.repeat(100)}`), 1);
-  const images = table.imagesToStore(machine);
+  for (let index = 0; index < 30; index++)
+    machine.images.set(clusterState.imageNames.intern(`image-${index}-${'x'.repeat(100)}`), 1);
+  const images = clusterState.imagesToStore(machine);
   assert.ok(encodedBytes('a/c/m0', images) <= limit);
   assert.equal(images.at(-1)?.[0].startsWith('image-29'), true, 'the last used are kept');
 });
--- a/test/loopback.test.ts
+++ b/test/loopback.test.ts
@@ -24,15 +24,15 @@
 
 /** Waits until so many are there. A busy machine may take long, as long as some come: only a standstill fails. */
 async function until(what: string, wanted: number, count: () => number | Promise<number>): Promise<void> {
-  let most = -1;
+  let limit = -1;
   for (let waited = 0; waited < PATIENCE_MS; waited += LOOK_EACH_MS) {
     const there = await count();
     if (there === wanted) return;
-    if (there > most) waited = 0;
-    most = Math.max(most, there);
+    if (there > limit) waited = 0;
+    limit = Math.max(limit, there);
     await new Promise((resolve) => setTimeout(resolve, LOOK_EACH_MS));
   }
-  assert.fail(`in vain: ${what}: ${most} of ${wanted}`);
+  assert.fail(`in vain: ${what}: ${limit} of ${wanted}`);
 }
 
 test('4,000 workers, fewer sockets than workers: a real controller keeps to its heap, its memory and its sockets', async () => {
@@ -66,11 +66,11 @@
       return fleet.workers.filter((worker, index) => worker.answered >= (before[index] as number) + 3).length;
     });
     assert.equal(cloud.returned.size, 0, 'machines that were given back');
-    const heap = controller.log.find(({ msg }) => msg === 'heap');
+    const heap = controller.log.find(({ msg: message }) => message === 'heap');
     assert.deepEqual([heap?.kind, heap?.heapMb], ['thread', threadHeapMb({ memoryMb: MEMORY_MB, sockets: SOCKETS })]);
     assert.ok(mostMb > 0 && mostMb <= MEMORY_MB, `${mostMb} MB of ${MEMORY_MB}`);
     assert.ok(mostSockets <= SOCKETS, `${mostSockets} sockets of ${SOCKETS}`);
-    const short = controller.log.filter(({ msg }) => msg === 'settings are short');
+    const short = controller.log.filter(({ msg: message }) => message === 'settings are short');
     assert.deepEqual(
       short.map(({ what }) => what),
       ['machine_limits.max_sockets'],
--- a/test/loopback/state-server.ts
+++ b/test/loopback/state-server.ts
@@ -13,9 +13,9 @@
   permit?: number;
 }
 
-function writeOf({ write, remove, v, permit }: WireWrite): KeyWrite {
+function writeOf({ write, remove, v, permit: leaseId }: WireWrite): KeyWrite {
   if (write === undefined) return { del: remove as string };
-  return permit === undefined ? { put: write, value: v } : { put: write, value: v, lease: permit };
+  return leaseId === undefined ? { put: write, value: v } : { put: write, value: v, lease: leaseId };
 }
 
 export class StateServer {
@@ -53,11 +53,11 @@
   }
 
   private transaction({ body }: LoopbackRequest): LoopbackAnswer {
-    const guards = (body.guards as { k: string; stamp: number }[]).map(
-      ({ k, stamp }): RevisionCondition => ({ key: k, revision: stamp }),
+    const conditions = (body.guards as { k: string; stamp: number }[]).map(
+      ({ k, stamp: revision }): RevisionCondition => ({ key: k, revision }),
     );
     const writes = ((body.writes ?? []) as WireWrite[]).map(writeOf);
-    const outcome = this.change(() => this.state.txn({ type: 'compareAndSwap', id: 0, conditions: guards, writes }, Date.now()));
+    const outcome = this.change(() => this.state.txn({ type: 'compareAndSwap', id: 0, conditions, writes }, Date.now()));
     if (outcome.kind === 'ok') return { status: 200, body: { ledger: outcome.revision } };
     if (outcome.kind === 'failed') return { status: 409, body: { failed: outcome.keys, ledger: this.state.revision } };
     return { status: 400, body: { error: outcome.kind === 'noLease' ? 'no such lease' : outcome.kind } };
@@ -84,8 +84,8 @@
     const until = Date.now() + Number(query.get('wait_ms') ?? 0);
     const news = () => this.state.since(since).filter(({ key }) => key.startsWith(starts));
     while (news().length === 0 && Date.now() < until) await this.nextChange(until - Date.now());
-    const log = news().map(({ key, value, revision: stamp }) =>
-      value === undefined ? { remove: key, stamp } : { write: key, v: value, stamp },
+    const log = news().map(({ key, value, revision }) =>
+      value === undefined ? { remove: key, stamp: revision } : { write: key, v: value, stamp: revision },
     );
     return { status: 200, body: { ledger: this.state.revision, log } };
   }
--- a/test/measure/core-load.ts
+++ b/test/measure/core-load.ts
@@ -38,8 +38,8 @@
 }
 
 const sums = new Map<string, Sum>();
-const meter = (node: string, input: InputName, ms: number) => {
-  const name = `${node} ${input}`;
+const meter = (controller: string, input: InputName, ms: number) => {
+  const name = `${controller} ${input}`;
   const sum = sums.get(name) ?? { count: 0, ms: 0 };
   sums.set(name, { count: sum.count + 1, ms: sum.ms + ms });
 };
--- a/test/measure/loopback.ts
+++ b/test/measure/loopback.ts
@@ -30,10 +30,10 @@
     const answered = fleet.workers.reduce((count, worker) => count + worker.answered, 0);
     await sleep(WINDOW_MS);
     const perS = (value: number) => Math.round((value * 1000) / WINDOW_MS);
-    const reports = fleet.workers.reduce((count, worker) => count + worker.answered, 0) - answered;
+    const heartbeats = fleet.workers.reduce((count, worker) => count + worker.answered, 0) - answered;
     console.log(
       `${what}: ${controller.residentMb().toFixed(0)} MB, ${controller.openSockets()} sockets, ` +
-        `${perS(controller.processorMs() - before)} ms a second, ${perS(reports)} reports a second`,
+        `${perS(controller.processorMs() - before)} ms a second, ${perS(heartbeats)} reports a second`,
     );
   }
 }
--- a/test/measure/metered-core.ts
+++ b/test/measure/metered-core.ts
@@ -39,21 +39,21 @@
 ];
 
 /** Told of each input that a controller took: which controller, which input, milliseconds. */
-export type Meter = (node: string, input: InputName, ms: number) => void;
+export type Meter = (controller: string, input: InputName, ms: number) => void;
 
 /** A class of cores that tell the meter what each input takes. */
 export function meteredCore(meter: Meter): typeof Controller {
   return class MeteredCore extends Controller {
     constructor(...args: ConstructorParameters<typeof Controller>) {
       super(...args);
-      const node = this.settings.name;
+      const controller = this.settings.name;
       const self = this as unknown as Record<InputName, (...inputs: unknown[]) => unknown>;
       for (const name of INPUTS) {
         const method = self[name].bind(this);
         self[name] = (...inputs) => {
           const startedAt = performance.now();
           const result = method(...inputs);
-          meter(node, name, performance.now() - startedAt);
+          meter(controller, name, performance.now() - startedAt);
           return result;
         };
       }
--- a/test/ops.test.ts
+++ b/test/ops.test.ts
@@ -99,21 +99,21 @@
 test('after standing still, the lead and owner takes no share back by force, and gets its own once at rest', () => {
   const cluster = smallCluster(8);
   const lead = cluster.node(holderOf(cluster, 2));
-  const stamp = () => cluster.nodes[0]?.core.clusterState.leaseOf(2)?.revision;
+  const revision = () => cluster.nodes[0]?.core.clusterState.leaseOf(2)?.revision;
   lead.freeze();
   cluster.until(
     'taken over',
     () => !['', lead.name].includes(cluster.nodes[0]?.core.clusterState.leaseOf(2)?.holder.controller ?? ''),
     40,
   );
-  const during = stamp();
+  const during = revision();
   lead.thaw();
   cluster.run(1);
-  assert.equal(stamp(), during, 'no fight for it');
+  assert.equal(revision(), during, 'no fight for it');
   cluster.until('home again', () => holderOf(cluster, 2) === lead.name, 40);
-  const home = stamp();
+  const home = revision();
   cluster.run(20);
-  assert.equal(stamp(), home);
+  assert.equal(revision(), home);
   assert.deepEqual(dead(cluster), []);
 });
 
@@ -148,8 +148,8 @@
     for (const machine of node.core.clusterState.machines.values()) assert.equal(machine.failedJobs.size, 0, 'nor blamed');
   const tried = new Set(cluster.trace.filter((l) => l.includes('starts run-b0/')).map((l) => l.split('/')[1]));
   assert.equal(tried.size, 30, 'each of its tasks was tried');
-  const share = shareOf(cluster, 'run-b0');
-  const told = cluster.node(holderOf(cluster, share)).core.shardController.shardSummary(share, cluster.now + 1000);
+  const shard = shareOf(cluster, 'run-b0');
+  const told = cluster.node(holderOf(cluster, shard)).core.shardController.shardSummary(shard, cluster.now + 1000);
   assert.deepEqual(told.demands, [], 'nothing is rented or moved for them');
   for (const id of ids) {
     const said: Record<string, unknown>[] = [];
--- a/test/outages.test.ts
+++ b/test/outages.test.ts
@@ -25,10 +25,12 @@
         cluster.submit(job(id, { team: ['red', 'blue', 'green', 'red'][index] as string, tasks: 3, estimateS: 500 }));
       cluster.until('running', () => ids.every((id) => cluster.running(id) === 3));
       const lead = holderOf(cluster, 'lead');
-      const owner = holderOf(cluster, shareOf(cluster, 'run-gap0'));
-      assert.notEqual(lead, owner);
-      const third = cluster.names.find((n) => n !== lead && n !== owner) as string;
-      const refused = { 'the owner': [owner], 'the lead': [lead], 'owner and lead': [owner, lead], neither: [third] }[refusedIs];
+      const holder = holderOf(cluster, shareOf(cluster, 'run-gap0'));
+      assert.notEqual(lead, holder);
+      const third = cluster.names.find((n) => n !== lead && n !== holder) as string;
+      const refused = { 'the owner': [holder], 'the lead': [lead], 'owner and lead': [holder, lead], neither: [third] }[
+        refusedIs
+      ];
       const confirming = cluster.nodes.find((node) => !refused.includes(node.name));
       assert.ok(confirming);
       for (const name of refused) cluster.node(name).refused = true;
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -68,10 +68,10 @@
   const cluster = smallCluster(6);
   chain(cluster, ['run-1', 'run-2', 'run-3'], { tasks: 3 });
   cluster.until('the first is done', () => cluster.allDone('run-1'), 40);
-  const owner = holderOf(cluster, shareOf(cluster, 'run-2'));
-  cluster.node(owner).crash();
+  const holder = holderOf(cluster, shareOf(cluster, 'run-2'));
+  cluster.node(holder).crash();
   cluster.until('the last is done', () => cluster.allDone('run-3'), 120);
-  cluster.node(owner).restart();
+  cluster.node(holder).restart();
   cluster.run(15);
   for (const id of ['run-1', 'run-2', 'run-3']) for (const node of cluster.nodes) assert.equal(cluster.ask(id, node), 'done');
   kept(cluster, 'chain-over-a-takeover');
@@ -206,7 +206,7 @@
 
 test('a stored list of awaited jobs that can not be read keeps that one job waiting, and harms nothing else', () => {
   const cluster = smallCluster(4);
-  const guards = { type: 'compareAndSwap' as const, id: 0, conditions: [] };
+  const conditions = { type: 'compareAndSwap' as const, id: 0, conditions: [] };
   const sp = (id: string) => {
     cluster.specs.set(id, job(id));
     return job(id);
@@ -220,7 +220,7 @@
     // Of a version that knows more.
     ['a/j/run-new', { s: 0, t: 0, sp: { ...sp('run-new'), colour: 'red' }, future: true }],
   ];
-  for (const [put, value] of records) cluster.state.txn({ ...guards, writes: [{ put, value }] }, cluster.now);
+  for (const [put, value] of records) cluster.state.txn({ ...conditions, writes: [{ put, value }] }, cluster.now);
   cluster.until('others run', () => cluster.allDone('run-new'), 40);
   for (const id of ['run-odd', 'run-odder', 'run-p', 'run-q']) assert.equal(cluster.ask(id), 'queued');
   cluster.cancel('run-q');
@@ -235,7 +235,7 @@
   const cluster = smallCluster(4);
   const first = cluster.nodes[0] as Node;
   cluster.submit(job('run-root', { estimateS: 60 }));
-  const guards = { type: 'compareAndSwap' as const, id: 0, conditions: [] };
+  const conditions = { type: 'compareAndSwap' as const, id: 0, conditions: [] };
   const writes = Array.from({ length: 3000 }, (_, index) => {
     const id = `run-w${index}`;
     cluster.specs.set(id, job(id, { rank: index === 2999 ? 2 : 0 }));
@@ -249,7 +249,7 @@
       value: { s: 3, t: 0, sp: cluster.specs.get(id), aw: [index === 0 ? 'run-w0' : `run-c${index - 1}`] },
     };
   });
-  cluster.state.txn({ ...guards, writes: [...links, ...writes] }, cluster.now);
+  cluster.state.txn({ ...conditions, writes: [...links, ...writes] }, cluster.now);
   cluster.run(1);
   assert.equal(first.core.clusterState.jobs.get('run-root')?.priority, 2);
   assert.equal(first.core.clusterState.jobs.get('run-c499')?.isBlocked, true);
--- a/test/recorded-formats.test.ts
+++ b/test/recorded-formats.test.ts
@@ -46,7 +46,7 @@
 }
 
 function loadRows(controller: Controller, rows: Row[]): void {
-  const keys = rows.map(({ key, value, stamp }): StoredKey => ({ key, value, revision: stamp }));
+  const keys = rows.map(({ key, value, stamp: revision }): StoredKey => ({ key, value, revision }));
   controller.receiveSnapshot(keys, Math.max(...rows.map((row) => row.stamp)), 0);
 }
 
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -11,7 +11,7 @@
 const PLANTED: { rule: RegExp; plant: (cluster: Cluster, w: WorkerStandIn) => void }[] = [
   {
     rule: /too_early: run-b\/0 starts before run-a is done/,
-    plant: (cluster, w) => w.obey([{ type: 'start', job: 'run-b', index: 0, attempt: 1 }]),
+    plant: (_cluster, w) => w.obey([{ type: 'start', job: 'run-b', index: 0, attempt: 1 }]),
   },
   {
     rule: /ran_cancelled: run-b on m0/,
@@ -67,8 +67,8 @@
   fail();
   cluster.submit(job('run-a', { tasks: 2, estimateS: 300 }));
   const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-a')));
-  const placements = () => [...(owner.core.clusterState.jobs.get('run-a')?.allocations.values() ?? [])];
-  cluster.until('sent', () => placements().some((allocation) => allocation.phase === 'sent'), 5);
+  const allocations = () => [...(owner.core.clusterState.jobs.get('run-a')?.allocations.values() ?? [])];
+  cluster.until('sent', () => allocations().some((allocation) => allocation.phase === 'sent'), 5);
   cluster.cancel('run-a');
   mend();
   cluster.trace = [];
@@ -117,8 +117,8 @@
 
 /** What a controller holds of each job. */
 function derived(core: Controller, ids: string[]): Record<string, string> {
-  const { jobs, finishedJobs: finals } = core.clusterState;
-  return Object.fromEntries(ids.map((id) => [id, finals.get(id) ?? (jobs.get(id)?.isBlocked ? 'waits' : 'may start')]));
+  const { jobs, finishedJobs } = core.clusterState;
+  return Object.fromEntries(ids.map((id) => [id, finishedJobs.get(id) ?? (jobs.get(id)?.isBlocked ? 'waits' : 'may start')]));
 }
 
 function* permutations<T>(list: readonly T[]): Generator<T[]> {
@@ -214,7 +214,7 @@
     },
     (key) => errors.push(key),
   );
-  const change = (key: string, stamp: number) => ({ key, value: {}, revision: stamp });
+  const change = (key: string, revision: number) => ({ key, value: {}, revision });
   replica.apply([change('a/1', 1), change('a/odd', 2), change('a/2', 3)], 3);
   replica.reset([change('a/1', 1), change('a/odd', 4), change('a/3', 5)], 5);
   assert.deepEqual(read, ['a/1', 'a/2', 'a/3', 'a/2']);
@@ -328,16 +328,16 @@
 /** What the jobs that need it give to a job, worked out by the definition alone. */
 function inherited(id: string, specs: Map<string, JobSpec>, awaits: Map<string, string[]>): { rank: number; endBy: number } {
   const spec = specs.get(id) as JobSpec;
-  let rank = spec.rank;
+  let priority = spec.rank;
   let endBy = spec.deadlineS === null ? Number.POSITIVE_INFINITY : spec.deadlineS * 1000;
   for (const [other, names] of awaits) {
     if (!names.includes(id)) continue;
     const from = inherited(other, specs, awaits);
     const { estimateS, imageGb } = specs.get(other) as JobSpec;
-    rank = Math.max(rank, from.rank);
+    priority = Math.max(priority, from.rank);
     endBy = Math.min(endBy, from.endBy - (estimateS + imageGb) * 1000);
   }
-  return { rank, endBy };
+  return { rank: priority, endBy };
 }
 
 // Edges that come raise what is inherited step by step, those that go are worked out anew: both must agree with the definition.
@@ -363,8 +363,8 @@
       core.replica.set(`a/j/${gone}`, { s: 2, t: 0, sp: specs.get(gone) }, 100 + index);
     for (const [id, state] of core.clusterState.finishedJobs) if (state === 'cancelled') awaits.delete(id);
     for (const id of awaits.keys()) {
-      const { priority: rank, effectiveDeadlineAt: endBy } = core.clusterState.jobs.get(id) as Job;
-      assert.deepEqual({ rank, endBy }, inherited(id, specs, awaits), `seed ${seed}: ${id}`);
+      const { priority, effectiveDeadlineAt: endBy } = core.clusterState.jobs.get(id) as Job;
+      assert.deepEqual({ rank: priority, endBy }, inherited(id, specs, awaits), `seed ${seed}: ${id}`);
     }
   }
 });
--- a/test/safety.test.ts
+++ b/test/safety.test.ts
@@ -19,10 +19,10 @@
   const c = cluster();
   c.submit(job('run-s', { shape: 'service', rank: 3, cls: 'serve' }));
   c.until('running', () => c.running('run-s') === 1);
-  const owner = holderOfJob(c, 'run-s');
+  const holder = holderOfJob(c, 'run-s');
   const machine = c.on('run-s')[0] as string;
   c.cloudDown = true;
-  c.node(owner).crash();
+  c.node(holder).crash();
   const w = c.workers.find((x) => x.name === machine);
   assert.ok(w);
   w.hung = true;
@@ -68,17 +68,17 @@
   const c = cluster();
   const late: (() => void)[] = [];
   c.submit(job('run-t', { tasks: 2, estimateS: 3 }));
-  const owner = holderOfJob(c, 'run-t');
+  const holder = holderOfJob(c, 'run-t');
   c.loseTxn = (e, apply) => {
     if (!e.writes.some((write) => 'put' in write && /^a\/[jp]\/run-t/.test(write.put))) return false;
     late.push(apply);
     return true;
   };
   c.until('its end was to be written', () => late.length > 0, 30);
-  c.node(owner).crash();
+  c.node(holder).crash();
   c.loseTxn = null;
   c.run(1);
-  c.node(owner).restart();
+  c.node(holder).restart();
   c.until('done again', () => c.ask('run-t') === 'done', 40);
   const before = JSON.stringify(c.state.rows());
   for (const apply of late) apply();
--- a/test/size-limits.test.ts
+++ b/test/size-limits.test.ts
@@ -50,12 +50,15 @@
   ]);
   const heard: string[] = [];
   const problems: string[] = [];
-  peers.message$.subscribe(({ node }) => heard.push(node));
+  peers.message$.subscribe(({ node: controller }) => heard.push(controller));
   peers.unreadable$.subscribe(({ peer, error }) => problems.push(`${peer}: ${error}`));
   await peers.listen('127.0.0.1', port);
-  const link = (node: string) => {
+  const link = (controller: string) => {
     const socket = net.connect(port, '127.0.0.1');
-    const say = () => socket.write(encodeFrame(encodePeerMessage({ node, status: { ...STATUS, node }, heartbeat: null })));
+    const say = () =>
+      socket.write(
+        encodeFrame(encodePeerMessage({ node: controller, status: { ...STATUS, node: controller }, heartbeat: null })),
+      );
     say();
     return { socket, say };
   };
@@ -329,13 +332,13 @@
   const tasks = 2 * MAX_COMMANDS_PER_BODY;
   cluster.submit(job('run-many', { tasks, cpus: 0.01, memory: 0.01, estimateS: 10_000 }));
   cluster.until('all run', () => cluster.running('run-many') === tasks, 60);
-  let most = 0;
+  let limit = 0;
   cluster.commanded = (commands) => {
-    most = Math.max(most, commands.length);
+    limit = Math.max(limit, commands.length);
   };
   cluster.cancel('run-many');
   cluster.until('none is left', () => cluster.running('run-many') === 0, 10);
-  assert.ok(most > 0 && most <= MAX_COMMANDS_PER_BODY, `${most} commands in a message`);
+  assert.ok(limit > 0 && limit <= MAX_COMMANDS_PER_BODY, `${limit} commands in a message`);
 });
 
 // The few that had answered were not asked again before the verdict, and afterwards the same four, some dead, for ever:
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -23,24 +23,24 @@
   const west = (x: string) => x === 'n1' || x.startsWith('m1');
   cluster.cut = (a, b) => west(a) !== west(b);
   cluster.node('n1').refused = true;
-  const share = shareOf(cluster, 'run-x');
-  assert.equal(holderOf(cluster, share), 'n0');
+  const shard = shareOf(cluster, 'run-x');
+  assert.equal(holderOf(cluster, shard), 'n0');
   cluster.node('n0').crash();
-  const { clusterState: table } = cluster.node('n2').core;
-  cluster.until('taken over', () => table.leaseOf(share)?.holder.controller === 'n2', 40);
+  const { clusterState } = cluster.node('n2').core;
+  cluster.until('taken over', () => clusterState.leaseOf(shard)?.holder.controller === 'n2', 40);
   cluster.run(15);
   assert.deepEqual(
     cluster.workers.filter((w) => w.dead && !west(w.name)).map((w) => w.name),
     [],
     'machines that can be reached',
   );
-  const seen = [...table.machines.values()].filter((machine) => !west(machine.name));
+  const seen = [...clusterState.machines.values()].filter((machine) => !west(machine.name));
   assert.equal(seen.filter((machine) => machine.isVerified).length, 40, 'all of them have answered');
 });
 
 /** Some 900 machines, a service of two replicas on most of them, and everything that can go wrong. */
-function roughDay(nodes: number): void {
-  const names = Array.from({ length: nodes }, (_, index) => `n${index}`);
+function roughDay(controllerCount: number): void {
+  const names = Array.from({ length: controllerCount }, (_, index) => `n${index}`);
   const cluster = new Cluster(names, (settings) => ({
     ...settings,
     teams: ['red', 'blue', 'green', 'pink', 'gold', 'grey', 'teal'].map((name) => ({
@@ -88,10 +88,10 @@
   assert.equal(up(), 1200);
   assert.deepEqual(lost(), []);
   assert.ok((cluster.changes.get('g') ?? 0) < 20, `${cluster.changes.get('g')} grants written anew for nothing`);
-  assert.ok((cluster.changes.get('h') ?? 0) <= 4 * (nodes + 1), `${cluster.changes.get('h')} changes of holdings`);
+  assert.ok((cluster.changes.get('h') ?? 0) <= 4 * (controllerCount + 1), `${cluster.changes.get('h')} changes of holdings`);
 
   // A controller is refused by the state service, and comes back.
-  const alone = cluster.nodes[nodes - 1] as (typeof cluster.nodes)[number];
+  const alone = cluster.nodes[controllerCount - 1] as (typeof cluster.nodes)[number];
   alone.refused = true;
   cluster.run(30);
   alone.refused = false;
--- a/test/takeovers.test.ts
+++ b/test/takeovers.test.ts
@@ -3,8 +3,8 @@
 import { test } from 'node:test';
 import { Cluster, holderOf, job, kept, type Node, shareOf, smallCluster } from './stand-ins.js';
 
-const stateHolder = (cluster: Cluster, share: number) =>
-  (cluster.state.keys.get(`a/h/${share}`)?.value as { node: string } | undefined)?.node;
+const stateHolder = (cluster: Cluster, shard: number) =>
+  (cluster.state.keys.get(`a/h/${shard}`)?.value as { node: string } | undefined)?.node;
 
 /** Share 1 is held by another than its home controller, which is back and is about to be handed it. */
 function away(cluster: Cluster): { home: Node; old: Node } {
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -122,9 +122,9 @@
     const { c: cluster, present } = oldCluster();
     cluster.submit(job('run-c', { tasks: 3, estimateS: 300 }));
     cluster.until('running', () => cluster.running('run-c') === 3);
-    const owner = holderOf(cluster, shareOf(cluster, 'run-c'));
-    const other = NAMES.find((name) => name !== owner) as string;
-    upgrade(cluster.node(enforcer === 'new' ? owner : other), present);
+    const holder = holderOf(cluster, shareOf(cluster, 'run-c'));
+    const other = NAMES.find((name) => name !== holder) as string;
+    upgrade(cluster.node(enforcer === 'new' ? holder : other), present);
     cluster.run(25);
     cluster.cancel('run-c', cluster.node(other));
     cluster.until('gone', () => cluster.on('run-c').length === 0, 30);
@@ -186,8 +186,8 @@
   cluster.run(20);
   const types = [...Array.from({ length: 63 }, (_, index) => `none-${index}-${'x'.repeat(60)}`), 'small'];
   const team = ['red', 'blue', 'green'].find((name) => {
-    const share = cluster.node('n0').core.clusterState.shardOfTeam[['red', 'blue', 'green'].indexOf(name)];
-    return holderOf(cluster, share ?? 0) !== 'n1';
+    const shard = cluster.node('n0').core.clusterState.shardOfTeam[['red', 'blue', 'green'].indexOf(name)];
+    return holderOf(cluster, shard ?? 0) !== 'n1';
   }) as string;
   cluster.submit(job('run-types', { team, types, estimateS: 3 }), cluster.node('n1'));
   cluster.until('done', () => cluster.allDone('run-types'), 40);
@@ -236,20 +236,20 @@
   assert.equal(text, readFileSync(path, 'utf8'), `differs from ${path}`);
   const recorded = JSON.parse(text) as ReturnType<typeof recordProduction>;
   const { messages } = recorded;
-  const rows = recorded.rows.map(({ key, value, stamp }): StoredKey => ({ key, value, revision: stamp }));
+  const rows = recorded.rows.map(({ key, value, stamp: revision }): StoredKey => ({ key, value, revision }));
   const kinds = new Set(rows.map((row) => row.key.slice(2, 4)));
   for (const kind of ['h/', 'g/', 'j/', 'p/', 'n/', 's/', 'ty']) assert.ok(kinds.has(kind), `no key of kind ${kind}`);
   const core = new Controller(settings('n0'), 'present');
   core.receiveSnapshot(rows, Math.max(...rows.map((row) => row.revision)), 0);
   const logs = core.takeEffects().filter((effect) => effect.type === 'log' && effect.level === 'warn');
   assert.deepEqual(logs, []);
-  const { clusterState: table } = core;
-  assert.equal(table.machines.size, 6);
-  assert.equal(table.finishedJobs.get('run-called-off'), 'cancelled');
-  assert.equal(table.finishedJobs.get('run-kept-red-array'), 'done');
-  assert.ok((table.jobs.get('run-partly')?.doneCount ?? 0) > 0);
-  assert.equal(table.jobs.get('run-kept-service')?.state, 'live');
-  assert.equal(table.machineTypesKnown, true);
+  const { clusterState } = core;
+  assert.equal(clusterState.machines.size, 6);
+  assert.equal(clusterState.finishedJobs.get('run-called-off'), 'cancelled');
+  assert.equal(clusterState.finishedJobs.get('run-kept-red-array'), 'done');
+  assert.ok((clusterState.jobs.get('run-partly')?.doneCount ?? 0) > 0);
+  assert.equal(clusterState.jobs.get('run-kept-service')?.state, 'live');
+  assert.equal(clusterState.machineTypesKnown, true);
   assert.ok(messages.length >= 4);
   for (const hex of messages) {
     const bytes = Buffer.from(hex, 'hex');
--- a/test/upgrade/production-version.ts
+++ b/test/upgrade/production-version.ts
@@ -131,15 +131,15 @@
   switch (t) {
     case 'txn': {
       const guards = rest.guards as { key: string; stamp: number }[];
-      const conditions = guards.map(({ key, stamp }) => ({ key, revision: stamp }));
+      const conditions = guards.map(({ key, stamp: revision }) => ({ key, revision }));
       return { type: 'compareAndSwap', id: rest.id, conditions, writes: rest.writes } as Effect;
     }
     case 'barrier':
       return { type: 'readBarrier', urgent: rest.soon } as Effect;
     case 'command': {
       const commands = (rest.commands as Fields[]).map(({ op, ...command }) => ({ type: op, ...command }));
-      const { id, machine, addr, token, session } = rest;
-      return { type: 'command', id, machine, address: addr, fencingToken: token, agentEpoch: session, commands } as Effect;
+      const { id, machine, addr: address, token, session } = rest;
+      return { type: 'command', id, machine, address, fencingToken: token, agentEpoch: session, commands } as Effect;
     }
     case 'ask':
       return { type: 'probe', id: rest.id, address: rest.addr } as Effect;
--- a/test/walk.ts
+++ b/test/walk.ts
@@ -142,10 +142,10 @@
   private atRest(): void {
     const { c: cluster } = this;
     const odd = (): string[] => {
-      const out: string[] = [];
+      const result: string[] = [];
       for (const share of ['0', '1', '2', 'lead'])
         if (!cluster.nodes.some((node) => node.core.shardLeases.mayActUnder(share, cluster.now)))
-          out.push(`nobody holds ${share}`);
+          result.push(`nobody holds ${share}`);
       for (const w of cluster.workers) {
         if (w.dead) continue;
         const used = cluster.nodes.some((node) => {
@@ -156,11 +156,11 @@
             (machine.releaseReason !== '' || node.core.shardController.allocations.isSchedulable(machine, cluster.now))
           );
         });
-        if (!used) out.push(`${w.name} is out of use`);
+        if (!used) result.push(`${w.name} is out of use`);
       }
       for (const node of cluster.nodes)
-        if (node.core.writer.length > 0) out.push(`${node.name} has ${node.core.writer.length} writes waiting`);
-      return out;
+        if (node.core.writer.length > 0) result.push(`${node.name} has ${node.core.writer.length} writes waiting`);
+      return result;
     };
     // A share may be on its way home, and a machine between two shares.
     for (let index = 0; index < 90 && odd().length > 0; index++) cluster.run(1);
