--- a/packages/controller/src/allocation/task-allocations.ts
+++ b/packages/controller/src/allocation/task-allocations.ts
@@ -1,8 +1,14 @@
 import type { ControllerContext } from '../context/index.js';
-import type { Allocation, Job, Machine, Milliseconds } from '../model/index.js';
-import { type MachineLoad, machineLoadOf } from '../model/machine-load.js';
-import type { FreeResources } from '../scheduling/placement.js';
-import { StateKey } from '../state/keys.js';
+import {
+  type Allocation,
+  type FreeResources,
+  type Job,
+  type Machine,
+  type MachineLoad,
+  type Milliseconds,
+  machineLoadOf,
+} from '../model/index.js';
+import { StateKey } from '../state/index.js';
 import { FailureAttribution } from './failure-attribution.js';
 
 /** A share that this controller holds. */
--- a/packages/controller/src/capacity/autoscaler.ts
+++ b/packages/controller/src/capacity/autoscaler.ts
@@ -8,8 +8,7 @@
   type ShardSummary,
 } from '@archpost/protocol';
 import type { ControllerContext } from '../context/index.js';
-import { HIGHEST_PRIORITY, type Machine, type Milliseconds } from '../model/index.js';
-import { countThatFit } from '../scheduling/placement.js';
+import { countThatFit, HIGHEST_PRIORITY, type Machine, type Milliseconds } from '../model/index.js';
 import { BootTimeEstimator } from './boot-time-estimator.js';
 import { type InstanceKind, instanceKindKey, machineTypeNamed, matchesDemand } from './demand.js';
 
--- a/packages/controller/src/capacity/demand.ts
+++ b/packages/controller/src/capacity/demand.ts
@@ -1,8 +1,7 @@
 /** Work that waits for room, and what kinds of machines would serve it. */
 import type { MachineType, ResourceDemand, ShardSummary } from '@archpost/protocol';
 import type { ControllerContext } from '../context/index.js';
-import type { Resources } from '../model/index.js';
-import { countThatFit } from '../scheduling/placement.js';
+import { countThatFit, type Resources } from '../model/index.js';
 
 /** What the cloud sells: a type in a zone, ordinary or cheap. */
 export interface InstanceKind {
--- a/packages/controller/src/capacity/machine-assigner.ts
+++ b/packages/controller/src/capacity/machine-assigner.ts
@@ -1,34 +1,13 @@
 /** Grants machines whose workers report, and which no share has, to shares: where work waits, or else by guarantees. */
 import type { ShardSummary } from '@archpost/protocol';
 import type { ControllerContext } from '../context/index.js';
-import type { Milliseconds } from '../model/index.js';
-import { countThatFit } from '../scheduling/placement.js';
-import { encodeAssignment } from '../state/assignment-record.js';
-import { StateKey } from '../state/keys.js';
-import { WritePriority } from '../state/write-queue.js';
+import { countThatFit, type Milliseconds } from '../model/index.js';
+import { encodeAssignment, StateKey, WritePriority } from '../state/index.js';
 import type { Autoscaler } from './autoscaler.js';
-import {
-  allocateToDemands,
-  type InstanceKind,
-  machineTypeNamed,
-  matchesDemand,
-  type PendingDemand,
-  pendingDemands,
-} from './demand.js';
+import { allocateToDemands, machineTypeNamed, matchesDemand, type PendingDemand, pendingDemands } from './demand.js';
+import type { RecentAssignment, UnassignedMachine } from './machine-assignment.js';
 import { ShardBalance } from './shard-balance.js';
 
-/** A machine without a grant whose worker reported. */
-export interface UnassignedMachine extends InstanceKind {
-  machine: string;
-  address: string;
-}
-
-/** A machine granted to a share a moment ago. */
-export interface RecentAssignment extends InstanceKind {
-  shard: number;
-  at: Milliseconds;
-}
-
 /** A granted machine is probed, planned for and told of within this time. */
 const GRANT_SHOWS_MS = 1500;
 
--- a/packages/controller/src/capacity/shard-balance.ts
+++ b/packages/controller/src/capacity/shard-balance.ts
@@ -4,7 +4,7 @@
  */
 import type { ControllerContext } from '../context/index.js';
 import { machineTypeNamed } from './demand.js';
-import type { RecentAssignment } from './machine-assigner.js';
+import type { RecentAssignment } from './machine-assignment.js';
 
 /** What a team without guaranteed accelerators weighs among those that have some. */
 const LEAST_WEIGHT = 0.1;
--- a/packages/controller/src/capacity/shard-rebalancer.ts
+++ b/packages/controller/src/capacity/shard-rebalancer.ts
@@ -4,8 +4,7 @@
  */
 import type { MachineSummary, ResourceDemand, ShardSummary } from '@archpost/protocol';
 import type { ControllerContext } from '../context/index.js';
-import { HIGHEST_PRIORITY, type Machine, type Milliseconds, NEVER, SCARCE_MACHINE_WAIT_S } from '../model/index.js';
-import { countThatFit } from '../scheduling/placement.js';
+import { countThatFit, HIGHEST_PRIORITY, type Machine, type Milliseconds, NEVER, SCARCE_MACHINE_WAIT_S } from '../model/index.js';
 import { allocateToDemands, matchesDemand, type PendingDemand } from './demand.js';
 
 /** Work of the highest rank that waited for so many plan waits gets machines that bear firm work elsewhere. */
--- a/packages/controller/src/context/index.ts
+++ b/packages/controller/src/context/index.ts
@@ -1,8 +1,6 @@
 import type { PeerStatus } from '@archpost/protocol';
 import type { ControllerSettings, Effect, LogLevel, Milliseconds } from '../model/index.js';
-import type { ClusterState } from '../state/cluster-state.js';
-import type { Replica } from '../state/replica.js';
-import type { StateWriter } from '../state/state-writer.js';
+import type { ClusterState, Replica, StateWriter } from '../state/index.js';
 
 export interface PeerView {
   status: PeerStatus;
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -7,27 +7,29 @@
   PeerStatus,
   StoredKey,
 } from '@archpost/protocol';
-import type { Autoscaler } from './capacity/autoscaler.js';
+import { TaskAllocations } from './allocation/index.js';
+import type { Autoscaler } from './capacity/index.js';
 import type { ControllerContext, PeerView } from './context/index.js';
-import { HeartbeatForwarding } from './heartbeats/heartbeat-forwarding.js';
-import { HeartbeatResponder } from './heartbeats/heartbeat-responder.js';
-import { WorkerRouting } from './heartbeats/worker-routing.js';
-import { ClientRequests } from './jobs/client-requests.js';
-import { CancellationFreshness } from './leadership/cancellation-freshness.js';
-import { Leader } from './leadership/leader.js';
-import { ShardLeases } from './leadership/shard-leases.js';
-import { StatusExchange } from './leadership/status-exchange.js';
+import { HeartbeatForwarding, HeartbeatReconciler, HeartbeatResponder, WorkerRouting } from './heartbeats/index.js';
+import { ClientRequests } from './jobs/index.js';
+import { CancellationFreshness, Leader, ShardLeases, StatusExchange } from './leadership/index.js';
 import type { ControllerSettings, Effect, LogLevel, Milliseconds } from './model/index.js';
-import { ShardController } from './shards/shard-controller.js';
-import { type AppliedChange, ClusterState } from './state/cluster-state.js';
-import { StateKey } from './state/keys.js';
-import { encodedBytes, WriteRateLimit } from './state/limits.js';
-import { encodeMachineTypes, encodeMachineTypesParts } from './state/machine-types-record.js';
-import { ReadBarriers } from './state/read-barriers.js';
-import { Replica, type ReplicaEntry } from './state/replica.js';
-import { StateWriter } from './state/state-writer.js';
-import { parseStatus } from './state/status-record.js';
-import { WritePriority } from './state/write-queue.js';
+import { ProgressWriter, ShardController } from './shards/index.js';
+import {
+  type AppliedChange,
+  ClusterState,
+  encodedBytes,
+  encodeMachineTypes,
+  encodeMachineTypesParts,
+  parseStatus,
+  ReadBarriers,
+  Replica,
+  type ReplicaEntry,
+  StateKey,
+  StateWriter,
+  WritePriority,
+  WriteRateLimit,
+} from './state/index.js';
 
 /** How long a peer's silence is borne before its link counts as down. */
 const PEER_SILENT_MS = 3500;
@@ -52,6 +54,7 @@
   private stateServiceAnsweredAt: Milliseconds = -1e12;
   readonly clientRequests: ClientRequests;
   readonly shardController: ShardController;
+  private readonly heartbeatReconciler: HeartbeatReconciler;
   readonly leader: Leader;
   readonly shardLeases: ShardLeases;
   private readonly cancellationFreshness: CancellationFreshness;
@@ -87,7 +90,10 @@
       (key, bytes) => this.log('warn', 'a change can not be stored', { key, bytes }),
     );
     this.clientRequests = new ClientRequests(this);
-    this.shardController = new ShardController(this);
+    const allocations = new TaskAllocations(this);
+    const progressWriter = new ProgressWriter(this, allocations);
+    this.heartbeatReconciler = new HeartbeatReconciler(this, allocations, progressWriter);
+    this.shardController = new ShardController(this, { allocations, progressWriter, reconciler: this.heartbeatReconciler });
     this.leader = new Leader(this, this.shardController);
     this.shardLeases = new ShardLeases(this);
     this.cancellationFreshness = new CancellationFreshness(
@@ -96,9 +102,10 @@
     );
     this.heartbeatForwarding = new HeartbeatForwarding(this);
     this.workerRouting = new WorkerRouting(this);
-    const { shardController, leader, heartbeatForwarding, workerRouting, cancellationFreshness } = this;
+    const { shardController, heartbeatReconciler, leader, heartbeatForwarding, workerRouting, cancellationFreshness } = this;
     this.heartbeatResponder = new HeartbeatResponder(this, {
       shardController,
+      heartbeatReconciler,
       leader,
       heartbeatForwarding,
       workerRouting,
@@ -401,8 +408,7 @@
     }
     this.peers.set(status.node, { status, runningJobs: running, heardAt: now, isConnected: true });
     this.cancellationFreshness.statusReceived(status, this.replica.revision);
-    for (const unchanged of status.unchangedHeartbeats)
-      this.shardController.heartbeatReconciler.reconcileUnchanged(unchanged, status.node, now);
+    for (const unchanged of status.unchangedHeartbeats) this.heartbeatReconciler.reconcileUnchanged(unchanged, status.node, now);
     this.flushWrites(now);
   }
 
--- a/packages/controller/src/heartbeats/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeats/heartbeat-reconciler.ts
@@ -1,17 +1,16 @@
 import type { Heartbeat, TaskStatus, UnchangedHeartbeat } from '@archpost/protocol';
-import { type TaskAllocations, taskKey } from '../allocation/task-allocations.js';
+import { type TaskAllocations, taskKey } from '../allocation/index.js';
 import type { ControllerContext } from '../context/index.js';
-import type { Allocation, Machine, Milliseconds } from '../model/index.js';
-import { CANCELLED_WORK_PRIORITY } from '../model/priorities.js';
-import type { ProgressWriter } from '../shards/progress-writer.js';
-import { StateKey } from '../state/keys.js';
+import { type Allocation, CANCELLED_WORK_PRIORITY, type Machine, type Milliseconds } from '../model/index.js';
+import type { HeartbeatReconciliation, KnownHeartbeat, ProgressWriter } from '../shards/index.js';
+import { StateKey } from '../state/index.js';
 
 /** A worker numbers its reports, two a second at most, and its answers to questions and commands. */
 const MESSAGES_PER_S = 10;
 const MESSAGES_AT_ONCE = 200;
 
 /** What workers say, taken for what it is worth. */
-export class HeartbeatReconciler {
+export class HeartbeatReconciler implements HeartbeatReconciliation {
   constructor(
     private readonly context: ControllerContext,
     private readonly allocations: TaskAllocations,
@@ -24,14 +23,9 @@
    * all: then only the answer to our own question (`asked`: what was known when it was
    * sent) does. A start under way isn't refuted by a report: it may have been made before it.
    */
-  reconcile(
-    machine: Machine,
-    heartbeat: Heartbeat,
-    now: Milliseconds,
-    asked: { agentEpoch: number; sequence: number } | null = null,
-  ): void {
+  reconcile(machine: Machine, heartbeat: Heartbeat, now: Milliseconds, asked: KnownHeartbeat | null = null): void {
     this.allocations.now = now;
-    const older = (a: { agentEpoch: number; sequence: number }) =>
+    const older = (a: KnownHeartbeat) =>
       heartbeat.agentEpoch < a.agentEpoch || (heartbeat.agentEpoch === a.agentEpoch && heartbeat.sequence <= a.sequence);
     if (asked !== null && older(asked)) {
       // An answer is newer than what was known when it was asked for, unless the machine has
--- a/packages/controller/src/heartbeats/heartbeat-responder.ts
+++ b/packages/controller/src/heartbeats/heartbeat-responder.ts
@@ -3,24 +3,34 @@
  * its owner; only the owner commands. How long, and why that breaks nothing: docs/design.md, "Who may answer workers".
  */
 import { type Command, encodeHeartbeatResponse, encodeRedirect, type Heartbeat, MAX_COMMANDS_PER_BODY } from '@archpost/protocol';
+import type { UnassignedMachine } from '../capacity/index.js';
 import type { ControllerContext } from '../context/index.js';
-import type { CancellationFreshness } from '../leadership/cancellation-freshness.js';
-import type { Leader } from '../leadership/leader.js';
 import type { Milliseconds } from '../model/index.js';
-import type { ShardController } from '../shards/shard-controller.js';
-import { stopReportedTask } from '../shards/task-commands.js';
+import { type ShardController, stopReportedTask } from '../shards/index.js';
 import type { HeartbeatForwarding } from './heartbeat-forwarding.js';
+import type { HeartbeatReconciler } from './heartbeat-reconciler.js';
 import type { WorkerRouting } from './worker-routing.js';
 
 const MAY_NOT_ANSWER = { error: 'not entitled' };
 
+/** Learns of machines that report and that no shard has. */
+export interface UnassignedMachineListener {
+  unassignedMachineReported(machine: UnassignedMachine, now: Milliseconds): void;
+}
+
+/** Knows since when no controller can have confirmed a cancellation that isn't known here. */
+export interface CancellationFreshnessSource {
+  freshSince(now: Milliseconds): Milliseconds;
+}
+
 /** Who takes what workers say. */
 export interface HeartbeatCollaborators {
   shardController: ShardController;
-  leader: Leader;
+  heartbeatReconciler: HeartbeatReconciler;
+  leader: UnassignedMachineListener;
   heartbeatForwarding: HeartbeatForwarding;
   workerRouting: WorkerRouting;
-  cancellationFreshness: CancellationFreshness;
+  cancellationFreshness: CancellationFreshnessSource;
 }
 
 export class HeartbeatResponder {
@@ -33,7 +43,7 @@
   ) {}
 
   receive(id: number, heartbeat: Heartbeat, now: Milliseconds): void {
-    const { shardController, leader, heartbeatForwarding, workerRouting } = this.collaborators;
+    const { shardController, heartbeatReconciler, leader, heartbeatForwarding, workerRouting } = this.collaborators;
     const { clusterState } = this.context;
     if (!this.mayAnswerWorkers(now)) return this.respond(id, 503, MAY_NOT_ANSWER);
     const machine = clusterState.machines.get(heartbeat.machine);
@@ -49,8 +59,7 @@
     const elsewhere = workerRouting.redirectTarget(heartbeat, holder, now);
     if (elsewhere !== null) return this.respond(id, 421, encodeRedirect(elsewhere));
     workerRouting.workerServed(heartbeat.machine, now);
-    if (shardController.allocations.holdsShard(machine.shard, now))
-      shardController.heartbeatReconciler.reconcile(machine, heartbeat, now);
+    if (shardController.allocations.holdsShard(machine.shard, now)) heartbeatReconciler.reconcile(machine, heartbeat, now);
     // The work must not die because its owner did, or can't be reached from here.
     else heartbeatForwarding.receive(heartbeat, holder, now);
     this.respond(id, 200, encodeHeartbeatResponse(clusterState.fencingToken(machine), this.stopsForFinishedJobs(heartbeat)));
@@ -58,7 +67,7 @@
 
   /** A report that another controller answered and passed on. */
   receiveForwarded(heartbeat: Heartbeat, now: Milliseconds): void {
-    const { shardController } = this.collaborators;
+    const { shardController, heartbeatReconciler } = this.collaborators;
     const { clusterState, settings } = this.context;
     const machine = clusterState.machines.get(heartbeat.machine);
     if (
@@ -67,9 +76,9 @@
       !shardController.allocations.holdsShard(machine.shard, now)
     )
       return;
-    shardController.heartbeatReconciler.reconcile(machine, heartbeat, now);
+    heartbeatReconciler.reconcile(machine, heartbeat, now);
     // Workers of our own zone report here, unless this controller or the machine is apart.
-    if (heartbeat.zone === settings.zone) shardController.heartbeatReconciler.requestProbe(machine, now);
+    if (heartbeat.zone === settings.zone) heartbeatReconciler.requestProbe(machine, now);
   }
 
   /**
--- a/packages/controller/src/jobs/cancellations.ts
+++ b/packages/controller/src/jobs/cancellations.ts
@@ -2,10 +2,7 @@
 import { encodeJobStatus, JOB_ID_PATTERN } from '@archpost/protocol';
 import type { ControllerContext } from '../context/index.js';
 import type { Milliseconds } from '../model/index.js';
-import { encodeCancelledJob } from '../state/job-record.js';
-import { StateKey } from '../state/keys.js';
-import type { ReplicaEntry } from '../state/replica.js';
-import { WritePriority } from '../state/write-queue.js';
+import { encodeCancelledJob, type ReplicaEntry, StateKey, WritePriority } from '../state/index.js';
 import { type ClientResponses, NO_SUCH_JOB, REQUEST_TIMEOUT_MS } from './client-responses.js';
 
 export class Cancellations {
--- a/packages/controller/src/jobs/job-status.ts
+++ b/packages/controller/src/jobs/job-status.ts
@@ -2,8 +2,7 @@
 import { encodeJobStatus } from '@archpost/protocol';
 import type { ControllerContext } from '../context/index.js';
 import type { Job } from '../model/index.js';
-import { readJobRecord } from '../state/job-record.js';
-import { StateKey } from '../state/keys.js';
+import { readJobRecord, StateKey } from '../state/index.js';
 
 export type JobStatus = 'queued' | 'running' | 'done' | 'cancelled';
 
--- a/packages/controller/src/jobs/submissions.ts
+++ b/packages/controller/src/jobs/submissions.ts
@@ -1,11 +1,8 @@
 /** Users' submissions: checked, stored, then answered. */
 import { encodeJobStatus, type JobSpec, parseSubmission, type Submission } from '@archpost/protocol';
 import type { ControllerContext } from '../context/index.js';
-import type { Milliseconds } from '../model/index.js';
-import { countThatFit, RESOURCE_TOLERANCE } from '../scheduling/placement.js';
-import { type EncodedJob, encodeAcceptedJob } from '../state/job-record.js';
-import { StateKey } from '../state/keys.js';
-import { type WriteOutcome, WritePriority } from '../state/write-queue.js';
+import { countThatFit, type Milliseconds, RESOURCE_TOLERANCE } from '../model/index.js';
+import { type EncodedJob, encodeAcceptedJob, StateKey, type WriteOutcome, WritePriority } from '../state/index.js';
 import { type ClientResponses, NOT_READY, REQUEST_TIMEOUT_MS, STATE_SERVICE_UNAVAILABLE } from './client-responses.js';
 import { statusOf } from './job-status.js';
 
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -1,15 +1,16 @@
 import type { MachineType, ShardSummary } from '@archpost/protocol';
-import { Autoscaler } from '../capacity/autoscaler.js';
-import { matchesDemand, pendingDemands } from '../capacity/demand.js';
-import { MachineAssigner, type UnassignedMachine } from '../capacity/machine-assigner.js';
-import { ShardRebalancer } from '../capacity/shard-rebalancer.js';
+import {
+  Autoscaler,
+  MachineAssigner,
+  matchesDemand,
+  pendingDemands,
+  ShardRebalancer,
+  type UnassignedMachine,
+} from '../capacity/index.js';
 import type { ControllerContext } from '../context/index.js';
-import { type Machine, type Milliseconds, NEVER } from '../model/index.js';
-import { countThatFit } from '../scheduling/placement.js';
-import type { ShardController } from '../shards/shard-controller.js';
-import { encodeAssignment } from '../state/assignment-record.js';
-import { StateKey } from '../state/keys.js';
-import { WritePriority } from '../state/write-queue.js';
+import { countThatFit, type Machine, type Milliseconds, NEVER } from '../model/index.js';
+import type { ShardController } from '../shards/index.js';
+import { encodeAssignment, StateKey, WritePriority } from '../state/index.js';
 
 /** A round weighs all machines: with many of them rounds are rarer, though work that waits is never left for longer. */
 const ROUND_MS = 500;
--- a/packages/controller/src/leadership/running-task-deltas.ts
+++ b/packages/controller/src/leadership/running-task-deltas.ts
@@ -3,13 +3,7 @@
  * between. What doesn't fit one status goes with the next ones, so that none outgrows a frame, however many jobs run.
  */
 import type { PeerStatus } from '@archpost/protocol';
-
-/** Tasks of a job that run, that are done, and how often one failed of those that fail everywhere. */
-export interface RunningTasks {
-  count: number;
-  done: number;
-  failed: number;
-}
+import type { RunningTasks } from '../model/index.js';
 
 /** Each so many statuses tell of all jobs that run; a peer that missed a change has it within seconds. */
 const ALL_EACH = 5;
--- a/packages/controller/src/leadership/shard-leases.ts
+++ b/packages/controller/src/leadership/shard-leases.ts
@@ -1,8 +1,6 @@
 import type { ControllerContext } from '../context/index.js';
 import type { Milliseconds } from '../model/index.js';
-import { StateKey } from '../state/keys.js';
-import { encodeHolder, encodePresence, isPresenceOf } from '../state/lease-record.js';
-import { WritePriority } from '../state/write-queue.js';
+import { encodeHolder, encodePresence, isPresenceOf, StateKey, WritePriority } from '../state/index.js';
 
 /** A share goes home when it has been at rest for this long. */
 const SETTLED_MS = 4000;
--- a/packages/controller/src/leadership/status-exchange.ts
+++ b/packages/controller/src/leadership/status-exchange.ts
@@ -5,14 +5,10 @@
  */
 import type { PeerStatus } from '@archpost/protocol';
 import type { ControllerContext } from '../context/index.js';
-import type { HeartbeatForwarding } from '../heartbeats/heartbeat-forwarding.js';
-import type { WorkerRouting } from '../heartbeats/worker-routing.js';
-import { type Milliseconds, NEVER } from '../model/index.js';
-import { roundRobinSlice } from '../model/round-robin.js';
-import type { ShardController } from '../shards/shard-controller.js';
-import { StateKey } from '../state/keys.js';
-import { encodeStatus } from '../state/status-record.js';
-import { WritePriority } from '../state/write-queue.js';
+import type { HeartbeatForwarding, WorkerRouting } from '../heartbeats/index.js';
+import { type Milliseconds, NEVER, roundRobinSlice } from '../model/index.js';
+import type { ShardController } from '../shards/index.js';
+import { encodeStatus, StateKey, WritePriority } from '../state/index.js';
 import type { CancellationFreshness } from './cancellation-freshness.js';
 import type { Leader } from './leader.js';
 import { RunningTaskDeltas } from './running-task-deltas.js';
--- a/packages/controller/src/leadership/stored-status.ts
+++ b/packages/controller/src/leadership/stored-status.ts
@@ -5,9 +5,8 @@
  * leader can't use, and would hide the others for as long as the cut lasts.
  */
 import type { PeerStatus } from '@archpost/protocol';
-import { roundRobinSlice } from '../model/round-robin.js';
-import { encodedBytes } from '../state/limits.js';
-import { encodeStatus } from '../state/status-record.js';
+import { roundRobinSlice } from '../model/index.js';
+import { encodedBytes, encodeStatus } from '../state/index.js';
 
 const MOST_MACHINES = 15;
 const MOST_DEMANDS = 8;
--- a/packages/controller/src/model/job.ts
+++ b/packages/controller/src/model/job.ts
@@ -1,14 +1,9 @@
 /** A job and where its tasks are. */
 import type { JobSpec, TaskStatus } from '@archpost/protocol';
 import type { Machine } from './machine.js';
+import type { Resources } from './resources.js';
 import type { Milliseconds } from './time.js';
 
-export interface Resources {
-  cpus: number;
-  gpus: number;
-  memory: number;
-}
-
 /** One task on one machine, from the plan to the end of its report. */
 export interface Allocation {
   job: Job;
--- a/packages/controller/src/model/machine-load.ts
+++ b/packages/controller/src/model/machine-load.ts
@@ -3,9 +3,9 @@
  * the machine keeps it until one does.
  */
 
-import { subtract } from '../scheduling/placement.js';
-import type { Allocation, Resources } from './job.js';
+import type { Allocation } from './job.js';
 import type { Machine } from './machine.js';
+import { type Resources, subtract } from './resources.js';
 
 export interface MachineLoad {
   /** what is left beside all that may be there */
--- a/packages/controller/src/scheduling/candidate-machines.ts
+++ b/packages/controller/src/scheduling/candidate-machines.ts
@@ -2,8 +2,8 @@
  * The rooms that a job's tasks may take, the best first. Sorting all of them for each waiting job was most of a plan's
  * cost on a full fleet, where hardly any has room: those are sorted only once something may be stopped for the job.
  */
-import type { Job } from '../model/index.js';
-import { type FreeResources, fits, zoneAllowsTask } from './placement.js';
+import { type FreeResources, fits, type Job } from '../model/index.js';
+import { zoneAllowsTask } from './placement-constraints.js';
 
 /** A room with what it was worth when the job's turn came. */
 interface Candidate {
--- a/packages/controller/src/scheduling/machine-scoring.ts
+++ b/packages/controller/src/scheduling/machine-scoring.ts
@@ -1,7 +1,16 @@
-import type { TaskAllocations } from '../allocation/task-allocations.js';
+import type { TaskAllocations } from '../allocation/index.js';
 import type { ControllerContext } from '../context/index.js';
-import { type Job, type Machine, type Milliseconds, type Resources, SCARCE_MACHINE_WAIT_S } from '../model/index.js';
-import { type FreeResources, fits, isAllowedOn, RESOURCE_TOLERANCE } from './placement.js';
+import {
+  type FreeResources,
+  fits,
+  type Job,
+  type Machine,
+  type Milliseconds,
+  RESOURCE_TOLERANCE,
+  type Resources,
+  SCARCE_MACHINE_WAIT_S,
+} from '../model/index.js';
+import { isAllowedOn } from './placement-constraints.js';
 import type { QueueOrder } from './queue-order.js';
 
 const NOTHING: Resources = { cpus: 0, gpus: 0, memory: 0 };
--- a/packages/controller/src/scheduling/preemption.ts
+++ b/packages/controller/src/scheduling/preemption.ts
@@ -1,8 +1,17 @@
-import type { TaskAllocations } from '../allocation/task-allocations.js';
+import type { TaskAllocations } from '../allocation/index.js';
 import type { ControllerContext } from '../context/index.js';
-import { type Allocation, HIGHEST_PRIORITY, type Job, type Machine, type Milliseconds, type Resources } from '../model/index.js';
+import {
+  type Allocation,
+  countThatFit,
+  type FreeResources,
+  fits,
+  HIGHEST_PRIORITY,
+  type Job,
+  type Machine,
+  type Milliseconds,
+  type Resources,
+} from '../model/index.js';
 import type { MachineScoring } from './machine-scoring.js';
-import { countThatFit, type FreeResources, fits } from './placement.js';
 import type { QuotaStatuses } from './queue-order.js';
 
 /** What may be stopped for what, and the least of it that makes room. */
--- a/packages/controller/src/scheduling/queue-order.ts
+++ b/packages/controller/src/scheduling/queue-order.ts
@@ -1,7 +1,7 @@
-import type { TaskAllocations } from '../allocation/task-allocations.js';
+import type { TaskAllocations } from '../allocation/index.js';
 import type { ControllerContext } from '../context/index.js';
 import type { Job, Milliseconds } from '../model/index.js';
-import { expectedDurationMs } from '../state/job-dependencies.js';
+import { expectedDurationMs } from '../state/index.js';
 
 /** A gang that has waited for this many plan waits is aged. */
 const AGED_PLAN_WAITS = 6;
--- a/packages/controller/src/scheduling/relocation-targets.ts
+++ b/packages/controller/src/scheduling/relocation-targets.ts
@@ -3,8 +3,8 @@
  * over all rooms for each of them cost the square of the machines (eleven of each thirty milliseconds of a tick at 1,333
  * machines a share), so rooms are sorted out once for each kind of service.
  */
-import type { Allocation, Job, Machine } from '../model/index.js';
-import { type FreeResources, fits, isAllowedOn, subtract } from './placement.js';
+import { type Allocation, type FreeResources, fits, type Job, type Machine, subtract } from '../model/index.js';
+import { isAllowedOn } from './placement-constraints.js';
 
 export class RelocationTargets {
   /** by kind of service, the rooms that hold one and are on a machine that it may use */
--- a/packages/controller/src/scheduling/scheduler.ts
+++ b/packages/controller/src/scheduling/scheduler.ts
@@ -1,19 +1,19 @@
-import type { TaskAllocations } from '../allocation/task-allocations.js';
+import type { TaskAllocations } from '../allocation/index.js';
 import type { ControllerContext } from '../context/index.js';
-import type { Job, Machine, Milliseconds, Resources } from '../model/index.js';
-import { CandidateMachines } from './candidate-machines.js';
-import { MachineScoring } from './machine-scoring.js';
 import {
   countThatFit,
   type FreeResources,
   fits,
-  isAllowedOn,
-  placeGang,
+  type Job,
+  type Machine,
+  type Milliseconds,
+  type Resources,
   subtract,
-  tasksPerZone,
-  topologyDomains,
-  zoneAllowsTask,
-} from './placement.js';
+} from '../model/index.js';
+import { CandidateMachines } from './candidate-machines.js';
+import { placeGang, topologyDomains } from './gang-placement.js';
+import { MachineScoring } from './machine-scoring.js';
+import { isAllowedOn, tasksPerZone, zoneAllowsTask } from './placement-constraints.js';
 import { Preemption } from './preemption.js';
 import type { QueueOrder, QuotaStatuses } from './queue-order.js';
 import { ServiceEviction } from './service-eviction.js';
--- a/packages/controller/src/scheduling/service-eviction.ts
+++ b/packages/controller/src/scheduling/service-eviction.ts
@@ -1,8 +1,17 @@
-import type { TaskAllocations } from '../allocation/task-allocations.js';
+import type { TaskAllocations } from '../allocation/index.js';
 import type { ControllerContext } from '../context/index.js';
-import type { Allocation, Machine, Milliseconds, Resources } from '../model/index.js';
+import {
+  type Allocation,
+  countThatFit,
+  type FreeResources,
+  fits,
+  type Machine,
+  type Milliseconds,
+  type Resources,
+  subtract,
+} from '../model/index.js';
 import type { MachineScoring } from './machine-scoring.js';
-import { countThatFit, type FreeResources, fits, isAllowedOn, subtract, tasksPerZone, zoneAllowsTask } from './placement.js';
+import { isAllowedOn, tasksPerZone, zoneAllowsTask } from './placement-constraints.js';
 import { RelocationTargets } from './relocation-targets.js';
 
 /** How often services of one machine are gathered elsewhere. */
--- a/packages/controller/src/shards/assignment-updates.ts
+++ b/packages/controller/src/shards/assignment-updates.ts
@@ -1,11 +1,9 @@
 /** What an owner writes of its machines' grants: moves to another share, tokens that rise, and machines that are gone. */
 
-import type { TaskAllocations } from '../allocation/task-allocations.js';
+import type { TaskAllocations } from '../allocation/index.js';
 import type { ControllerContext } from '../context/index.js';
 import type { Machine } from '../model/index.js';
-import { encodeAssignment } from '../state/assignment-record.js';
-import { StateKey } from '../state/keys.js';
-import { WritePriority } from '../state/write-queue.js';
+import { encodeAssignment, StateKey, WritePriority } from '../state/index.js';
 
 /** What was stored of a gone machine's images is removed within this time, or left. */
 const IMAGES_MS = 15_000;
--- a/packages/controller/src/shards/command-dispatcher.ts
+++ b/packages/controller/src/shards/command-dispatcher.ts
@@ -1,10 +1,18 @@
 import { type Command, type Heartbeat, MAX_COMMANDS_PER_BODY } from '@archpost/protocol';
-import type { TaskAllocations } from '../allocation/task-allocations.js';
+import type { TaskAllocations } from '../allocation/index.js';
 import type { ControllerContext } from '../context/index.js';
-import type { HeartbeatReconciler } from '../heartbeats/heartbeat-reconciler.js';
-import { type Allocation, type Job, type Machine, type Milliseconds, NEVER, type Resources } from '../model/index.js';
-import { CANCELLED_WORK_PRIORITY } from '../model/priorities.js';
-import { fits, subtract } from '../scheduling/placement.js';
+import {
+  type Allocation,
+  CANCELLED_WORK_PRIORITY,
+  fits,
+  type Job,
+  type Machine,
+  type Milliseconds,
+  NEVER,
+  type Resources,
+  subtract,
+} from '../model/index.js';
+import type { HeartbeatReconciliation, KnownHeartbeat } from './heartbeat-reconciliation.js';
 import { clearOrphanedTask, forgetCommand, startCommand, stopCommand } from './task-commands.js';
 
 /**
@@ -47,7 +55,7 @@
   /** a question: nothing is commanded */
   isProbe: boolean;
   /** what was known of the machine when it was sent: the answer is newer */
-  knownBefore: { agentEpoch: number; sequence: number };
+  knownBefore: KnownHeartbeat;
 }
 
 /** What became of a command. `lost`: it may be carried out yet; `refused`: it never left. */
@@ -66,7 +74,7 @@
   constructor(
     private readonly context: ControllerContext,
     private readonly allocations: TaskAllocations,
-    private readonly reconciler: HeartbeatReconciler,
+    private readonly reconciler: HeartbeatReconciliation,
   ) {}
 
   /** To all our machines what each is to be told or asked. */
--- a/packages/controller/src/shards/failure-detector.ts
+++ b/packages/controller/src/shards/failure-detector.ts
@@ -3,7 +3,7 @@
  * whether the fault is this controller's own. What is heard isn't reachable, and no answer isn't no.
  */
 
-import type { TaskAllocations } from '../allocation/task-allocations.js';
+import type { TaskAllocations } from '../allocation/index.js';
 import type { ControllerContext } from '../context/index.js';
 import type { Machine, Milliseconds } from '../model/index.js';
 
--- a/packages/controller/src/shards/machine-lifecycle.ts
+++ b/packages/controller/src/shards/machine-lifecycle.ts
@@ -1,5 +1,5 @@
 import { MAX_MACHINES_PER_RELEASE } from '@archpost/protocol';
-import type { TaskAllocations } from '../allocation/task-allocations.js';
+import type { TaskAllocations } from '../allocation/index.js';
 import type { ControllerContext } from '../context/index.js';
 import type { Machine, Milliseconds } from '../model/index.js';
 import { AssignmentUpdates } from './assignment-updates.js';
--- a/packages/controller/src/shards/progress-writer.ts
+++ b/packages/controller/src/shards/progress-writer.ts
@@ -1,11 +1,7 @@
-import type { TaskAllocations } from '../allocation/task-allocations.js';
+import type { TaskAllocations } from '../allocation/index.js';
 import type { ControllerContext } from '../context/index.js';
 import type { Job, Machine, Milliseconds } from '../model/index.js';
-import { encodeImageCache } from '../state/image-cache-record.js';
-import { encodeDoneJob } from '../state/job-record.js';
-import { StateKey } from '../state/keys.js';
-import { type ProgressPart, packBits } from '../state/progress-layout.js';
-import { WritePriority } from '../state/write-queue.js';
+import { encodeDoneJob, encodeImageCache, type ProgressPart, packBits, StateKey, WritePriority } from '../state/index.js';
 
 /** A machine's images are stored this long after one has come: others may follow. */
 const IMAGES_DELAY_MS = 15_000;
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -1,23 +1,34 @@
 import type { ShardSummary } from '@archpost/protocol';
-import { TaskAllocations } from '../allocation/task-allocations.js';
+import type { TaskAllocations } from '../allocation/index.js';
 import type { ControllerContext } from '../context/index.js';
-import { HeartbeatReconciler } from '../heartbeats/heartbeat-reconciler.js';
-import type { RunningTasks } from '../leadership/running-task-deltas.js';
-import { type Allocation, HIGHEST_PRIORITY, type Job, type Machine, type Milliseconds } from '../model/index.js';
-import { QueueOrder } from '../scheduling/queue-order.js';
-import { Scheduler } from '../scheduling/scheduler.js';
+import {
+  type Allocation,
+  HIGHEST_PRIORITY,
+  type Job,
+  type Machine,
+  type Milliseconds,
+  type RunningTasks,
+} from '../model/index.js';
+import { QueueOrder, Scheduler } from '../scheduling/index.js';
 import { CommandDispatcher } from './command-dispatcher.js';
+import type { HeartbeatReconciliation } from './heartbeat-reconciliation.js';
 import { MachineLifecycle } from './machine-lifecycle.js';
-import { ProgressWriter } from './progress-writer.js';
+import type { ProgressWriter } from './progress-writer.js';
 import { ShardSummaries } from './shard-summary.js';
 
 /** All jobs are gone over this often for what time alone brings: plans to release, completions to store. */
 const JOBS_MS = 300;
 
+/** What the shard controller shares with the reconciliation of heartbeats. */
+export interface ShardCollaborators {
+  allocations: TaskAllocations;
+  progressWriter: ProgressWriter;
+  reconciler: HeartbeatReconciliation;
+}
+
 /** Decisions for the shares held here: what starts where, what stops, what is stored. */
 export class ShardController {
   readonly allocations: TaskAllocations;
-  readonly heartbeatReconciler: HeartbeatReconciler;
   readonly machineLifecycle: MachineLifecycle;
   readonly commandDispatcher: CommandDispatcher;
   private readonly progressWriter: ProgressWriter;
@@ -27,12 +38,14 @@
   private summaryLoggedAt: Milliseconds = 0;
   private jobsCheckedAt: Milliseconds = -1e12;
 
-  constructor(private readonly context: ControllerContext) {
-    this.allocations = new TaskAllocations(context);
-    this.progressWriter = new ProgressWriter(context, this.allocations);
-    this.heartbeatReconciler = new HeartbeatReconciler(context, this.allocations, this.progressWriter);
+  constructor(
+    private readonly context: ControllerContext,
+    { allocations, progressWriter, reconciler }: ShardCollaborators,
+  ) {
+    this.allocations = allocations;
+    this.progressWriter = progressWriter;
     this.machineLifecycle = new MachineLifecycle(context, this.allocations);
-    this.commandDispatcher = new CommandDispatcher(context, this.allocations, this.heartbeatReconciler);
+    this.commandDispatcher = new CommandDispatcher(context, this.allocations, reconciler);
     this.queueOrder = new QueueOrder(context, this.allocations);
     this.scheduler = new Scheduler(context, this.allocations, this.queueOrder);
     this.shardSummaries = new ShardSummaries(context, this.allocations, this.queueOrder, this.scheduler);
--- a/packages/controller/src/shards/shard-summary.ts
+++ b/packages/controller/src/shards/shard-summary.ts
@@ -1,11 +1,9 @@
 /** What an owner tells the leader of a share: its machines, and its work that has no room. */
 import type { MachineSummary, ResourceDemand, ShardSummary } from '@archpost/protocol';
-import type { TaskAllocations, UnmetDemand } from '../allocation/task-allocations.js';
+import type { TaskAllocations, UnmetDemand } from '../allocation/index.js';
 import type { ControllerContext } from '../context/index.js';
 import { HIGHEST_PRIORITY, type Machine, type Milliseconds } from '../model/index.js';
-import { tasksPerZone, zoneAllowsTask } from '../scheduling/placement.js';
-import type { QueueOrder, QuotaStatuses } from '../scheduling/queue-order.js';
-import type { Scheduler } from '../scheduling/scheduler.js';
+import { type QueueOrder, type QuotaStatuses, type Scheduler, tasksPerZone, zoneAllowsTask } from '../scheduling/index.js';
 
 /** What is told of a share is worked out anew after this long. */
 const VIEW_MS = 400;
--- a/packages/controller/src/state/cluster-state.ts
+++ b/packages/controller/src/state/cluster-state.ts
@@ -1,6 +1,5 @@
 import type { JobSpec, MachineType } from '@archpost/protocol';
-import { type ControllerSettings, Job, Machine, type Milliseconds, NameInterner } from '../model/index.js';
-import { fits } from '../scheduling/placement.js';
+import { type ControllerSettings, fits, Job, Machine, type Milliseconds, NameInterner } from '../model/index.js';
 import { type MachineAssignment, parseAssignment } from './assignment-record.js';
 import { parseImageCache, type StoredImage } from './image-cache-record.js';
 import type { FinalState } from './job-record.js';
