--- a/packages/controller/src/allocation/failure-attribution.ts
+++ b/packages/controller/src/allocation/failure-attribution.ts
@@ -1,4 +1,4 @@
-import type { ControllerContext } from '../context/index.js';
+import type { ClusterStateView, Logger } from '../context/index.js';
 import type { Allocation, Job, Machine, Milliseconds } from '../model/index.js';
 
 /** A job that failed on so many machines, and never went well, is taken for broken. */
@@ -24,7 +24,7 @@
  * job, and what it cast on machines before is taken back.
  */
 export class FailureAttribution {
-  constructor(private readonly context: ControllerContext) {}
+  constructor(private readonly context: ClusterStateView & Logger) {}
 
   /** Has any of it gone well? */
   private hasRunWithoutError(job: Job, now: Milliseconds): boolean {
--- a/packages/controller/src/allocation/task-allocations.ts
+++ b/packages/controller/src/allocation/task-allocations.ts
@@ -1,4 +1,12 @@
-import type { ControllerContext } from '../context/index.js';
+import type {
+  ClusterStateView,
+  LeaseView,
+  Logger,
+  PeerDirectory,
+  SettingsView,
+  ShardOwnership,
+  StateFreshness,
+} from '../context/index.js';
 import {
   type Allocation,
   type FreeResources,
@@ -33,6 +41,15 @@
 
 export const taskKey = (job: string, index: number, attempt: number) => `${job}/${index}/${attempt}`;
 
+/** What the task allocations needs of its controller. */
+type TaskAllocationsContext = SettingsView &
+  ClusterStateView &
+  StateFreshness &
+  LeaseView &
+  ShardOwnership &
+  PeerDirectory &
+  Logger;
+
 /** What is known of the tasks and machines of the shares held here, and the steps that change it. */
 export class TaskAllocations {
   readonly heldShards = new Map<number, HeldShard>();
@@ -47,7 +64,7 @@
 
   readonly failureAttribution: FailureAttribution;
 
-  constructor(private readonly context: ControllerContext) {
+  constructor(private readonly context: TaskAllocationsContext) {
     this.failureAttribution = new FailureAttribution(context);
   }
 
--- a/packages/controller/src/capacity/autoscaler.ts
+++ b/packages/controller/src/capacity/autoscaler.ts
@@ -7,7 +7,7 @@
   type ResourceDemand,
   type ShardSummary,
 } from '@archpost/protocol';
-import type { ControllerContext } from '../context/index.js';
+import type { ClusterStateView, EffectSink, Logger, SettingsView } from '../context/index.js';
 import { countThatFit, HIGHEST_PRIORITY, type Machine, type Milliseconds } from '../model/index.js';
 import { BootTimeEstimator } from './boot-time-estimator.js';
 import { type InstanceKind, instanceKindKey, machineTypeNamed, matchesDemand } from './demand.js';
@@ -57,6 +57,9 @@
   wasFilled: boolean;
 }
 
+/** What the autoscaler needs of its controller. */
+type AutoscalerContext = SettingsView & ClusterStateView & EffectSink & Logger;
+
 /** What is rented from the cloud, what is on its way, and what never came up. */
 export class Autoscaler {
   private leadingSince: Milliseconds = -1;
@@ -78,7 +81,7 @@
   private nextRequestAt: Milliseconds = 0;
 
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: AutoscalerContext,
     /** is a grant for the machine under way? */
     private readonly isBeingAssigned: (machine: string) => boolean,
     /** what was granted so lately that wants don't show it yet */
--- a/packages/controller/src/capacity/demand.ts
+++ b/packages/controller/src/capacity/demand.ts
@@ -1,6 +1,6 @@
 /** Work that waits for room, and what kinds of machines would serve it. */
 import type { MachineType, ResourceDemand, ShardSummary } from '@archpost/protocol';
-import type { ControllerContext } from '../context/index.js';
+import type { ClusterStateView } from '../context/index.js';
 import { countThatFit, type Resources } from '../model/index.js';
 
 /** What the cloud sells: a type in a zone, ordinary or cheap. */
@@ -13,7 +13,7 @@
 /** One name for each kind. */
 export const instanceKindKey = (kind: InstanceKind): string => `${kind.type}/${kind.zone}/${kind.spot}`;
 
-export function machineTypeNamed(context: ControllerContext, name: string): MachineType | null {
+export function machineTypeNamed(context: ClusterStateView, name: string): MachineType | null {
   return context.clusterState.machineTypes[context.clusterState.typeNames.indexOf(name)] ?? null;
 }
 
--- a/packages/controller/src/capacity/machine-assigner.ts
+++ b/packages/controller/src/capacity/machine-assigner.ts
@@ -1,6 +1,6 @@
 /** Grants machines whose workers report, and which no share has, to shares: where work waits, or else by guarantees. */
 import type { ShardSummary } from '@archpost/protocol';
-import type { ControllerContext } from '../context/index.js';
+import type { ClusterStateView, PeerDirectory, SettingsView, StateWriting } from '../context/index.js';
 import { countThatFit, type Milliseconds } from '../model/index.js';
 import { encodeAssignment, StateKey, WritePriority } from '../state/index.js';
 import type { Autoscaler } from './autoscaler.js';
@@ -19,13 +19,16 @@
 
 const GRANT_EXPIRES_MS = 8000;
 
+/** What the machine assigner needs of its controller. */
+type MachineAssignerContext = SettingsView & ClusterStateView & StateWriting & PeerDirectory;
+
 export class MachineAssigner {
   private readonly unassignedMachines = new Map<string, { stranger: UnassignedMachine; at: Milliseconds }>();
   private readonly writing = new Set<string>();
   private readonly recentAssignments = new Map<string, RecentAssignment>();
 
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: MachineAssignerContext,
     private readonly autoscaler: () => Autoscaler,
   ) {}
 
--- a/packages/controller/src/capacity/shard-balance.ts
+++ b/packages/controller/src/capacity/shard-balance.ts
@@ -2,7 +2,7 @@
  * What machines of each type the shares have, beside what their teams are guaranteed. Counted once for a round of
  * grants: counting for each machine made the first start cost the square of the machines.
  */
-import type { ControllerContext } from '../context/index.js';
+import type { ClusterStateView, SettingsView } from '../context/index.js';
 import { machineTypeNamed } from './demand.js';
 import type { RecentAssignment } from './machine-assignment.js';
 
@@ -15,7 +15,7 @@
   private readonly weights = new Map<boolean, number[]>();
 
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: SettingsView & ClusterStateView,
     recentAssignments: ReadonlyMap<string, RecentAssignment>,
   ) {
     const { clusterState } = context;
--- a/packages/controller/src/capacity/shard-rebalancer.ts
+++ b/packages/controller/src/capacity/shard-rebalancer.ts
@@ -3,7 +3,7 @@
  * no room.
  */
 import type { MachineSummary, ResourceDemand, ShardSummary } from '@archpost/protocol';
-import type { ControllerContext } from '../context/index.js';
+import type { CapacityView, ClusterStateView, SettingsView } from '../context/index.js';
 import { countThatFit, HIGHEST_PRIORITY, type Machine, type Milliseconds, NEVER, SCARCE_MACHINE_WAIT_S } from '../model/index.js';
 import { allocateToDemands, matchesDemand, type PendingDemand } from './demand.js';
 
@@ -53,7 +53,7 @@
 class RoundView {
   private readonly idleCounts = new Map<number, number>();
 
-  constructor(private readonly context: ControllerContext) {}
+  constructor(private readonly context: ClusterStateView) {}
 
   /** Idle ordinary machines of the share, without accelerators. */
   idle(shard: ShardSummary): number {
@@ -69,13 +69,16 @@
   }
 }
 
+/** What the shard rebalancer needs of its controller. */
+type ShardRebalancerContext = SettingsView & ClusterStateView & CapacityView;
+
 export class ShardRebalancer {
   /** moves that were ordered and are not done yet, and when */
   private readonly orderedMoves = new Map<string, Milliseconds>();
   private readonly lastMoveAt = new Map<string, Milliseconds>();
   private servicesDisplacedAt: Milliseconds = NEVER;
 
-  constructor(private readonly context: ControllerContext) {}
+  constructor(private readonly context: ShardRebalancerContext) {}
 
   /** A new lead knows of no orders. */
   reset(): void {
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -9,7 +9,45 @@
 } from '@archpost/protocol';
 import { TaskAllocations } from './allocation/index.js';
 import type { Autoscaler } from './capacity/index.js';
-import type { ControllerContext, PeerView } from './context/index.js';
+import type {
+  CapacityView,
+  ClusterStateView,
+  EffectSink,
+  IncarnationView,
+  InputClock,
+  LeaseListener,
+  LeaseView,
+  Logger,
+  PeerDirectory,
+  PeerView,
+  ReadBarrierSource,
+  ReplicaView,
+  SettingsView,
+  ShardHealth,
+  ShardOwnership,
+  StateFreshness,
+  StateWriting,
+} from './context/index.js';
+
+/** All that the parts may ask of their controller; each asks for less. */
+interface ControllerContext
+  extends SettingsView,
+    InputClock,
+    ClusterStateView,
+    ReplicaView,
+    StateWriting,
+    StateFreshness,
+    ReadBarrierSource,
+    CapacityView,
+    LeaseView,
+    IncarnationView,
+    ShardOwnership,
+    LeaseListener,
+    ShardHealth,
+    PeerDirectory,
+    EffectSink,
+    Logger {}
+
 import { HeartbeatForwarding, HeartbeatReconciler, HeartbeatResponder, WorkerRouting } from './heartbeats/index.js';
 import { ClientRequests } from './jobs/index.js';
 import { CancellationFreshness, Leader, ShardLeases, StatusExchange } from './leadership/index.js';
@@ -179,10 +217,6 @@
     return this.shardController.isSettled(shard);
   }
 
-  requestScheduling(): void {
-    this.shardController.requestScheduling();
-  }
-
   isTypeAvailable(type: string): boolean {
     if (this.leader.isLeading) return this.leader.autoscaler.availableTypes().includes(type);
     for (const peer of this.peers.values()) if (peer.status.isLeader) return peer.status.availableTypes.includes(type);
--- a/packages/controller/src/heartbeats/heartbeat-forwarding.ts
+++ b/packages/controller/src/heartbeats/heartbeat-forwarding.ts
@@ -3,7 +3,7 @@
  * they say. A report that differs from the last one is forwarded whole; that nothing changed goes with the status.
  */
 import type { Heartbeat, TaskStatus, UnchangedHeartbeat } from '@archpost/protocol';
-import type { ControllerContext } from '../context/index.js';
+import type { ClusterStateView, EffectSink, PeerDirectory, SettingsView } from '../context/index.js';
 import { type Milliseconds, NEVER } from '../model/index.js';
 
 /** A machine heard within this time is named in the status. */
@@ -47,10 +47,13 @@
   return heartbeat.tasks.every((task, index) => isSameTask(task, other.tasks[index] as TaskStatus));
 }
 
+/** What the heartbeat forwarding needs of its controller. */
+type HeartbeatForwardingContext = SettingsView & ClusterStateView & PeerDirectory & EffectSink;
+
 export class HeartbeatForwarding {
   private readonly heardMachines = new Map<string, HeardMachine>();
 
-  constructor(private readonly context: ControllerContext) {}
+  constructor(private readonly context: HeartbeatForwardingContext) {}
 
   /** A late copy must not make a silent machine seem alive: only what is newer counts. */
   receive(heartbeat: Heartbeat, holder: string | null, now: Milliseconds): void {
--- a/packages/controller/src/heartbeats/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeats/heartbeat-reconciler.ts
@@ -1,6 +1,6 @@
 import type { Heartbeat, TaskStatus, UnchangedHeartbeat } from '@archpost/protocol';
 import { type TaskAllocations, taskKey } from '../allocation/index.js';
-import type { ControllerContext } from '../context/index.js';
+import type { ClusterStateView, Logger, ReplicaView, SettingsView } from '../context/index.js';
 import { type Allocation, CANCELLED_WORK_PRIORITY, type Machine, type Milliseconds } from '../model/index.js';
 import type { HeartbeatReconciliation, KnownHeartbeat, ProgressWriter } from '../shards/index.js';
 import { StateKey } from '../state/index.js';
@@ -9,10 +9,13 @@
 const MESSAGES_PER_S = 10;
 const MESSAGES_AT_ONCE = 200;
 
+/** What the heartbeat reconciler needs of its controller. */
+type HeartbeatReconcilerContext = SettingsView & ClusterStateView & ReplicaView & Logger;
+
 /** What workers say, taken for what it is worth. */
 export class HeartbeatReconciler implements HeartbeatReconciliation {
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: HeartbeatReconcilerContext,
     private readonly allocations: TaskAllocations,
     private readonly progressWriter: ProgressWriter,
   ) {}
--- a/packages/controller/src/heartbeats/heartbeat-responder.ts
+++ b/packages/controller/src/heartbeats/heartbeat-responder.ts
@@ -4,7 +4,7 @@
  */
 import { type Command, encodeHeartbeatResponse, encodeRedirect, type Heartbeat, MAX_COMMANDS_PER_BODY } from '@archpost/protocol';
 import type { UnassignedMachine } from '../capacity/index.js';
-import type { ControllerContext } from '../context/index.js';
+import type { ClusterStateView, EffectSink, ReplicaView, SettingsView, StateFreshness } from '../context/index.js';
 import type { Milliseconds } from '../model/index.js';
 import { type ShardController, stopReportedTask } from '../shards/index.js';
 import type { HeartbeatForwarding } from './heartbeat-forwarding.js';
@@ -33,12 +33,15 @@
   cancellationFreshness: CancellationFreshnessSource;
 }
 
+/** What the heartbeat responder needs of its controller. */
+type HeartbeatResponderContext = SettingsView & ClusterStateView & ReplicaView & StateFreshness & EffectSink;
+
 export class HeartbeatResponder {
   /** answers since the last look, by status */
   private readonly responseCounts = new Map<number, number>();
 
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: HeartbeatResponderContext,
     private readonly collaborators: HeartbeatCollaborators,
   ) {}
 
--- a/packages/controller/src/heartbeats/worker-routing.ts
+++ b/packages/controller/src/heartbeats/worker-routing.ts
@@ -3,7 +3,7 @@
  * zones then costs them nothing, where finding another controller could take longer than their lease.
  */
 import type { Heartbeat } from '@archpost/protocol';
-import type { ControllerContext } from '../context/index.js';
+import type { PeerDirectory, SettingsView } from '../context/index.js';
 import { type Milliseconds, NEVER } from '../model/index.js';
 
 /** A controller that answers so many workers is known to be reached by them. */
@@ -24,7 +24,7 @@
   private readonly redirected = new Map<string, { to: string; at: Milliseconds }>();
   private trialRedirectAt: Milliseconds = NEVER;
 
-  constructor(private readonly context: ControllerContext) {}
+  constructor(private readonly context: SettingsView & PeerDirectory) {}
 
   /** The controller that the worker is to be sent to instead; null: it is to be answered here. */
   redirectTarget(heartbeat: Heartbeat, holder: string | null, now: Milliseconds): string | null {
--- a/packages/controller/src/jobs/cancellations.ts
+++ b/packages/controller/src/jobs/cancellations.ts
@@ -1,13 +1,16 @@
 /** Users' cancellations: stored, then answered. What follows for other jobs is derived, not written. */
 import { encodeJobStatus, JOB_ID_PATTERN } from '@archpost/protocol';
-import type { ControllerContext } from '../context/index.js';
+import type { ClusterStateView, ReplicaView, StateWriting } from '../context/index.js';
 import type { Milliseconds } from '../model/index.js';
 import { encodeCancelledJob, type ReplicaEntry, StateKey, WritePriority } from '../state/index.js';
 import { type ClientResponses, NO_SUCH_JOB, REQUEST_TIMEOUT_MS } from './client-responses.js';
 
+/** What the cancellations needs of its controller. */
+type CancellationsContext = ClusterStateView & ReplicaView & StateWriting;
+
 export class Cancellations {
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: CancellationsContext,
     private readonly responses: ClientResponses,
   ) {}
 
--- a/packages/controller/src/jobs/client-requests.ts
+++ b/packages/controller/src/jobs/client-requests.ts
@@ -1,19 +1,40 @@
 /** Users' requests, at any controller. */
 
-import type { ControllerContext } from '../context/index.js';
+import type {
+  ClusterStateView,
+  EffectSink,
+  InputClock,
+  PeerDirectory,
+  ReadBarrierSource,
+  ReplicaView,
+  SettingsView,
+  StateFreshness,
+  StateWriting,
+} from '../context/index.js';
 import type { Milliseconds } from '../model/index.js';
 import { Cancellations } from './cancellations.js';
 import { ClientResponses } from './client-responses.js';
 import { StatusQueries } from './status-queries.js';
 import { Submissions } from './submissions.js';
 
+/** What the client requests needs of its controller. */
+type ClientRequestsContext = SettingsView &
+  InputClock &
+  ClusterStateView &
+  ReplicaView &
+  StateWriting &
+  StateFreshness &
+  ReadBarrierSource &
+  PeerDirectory &
+  EffectSink;
+
 export class ClientRequests {
   private readonly responses: ClientResponses;
   private readonly submissions: Submissions;
   private readonly cancellations: Cancellations;
   private readonly statusQueries: StatusQueries;
 
-  constructor(context: ControllerContext) {
+  constructor(context: ClientRequestsContext) {
     this.responses = new ClientResponses(context);
     this.submissions = new Submissions(context, this.responses);
     this.cancellations = new Cancellations(context, this.responses);
--- a/packages/controller/src/jobs/client-responses.ts
+++ b/packages/controller/src/jobs/client-responses.ts
@@ -1,5 +1,5 @@
 /** Answers to users: how many requests are open, which are refused for that, and which are out of time. */
-import type { ControllerContext } from '../context/index.js';
+import type { EffectSink, ReadBarrierSource, ReplicaView, SettingsView, StateFreshness, StateWriting } from '../context/index.js';
 import type { Milliseconds } from '../model/index.js';
 
 /** Users wait 5 s for an answer to a submission or a cancellation. */
@@ -23,12 +23,15 @@
   run: () => void;
 }
 
+/** What the client responses needs of its controller. */
+type ClientResponsesContext = SettingsView & ReplicaView & StateWriting & StateFreshness & ReadBarrierSource & EffectSink;
+
 export class ClientResponses {
   private openRequests = 0;
   /** kept in the order of their times: what waited for a reading first has less left */
   private readonly deadlines: Deadline[] = [];
 
-  constructor(private readonly context: ControllerContext) {}
+  constructor(private readonly context: ClientResponsesContext) {}
 
   /** A request came, which will be answered once. */
   requestOpened(): void {
--- a/packages/controller/src/jobs/job-status.ts
+++ b/packages/controller/src/jobs/job-status.ts
@@ -1,6 +1,6 @@
 /** What users are told of a job, by what the replica holds. */
 import { encodeJobStatus } from '@archpost/protocol';
-import type { ControllerContext } from '../context/index.js';
+import type { ClusterStateView, PeerDirectory, ReplicaView } from '../context/index.js';
 import type { Job } from '../model/index.js';
 import { readJobRecord, StateKey } from '../state/index.js';
 
@@ -13,7 +13,7 @@
 }
 
 /** The job's status; null if it isn't known here. */
-export function statusOf(context: ControllerContext, id: string): JobStatus | null {
+export function statusOf(context: ClusterStateView & PeerDirectory, id: string): JobStatus | null {
   const final = context.clusterState.finishedJobs.get(id);
   if (final) return final;
   const job = context.clusterState.jobs.get(id);
@@ -21,8 +21,11 @@
   return countTasks(context, job).running > 0 ? 'running' : 'queued';
 }
 
+/** What the describe job needs of its controller. */
+type DescribeJobContext = ClusterStateView & ReplicaView & PeerDirectory;
+
 /** An answer with counts of tasks; null if the job isn't known here. */
-export function describeJob(context: ControllerContext, id: string): ReturnType<typeof encodeJobStatus> | null {
+export function describeJob(context: DescribeJobContext, id: string): ReturnType<typeof encodeJobStatus> | null {
   const status = statusOf(context, id);
   const job = context.clusterState.jobs.get(id);
   if (status === 'done' || status === 'cancelled') return describeFinal(context, id, status);
@@ -30,7 +33,7 @@
 }
 
 export function describeFinal(
-  context: ControllerContext,
+  context: ReplicaView,
   id: string,
   status: 'done' | 'cancelled',
 ): ReturnType<typeof encodeJobStatus> {
@@ -39,7 +42,7 @@
 }
 
 /** By what runs here, or else by what the other controllers told last. */
-function countTasks(context: ControllerContext, job: Job): TaskCounts {
+function countTasks(context: PeerDirectory, job: Job): TaskCounts {
   let running = 0;
   for (const allocation of job.allocations.values())
     if (allocation.phase === 'there' && allocation.status?.state === 'running') running++;
--- a/packages/controller/src/jobs/status-queries.ts
+++ b/packages/controller/src/jobs/status-queries.ts
@@ -1,6 +1,6 @@
 /** Users' questions about jobs. One reading of the state service answers all that came before it. */
 import { JOB_ID_PATTERN } from '@archpost/protocol';
-import type { ControllerContext } from '../context/index.js';
+import type { ClusterStateView, EffectSink, PeerDirectory, ReplicaView } from '../context/index.js';
 import type { Milliseconds } from '../model/index.js';
 import { type ClientResponses, NO_SUCH_JOB, STATE_SERVICE_UNAVAILABLE } from './client-responses.js';
 import { describeFinal, describeJob } from './job-status.js';
@@ -14,12 +14,15 @@
   at: Milliseconds;
 }
 
+/** What the status queries needs of its controller. */
+type StatusQueriesContext = ClusterStateView & ReplicaView & PeerDirectory & EffectSink;
+
 export class StatusQueries {
   /** those that wait for the replica to be as new as they are, in the order they came */
   private readonly waiting: StatusQuery[] = [];
 
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: StatusQueriesContext,
     private readonly responses: ClientResponses,
   ) {}
 
--- a/packages/controller/src/jobs/submissions.ts
+++ b/packages/controller/src/jobs/submissions.ts
@@ -1,6 +1,6 @@
 /** Users' submissions: checked, stored, then answered. */
 import { encodeJobStatus, type JobSpec, parseSubmission, type Submission } from '@archpost/protocol';
-import type { ControllerContext } from '../context/index.js';
+import type { ClusterStateView, InputClock, PeerDirectory, ReplicaView, SettingsView, StateWriting } from '../context/index.js';
 import { countThatFit, type Milliseconds, RESOURCE_TOLERANCE } from '../model/index.js';
 import { type EncodedJob, encodeAcceptedJob, StateKey, type WriteOutcome, WritePriority } from '../state/index.js';
 import { type ClientResponses, NOT_READY, REQUEST_TIMEOUT_MS, STATE_SERVICE_UNAVAILABLE } from './client-responses.js';
@@ -9,9 +9,12 @@
 /** Within this time of a job's acceptance nobody can have been told of its end. */
 const PROMPT_RESPONSE_MS = 150;
 
+/** What the submissions needs of its controller. */
+type SubmissionsContext = SettingsView & InputClock & ClusterStateView & ReplicaView & StateWriting & PeerDirectory;
+
 export class Submissions {
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: SubmissionsContext,
     private readonly responses: ClientResponses,
   ) {}
 
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -7,7 +7,17 @@
   ShardRebalancer,
   type UnassignedMachine,
 } from '../capacity/index.js';
-import type { ControllerContext } from '../context/index.js';
+import type {
+  CapacityView,
+  ClusterStateView,
+  EffectSink,
+  LeaseView,
+  Logger,
+  PeerDirectory,
+  SettingsView,
+  StateFreshness,
+  StateWriting,
+} from '../context/index.js';
 import { countThatFit, type Machine, type Milliseconds, NEVER } from '../model/index.js';
 import type { ShardController } from '../shards/index.js';
 import { encodeAssignment, StateKey, WritePriority } from '../state/index.js';
@@ -24,6 +34,17 @@
 /** Idle machines let go in one round, for each move that it may order. */
 const LET_GO_PER_MOVE = 0.5;
 
+/** What the leader needs of its controller. */
+type LeaderContext = SettingsView &
+  ClusterStateView &
+  StateWriting &
+  StateFreshness &
+  CapacityView &
+  LeaseView &
+  PeerDirectory &
+  EffectSink &
+  Logger;
+
 /** The elected leader: grants machines to shares, moves them, and lets go what is idle. */
 export class Leader {
   private leadingSince: Milliseconds = -1;
@@ -34,7 +55,7 @@
   private readonly shardRebalancer: ShardRebalancer;
 
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: LeaderContext,
     private readonly shardController: ShardController,
   ) {
     this.machineAssigner = new MachineAssigner(context, () => this.autoscaler);
--- a/packages/controller/src/leadership/shard-leases.ts
+++ b/packages/controller/src/leadership/shard-leases.ts
@@ -1,4 +1,16 @@
-import type { ControllerContext } from '../context/index.js';
+import type {
+  ClusterStateView,
+  IncarnationView,
+  LeaseListener,
+  LeaseView,
+  Logger,
+  PeerDirectory,
+  ReplicaView,
+  SettingsView,
+  ShardHealth,
+  StateFreshness,
+  StateWriting,
+} from '../context/index.js';
 import type { Milliseconds } from '../model/index.js';
 import { encodeHolder, encodePresence, isPresenceOf, StateKey, WritePriority } from '../state/index.js';
 
@@ -8,6 +20,19 @@
 /** A share that doesn't come to rest goes home after this long all the same. */
 const UNSETTLED_MS = 60_000;
 
+/** What the shard leases needs of its controller. */
+type ShardLeasesContext = SettingsView &
+  ClusterStateView &
+  ReplicaView &
+  StateWriting &
+  StateFreshness &
+  LeaseView &
+  IncarnationView &
+  LeaseListener &
+  ShardHealth &
+  PeerDirectory &
+  Logger;
+
 /**
  * Who holds which share, and the lead. A key per holding names its holder and is attached
  * to the holder's state lease: it disappears when the lease does. Each restart writes its
@@ -24,7 +49,7 @@
   private readonly preferredHolderSeenAt = new Map<string, Milliseconds>();
   private readonly settledSince = new Map<string, Milliseconds>();
 
-  constructor(private readonly context: ControllerContext) {}
+  constructor(private readonly context: ShardLeasesContext) {}
 
   /**
    * A holding is acted for only while the lease surely stands, and no more once its release has been
--- a/packages/controller/src/leadership/status-exchange.ts
+++ b/packages/controller/src/leadership/status-exchange.ts
@@ -4,7 +4,16 @@
  * statuses.
  */
 import type { PeerStatus } from '@archpost/protocol';
-import type { ControllerContext } from '../context/index.js';
+import type {
+  ClusterStateView,
+  EffectSink,
+  LeaseView,
+  PeerDirectory,
+  ReplicaView,
+  SettingsView,
+  StateFreshness,
+  StateWriting,
+} from '../context/index.js';
 import type { HeartbeatForwarding, WorkerRouting } from '../heartbeats/index.js';
 import { type Milliseconds, NEVER, roundRobinSlice } from '../model/index.js';
 import type { ShardController } from '../shards/index.js';
@@ -41,6 +50,16 @@
   mayAnswerWorkers(now: Milliseconds): boolean;
 }
 
+/** What the status exchange needs of its controller. */
+type StatusExchangeContext = SettingsView &
+  ClusterStateView &
+  ReplicaView &
+  StateWriting &
+  StateFreshness &
+  LeaseView &
+  PeerDirectory &
+  EffectSink;
+
 export class StatusExchange {
   private sentAt: Milliseconds = NEVER;
   private statusCount = 0;
@@ -50,7 +69,7 @@
   private storedCount = 0;
 
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: StatusExchangeContext,
     private readonly sources: StatusSources,
   ) {}
 
--- a/packages/controller/src/scheduling/machine-scoring.ts
+++ b/packages/controller/src/scheduling/machine-scoring.ts
@@ -1,5 +1,5 @@
 import type { TaskAllocations } from '../allocation/index.js';
-import type { ControllerContext } from '../context/index.js';
+import type { CapacityView, ClusterStateView } from '../context/index.js';
 import {
   type FreeResources,
   fits,
@@ -22,7 +22,7 @@
   private dedicatedMachinesCache: { job: Job; machines: Machine[] } | null = null;
 
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: ClusterStateView & CapacityView,
     private readonly allocations: TaskAllocations,
     private readonly queueOrder: QueueOrder,
   ) {}
--- a/packages/controller/src/scheduling/preemption.ts
+++ b/packages/controller/src/scheduling/preemption.ts
@@ -1,5 +1,5 @@
 import type { TaskAllocations } from '../allocation/index.js';
-import type { ControllerContext } from '../context/index.js';
+import type { ClusterStateView, SettingsView } from '../context/index.js';
 import {
   type Allocation,
   countThatFit,
@@ -22,7 +22,7 @@
   private readonly lowestPriority = new Map<number, number>();
 
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: SettingsView & ClusterStateView,
     private readonly allocations: TaskAllocations,
     private readonly machineScoring: MachineScoring,
   ) {}
--- a/packages/controller/src/scheduling/queue-order.ts
+++ b/packages/controller/src/scheduling/queue-order.ts
@@ -1,5 +1,5 @@
 import type { TaskAllocations } from '../allocation/index.js';
-import type { ControllerContext } from '../context/index.js';
+import type { ClusterStateView, SettingsView } from '../context/index.js';
 import type { Job, Milliseconds } from '../model/index.js';
 import { expectedDurationMs } from '../state/index.js';
 
@@ -29,7 +29,7 @@
   private readonly inheritedTimes: number[];
 
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: SettingsView & ClusterStateView,
     private readonly allocations: TaskAllocations,
   ) {
     for (const objective of context.settings.objectives) {
--- a/packages/controller/src/scheduling/scheduler.ts
+++ b/packages/controller/src/scheduling/scheduler.ts
@@ -1,5 +1,5 @@
 import type { TaskAllocations } from '../allocation/index.js';
-import type { ControllerContext } from '../context/index.js';
+import type { CapacityView, ClusterStateView, Logger, SettingsView, ShardOwnership } from '../context/index.js';
 import {
   countThatFit,
   type FreeResources,
@@ -31,6 +31,9 @@
 /** A service whose best place is worth less than this, in seconds of waiting, may have a better one cleared for it. */
 const WORTH_STOPPING_FOR = -1;
 
+/** What the scheduler needs of its controller. */
+type SchedulerContext = SettingsView & ClusterStateView & CapacityView & ShardOwnership & Logger;
+
 /** Which task goes where: the plan, in the order of the queue. */
 export class Scheduler {
   private hasUnfinishedWork = false;
@@ -41,7 +44,7 @@
   private readonly preemption: Preemption;
 
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: SchedulerContext,
     private readonly allocations: TaskAllocations,
     private readonly queueOrder: QueueOrder,
   ) {
--- a/packages/controller/src/scheduling/service-eviction.ts
+++ b/packages/controller/src/scheduling/service-eviction.ts
@@ -1,5 +1,5 @@
 import type { TaskAllocations } from '../allocation/index.js';
-import type { ControllerContext } from '../context/index.js';
+import type { ClusterStateView, Logger, SettingsView } from '../context/index.js';
 import {
   type Allocation,
   countThatFit,
@@ -20,13 +20,16 @@
 /** A service that has run for this long may be moved; a machine that was emptied takes none for as long. */
 const SETTLED_MS = 40_000;
 
+/** What the service eviction needs of its controller. */
+type ServiceEvictionContext = SettingsView & ClusterStateView & Logger;
+
 /** Services that move so that machines come free: for gangs, for other shares, or to go back. */
 export class ServiceEviction {
   private evictedAt: Milliseconds = -1e12;
   private consolidatedAt: Milliseconds = -1e12;
 
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: ServiceEvictionContext,
     private readonly allocations: TaskAllocations,
     private readonly machineScoring: MachineScoring,
   ) {}
--- a/packages/controller/src/shards/assignment-updates.ts
+++ b/packages/controller/src/shards/assignment-updates.ts
@@ -1,16 +1,19 @@
 /** What an owner writes of its machines' grants: moves to another share, tokens that rise, and machines that are gone. */
 
 import type { TaskAllocations } from '../allocation/index.js';
-import type { ControllerContext } from '../context/index.js';
+import type { ClusterStateView, Logger, ReplicaView, StateWriting } from '../context/index.js';
 import type { Machine } from '../model/index.js';
 import { encodeAssignment, StateKey, WritePriority } from '../state/index.js';
 
 /** What was stored of a gone machine's images is removed within this time, or left. */
 const IMAGES_MS = 15_000;
 
+/** What the assignment updates needs of its controller. */
+type AssignmentUpdatesContext = ClusterStateView & ReplicaView & StateWriting & Logger;
+
 export class AssignmentUpdates {
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: AssignmentUpdatesContext,
     private readonly allocations: TaskAllocations,
   ) {}
 
--- a/packages/controller/src/shards/command-dispatcher.ts
+++ b/packages/controller/src/shards/command-dispatcher.ts
@@ -1,6 +1,6 @@
 import { type Command, type Heartbeat, MAX_COMMANDS_PER_BODY } from '@archpost/protocol';
 import type { TaskAllocations } from '../allocation/index.js';
-import type { ControllerContext } from '../context/index.js';
+import type { ClusterStateView, EffectSink, Logger, SettingsView } from '../context/index.js';
 import {
   type Allocation,
   CANCELLED_WORK_PRIORITY,
@@ -65,6 +65,9 @@
   return { cpus: capacity?.cpus ?? 0, gpus: capacity?.gpus ?? 0, memory: capacity?.memory ?? 0 };
 }
 
+/** What the command dispatcher needs of its controller. */
+type CommandDispatcherContext = SettingsView & ClusterStateView & EffectSink & Logger;
+
 /** Commands to workers: what is sent, and what its outcome means. */
 export class CommandDispatcher {
   private readonly pendingCommands = new Map<number, PendingCommand>();
@@ -72,7 +75,7 @@
   private pendingProbes = 0;
 
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: CommandDispatcherContext,
     private readonly allocations: TaskAllocations,
     private readonly reconciler: HeartbeatReconciliation,
   ) {}
--- a/packages/controller/src/shards/failure-detector.ts
+++ b/packages/controller/src/shards/failure-detector.ts
@@ -4,7 +4,7 @@
  */
 
 import type { TaskAllocations } from '../allocation/index.js';
-import type { ControllerContext } from '../context/index.js';
+import type { ClusterStateView, EffectSink, Logger, PeerDirectory, SettingsView } from '../context/index.js';
 import type { Machine, Milliseconds } from '../model/index.js';
 
 /** No worker answers for this long, though some were asked for that: the fault is here. */
@@ -40,6 +40,9 @@
   unanswered: number;
 }
 
+/** What the failure detector needs of its controller. */
+type FailureDetectorContext = SettingsView & ClusterStateView & PeerDirectory & EffectSink & Logger;
+
 export class FailureDetector {
   private readonly cutZones = new Set<number>();
   private zones = new Map<number, ZoneView>();
@@ -58,7 +61,7 @@
   private readonly individuallySilent = new Set<string>();
 
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: FailureDetectorContext,
     private readonly allocations: TaskAllocations,
   ) {}
 
--- a/packages/controller/src/shards/machine-lifecycle.ts
+++ b/packages/controller/src/shards/machine-lifecycle.ts
@@ -1,6 +1,14 @@
 import { MAX_MACHINES_PER_RELEASE } from '@archpost/protocol';
 import type { TaskAllocations } from '../allocation/index.js';
-import type { ControllerContext } from '../context/index.js';
+import type {
+  ClusterStateView,
+  EffectSink,
+  Logger,
+  PeerDirectory,
+  ReplicaView,
+  SettingsView,
+  StateWriting,
+} from '../context/index.js';
 import type { Machine, Milliseconds } from '../model/index.js';
 import { AssignmentUpdates } from './assignment-updates.js';
 import { FailureDetector } from './failure-detector.js';
@@ -18,6 +26,9 @@
 /** A machine that another controller heard within this time isn't silent. */
 const HEARD_ELSEWHERE_MS = 5000;
 
+/** What the machine lifecycle needs of its controller. */
+type MachineLifecycleContext = SettingsView & ClusterStateView & ReplicaView & StateWriting & PeerDirectory & EffectSink & Logger;
+
 /** The machines of the shares held here: which are silent or out of reach, which move and which go back. */
 export class MachineLifecycle {
   readonly failureDetector: FailureDetector;
@@ -26,7 +37,7 @@
   private nextReleaseAt: Milliseconds = 0;
 
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: MachineLifecycleContext,
     private readonly allocations: TaskAllocations,
   ) {
     this.failureDetector = new FailureDetector(context, allocations);
--- a/packages/controller/src/shards/progress-writer.ts
+++ b/packages/controller/src/shards/progress-writer.ts
@@ -1,5 +1,5 @@
 import type { TaskAllocations } from '../allocation/index.js';
-import type { ControllerContext } from '../context/index.js';
+import type { ClusterStateView, InputClock, Logger, ReplicaView, StateWriting } from '../context/index.js';
 import type { Job, Machine, Milliseconds } from '../model/index.js';
 import { encodeDoneJob, encodeImageCache, type ProgressPart, packBits, StateKey, WritePriority } from '../state/index.js';
 
@@ -15,12 +15,15 @@
   return false;
 }
 
+/** What the progress writer needs of its controller. */
+type ProgressWriterContext = InputClock & ClusterStateView & ReplicaView & StateWriting & Logger;
+
 /** What must outlive this process: completed tasks, and the images that machines have. */
 export class ProgressWriter {
   private readonly imageWrites: { m: Machine; at: Milliseconds }[] = [];
 
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: ProgressWriterContext,
     private readonly allocations: TaskAllocations,
   ) {}
 
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -1,6 +1,18 @@
 import type { ShardSummary } from '@archpost/protocol';
 import type { TaskAllocations } from '../allocation/index.js';
-import type { ControllerContext } from '../context/index.js';
+import type {
+  CapacityView,
+  ClusterStateView,
+  EffectSink,
+  LeaseView,
+  Logger,
+  PeerDirectory,
+  ReplicaView,
+  SettingsView,
+  ShardOwnership,
+  StateFreshness,
+  StateWriting,
+} from '../context/index.js';
 import {
   type Allocation,
   HIGHEST_PRIORITY,
@@ -26,6 +38,19 @@
   reconciler: HeartbeatReconciliation;
 }
 
+/** What the shard controller needs of its controller. */
+type ShardControllerContext = SettingsView &
+  ClusterStateView &
+  ReplicaView &
+  StateWriting &
+  StateFreshness &
+  CapacityView &
+  LeaseView &
+  ShardOwnership &
+  PeerDirectory &
+  EffectSink &
+  Logger;
+
 /** Decisions for the shares held here: what starts where, what stops, what is stored. */
 export class ShardController {
   readonly allocations: TaskAllocations;
@@ -39,7 +64,7 @@
   private jobsCheckedAt: Milliseconds = -1e12;
 
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: ShardControllerContext,
     { allocations, progressWriter, reconciler }: ShardCollaborators,
   ) {
     this.allocations = allocations;
@@ -73,10 +98,6 @@
     return true;
   }
 
-  requestScheduling(): void {
-    this.allocations.schedulingRequested = true;
-  }
-
   leaseAcquired(shard: number, revision: number, now: Milliseconds): void {
     this.allocations.heldShards.set(shard, { shard, leaseRevision: revision });
     for (const machine of this.context.clusterState.machines.values()) {
--- a/packages/controller/src/shards/shard-summary.ts
+++ b/packages/controller/src/shards/shard-summary.ts
@@ -1,7 +1,7 @@
 /** What an owner tells the leader of a share: its machines, and its work that has no room. */
 import type { MachineSummary, ResourceDemand, ShardSummary } from '@archpost/protocol';
 import type { TaskAllocations, UnmetDemand } from '../allocation/index.js';
-import type { ControllerContext } from '../context/index.js';
+import type { ClusterStateView, SettingsView } from '../context/index.js';
 import { HIGHEST_PRIORITY, type Machine, type Milliseconds } from '../model/index.js';
 import { type QueueOrder, type QuotaStatuses, type Scheduler, tasksPerZone, zoneAllowsTask } from '../scheduling/index.js';
 
@@ -26,7 +26,7 @@
   private readonly summaries = new Map<number, CachedSummary>();
 
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: SettingsView & ClusterStateView,
     private readonly allocations: TaskAllocations,
     private readonly queueOrder: QueueOrder,
     private readonly scheduler: Scheduler,
