--- a/packages/controller/src/allocation/failure-attribution.ts
+++ b/packages/controller/src/allocation/failure-attribution.ts
@@ -30,7 +30,11 @@
   private hasRunWithoutError(job: Job, now: Milliseconds): boolean {
     if (job.doneCount > 0 || job.ranWithoutError) return true;
     for (const allocation of job.tenure.allocations.values()) {
-      if (allocation.phase === 'there' && allocation.runningSince >= 0 && now - allocation.runningSince >= ERROR_FREE_RUN_MS) {
+      if (
+        allocation.phase === 'there' &&
+        allocation.runningSince !== null &&
+        now - allocation.runningSince >= ERROR_FREE_RUN_MS
+      ) {
         job.ranWithoutError = true;
         return true;
       }
@@ -40,7 +44,7 @@
 
   /** It fails wherever it goes, until its user cancels it. */
   isCrashLooping(job: Job): boolean {
-    return job.crashLoopingSince >= 0;
+    return job.crashLoopingSince !== null;
   }
 
   isFaulty(machine: Machine, now: Milliseconds): boolean {
@@ -91,12 +95,13 @@
   /** A task was done: its job is well after all, and what began after a machine's last failure clears the machine. */
   recordSuccess(allocation: Allocation): void {
     const { job, machine } = allocation;
-    if (allocation.runningSince > machine.lastErrorAt) {
+    // One that was never seen running counts as begun before any error.
+    if ((allocation.runningSince ?? 0) > machine.lastErrorAt) {
       machine.failedJobs.clear();
       machine.failedTaskCount = 0;
     }
     if (!this.isCrashLooping(job)) return;
-    job.crashLoopingSince = -1;
+    job.crashLoopingSince = null;
     job.retryAt = 0;
     // It was the machines, then.
     for (const name of job.failedOn) this.context.clusterState.machines.get(name)?.failedJobs.add(job.spec.id);
--- a/packages/controller/src/allocation/task-allocations.ts
+++ b/packages/controller/src/allocation/task-allocations.ts
@@ -15,6 +15,7 @@
   type MachineLoad,
   type Milliseconds,
   machineLoadOf,
+  NEVER,
 } from '../model/index.js';
 import { StateKey } from '../state/index.js';
 import { FailureAttribution } from './failure-attribution.js';
@@ -101,9 +102,9 @@
       status: null,
       plannedAt: now,
       stopGraceS: null,
-      stopSentAt: -1e12,
-      firstStopSentAt: -1,
-      runningSince: -1,
+      stopSentAt: NEVER,
+      firstStopSentAt: null,
+      runningSince: null,
     };
     job.tenure.allocations.set(index, allocation);
     machine.tenure.allocations.set(taskKey(job.spec.id, index, attempt), allocation);
@@ -121,10 +122,10 @@
     }
     if (allocation.machine.tenure.allocations.size === 0) allocation.machine.idleSince = this.now;
     const job = allocation.job;
-    if (job.spec.shape === 'gang' && job.tenure.gangAttempt !== 0) {
+    if (job.spec.shape === 'gang' && job.tenure.gangAttempt !== null) {
       if (job.state === 'live' && job.doneCount < job.spec.tasks) this.failGang(job);
       if (job.tenure.allocations.size === 0) {
-        job.tenure.gangAttempt = 0;
+        job.tenure.gangAttempt = null;
         job.tenure.gangFailed = false;
       }
     }
@@ -175,7 +176,7 @@
     if (allocation.stopGraceS === null || graceS < allocation.stopGraceS) {
       allocation.stopGraceS = graceS;
       allocation.machine.allocationsChanged();
-      allocation.stopSentAt = -1e12;
+      allocation.stopSentAt = NEVER;
       allocation.job.lastStopAt = this.now;
     }
   }
@@ -199,10 +200,10 @@
       machine.tenure.isVerified &&
       !machine.tenure.hasUncertainCommand &&
       machine.capacity !== null &&
-      machine.moveToShard < 0 &&
+      machine.moveToShard === null &&
       !machine.isRetired &&
-      machine.tenure.releaseReason === '' &&
-      machine.tenure.preemptionNoticeUntil < 0 &&
+      machine.tenure.releaseReason === null &&
+      machine.tenure.preemptionNoticeUntil === null &&
       !this.failureAttribution.isFaulty(machine, now) &&
       !this.failureAttribution.isDoubtful(machine, now) &&
       machine.tenure.unansweredCommands === 0 &&
@@ -259,7 +260,9 @@
 
   isEmpty(machine: Machine): boolean {
     return (
-      machine.tenure.allocations.size === 0 && machine.tenure.orphanedTasks.length === 0 && machine.tenure.pendingCommandId === 0
+      machine.tenure.allocations.size === 0 &&
+      machine.tenure.orphanedTasks.length === 0 &&
+      machine.tenure.pendingCommandId === null
     );
   }
 
@@ -267,7 +270,11 @@
     for (const allocation of [...machine.tenure.allocations.values()]) {
       if (allocation.phase === 'exited' || allocation.stopGraceS !== null) continue;
       // Independent tasks may finish in the time of a notice; what has to move, moves now.
-      if (machine.tenure.preemptionNoticeUntil > 0 && allocation.job.spec.shape === 'array' && allocation.phase !== 'planned')
+      if (
+        machine.tenure.preemptionNoticeUntil !== null &&
+        allocation.job.spec.shape === 'array' &&
+        allocation.phase !== 'planned'
+      )
         continue;
       if (allocation.job.spec.shape === 'gang') this.stopJob(allocation.job);
       else this.stop(allocation, this.stopGraceS(allocation.job));
--- a/packages/controller/src/capacity/autoscaler.ts
+++ b/packages/controller/src/capacity/autoscaler.ts
@@ -8,7 +8,7 @@
   type ShardSummary,
 } from '@archpost/protocol';
 import type { ClusterStateView, EffectSink, Logger, SettingsView } from '../context/index.js';
-import { countThatFit, HIGHEST_PRIORITY, type Machine, type Milliseconds } from '../model/index.js';
+import { countThatFit, HIGHEST_PRIORITY, type Machine, type Milliseconds, NEVER } from '../model/index.js';
 import { BootTimeEstimator } from './boot-time-estimator.js';
 import { type InstanceKind, instanceKindKey, machineTypeNamed, matchesDemand } from './demand.js';
 
@@ -41,6 +41,9 @@
 /** A machine that was given back may still be listed for so long. */
 const RETURN_SHOWS_MS = 60_000;
 
+/** Ages of the last leader's list count from here until the first list of this one. */
+const BEFORE_ANY_LIST: Milliseconds = -1;
+
 /** Machines that one demand may ask for in a round: so many, or one for each so many that there are. */
 const MOST_FOR_DEMAND = 40;
 const MACHINES_PER_PURCHASE = 25;
@@ -67,10 +70,10 @@
   /** machines were granted before this lead began */
   private isTakeover = false;
   private requestCounter = 0;
-  private listRequestedAt: Milliseconds = -1e12;
+  private listRequestedAt: Milliseconds = NEVER;
   private isListPending = false;
   private listedMachines = new Map<string, ListedMachine>();
-  private listReceivedAt: Milliseconds = -1;
+  private listReceivedAt: Milliseconds | null = null;
   private readonly pendingRequests = new Map<number, PendingProvisioning>();
   private readonly booting = new Map<string, PendingProvisioning>();
   private readonly instancePools = new Map<string, InstancePool>();
@@ -97,12 +100,12 @@
     this.booting.clear();
     this.pendingRequests.clear();
     this.isListPending = false;
-    this.listReceivedAt = -1;
+    this.listReceivedAt = null;
   }
 
   /** The cloud has been asked what there is, since this lead began. */
   get isListKnown(): boolean {
-    return this.listReceivedAt >= 0;
+    return this.listReceivedAt !== null;
   }
 
   requestMachineList(now: Milliseconds): void {
@@ -191,7 +194,7 @@
 
   /** The list told how old it was then. */
   private listedAge(listed: ListedMachine, now: Milliseconds): Milliseconds {
-    return listed.ageS * 1000 + (now - this.listReceivedAt);
+    return listed.ageS * 1000 + (now - (this.listReceivedAt ?? BEFORE_ANY_LIST));
   }
 
   private bootLimitMs(type: string, now: Milliseconds): Milliseconds {
@@ -314,7 +317,7 @@
           machine.spot ||
           machine.isRetired ||
           machineSummary.tasks > 0 ||
-          (machineSummary.protectedPriority >= 0 && machine.moveToShard < 0)
+          (machineSummary.protectedPriority >= 0 && machine.moveToShard === null)
         )
           continue;
         coming.push({
--- a/packages/controller/src/capacity/boot-time-estimator.ts
+++ b/packages/controller/src/capacity/boot-time-estimator.ts
@@ -1,4 +1,4 @@
-import type { Milliseconds } from '../model/index.js';
+import { type Milliseconds, NEVER } from '../model/index.js';
 import { type InstanceKind, instanceKindKey } from './demand.js';
 
 /** PROTOCOL: boots usually take up to one and a half times what the cloud names. */
@@ -49,7 +49,7 @@
   isFailing(kind: InstanceKind, limitMs: Milliseconds, now: Milliseconds): boolean {
     return (
       (this.overdueByKind.get(instanceKindKey(kind)) ?? 0) >= FAILING &&
-      now - (this.lastBootAt.get(instanceKindKey(kind)) ?? -1e12) > limitMs
+      now - (this.lastBootAt.get(instanceKindKey(kind)) ?? NEVER) > limitMs
     );
   }
 }
--- a/packages/controller/src/capacity/shard-balance.ts
+++ b/packages/controller/src/capacity/shard-balance.ts
@@ -20,7 +20,7 @@
   ) {
     const { clusterState } = context;
     for (const machine of clusterState.machines.values()) {
-      const shard = machine.moveToShard >= 0 ? machine.moveToShard : machine.shard;
+      const shard = machine.moveToShard ?? machine.shard;
       if (shard >= 0) this.add(clusterState.typeNames.nameOf(machine.typeIndex), shard);
     }
     for (const [name, assignment] of recentAssignments)
--- a/packages/controller/src/capacity/shard-rebalancer.ts
+++ b/packages/controller/src/capacity/shard-rebalancer.ts
@@ -128,7 +128,7 @@
   private forgetCompletedMoves(now: Milliseconds): void {
     for (const [name, at] of this.orderedMoves) {
       const machine = this.context.clusterState.machines.get(name);
-      if (!machine || (machine.moveToShard < 0 && now - at > ORDER_SHOWS_MS)) this.orderedMoves.delete(name);
+      if (!machine || (machine.moveToShard === null && now - at > ORDER_SHOWS_MS)) this.orderedMoves.delete(name);
     }
   }
 
@@ -138,7 +138,7 @@
     const taken = new Set<string>();
     for (const name of this.orderedMoves.keys()) {
       const machine = clusterState.machines.get(name);
-      if (!machine || machine.moveToShard < 0 || !machine.capacity) continue;
+      if (!machine || machine.moveToShard === null || !machine.capacity) continue;
       const kind = { type: machine.capacity.name, zone: clusterState.zoneNames.nameOf(machine.zoneIndex), spot: machine.spot };
       allocateToDemands(waiting, machine.moveToShard, kind, machine.capacity);
       taken.add(name);
@@ -157,7 +157,7 @@
     for (const shard of shards.values()) {
       for (const summary of shard.machines) {
         const machine = clusterState.machines.get(summary.name);
-        if (!machine?.capacity || machine.shard !== shard.shard || machine.moveToShard >= 0 || machine.isRetired) continue;
+        if (!machine?.capacity || machine.shard !== shard.shard || machine.moveToShard !== null || machine.isRetired) continue;
         if (taken.has(summary.name) || summary.protectedPriority >= highestRank || this.isRecentlyMoved(summary, now)) continue;
         movables.push({
           machine,
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -51,7 +51,7 @@
 import { HeartbeatForwarding, HeartbeatReconciler, HeartbeatResponder, WorkerRouting } from './heartbeats/index.js';
 import { ClientRequests } from './jobs/index.js';
 import { CancellationFreshness, Leader, ShardLeases, StatusExchange } from './leadership/index.js';
-import type { ControllerSettings, Effect, LogLevel, Milliseconds } from './model/index.js';
+import { type ControllerSettings, type Effect, type LogLevel, type Milliseconds, NEVER } from './model/index.js';
 import { ProgressWriter, ShardController } from './shards/index.js';
 import {
   type AppliedChange,
@@ -88,8 +88,8 @@
   readonly writer: StateWriter;
   readonly lease = { id: null as number | null, validUntil: -1 };
   readonly peers = new Map<string, PeerView>();
-  replicaFreshAt: Milliseconds = -1e12;
-  private stateServiceAnsweredAt: Milliseconds = -1e12;
+  replicaFreshAt: Milliseconds = NEVER;
+  private stateServiceAnsweredAt: Milliseconds = NEVER;
   readonly clientRequests: ClientRequests;
   readonly shardController: ShardController;
   private readonly heartbeatReconciler: HeartbeatReconciler;
@@ -105,7 +105,7 @@
   private effects: Effect[] = [];
   private nextId = 1;
   now: Milliseconds = 0;
-  private machineTypesRequestedAt: Milliseconds = -1e12;
+  private machineTypesRequestedAt: Milliseconds = NEVER;
 
   constructor(
     readonly settings: ControllerSettings,
@@ -490,7 +490,7 @@
     this.shardController.processPaused(ms, now);
   }
 
-  private processPausedAt: Milliseconds = -1e12;
+  private processPausedAt: Milliseconds = NEVER;
 
   isCatchingUp(): boolean {
     return this.replicaFreshAt < this.processPausedAt && this.now - this.processPausedAt < SETTLE_MS;
--- a/packages/controller/src/heartbeats/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeats/heartbeat-reconciler.ts
@@ -1,7 +1,15 @@
 import type { Heartbeat, TaskStatus, UnchangedHeartbeat } from '@archpost/protocol';
 import { type TaskAllocations, taskKey } from '../allocation/index.js';
 import type { ClusterStateView, Logger, ReplicaView, SettingsView } from '../context/index.js';
-import { type Allocation, CANCELLED_WORK_PRIORITY, type Machine, type Milliseconds } from '../model/index.js';
+import {
+  type Allocation,
+  CANCELLED_WORK_PRIORITY,
+  LOWEST_REPORTED_PRIORITY,
+  type Machine,
+  type Milliseconds,
+  NOTHING_HEARD,
+  UNKNOWN_EPOCH,
+} from '../model/index.js';
 import type { HeartbeatReconciliation, KnownHeartbeat, ProgressWriter } from '../shards/index.js';
 import { StateKey } from '../state/index.js';
 
@@ -36,8 +44,8 @@
       this.context.log('info', 'machine began again', { machine: machine.name });
       for (const allocation of [...machine.tenure.allocations.values()])
         if (allocation.phase !== 'planned') this.allocations.free(allocation);
-      machine.tenure.agentEpoch = 0;
-      machine.tenure.sequence = -1;
+      machine.tenure.agentEpoch = UNKNOWN_EPOCH;
+      machine.tenure.sequence = NOTHING_HEARD;
     } else if (asked === null && !machine.tenure.isVerified) {
       // Which session to ask is all that can be learned from it.
       if (heartbeat.agentEpoch > machine.tenure.agentEpoch) machine.tenure.agentEpoch = heartbeat.agentEpoch;
@@ -61,7 +69,7 @@
       this.requestProbe(machine, now);
     if (heartbeat.address) machine.address = heartbeat.address;
     machine.tenure.lastHeartbeatAt = now;
-    if (machine.tenure.releaseReason === 'silent' && !machine.tenure.isReleasing) machine.tenure.releaseReason = '';
+    if (machine.tenure.releaseReason === 'silent' && !machine.tenure.isReleasing) machine.tenure.releaseReason = null;
     if (heartbeat.agentEpoch > machine.tenure.agentEpoch) {
       if (machine.tenure.agentEpoch > 0) {
         // Its lease ran out: it has killed and forgotten everything. Starts sent to the
@@ -74,7 +82,7 @@
       machine.tenure.agentEpoch = heartbeat.agentEpoch;
     }
     machine.tenure.sequence = heartbeat.sequence;
-    if (heartbeat.preemptionNoticeS !== null && machine.tenure.preemptionNoticeUntil < 0) {
+    if (heartbeat.preemptionNoticeS !== null && machine.tenure.preemptionNoticeUntil === null) {
       machine.tenure.preemptionNoticeUntil = now + heartbeat.preemptionNoticeS * 1000;
       this.context.log('info', 'spot notice', { machine: machine.name, seconds: heartbeat.preemptionNoticeS });
       this.allocations.drain(machine);
@@ -104,7 +112,7 @@
   /** How urgent it is to learn of a job's task: what is cancelled has to be gone in time. */
   private reportedPriorityOf(id: string): number {
     const { finishedJobs, jobs } = this.context.clusterState;
-    return finishedJobs.get(id) === 'cancelled' ? CANCELLED_WORK_PRIORITY : (jobs.get(id)?.priority ?? -1);
+    return finishedJobs.get(id) === 'cancelled' ? CANCELLED_WORK_PRIORITY : (jobs.get(id)?.priority ?? LOWEST_REPORTED_PRIORITY);
   }
 
   /** More than a worker can have said since it was last heard. */
@@ -128,7 +136,7 @@
       return;
     machine.heardByPeerAt = now;
     // It goes from one to the next: perhaps nobody's answers reach it. One that stays is answered.
-    if (machine.heardByPeer !== from && machine.heardByPeer !== '') this.requestProbe(machine, now);
+    if (machine.heardByPeer !== from && machine.heardByPeer !== null) this.requestProbe(machine, now);
     machine.heardByPeer = from;
     if (
       !machine.tenure.isVerified ||
@@ -143,7 +151,7 @@
     }
     machine.tenure.sequence = unchanged.sequence;
     machine.tenure.lastHeartbeatAt = now;
-    if (machine.tenure.releaseReason === 'silent' && !machine.tenure.isReleasing) machine.tenure.releaseReason = '';
+    if (machine.tenure.releaseReason === 'silent' && !machine.tenure.isReleasing) machine.tenure.releaseReason = null;
   }
 
   /** Asks the machine how it stands, now and then. */
@@ -165,7 +173,7 @@
     }
     const allocation = this.allocations.allocate(job, task.index, task.attempt, machine, 'there', now);
     if (job.spec.shape === 'gang') {
-      if (job.tenure.gangAttempt === 0) job.tenure.gangAttempt = task.attempt;
+      if (job.tenure.gangAttempt === null) job.tenure.gangAttempt = task.attempt;
       if (job.tenure.gangAttempt !== task.attempt) this.allocations.failGang(job);
       if (job.tenure.gangFailed) this.allocations.stop(allocation, 0);
     }
@@ -206,7 +214,7 @@
     allocation.machine.allocationsChanged();
     this.allocations.schedulingRequested = true;
     if (task.exitReason === 'done') {
-      if (allocation.runningSince >= 0) job.longestRunS = Math.max(job.longestRunS, (now - allocation.runningSince) / 1000);
+      if (allocation.runningSince !== null) job.longestRunS = Math.max(job.longestRunS, (now - allocation.runningSince) / 1000);
       this.allocations.failureAttribution.recordSuccess(allocation);
       this.progressWriter.markDone(job, allocation.taskIndex);
       return;
--- a/packages/controller/src/jobs/job-status.ts
+++ b/packages/controller/src/jobs/job-status.ts
@@ -47,7 +47,7 @@
   for (const allocation of job.tenure.allocations.values())
     if (allocation.phase === 'there' && allocation.status?.state === 'running') running++;
   let done = job.doneCount;
-  let failed = job.crashLoopingSince >= 0 ? job.failureCount : 0;
+  let failed = job.crashLoopingSince !== null ? job.failureCount : 0;
   for (const peer of running === 0 ? context.peers.values() : []) {
     const told = peer.runningJobs.get(job.spec.id);
     if (!told) continue;
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -47,7 +47,7 @@
 
 /** The elected leader: grants machines to shares, moves them, and lets go what is idle. */
 export class Leader {
-  private leadingSince: Milliseconds = -1;
+  private leadingSince: Milliseconds | null = null;
   private leaseRevision = 0;
   private lastRoundAt: Milliseconds = NEVER;
   private readonly machineAssigner: MachineAssigner;
@@ -81,11 +81,11 @@
   }
 
   leaseLost(): void {
-    this.leadingSince = -1;
+    this.leadingSince = null;
   }
 
   get isLeading(): boolean {
-    return this.leadingSince >= 0;
+    return this.leadingSince !== null;
   }
 
   unassignedMachineReported(unassigned: UnassignedMachine, now: Milliseconds): void {
@@ -97,7 +97,7 @@
   }
 
   tick(now: Milliseconds): void {
-    if (this.leadingSince < 0 || !this.context.isLeaseValid(now)) return;
+    if (this.leadingSince === null || !this.context.isLeaseValid(now)) return;
     this.autoscaler.requestMachineList(now);
     this.machineAssigner.assignAll(() => this.shardSummaries(now), this.leaseRevision, now);
     // A round weighs all machines: with many of them, rounds are rarer.
@@ -174,7 +174,7 @@
           !machine ||
           budget <= 0 ||
           machineSummary.tasks > 0 ||
-          machine.moveToShard >= 0 ||
+          machine.moveToShard !== null ||
           machine.isRetired ||
           machineSummary.protectedPriority > 0
         )
--- a/packages/controller/src/model/job.ts
+++ b/packages/controller/src/model/job.ts
@@ -2,7 +2,7 @@
 import type { JobSpec, TaskStatus } from '@archpost/protocol';
 import type { Machine } from './machine.js';
 import type { Resources } from './resources.js';
-import type { Milliseconds } from './time.js';
+import { type Milliseconds, NEVER } from './time.js';
 
 /** One task on one machine, from the plan to the end of its report. */
 export interface Allocation {
@@ -21,8 +21,8 @@
   stopGraceS: number | null;
   stopSentAt: Milliseconds;
   /** when the first stop was sent; -1: not yet */
-  firstStopSentAt: Milliseconds;
-  runningSince: Milliseconds;
+  firstStopSentAt: Milliseconds | null;
+  runningSince: Milliseconds | null;
 }
 
 /** What the holder of a job's shard decided about the job. It begins with the lease on the shard, and is made anew then. */
@@ -32,7 +32,7 @@
   nextUntriedTask = 0;
   releasedTasks: number[] = [];
   /** gang: attempt in use; 0: none */
-  gangAttempt = 0;
+  gangAttempt: number | null = null;
   gangFailed = false;
   progressWriteQueued = false;
   /** some of its tasks are done and not stored as such */
@@ -68,22 +68,22 @@
   storedDone: Uint8Array;
   retryAt: Milliseconds = 0;
   /** since when some of its tasks have had no room; -1: all have */
-  waitingSince: Milliseconds = -1;
+  waitingSince: Milliseconds | null = null;
   /** machines that it failed on */
   readonly failedOn = new Set<string>();
   failureCount = 0;
   /** since when it is taken to fail everywhere; -1: it isn't */
-  crashLoopingSince: Milliseconds = -1;
+  crashLoopingSince: Milliseconds | null = null;
   /** how often it was tried since, after each of its tasks had been */
   retries = 0;
   /** some of it ran for a while without failing */
   ranWithoutError = false;
-  progressWrittenAt: Milliseconds = -1e12;
-  lastStopAt: Milliseconds = -1e12;
+  progressWrittenAt: Milliseconds = NEVER;
+  lastStopAt: Milliseconds = NEVER;
   /** when one of its tasks was seen stopped that this controller had not told to */
-  stoppedByOthersAt: Milliseconds = -1e12;
+  stoppedByOthersAt: Milliseconds = NEVER;
   /** when its cancellation was read here */
-  cancelledAt: Milliseconds = -1;
+  cancelledAt: Milliseconds | null = null;
   /** longest run of one of its tasks so far, seconds */
   longestRunS = 0;
 
--- a/packages/controller/src/model/machine.ts
+++ b/packages/controller/src/model/machine.ts
@@ -2,35 +2,58 @@
 import type { MachineType, TaskStatus } from '@archpost/protocol';
 import type { Allocation } from './job.js';
 import type { MachineLoad } from './machine-load.js';
-import type { Milliseconds } from './time.js';
+import { type Milliseconds, NEVER } from './time.js';
+
+/** The shard of a machine whose assignment is gone, or not read yet. */
+export const UNASSIGNED_SHARD = -1;
+
+/** The epoch of an agent that has not been heard; real ones are larger. */
+export const UNKNOWN_EPOCH = 0;
+
+/** Before the first heartbeat of an agent. */
+export const NOTHING_HEARD = -1;
+
+/** Below every priority: a machine whose heartbeats name no job that is known. */
+export const LOWEST_REPORTED_PRIORITY = -1;
+
+/** Why a machine is to be released to the cloud. */
+export type ReleaseReason =
+  | 'silent'
+  | 'silent with cancelled work'
+  | 'cancelled work that does not end'
+  | 'not needed'
+  | 'faulty'
+  | 'spot notice'
+  | 'cut off for longer than its work lives'
+  | 'can not be reached';
 
 /**
  * What a shard's holder learned of a machine and decided about it. It begins with the lease on the shard, or when the machine
  * comes to the shard, and is made anew then: nothing of an earlier tenure may count.
  */
 export class MachineTenure {
-  agentEpoch = 0;
-  sequence = -1;
+  agentEpoch = UNKNOWN_EPOCH;
+  sequence = NOTHING_HEARD;
   /** answered our token since we took the share over: its report is all there is on it */
   isVerified = false;
   /** asked since we took the share over */
   isProbed = false;
   /** highest rank of what its reports name while it isn't resolved: says who to ask first, no more */
-  reportedPriority = -1;
+  reportedPriority = LOWEST_REPORTED_PRIORITY;
   /** a command's fate is unknown: its token must rise before it is used again */
   hasUncertainCommand = false;
   isRaisingToken = false;
-  pendingCommandId = 0;
+  pendingCommandId: number | null = null;
   retryAt: Milliseconds = 0;
   /** commands in a row that got no answer, and since when; heard is not reachable */
   unansweredCommands = 0;
-  unansweredSince: Milliseconds = -1;
-  preemptionNoticeUntil: Milliseconds = -1;
+  unansweredSince: Milliseconds | null = null;
+  preemptionNoticeUntil: Milliseconds | null = null;
   readonly allocations = new Map<string, Allocation>();
   /** tasks reported that belong to no job or place of ours */
   orphanedTasks: TaskStatus[] = [];
   /** a return to the cloud is wanted, because: */
-  releaseReason = '';
+  releaseReason: ReleaseReason | null = null;
   isReleasing = false;
 
   /**
@@ -46,20 +69,20 @@
 export class Machine {
   /** what this controller learned and decided since the machine's shard, or the machine, came to it */
   tenure = new MachineTenure(0, false);
-  shard = -1;
+  shard = UNASSIGNED_SHARD;
   assignmentRevision = 0;
-  moveToShard = -1;
+  moveToShard: number | null = null;
   isRetired = false;
-  lastProbeAt: Milliseconds = -1e12;
+  lastProbeAt: Milliseconds = NEVER;
   /** when it was last told something */
-  lastCommandAt: Milliseconds = -1e12;
+  lastCommandAt: Milliseconds = NEVER;
   /** when another controller last said that it hears it */
-  heardByPeerAt: Milliseconds = -1e12;
+  heardByPeerAt: Milliseconds = NEVER;
   /** who said so */
-  heardByPeer = '';
+  heardByPeer: string | null = null;
   /** something about it is odd: it is to be asked how it stands */
   probeRequested = false;
-  probeRequestedAt: Milliseconds = -1e12;
+  probeRequestedAt: Milliseconds = NEVER;
   /** what its placements take, as long as none changes; see `changed` */
   load: MachineLoad | null = null;
   /** there may be something to command: a start, a stop, or an end to clear away */
@@ -69,12 +92,12 @@
   failedJobs = new Set<string>();
   /** failed here, of jobs whose tasks get done elsewhere */
   failedTaskCount = 0;
-  lastErrorAt: Milliseconds = -1e12;
+  lastErrorAt: Milliseconds = NEVER;
   releaseRetryAt: Milliseconds = 0;
   idleSince: Milliseconds = 0;
   assignmentWriteQueued = false;
   /** takes no more work without accelerators until then: it is being emptied */
-  reservedUntil: Milliseconds = -1;
+  reservedUntil: Milliseconds = NEVER;
 
   constructor(
     readonly name: string,
--- a/packages/controller/src/scheduling/preemption.ts
+++ b/packages/controller/src/scheduling/preemption.ts
@@ -83,13 +83,13 @@
     return (
       job.priority === HIGHEST_PRIORITY &&
       job.spec.shape === 'service' &&
-      job.waitingSince >= 0 &&
+      job.waitingSince !== null &&
       this.allocations.now - job.waitingSince > this.context.settings.policy.planWaitS * 1000
     );
   }
 
   stopCost(allocation: Allocation, now: Milliseconds): number {
-    const ran = allocation.runningSince >= 0 ? (now - allocation.runningSince) / 1000 : 0;
+    const ran = allocation.runningSince !== null ? (now - allocation.runningSince) / 1000 : 0;
     return (
       allocation.job.priority * 1000 +
       (allocation.phase === 'planned' ? -1 : ran) +
--- a/packages/controller/src/scheduling/scheduler.ts
+++ b/packages/controller/src/scheduling/scheduler.ts
@@ -7,6 +7,7 @@
   type Job,
   type Machine,
   type Milliseconds,
+  NEVER,
   type Resources,
   subtract,
 } from '../model/index.js';
@@ -37,8 +38,8 @@
 /** Which task goes where: the plan, in the order of the queue. */
 export class Scheduler {
   private hasUnfinishedWork = false;
-  private scheduledAt: Milliseconds = -1e12;
-  private nextRunAt: Milliseconds = -1e12;
+  private scheduledAt: Milliseconds = NEVER;
+  private nextRunAt: Milliseconds = NEVER;
   private readonly machineScoring: MachineScoring;
   private readonly serviceEviction: ServiceEviction;
   private readonly preemption: Preemption;
@@ -251,7 +252,7 @@
     let can = Math.min(left, quota);
     const unplaceable = left - can;
     const counts = tasksPerZone(job);
-    if (job.waitingSince < 0) job.waitingSince = now;
+    if (job.waitingSince === null) job.waitingSince = now;
     const waited = now - job.waitingSince;
     this.machineScoring.beginJob();
     const candidates = new CandidateMachines(
@@ -278,7 +279,7 @@
       can--;
       left--;
     }
-    if (left === 0) job.waitingSince = -1;
+    if (left === 0) job.waitingSince = null;
     return left - unplaceable;
   }
 
@@ -312,7 +313,7 @@
     now: Milliseconds,
   ): number {
     const count = job.spec.tasks;
-    if (job.tenure.gangAttempt !== 0 || job.tenure.allocations.size > 0) return 0;
+    if (job.tenure.gangAttempt !== null || job.tenure.allocations.size > 0) return 0;
     if (this.quotaLeft(job, usage) < count) return 0;
     let machines = placeGang(job, count, candidates, (free) => this.machineScoring.score(job, free));
     if (!machines) {
@@ -365,13 +366,14 @@
     usage: { cpus: number; gpus: number }[],
     now: Milliseconds,
   ): void {
-    job.tenure.gangAttempt = this.allocations.nextAttempt(job.shard);
+    const attempt = this.allocations.nextAttempt(job.shard);
+    job.tenure.gangAttempt = attempt;
     job.tenure.gangFailed = false;
     const pending = job.pendingTasks();
     machines.forEach((machine, index) => {
       const free = candidates.find((candidate) => candidate.machine === machine);
       if (free) subtract(free, job.resources);
-      this.allocations.allocate(job, pending[index] as number, job.tenure.gangAttempt, machine, 'planned', now);
+      this.allocations.allocate(job, pending[index] as number, attempt, machine, 'planned', now);
       this.addUsage(usage, job);
     });
   }
@@ -394,7 +396,7 @@
     );
     const count = Math.min(this.allocations.failureAttribution.nextRetryCount(job, now), this.quotaLeft(job, usage));
     if (job.spec.shape === 'gang') {
-      if (job.tenure.gangAttempt !== 0 || job.tenure.allocations.size > 0 || count < job.spec.tasks) return;
+      if (job.tenure.gangAttempt !== null || job.tenure.allocations.size > 0 || count < job.spec.tasks) return;
       const machines = placeGang(job, count, mine, (free) => this.machineScoring.score(job, free));
       if (machines) this.allocateGang(job, machines, mine, usage, now);
       return;
--- a/packages/controller/src/scheduling/service-eviction.ts
+++ b/packages/controller/src/scheduling/service-eviction.ts
@@ -7,6 +7,7 @@
   fits,
   type Machine,
   type Milliseconds,
+  NEVER,
   type Resources,
   subtract,
 } from '../model/index.js';
@@ -25,8 +26,8 @@
 
 /** Services that move so that machines come free: for gangs, for other shares, or to go back. */
 export class ServiceEviction {
-  private evictedAt: Milliseconds = -1e12;
-  private consolidatedAt: Milliseconds = -1e12;
+  private evictedAt: Milliseconds = NEVER;
+  private consolidatedAt: Milliseconds = NEVER;
 
   constructor(
     private readonly context: ServiceEvictionContext,
@@ -147,7 +148,7 @@
         if (
           services.some(
             (allocation) =>
-              allocation.stopGraceS !== null || allocation.runningSince < 0 || now - allocation.runningSince < SETTLED_MS,
+              allocation.stopGraceS !== null || allocation.runningSince === null || now - allocation.runningSince < SETTLED_MS,
           )
         )
           continue;
--- a/packages/controller/src/shards/assignment-updates.ts
+++ b/packages/controller/src/shards/assignment-updates.ts
@@ -19,9 +19,9 @@
 
   /** Gives the machine, which bears nothing, to the share that it is to move to. */
   moveToShard(machine: Machine): void {
-    if (machine.assignmentWriteQueued) return;
-    machine.assignmentWriteQueued = true;
     const to = machine.moveToShard;
+    if (machine.assignmentWriteQueued || to === null) return;
+    machine.assignmentWriteQueued = true;
     this.context.writer.add({
       key: StateKey.assignment(machine.name),
       value: () => encodeAssignment({ ...this.context.clusterState.assignmentOf(machine), shard: to }),
@@ -47,7 +47,7 @@
     this.context.writer.add({
       key: StateKey.assignment(machine.name),
       value: () => {
-        const moveTo = machine.moveToShard >= 0 ? machine.moveToShard : null;
+        const moveTo = machine.moveToShard;
         return encodeAssignment(
           { ...this.context.clusterState.assignmentOf(machine), moveToShard: moveTo, isRetired: machine.isRetired },
           rewriteOf,
--- a/packages/controller/src/shards/command-dispatcher.ts
+++ b/packages/controller/src/shards/command-dispatcher.ts
@@ -93,9 +93,9 @@
   }
 
   private mayCommand(machine: Machine, now: Milliseconds): boolean {
-    if (machine.tenure.releaseReason !== '' || machine.address === '') return false;
+    if (machine.tenure.releaseReason !== null || machine.address === '') return false;
     return (
-      machine.tenure.pendingCommandId === 0 &&
+      machine.tenure.pendingCommandId === null &&
       now >= machine.tenure.retryAt &&
       !machine.tenure.hasUncertainCommand &&
       !machine.tenure.isRaisingToken
@@ -192,7 +192,7 @@
       if (allocation.stopGraceS !== null && !isFull() && now - allocation.stopSentAt > STOP_RETRY_MS) {
         commands.push(stopCommand(allocation, allocation.stopGraceS));
         allocation.stopSentAt = now;
-        if (allocation.firstStopSentAt < 0) allocation.firstStopSentAt = now;
+        if (allocation.firstStopSentAt === null) allocation.firstStopSentAt = now;
       }
       // What is told to go without saving is gone before the next command.
       if (allocation.stopGraceS !== 0) subtract(free, allocation.job.resources);
@@ -228,7 +228,7 @@
       return false;
     if (started.length > 0) return now - machine.lastCommandAt < LOW_PRIORITY_START_INTERVAL_MS;
     // What would be empty without them may be wanted elsewhere.
-    if (machine.moveToShard >= 0 || machine.isRetired || machine.tenure.preemptionNoticeUntil >= 0) return false;
+    if (machine.moveToShard !== null || machine.isRetired || machine.tenure.preemptionNoticeUntil !== null) return false;
     let bears = false;
     for (const allocation of machine.tenure.allocations.values()) {
       // What was stopped or failed can't start again before it is cleared away.
@@ -286,7 +286,7 @@
     const { machine, isProbe } = command;
     if (isProbe) this.pendingProbes--;
     if (machine.tenure.pendingCommandId !== id) return;
-    machine.tenure.pendingCommandId = 0;
+    machine.tenure.pendingCommandId = null;
     // That a machine stands as it stood changes no plan.
     if (!isProbe || !machine.tenure.isVerified || machine.tenure.unansweredCommands > 0)
       this.allocations.schedulingRequested = true;
@@ -300,7 +300,7 @@
     this.allocations.lastAnswerAt = now;
     this.allocations.unansweredMachines.clear();
     machine.tenure.unansweredCommands = 0;
-    machine.tenure.unansweredSince = -1;
+    machine.tenure.unansweredSince = null;
     if (result.kind === 'ok') this.handleExecuted(command, result.report, now);
     else this.handleRejected(command, result.report, now);
   }
@@ -337,7 +337,7 @@
   private handleUnanswered({ machine, starts, isProbe }: PendingCommand, kind: 'lost' | 'refused', now: Milliseconds): void {
     if (this.allocations.isHeardRecently(machine, now)) this.allocations.unansweredMachines.add(machine.name);
     machine.tenure.unansweredCommands++;
-    if (machine.tenure.unansweredSince < 0) machine.tenure.unansweredSince = now;
+    if (machine.tenure.unansweredSince === null) machine.tenure.unansweredSince = now;
     machine.tenure.retryAt = now + UNANSWERED_RETRY_MS;
     for (const allocation of machine.tenure.allocations.values()) allocation.stopSentAt = NEVER;
     if (kind === 'refused') for (const allocation of starts) this.allocations.startNotSent(allocation);
--- a/packages/controller/src/shards/failure-detector.ts
+++ b/packages/controller/src/shards/failure-detector.ts
@@ -48,9 +48,9 @@
   private zones = new Map<number, ZoneView>();
   /** Can workers be reached from here? */
   reachesWorkers = true;
-  private unreachableSince: Milliseconds = -1;
+  private unreachableSince: Milliseconds | null = null;
   /** since when no worker at all has answered; -1: some do */
-  private doubtSince: Milliseconds = -1;
+  private doubtSince: Milliseconds | null = null;
   private consecutiveAnswers = 0;
   private nextProbeAt: Milliseconds = 0;
   /** questions of a round that were not answered yet, and whom they went to */
@@ -67,8 +67,8 @@
 
   /** Doubts of before a pause of this process start anew. */
   processPaused(): void {
-    this.doubtSince = -1;
-    this.unreachableSince = -1;
+    this.doubtSince = null;
+    this.unreachableSince = null;
   }
 
   /** Looks at all machines held here. */
@@ -113,15 +113,15 @@
     const doubt =
       this.allocations.unansweredMachines.size >= DOUBTED_MACHINES && now - this.allocations.lastAnswerAt > UNANSWERED_MS;
     if (!doubt) {
-      const lasted = this.doubtSince < 0 ? 0 : now - this.doubtSince;
-      this.doubtSince = -1;
+      const lasted = this.doubtSince === null ? 0 : now - this.doubtSince;
+      this.doubtSince = null;
       // Cleared at once by those who were asked: the others' silence is their own.
       if (lasted < DOUBT_MS) return;
       for (const machine of this.context.clusterState.machines.values())
         if (this.allocations.heldShards.has(machine.shard)) this.restartSilence(machine, now);
       return;
     }
-    if (this.doubtSince < 0) this.doubtSince = now;
+    if (this.doubtSince === null) this.doubtSince = now;
     // At once: the doubt ends sooner than an answer stops counting for trust, and who is well isn't asked otherwise.
     this.probeHealthy(now);
   }
@@ -156,11 +156,11 @@
     }
     const view = own && own.total >= 3 ? own : all;
     const lost = view.total >= 3 && view.unanswered * 4 >= view.total * 3;
-    if (!lost && this.doubtSince < 0) {
-      this.unreachableSince = -1;
+    if (!lost && this.doubtSince === null) {
+      this.unreachableSince = null;
       return;
     }
-    if (this.unreachableSince < 0) this.unreachableSince = lost ? now : this.doubtSince;
+    if (this.unreachableSince === null) this.unreachableSince = lost ? now : (this.doubtSince ?? now);
     if (now - this.unreachableSince < DOUBT_MS) return;
     this.reachesWorkers = false;
     this.consecutiveAnswers = 0;
@@ -215,8 +215,8 @@
     // Two rounds answered whole: a share that comes home must not leave again at once.
     if (this.consecutiveAnswers < ANSWERS_TO_TRUST || this.reachesWorkers) return;
     this.reachesWorkers = true;
-    this.unreachableSince = -1;
-    this.doubtSince = -1;
+    this.unreachableSince = null;
+    this.doubtSince = null;
     this.allocations.unansweredMachines.clear();
     for (const machine of this.context.clusterState.machines.values()) machine.tenure.unansweredCommands = 0;
     this.context.log('info', 'workers can be reached again');
@@ -257,7 +257,7 @@
       if (
         !this.allocations.heldShards.has(machine.shard) ||
         machine.tenure.unansweredCommands > 0 ||
-        machine.tenure.releaseReason !== ''
+        machine.tenure.releaseReason !== null
       )
         continue;
       if (!this.allocations.isHeardRecently(machine, now)) continue;
@@ -275,6 +275,6 @@
       ? now
       : Math.max(machine.tenure.lastHeartbeatAt, now - this.context.settings.policy.silentS * 500);
     machine.tenure.unansweredCommands = Math.min(machine.tenure.unansweredCommands, 1);
-    machine.tenure.unansweredSince = machine.tenure.unansweredCommands > 0 ? now : -1;
+    machine.tenure.unansweredSince = machine.tenure.unansweredCommands > 0 ? now : null;
   }
 }
--- a/packages/controller/src/shards/machine-lifecycle.ts
+++ b/packages/controller/src/shards/machine-lifecycle.ts
@@ -9,7 +9,7 @@
   SettingsView,
   StateWriting,
 } from '../context/index.js';
-import type { Machine, Milliseconds } from '../model/index.js';
+import type { Machine, Milliseconds, ReleaseReason } from '../model/index.js';
 import { AssignmentUpdates } from './assignment-updates.js';
 import { FailureDetector } from './failure-detector.js';
 
@@ -52,7 +52,7 @@
     for (const machine of this.context.clusterState.machines.values()) {
       if (!acting.has(machine.shard)) continue;
       // Cancelled work must be gone in time, whatever the reason for a silence, and however long that is thought to last.
-      if (machine.tenure.releaseReason === '' && overdue.has(machine))
+      if (machine.tenure.releaseReason === null && overdue.has(machine))
         this.markForRelease(machine, 'cancelled work that does not end');
       this.checkSilence(machine, now);
       this.checkEmpty(machine, now);
@@ -61,7 +61,7 @@
       if (
         machine.tenure.hasUncertainCommand &&
         !machine.tenure.isRaisingToken &&
-        machine.tenure.pendingCommandId === 0 &&
+        machine.tenure.pendingCommandId === null &&
         !machine.tenure.releaseReason
       )
         this.assignmentUpdates.raiseFencingToken(machine);
@@ -76,7 +76,7 @@
   private checkSilence(machine: Machine, now: Milliseconds): void {
     const silent = this.isWaitedFor(machine) ? now - machine.tenure.lastHeartbeatAt : 0;
     // Once its notice is over a silent machine is most likely taken.
-    const noticeOver = machine.tenure.preemptionNoticeUntil > 0 && now > machine.tenure.preemptionNoticeUntil;
+    const noticeOver = machine.tenure.preemptionNoticeUntil !== null && now > machine.tenure.preemptionNoticeUntil;
     const taken = noticeOver && silent > this.context.settings.workers.heartbeatIntervalS * 1500;
     const isSilent = silent > this.context.settings.policy.silentS * 1000 || taken;
     if (!isSilent || machine.tenure.releaseReason || now - machine.heardByPeerAt < HEARD_ELSEWHERE_MS) return;
@@ -101,13 +101,14 @@
 
   private checkEmpty(machine: Machine, now: Milliseconds): void {
     if (
-      machine.tenure.releaseReason === '' &&
+      machine.tenure.releaseReason === null &&
       this.allocations.isEmpty(machine) &&
       machine.tenure.isVerified &&
       !machine.tenure.hasUncertainCommand
     )
       this.releaseEmpty(machine, now);
-    if ((machine.moveToShard >= 0 || machine.isRetired) && machine.tenure.releaseReason === '') this.allocations.drain(machine);
+    if ((machine.moveToShard !== null || machine.isRetired) && machine.tenure.releaseReason === null)
+      this.allocations.drain(machine);
   }
 
   /** Nothing is on it: what was wanted of it can be done. */
@@ -116,8 +117,8 @@
     else if (this.allocations.failureAttribution.isFaulty(machine, now)) {
       this.allocations.failureAttribution.clearJobsOf(machine);
       this.markForRelease(machine, 'faulty');
-    } else if (machine.tenure.preemptionNoticeUntil > 0) this.markForRelease(machine, 'spot notice');
-    else if (machine.moveToShard >= 0) this.assignmentUpdates.moveToShard(machine);
+    } else if (machine.tenure.preemptionNoticeUntil !== null) this.markForRelease(machine, 'spot notice');
+    else if (machine.moveToShard !== null) this.assignmentUpdates.moveToShard(machine);
   }
 
   /**
@@ -126,15 +127,15 @@
    */
   private checkReachability(machine: Machine, now: Milliseconds): void {
     const { failureDetector: reachability } = this;
-    if (machine.tenure.releaseReason === '' && reachability.isInCutZone(machine) && this.isCutOffBeyondLease(machine, now))
+    if (machine.tenure.releaseReason === null && reachability.isInCutZone(machine) && this.isCutOffBeyondLease(machine, now))
       this.markForRelease(machine, 'cut off for longer than its work lives');
     if (
-      machine.tenure.releaseReason !== '' ||
+      machine.tenure.releaseReason !== null ||
       !this.isUnreachable(machine, now) ||
       reachability.isWidespreadLoss(machine.zoneIndex)
     )
       return;
-    if (reachability.isSilenceTrusted(now, now - machine.tenure.unansweredSince))
+    if (reachability.isSilenceTrusted(now, now - (machine.tenure.unansweredSince ?? now)))
       this.markForRelease(machine, 'can not be reached');
   }
 
@@ -161,7 +162,7 @@
     const told = Math.min(longer, this.context.settings.workers.heartbeatIntervalS * 2000);
     const machines = new Set<Machine>();
     for (const job of this.context.clusterState.jobs.values()) {
-      if (job.state !== 'cancelled' || now - job.cancelledAt <= longer || now - job.lastStopAt <= told) continue;
+      if (job.state !== 'cancelled' || now - (job.cancelledAt ?? 0) <= longer || now - job.lastStopAt <= told) continue;
       for (const { machine, phase } of job.tenure.allocations.values()) if (phase !== 'exited') machines.add(machine);
     }
     return machines;
@@ -188,12 +189,12 @@
 
   /** Three commands in a row without an answer, over longer than a machine's silence is borne. */
   private isUnreachable(machine: Machine, now: Milliseconds): boolean {
-    return (
-      machine.tenure.unansweredCommands >= 3 && now - machine.tenure.unansweredSince > this.context.settings.policy.silentS * 1000
-    );
+    const { unansweredCommands, unansweredSince } = machine.tenure;
+    if (unansweredCommands < 3 || unansweredSince === null) return false;
+    return now - unansweredSince > this.context.settings.policy.silentS * 1000;
   }
 
-  private markForRelease(machine: Machine, why: string): void {
+  private markForRelease(machine: Machine, why: ReleaseReason): void {
     machine.tenure.releaseReason = why;
     machine.releaseRetryAt = 0;
     this.context.log('info', 'giving machine back', {
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -21,6 +21,7 @@
   type Machine,
   MachineTenure,
   type Milliseconds,
+  NEVER,
   type RunningTasks,
 } from '../model/index.js';
 import { QueueOrder, Scheduler } from '../scheduling/index.js';
@@ -63,7 +64,7 @@
   private readonly scheduler: Scheduler;
   private readonly shardSummaries: ShardSummaries;
   private summaryLoggedAt: Milliseconds = 0;
-  private jobsCheckedAt: Milliseconds = -1e12;
+  private jobsCheckedAt: Milliseconds = NEVER;
 
   constructor(
     private readonly context: ShardControllerContext,
@@ -176,7 +177,7 @@
     for (const machine of this.context.clusterState.machines.values()) {
       machine.tenure.lastHeartbeatAt = Math.min(now, machine.tenure.lastHeartbeatAt + ms);
       machine.heardByPeerAt = Math.min(now, machine.heardByPeerAt + ms);
-      if (machine.tenure.unansweredSince >= 0)
+      if (machine.tenure.unansweredSince !== null)
         machine.tenure.unansweredSince = Math.min(now, machine.tenure.unansweredSince + ms);
     }
   }
@@ -240,7 +241,7 @@
       if (!this.allocations.heldShards.has(job.shard)) continue;
       if (job.state === 'live') this.progressWriter.storeProgress(job);
       else this.context.clusterState.forgetIfFinished(job);
-      if (job.spec.shape === 'gang' && job.tenure.gangAttempt !== 0 && !job.tenure.gangFailed) this.checkGang(job, now);
+      if (job.spec.shape === 'gang' && job.tenure.gangAttempt !== null && !job.tenure.gangFailed) this.checkGang(job, now);
       for (const allocation of job.tenure.allocations.values()) {
         if (
           job.spec.shape !== 'gang' &&
@@ -253,7 +254,7 @@
         if (
           allocation.stopGraceS !== null &&
           allocation.stopGraceS > 0 &&
-          allocation.firstStopSentAt >= 0 &&
+          allocation.firstStopSentAt !== null &&
           now - allocation.firstStopSentAt > (allocation.stopGraceS + 8) * 1000
         )
           this.allocations.stop(allocation, 0);
--- a/packages/controller/src/shards/shard-summary.ts
+++ b/packages/controller/src/shards/shard-summary.ts
@@ -112,7 +112,7 @@
       withinQuota,
       count,
       gang: shape === 'gang',
-      waitS: (now - Math.max(job.arrivedAt, job.waitingSince)) / 1000,
+      waitS: (now - Math.max(job.arrivedAt, job.waitingSince ?? 0)) / 1000,
       slackS: Math.max(-MOST_SLACK_S, Math.min(MOST_SLACK_S, slackS)),
       excludedZones: shape === 'gang' ? [] : this.excludedZones(job),
     };
--- a/packages/controller/src/state/cluster-state.ts
+++ b/packages/controller/src/state/cluster-state.ts
@@ -1,5 +1,13 @@
 import type { JobSpec, MachineType } from '@archpost/protocol';
-import { type ControllerSettings, fits, Job, Machine, type Milliseconds, NameInterner } from '../model/index.js';
+import {
+  type ControllerSettings,
+  fits,
+  Job,
+  Machine,
+  type Milliseconds,
+  NameInterner,
+  UNASSIGNED_SHARD,
+} from '../model/index.js';
 import { type MachineAssignment, parseAssignment } from './assignment-record.js';
 import { parseImageCache, type StoredImage } from './image-cache-record.js';
 import type { FinalState } from './job-record.js';
@@ -218,7 +226,7 @@
     const old = this.machines.get(name);
     if (!entry) {
       if (old) {
-        old.shard = -1;
+        old.shard = UNASSIGNED_SHARD;
         this.machines.delete(name);
         return { machine: old };
       }
@@ -249,7 +257,7 @@
     if (moved) this.restoreImages(machine);
     if (assignment.address) machine.address = assignment.address;
     machine.assignmentRevision = entry.revision;
-    machine.moveToShard = assignment.moveToShard ?? -1;
+    machine.moveToShard = assignment.moveToShard;
     machine.isRetired = assignment.isRetired;
     return { machine, moved };
   }
--- a/packages/controller/src/state/state-writer.ts
+++ b/packages/controller/src/state/state-writer.ts
@@ -1,6 +1,6 @@
 import { isDeepStrictEqual } from 'node:util';
 import type { CompareAndSwapOutcome, KeyWrite, RevisionCondition } from '@archpost/protocol';
-import type { Effect, Milliseconds } from '../model/index.js';
+import { type Effect, type Milliseconds, NEVER } from '../model/index.js';
 import { encodedBytes, type StateSizeLimits } from './limits.js';
 import type { Replica } from './replica.js';
 import { type PendingWrite, type QueuedWrite, WritePriority, WriteQueue } from './write-queue.js';
@@ -45,7 +45,7 @@
   private nextId = 1;
   private rate: number;
   private budget: number;
-  private expiredAt: Milliseconds = -1e12;
+  private expiredAt: Milliseconds = NEVER;
   private recentWrites = 0;
   private recentWritesAt: Milliseconds = 0;
   private budgetRefilledAt: Milliseconds = 0;
--- a/test/apart.test.ts
+++ b/test/apart.test.ts
@@ -138,13 +138,13 @@
   const done: Heartbeat = {
     ...before,
     sequence: 2,
-    tasks: w.report().tasks.map((task) => ({ ...task, state: 'exited', why: 'done' })),
+    tasks: w.report().tasks.map((task) => ({ ...task, state: 'exited', exitReason: 'done' })),
   };
   late(owner, before);
   late(owner, done);
   const machine = owner.core.clusterState.machines.get(w.name);
   assert.equal(machine?.address, w.name);
-  assert.ok((machine?.tenure.preemptionNoticeUntil ?? 0) < 0);
+  assert.equal(machine?.tenure.preemptionNoticeUntil, null);
   c.run(5);
   assert.equal(c.running('run-e'), 2);
   // Nor right after a takeover, when what was seen last is forgotten.
@@ -207,7 +207,7 @@
   const c = cluster();
   const w = c.workers[0] as WorkerStandIn;
   c.run(5);
-  const r = { ...w.report(), token: w.token + 1_000 };
+  const r = { ...w.report(), fencingToken: w.token + 1_000 };
   for (const node of c.nodes) assert.ok([503, 421].includes(late(node, r)));
   assert.ok(c.nodes.some((node) => late(node, r) === 503));
   assert.ok(c.nodes.some((node) => late(node, w.report()) === 200));
--- a/test/commands.test.ts
+++ b/test/commands.test.ts
@@ -84,8 +84,8 @@
   cluster.run(2);
   for (const late of [
     copy,
-    { ...copy, seq: copy.sequence + 40, tasks: [] },
-    { ...copy, session: 3, seq: copy.sequence + 500, tasks: [] },
+    { ...copy, sequence: copy.sequence + 40, tasks: [] },
+    { ...copy, agentEpoch: 3, sequence: copy.sequence + 500, tasks: [] },
   ]) {
     for (const node of cluster.nodes) node.report(structuredClone(late), () => {});
     cluster.run(8);
--- a/test/ops.test.ts
+++ b/test/ops.test.ts
@@ -62,7 +62,7 @@
   cluster.submit(job('run-k', { tasks: 2, estimateS: 60 }));
   cluster.until(
     'a command is under way',
-    () => mine.some((machine) => machine.name !== w.name && machine.tenure.pendingCommandId !== 0),
+    () => mine.some((machine) => machine.name !== w.name && machine.tenure.pendingCommandId !== null),
     5,
   );
   owner.freeze();
--- a/test/recorded-formats.test.ts
+++ b/test/recorded-formats.test.ts
@@ -71,7 +71,7 @@
       share: machine.shard,
       address: machine.address,
       spot: machine.spot,
-      moveTo: machine.moveToShard,
+      moveTo: machine.moveToShard ?? -1,
       retire: machine.isRetired,
       images: machine.images.size,
     },
--- a/test/size-limits.test.ts
+++ b/test/size-limits.test.ts
@@ -22,7 +22,7 @@
 import { Cluster, holderOf, job, type Node, STATUS, shareOf } from './stand-ins.js';
 
 const ungranted = (count: number) =>
-  Array.from({ length: count }, (_, index) => ({ machine: `m${index}`, addr: 'x', type: 'small', zone: 'east', spot: false }));
+  Array.from({ length: count }, (_, index) => ({ machine: `m${index}`, address: 'x', type: 'small', zone: 'east', spot: false }));
 
 test('frames: whole whatever the chunks; put together once; one beyond the limit is refused', () => {
   const bodies = [Buffer.from('a'), Buffer.alloc(0), Buffer.alloc(70_000, 7), Buffer.from('end')];
@@ -96,7 +96,7 @@
 
 test('a stored status tells all machines without a grant in turn, though the first ones are never granted', () => {
   const told = new Set<string>();
-  const status = { ...STATUS, strangers: ungranted(500) };
+  const status = { ...STATUS, unassignedMachines: ungranted(500) };
   const limit = 8 * 1024;
   for (let turn = 0; turn < 25; turn++) {
     const stored = fitStoredStatus('a/s/n0', status, limit, turn);
--- a/test/upgrade/production-version.ts
+++ b/test/upgrade/production-version.ts
@@ -88,6 +88,7 @@
       if (name === 'tenure') return view;
       const then = typeof name === 'string' ? MEMBERS[name]?.find((member) => member in target) : undefined;
       const member = Reflect.get(target, then ?? name, target);
+      if (name === 'releaseReason' && member === '') return null;
       if (typeof member !== 'function') return underTodaysNames(member);
       return (...inputs: unknown[]) => underTodaysNames(member.apply(target, inputs.map(original)));
     },
--- a/test/walk.ts
+++ b/test/walk.ts
@@ -153,7 +153,7 @@
           return (
             machine &&
             node.core.shardController.heldShards.has(machine.shard) &&
-            (machine.tenure.releaseReason !== '' || node.core.shardController.allocations.isSchedulable(machine, cluster.now))
+            (machine.tenure.releaseReason !== null || node.core.shardController.allocations.isSchedulable(machine, cluster.now))
           );
         });
         if (!used) result.push(`${w.name} is out of use`);
