--- a/packages/controller/src/allocation/failure-attribution.ts
+++ b/packages/controller/src/allocation/failure-attribution.ts
@@ -89,7 +89,7 @@
     job.crashLoopingSince = now;
     job.retries = 0;
     for (const name of job.failedOn) this.context.clusterState.machines.get(name)?.failedJobs.delete(job.spec.id);
-    this.context.log('info', 'a job fails on every machine', { job: job.spec.id, machines: job.failedOn.size });
+    this.context.log('info', 'job crash-looping', { job: job.spec.id, machines: job.failedOn.size });
   }
 
   /** A task was done: its job is well after all, and what began after a machine's last failure clears the machine. */
@@ -105,7 +105,7 @@
     job.retryAt = 0;
     // It was the machines, then.
     for (const name of job.failedOn) this.context.clusterState.machines.get(name)?.failedJobs.add(job.spec.id);
-    this.context.log('info', 'a job that failed goes well', { job: job.spec.id });
+    this.context.log('info', 'job recovered from crash loop', { job: job.spec.id });
   }
 
   /** A faulty machine goes: what failed there says nothing about the jobs. */
--- a/packages/controller/src/capacity/autoscaler.ts
+++ b/packages/controller/src/capacity/autoscaler.ts
@@ -245,7 +245,7 @@
       const request = `r-${this.leaseRevision}-${++this.requestCounter}`;
       const { type, zone, spot } = gpuDemand;
       this.pendingRequests.set(id, { type, zone, spot, count, at: now });
-      this.context.log('info', 'renting', { request, type, zone, spot, count });
+      this.context.log('info', 'provisioning machines', { request, type, zone, spot, count });
       this.context.emit({ type: 'provision', id, request: { requestId: request, machineType: type, zone, spot, count } });
       this.nextRequestAt = now + Math.max(300, 1000 / settings.cloud.requestsPerS);
     }
@@ -401,7 +401,7 @@
     if (fails === this.failingKinds.has(name)) return fails;
     if (fails) this.failingKinds.add(name);
     else this.failingKinds.delete(name);
-    this.context.log('info', fails ? 'machines of a kind do not come up' : 'machines of a kind come up again', { ...kind });
+    this.context.log('info', fails ? 'instance kind fails to boot' : 'instance kind boots again', { ...kind });
     return fails;
   }
 
@@ -486,7 +486,7 @@
     const some = back.slice(0, MAX_MACHINES_PER_RELEASE);
     const id = this.context.nextEffectId();
     this.pendingReleases.set(id, some);
-    this.context.log('info', 'returning machines that never came up', { machines: some });
+    this.context.log('info', 'releasing machines that never booted', { machines: some });
     this.context.emit({ type: 'release', id, machines: some });
   }
 
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -115,7 +115,7 @@
     this.writeRateLimit = new WriteRateLimit(settings.state);
     this.replica = new Replica(
       (key, entry) => this.keyChanged(key, entry),
-      (key, error) => this.log('warn', 'a change could not be taken', { key, error: String(error) }),
+      (key, error) => this.log('warn', 'failed to apply a change', { key, error: String(error) }),
     );
     const shard = 0.95 / Math.max(1, settings.controllers.length);
     this.writer = new StateWriter(
@@ -125,7 +125,7 @@
       () => this.lease.id,
       (now, run) => this.afterBarrier(now, run),
       () => this.stateLeaseLost(),
-      (key, bytes) => this.log('warn', 'a change can not be stored', { key, bytes }),
+      (key, bytes) => this.log('warn', 'write rejected as too large or invalid', { key, bytes }),
     );
     this.clientRequests = new ClientRequests(this);
     const allocations = new TaskAllocations(this);
@@ -239,7 +239,7 @@
       this.shardController.machineChanged(applied.machine, applied.movedShard === true, this.now);
     }
     if (applied.unreadablePart)
-      this.log('warn', 'a stored record can not be read', { key, error: `${applied.unreadablePart} can not be read` });
+      this.log('warn', 'unreadable stored record', { key, error: `${applied.unreadablePart} can not be read` });
     for (const job of applied.jobs ?? []) this.shardController.jobChanged(job);
   }
 
@@ -248,7 +248,7 @@
     try {
       return this.clusterState.apply(key, entry, this.now);
     } catch (error) {
-      this.log('warn', 'a stored record can not be read', { key, error: String(error) });
+      this.log('warn', 'unreadable stored record', { key, error: String(error) });
       return null;
     }
   }
@@ -289,7 +289,7 @@
     // It was renewed, so it never ended and nobody can have taken what is attached to it: what is
     // held goes on. An outage longer than the lease cost all machines a round of questions before.
     else if (this.lease.id === leaseId && now >= this.lease.validUntil) {
-      this.log('info', 'state lease stands after all', { seconds: Math.round((now - this.lease.validUntil) / 1000) });
+      this.log('info', 'lease renewed after its assumed expiry', { seconds: Math.round((now - this.lease.validUntil) / 1000) });
       this.shardController.processPaused(now - this.lease.validUntil, now);
     }
     this.stateServiceAnsweredAt = now;
@@ -299,7 +299,7 @@
   }
 
   private stateLeaseLost(): void {
-    this.log('warn', 'state lease lost');
+    this.log('warn', 'lease lost');
     this.lease.id = null;
     this.lease.validUntil = -1;
     this.shardLeases.dropAll();
@@ -476,9 +476,9 @@
    */
   processPaused(ms: Milliseconds, now: Milliseconds): void {
     this.now = now;
-    this.log(ms > 3000 ? 'info' : 'debug', 'stood still', {
+    this.log(ms > 3000 ? 'info' : 'debug', 'process paused', {
       seconds: Math.round(ms / 100) / 10,
-      leaseStands: this.isLeaseValid(now),
+      leaseValid: this.isLeaseValid(now),
     });
     this.processPausedAt = now;
     if (this.stateServiceAnsweredAt > 0) this.stateServiceAnsweredAt += ms;
--- a/packages/controller/src/heartbeats/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeats/heartbeat-reconciler.ts
@@ -41,7 +41,7 @@
     if (asked !== null && older(asked)) {
       // An answer is newer than what was known when it was asked for, unless the machine has
       // begun again: then nothing that was there is there any more.
-      this.context.log('info', 'machine began again', { machine: machine.name });
+      this.context.log('info', 'worker agent restarted', { machine: machine.name });
       for (const allocation of [...machine.tenure.allocations.values()])
         if (allocation.phase !== 'planned') this.allocations.free(allocation);
       machine.tenure.agentEpoch = UNKNOWN_EPOCH;
@@ -75,8 +75,7 @@
         // Its lease ran out: it has killed and forgotten everything. Starts sent to the
         // old session can't be executed in the new one.
         const lost = [...machine.tenure.allocations.values()].filter((allocation) => allocation.phase !== 'planned');
-        if (lost.length > 0)
-          this.context.log('info', 'lease of a machine ran out', { machine: machine.name, tasks: lost.length });
+        if (lost.length > 0) this.context.log('info', 'worker lease expired', { machine: machine.name, tasks: lost.length });
         for (const allocation of lost) this.allocations.free(allocation);
       }
       machine.tenure.agentEpoch = heartbeat.agentEpoch;
@@ -84,7 +83,7 @@
     machine.tenure.sequence = heartbeat.sequence;
     if (heartbeat.preemptionNoticeS !== null && machine.tenure.preemptionNoticeUntil === null) {
       machine.tenure.preemptionNoticeUntil = now + heartbeat.preemptionNoticeS * 1000;
-      this.context.log('info', 'spot notice', { machine: machine.name, seconds: heartbeat.preemptionNoticeS });
+      this.context.log('info', 'spot preemption notice', { machine: machine.name, seconds: heartbeat.preemptionNoticeS });
       this.allocations.drain(machine);
     }
     const seen = new Set<string>();
@@ -191,9 +190,9 @@
       if (task.state === 'running' && was !== 'running') {
         allocation.runningSince = now;
         const sec = (a: Milliseconds, b: Milliseconds) => Math.round((b - a) / 100) / 10;
-        this.context.log('debug', 'task runs', {
+        this.context.log('debug', 'task running', {
           task: `${job.spec.id}/${allocation.taskIndex}`,
-          cls: job.spec.cls,
+          jobClass: job.spec.cls,
           machine: machine.name,
           type: machine.capacity?.name,
           sinceSubmit: sec(job.arrivedAt, now),
@@ -227,7 +226,7 @@
       this.context.log('debug', 'task ended', {
         task: `${job.spec.id}/${allocation.taskIndex}`,
         machine: machine.name,
-        why: task.exitReason,
+        reason: task.exitReason,
       });
     }
     if (job.spec.shape === 'gang' && job.state === 'live' && job.doneCount < job.spec.tasks) this.allocations.failGang(job);
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -140,7 +140,7 @@
   }
 
   private orderMove(machine: Machine, shard: number, now: Milliseconds): void {
-    this.context.log('debug', 'move', { machine: machine.name, from: machine.shard, to: shard });
+    this.context.log('debug', 'moving machine to another shard', { machine: machine.name, from: machine.shard, to: shard });
     this.context.writer.add({
       key: StateKey.assignment(machine.name),
       value: () => encodeAssignment({ ...this.context.clusterState.assignmentOf(machine), moveToShard: shard }),
@@ -194,7 +194,7 @@
         )
           continue;
         budget--;
-        this.context.log('info', 'not needed', { machine: machine.name, idleS: Math.round(machineSummary.idleS) });
+        this.context.log('info', 'retiring idle machine', { machine: machine.name, idleS: Math.round(machineSummary.idleS) });
         this.context.writer.add({
           key: StateKey.assignment(machine.name),
           value: () => encodeAssignment({ ...this.context.clusterState.assignmentOf(machine), isRetired: true }),
--- a/packages/controller/src/leadership/shard-leases.ts
+++ b/packages/controller/src/leadership/shard-leases.ts
@@ -79,12 +79,12 @@
       if (!this.heldLeases.has(name)) this.releasing.delete(name);
       if (this.heldLeases.get(name) !== current.revision) {
         this.heldLeases.set(name, current.revision);
-        this.context.log('info', 'holding gained', { holding: name, stamp: current.revision });
+        this.context.log('info', 'shard lease acquired', { lease: name, revision: current.revision });
         this.context.leaseAcquired(name, current.revision);
       }
     } else if (this.heldLeases.delete(name)) {
       this.releasing.delete(name);
-      this.context.log('info', 'holding lost', { holding: name, to: current?.holder.controller ?? null });
+      this.context.log('info', 'shard lease lost', { lease: name, to: current?.holder.controller ?? null });
       this.context.leaseLost(name);
     }
   }
@@ -190,7 +190,7 @@
       const settled = this.settledSince.get(name);
       if (now - since < UNSETTLED_MS && (settled === undefined || now - settled < SETTLED_MS)) continue;
       this.settledSince.delete(name);
-      context.log('info', 'handing share home', { share: name, to: home });
+      context.log('info', 'returning shard to its preferred holder', { shard: name, to: home });
       this.release(name, now);
       return;
     }
@@ -231,7 +231,7 @@
       return;
     for (const name of this.heldLeases.keys()) {
       if (name === 'lead' || this.releasing.has(name)) continue;
-      this.context.log('info', 'releasing a share whose workers can not be reached', { share: name });
+      this.context.log('info', 'releasing shard with unreachable workers', { shard: name });
       this.release(name, now);
     }
   }
--- a/packages/controller/src/model/machine.ts
+++ b/packages/controller/src/model/machine.ts
@@ -20,12 +20,12 @@
 export type ReleaseReason =
   | 'silent'
   | 'silent with cancelled work'
-  | 'cancelled work that does not end'
-  | 'not needed'
-  | 'faulty'
-  | 'spot notice'
-  | 'cut off for longer than its work lives'
-  | 'can not be reached';
+  | 'cancelled work does not end'
+  | 'idle'
+  | 'quarantined'
+  | 'spot preemption notice'
+  | 'cut off beyond its lease'
+  | 'unreachable';
 
 /**
  * What a shard's holder learned of a machine and decided about it. It begins with the lease on the shard, or when the machine
--- a/packages/controller/src/scheduling/service-eviction.ts
+++ b/packages/controller/src/scheduling/service-eviction.ts
@@ -111,7 +111,7 @@
       if (remaining + gained < job.spec.tasks) continue;
       this.evictedAt = now;
       for (const machine of chosen) {
-        this.context.log('info', 'moving services off a machine with accelerators', { machine: machine.name });
+        this.context.log('info', 'evicting services from a GPU machine', { machine: machine.name });
         machine.reservedUntil = now + 2 * this.context.settings.policy.planWaitS * 1000;
         for (const allocation of this.allocations.servicesOn(machine)) this.allocations.stop(allocation, 0);
       }
@@ -182,7 +182,7 @@
         return candidate !== undefined;
       });
       if (!all) continue;
-      this.context.log('debug', 'gathering services of a machine elsewhere', {
+      this.context.log('debug', 'consolidating services on other machines', {
         machine: machine.name,
         services: services.length,
       });
--- a/packages/controller/src/shards/assignment-updates.ts
+++ b/packages/controller/src/shards/assignment-updates.ts
@@ -30,7 +30,7 @@
       priority: WritePriority.assignment,
       onOutcome: (outcome) => {
         machine.assignmentWriteQueued = false;
-        if (outcome === 'ok') this.context.log('debug', 'machine handed over', { machine: machine.name, to });
+        if (outcome === 'ok') this.context.log('debug', 'machine moved to another shard', { machine: machine.name, to });
       },
     });
   }
--- a/packages/controller/src/shards/command-dispatcher.ts
+++ b/packages/controller/src/shards/command-dispatcher.ts
@@ -294,7 +294,7 @@
     if (!('report' in result)) return this.handleUnanswered(command, result.kind, now);
     if (result.kind === 'ok' && result.report === null) {
       // Executed, but what is there now can't be read: as good as no answer.
-      this.context.log('warn', "a worker's answer can not be read", { machine: machine.name });
+      this.context.log('warn', 'unreadable worker response', { machine: machine.name });
       return this.handleUnanswered(command, 'lost', now);
     }
     this.allocations.lastAnswerAt = now;
--- a/packages/controller/src/shards/failure-detector.ts
+++ b/packages/controller/src/shards/failure-detector.ts
@@ -166,7 +166,7 @@
     this.consecutiveAnswers = 0;
     this.individuallySilent.clear();
     this.nextProbeAt = now;
-    this.context.log('warn', 'workers can not be reached from here', { lost: view.unanswered, of: view.total });
+    this.context.log('warn', 'workers unreachable', { lost: view.unanswered, of: view.total });
   }
 
   /** Without shares no command tells whether workers can be reached again: a few are asked. */
@@ -219,7 +219,7 @@
     this.doubtSince = null;
     this.allocations.unansweredMachines.clear();
     for (const machine of this.context.clusterState.machines.values()) machine.tenure.unansweredCommands = 0;
-    this.context.log('info', 'workers can be reached again');
+    this.context.log('info', 'workers reachable again');
   }
 
   /** Is the zone seen to be cut off? */
--- a/packages/controller/src/shards/machine-lifecycle.ts
+++ b/packages/controller/src/shards/machine-lifecycle.ts
@@ -53,7 +53,7 @@
       if (!acting.has(machine.shard)) continue;
       // Cancelled work must be gone in time, whatever the reason for a silence, and however long that is thought to last.
       if (machine.tenure.releaseReason === null && overdue.has(machine))
-        this.markForRelease(machine, 'cancelled work that does not end');
+        this.markForRelease(machine, 'cancelled work does not end');
       this.checkSilence(machine, now);
       this.checkEmpty(machine, now);
       if (machine.tenure.releaseReason && !machine.tenure.isReleasing && now >= machine.releaseRetryAt) back.push(machine);
@@ -113,11 +113,11 @@
 
   /** Nothing is on it: what was wanted of it can be done. */
   private releaseEmpty(machine: Machine, now: Milliseconds): void {
-    if (machine.isRetired) this.markForRelease(machine, 'not needed');
+    if (machine.isRetired) this.markForRelease(machine, 'idle');
     else if (this.allocations.failureAttribution.isFaulty(machine, now)) {
       this.allocations.failureAttribution.clearJobsOf(machine);
-      this.markForRelease(machine, 'faulty');
-    } else if (machine.tenure.preemptionNoticeUntil !== null) this.markForRelease(machine, 'spot notice');
+      this.markForRelease(machine, 'quarantined');
+    } else if (machine.tenure.preemptionNoticeUntil !== null) this.markForRelease(machine, 'spot preemption notice');
     else if (machine.moveToShard !== null) this.assignmentUpdates.moveToShard(machine);
   }
 
@@ -128,7 +128,7 @@
   private checkReachability(machine: Machine, now: Milliseconds): void {
     const { failureDetector: reachability } = this;
     if (machine.tenure.releaseReason === null && reachability.isInCutZone(machine) && this.isCutOffBeyondLease(machine, now))
-      this.markForRelease(machine, 'cut off for longer than its work lives');
+      this.markForRelease(machine, 'cut off beyond its lease');
     if (
       machine.tenure.releaseReason !== null ||
       !this.isUnreachable(machine, now) ||
@@ -136,7 +136,7 @@
     )
       return;
     if (reachability.isSilenceTrusted(now, now - (machine.tenure.unansweredSince ?? now)))
-      this.markForRelease(machine, 'can not be reached');
+      this.markForRelease(machine, 'unreachable');
   }
 
   private releaseMachines(machines: Machine[], now: Milliseconds): void {
@@ -194,13 +194,13 @@
     return now - unansweredSince > this.context.settings.policy.silentS * 1000;
   }
 
-  private markForRelease(machine: Machine, why: ReleaseReason): void {
-    machine.tenure.releaseReason = why;
+  private markForRelease(machine: Machine, reason: ReleaseReason): void {
+    machine.tenure.releaseReason = reason;
     machine.releaseRetryAt = 0;
-    this.context.log('info', 'giving machine back', {
+    this.context.log('info', 'releasing machine', {
       machine: machine.name,
       zone: this.context.clusterState.zoneNames.nameOf(machine.zoneIndex),
-      why,
+      reason,
       tasks: machine.tenure.allocations.size,
     });
   }
--- a/packages/controller/src/shards/progress-writer.ts
+++ b/packages/controller/src/shards/progress-writer.ts
@@ -98,7 +98,7 @@
     const now = this.context.now;
     this.context.log('debug', 'job done', {
       job: job.spec.id,
-      cls: job.spec.cls,
+      jobClass: job.spec.cls,
       sinceReady: seconds(now - job.arrivedAt),
       sinceSubmit: seconds(now + this.context.clusterState.wallClockOffsetMs - job.submittedAt),
       // Against its own deadline, or the one that it has from the jobs that need it.
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -232,7 +232,7 @@
       const waiting = this.allocations.unmetDemand
         .filter((unmet) => unmet.job.shard === shard)
         .map((unmet) => `${unmet.job.spec.cls} ${unmet.count} for ${Math.round((now - unmet.job.arrivedAt) / 1000)} s`);
-      this.context.log('debug', 'share', { share: shard, machines: types, accelerated, waiting });
+      this.context.log('debug', 'shard summary', { shard, machines: types, accelerated, waiting });
     }
   }
 
@@ -267,7 +267,7 @@
     const planned = all.filter((allocation) => allocation.phase === 'planned');
     if (planned.length > 0) {
       if (now - (planned[0] as Allocation).plannedAt > this.context.settings.policy.planWaitS * 1000) {
-        this.context.log('info', 'plan released', { job: job.spec.id });
+        this.context.log('info', 'held allocations released', { job: job.spec.id });
         for (const allocation of planned) this.allocations.free(allocation);
       }
       return;
