--- a/packages/controller/src/state/assignment-record.ts
+++ b/packages/controller/src/state/assignment-record.ts
@@ -3,6 +3,8 @@
  * the same records.
  */
 
+import { UnreadableRecordError } from './unreadable-record-error.js';
+
 /** What is stored of a machine's grant. */
 export interface MachineAssignment {
   shard: number;
@@ -47,7 +49,7 @@
 export function parseAssignment(value: unknown): MachineAssignment {
   const stored = value as Partial<StoredAssignment> | null;
   if (typeof stored?.s !== 'number' || typeof stored.t !== 'string' || typeof stored.z !== 'string')
-    throw new Error('not a grant');
+    throw new UnreadableRecordError('machine assignment');
   return {
     shard: stored.s,
     address: stored.a ?? '',
--- a/packages/controller/src/state/index.ts
+++ b/packages/controller/src/state/index.ts
@@ -14,4 +14,5 @@
 export * from './replica.js';
 export * from './state-writer.js';
 export * from './status-record.js';
+export * from './unreadable-record-error.js';
 export * from './write-queue.js';
--- a/packages/controller/src/state/job-record.ts
+++ b/packages/controller/src/state/job-record.ts
@@ -19,6 +19,7 @@
 import type { JobSpec } from '@archpost/protocol';
 import { z } from 'zod';
 import { encodedBytes } from './limits.js';
+import { UnreadableRecordError } from './unreadable-record-error.js';
 
 export type FinalState = 'done' | 'cancelled';
 
@@ -85,9 +86,9 @@
 /** Throws on what is no job record. */
 export function parseJobRecord(value: unknown): StoredJob {
   const parsed = record.safeParse(value);
-  if (!parsed.success) throw new Error('not a job record');
+  if (!parsed.success) throw new UnreadableRecordError('job', parsed.error);
   const { s, t, sp: spec, n: count, e, aw, x } = parsed.data;
-  if (STATES[s] === 'live' && !spec) throw new Error('not a job record');
+  if (STATES[s] === 'live' && !spec) throw new UnreadableRecordError('job');
   const awaits = aw === undefined ? NO_AWAITS : awaitedIds.safeParse(aw);
   const reference = x === undefined ? NO_PARTS : partsReference.safeParse(x);
   return {
@@ -105,15 +106,16 @@
 export function readJobRecord(value: unknown): StoredJob | null {
   try {
     return parseJobRecord(value);
-  } catch {
-    return null;
+  } catch (error) {
+    if (error instanceof UnreadableRecordError) return null;
+    throw error;
   }
 }
 
 /** Throws on what is no part of a job record. */
 export function parseJobPart(value: unknown): JobPart {
   const parsed = part.safeParse(value);
-  if (!parsed.success) throw new Error('not a part of a job record');
+  if (!parsed.success) throw new UnreadableRecordError('job part', parsed.error);
   return { awaits: parsed.data.aw ?? [], types: parsed.data.ty ?? [] };
 }
 
--- a/packages/controller/src/state/lease-record.ts
+++ b/packages/controller/src/state/lease-record.ts
@@ -11,6 +11,8 @@
  * | `a/n/` | `boot` | incarnation of the controller that is present |
  */
 
+import { UnreadableRecordError } from './unreadable-record-error.js';
+
 /** Who holds a shard, or the lead. */
 export interface LeaseHolder {
   controller: string;
@@ -35,7 +37,7 @@
 /** Throws on what names no holder. */
 export function parseLeaseHolder(value: unknown): LeaseHolder {
   const stored = value as Partial<StoredHolder> | null;
-  if (typeof stored?.node !== 'string' || typeof stored.boot !== 'string') throw new Error('not a holder');
+  if (typeof stored?.node !== 'string' || typeof stored.boot !== 'string') throw new UnreadableRecordError('lease holder');
   return { controller: stored.node, incarnation: stored.boot };
 }
 
--- a/packages/controller/src/state/machine-types-record.ts
+++ b/packages/controller/src/state/machine-types-record.ts
@@ -16,6 +16,7 @@
  * | both | `bootS` | seconds until such a machine is up |
  */
 import type { MachineType } from '@archpost/protocol';
+import { UnreadableRecordError } from './unreadable-record-error.js';
 
 /** One part of the machine types, and how many parts there are. */
 export interface MachineTypesPart {
@@ -41,6 +42,6 @@
 /** Throws on what is no part of a list. */
 export function parseMachineTypesPart(value: unknown): MachineTypesPart {
   const part = value as Partial<MachineTypesPart> | null;
-  if (!Array.isArray(part?.list) || typeof part.count !== 'number') throw new Error('not a part of the machine types');
+  if (!Array.isArray(part?.list) || typeof part.count !== 'number') throw new UnreadableRecordError('machine types part');
   return part as MachineTypesPart;
 }
--- a/packages/controller/src/state/progress-layout.ts
+++ b/packages/controller/src/state/progress-layout.ts
@@ -9,6 +9,7 @@
  */
 
 import { BYTES_PER_KIB } from './limits.js';
+import { UnreadableRecordError } from './unreadable-record-error.js';
 
 const TASKS_PER_DIGIT = 4;
 
@@ -92,7 +93,7 @@
   /** Throws on what is no part of progress. */
   parse(name: string, digits: unknown): StoredProgress {
     const from = this.firstTask(name);
-    if (from === null || !isDigits(digits)) throw new Error('not a part of progress');
+    if (from === null || !isDigits(digits)) throw new UnreadableRecordError('progress part');
     return doneTasks(digits, from);
   }
 }
