--- a/packages/controller/src/state/assignment-record.ts
+++ b/packages/controller/src/state/assignment-record.ts
@@ -1,20 +1,28 @@
 /**
- * The stored grant of a machine to a share. Stored field names are short and fixed: other versions read and write
- * the same records.
+ * The stored assignment of a machine to a shard, under `a/g/`. Stored field names are short and fixed: other versions read
+ * and write the same records.
+ *
+ * | field | meaning |
+ * | --- | --- |
+ * | `s` | shard |
+ * | `a` | address of the machine's agent |
+ * | `t`, `z`, `sp` | machine type, zone, and whether it is a spot machine |
+ * | `mv` | shard that the machine is to move to |
+ * | `x` | the machine is to be released to the cloud |
+ * | `n` | differs from what was stored before, so that a rewrite has a new revision |
  */
-
 import { UnreadableRecordError } from './unreadable-record-error.js';
 
-/** What is stored of a machine's grant. */
+/** What is stored of a machine. */
 export interface MachineAssignment {
   shard: number;
   address: string;
   type: string;
   zone: string;
   spot: boolean;
-  /** the share that it is to be handed to; null: it stays */
+  /** the shard that it is to move to; null: it stays */
   moveToShard: number | null;
-  /** to be given back */
+  /** to be released to the cloud */
   isRetired: boolean;
 }
 
@@ -26,11 +34,10 @@
   sp: boolean;
   mv?: number;
   x?: boolean;
-  /** differs from what was stored before, so that the record's stamp rises */
   n?: number;
 }
 
-/** `rewriteOf`: the stamp of the same grant that is written again, so that its stamp rises. */
+/** `rewriteOf`: revision of the same assignment, which is written again only to get a higher one. */
 export function encodeAssignment(assignment: MachineAssignment, rewriteOf?: number): unknown {
   const stored: StoredAssignment = {
     s: assignment.shard,
@@ -45,7 +52,7 @@
   return stored;
 }
 
-/** Throws on what is no grant. */
+/** Throws `UnreadableRecordError` on what is no assignment. */
 export function parseAssignment(value: unknown): MachineAssignment {
   const stored = value as Partial<StoredAssignment> | null;
   if (typeof stored?.s !== 'number' || typeof stored.t !== 'string' || typeof stored.z !== 'string')
--- a/packages/controller/src/state/lease-record.ts
+++ b/packages/controller/src/state/lease-record.ts
@@ -1,6 +1,6 @@
 /**
- * The stored records that are attached to a controller's lease on the state service: who holds a shard or the lead, and
- * that a controller is present. Both disappear with the lease.
+ * The stored records that are attached to a controller's lease on the state service: who holds a shard's lease or the
+ * leader's, and that a controller is present. The service removes both when that lease ends.
  *
  * Stored field names are fixed: other versions read and write the same records.
  *
@@ -10,12 +10,12 @@
  * | `a/h/` | `boot` | incarnation of that controller: each start of its process has another |
  * | `a/n/` | `boot` | incarnation of the controller that is present |
  */
-
 import { UnreadableRecordError } from './unreadable-record-error.js';
 
-/** Who holds a shard, or the lead. */
+/** The holder of a shard's lease, or of the leader's. */
 export interface LeaseHolder {
   controller: string;
+  /** each start of a controller's process has another, so an earlier process isn't taken for the present one */
   incarnation: string;
 }
 
@@ -28,13 +28,13 @@
   boot: string;
 }
 
-/** The record of a shard's holder, or of the leader. */
+/** The record of a lease's holder. */
 export function encodeHolder(holder: LeaseHolder): unknown {
   const stored: StoredHolder = { node: holder.controller, boot: holder.incarnation };
   return stored;
 }
 
-/** Throws on what names no holder. */
+/** Throws `UnreadableRecordError` on what names no holder. */
 export function parseLeaseHolder(value: unknown): LeaseHolder {
   const stored = value as Partial<StoredHolder> | null;
   if (typeof stored?.node !== 'string' || typeof stored.boot !== 'string') throw new UnreadableRecordError('lease holder');
@@ -47,7 +47,7 @@
   return stored;
 }
 
-/** Is this the presence of the controller with that incarnation? */
+/** Is this the presence of the controller with that incarnation? The value must be a stored presence: it isn't checked. */
 export function isPresenceOf(value: unknown, incarnation: string): boolean {
   return (value as StoredPresence).boot === incarnation;
 }
--- a/packages/controller/src/state/machine-types-record.ts
+++ b/packages/controller/src/state/machine-types-record.ts
@@ -29,7 +29,7 @@
   return types;
 }
 
-/** The whole list as it was stored. */
+/** The whole list as it was stored. It isn't checked, so that nothing is refused here that the version in production takes. */
 export function parseMachineTypesRecord(value: unknown): MachineType[] {
   return value as MachineType[];
 }
@@ -39,9 +39,9 @@
   return types.map((type): MachineTypesPart => ({ count: types.length, list: [type] }));
 }
 
-/** Throws on what is no part of a list. */
+/** Throws `UnreadableRecordError` on what is no part of a list. The types in the list are taken as they are. */
 export function parseMachineTypesPart(value: unknown): MachineTypesPart {
   const part = value as Partial<MachineTypesPart> | null;
   if (!Array.isArray(part?.list) || typeof part.count !== 'number') throw new UnreadableRecordError('machine types part');
-  return part as MachineTypesPart;
+  return { count: part.count, list: part.list };
 }
--- a/packages/controller/src/state/status-record.ts
+++ b/packages/controller/src/state/status-record.ts
@@ -46,7 +46,7 @@
   spot: 'spot',
 };
 
-/** Running jobs and unchanged heartbeats are never stored: their lists are empty in every stored status. */
+/** Running jobs and unchanged heartbeats aren't stored: their lists are empty in every stored status. */
 const STATUS_FIELDS: FieldTable<PeerStatus> = {
   node: 'node',
   shards: 'shares',
@@ -67,14 +67,17 @@
   echo: 'echo',
 };
 
-/** A record with the fields of the model under their stored names. */
+/** A record with the fields of the model under their stored names, in the order of the table. */
 function toStored<Model extends object>(model: Model, fields: FieldTable<Model>): Record<string, unknown> {
   const stored: Record<string, unknown> = {};
   for (const field of Object.keys(fields) as (keyof Model)[]) stored[fields[field]] = model[field];
   return stored;
 }
 
-/** The model of a stored record. What the record lacks, or holds in place of a record, is handed on as it is. */
+/**
+ * The model of a stored record. What isn't a record is returned as it is, and a field that the record lacks stays undefined:
+ * other versions write fewer fields, and the leader takes such a status as far as it goes.
+ */
 function fromStored<Model extends object>(stored: unknown, fields: FieldTable<Model>): Model {
   if (typeof stored !== 'object' || stored === null) return stored as unknown as Model;
   const model: Partial<Model> = {};
@@ -83,7 +86,7 @@
   return model as Model;
 }
 
-/** The record of a status. */
+/** The record of a status, to be stored under `a/s/`. */
 export function encodeStatus(status: PeerStatus): unknown {
   const stored = toStored(status, STATUS_FIELDS);
   stored[STATUS_FIELDS.shards] = status.shards.map((shard) => ({
@@ -97,7 +100,7 @@
   return stored;
 }
 
-/** Has the value the lists that a stored status has? */
+/** Has the value the name and the lists that each stored status has? Single fields aren't checked. */
 function isStoredStatus(value: unknown): boolean {
   if (typeof value !== 'object' || value === null) return false;
   const stored = value as Record<string, unknown>;
@@ -120,7 +123,7 @@
   return Array.isArray(stored?.[SHARD_FIELDS.machines]) && Array.isArray(stored[SHARD_FIELDS.demands]);
 }
 
-/** The status that another controller stored; null for what is none. */
+/** The status that another controller stored; null if the value is no status. */
 export function parseStatus(value: unknown): PeerStatus | null {
   if (!isStoredStatus(value)) return null;
   const status = fromStored<PeerStatus>(value, STATUS_FIELDS);
