--- a/packages/controller/src/state/job-record.ts
+++ b/packages/controller/src/state/job-record.ts
@@ -1,5 +1,6 @@
 /**
- * The stored record of a job: one codec between what the state service holds and what decisions use.
+ * The stored record of a job, and of the parts that hold its lists where these don't fit one value: the codec between what
+ * the state service holds and what decisions use.
  *
  * Stored field names are short and fixed: other versions read and write the same records.
  *
@@ -11,9 +12,16 @@
  * | `n` | number of tasks, in the short record of a finished job |
  * | `e` | time of day when the job was seen done, in ms |
  * | `aw` | ids of the jobs that it awaits |
- * | `x` | name and number of the parts that hold the rest of its lists |
+ * | `x` | `k`: name of the group of parts that hold the rest of its lists; `n`: their number |
  *
- * A version that knows no awaited jobs passes over a record with `s` 3, so it can't start its tasks too early.
+ * The fields of a part:
+ *
+ * | field | meaning |
+ * | --- | --- |
+ * | `aw` | ids of awaited jobs |
+ * | `ty` | names of machine types |
+ *
+ * A version that knows no awaited jobs passes over a record with `s` 3, so it can't start the job's tasks too early.
  */
 import { createHash } from 'node:crypto';
 import type { JobSpec } from '@archpost/protocol';
@@ -21,6 +29,7 @@
 import { encodedBytes } from './limits.js';
 import { UnreadableRecordError } from './unreadable-record-error.js';
 
+/** How a job ended, as far as its record tells. */
 export type FinalState = 'done' | 'cancelled';
 
 const ACCEPTED = 0;
@@ -28,26 +37,31 @@
 const CANCELLED = 2;
 const ACCEPTED_WITH_AWAITS = 3;
 
-/** Parts that belong to one job record. */
+/** The parts that belong to one job record. */
 export interface PartsReference {
-  /** names what the parts hold: a repeated submission finds those that are stored already */
+  /** a digest of what the parts hold, so that a repeated submission finds the parts that are stored already */
   group: string;
   count: number;
 }
 
-/** A job's stored record. */
+/** A job's record as decisions use it. */
 export interface StoredJob {
   state: 'live' | FinalState;
+  /** time of day of the submission, in ms; 0: not stored */
   submittedAt: number;
+  /** null: the short record of a finished job */
   spec: JobSpec | null;
+  /** number of tasks */
   tasks: number;
+  /** time of day when the job was seen done, in ms; null: not done, or not stored */
   endedAt: number | null;
   /** ids in the record itself; null: there is a list, here or in parts, that can't be read */
   awaits: string[] | null;
+  /** null: the record holds its lists whole */
   parts: PartsReference | null;
 }
 
-/** One stored part of a job's lists. */
+/** One stored part of a job's lists: ids of awaited jobs, and names of machine types. */
 export interface JobPart {
   awaits: string[];
   types: string[];
@@ -57,10 +71,11 @@
 export interface EncodedJob {
   record: unknown;
   parts: unknown[];
+  /** the group of the parts; empty without parts */
   group: string;
 }
 
-const record = z.object({
+const recordSchema = z.object({
   s: z.union([z.literal(ACCEPTED), z.literal(DONE), z.literal(CANCELLED), z.literal(ACCEPTED_WITH_AWAITS)]),
   t: z.number().nullish(),
   sp: z
@@ -72,33 +87,33 @@
   x: z.unknown().optional(),
 });
 
-const awaitedIds = z.array(z.string());
-const partsReference = z.object({ k: z.string(), n: z.number().int().min(1) });
+const awaitedIdsSchema = z.array(z.string());
+const partsReferenceSchema = z.object({ k: z.string(), n: z.number().int().min(1) });
+const partSchema = z.object({ aw: z.array(z.string()).nullish(), ty: z.array(z.string()).nullish() });
 
-// Most records have no lists, and thousands are read at a start.
+// Most records have no lists, and thousands are read at a start: the schemas are spared for them.
 const NO_AWAITS = { success: true, data: [] as string[] } as const;
 const NO_PARTS = { success: true, data: null } as const;
 
-const part = z.object({ aw: z.array(z.string()).nullish(), ty: z.array(z.string()).nullish() });
-
 const STATES = { [ACCEPTED]: 'live', [DONE]: 'done', [CANCELLED]: 'cancelled', [ACCEPTED_WITH_AWAITS]: 'live' } as const;
 
-/** Throws on what is no job record. */
+/** Throws `UnreadableRecordError` on what is no job record, and on a job that isn't over and has no specification. */
 export function parseJobRecord(value: unknown): StoredJob {
-  const parsed = record.safeParse(value);
+  const parsed = recordSchema.safeParse(value);
   if (!parsed.success) throw new UnreadableRecordError('job', parsed.error);
-  const { s, t, sp: spec, n: count, e, aw, x } = parsed.data;
-  if (STATES[s] === 'live' && !spec) throw new UnreadableRecordError('job');
-  const awaits = aw === undefined ? NO_AWAITS : awaitedIds.safeParse(aw);
-  const reference = x === undefined ? NO_PARTS : partsReference.safeParse(x);
+  const { s, t: submittedAt, sp: spec, n: taskCount, e: endedAt, aw, x } = parsed.data;
+  const state = STATES[s];
+  if (state === 'live' && !spec) throw new UnreadableRecordError('job');
+  const awaits = aw === undefined ? NO_AWAITS : awaitedIdsSchema.safeParse(aw);
+  const parts = x === undefined ? NO_PARTS : partsReferenceSchema.safeParse(x);
   return {
-    state: STATES[s],
-    submittedAt: t ?? 0,
+    state,
+    submittedAt: submittedAt ?? 0,
     spec: spec ?? null,
-    tasks: spec?.tasks ?? count ?? 0,
-    endedAt: e ?? null,
-    awaits: awaits.success && reference.success ? awaits.data : null,
-    parts: reference.data ? { group: reference.data.k, count: reference.data.n } : null,
+    tasks: spec?.tasks ?? taskCount ?? 0,
+    endedAt: endedAt ?? null,
+    awaits: awaits.success && parts.success ? awaits.data : null,
+    parts: parts.data ? { group: parts.data.k, count: parts.data.n } : null,
   };
 }
 
@@ -112,20 +127,20 @@
   }
 }
 
-/** Throws on what is no part of a job record. */
+/** Throws `UnreadableRecordError` on what is no part of a job record. */
 export function parseJobPart(value: unknown): JobPart {
-  const parsed = part.safeParse(value);
+  const parsed = partSchema.safeParse(value);
   if (!parsed.success) throw new UnreadableRecordError('job part', parsed.error);
   return { awaits: parsed.data.aw ?? [], types: parsed.data.ty ?? [] };
 }
 
-/** As many of the names, from the first, as fit into so many bytes of a JSON list. */
-function namesThatFit(names: readonly string[], bytes: number): number {
-  let used = 0;
+/** How many of the names, from the first, fit `maxBytes` of a JSON list. */
+function countNamesThatFit(names: readonly string[], maxBytes: number): number {
+  let usedBytes = 0;
   let count = 0;
   for (const name of names) {
-    used += Buffer.byteLength(JSON.stringify(name)) + 1;
-    if (used > bytes) break;
+    usedBytes += Buffer.byteLength(JSON.stringify(name)) + 1;
+    if (usedBytes > maxBytes) break;
     count++;
   }
   return count;
@@ -134,22 +149,64 @@
 /** Characters of a digest that name a group of parts. */
 const GROUP_LENGTH = 22;
 
+/** Stands for the number of parts before it is known: no job has so many, so the real number takes no more bytes. */
+const PART_COUNT_PLACEHOLDER = 1_000_000;
+
 /** Bytes that a part's key and its field names take. */
 const PART_OVERHEAD_BYTES = 256;
 
-function split(names: readonly string[], bytes: number, wrap: (names: string[]) => unknown): unknown[] {
+/** The records of the parts that hold these names, each within `maxWriteBytes`; `wrap` makes the record of one part. */
+function encodeParts(names: readonly string[], maxWriteBytes: number, wrap: (names: string[]) => unknown): unknown[] {
   const parts: unknown[] = [];
-  for (let at = 0; at < names.length; ) {
-    const count = Math.max(1, namesThatFit(names.slice(at), bytes - PART_OVERHEAD_BYTES));
-    parts.push(wrap(names.slice(at, at + count)));
-    at += count;
+  for (let start = 0; start < names.length; ) {
+    const count = Math.max(1, countNamesThatFit(names.slice(start), maxWriteBytes - PART_OVERHEAD_BYTES));
+    parts.push(wrap(names.slice(start, start + count)));
+    start += count;
   }
   return parts;
 }
 
+function groupOf(parts: readonly unknown[]): string {
+  return createHash('sha256').update(JSON.stringify(parts)).digest('base64url').slice(0, GROUP_LENGTH);
+}
+
+/** The record of an accepted job; the field for awaited jobs is there only if the job has any. */
+function acceptedRecord(spec: JobSpec, awaits: readonly string[], hasAwaits: boolean, submittedAt: number): object {
+  return hasAwaits
+    ? { s: ACCEPTED_WITH_AWAITS, t: submittedAt, sp: spec, aw: awaits }
+    : { s: ACCEPTED, t: submittedAt, sp: spec };
+}
+
+/** How many names of each list the record itself holds. */
+interface NamesInRecord {
+  types: number;
+  awaits: number;
+}
+
+/** Null if not even one machine type fits, or the rest of the record doesn't. */
+function countNamesInRecord(
+  key: string,
+  spec: JobSpec,
+  awaits: readonly string[],
+  submittedAt: number,
+  maxWriteBytes: number,
+): NamesInRecord | null {
+  const emptySpec = { ...spec, types: spec.types && [] };
+  const placeholder = { k: 'x'.repeat(GROUP_LENGTH), n: PART_COUNT_PLACEHOLDER };
+  const emptyRecord = { ...acceptedRecord(emptySpec, [], false, submittedAt), x: placeholder };
+  const remainingBytes = maxWriteBytes - encodedBytes(key, emptyRecord);
+  const types = spec.types ?? [];
+  const typeCount = countNamesThatFit(types, remainingBytes);
+  // An empty list of types allows none, for a version that knows no parts; null would allow all.
+  if (remainingBytes < 0 || (types.length > 0 && typeCount === 0)) return null;
+  const typesBytes = Buffer.byteLength(JSON.stringify(types.slice(0, typeCount)));
+  const awaitsBytes = remainingBytes - typesBytes - Buffer.byteLength(',"aw":[]');
+  return { types: typeCount, awaits: countNamesThatFit(awaits, awaitsBytes) };
+}
+
 /**
- * Encodes an accepted job within `changeBytes` a change; null if not even its names fit. Where a list is too long,
- * the record bears what fits of it and parts bear the rest. A version that knows no parts then reads a shorter
+ * Encodes an accepted job within `maxWriteBytes` a change; null if not even its names fit. Where a list is too long,
+ * the record holds what fits of it and parts hold the rest. A version that knows no parts then reads a shorter
  * list of machine types, which allows less than the user did, never more; `types` are best ordered accordingly.
  */
 export function encodeAcceptedJob(
@@ -157,41 +214,37 @@
   spec: JobSpec,
   awaits: readonly string[],
   submittedAt: number,
-  changeBytes: number,
+  maxWriteBytes: number,
 ): EncodedJob | null {
-  const s = awaits.length > 0 ? ACCEPTED_WITH_AWAITS : ACCEPTED;
-  const whole = awaits.length > 0 ? { s, t: submittedAt, sp: spec, aw: awaits } : { s, t: submittedAt, sp: spec };
-  if (encodedBytes(key, whole) <= changeBytes) return { record: whole, parts: [], group: '' };
+  const hasAwaits = awaits.length > 0;
+  const record = acceptedRecord(spec, awaits, hasAwaits, submittedAt);
+  if (encodedBytes(key, record) <= maxWriteBytes) return { record, parts: [], group: '' };
+  const inRecord = countNamesInRecord(key, spec, awaits, submittedAt, maxWriteBytes);
+  if (inRecord === null) return null;
   const types = spec.types ?? [];
-  const bare = { s, t: submittedAt, sp: { ...spec, types: spec.types && [] }, x: { k: 'x'.repeat(GROUP_LENGTH), n: 1_000_000 } };
-  let remaining = changeBytes - encodedBytes(key, bare);
-  const typesHere = namesThatFit(types, remaining);
-  // An empty list of types allows none, for a version that knows no parts; null would allow all.
-  if (remaining < 0 || (types.length > 0 && typesHere === 0)) return null;
-  remaining -= Buffer.byteLength(JSON.stringify(types.slice(0, typesHere)));
-  const awaitsHere = namesThatFit(awaits, remaining - Buffer.byteLength(',"aw":[]'));
   const parts = [
-    ...split(types.slice(typesHere), changeBytes, (ty) => ({ ty })),
-    ...split(awaits.slice(awaitsHere), changeBytes, (aw) => ({ aw })),
+    ...encodeParts(types.slice(inRecord.types), maxWriteBytes, (ty) => ({ ty })),
+    ...encodeParts(awaits.slice(inRecord.awaits), maxWriteBytes, (aw) => ({ aw })),
   ];
-  const sp = { ...spec, types: spec.types && types.slice(0, typesHere) };
-  const head = awaits.length > 0 ? { s, t: submittedAt, sp, aw: awaits.slice(0, awaitsHere) } : { s, t: submittedAt, sp };
-  const group = createHash('sha256').update(JSON.stringify(parts)).digest('base64url').slice(0, GROUP_LENGTH);
-  return { record: { ...head, x: { k: group, n: parts.length } }, parts, group };
+  const shortSpec = { ...spec, types: spec.types && types.slice(0, inRecord.types) };
+  const shortRecord = acceptedRecord(shortSpec, awaits.slice(0, inRecord.awaits), hasAwaits, submittedAt);
+  const group = groupOf(parts);
+  return { record: { ...shortRecord, x: { k: group, n: parts.length } }, parts, group };
 }
 
-/** The short record of a job whose tasks are all done. */
-export function encodeDoneJob(submittedAt: number, tasks: number, endedAt: number): unknown {
-  return { s: DONE, t: submittedAt, n: tasks, e: Math.round(endedAt) };
+/** The short record of a job whose tasks are all done. Times are times of day, in ms. */
+export function encodeDoneJob(submittedAt: number, taskCount: number, endedAt: number): unknown {
+  return { s: DONE, t: submittedAt, n: taskCount, e: Math.round(endedAt) };
 }
 
 /**
- * The record of a cancelled job: what is stored, less its lists if they are too long to be written again. Nothing of
- * it starts any more, so which machine types it was allowed is of no use; what it takes of a machine is.
+ * The record of a cancelled job: what is stored, without its lists if they are too long to be written again. Nothing of
+ * it starts any more, so which machine types it was allowed is of no use; the resources that its running tasks take are.
+ * Throws `UnreadableRecordError` if a record that has to be shortened can't be read.
  */
-export function encodeCancelledJob(key: string, stored: unknown, changeBytes: number): unknown {
+export function encodeCancelledJob(key: string, stored: unknown, maxWriteBytes: number): unknown {
   const whole = { ...(stored as object), s: CANCELLED };
-  if (encodedBytes(key, whole) <= changeBytes) return whole;
+  if (encodedBytes(key, whole) <= maxWriteBytes) return whole;
   const { submittedAt, spec, tasks } = parseJobRecord(stored);
   const short = { s: CANCELLED, t: submittedAt, n: tasks };
   return spec === null ? short : { ...short, sp: { ...spec, types: null } };
