--- a/packages/controller/src/state/cluster-state.ts
+++ b/packages/controller/src/state/cluster-state.ts
@@ -12,7 +12,7 @@
 import { parseImageCache, type StoredImage } from './image-cache-record.js';
 import type { FinalState } from './job-record.js';
 import { JobRegistry } from './job-registry.js';
-import { StateKey } from './keys.js';
+import { parseStateKey, StateKey } from './keys.js';
 import { type LeaseHolder, parseLeaseHolder } from './lease-record.js';
 import { encodedBytes, type StateSizeLimits, stateSizeLimits } from './limits.js';
 import { type MachineTypesPart, parseMachineTypesPart, parseMachineTypesRecord } from './machine-types-record.js';
@@ -22,8 +22,6 @@
 /** Most images of a machine that are stored. */
 const MOST_IMAGES = 30;
 
-const TYPES_PARTS = `${StateKey.machineTypes}/`;
-
 /** Spreads teams over the shares, largest guarantees first, onto the share with the least. */
 export function assignTeamsToShards(settings: ControllerSettings): number[] {
   const load = new Array<number>(settings.shardCount).fill(0);
@@ -135,40 +133,68 @@
     );
   }
 
-  /** Applies one key. Returns the job or machine that it concerns. */
+  /** Applies one key. Returns what it concerns. Throws on a record that can't be read. */
   apply(key: string, entry: ReplicaEntry | null, now: Milliseconds): AppliedChange {
-    const kind = key.slice(2, 4);
-    if (kind === 'h/') {
-      const name = key.slice(4);
-      if (entry) this.leaseHolders.set(name, { holder: parseLeaseHolder(entry.value), revision: entry.revision });
-      else this.leaseHolders.delete(name);
-      return { lease: name };
-    }
-    if (kind === 'n/') {
-      if (entry) this.absentSince.delete(key.slice(4));
-      else this.absentSince.set(key.slice(4), now);
+    const { kind, name } = parseStateKey(key);
+    switch (kind) {
+      case 'shardLease':
+        return this.applyLease(name, entry);
+      case 'presence':
+        return this.applyPresence(name, entry, now);
+      case 'job':
+        return this.jobRegistry.applyRecord(name, entry, now);
+      case 'progress':
+        return this.jobRegistry.applyProgress(name, entry);
+      case 'jobPart':
+        return this.jobRegistry.applyPart(name, entry, now);
+      case 'assignment':
+        return this.applyAssignment(name, entry, now);
+      case 'imageCache':
+        return this.applyImageCache(name, entry);
+      case 'machineTypes':
+        return this.applyMachineTypes(entry);
+      case 'machineTypesPart':
+        return this.applyMachineTypesPart(name, entry);
+      case 'other':
+        return {};
+      default:
+        return kind satisfies never;
     }
-    if (kind === 'j/') return this.jobRegistry.applyRecord(key.slice(4), entry, now);
-    if (kind === 'p/') return this.jobRegistry.applyProgress(key.slice(4), entry);
-    if (kind === 'x/') return this.jobRegistry.applyPart(key.slice(4), entry, now);
-    if (kind === 'g/') return this.applyAssignment(key.slice(4), entry, now);
-    if (kind === 'c/') {
-      if (entry) this.storedImages.set(key.slice(4), parseImageCache(entry.value));
-      else this.storedImages.delete(key.slice(4));
-    }
-    if (key === StateKey.machineTypes && entry) this.setMachineTypes(parseMachineTypesRecord(entry.value));
-    else if (key.startsWith(TYPES_PARTS) && entry) this.applyMachineTypesPart(key, entry.value);
+  }
+
+  private applyLease(name: string, entry: ReplicaEntry | null): AppliedChange {
+    if (entry) this.leaseHolders.set(name, { holder: parseLeaseHolder(entry.value), revision: entry.revision });
+    else this.leaseHolders.delete(name);
+    return { lease: name };
+  }
+
+  private applyPresence(controller: string, entry: ReplicaEntry | null, now: Milliseconds): AppliedChange {
+    if (entry) this.absentSince.delete(controller);
+    else this.absentSince.set(controller, now);
+    return {};
+  }
+
+  private applyImageCache(machine: string, entry: ReplicaEntry | null): AppliedChange {
+    if (entry) this.storedImages.set(machine, parseImageCache(entry.value));
+    else this.storedImages.delete(machine);
+    return {};
+  }
+
+  private applyMachineTypes(entry: ReplicaEntry | null): AppliedChange {
+    if (entry) this.setMachineTypes(parseMachineTypesRecord(entry.value));
     return {};
   }
 
   private readonly machineTypesParts = new Map<string, MachineTypesPart>();
 
   /** The types are known once all parts of their list are. */
-  private applyMachineTypesPart(key: string, value: unknown): void {
-    const part = parseMachineTypesPart(value);
-    this.machineTypesParts.set(key, part);
+  private applyMachineTypesPart(name: string, entry: ReplicaEntry | null): AppliedChange {
+    if (!entry) return {};
+    const part = parseMachineTypesPart(entry.value);
+    this.machineTypesParts.set(name, part);
     const parts = [...this.machineTypesParts.values()];
     if (parts.length >= part.count && !this.machineTypesKnown) this.setMachineTypes(parts.flatMap((other) => other.list));
+    return {};
   }
 
   /** How soon a machine without accelerators can be there for the job. */
--- a/packages/controller/src/state/state-writer.ts
+++ b/packages/controller/src/state/state-writer.ts
@@ -1,6 +1,7 @@
 import { isDeepStrictEqual } from 'node:util';
 import type { CompareAndSwapOutcome, KeyWrite, RevisionCondition } from '@archpost/protocol';
 import { type Effect, type Milliseconds, NEVER } from '../model/index.js';
+import { keyKindLetter } from './keys.js';
 import { encodedBytes, type StateSizeLimits } from './limits.js';
 import type { Replica } from './replica.js';
 import { type PendingWrite, type QueuedWrite, WritePriority, WriteQueue } from './write-queue.js';
@@ -153,7 +154,7 @@
     batch.keys.add(write.key);
     for (const { key, revision } of conditionsOf(write)) batch.conditions.set(key, revision);
     batch.writes.push(write);
-    const kind = write.key.slice(2, 3);
+    const kind = keyKindLetter(write.key);
     this.sentByKind.set(kind, (this.sentByKind.get(kind) ?? 0) + 1);
   }
 
