--- a/packages/controller/src/state/cluster-state.ts
+++ b/packages/controller/src/state/cluster-state.ts
@@ -1,50 +1,24 @@
+/**
+ * The cluster state: a materialized view of what the state service's keys hold, in the shape that decisions use. Each kind of
+ * record has one owner (leases, machine types, machines, image caches, jobs, accelerator demand); this module makes the
+ * owners, routes each changed key to one of them, and is what other rooms ask.
+ */
 import type { JobSpec, MachineType } from '@archpost/protocol';
-import {
-  type ControllerSettings,
-  fits,
-  Job,
-  Machine,
-  type Milliseconds,
-  NameInterner,
-  UNASSIGNED_SHARD,
-} from '../model/index.js';
-import { type MachineAssignment, parseAssignment } from './assignment-record.js';
-import { parseImageCache, type StoredImage } from './image-cache-record.js';
+import { type ControllerSettings, Job, type Machine, type Milliseconds, NameInterner } from '../model/index.js';
+import type { MachineAssignment } from './assignment-record.js';
+import { type GpuDemand, GpuDemandHistory } from './gpu-demand-history.js';
+import type { StoredImage } from './image-cache-record.js';
+import { ImageCaches } from './image-caches.js';
 import type { FinalState } from './job-record.js';
 import { JobRegistry } from './job-registry.js';
-import { parseStateKey, StateKey } from './keys.js';
-import { type LeaseHolder, parseLeaseHolder } from './lease-record.js';
-import { encodedBytes, type StateSizeLimits, stateSizeLimits } from './limits.js';
-import { type MachineTypesPart, parseMachineTypesPart, parseMachineTypesRecord } from './machine-types-record.js';
+import { parseStateKey } from './keys.js';
+import { LeaseRegistry, type ShardLease } from './lease-registry.js';
+import { type StateSizeLimits, stateSizeLimits } from './limits.js';
+import { MachineRegistry } from './machine-registry.js';
+import { MachineTypeCatalog } from './machine-type-catalog.js';
 import { ProgressLayout } from './progress-layout.js';
 import type { ReplicaEntry } from './replica.js';
-
-/** Most images of a machine that are stored. */
-const MOST_IMAGES = 30;
-
-/** Spreads teams over the shares, largest guarantees first, onto the share with the least. */
-export function assignTeamsToShards(settings: ControllerSettings): number[] {
-  const load = new Array<number>(settings.shardCount).fill(0);
-  const result = new Array<number>(settings.teams.length).fill(0);
-  const order = settings.teams
-    .map((team, index) => ({ i: index, w: team.gpus + team.cpus / 8 + 0.5 }))
-    .sort((a, b) => b.w - a.w || a.i - b.i);
-  for (const { i: index, w: weight } of order) {
-    let best = 0;
-    for (let candidate = 1; candidate < load.length; candidate++)
-      if ((load[candidate] as number) < (load[best] as number)) best = candidate;
-    load[best] = (load[best] as number) + weight;
-    result[index] = best;
-  }
-  return result;
-}
-
-/** A shard's lease, or the leader's, as it is stored. */
-export interface ShardLease {
-  holder: LeaseHolder;
-  /** revision at which it was taken: the fencing token of its holder */
-  revision: number;
-}
+import { assignTeamsToShards } from './team-sharding.js';
 
 /** What one stored key concerns. */
 export interface AppliedChange {
@@ -57,25 +31,38 @@
   unreadablePart?: string;
 }
 
-/** What the state service's keys say, in the shape that decisions use. */
+/** The view of the stored records. The maps and sets that it exposes are those of their owners, to be read only. */
 export class ClusterState {
-  readonly machines = new Map<string, Machine>();
-  readonly leaseHolders = new Map<string, ShardLease>();
-  /** controllers whose state lease was seen to end, and when */
-  readonly absentSince = new Map<string, Milliseconds>();
   readonly typeNames = new NameInterner();
   readonly zoneNames = new NameInterner();
   readonly imageNames = new NameInterner();
   readonly teamNames = new NameInterner();
+  /** the shard of each team, by the team's index */
   readonly shardOfTeam: number[];
-  machineTypes: (MachineType | null)[] = [];
-  machineTypesKnown = false;
+  readonly sizeLimits: StateSizeLimits;
   readonly progressLayout: ProgressLayout;
-  private readonly jobRegistry: JobRegistry;
+  /** by name; those whose assignment is gone are not in it */
+  readonly machines: ReadonlyMap<string, Machine>;
+  /** by the shard's number as text, or `lead` */
+  readonly leaseHolders: ReadonlyMap<string, ShardLease>;
+  /** controllers whose presence was seen to end, and when */
+  readonly absentSince: Map<string, Milliseconds>;
+  /** by the index of the type's name; null or absent where only the name is known */
+  readonly machineTypes: readonly (MachineType | null)[];
+  /** the largest accelerator task seen that fits each type: what such a machine is wanted for */
+  readonly gpuDemandByType: ReadonlyMap<number, GpuDemand>;
+  /** shards whose teams have had accelerator work */
+  readonly shardsWithGpuWork: ReadonlySet<number>;
+  /** by id; those that are over stay until nothing of them is on any machine */
   readonly jobs: Map<string, Job>;
-  /** jobs that are over, in short, and those that are cancelled with one that they need */
-  readonly finishedJobs: Map<string, FinalState>;
-  readonly sizeLimits: StateSizeLimits;
+  /** how jobs ended, by id, also of those that were cancelled with one that they await */
+  readonly finishedJobs: ReadonlyMap<string, FinalState>;
+  private readonly leases = new LeaseRegistry();
+  private readonly catalog: MachineTypeCatalog;
+  private readonly machineRegistry: MachineRegistry;
+  private readonly imageCaches: ImageCaches;
+  private readonly gpuDemand: GpuDemandHistory;
+  private readonly jobRegistry: JobRegistry;
 
   constructor(readonly settings: ControllerSettings) {
     for (const team of settings.teams) this.teamNames.intern(team.name);
@@ -83,31 +70,38 @@
     this.shardOfTeam = assignTeamsToShards(settings);
     this.sizeLimits = stateSizeLimits(settings.state);
     this.progressLayout = new ProgressLayout(settings.state.valueKib, this.sizeLimits.maxWriteBytes);
+    this.catalog = new MachineTypeCatalog(this.typeNames);
+    this.imageCaches = new ImageCaches(this.imageNames, this.sizeLimits.maxWriteBytes);
+    const { typeNames, zoneNames, catalog, imageCaches } = this;
+    this.machineRegistry = new MachineRegistry({ typeNames, zoneNames, catalog, imageCaches });
+    this.gpuDemand = new GpuDemandHistory(this.catalog.types);
     this.jobRegistry = new JobRegistry(
-      (spec) => this.makeJob(spec),
+      (spec) => this.createJob(spec),
       (name) => this.typeNames.intern(name),
-      (job) => this.recordGpuDemand(job),
+      (job) => this.gpuDemand.record(job),
       this.progressLayout,
     );
+    this.machines = this.machineRegistry.machines;
+    this.leaseHolders = this.leases.leaseHolders;
+    this.absentSince = this.leases.absentSince;
+    this.machineTypes = this.catalog.types;
+    this.gpuDemandByType = this.gpuDemand.byType;
+    this.shardsWithGpuWork = this.gpuDemand.shardsWithGpuWork;
     this.jobs = this.jobRegistry.jobs;
     this.finishedJobs = this.jobRegistry.finishedJobs;
   }
 
-  setMachineTypes(list: MachineType[]): void {
-    for (const machineType of list) this.machineTypes[this.typeNames.intern(machineType.name)] = machineType;
-    this.machineTypesKnown = list.length > 0;
-    for (const machine of this.machines.values()) {
-      machine.capacity = this.machineTypes[machine.typeIndex] ?? machine.capacity;
-      machine.allocationsChanged();
-    }
+  /** A list of machine types was read, from the cloud or from what is stored. */
+  get machineTypesKnown(): boolean {
+    return this.catalog.isKnown;
   }
 
-  /** stamp of the newest cancellation that is known */
+  /** Revision of the newest cancellation that is known. */
   get cancellationRevision(): number {
     return this.jobRegistry.cancellationRevision;
   }
 
-  /** time of day less the steady clock, ms */
+  /** Time of day less the steady clock. */
   get wallClockOffsetMs(): Milliseconds {
     return this.jobRegistry.wallClockOffsetMs;
   }
@@ -116,31 +110,16 @@
     this.jobRegistry.wallClockOffsetMs = ms;
   }
 
-  /** The job that a machine names, by its record if it has left the table; null if there is none to run or to stop. */
-  restoreJob(id: string, record: ReplicaEntry | null, now: Milliseconds): Job | null {
-    return this.jobRegistry.restore(id, record, now);
-  }
-
-  private makeJob(spec: JobSpec): Job {
-    const team = this.teamNames.indexOf(spec.team);
-    return new Job(
-      spec,
-      team,
-      this.shardOfTeam[team] ?? 0,
-      spec.types === null ? null : spec.types.map((name) => this.typeNames.intern(name)),
-      spec.zone === null ? -1 : this.zoneNames.intern(spec.zone),
-      this.imageNames.intern(spec.image),
-    );
-  }
-
-  /** Applies one key. Returns what it concerns. Throws on a record that can't be read. */
+  /** Applies one key, which begins with the root. Returns what it concerns. Throws on a record that can't be read. */
   apply(key: string, entry: ReplicaEntry | null, now: Milliseconds): AppliedChange {
     const { kind, name } = parseStateKey(key);
     switch (kind) {
       case 'shardLease':
-        return this.applyLease(name, entry);
+        this.leases.applyLease(name, entry);
+        return { lease: name };
       case 'presence':
-        return this.applyPresence(name, entry, now);
+        this.leases.applyPresence(name, entry, now);
+        return {};
       case 'job':
         return this.jobRegistry.applyRecord(name, entry, now);
       case 'progress':
@@ -150,7 +129,8 @@
       case 'assignment':
         return this.applyAssignment(name, entry, now);
       case 'imageCache':
-        return this.applyImageCache(name, entry);
+        this.imageCaches.apply(name, entry);
+        return {};
       case 'machineTypes':
         return this.applyMachineTypes(entry);
       case 'machineTypesPart':
@@ -162,155 +142,81 @@
     }
   }
 
-  private applyLease(name: string, entry: ReplicaEntry | null): AppliedChange {
-    if (entry) this.leaseHolders.set(name, { holder: parseLeaseHolder(entry.value), revision: entry.revision });
-    else this.leaseHolders.delete(name);
-    return { lease: name };
-  }
-
-  private applyPresence(controller: string, entry: ReplicaEntry | null, now: Milliseconds): AppliedChange {
-    if (entry) this.absentSince.delete(controller);
-    else this.absentSince.set(controller, now);
-    return {};
+  /** Takes over the cloud's list of machine types. */
+  setMachineTypes(list: MachineType[]): void {
+    this.catalog.setTypes(list);
+    this.machineRegistry.refreshCapacities();
   }
 
-  private applyImageCache(machine: string, entry: ReplicaEntry | null): AppliedChange {
-    if (entry) this.storedImages.set(machine, parseImageCache(entry.value));
-    else this.storedImages.delete(machine);
-    return {};
+  /** How soon a new machine without accelerators can be up for the job; 0 if no type is known that would do. */
+  bootTimeFor(job: Job): Milliseconds {
+    return this.catalog.bootTimeFor(job);
   }
 
-  private applyMachineTypes(entry: ReplicaEntry | null): AppliedChange {
-    if (entry) this.setMachineTypes(parseMachineTypesRecord(entry.value));
-    return {};
+  /** Replaces the machine's images by those that are stored, least recently used first. */
+  restoreImages(machine: Machine): void {
+    this.imageCaches.restoreImages(machine);
   }
 
-  private readonly machineTypesParts = new Map<string, MachineTypesPart>();
-
-  /** The types are known once all parts of their list are. */
-  private applyMachineTypesPart(name: string, entry: ReplicaEntry | null): AppliedChange {
-    if (!entry) return {};
-    const part = parseMachineTypesPart(entry.value);
-    this.machineTypesParts.set(name, part);
-    const parts = [...this.machineTypesParts.values()];
-    if (parts.length >= part.count && !this.machineTypesKnown) this.setMachineTypes(parts.flatMap((other) => other.list));
-    return {};
+  /** The machine's most recently used images, as many as fit a stored value. */
+  imagesToStore(machine: Machine): StoredImage[] {
+    return this.imageCaches.imagesToStore(machine);
   }
 
-  /** How soon a machine without accelerators can be there for the job. */
-  bootTimeFor(job: Job): Milliseconds {
-    let bootS = Number.POSITIVE_INFINITY;
-    for (const machineType of this.machineTypes) {
-      if (
-        machineType &&
-        machineType.gpus === 0 &&
-        fits(job.resources, machineType) &&
-        (job.typeIndices === null || job.typeIndices.includes(this.typeNames.indexOf(machineType.name)))
-      )
-        bootS = Math.min(bootS, machineType.bootS);
-    }
-    return bootS === Number.POSITIVE_INFINITY ? 0 : bootS * 1000;
+  /** The record of the machine's assignment to its shard as it stands, neither to move nor to be released. */
+  assignmentOf(machine: Machine): MachineAssignment {
+    return this.machineRegistry.assignmentOf(machine);
   }
 
-  /** The largest accelerator task seen that fits each type: what such a machine is wanted for. */
-  readonly gpuDemandByType = new Map<number, { cpus: number; gpus: number; memory: number; rank: number }>();
-
-  /** shares whose teams have had work for accelerators */
-  readonly shardsWithGpuWork = new Set<number>();
-
-  private recordGpuDemand({ spec, shard, typeIndices: types }: Job): void {
-    if (spec.gpus <= 0) return;
-    this.shardsWithGpuWork.add(shard);
-    this.machineTypes.forEach((machineType, index) => {
-      if (!machineType || !fits(spec, machineType) || (types !== null && !types.includes(index))) return;
-      const old = this.gpuDemandByType.get(index);
-      this.gpuDemandByType.set(index, {
-        cpus: Math.max(old?.cpus ?? 0, spec.cpus),
-        gpus: Math.max(old?.gpus ?? 0, spec.gpus),
-        memory: Math.max(old?.memory ?? 0, spec.memory),
-        rank: Math.max(old?.rank ?? 0, spec.rank),
-      });
-    });
+  /** The lease of a shard or of the leader; null while nobody holds it. */
+  leaseOf(shard: number | 'lead'): ShardLease | null {
+    return this.leases.leaseOf(shard);
   }
 
-  private readonly storedImages = new Map<string, StoredImage[]>();
-
-  /** What is stored of the machine's images, oldest use first. */
-  restoreImages(machine: Machine): void {
-    machine.images.clear();
-    for (const [name, gb] of this.storedImages.get(machine.name) ?? []) machine.images.set(this.imageNames.intern(name), gb);
+  /**
+   * The fencing token for commands to the machine. Its agent obeys the largest that it has seen; the token rises at each
+   * takeover of the shard and at each rewrite of the assignment.
+   */
+  fencingToken(machine: Machine): number {
+    return Math.max(machine.assignmentRevision, this.leaseOf(machine.shard)?.revision ?? 0);
   }
 
-  /** The images used last, as many as fit a stored value. */
-  imagesToStore(machine: Machine): StoredImage[] {
-    const images = [...machine.images].slice(-MOST_IMAGES).map(([index, gb]): StoredImage => [this.imageNames.nameOf(index), gb]);
-    while (encodedBytes(StateKey.imageCache(machine.name), images) > this.sizeLimits.maxWriteBytes) images.shift();
-    return images;
+  /** The job with this id, from its record if it was forgotten; null if there is none to run or to stop. */
+  restoreJob(id: string, record: ReplicaEntry | null, now: Milliseconds): Job | null {
+    return this.jobRegistry.restore(id, record, now);
   }
 
-  private applyAssignment(name: string, entry: ReplicaEntry | null, now: Milliseconds): AppliedChange {
-    const old = this.machines.get(name);
-    if (!entry) {
-      if (old) {
-        old.shard = UNASSIGNED_SHARD;
-        this.machines.delete(name);
-        return { machine: old };
-      }
-      return {};
-    }
-    const assignment = parseAssignment(entry.value);
-    let machine = old;
-    let moved = false;
-    if (!machine) {
-      const type = this.typeNames.intern(assignment.type);
-      machine = new Machine(
-        name,
-        assignment.address,
-        type,
-        this.zoneNames.intern(assignment.zone),
-        assignment.spot,
-        this.machineTypes[type] ?? null,
-      );
-      machine.tenure.lastHeartbeatAt = now;
-      machine.idleSince = now;
-      this.machines.set(name, machine);
-    }
-    if (machine.shard !== assignment.shard) {
-      machine.shard = assignment.shard;
-      machine.tenure.isVerified = false;
-      moved = true;
-    }
-    if (moved) this.restoreImages(machine);
-    if (assignment.address) machine.address = assignment.address;
-    machine.assignmentRevision = entry.revision;
-    machine.moveToShard = assignment.moveToShard;
-    machine.isRetired = assignment.isRetired;
-    return { machine, movedShard: moved };
+  /** Forgets the job if it is over and nothing of it is on any machine. */
+  forgetIfFinished(job: Job): void {
+    this.jobRegistry.forgetIfFinished(job);
   }
 
-  /** The machine's grant to its share, with nothing else wanted of it. */
-  assignmentOf(machine: Machine): MachineAssignment {
-    return {
-      shard: machine.shard,
-      address: machine.address,
-      type: this.typeNames.nameOf(machine.typeIndex),
-      zone: this.zoneNames.nameOf(machine.zoneIndex),
-      spot: machine.spot,
-      moveToShard: null,
-      isRetired: false,
-    };
+  private createJob(spec: JobSpec): Job {
+    const team = this.teamNames.indexOf(spec.team);
+    return new Job(
+      spec,
+      team,
+      this.shardOfTeam[team] ?? 0,
+      spec.types === null ? null : spec.types.map((name) => this.typeNames.intern(name)),
+      spec.zone === null ? -1 : this.zoneNames.intern(spec.zone),
+      this.imageNames.intern(spec.image),
+    );
   }
 
-  leaseOf(shard: number | 'lead'): ShardLease | null {
-    return this.leaseHolders.get(String(shard)) ?? null;
+  private applyAssignment(name: string, entry: ReplicaEntry | null, now: Milliseconds): AppliedChange {
+    const change = this.machineRegistry.applyAssignment(name, entry, now);
+    return change === null ? {} : { machine: change.machine, movedShard: change.isShardChanged };
   }
 
-  /** A worker obeys the largest token it has seen: this rises at each takeover and each grant. */
-  fencingToken(machine: Machine): number {
-    return Math.max(machine.assignmentRevision, this.leaseOf(machine.shard)?.revision ?? 0);
+  private applyMachineTypes(entry: ReplicaEntry | null): AppliedChange {
+    if (!entry) return {};
+    this.catalog.applyStoredList(entry.value);
+    this.machineRegistry.refreshCapacities();
+    return {};
   }
 
-  forgetIfFinished(job: Job): void {
-    this.jobRegistry.forgetIfFinished(job);
+  private applyMachineTypesPart(name: string, entry: ReplicaEntry | null): AppliedChange {
+    if (entry && this.catalog.applyStoredPart(name, entry.value)) this.machineRegistry.refreshCapacities();
+    return {};
   }
 }
--- /dev/null
+++ b/packages/controller/src/state/machine-registry.ts
@@ -0,0 +1,89 @@
+/**
+ * The machines that have an assignment to a shard. Owns the table of machines, and of each machine what is stored of it: its
+ * shard, its address, the assignment's revision, and whether it is to move or to be released.
+ */
+import { Machine, type Milliseconds, type NameInterner, UNASSIGNED_SHARD } from '../model/index.js';
+import { type MachineAssignment, parseAssignment } from './assignment-record.js';
+import type { ImageCaches } from './image-caches.js';
+import type { MachineTypeCatalog } from './machine-type-catalog.js';
+import type { ReplicaEntry } from './replica.js';
+
+/** A machine whose assignment was set or removed. */
+export interface MachineChange {
+  machine: Machine;
+  /** it belongs to another shard than before; not set for a machine whose assignment was removed */
+  isShardChanged: boolean;
+}
+
+/** What a machine is made from and restored by. */
+export interface MachineRegistryParts {
+  typeNames: NameInterner;
+  zoneNames: NameInterner;
+  catalog: MachineTypeCatalog;
+  imageCaches: ImageCaches;
+}
+
+/** The machines, by name. */
+export class MachineRegistry {
+  readonly machines = new Map<string, Machine>();
+
+  constructor(private readonly parts: MachineRegistryParts) {}
+
+  /** Applies a machine's assignment. Null: a machine that wasn't known is gone. Throws on what is no assignment. */
+  applyAssignment(name: string, entry: ReplicaEntry | null, now: Milliseconds): MachineChange | null {
+    if (!entry) return this.remove(name);
+    const assignment = parseAssignment(entry.value);
+    const machine = this.machines.get(name) ?? this.create(name, assignment, now);
+    const isShardChanged = machine.shard !== assignment.shard;
+    if (isShardChanged) {
+      machine.shard = assignment.shard;
+      machine.tenure.isVerified = false;
+      this.parts.imageCaches.restoreImages(machine);
+    }
+    if (assignment.address) machine.address = assignment.address;
+    machine.assignmentRevision = entry.revision;
+    machine.moveToShard = assignment.moveToShard;
+    machine.isRetired = assignment.isRetired;
+    return { machine, isShardChanged };
+  }
+
+  /** The record of the machine's assignment to its shard as it stands, neither to move nor to be released. */
+  assignmentOf(machine: Machine): MachineAssignment {
+    return {
+      shard: machine.shard,
+      address: machine.address,
+      type: this.parts.typeNames.nameOf(machine.typeIndex),
+      zone: this.parts.zoneNames.nameOf(machine.zoneIndex),
+      spot: machine.spot,
+      moveToShard: null,
+      isRetired: false,
+    };
+  }
+
+  /** To be called when the catalog has changed. A machine whose type isn't in it keeps the capacity that it has. */
+  refreshCapacities(): void {
+    for (const machine of this.machines.values()) {
+      machine.capacity = this.parts.catalog.types[machine.typeIndex] ?? machine.capacity;
+      machine.allocationsChanged();
+    }
+  }
+
+  private create(name: string, assignment: MachineAssignment, now: Milliseconds): Machine {
+    const typeIndex = this.parts.typeNames.intern(assignment.type);
+    const zoneIndex = this.parts.zoneNames.intern(assignment.zone);
+    const capacity = this.parts.catalog.types[typeIndex] ?? null;
+    const machine = new Machine(name, assignment.address, typeIndex, zoneIndex, assignment.spot, capacity);
+    machine.tenure.lastHeartbeatAt = now;
+    machine.idleSince = now;
+    this.machines.set(name, machine);
+    return machine;
+  }
+
+  private remove(name: string): MachineChange | null {
+    const machine = this.machines.get(name);
+    if (!machine) return null;
+    machine.shard = UNASSIGNED_SHARD;
+    this.machines.delete(name);
+    return { machine, isShardChanged: false };
+  }
+}
