--- a/packages/controller/src/scheduling/machine-scoring.ts
+++ b/packages/controller/src/scheduling/machine-scoring.ts
@@ -115,7 +115,7 @@
     if (!capacity) return true;
     const gpuDemand = this.context.clusterState.gpuDemandByType.get(free.machine.typeIndex);
     // Where no more are to be had and what needs them outranks this, it does no harm there.
-    if (!gpuDemand || (gpuDemand.rank > job.priority && !this.context.isTypeAvailable(capacity.name))) return true;
+    if (!gpuDemand || (gpuDemand.priority > job.priority && !this.context.isTypeAvailable(capacity.name))) return true;
     let cpus = job.spec.cpus;
     for (const allocation of free.machine.tenure.allocations.values())
       if (allocation.phase !== 'exited' && allocation.job.spec.gpus === 0) cpus += allocation.job.spec.cpus;
@@ -158,7 +158,7 @@
       return this.isKeptBusy(machine) ? (job.spec.shape === 'service' ? 1.5 : 0) : 20;
     }
     if (job.spec.shape === 'service' && this.isDedicatedToServices(machine)) return 2;
-    return job.priority < gpuDemand.rank ? 8 : 40;
+    return job.priority < gpuDemand.priority ? 8 : 40;
   }
 
   /** Bears work for accelerators, or is full of services. */
--- a/packages/controller/src/state/gpu-demand-history.ts
+++ b/packages/controller/src/state/gpu-demand-history.ts
@@ -7,7 +7,7 @@
 
 /** The largest amounts, and the highest priority, among the accelerator tasks that fit a machine type. */
 export interface GpuDemand extends Resources {
-  rank: number;
+  priority: number;
 }
 
 /** The demand for accelerators so far. */
@@ -36,6 +36,6 @@
     cpus: Math.max(known?.cpus ?? 0, spec.cpus),
     gpus: Math.max(known?.gpus ?? 0, spec.gpus),
     memory: Math.max(known?.memory ?? 0, spec.memory),
-    rank: Math.max(known?.rank ?? 0, spec.rank),
+    priority: Math.max(known?.priority ?? 0, spec.rank),
   };
 }
