--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -59,6 +59,8 @@
   encodedBytes,
   encodeMachineTypes,
   encodeMachineTypesParts,
+  type JobsChange,
+  type MachineChange,
   parseStatus,
   ReadBarriers,
   Replica,
@@ -230,17 +232,32 @@
     if (key.startsWith(StateKey.status('')) && entry) this.receiveStoredStatus(entry.value);
     const applied = this.applyChange(key, entry);
     if (!applied) return;
-    if (applied.lease !== undefined) this.shardLeases.leaseChanged(applied.lease);
-    if (applied.machine) {
-      if (applied.machine.shard < 0) {
-        this.leader.machineRemoved(applied.machine.name, this.now);
-        this.leader.autoscaler.capacityFreed(applied.machine, this.now);
-      }
-      this.shardController.machineChanged(applied.machine, applied.movedShard === true, this.now);
+    switch (applied.kind) {
+      case 'none':
+        return;
+      case 'lease':
+        return this.shardLeases.leaseChanged(applied.lease);
+      case 'machine':
+        return this.machineChanged(applied);
+      case 'jobs':
+        return this.jobsChanged(key, applied);
+      default:
+        applied satisfies never;
     }
-    if (applied.unreadablePart)
-      this.log('warn', 'unreadable stored record', { key, error: `${applied.unreadablePart} can not be read` });
-    for (const job of applied.jobs ?? []) this.shardController.jobChanged(job);
+  }
+
+  private machineChanged({ machine, isShardChanged }: MachineChange): void {
+    if (machine.shard < 0) {
+      this.leader.machineRemoved(machine.name, this.now);
+      this.leader.autoscaler.capacityFreed(machine, this.now);
+    }
+    this.shardController.machineChanged(machine, isShardChanged, this.now);
+  }
+
+  private jobsChanged(key: string, { jobs, unreadablePart }: JobsChange): void {
+    if (unreadablePart !== null)
+      this.log('warn', 'unreadable stored record', { key, error: `${unreadablePart} can not be read` });
+    for (const job of jobs) this.shardController.jobChanged(job);
   }
 
   /** One record that can't be read, of another version say, must not keep the rest from being read. */
--- a/packages/controller/src/state/cluster-state.ts
+++ b/packages/controller/src/state/cluster-state.ts
@@ -10,27 +10,28 @@
 import type { StoredImage } from './image-cache-record.js';
 import { ImageCaches } from './image-caches.js';
 import type { FinalState } from './job-record.js';
-import { JobRegistry } from './job-registry.js';
+import { JobRegistry, type JobsChange } from './job-registry.js';
 import { parseStateKey } from './keys.js';
 import { LeaseRegistry, type ShardLease } from './lease-registry.js';
 import { type StateSizeLimits, stateSizeLimits } from './limits.js';
-import { MachineRegistry } from './machine-registry.js';
+import { type MachineChange, MachineRegistry } from './machine-registry.js';
 import { MachineTypeCatalog } from './machine-type-catalog.js';
 import { ProgressLayout } from './progress-layout.js';
 import type { ReplicaEntry } from './replica.js';
 import { assignTeamsToShards } from './team-sharding.js';
 
-/** What one stored key concerns. */
-export interface AppliedChange {
-  /** the job itself first, then others that are released or cancelled with it */
-  jobs?: Job[];
-  machine?: Machine;
-  movedShard?: boolean;
-  lease?: string;
-  /** a part of the record that can't be read, though the rest can */
-  unreadablePart?: string;
+/** What one changed key concerns. `none`: nothing that anyone is told of. */
+export type AppliedChange = { kind: 'none' } | LeaseChange | MachineChange | JobsChange;
+
+/** The lease of a shard, or the leader's, changed its holder. */
+export interface LeaseChange {
+  kind: 'lease';
+  /** the shard's number as text, or `lead` */
+  lease: string;
 }
 
+const NO_CHANGE: AppliedChange = { kind: 'none' };
+
 /** The view of the stored records. The maps and sets that it exposes are those of their owners, to be read only. */
 export class ClusterState {
   readonly typeNames = new NameInterner();
@@ -116,10 +117,10 @@
     switch (kind) {
       case 'shardLease':
         this.leases.applyLease(name, entry);
-        return { lease: name };
+        return { kind: 'lease', lease: name };
       case 'presence':
         this.leases.applyPresence(name, entry, now);
-        return {};
+        return NO_CHANGE;
       case 'job':
         return this.jobRegistry.applyRecord(name, entry, now);
       case 'progress':
@@ -127,16 +128,16 @@
       case 'jobPart':
         return this.jobRegistry.applyPart(name, entry, now);
       case 'assignment':
-        return this.applyAssignment(name, entry, now);
+        return this.machineRegistry.applyAssignment(name, entry, now) ?? NO_CHANGE;
       case 'imageCache':
         this.imageCaches.apply(name, entry);
-        return {};
+        return NO_CHANGE;
       case 'machineTypes':
         return this.applyMachineTypes(entry);
       case 'machineTypesPart':
         return this.applyMachineTypesPart(name, entry);
       case 'other':
-        return {};
+        return NO_CHANGE;
       default:
         return kind satisfies never;
     }
@@ -203,20 +204,15 @@
     );
   }
 
-  private applyAssignment(name: string, entry: ReplicaEntry | null, now: Milliseconds): AppliedChange {
-    const change = this.machineRegistry.applyAssignment(name, entry, now);
-    return change === null ? {} : { machine: change.machine, movedShard: change.isShardChanged };
-  }
-
   private applyMachineTypes(entry: ReplicaEntry | null): AppliedChange {
-    if (!entry) return {};
+    if (!entry) return NO_CHANGE;
     this.catalog.applyStoredList(entry.value);
     this.machineRegistry.refreshCapacities();
-    return {};
+    return NO_CHANGE;
   }
 
   private applyMachineTypesPart(name: string, entry: ReplicaEntry | null): AppliedChange {
     if (entry && this.catalog.applyStoredPart(name, entry.value)) this.machineRegistry.refreshCapacities();
-    return {};
+    return NO_CHANGE;
   }
 }
--- a/packages/controller/src/state/job-registry.ts
+++ b/packages/controller/src/state/job-registry.ts
@@ -9,15 +9,20 @@
 import type { ProgressLayout, StoredProgress } from './progress-layout.js';
 import type { ReplicaEntry } from './replica.js';
 
-/** What a key of a job changes. */
-export interface JobRecordChanges {
+/** Jobs changed with one key. */
+export interface JobsChange {
+  kind: 'jobs';
   /** the key's own job first, then others that are released or cancelled with it */
   jobs: Job[];
-  /** what of the record can't be read, though the rest can */
-  unreadablePart?: string;
+  /** what of the record can't be read, though the rest can; null: all can */
+  unreadablePart: string | null;
 }
 
-const NOTHING: JobRecordChanges = { jobs: [] };
+const NO_JOBS: JobsChange = { kind: 'jobs', jobs: [], unreadablePart: null };
+
+function jobsChange(jobs: Job[], unreadablePart: string | null = null): JobsChange {
+  return { kind: 'jobs', jobs, unreadablePart };
+}
 
 /** A part's key below its prefix: job and group, and the part's number. */
 const PART_NAME = /^([^/]+\/[^/]+)\/(\d+)$/;
@@ -54,13 +59,13 @@
 
   // ---- records
 
-  applyRecord(id: string, entry: ReplicaEntry | null, now: Milliseconds): JobRecordChanges {
-    if (!entry) return NOTHING;
+  applyRecord(id: string, entry: ReplicaEntry | null, now: Milliseconds): JobsChange {
+    if (!entry) return NO_JOBS;
     const stored = parseJobRecord(entry.value);
     const others = stored.state === 'live' ? [] : this.applyFinalState(id, stored.state, stored.endedAt, entry.revision, now);
     const known = this.jobs.get(id);
     // Of a finished job nothing is left to do; of a cancelled one there may be tasks to stop.
-    if (!known && (stored.spec === null || stored.state === 'done')) return { jobs: others };
+    if (!known && (stored.spec === null || stored.state === 'done')) return jobsChange(others);
     const job = known ?? this.register(stored.spec as JobSpec, stored, now, others);
     job.modRevision = entry.revision;
     if (stored.state !== 'live') {
@@ -70,7 +75,7 @@
     if (!known && !job.isBlocked) this.onStartable(job);
     for (const other of [job, ...others]) this.recordCancellationTime(other, now);
     const jobs = [job, ...others.filter((other) => other !== job)];
-    return stored.awaits === null ? { jobs, unreadablePart: 'the list of awaited jobs' } : { jobs };
+    return jobsChange(jobs, stored.awaits === null ? 'the list of awaited jobs' : null);
   }
 
   /**
@@ -167,21 +172,21 @@
     return cancelled;
   }
 
-  applyPart(key: string, entry: ReplicaEntry | null, now: Milliseconds): JobRecordChanges {
+  applyPart(key: string, entry: ReplicaEntry | null, now: Milliseconds): JobsChange {
     const [, name, number] = PART_NAME.exec(key) ?? [];
-    if (!entry || name === undefined) return NOTHING;
+    if (!entry || name === undefined) return NO_JOBS;
     const part = parseJobPart(entry.value);
     const index = Number(number);
     const job = this.incompleteRecords.get(name)?.job;
     if (job) {
       const cancelled = this.mergePart(name, index, part, now);
-      return { jobs: [job, ...cancelled.filter((other) => other !== job)] };
+      return jobsChange([job, ...cancelled.filter((other) => other !== job)]);
     }
     const id = name.slice(0, name.indexOf('/'));
-    if (this.jobs.has(id) || this.finishedJobs.has(id)) return NOTHING;
+    if (this.jobs.has(id) || this.finishedJobs.has(id)) return NO_JOBS;
     const early = this.partsReadEarly.get(name) ?? new Map<number, JobPart>();
     this.partsReadEarly.set(name, early.set(index, part));
-    return NOTHING;
+    return NO_JOBS;
   }
 
   private mergePart(name: string, index: number, part: JobPart, now: Milliseconds): Job[] {
@@ -204,8 +209,8 @@
 
   // ---- progress
 
-  applyProgress(key: string, entry: ReplicaEntry | null): JobRecordChanges {
-    if (!entry) return NOTHING;
+  applyProgress(key: string, entry: ReplicaEntry | null): JobsChange {
+    if (!entry) return NO_JOBS;
     const cut = key.lastIndexOf('/');
     const id = key.slice(0, cut);
     const part = key.slice(cut + 1);
@@ -214,12 +219,12 @@
     const job = this.jobs.get(id);
     if (job) {
       this.mergeProgress(job, progress);
-      return { jobs: [job] };
+      return jobsChange([job]);
     }
-    if (this.finishedJobs.has(id)) return NOTHING;
+    if (this.finishedJobs.has(id)) return NO_JOBS;
     const early = this.progressReadEarly.get(id) ?? new Map<string, StoredProgress>();
     this.progressReadEarly.set(id, early.set(part, progress));
-    return NOTHING;
+    return NO_JOBS;
   }
 
   private mergeProgress(job: Job, progress: StoredProgress): void {
--- a/packages/controller/src/state/machine-registry.ts
+++ b/packages/controller/src/state/machine-registry.ts
@@ -8,8 +8,9 @@
 import type { MachineTypeCatalog } from './machine-type-catalog.js';
 import type { ReplicaEntry } from './replica.js';
 
-/** A machine whose assignment was set or removed. */
+/** A machine's assignment was set or removed. */
 export interface MachineChange {
+  kind: 'machine';
   machine: Machine;
   /** it belongs to another shard than before; not set for a machine whose assignment was removed */
   isShardChanged: boolean;
@@ -44,7 +45,7 @@
     machine.assignmentRevision = entry.revision;
     machine.moveToShard = assignment.moveToShard;
     machine.isRetired = assignment.isRetired;
-    return { machine, isShardChanged };
+    return { kind: 'machine', machine, isShardChanged };
   }
 
   /** The record of the machine's assignment to its shard as it stands, neither to move nor to be released. */
@@ -84,6 +85,6 @@
     if (!machine) return null;
     machine.shard = UNASSIGNED_SHARD;
     this.machines.delete(name);
-    return { machine, isShardChanged: false };
+    return { kind: 'machine', machine, isShardChanged: false };
   }
 }
