--- a/packages/controller/src/state/cluster-state.ts
+++ b/packages/controller/src/state/cluster-state.ts
@@ -10,7 +10,7 @@
 import type { StoredImage } from './image-cache-record.js';
 import { ImageCaches } from './image-caches.js';
 import type { FinalState } from './job-record.js';
-import { JobRegistry, type JobsChange } from './job-registry.js';
+import { JobRegistry, type JobRegistryHost, type JobsChange } from './job-registry.js';
 import { parseStateKey } from './keys.js';
 import { LeaseRegistry, type ShardLease } from './lease-registry.js';
 import { type StateSizeLimits, stateSizeLimits } from './limits.js';
@@ -76,12 +76,12 @@
     const { typeNames, zoneNames, catalog, imageCaches } = this;
     this.machineRegistry = new MachineRegistry({ typeNames, zoneNames, catalog, imageCaches });
     this.gpuDemand = new GpuDemandHistory(this.catalog.types);
-    this.jobRegistry = new JobRegistry(
-      (spec) => this.createJob(spec),
-      (name) => this.typeNames.intern(name),
-      (job) => this.gpuDemand.record(job),
-      this.progressLayout,
-    );
+    const jobHost: JobRegistryHost = {
+      createJob: (spec) => this.createJob(spec),
+      internTypeName: (name) => this.typeNames.intern(name),
+      jobStartable: (job) => this.gpuDemand.record(job),
+    };
+    this.jobRegistry = new JobRegistry(jobHost, this.progressLayout);
     this.machines = this.machineRegistry.machines;
     this.leaseHolders = this.leases.leaseHolders;
     this.absentSince = this.leases.absentSince;
--- a/packages/controller/src/state/job-registry.ts
+++ b/packages/controller/src/state/job-registry.ts
@@ -1,6 +1,6 @@
 /**
- * The jobs that the state service's keys tell of: their records, the parts of records that outgrew a value,
- * their completed tasks, and which awaits which.
+ * The jobs that the state service's keys describe. Owns the table of jobs, how jobs ended, and what was read before the record
+ * that it belongs to: parts of records that outgrew a value, and progress. Which job awaits which is JobDependencies' part.
  */
 import type { JobSpec } from '@archpost/protocol';
 import type { Job, Milliseconds } from '../model/index.js';
@@ -25,40 +25,50 @@
 }
 
 /** A part's key below its prefix: job and group, and the part's number. */
-const PART_NAME = /^([^/]+\/[^/]+)\/(\d+)$/;
+const PART_KEY = /^([^/]+\/[^/]+)\/(\d+)$/;
 
-/** A job some of whose parts were not read yet. */
+/** A job some of whose parts weren't read yet. */
 interface IncompleteRecord {
   job: Job;
   missingParts: Set<number>;
 }
 
+/** What the registry needs of the cluster state that it is part of. */
+export interface JobRegistryHost {
+  createJob(spec: JobSpec): Job;
+  /** the dense index of a machine type's name */
+  internTypeName(name: string): number;
+  /** Called when nothing is left that a job awaits; a second call for the same job changes nothing. */
+  jobStartable(job: Job): void;
+}
+
+/** The jobs, by id, as their stored records describe them. */
 export class JobRegistry {
   readonly jobs = new Map<string, Job>();
-  /** jobs that are over, in short, and those that are cancelled with one that they need */
+  /** how jobs ended, also of those that were cancelled with one that they await */
   readonly finishedJobs = new Map<string, FinalState>();
-  /** stamp of the newest cancellation that is known */
+  /** revision of the newest cancellation that is known */
   cancellationRevision = 0;
-  /** time of day less the steady clock, ms */
+  /** time of day less the steady clock */
   wallClockOffsetMs: Milliseconds = 0;
   private readonly dependencies = new JobDependencies(this.jobs, this.finishedJobs);
+  /** by job and group */
   private readonly incompleteRecords = new Map<string, IncompleteRecord>();
-  /** parts and progress that were read before the job's record */
+  /** parts that were read before the job's record, by job and group, then by number */
   private readonly partsReadEarly = new Map<string, Map<number, JobPart>>();
+  /** progress that was read before the job's record, by job, then by the name of the progress part */
   private readonly progressReadEarly = new Map<string, Map<string, StoredProgress>>();
-  /** when each cancellation was first read here, also of jobs that have left the table */
+  /** when each cancellation was first read here, also of jobs that were forgotten since */
   private readonly cancellationReadAt = new Map<string, Milliseconds>();
 
   constructor(
-    private readonly makeJob: (spec: JobSpec) => Job,
-    private readonly typeIndex: (name: string) => number,
-    /** called when nothing is left that a job awaits; a second call for it changes nothing */
-    private readonly onStartable: (job: Job) => void,
-    private readonly progress: ProgressLayout,
+    private readonly host: JobRegistryHost,
+    private readonly progressLayout: ProgressLayout,
   ) {}
 
   // ---- records
 
+  /** Applies a job's record. Throws on what is no job record; the removal of a record changes nothing. */
   applyRecord(id: string, entry: ReplicaEntry | null, now: Milliseconds): JobsChange {
     if (!entry) return NO_JOBS;
     const stored = parseJobRecord(entry.value);
@@ -72,37 +82,39 @@
       job.state = stored.state;
       this.dependencies.unlink(job);
     }
-    if (!known && !job.isBlocked) this.onStartable(job);
+    if (!known && !job.isBlocked) this.host.jobStartable(job);
     for (const other of [job, ...others]) this.recordCancellationTime(other, now);
     const jobs = [job, ...others.filter((other) => other !== job)];
     return jobsChange(jobs, stored.awaits === null ? 'the list of awaited jobs' : null);
   }
 
-  /**
-   * The job that a machine names. One that has left the table comes back by its record, as it did first; null if
-   * there is none to run or to stop.
-   */
+  /** The job with this id, from its record if it was forgotten; null if there is none to run or to stop. */
   restore(id: string, entry: ReplicaEntry | null, now: Milliseconds): Job | null {
     const known = this.jobs.get(id);
     if (known || !entry) return known ?? null;
     try {
       this.applyRecord(id, entry, now);
     } catch {
-      // It was logged when it was read first; what it bears is stopped like anything unknown.
+      // Whatever is wrong with the record was logged when it was read first; its tasks are stopped like those of an unknown job.
     }
     return this.jobs.get(id) ?? null;
   }
 
+  /** Forgets the job if it is over and nothing of it is on any machine. */
+  forgetIfFinished(job: Job): void {
+    if (job.state !== 'live' && job.tenure.allocations.size === 0) this.jobs.delete(job.spec.id);
+  }
+
   /**
    * The only way into the table. The job is in it only once all that its record says is known of it: what it
    * awaits, and whether it is over. What is cancelled by that is added to `others`.
    */
   private register(spec: JobSpec, stored: StoredJob, now: Milliseconds, others: Job[]): Job {
-    const job = this.makeJob(spec);
+    const job = this.host.createJob(spec);
     job.arrivedAt = now;
     job.setSubmittedAt(stored.submittedAt);
-    const final = this.finishedJobs.get(spec.id);
-    if (final) job.state = final;
+    const finalState = this.finishedJobs.get(spec.id);
+    if (finalState) job.state = finalState;
     else others.push(...this.applyRecordLists(job, stored, now));
     this.jobs.set(spec.id, job);
     for (const progress of this.progressReadEarly.get(spec.id)?.values() ?? []) this.mergeProgress(job, progress);
@@ -113,15 +125,15 @@
   /** A job is over. Returns those that awaited it and are released or cancelled by that. */
   private applyFinalState(
     id: string,
-    final: FinalState,
+    finalState: FinalState,
     endedAt: Milliseconds | null,
     revision: number,
     now: Milliseconds,
   ): Job[] {
-    if (final === 'cancelled') this.cancellationRevision = Math.max(this.cancellationRevision, revision);
-    this.finishedJobs.set(id, final);
+    if (finalState === 'cancelled') this.cancellationRevision = Math.max(this.cancellationRevision, revision);
+    this.finishedJobs.set(id, finalState);
     this.progressReadEarly.delete(id);
-    const { released, cancelled } = this.dependencies.jobFinished(id, final, endedAt);
+    const { released, cancelled } = this.dependencies.jobFinished(id, finalState, endedAt);
     for (const job of released) this.release(job, now);
     for (const job of cancelled) this.recordCancellationTime(job, now);
     return [...released, ...cancelled];
@@ -129,15 +141,15 @@
 
   private release(job: Job, now: Milliseconds): void {
     this.restartWaitingTime(job, now);
-    this.onStartable(job);
+    this.host.jobStartable(job);
   }
 
-  /** Its times count from the moment when the last job that it needs was done, whoever saw that. */
+  /** Its waiting time counts from the moment when the last job that it awaited was done, whoever saw that. */
   private restartWaitingTime(job: Job, now: Milliseconds): void {
     job.arrivedAt = job.dependenciesDoneAt > 0 ? Math.min(now, job.dependenciesDoneAt - this.wallClockOffsetMs) : now;
   }
 
-  /** Its time to be gone counts from the first reading of its cancellation, whoever finds a task of it later. */
+  /** The time within which a cancelled job must be gone counts from the first reading of its cancellation here. */
   private recordCancellationTime(job: Job, now: Milliseconds): void {
     if (job.state !== 'cancelled') return;
     const readAt = this.cancellationReadAt.get(job.spec.id) ?? now;
@@ -160,48 +172,49 @@
     return [];
   }
 
-  private expectParts(job: Job, name: string, count: number, now: Milliseconds): Job[] {
-    const left = new Set<number>();
-    for (let index = 0; index < count; index++) left.add(index);
-    job.missingRecordParts = left.size;
-    this.incompleteRecords.set(name, { job, missingParts: left });
-    const early = this.partsReadEarly.get(name) ?? new Map<number, JobPart>();
-    this.partsReadEarly.delete(name);
+  /** The job stays blocked until all its parts are read. Returns what is cancelled by those that were read before. */
+  private expectParts(job: Job, groupKey: string, count: number, now: Milliseconds): Job[] {
+    const missingParts = new Set<number>();
+    for (let index = 0; index < count; index++) missingParts.add(index);
+    job.missingRecordParts = missingParts.size;
+    this.incompleteRecords.set(groupKey, { job, missingParts });
+    const early = this.partsReadEarly.get(groupKey) ?? new Map<number, JobPart>();
+    this.partsReadEarly.delete(groupKey);
     const cancelled: Job[] = [];
-    for (const [index, part] of early) cancelled.push(...this.mergePart(name, index, part, now));
+    for (const [index, part] of early) cancelled.push(...this.mergePart(groupKey, index, part, now));
     return cancelled;
   }
 
+  /** Applies a part of a job's lists; `key` is job, group and number. Throws on what is no part. */
   applyPart(key: string, entry: ReplicaEntry | null, now: Milliseconds): JobsChange {
-    const [, name, number] = PART_NAME.exec(key) ?? [];
-    if (!entry || name === undefined) return NO_JOBS;
+    const [, groupKey, number] = PART_KEY.exec(key) ?? [];
+    if (!entry || groupKey === undefined) return NO_JOBS;
     const part = parseJobPart(entry.value);
     const index = Number(number);
-    const job = this.incompleteRecords.get(name)?.job;
+    const job = this.incompleteRecords.get(groupKey)?.job;
     if (job) {
-      const cancelled = this.mergePart(name, index, part, now);
+      const cancelled = this.mergePart(groupKey, index, part, now);
       return jobsChange([job, ...cancelled.filter((other) => other !== job)]);
     }
-    const id = name.slice(0, name.indexOf('/'));
-    if (this.jobs.has(id) || this.finishedJobs.has(id)) return NO_JOBS;
-    const early = this.partsReadEarly.get(name) ?? new Map<number, JobPart>();
-    this.partsReadEarly.set(name, early.set(index, part));
+    const id = groupKey.slice(0, groupKey.indexOf('/'));
+    if (!this.jobs.has(id) && !this.finishedJobs.has(id)) keepEarly(this.partsReadEarly, groupKey, index, part);
     return NO_JOBS;
   }
 
-  private mergePart(name: string, index: number, part: JobPart, now: Milliseconds): Job[] {
-    const entry = this.incompleteRecords.get(name);
-    if (!entry?.missingParts.delete(index)) return [];
-    const { job, missingParts: left } = entry;
+  /** Returns what is cancelled by the part: the job itself, and those that await it. */
+  private mergePart(groupKey: string, index: number, part: JobPart, now: Milliseconds): Job[] {
+    const incomplete = this.incompleteRecords.get(groupKey);
+    if (!incomplete?.missingParts.delete(index)) return [];
+    const { job, missingParts } = incomplete;
     if (job.state !== 'live') {
-      this.incompleteRecords.delete(name);
+      this.incompleteRecords.delete(groupKey);
       return [];
     }
     if (part.types.length > 0 && job.typeIndices)
-      job.typeIndices = [...job.typeIndices, ...part.types.map((type) => this.typeIndex(type))];
-    job.missingRecordParts = left.size;
+      job.typeIndices = [...job.typeIndices, ...part.types.map((type) => this.host.internTypeName(type))];
+    job.missingRecordParts = missingParts.size;
     const cancelled = this.dependencies.add(job, part.awaits);
-    if (left.size === 0 || cancelled.length > 0) this.incompleteRecords.delete(name);
+    if (missingParts.size === 0 || cancelled.length > 0) this.incompleteRecords.delete(groupKey);
     if (cancelled.length === 0 && !job.isBlocked) this.release(job, now);
     for (const other of cancelled) this.recordCancellationTime(other, now);
     return cancelled;
@@ -209,21 +222,20 @@
 
   // ---- progress
 
+  /** Applies a part of a job's progress; `key` is the job and the part's name. Throws on what is no progress. */
   applyProgress(key: string, entry: ReplicaEntry | null): JobsChange {
     if (!entry) return NO_JOBS;
-    const cut = key.lastIndexOf('/');
-    const id = key.slice(0, cut);
-    const part = key.slice(cut + 1);
-    // Read before it is kept: what can't be read must not keep the job's record from being read.
-    const progress = this.progress.parse(part, entry.value);
+    const separator = key.lastIndexOf('/');
+    const id = key.slice(0, separator);
+    const partName = key.slice(separator + 1);
+    // Parsed before it is kept: progress that can't be read must not keep the job's record from being read.
+    const progress = this.progressLayout.parse(partName, entry.value);
     const job = this.jobs.get(id);
     if (job) {
       this.mergeProgress(job, progress);
       return jobsChange([job]);
     }
-    if (this.finishedJobs.has(id)) return NO_JOBS;
-    const early = this.progressReadEarly.get(id) ?? new Map<string, StoredProgress>();
-    this.progressReadEarly.set(id, early.set(part, progress));
+    if (!this.finishedJobs.has(id)) keepEarly(this.progressReadEarly, id, partName, progress);
     return NO_JOBS;
   }
 
@@ -236,11 +248,10 @@
       job.doneCount++;
     }
   }
+}
 
-  // ---- leaving
-
-  /** Nothing of a job that is over is on any machine any more. */
-  forgetIfFinished(job: Job): void {
-    if (job.state !== 'live' && job.tenure.allocations.size === 0) this.jobs.delete(job.spec.id);
-  }
+/** Keeps what was read before the record that it belongs to. */
+function keepEarly<Name, Value>(store: Map<string, Map<Name, Value>>, owner: string, name: Name, value: Value): void {
+  const early = store.get(owner) ?? new Map<Name, Value>();
+  store.set(owner, early.set(name, value));
 }
