--- a/packages/controller/src/state/job-dependencies.ts
+++ b/packages/controller/src/state/job-dependencies.ts
@@ -1,35 +1,43 @@
 /**
- * Which job awaits which, and what follows from it: when a job may start, that it is cancelled with a job that
- * it needs, and the priority and deadline that a job has from those that need it.
+ * The dependency graph of jobs: which job awaits which, and what follows from it: when a job may start, that it is cancelled
+ * with a job that it awaits, and the priority and deadline that it inherits from its dependents. Owns the edges, and of a job
+ * its awaited jobs and its effective priority and deadline.
  *
  * A user can only name jobs that were accepted before, so there are no cycles; a stored record that says
- * otherwise makes the jobs of its cycle wait for ever, and every walk here still ends.
+ * otherwise makes the jobs of its cycle wait for ever, and every traversal here still ends.
  */
-
 import type { Job, Milliseconds } from '../model/index.js';
 import type { FinalState } from './job-record.js';
 
-/** What the end of a job means for those that await it. */
+/** What the end of a job means for its dependents. */
 export interface DependencyOutcome {
-  /** nothing is left that they await */
+  /** they await nothing more */
   released: Job[];
   /** cancelled with it */
   cancelled: Job[];
 }
 
-/** Time that a job takes once it may start, by its owner's estimate and with the image to fetch at 1 GB a second. */
+/** Assumed time to fetch a GB of an image. */
+const IMAGE_FETCH_MS_PER_GB = 1000;
+
+/** Time that a job takes once it may start: one of its tasks' run, and the fetching of its image. */
 export function expectedDurationMs(job: Job): Milliseconds {
-  return job.expectedRunMs + job.spec.imageGb * 1000;
+  return job.expectedRunMs + job.spec.imageGb * IMAGE_FETCH_MS_PER_GB;
+}
+
+/** Time of day by which the job has to start to meet its effective deadline. */
+function latestStartOf(job: Job): Milliseconds {
+  return job.effectiveDeadlineAt - expectedDurationMs(job);
 }
 
 /**
- * The jobs that wait for others. Every controller derives the same from what is stored; nothing of this is
- * written. Each step costs in proportion to the edges that it concerns.
+ * The edges between jobs. Every controller derives the same from what is stored; nothing of this is written. Each
+ * operation costs in proportion to the edges that it concerns.
  */
 export class JobDependencies {
-  /** jobs that still wait for a job, by that job's id */
+  /** jobs that still await a job, by that job's id */
   private readonly dependents = new Map<string, Set<Job>>();
-  /** when jobs that are done ended, by the time of day */
+  /** time of day when jobs that are done ended, by id */
   private readonly endedAt = new Map<string, Milliseconds>();
 
   constructor(
@@ -37,15 +45,15 @@
     private readonly finishedJobs: Map<string, FinalState>,
   ) {}
 
-  /** Adds edges to a job. Returns what is cancelled: the job itself, and those that need it. */
-  add(job: Job, awaits: readonly string[]): Job[] {
-    for (const id of awaits) {
-      const final = this.finishedJobs.get(id);
-      if (final === 'cancelled') return this.cancel(job);
-      if (final === 'done') this.recordDependencyDone(job, id);
+  /** Makes a job await others. Returns what is cancelled if one of these was: the job itself, and those that await it. */
+  add(job: Job, awaitedIds: readonly string[]): Job[] {
+    for (const id of awaitedIds) {
+      const finalState = this.finishedJobs.get(id);
+      if (finalState === 'cancelled') return this.cancelAll([job]);
+      if (finalState === 'done') this.recordDependencyDone(job, id);
       else this.link(job, id);
     }
-    // Jobs that need it may have been read first.
+    // Its dependents may have been read before it.
     this.recomputeOwnRequirements(job);
     this.propagateRequirements(job);
     return [];
@@ -53,14 +61,14 @@
 
   private link(job: Job, id: string): void {
     job.awaitedJobs.add(id);
-    const waiting = this.dependents.get(id);
-    if (waiting) waiting.add(job);
+    const dependents = this.dependents.get(id);
+    if (dependents) dependents.add(job);
     else this.dependents.set(id, new Set([job]));
   }
 
-  /** A job's stored state became final. */
-  jobFinished(id: string, final: FinalState, endedAt: Milliseconds | null): DependencyOutcome {
-    if (final === 'cancelled') return { released: [], cancelled: this.cancelDependents(id) };
+  /** A job's stored state became final. `endedAt`: time of day; null if it isn't known. */
+  jobFinished(id: string, finalState: FinalState, endedAt: Milliseconds | null): DependencyOutcome {
+    if (finalState === 'cancelled') return { released: [], cancelled: this.cancelDependents(id) };
     if (endedAt !== null) this.endedAt.set(id, endedAt);
     const released: Job[] = [];
     for (const job of this.dependents.get(id) ?? []) {
@@ -72,50 +80,46 @@
     return { released, cancelled: [] };
   }
 
-  /** Cancelled by its own user: what it awaits has one job less that needs it. */
+  /** Removes the edges of a job that is over: the jobs that it awaited inherit nothing from it any more. */
   unlink(job: Job): void {
-    for (const before of this.removeEdges(job)) this.recomputeRequirements(before);
+    for (const awaited of this.removeEdges(job)) this.recomputeRequirements(awaited);
   }
 
-  /** Returns the jobs that it awaited. */
+  /** Removes the edges to what a job awaits. Returns the jobs that it awaited. */
   private removeEdges(job: Job): Job[] {
-    const before = this.awaitedJobsOf(job);
+    const awaitedJobs = this.awaitedJobsOf(job);
     for (const id of job.awaitedJobs) {
-      const waiting = this.dependents.get(id);
-      waiting?.delete(job);
-      if (waiting?.size === 0) this.dependents.delete(id);
+      const dependents = this.dependents.get(id);
+      dependents?.delete(job);
+      if (dependents?.size === 0) this.dependents.delete(id);
     }
     job.awaitedJobs.clear();
-    return before;
-  }
-
-  private cancel(job: Job): Job[] {
-    return this.cancelAll([job]);
+    return awaitedJobs;
   }
 
-  /** All jobs that need this one, directly or through others. */
+  /** Cancels all jobs that await this one, directly or through others. */
   private cancelDependents(id: string): Job[] {
-    const waiting = [...(this.dependents.get(id) ?? [])];
+    const dependents = [...(this.dependents.get(id) ?? [])];
     this.dependents.delete(id);
-    return this.cancelAll(waiting);
+    return this.cancelAll(dependents);
   }
 
-  /** These and all that need them. What else they awaited is looked at once, however many there are. */
-  private cancelAll(first: readonly Job[]): Job[] {
+  /** Cancels these and all that await them. What else they awaited is recomputed once, however many of them there are. */
+  private cancelAll(roots: readonly Job[]): Job[] {
     const cancelled: Job[] = [];
-    const needLess = new Set<Job>();
-    const open = [...first];
+    const formerlyAwaited = new Set<Job>();
+    const open = [...roots];
     for (let job = open.pop(); job !== undefined; job = open.pop()) {
       // What is over has no edges; were one left, nothing that is over would become anything else.
       if (job.state !== 'live') continue;
       job.state = 'cancelled';
       this.finishedJobs.set(job.spec.id, 'cancelled');
       cancelled.push(job);
-      for (const before of this.removeEdges(job)) needLess.add(before);
+      for (const awaited of this.removeEdges(job)) formerlyAwaited.add(awaited);
       for (const dependent of this.dependents.get(job.spec.id) ?? []) open.push(dependent);
       this.dependents.delete(job.spec.id);
     }
-    for (const before of needLess) if (before.state === 'live') this.recomputeRequirements(before);
+    for (const awaited of formerlyAwaited) if (awaited.state === 'live') this.recomputeRequirements(awaited);
     return cancelled;
   }
 
@@ -125,12 +129,12 @@
 
   // ---- inherited priority and deadline
 
-  /** New edges only raise what the jobs before have from this one: nothing else that needs them is looked at. */
+  /** New edges of a job can only raise what the jobs that it awaits inherit, so no other of their dependents is looked at. */
   private propagateRequirements(job: Job): void {
     const raised = new Set<Job>([job]);
     for (const next of this.dependentsFirst(job)) {
       if (!raised.has(next)) continue;
-      for (const before of this.awaitedJobsOf(next)) if (this.inheritFromDependent(before, next)) raised.add(before);
+      for (const awaited of this.awaitedJobsOf(next)) if (this.inheritFromDependent(awaited, next)) raised.add(awaited);
     }
   }
 
@@ -138,9 +142,9 @@
     return [...job.awaitedJobs].flatMap((id) => this.jobs.get(id) ?? []);
   }
 
-  /** The job gets the priority and the deadline of one that needs it, where these are higher and earlier. */
+  /** The job gets the priority and the deadline of a dependent where these are higher and earlier. Returns whether one was. */
   private inheritFromDependent(job: Job, dependent: Job): boolean {
-    const startBy = dependent.effectiveDeadlineAt - expectedDurationMs(dependent);
+    const startBy = latestStartOf(dependent);
     const isEarlier = startBy < job.effectiveDeadlineAt;
     if (!isEarlier && dependent.priority <= job.priority) return false;
     job.priority = Math.max(job.priority, dependent.priority);
@@ -151,16 +155,16 @@
     return true;
   }
 
-  /** Works out anew what the job has from those that need it, and what the jobs before it have from it. */
+  /** Computes anew what the job inherits from its dependents, and what the jobs that it awaits inherit from it. */
   private recomputeRequirements(job: Job): void {
     const stale = new Set<Job>([job]);
     for (const next of this.dependentsFirst(job)) {
       if (!stale.has(next)) continue;
-      if (this.recomputeOwnRequirements(next)) for (const before of this.awaitedJobsOf(next)) stale.add(before);
+      if (this.recomputeOwnRequirements(next)) for (const awaited of this.awaitedJobsOf(next)) stale.add(awaited);
     }
   }
 
-  /** The job and all that it awaits through others, each after those of them that need it. */
+  /** The job and all that it awaits, directly or through others, each after those of them that await it. */
   private dependentsFirst(job: Job): Job[] {
     const seen = new Set<Job>([job]);
     const order: Job[] = [];
@@ -181,22 +185,24 @@
     return order.reverse();
   }
 
-  /** The highest priority and the earliest end among the job's own and those of the jobs that need it. */
+  /** The highest priority and the earliest deadline among the job's own and its dependents'. Returns whether one changed. */
   private recomputeOwnRequirements(job: Job): boolean {
     let priority = job.spec.rank;
-    let endBy = job.deadlineAt;
-    let slack = job.deadlineSpanMs;
+    let deadlineAt = job.deadlineAt;
+    let deadlineSpanMs = job.deadlineSpanMs;
     for (const dependent of this.dependents.get(job.spec.id) ?? []) {
       priority = Math.max(priority, dependent.priority);
-      const startBy = dependent.effectiveDeadlineAt - expectedDurationMs(dependent);
-      if (startBy >= endBy) continue;
-      endBy = startBy;
-      slack = dependent.effectiveDeadlineSpanMs;
+      const startBy = latestStartOf(dependent);
+      if (startBy >= deadlineAt) continue;
+      deadlineAt = startBy;
+      deadlineSpanMs = dependent.effectiveDeadlineSpanMs;
     }
-    if (priority === job.priority && endBy === job.effectiveDeadlineAt && slack === job.effectiveDeadlineSpanMs) return false;
+    const isUnchanged =
+      priority === job.priority && deadlineAt === job.effectiveDeadlineAt && deadlineSpanMs === job.effectiveDeadlineSpanMs;
+    if (isUnchanged) return false;
     job.priority = priority;
-    job.effectiveDeadlineAt = endBy;
-    job.effectiveDeadlineSpanMs = slack;
+    job.effectiveDeadlineAt = deadlineAt;
+    job.effectiveDeadlineSpanMs = deadlineSpanMs;
     return true;
   }
 }
