--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -122,12 +122,14 @@
     const shard = 0.95 / Math.max(1, settings.controllers.length);
     this.writer = new StateWriter(
       { writesPerS: Math.max(1, settings.state.writesPerS * shard), ...this.clusterState.sizeLimits },
-      this.replica,
-      (effect) => this.emit(effect),
-      () => this.lease.id,
-      (now, run) => this.afterBarrier(now, run),
-      () => this.stateLeaseLost(),
-      (key, bytes) => this.log('warn', 'write rejected as too large or invalid', { key, bytes }),
+      {
+        replica: this.replica,
+        emit: (effect) => this.emit(effect),
+        leaseId: () => this.lease.id,
+        afterBarrier: (now, run) => this.afterBarrier(now, run),
+        onLeaseLost: () => this.stateLeaseLost(),
+        onTooLarge: (key, bytes) => this.log('warn', 'write rejected as too large or invalid', { key, bytes }),
+      },
     );
     this.clientRequests = new ClientRequests(this);
     const allocations = new TaskAllocations(this);
--- a/packages/controller/src/state/state-writer.ts
+++ b/packages/controller/src/state/state-writer.ts
@@ -1,252 +1,266 @@
+/**
+ * The writer: the one way in which this controller changes the state service's keys. It owns the queue of writes, decides when
+ * a transaction is sent, and does with each write what the outcome of its transaction asks for.
+ */
 import { isDeepStrictEqual } from 'node:util';
-import type { CompareAndSwapOutcome, KeyWrite, RevisionCondition } from '@archpost/protocol';
+import type { CompareAndSwapOutcome } from '@archpost/protocol';
 import { type Effect, type Milliseconds, NEVER } from '../model/index.js';
-import { keyKindLetter } from './keys.js';
 import { encodedBytes, type StateSizeLimits } from './limits.js';
-import type { Replica } from './replica.js';
+import type { Replica, ReplicaEntry } from './replica.js';
+import { type SentTransaction, TransactionsInFlight } from './transactions-in-flight.js';
+import { WriteBatch } from './write-batch.js';
+import { WriteBudget } from './write-budget.js';
 import { type PendingWrite, type QueuedWrite, WritePriority, WriteQueue } from './write-queue.js';
+import { WriteStatistics } from './write-statistics.js';
 
-/** Transactions under way at once. */
+/** Transactions in flight at once. */
 const MAX_CONCURRENT_TRANSACTIONS = 3;
 
-/** A transaction bears values of this size together, or a single one. */
-const MAX_TRANSACTION_BYTES = 40_000;
-
-/** Conditions in a transaction for each change that it may bear; the service takes four. */
-const CONDITIONS_PER_WRITE = 3;
-
-/** As the state service returns it: without fields that have no value. */
-const withoutUndefined = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
-
-/** One transaction in the making. */
-interface Batch {
-  writes: QueuedWrite[];
-  keys: Set<string>;
-  /** stamps that keys must still have */
-  conditions: Map<string, number>;
-  bytes: number;
-  /** changes that it may bear, and of these acceptances */
-  maxWrites: number;
-  maxAcceptances: number;
+/** Least time between two searches of the queue for writes that have expired. */
+const EXPIRY_CHECK_INTERVAL_MS = 100;
+
+/** Nothing is sent for so long after a transaction failed on keys that none of its writes names: retrying at once would spin. */
+const UNEXPLAINED_FAILURE_PAUSE_MS = 200;
+
+/** Nothing is sent for so long after the service refused a transaction, or didn't answer. */
+const REFUSAL_PAUSE_MS = 300;
+
+/** Sizes of writes and transactions, and this controller's part of the service's rate limit. */
+export interface StateWriterLimits extends StateSizeLimits {
+  writesPerS: number;
 }
 
-function conditionsOf(write: QueuedWrite): RevisionCondition[] {
-  return [{ key: write.key, revision: write.expectedRevision }, ...(write.conditions ?? [])];
+/** What the writer needs of its controller. */
+export interface StateWriterHost {
+  /** takes over what was written, before the watch tells of it */
+  readonly replica: Replica;
+  emit(effect: Effect): void;
+  /** our lease at the state service; null: we have none */
+  leaseId(): number | null;
+  /** Runs `run` once the replica holds everything that was so at this call. */
+  afterBarrier(now: Milliseconds, run: (now: Milliseconds) => void): void;
+  /** The state service says that the lease that we have now has ended. */
+  onLeaseLost(): void;
+  /** A write can't be taken by the service and was dropped. Called once for each key. */
+  onTooLarge(key: string, bytes: number): void;
+}
+
+/** A batch, and what was found on the way that no batch can hold. */
+interface BatchSelection {
+  batch: WriteBatch;
+  oversize: QueuedWrite[];
 }
 
 /**
- * Groups writes into transactions within the budget. A transaction without an answer is
- * sent again with the same guards: whichever copy comes first wins and the other fails, so
- * a late copy can't undo anything. When the second copy fails, what the key holds tells
- * whether the first was applied.
+ * Groups writes into transactions within the rate limit. A transaction without an answer is sent again with the same
+ * conditions: whichever copy arrives first succeeds and the other fails, so a late copy can't undo anything. When the second
+ * copy fails, what the key holds tells whether the first was applied.
  */
 export class StateWriter {
   private readonly queue = new WriteQueue();
-  private readonly transactions = new Map<number, { batch: QueuedWrite[]; leaseId: number | null }>();
-  private nextId = 1;
-  private rate: number;
-  private budget: number;
-  private expiredAt: Milliseconds = NEVER;
-  private recentWrites = 0;
-  private recentWritesAt: Milliseconds = 0;
-  private budgetRefilledAt: Milliseconds = 0;
+  private readonly inFlight = new TransactionsInFlight();
+  private readonly statistics = new WriteStatistics();
+  private readonly budget: WriteBudget;
+  private readonly reportedTooLarge = new Set<string>();
+  private flushedAt: Milliseconds = 0;
+  private expiryCheckedAt: Milliseconds = NEVER;
   private pausedUntil: Milliseconds = 0;
-  private readonly keysInFlight = new Set<string>();
-  /** changes sent since the last look, by the kind of key */
-  private readonly sentByKind = new Map<string, number>();
 
   constructor(
-    private readonly limits: { writesPerS: number } & StateSizeLimits,
-    private readonly replica: Replica,
-    private readonly emit: (effect: Effect) => void,
-    private readonly leaseId: () => number | null,
-    private readonly afterBarrier: (now: Milliseconds, run: (now: Milliseconds) => void) => void,
-    private readonly onLeaseLost: () => void,
-    private readonly onTooLarge: (key: string, bytes: number) => void = () => {},
+    private readonly limits: StateWriterLimits,
+    private readonly host: StateWriterHost,
   ) {
-    this.rate = limits.writesPerS;
-    this.budget = limits.writesPerS;
+    this.budget = new WriteBudget(limits.writesPerS);
   }
 
+  /** Writes that wait to be sent. */
   get length(): number {
     return this.queue.length;
   }
 
-  /** Changes a second that this controller could do with: what waits, and what it wrote lately. */
+  /** Writes a second that this controller could use: what waits, and what it wrote in the last few seconds. */
   wantedWritesPerS(now: Milliseconds): number {
-    const past = Math.max(0, (now - this.recentWritesAt) / 1000);
-    this.recentWrites *= 0.5 ** (past / 2);
-    this.recentWritesAt = now;
-    return this.queue.length + this.recentWrites / 3;
+    return this.queue.length + this.statistics.recentPerS(now);
   }
 
-  /** What of the service's limit this controller may use for now. */
-  setRate(perS: number): void {
-    this.rate = perS;
+  /** What of the service's rate limit this controller may use for now. */
+  setRate(writesPerS: number): void {
+    this.budget.setRate(writesPerS);
   }
 
-  /** How many changes of each kind were sent since this was last asked, and what waits. */
+  /** How many writes of each kind were sent since the last call, and how many wait. */
   takeWriteCounts(): Record<string, number> {
-    const result: Record<string, number> = { waiting: this.queue.length };
-    for (const [kind, count] of this.sentByKind) result[kind] = count;
-    this.sentByKind.clear();
-    return result;
+    return { waiting: this.queue.length, ...this.statistics.takeCounts() };
   }
 
+  /** Queues a write; it is sent by a later `flush`. */
   add(write: PendingWrite): void {
-    this.queue.add(
-      { ...write, mayBeApplied: false, sendAlone: false, sentValue: undefined, queuedAt: this.budgetRefilledAt },
-      this.budgetRefilledAt,
-    );
+    const queued = { ...write, mayBeApplied: false, sendAlone: false, sentValue: undefined, queuedAt: this.flushedAt };
+    this.queue.add(queued, this.flushedAt);
   }
 
+  /** Sends as much as the limits allow. Called after each input. */
   flush(now: Milliseconds): void {
-    this.budget = Math.min(Math.max(this.limits.writesPerS, 4), this.budget + ((now - this.budgetRefilledAt) / 1000) * this.rate);
-    this.budgetRefilledAt = now;
-    if (now - this.expiredAt >= 100) this.dropExpired(now);
+    this.budget.refill(now);
+    this.flushedAt = now;
+    if (now - this.expiryCheckedAt >= EXPIRY_CHECK_INTERVAL_MS) this.dropExpired(now);
     if (now < this.pausedUntil) return;
-    while (this.queue.length > 0 && this.transactions.size < MAX_CONCURRENT_TRANSACTIONS && this.budget >= 1) {
-      const { batch, oversize } = this.nextBatch(now);
+    while (this.queue.length > 0 && this.inFlight.count < MAX_CONCURRENT_TRANSACTIONS && this.budget.available >= 1) {
+      const { batch, oversize } = this.selectBatch(now);
       for (const write of oversize) this.dropTooLarge(write);
       if (batch.writes.length > 0) this.send(batch, now);
       else if (oversize.length === 0) return;
     }
   }
 
+  /** What became of the transaction `id`. One that isn't in flight is passed over. */
+  handleOutcome(id: number, outcome: CompareAndSwapOutcome, now: Milliseconds): void {
+    const transaction = this.inFlight.take(id);
+    if (!transaction) return;
+    const { writes } = transaction;
+    switch (outcome.kind) {
+      case 'ok':
+        this.handleSuccess(writes, outcome.revision);
+        break;
+      case 'failed':
+        this.handleFailedConditions(writes, outcome.keys, now);
+        break;
+      case 'invalid':
+        this.handleInvalid(writes, now);
+        break;
+      case 'noLease':
+        this.handleLeaseNotFound(transaction, now);
+        break;
+      case 'refused':
+      case 'limited':
+        this.handleRefusal(writes, now);
+        break;
+      case 'unknown':
+        for (const write of writes) write.mayBeApplied = true;
+        this.handleRefusal(writes, now);
+        break;
+      default:
+        outcome satisfies never;
+    }
+    this.flush(now);
+  }
+
+  // ---- sending
+
   /** Takes from the queue what goes into the next transaction, and what is too large for any. */
-  private nextBatch(now: Milliseconds): { batch: Batch; oversize: QueuedWrite[] } {
+  private selectBatch(now: Milliseconds): BatchSelection {
     const waiting = this.queue.inOrder(now);
-    const batch = this.emptyBatch();
+    const batch = this.createBatch();
     const oversize: QueuedWrite[] = [];
     for (const write of waiting) {
-      if (batch.writes.length >= batch.maxWrites || batch.bytes >= MAX_TRANSACTION_BYTES) break;
-      if (!this.fitsBatch(write, batch)) continue;
-      // What may have been carried out already is sent again as it was: its own first copy must be known by it.
+      if (batch.isFull) break;
+      if (!this.isSendable(write) || !batch.accepts(write)) continue;
+      // What may have been applied already is sent again as it was, so that its first copy is recognized by its value.
       if (!write.mayBeApplied) write.sentValue = write.value(now);
-      const size = encodedBytes(write.key, write.sentValue);
-      if (!write.mayBeApplied && size > this.limits.maxWriteBytes) oversize.push(write);
-      else this.addToBatch(write, size, batch);
+      const bytes = encodedBytes(write.key, write.sentValue);
+      if (!write.mayBeApplied && bytes > this.limits.maxWriteBytes) oversize.push(write);
+      else batch.add(write, bytes);
     }
-    for (const write of [...batch.writes, ...oversize]) this.queue.remove(write);
+    for (const write of batch.writes) this.queue.remove(write);
+    for (const write of oversize) this.queue.remove(write);
     return { batch, oversize };
   }
 
-  private emptyBatch(): Batch {
-    const remaining = Math.min(this.limits.writesPerTransaction, this.budget);
-    const others = this.queue.count(WritePriority.assignment) + this.queue.count(WritePriority.release) > 0;
-    const acceptances = others ? Math.max(1, Math.floor(remaining / 2)) : remaining;
-    return { writes: [], keys: new Set(), conditions: new Map(), bytes: 0, maxWrites: remaining, maxAcceptances: acceptances };
-  }
-
-  private fitsBatch(write: QueuedWrite, { writes, keys, conditions, maxAcceptances: acceptances }: Batch): boolean {
-    if (writes.length > 0 && (write.sendAlone || writes[0]?.sendAlone)) return false;
-    if (write.priority === WritePriority.acceptance && acceptances < 1) return false;
-    if (keys.has(write.key) || this.keysInFlight.has(write.key)) return false;
-    if (write.attachedToLease && this.leaseId() === null) return false;
-    const wanted = conditionsOf(write);
-    if (conditions.size + wanted.length > CONDITIONS_PER_WRITE * this.limits.writesPerTransaction) return false;
-    return wanted.every((condition) => (conditions.get(condition.key) ?? condition.revision) === condition.revision);
-  }
-
-  private addToBatch(write: QueuedWrite, size: number, batch: Batch): void {
-    if (write.priority === WritePriority.acceptance) batch.maxAcceptances--;
-    batch.bytes += size;
-    batch.keys.add(write.key);
-    for (const { key, revision } of conditionsOf(write)) batch.conditions.set(key, revision);
-    batch.writes.push(write);
-    const kind = keyKindLetter(write.key);
-    this.sentByKind.set(kind, (this.sentByKind.get(kind) ?? 0) + 1);
-  }
-
-  private send({ writes, keys, conditions }: Batch, now: Milliseconds): void {
-    this.budget -= writes.length;
-    this.wantedWritesPerS(now);
-    this.recentWrites += writes.length;
-    const id = this.nextId++;
-    const lease = this.leaseId();
-    this.transactions.set(id, { batch: writes, leaseId: lease });
-    for (const key of keys) this.keysInFlight.add(key);
-    this.emit({
-      type: 'compareAndSwap',
-      id,
-      conditions: [...conditions].map(([key, revision]) => ({ key, revision })),
-      writes: writes.map((write): KeyWrite => {
-        if (write.sentValue === undefined) return { del: write.key };
-        return write.attachedToLease && lease !== null
-          ? { put: write.key, value: write.sentValue, lease }
-          : { put: write.key, value: write.sentValue };
-      }),
-    });
-  }
-
-  /** Gives up on what has waited too long. */
+  private createBatch(): WriteBatch {
+    const { writesPerTransaction } = this.limits;
+    const maxWrites = Math.min(writesPerTransaction, this.budget.available);
+    const othersWait = this.queue.count(WritePriority.assignment) + this.queue.count(WritePriority.release) > 0;
+    const maxAcceptances = othersWait ? Math.max(1, Math.floor(maxWrites / 2)) : maxWrites;
+    return new WriteBatch({ writesPerTransaction, maxWrites, maxAcceptances });
+  }
+
+  private isSendable(write: QueuedWrite): boolean {
+    if (this.inFlight.writesKey(write.key)) return false;
+    return !write.attachedToLease || this.host.leaseId() !== null;
+  }
+
+  private send(batch: WriteBatch, now: Milliseconds): void {
+    this.budget.spend(batch.writes.length);
+    this.statistics.recordSent(batch.writes, now);
+    const leaseId = this.host.leaseId();
+    const id = this.inFlight.add({ writes: batch.writes, leaseId });
+    this.host.emit(batch.toEffect(id, leaseId));
+  }
+
+  /** Drops what has waited too long to be sent. */
   private dropExpired(now: Milliseconds): void {
-    this.expiredAt = now;
+    this.expiryCheckedAt = now;
     for (const write of this.queue.takeExpired(now)) write.onOutcome('dropped', 0);
   }
 
-  handleOutcome(id: number, outcome: CompareAndSwapOutcome, now: Milliseconds): void {
-    const sent = this.transactions.get(id);
-    if (!sent) return;
-    const { batch, leaseId: lease } = sent;
-    this.transactions.delete(id);
-    for (const write of batch) this.keysInFlight.delete(write.key);
-    if (outcome.kind === 'ok') {
-      for (const write of batch) {
-        if (write.sentValue === undefined) this.replica.remove(write.key, outcome.revision);
-        else this.replica.set(write.key, write.sentValue, outcome.revision);
-      }
-      for (const write of batch) write.onOutcome('ok', outcome.revision);
-    } else if (outcome.kind === 'failed') {
-      const failed = new Set(outcome.keys);
-      for (const write of batch) {
-        const hit = failed.has(write.key) || (write.conditions ?? []).some((condition) => failed.has(condition.key));
-        if (hit) this.afterBarrier(now, () => this.resolveConflict(write));
-        else this.queue.add(write, now);
-      }
-      // Should the answer name no key of ours, retrying at once would spin.
-      if (failed.size === 0) this.pausedUntil = now + 200;
-    } else if (outcome.kind === 'invalid') {
-      this.retryOneByOne(batch, now);
-    } else {
-      // One of a lease that we have given up ourselves says nothing of the lease we have now.
-      if (outcome.kind === 'noLease' && lease !== null && lease === this.leaseId()) this.onLeaseLost();
-      else if (outcome.kind !== 'noLease') this.pausedUntil = now + 300;
-      for (const write of batch) {
-        if (outcome.kind === 'unknown') write.mayBeApplied = true;
-        if (outcome.kind === 'noLease' && write.attachedToLease) write.onOutcome('conflict', 0);
-        else this.queue.add(write, now);
-      }
+  /** The service would refuse it, or has: reported once for each key, and not tried again. */
+  private dropTooLarge(write: QueuedWrite): void {
+    if (!this.reportedTooLarge.has(write.key)) this.host.onTooLarge(write.key, encodedBytes(write.key, write.sentValue));
+    this.reportedTooLarge.add(write.key);
+    write.onOutcome('dropped', 0);
+  }
+
+  // ---- outcomes
+
+  /** The replica has all writes before the first of their owners is told. */
+  private handleSuccess(writes: readonly QueuedWrite[], revision: number): void {
+    for (const write of writes) {
+      if (write.sentValue === undefined) this.host.replica.remove(write.key, revision);
+      else this.host.replica.set(write.key, write.sentValue, revision);
     }
-    this.flush(now);
+    for (const write of writes) write.onOutcome('ok', revision);
+  }
+
+  /** Those whose conditions failed are settled by a fresh read; the others go again. */
+  private handleFailedConditions(writes: readonly QueuedWrite[], keys: readonly string[], now: Milliseconds): void {
+    const failedKeys = new Set(keys);
+    for (const write of writes) {
+      const isFailed = failedKeys.has(write.key) || (write.conditions ?? []).some(({ key }) => failedKeys.has(key));
+      if (isFailed) this.host.afterBarrier(now, () => this.settleFailedWrite(write));
+      else this.queue.add(write, now);
+    }
+    if (failedKeys.size === 0) this.pausedUntil = now + UNEXPLAINED_FAILURE_PAUSE_MS;
   }
 
-  /** Whichever of them can't be taken must not keep the others back: each goes by itself, and it is given up. */
-  private retryOneByOne(batch: QueuedWrite[], now: Milliseconds): void {
-    for (const write of batch) {
-      if (batch.length > 1) this.queue.add({ ...write, sendAlone: true }, now);
-      else if (write.mayBeApplied) this.afterBarrier(now, () => this.resolveConflict(write));
+  /** Whichever of them can't be taken must not hold the others up: each goes alone, and the one at fault is dropped. */
+  private handleInvalid(writes: readonly QueuedWrite[], now: Milliseconds): void {
+    for (const write of writes) {
+      if (writes.length > 1) this.queue.add({ ...write, sendAlone: true }, now);
+      else if (write.mayBeApplied) this.host.afterBarrier(now, () => this.settleFailedWrite(write));
       else this.dropTooLarge(write);
     }
   }
 
-  private readonly reportedTooLarge = new Set<string>();
+  /** The lease that the transaction named has ended. One that we have given up ourselves says nothing of the lease we have now. */
+  private handleLeaseNotFound({ writes, leaseId }: SentTransaction, now: Milliseconds): void {
+    if (leaseId !== null && leaseId === this.host.leaseId()) this.host.onLeaseLost();
+    for (const write of writes) {
+      if (write.attachedToLease) write.onOutcome('conflict', 0);
+      else this.queue.add(write, now);
+    }
+  }
 
-  /** The service would refuse it, or has: told once for each key, and not tried again. */
-  private dropTooLarge(write: QueuedWrite): void {
-    if (!this.reportedTooLarge.has(write.key)) this.onTooLarge(write.key, encodedBytes(write.key, write.sentValue));
-    this.reportedTooLarge.add(write.key);
-    write.onOutcome('dropped', 0);
+  private handleRefusal(writes: readonly QueuedWrite[], now: Milliseconds): void {
+    this.pausedUntil = now + REFUSAL_PAUSE_MS;
+    for (const write of writes) this.queue.add(write, now);
   }
 
-  private resolveConflict(write: QueuedWrite): void {
-    const entry = this.replica.get(write.key);
-    const same =
-      write.mayBeApplied &&
-      // Not by its text: the service may return a map's fields in another order.
-      (write.sentValue === undefined
-        ? entry === null
-        : entry !== null && isDeepStrictEqual(withoutUndefined(entry.value), withoutUndefined(write.sentValue)));
-    write.onOutcome(same ? 'ok' : 'conflict', entry?.revision ?? 0);
+  /** The replica is as fresh as the failure: what it holds tells whether an earlier copy of the write was applied. */
+  private settleFailedWrite(write: QueuedWrite): void {
+    const entry = this.host.replica.get(write.key);
+    write.onOutcome(isAlreadyApplied(write, entry) ? 'ok' : 'conflict', entry?.revision ?? 0);
   }
 }
+
+/** Does the key hold what an earlier copy of the write, whose outcome is unknown, would have left there? */
+function isAlreadyApplied(write: QueuedWrite, entry: ReplicaEntry | null): boolean {
+  if (!write.mayBeApplied) return false;
+  if (write.sentValue === undefined) return entry === null;
+  // Compared as values, not as text: the service may return a map's fields in another order.
+  return entry !== null && isDeepStrictEqual(withoutUndefined(entry.value), withoutUndefined(write.sentValue));
+}
+
+/** The value as the state service returns it: without fields that are undefined. */
+function withoutUndefined(value: unknown): unknown {
+  return JSON.parse(JSON.stringify(value));
+}
--- a/test/edges.test.ts
+++ b/test/edges.test.ts
@@ -242,13 +242,16 @@
   const outcomes: string[] = [];
   const writer = new StateWriter(
     { writesPerS: 10, writesPerTransaction: 4, maxWriteBytes: 8192 },
-    replica,
-    (effect) => {
-      if (effect.type === 'compareAndSwap') sent.push(effect.id);
+    {
+      replica,
+      emit: (effect) => {
+        if (effect.type === 'compareAndSwap') sent.push(effect.id);
+      },
+      leaseId: () => null,
+      afterBarrier: (now, run) => run(now),
+      onLeaseLost: () => {},
+      onTooLarge: () => {},
     },
-    () => null,
-    (now, run) => run(now),
-    () => {},
   );
   writer.add({
     key: 'a/x',
@@ -272,14 +275,17 @@
   let now = 0;
   const writer = new StateWriter(
     { writesPerS: 12, writesPerTransaction: 12, maxWriteBytes: 8192 },
-    new Replica(() => {}, assert.ifError),
-    (effect) => {
-      if (effect.type === 'compareAndSwap')
-        sent.push(effect.writes.map((write) => ('put' in write ? write.put : write.del).slice(2, 3)));
+    {
+      replica: new Replica(() => {}, assert.ifError),
+      emit: (effect) => {
+        if (effect.type === 'compareAndSwap')
+          sent.push(effect.writes.map((write) => ('put' in write ? write.put : write.del).slice(2, 3)));
+      },
+      leaseId: () => null,
+      afterBarrier: (_now, run) => run(now),
+      onLeaseLost: () => {},
+      onTooLarge: () => {},
     },
-    () => null,
-    (_now, run) => run(now),
-    () => {},
   );
   const add = (kind: string, count: number, urgency: number) => {
     for (let index = 0; index < count; index++)
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -83,14 +83,17 @@
   const outcomes: string[] = [];
   const writer = new StateWriter(
     { writesPerS: 50, writesPerTransaction: 4, maxWriteBytes: 100 },
-    new Replica(() => {}, assert.ifError),
-    (effect) => {
-      if (effect.type === 'compareAndSwap') sent.push(...effect.writes.map((write) => ('put' in write ? write.put : write.del)));
+    {
+      replica: new Replica(() => {}, assert.ifError),
+      emit: (effect) => {
+        if (effect.type === 'compareAndSwap')
+          sent.push(...effect.writes.map((write) => ('put' in write ? write.put : write.del)));
+      },
+      leaseId: () => null,
+      afterBarrier: (now, run) => run(now),
+      onLeaseLost: () => {},
+      onTooLarge: (key, bytes) => told.push(`${key} ${bytes}`),
     },
-    () => null,
-    (now, run) => run(now),
-    () => {},
-    (key, bytes) => told.push(`${key} ${bytes}`),
   );
   const add = (key: string, value: string) =>
     writer.add({
--- a/test/writer.test.ts
+++ b/test/writer.test.ts
@@ -10,11 +10,14 @@
   const gone: number[] = [];
   const w = new StateWriter(
     { writesPerS: 50, writesPerTransaction: 8, maxWriteBytes: 8192 },
-    replica,
-    (effect) => effect.type === 'compareAndSwap' && sent.push(effect),
-    lease,
-    (now, run) => run(now),
-    () => gone.push(1),
+    {
+      replica,
+      emit: (effect) => effect.type === 'compareAndSwap' && sent.push(effect),
+      leaseId: lease,
+      afterBarrier: (now, run) => run(now),
+      onLeaseLost: () => gone.push(1),
+      onTooLarge: () => {},
+    },
   );
   return { w, replica, sent, gone };
 }
