--- a/packages/controller/src/index.ts
+++ b/packages/controller/src/index.ts
@@ -10,3 +10,4 @@
 export * from './state/state-writer.js';
 export * from './state/status-record.js';
 export * from './state/write-queue.js';
+export * from './state/write-rate-limit.js';
--- a/packages/controller/src/state/index.ts
+++ b/packages/controller/src/state/index.ts
@@ -18,3 +18,4 @@
 export * from './status-record.js';
 export * from './unreadable-record-error.js';
 export * from './write-queue.js';
+export * from './write-rate-limit.js';
