--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -195,7 +195,7 @@
 
   /** Runs once the replica holds everything that was so when this was called. */
   afterBarrier(now: Milliseconds, run: (now: Milliseconds) => void, until = Number.POSITIVE_INFINITY, late?: () => void): void {
-    this.readBarriers.add(now, run, until, late);
+    this.readBarriers.add({ requestedAt: now, run, expiresAt: until, onExpired: late });
     this.emit({ type: 'readBarrier', urgent: true });
   }
 
--- a/packages/controller/src/state/read-barriers.ts
+++ b/packages/controller/src/state/read-barriers.ts
@@ -1,13 +1,20 @@
-/** What waits for a reading of the state service that is newer than the moment when it began to wait. */
+/**
+ * Read barriers: what waits until the replica is at least as new as the moment when the wait began. Owns the waiting callbacks.
+ */
 import type { Milliseconds } from '../model/index.js';
 
-interface PendingRead {
+/** A callback that waits for a fresh replica. */
+export interface PendingRead {
+  /** the replica must hold everything that was so at this time */
   requestedAt: Milliseconds;
   run: (now: Milliseconds) => void;
+  /** given up after this time */
   expiresAt: Milliseconds;
+  /** called instead of `run` when it was given up */
   onExpired: (() => void) | undefined;
 }
 
+/** The pending reads, oldest first. */
 export class ReadBarriers {
   private pending: PendingRead[] = [];
 
@@ -15,24 +22,24 @@
     return this.pending.length;
   }
 
-  /** Runs `run` once a newer reading is in, or `late` if none is by `until`. */
-  add(from: Milliseconds, run: (now: Milliseconds) => void, until: Milliseconds, late: (() => void) | undefined): void {
-    this.pending.push({ requestedAt: from, run, expiresAt: until, onExpired: late });
+  add(read: PendingRead): void {
+    this.pending.push(read);
   }
 
-  /** All changes up to `asOf` have been read. */
+  /** The replica holds all changes up to `asOf`: runs what waited for no more than that. */
   completeUpTo(asOf: Milliseconds, now: Milliseconds): void {
-    const due = this.pending.filter((waiting) => waiting.requestedAt <= asOf);
-    if (due.length === 0) return;
-    this.pending = this.pending.filter((waiting) => waiting.requestedAt > asOf);
-    for (const waiting of due) waiting.run(now);
+    for (const read of this.take((waiting) => waiting.requestedAt <= asOf)) read.run(now);
   }
 
   /** Gives up on what has waited too long. */
   expire(now: Milliseconds): void {
-    const late = this.pending.filter((waiting) => now > waiting.expiresAt);
-    if (late.length === 0) return;
-    this.pending = this.pending.filter((waiting) => now <= waiting.expiresAt);
-    for (const waiting of late) waiting.onExpired?.();
+    for (const read of this.take((waiting) => now > waiting.expiresAt)) read.onExpired?.();
+  }
+
+  /** Removes the chosen ones before any of them runs: their callbacks may add others. */
+  private take(isChosen: (read: PendingRead) => boolean): PendingRead[] {
+    const chosen = this.pending.filter(isChosen);
+    if (chosen.length > 0) this.pending = this.pending.filter((read) => !isChosen(read));
+    return chosen;
   }
 }
