--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -61,6 +61,7 @@
   encodeMachineTypesParts,
   type JobsChange,
   type MachineChange,
+  NO_REVISION,
   parseStatus,
   ReadBarriers,
   Replica,
@@ -421,7 +422,7 @@
     this.writer.add({
       key,
       value: () => value,
-      expectedRevision: 0,
+      expectedRevision: NO_REVISION,
       priority: WritePriority.progress,
       expiresAt: now + 10_000,
       onOutcome: () => {},
--- a/packages/controller/src/jobs/submissions.ts
+++ b/packages/controller/src/jobs/submissions.ts
@@ -2,7 +2,7 @@
 import { encodeJobStatus, type JobSpec, parseSubmission, type Submission } from '@archpost/protocol';
 import type { ClusterStateView, InputClock, PeerDirectory, ReplicaView, SettingsView, StateWriting } from '../context/index.js';
 import { countThatFit, type Milliseconds, RESOURCE_TOLERANCE } from '../model/index.js';
-import { type EncodedJob, encodeAcceptedJob, StateKey, type WriteOutcome, WritePriority } from '../state/index.js';
+import { type EncodedJob, encodeAcceptedJob, NO_REVISION, StateKey, type WriteOutcome, WritePriority } from '../state/index.js';
 import { type ClientResponses, NOT_READY, REQUEST_TIMEOUT_MS, STATE_SERVICE_UNAVAILABLE } from './client-responses.js';
 import { statusOf } from './job-status.js';
 
@@ -106,7 +106,7 @@
       writer.add({
         key,
         value: () => part,
-        expectedRevision: 0,
+        expectedRevision: NO_REVISION,
         priority: WritePriority.acceptance,
         expiresAt: until,
         onOutcome: () => {
@@ -132,7 +132,7 @@
         sentAt = at;
         return record;
       },
-      expectedRevision: 0,
+      expectedRevision: NO_REVISION,
       priority: WritePriority.acceptance,
       expiresAt: until,
       onOutcome: (outcome) => then(outcome, sentAt),
--- a/packages/controller/src/state/state-writer.ts
+++ b/packages/controller/src/state/state-writer.ts
@@ -10,7 +10,7 @@
 import { type SentTransaction, TransactionsInFlight } from './transactions-in-flight.js';
 import { WriteBatch } from './write-batch.js';
 import { WriteBudget } from './write-budget.js';
-import { type PendingWrite, type QueuedWrite, WritePriority, WriteQueue } from './write-queue.js';
+import { NO_REVISION, type PendingWrite, type QueuedWrite, WritePriority, WriteQueue } from './write-queue.js';
 import { WriteStatistics } from './write-statistics.js';
 
 /** Transactions in flight at once. */
@@ -190,14 +190,14 @@
   /** Drops what has waited too long to be sent. */
   private dropExpired(now: Milliseconds): void {
     this.expiryCheckedAt = now;
-    for (const write of this.queue.takeExpired(now)) write.onOutcome('dropped', 0);
+    for (const write of this.queue.takeExpired(now)) write.onOutcome('dropped', NO_REVISION);
   }
 
   /** The service would refuse it, or has: reported once for each key, and not tried again. */
   private dropTooLarge(write: QueuedWrite): void {
     if (!this.reportedTooLarge.has(write.key)) this.host.onTooLarge(write.key, encodedBytes(write.key, write.sentValue));
     this.reportedTooLarge.add(write.key);
-    write.onOutcome('dropped', 0);
+    write.onOutcome('dropped', NO_REVISION);
   }
 
   // ---- outcomes
@@ -235,7 +235,7 @@
   private handleLeaseNotFound({ writes, leaseId }: SentTransaction, now: Milliseconds): void {
     if (leaseId !== null && leaseId === this.host.leaseId()) this.host.onLeaseLost();
     for (const write of writes) {
-      if (write.attachedToLease) write.onOutcome('conflict', 0);
+      if (write.attachedToLease) write.onOutcome('conflict', NO_REVISION);
       else this.queue.add(write, now);
     }
   }
@@ -248,7 +248,7 @@
   /** The replica is as fresh as the failure: what it holds tells whether an earlier copy of the write was applied. */
   private settleFailedWrite(write: QueuedWrite): void {
     const entry = this.host.replica.get(write.key);
-    write.onOutcome(isAlreadyApplied(write, entry) ? 'ok' : 'conflict', entry?.revision ?? 0);
+    write.onOutcome(isAlreadyApplied(write, entry) ? 'ok' : 'conflict', entry?.revision ?? NO_REVISION);
   }
 }
 
