--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -60,6 +60,7 @@
   encodeMachineTypes,
   encodeMachineTypesParts,
   type JobsChange,
+  LEADER_LEASE,
   type MachineChange,
   NO_REVISION,
   parseStatus,
@@ -201,12 +202,12 @@
   }
 
   leaseAcquired(lease: string, revision: number): void {
-    if (lease === 'lead') this.leader.leaseAcquired(revision, this.now);
+    if (lease === LEADER_LEASE) this.leader.leaseAcquired(revision, this.now);
     else this.shardController.leaseAcquired(Number(lease), revision, this.now);
   }
 
   leaseLost(lease: string): void {
-    if (lease === 'lead') this.leader.leaseLost();
+    if (lease === LEADER_LEASE) this.leader.leaseLost();
     else this.shardController.leaseLost(Number(lease));
   }
 
--- a/packages/controller/src/state/cluster-state.ts
+++ b/packages/controller/src/state/cluster-state.ts
@@ -11,7 +11,7 @@
 import { ImageCaches } from './image-caches.js';
 import type { FinalState } from './job-record.js';
 import { JobRegistry, type JobRegistryHost, type JobsChange } from './job-registry.js';
-import { parseStateKey } from './keys.js';
+import { type LeaseName, parseStateKey } from './keys.js';
 import { LeaseRegistry, type ShardLease } from './lease-registry.js';
 import { type StateSizeLimits, stateSizeLimits } from './limits.js';
 import { type MachineChange, MachineRegistry } from './machine-registry.js';
@@ -20,13 +20,13 @@
 import type { ReplicaEntry } from './replica.js';
 import { assignTeamsToShards } from './team-sharding.js';
 
-/** What one changed key concerns. `none`: nothing that anyone is told of. */
+/** What one changed key concerns. `none`: nothing that anyone has to be notified of. */
 export type AppliedChange = { kind: 'none' } | LeaseChange | MachineChange | JobsChange;
 
 /** The lease of a shard, or the leader's, changed its holder. */
 export interface LeaseChange {
   kind: 'lease';
-  /** the shard's number as text, or `lead` */
+  /** the lease's name as text: a shard's number, or `LEADER_LEASE` */
   lease: string;
 }
 
@@ -44,7 +44,7 @@
   readonly progressLayout: ProgressLayout;
   /** by name; those whose assignment is gone are not in it */
   readonly machines: ReadonlyMap<string, Machine>;
-  /** by the shard's number as text, or `lead` */
+  /** by the lease's name as text */
   readonly leaseHolders: ReadonlyMap<string, ShardLease>;
   /** controllers whose presence was seen to end, and when */
   readonly absentSince: Map<string, Milliseconds>;
@@ -170,8 +170,8 @@
   }
 
   /** The lease of a shard or of the leader; null while nobody holds it. */
-  leaseOf(shard: number | 'lead'): ShardLease | null {
-    return this.leases.leaseOf(shard);
+  leaseOf(lease: LeaseName): ShardLease | null {
+    return this.leases.leaseOf(lease);
   }
 
   /**
--- a/packages/controller/src/state/index.ts
+++ b/packages/controller/src/state/index.ts
@@ -1,21 +1,29 @@
-/** State: the replica of the state service's keys, the codecs of stored records, the cluster state that is derived from them, and the compare-and-swap writer with its queue.
- * Owns everything that is stored; nothing else encodes or decodes a record. */
-export * from './assignment-record.js';
-export * from './cluster-state.js';
-export * from './image-cache-record.js';
-export * from './job-dependencies.js';
-export * from './job-record.js';
+/**
+ * State: the replica of the state service's keys, the codecs of the stored records, the cluster state that is derived from
+ * them, and the compare-and-swap writer with its queue. Owns everything that is stored; nothing else encodes or decodes a
+ * record.
+ */
+export { encodeAssignment, type MachineAssignment } from './assignment-record.js';
+export { type AppliedChange, ClusterState } from './cluster-state.js';
+export { encodeImageCache } from './image-cache-record.js';
+export { expectedDurationMs } from './job-dependencies.js';
+export {
+  type EncodedJob,
+  encodeAcceptedJob,
+  encodeCancelledJob,
+  encodeDoneJob,
+  readJobRecord,
+} from './job-record.js';
 export type { JobsChange } from './job-registry.js';
-export * from './keys.js';
-export * from './lease-record.js';
-export * from './limits.js';
+export { LEADER_LEASE, StateKey } from './keys.js';
+export { encodeHolder, encodePresence, isPresenceOf } from './lease-record.js';
+export { encodedBytes } from './limits.js';
 export type { MachineChange } from './machine-registry.js';
-export * from './machine-types-record.js';
-export * from './progress-layout.js';
-export * from './read-barriers.js';
-export * from './replica.js';
-export * from './state-writer.js';
-export * from './status-record.js';
-export * from './unreadable-record-error.js';
-export * from './write-queue.js';
-export * from './write-rate-limit.js';
+export { encodeMachineTypes, encodeMachineTypesParts } from './machine-types-record.js';
+export { type ProgressPart, packBits } from './progress-layout.js';
+export { ReadBarriers } from './read-barriers.js';
+export { Replica, type ReplicaEntry } from './replica.js';
+export { StateWriter } from './state-writer.js';
+export { encodeStatus, parseStatus } from './status-record.js';
+export { NO_REVISION, type PendingWrite, type WriteOutcome, WritePriority } from './write-queue.js';
+export { WriteRateLimit } from './write-rate-limit.js';
--- a/packages/controller/src/state/keys.ts
+++ b/packages/controller/src/state/keys.ts
@@ -3,11 +3,17 @@
  * described by the `*-record.ts` module of its kind. The key formats are fixed: other versions use the same keys.
  */
 
+/** The leader's lease is named so in its key, and beside the shards' numbers wherever leases are named. */
+export const LEADER_LEASE = 'lead';
+
+/** Names a lease: a shard's number, or the leader's. */
+export type LeaseName = number | typeof LEADER_LEASE;
+
 /** Builds the key of each kind of record. */
 export const StateKey = {
   /** all keys of this program begin so */
   root: 'a/',
-  shardLease: (shard: number | 'lead') => `a/h/${shard}`,
+  shardLease: (lease: LeaseName) => `a/h/${lease}`,
   assignment: (machine: string) => `a/g/${machine}`,
   job: (id: string) => `a/j/${id}`,
   progress: (id: string, part: string) => `a/p/${id}/${part}`,
--- a/packages/controller/src/state/lease-registry.ts
+++ b/packages/controller/src/state/lease-registry.ts
@@ -3,6 +3,7 @@
  * the state service. Owns both tables.
  */
 import type { Milliseconds } from '../model/index.js';
+import type { LeaseName } from './keys.js';
 import { type LeaseHolder, parseLeaseHolder } from './lease-record.js';
 import type { ReplicaEntry } from './replica.js';
 
@@ -15,7 +16,7 @@
 
 /** The leases of the shards and of the leader, and the presence of controllers. */
 export class LeaseRegistry {
-  /** by the shard's number as text, or `lead` */
+  /** by the lease's name as text */
   readonly leaseHolders = new Map<string, ShardLease>();
   /** controllers whose presence was seen to end, and when */
   readonly absentSince = new Map<string, Milliseconds>();
@@ -33,7 +34,7 @@
   }
 
   /** The lease of a shard or of the leader; null while nobody holds it. */
-  leaseOf(shard: number | 'lead'): ShardLease | null {
-    return this.leaseHolders.get(String(shard)) ?? null;
+  leaseOf(lease: LeaseName): ShardLease | null {
+    return this.leaseHolders.get(String(lease)) ?? null;
   }
 }
