--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -506,7 +506,7 @@
     for (const peer of this.peers.values()) peer.heardAt += ms;
     this.heartbeatForwarding.processPaused(ms);
     this.workerRouting.processPaused(ms);
-    for (const [controller, at] of this.clusterState.absentSince) this.clusterState.absentSince.set(controller, at + ms);
+    this.clusterState.processPaused(ms);
     this.shardLeases.processPaused(ms);
     this.shardController.processPaused(ms, now);
   }
--- a/packages/controller/src/state/cluster-state.ts
+++ b/packages/controller/src/state/cluster-state.ts
@@ -32,7 +32,7 @@
 
 const NO_CHANGE: AppliedChange = { kind: 'none' };
 
-/** The view of the stored records. The maps and sets that it exposes are those of their owners, to be read only. */
+/** The view of the stored records. The maps and sets that it exposes are those of their owners: others only read them. */
 export class ClusterState {
   readonly typeNames = new NameInterner();
   readonly zoneNames = new NameInterner();
@@ -47,7 +47,7 @@
   /** by the lease's name as text */
   readonly leaseHolders: ReadonlyMap<string, ShardLease>;
   /** controllers whose presence was seen to end, and when */
-  readonly absentSince: Map<string, Milliseconds>;
+  readonly absentSince: ReadonlyMap<string, Milliseconds>;
   /** by the index of the type's name; null or absent where only the name is known */
   readonly machineTypes: readonly (MachineType | null)[];
   /** the largest accelerator task seen that fits each type: what such a machine is wanted for */
@@ -143,6 +143,11 @@
     }
   }
 
+  /** This process stood still for so long: absences of controllers count from as much later. */
+  processPaused(ms: Milliseconds): void {
+    this.leases.processPaused(ms);
+  }
+
   /** Takes over the cloud's list of machine types. */
   setMachineTypes(list: MachineType[]): void {
     this.catalog.setTypes(list);
--- a/packages/controller/src/state/lease-registry.ts
+++ b/packages/controller/src/state/lease-registry.ts
@@ -33,6 +33,11 @@
     else this.absentSince.set(controller, now);
   }
 
+  /** This process stood still for so long: an absence that it saw counts from as much later. */
+  processPaused(ms: Milliseconds): void {
+    for (const [controller, since] of this.absentSince) this.absentSince.set(controller, since + ms);
+  }
+
   /** The lease of a shard or of the leader; null while nobody holds it. */
   leaseOf(lease: LeaseName): ShardLease | null {
     return this.leaseHolders.get(String(lease)) ?? null;
