--- a/packages/controller/src/model/index.ts
+++ b/packages/controller/src/model/index.ts
@@ -1,5 +1,7 @@
-/** The things that decisions are about. */
-
+/**
+ * Model: the things that decisions are about (jobs, machines, allocations, resources), the settings, and the effects that
+ * decisions ask for. Owns no state of its own: each field says which room writes it.
+ */
 export * from './effects.js';
 export * from './job.js';
 export * from './machine.js';
--- a/packages/controller/src/model/job.ts
+++ b/packages/controller/src/model/job.ts
@@ -1,92 +1,132 @@
-/** A job and where its tasks are. */
+/**
+ * A job and the allocations of its tasks. The fields are grouped by who writes them: the cluster state (what is stored), the
+ * holder of the job's shard (what it observed and what it intends), and failure attribution.
+ */
 import type { JobSpec, TaskStatus } from '@archpost/protocol';
 import type { Machine } from './machine.js';
 import type { Resources } from './resources.js';
 import { type Milliseconds, NEVER } from './time.js';
 
-/** One task on one machine, from the plan to the end of its report. */
+/** The zone index of a job that may run in any zone. */
+export const ANY_ZONE = -1;
+
+/** Stands for a task's index where there is no task. */
+export const NO_TASK = -1;
+
+/** One task on one machine, from the scheduling decision until the machine has forgotten the task. */
 export interface Allocation {
   job: Job;
   taskIndex: number;
   attempt: number;
   machine: Machine;
   /**
-   * planned: room is held, nothing sent; sent: the start may have been executed;
-   * there: the worker reports it; exited: it has ended and awaits `forget`
+   * `planned`: resources are reserved, nothing was sent. `sent`: the start was sent and may have been executed. `there`: the
+   * machine reports the task. `exited`: the task has ended, and the machine is to be told to forget it.
    */
   phase: 'planned' | 'sent' | 'there' | 'exited';
+  /** as the machine reported it last; null: not reported yet */
   status: TaskStatus | null;
   plannedAt: Milliseconds;
-  /** wanted stop: grace in seconds; null: none */
+  /** the task is to be stopped with this grace; null: it isn't */
   stopGraceS: number | null;
+  /** when the last stop was sent; `NEVER`: none, or it has to be sent again at once */
   stopSentAt: Milliseconds;
-  /** when the first stop was sent; -1: not yet */
+  /** when the first stop was sent; null: not yet */
   firstStopSentAt: Milliseconds | null;
+  /** when the task was first seen running; null: not yet */
   runningSince: Milliseconds | null;
 }
 
-/** What the holder of a job's shard decided about the job. It begins with the lease on the shard, and is made anew then. */
+/**
+ * What the holder of a job's shard decided about the job. It begins when the shard's lease is acquired, and is made anew then:
+ * nothing of an earlier tenure may count.
+ */
 export class JobTenure {
+  /** by task index */
   readonly allocations = new Map<number, Allocation>();
-  /** first index that was never placed */
+  /** the first task that was never allocated */
   nextUntriedTask = 0;
+  /** tasks that were allocated and are to be allocated again; some of them may be done or allocated by now */
   releasedTasks: number[] = [];
-  /** gang: attempt in use; 0: none */
+  /** of a gang: the attempt that is in use; null: none */
   gangAttempt: number | null = null;
+  /** of a gang: the attempt has failed and is to be stopped whole */
   gangFailed = false;
   progressWriteQueued = false;
-  /** some of its tasks are done and not stored as such */
+  /** some tasks are done and not stored as done */
   progressUnstored = true;
   completionWriteQueued = false;
 }
 
-/** A job, what is stored of it and what this controller knows and intends. */
+/** A job: what is stored of it, and what this controller knows and intends. */
 export class Job {
+  /** what the holder of the job's shard decided, if that is this controller */
   tenure = new JobTenure();
+
+  // ---- stored, or derived from what is stored: written by the cluster state
+
   state: 'live' | 'done' | 'cancelled' = 'live';
+  /** revision of the job's record */
   modRevision = 0;
-  /** first seen here */
+  /** from when its waiting counts: first seen here, or the end of the last job that it awaited */
   arrivedAt: Milliseconds = 0;
   /** time of day of the submission, ms */
   submittedAt = 0;
+  /** when its cancellation was first read here; null: it isn't cancelled */
+  cancelledAt: Milliseconds | null = null;
   /** ids of jobs that have to be stored as done before any task starts */
   readonly awaitedJobs = new Set<string>();
   /** parts of its record that were not read yet; infinite where a list can't be read */
   missingRecordParts = 0;
   /** time of day when the last job that it awaited was done; 0: it awaited none, or the time isn't known */
   dependenciesDoneAt: Milliseconds = 0;
-  /** its own rank, or that of the most urgent job that needs it */
+  /** its own priority, or that of its most urgent dependent */
   priority: number;
-  /** time of day by which it should be done, by its own deadline alone and the time it had from its submission */
+  /** time of day of its own deadline */
   deadlineAt: Milliseconds = Number.POSITIVE_INFINITY;
+  /** from the submission to its own deadline */
   deadlineSpanMs: Milliseconds = 0;
-  /** time of day by which it should be done so that all that needs it is in time, and that deadline's time from submission */
+  /** time of day by which it has to be done so that it and all its dependents meet their deadlines */
   effectiveDeadlineAt: Milliseconds = Number.POSITIVE_INFINITY;
+  /** from the submission to the deadline that the effective one comes from, of this job or of a dependent */
   effectiveDeadlineSpanMs: Milliseconds = 0;
-  doneCount = 0;
-  done: Uint8Array;
+  /** by task index: not 0 if the task is stored as done */
   storedDone: Uint8Array;
+
+  // ---- observed: written by the cluster state and, from heartbeats, by the shard's holder
+
+  /** by task index: not 0 if the task is done, stored or not */
+  done: Uint8Array;
+  /** number of tasks that are done */
+  doneCount = 0;
+  /** longest run of one of its tasks so far; 0: none has ended */
+  longestRunS = 0;
+  /** when one of its tasks was last seen stopped without a stop from this controller */
+  stoppedByOthersAt: Milliseconds = NEVER;
+
+  // ---- intended: written by the shard's holder
+
+  /** not scheduled before this time */
   retryAt: Milliseconds = 0;
-  /** since when some of its tasks have had no room; -1: all have */
+  /** since when some of its tasks couldn't be allocated; null: all are */
   waitingSince: Milliseconds | null = null;
-  /** machines that it failed on */
+  /** when one of its tasks was last to be stopped */
+  lastStopAt: Milliseconds = NEVER;
+  progressWrittenAt: Milliseconds = NEVER;
+
+  // ---- failure history: written by failure attribution
+
+  /** names of the machines that its tasks failed on */
   readonly failedOn = new Set<string>();
   failureCount = 0;
-  /** since when it is taken to fail everywhere; -1: it isn't */
+  /** since when it is taken to fail on every machine; null: it isn't */
   crashLoopingSince: Milliseconds | null = null;
-  /** how often it was tried since, after each of its tasks had been */
+  /** how often it was tried since then, once each of its tasks had been tried */
   retries = 0;
-  /** some of it ran for a while without failing */
+  /** one of its tasks ran for a while without failing */
   ranWithoutError = false;
-  progressWrittenAt: Milliseconds = NEVER;
-  lastStopAt: Milliseconds = NEVER;
-  /** when one of its tasks was seen stopped that this controller had not told to */
-  stoppedByOthersAt: Milliseconds = NEVER;
-  /** when its cancellation was read here */
-  cancelledAt: Milliseconds | null = null;
-  /** longest run of one of its tasks so far, seconds */
-  longestRunS = 0;
 
+  /** `typeIndices`: machine types that it may use, null for any; `zoneIndex`: its zone, or `ANY_ZONE`. */
   constructor(
     readonly spec: JobSpec,
     readonly teamIndex: number,
@@ -100,11 +140,12 @@
     this.storedDone = new Uint8Array(spec.tasks);
   }
 
+  /** What each of its tasks takes. */
   get resources(): Resources {
     return this.spec;
   }
 
-  /** How long one of its tasks runs: the longest so far, or else its owner's estimate. */
+  /** How long one of its tasks runs: the longest so far, or else its user's estimate. */
   get expectedRunMs(): Milliseconds {
     return (this.longestRunS > 0 ? this.longestRunS : this.spec.estimateS) * 1000;
   }
@@ -114,7 +155,7 @@
     return this.awaitedJobs.size > 0 || this.missingRecordParts > 0;
   }
 
-  /** The submission tells by when the job should be done. */
+  /** Sets the time of day of the submission, from which its deadline counts. */
   setSubmittedAt(at: Milliseconds): void {
     this.submittedAt = at;
     if (this.spec.deadlineS === null) return;
@@ -124,40 +165,48 @@
     this.effectiveDeadlineSpanMs = this.deadlineSpanMs;
   }
 
-  /** Tasks that are neither done nor anywhere. */
+  /** How many tasks are neither done nor allocated. */
   pendingCount(): number {
-    let placedUndone = 0;
-    for (const allocation of this.tenure.allocations.values()) if (!this.done[allocation.taskIndex]) placedUndone++;
-    return this.spec.tasks - this.doneCount - placedUndone;
+    let allocatedUndone = 0;
+    for (const allocation of this.tenure.allocations.values()) if (!this.done[allocation.taskIndex]) allocatedUndone++;
+    return this.spec.tasks - this.doneCount - allocatedUndone;
   }
 
-  /** A task to place: the caller does so at once. */
+  /**
+   * A task that is neither done nor allocated, one that was allocated before first; `NO_TASK` if there is none. The caller
+   * allocates it at once: a task that was never allocated isn't returned a second time.
+   */
   nextPendingTask(): number {
-    while (this.tenure.releasedTasks.length > 0) {
-      const index = this.tenure.releasedTasks[this.tenure.releasedTasks.length - 1] as number;
-      if (!this.done[index] && !this.tenure.allocations.has(index)) return index;
-      this.tenure.releasedTasks.pop();
+    const { tenure } = this;
+    while (tenure.releasedTasks.length > 0) {
+      const index = tenure.releasedTasks[tenure.releasedTasks.length - 1] as number;
+      if (this.isPending(index)) return index;
+      tenure.releasedTasks.pop();
     }
-    while (this.tenure.nextUntriedTask < this.spec.tasks) {
-      const index = this.tenure.nextUntriedTask++;
-      if (!this.done[index] && !this.tenure.allocations.has(index)) return index;
+    while (tenure.nextUntriedTask < this.spec.tasks) {
+      const index = tenure.nextUntriedTask++;
+      if (this.isPending(index)) return index;
     }
-    return -1;
+    return NO_TASK;
   }
 
-  /** What was never placed comes before what was. */
+  /** As `nextPendingTask`, but one that was never allocated first: of a crash-looping job, one that hasn't failed yet. */
   nextUntriedTaskFirst(): number {
-    const returned = this.tenure.releasedTasks;
+    const releasedTasks = this.tenure.releasedTasks;
     this.tenure.releasedTasks = [];
     const index = this.nextPendingTask();
-    this.tenure.releasedTasks = returned;
-    return index >= 0 ? index : this.nextPendingTask();
+    this.tenure.releasedTasks = releasedTasks;
+    return index === NO_TASK ? this.nextPendingTask() : index;
   }
 
+  /** All tasks that are neither done nor allocated. */
   pendingTasks(): number[] {
     const result: number[] = [];
-    for (let index = 0; index < this.spec.tasks; index++)
-      if (!this.done[index] && !this.tenure.allocations.has(index)) result.push(index);
+    for (let index = 0; index < this.spec.tasks; index++) if (this.isPending(index)) result.push(index);
     return result;
   }
+
+  private isPending(taskIndex: number): boolean {
+    return !this.done[taskIndex] && !this.tenure.allocations.has(taskIndex);
+  }
 }
--- a/packages/controller/src/model/machine-load.ts
+++ b/packages/controller/src/model/machine-load.ts
@@ -1,14 +1,14 @@
 /**
- * What a machine's placements take of it. Plans, views and moves ask for it far more often than placements change, so
- * the machine keeps it until one does.
+ * What a machine's allocations take of it. Scheduling, the autoscaler and rebalancing ask for it far more often than allocations
+ * change, so the machine keeps it until one does.
  */
-
 import type { Allocation } from './job.js';
 import type { Machine } from './machine.js';
 import { type Resources, subtract } from './resources.js';
 
+/** A machine's load, as of the last change of its allocations. */
 export interface MachineLoad {
-  /** what is left beside all that may be there */
+  /** what is left beside all tasks that may be on the machine */
   readonly free: Readonly<Resources>;
   /** services that have not ended */
   readonly services: readonly Allocation[];
@@ -16,6 +16,7 @@
   readonly serviceUsage: Readonly<{ cpus: number; memory: number }>;
 }
 
+/** The machine's load; computed only if its allocations changed since the last call. */
 export function machineLoadOf(machine: Machine): MachineLoad {
   machine.load ??= computeLoad(machine);
   return machine.load;
@@ -24,7 +25,7 @@
 function computeLoad(machine: Machine): MachineLoad {
   const free = { cpus: machine.capacity?.cpus ?? 0, gpus: machine.capacity?.gpus ?? 0, memory: machine.capacity?.memory ?? 0 };
   const services: Allocation[] = [];
-  const serviceUse = { cpus: 0, memory: 0 };
+  const serviceUsage = { cpus: 0, memory: 0 };
   for (const allocation of machine.tenure.allocations.values()) {
     if (allocation.phase === 'exited') continue;
     const { resources, spec } = allocation.job;
@@ -32,8 +33,8 @@
     if (spec.shape !== 'service') continue;
     services.push(allocation);
     if (spec.gpus > 0) continue;
-    serviceUse.cpus += spec.cpus;
-    serviceUse.memory += spec.memory;
+    serviceUsage.cpus += spec.cpus;
+    serviceUsage.memory += spec.memory;
   }
-  return { free, services, serviceUsage: serviceUse };
+  return { free, services, serviceUsage };
 }
--- a/packages/controller/src/model/machine.ts
+++ b/packages/controller/src/model/machine.ts
@@ -1,16 +1,19 @@
-/** A machine, what is stored of it and what this controller knows and intends. */
+/**
+ * A machine. The fields are grouped by who writes them: the cluster state (what is stored), the holder of the machine's shard
+ * (what it observed and what it intends), and failure attribution.
+ */
 import type { MachineType, TaskStatus } from '@archpost/protocol';
 import type { Allocation } from './job.js';
 import type { MachineLoad } from './machine-load.js';
 import { type Milliseconds, NEVER } from './time.js';
 
-/** The shard of a machine whose assignment is gone, or not read yet. */
+/** The shard of a machine whose assignment was removed, or not read yet. */
 export const UNASSIGNED_SHARD = -1;
 
 /** The epoch of an agent that has not been heard; real ones are larger. */
 export const UNKNOWN_EPOCH = 0;
 
-/** Before the first heartbeat of an agent. */
+/** The sequence number before the first heartbeat of an agent. */
 export const NOTHING_HEARD = -1;
 
 /** Below every priority: a machine whose heartbeats name no job that is known. */
@@ -30,35 +33,58 @@
 /**
  * What a shard's holder learned of a machine and decided about it. It begins with the lease on the shard, or when the machine
  * comes to the shard, and is made anew then: nothing of an earlier tenure may count.
+ *
+ * Conditions that exclude each other, each decided by the first line that holds:
+ *
+ * | what may be sent | when |
+ * | --- | --- |
+ * | nothing: being released | `releaseReason` is set; `isReleasing` once the cloud was asked |
+ * | nothing: a command is in flight | `pendingCommandId` is set |
+ * | nothing: its fencing token must rise | `hasUncertainCommand`; `isRaisingToken` once the rewrite of its assignment is queued |
+ * | a probe | not `isVerified` (`isProbed` once the first was sent), or silent, not answering or `probeRequested` |
+ * | commands | otherwise |
  */
 export class MachineTenure {
+  // ---- observed: from heartbeats and the responses to commands
+
+  /** rises when the agent restarts or its lease expires: then its tasks are gone */
   agentEpoch = UNKNOWN_EPOCH;
+  /** of the newest heartbeat in this epoch */
   sequence = NOTHING_HEARD;
-  /** answered our token since we took the share over: its report is all there is on it */
+  /** it has answered a probe under our fencing token, so its heartbeats show everything that is on it */
   isVerified = false;
-  /** asked since we took the share over */
+  /** it was probed in this tenure, or since its token was last raised: its silence counts */
   isProbed = false;
-  /** highest rank of what its reports name while it isn't resolved: says who to ask first, no more */
+  /** highest priority among the jobs that its heartbeats named before it was verified: the order of probes, no more */
   reportedPriority = LOWEST_REPORTED_PRIORITY;
-  /** a command's fate is unknown: its token must rise before it is used again */
-  hasUncertainCommand = false;
-  isRaisingToken = false;
-  pendingCommandId: number | null = null;
-  retryAt: Milliseconds = 0;
-  /** commands in a row that got no answer, and since when; heard is not reachable */
+  /** commands in a row that got no answer; heartbeats don't reset it, since a machine that is heard may not be reachable */
   unansweredCommands = 0;
   unansweredSince: Milliseconds | null = null;
+  /** spot machine: when the cloud takes it back; null: no notice */
   preemptionNoticeUntil: Milliseconds | null = null;
-  readonly allocations = new Map<string, Allocation>();
-  /** tasks reported that belong to no job or place of ours */
+  /** tasks in its last heartbeat that belong to no allocation */
   orphanedTasks: TaskStatus[] = [];
-  /** a return to the cloud is wanted, because: */
+
+  // ---- intended
+
+  /** by task key */
+  readonly allocations = new Map<string, Allocation>();
+  /** the command or probe that has no outcome yet; null: none */
+  pendingCommandId: number | null = null;
+  /** nothing is sent before this time */
+  retryAt: Milliseconds = 0;
+  /** a command may be executed yet: the fencing token must rise before another is sent */
+  hasUncertainCommand = false;
+  /** a rewrite of its assignment, which raises the token, is queued */
+  isRaisingToken = false;
+  /** null: it stays */
   releaseReason: ReleaseReason | null = null;
+  /** the cloud was asked to take it back, or has done so */
   isReleasing = false;
 
   /**
-   * `lastHeartbeatAt`: silence counts from here; `isUnverifiedTakeover`: the machine may bear work of an earlier holder that
-   * isn't known here.
+   * `lastHeartbeatAt`: silence counts from here. `isUnverifiedTakeover`: the machine may run tasks that an earlier holder of
+   * the shard started and that aren't known here, until it is verified.
    */
   constructor(
     public lastHeartbeatAt: Milliseconds,
@@ -66,39 +92,63 @@
   ) {}
 }
 
+/** A machine: what is stored of it, and what this controller knows and intends. */
 export class Machine {
   /** what this controller learned and decided since the machine's shard, or the machine, came to it */
   tenure = new MachineTenure(0, false);
+
+  // ---- stored: written by the cluster state
+
   shard = UNASSIGNED_SHARD;
+  /** revision of its assignment; part of its fencing token */
   assignmentRevision = 0;
+  /** the shard that it is to move to; null: it stays */
   moveToShard: number | null = null;
+  /** to be released to the cloud once it is idle */
   isRetired = false;
-  lastProbeAt: Milliseconds = NEVER;
-  /** when it was last told something */
-  lastCommandAt: Milliseconds = NEVER;
-  /** when another controller last said that it hears it */
+
+  // ---- observed
+
+  /** index of the image's name to its size in GB, least recently used first */
+  images = new Map<number, number>();
+  /** when another controller last said that it hears the machine */
   heardByPeerAt: Milliseconds = NEVER;
-  /** who said so */
+  /** that controller; null: none has said so */
   heardByPeer: string | null = null;
-  /** something about it is odd: it is to be asked how it stands */
+  /** since when it has had no allocations */
+  idleSince: Milliseconds = 0;
+
+  // ---- intended: written by the shard's holder
+
+  lastProbeAt: Milliseconds = NEVER;
+  /** something about it doesn't fit what is known: it is to be probed */
   probeRequested = false;
   probeRequestedAt: Milliseconds = NEVER;
-  /** what its placements take, as long as none changes; see `changed` */
-  load: MachineLoad | null = null;
-  /** there may be something to command: a start, a stop, or an end to clear away */
+  /** when commands other than probes were last sent to it */
+  lastCommandAt: Milliseconds = NEVER;
+  /** there may be something to command: a start, a stop, or an ended task to forget */
   commandsDue = true;
-  images = new Map<number, number>();
   imagesWriteQueued = false;
+  assignmentWriteQueued = false;
+  /** the cloud isn't asked again to take it back before this time */
+  releaseRetryAt: Milliseconds = 0;
+  /** takes no more tasks without accelerators until then: services are being evicted from it, or were lately */
+  reservedUntil: Milliseconds = NEVER;
+
+  // ---- failure history: written by failure attribution
+
+  /** ids of jobs whose tasks failed here, other than crash-looping ones */
   failedJobs = new Set<string>();
-  /** failed here, of jobs whose tasks get done elsewhere */
+  /** tasks that failed here, of jobs that have failed on no other machine and have tasks that are done */
   failedTaskCount = 0;
   lastErrorAt: Milliseconds = NEVER;
-  releaseRetryAt: Milliseconds = 0;
-  idleSince: Milliseconds = 0;
-  assignmentWriteQueued = false;
-  /** takes no more work without accelerators until then: it is being emptied */
-  reservedUntil: Milliseconds = NEVER;
 
+  // ---- derived
+
+  /** see machine-load.ts; null: to be computed anew */
+  load: MachineLoad | null = null;
+
+  /** `capacity`: null while only the name of its type is known. */
   constructor(
     readonly name: string,
     public address: string,
@@ -108,7 +158,7 @@
     public capacity: MachineType | null,
   ) {}
 
-  /** To be called whenever a placement comes, goes, ends or is to stop, and when what it may bear changes. */
+  /** To be called whenever an allocation is added, removed, ends or is to be stopped, and when the capacity changes. */
   allocationsChanged(): void {
     this.load = null;
     this.commandsDue = true;
--- a/packages/controller/src/model/resources.ts
+++ b/packages/controller/src/model/resources.ts
@@ -8,15 +8,18 @@
   memory: number;
 }
 
-/** Sums of fractions may be off by this much. */
+/** Sums of fractions may be off by this much: without it a machine that is exactly filled seems too small. */
 export const RESOURCE_TOLERANCE = 1e-6;
 
-/** What is free on a machine. A plan subtracts from it as it places tasks. */
+/** How many tasks that take nothing are said to fit. */
+const MAX_TASK_COUNT = 1e9;
+
+/** What is free on a machine. A scheduling run subtracts from it as it allocates tasks. */
 export interface FreeResources extends Resources {
   machine: Machine;
 }
 
-/** Is so much free? */
+/** Is that much free? */
 export function fits(resources: Resources, free: Resources): boolean {
   return (
     resources.cpus <= free.cpus + RESOURCE_TOLERANCE &&
@@ -25,16 +28,16 @@
   );
 }
 
-/** Takes resources off what is free. */
+/** Takes resources off what is free, in place. */
 export function subtract(free: Resources, resources: Resources): void {
   free.cpus -= resources.cpus;
   free.gpus -= resources.gpus;
   free.memory -= resources.memory;
 }
 
-/** How many tasks with these needs fit at once. */
+/** How many tasks that take these resources each fit at once. */
 export function countThatFit(resources: Resources, free: Resources): number {
-  let count = 1e9;
+  let count = MAX_TASK_COUNT;
   if (resources.cpus > 0) count = Math.min(count, Math.floor((free.cpus + RESOURCE_TOLERANCE) / resources.cpus));
   if (resources.gpus > 0) count = Math.min(count, Math.floor((free.gpus + RESOURCE_TOLERANCE) / resources.gpus));
   if (resources.memory > 0) count = Math.min(count, Math.floor((free.memory + RESOURCE_TOLERANCE) / resources.memory));
--- a/packages/controller/src/model/running-tasks.ts
+++ b/packages/controller/src/model/running-tasks.ts
@@ -1,8 +1,11 @@
-/** How far a job is, as controllers tell one another for status queries. */
+/** How far a job is, as controllers send it to one another for status queries. */
 
-/** Tasks of a job that run, that are done, and how often one failed of those that fail everywhere. */
+/** Counts of a job's tasks at one controller. */
 export interface RunningTasks {
+  /** tasks that run */
   count: number;
+  /** tasks that are done */
   done: number;
+  /** how often a task failed, of a crash-looping job */
   failed: number;
 }
--- a/packages/controller/src/model/time.ts
+++ b/packages/controller/src/model/time.ts
@@ -1,5 +1,10 @@
-/** Milliseconds of a steady clock; the core never reads one, every input brings its own. */
+/** Time as decisions know it. */
+
+/**
+ * A time or a duration in milliseconds. Times are those of a steady clock, which this package never reads: every input brings
+ * its own. Times of day say so.
+ */
 export type Milliseconds = number;
 
-/** Before anything happened. */
+/** Before anything happened: far enough back that any duration has passed since. */
 export const NEVER: Milliseconds = -1e12;
--- a/packages/controller/src/state/cluster-state.ts
+++ b/packages/controller/src/state/cluster-state.ts
@@ -4,7 +4,7 @@
  * owners, routes each changed key to one of them, and is what other rooms ask.
  */
 import type { JobSpec, MachineType } from '@archpost/protocol';
-import { type ControllerSettings, Job, type Machine, type Milliseconds, NameInterner } from '../model/index.js';
+import { ANY_ZONE, type ControllerSettings, Job, type Machine, type Milliseconds, NameInterner } from '../model/index.js';
 import type { MachineAssignment } from './assignment-record.js';
 import { type GpuDemand, GpuDemandHistory } from './gpu-demand-history.js';
 import type { StoredImage } from './image-cache-record.js';
@@ -204,7 +204,7 @@
       team,
       this.shardOfTeam[team] ?? 0,
       spec.types === null ? null : spec.types.map((name) => this.typeNames.intern(name)),
-      spec.zone === null ? -1 : this.zoneNames.intern(spec.zone),
+      spec.zone === null ? ANY_ZONE : this.zoneNames.intern(spec.zone),
       this.imageNames.intern(spec.image),
     );
   }
