--- a/packages/controller/src/state/assignment-record.ts
+++ b/packages/controller/src/state/assignment-record.ts
@@ -52,7 +52,7 @@
   return stored;
 }
 
-/** Throws `UnreadableRecordError` on what is no assignment. */
+/** Throws `UnreadableRecordError` on what names no shard, type or zone. Other fields are taken as they are. */
 export function parseAssignment(value: unknown): MachineAssignment {
   const stored = value as Partial<StoredAssignment> | null;
   if (typeof stored?.s !== 'number' || typeof stored.t !== 'string' || typeof stored.z !== 'string')
--- a/packages/controller/src/state/job-dependencies.ts
+++ b/packages/controller/src/state/job-dependencies.ts
@@ -17,6 +17,12 @@
   cancelled: Job[];
 }
 
+/** One job on the way of a depth-first traversal, and the jobs that it awaits and that weren't visited yet. */
+interface TraversalStep {
+  job: Job;
+  unvisitedIds: string[];
+}
+
 /** Assumed time to fetch a GB of an image. */
 const IMAGE_FETCH_MS_PER_GB = 1000;
 
@@ -168,10 +174,9 @@
   private dependentsFirst(job: Job): Job[] {
     const seen = new Set<Job>([job]);
     const order: Job[] = [];
-    const stack = [{ job, open: [...job.awaitedJobs] }];
-    while (stack.length > 0) {
-      const top = stack[stack.length - 1] as { job: Job; open: string[] };
-      const id = top.open.pop();
+    const stack: TraversalStep[] = [{ job, unvisitedIds: [...job.awaitedJobs] }];
+    for (let top = stack.at(-1); top !== undefined; top = stack.at(-1)) {
+      const id = top.unvisitedIds.pop();
       if (id === undefined) {
         order.push(top.job);
         stack.pop();
@@ -180,7 +185,7 @@
       const next = this.jobs.get(id);
       if (!next || seen.has(next)) continue;
       seen.add(next);
-      stack.push({ job: next, open: [...next.awaitedJobs] });
+      stack.push({ job: next, unvisitedIds: [...next.awaitedJobs] });
     }
     return order.reverse();
   }
--- a/packages/controller/src/state/job-registry.ts
+++ b/packages/controller/src/state/job-registry.ts
@@ -75,8 +75,10 @@
     const others = stored.state === 'live' ? [] : this.applyFinalState(id, stored.state, stored.endedAt, entry.revision, now);
     const known = this.jobs.get(id);
     // Of a finished job nothing is left to do; of a cancelled one there may be tasks to stop.
-    if (!known && (stored.spec === null || stored.state === 'done')) return jobsChange(others);
-    const job = known ?? this.register(stored.spec as JobSpec, stored, now, others);
+    const { spec } = stored;
+    const hasNothingLeft = spec === null || stored.state === 'done';
+    const job = known ?? (hasNothingLeft ? null : this.register(spec, stored, now, others));
+    if (job === null) return jobsChange(others);
     job.modRevision = entry.revision;
     if (stored.state !== 'live') {
       job.state = stored.state;
