--- a/packages/controller/src/state/status-record.ts
+++ b/packages/controller/src/state/status-record.ts
@@ -86,55 +86,60 @@
   return model as Model;
 }
 
-/** The record of a status, to be stored under `a/s/`. */
-export function encodeStatus(status: PeerStatus): unknown {
-  const stored = toStored(status, STATUS_FIELDS);
-  stored[STATUS_FIELDS.shards] = status.shards.map((shard) => ({
+function toStoredShard(shard: ShardSummary): Record<string, unknown> {
+  return {
     ...toStored(shard, SHARD_FIELDS),
     [SHARD_FIELDS.machines]: shard.machines.map((machine) => toStored(machine, MACHINE_FIELDS)),
     [SHARD_FIELDS.demands]: shard.demands.map((demand) => toStored(demand, DEMAND_FIELDS)),
-  }));
-  stored[STATUS_FIELDS.unassignedMachines] = status.unassignedMachines.map((machine) =>
-    toStored(machine, UNASSIGNED_MACHINE_FIELDS),
-  );
-  return stored;
+  };
 }
 
-/** Has the value the name and the lists that each stored status has? Single fields aren't checked. */
-function isStoredStatus(value: unknown): boolean {
-  if (typeof value !== 'object' || value === null) return false;
-  const stored = value as Record<string, unknown>;
-  const shards = stored[STATUS_FIELDS.shards];
-  const lists = [
-    STATUS_FIELDS.runningJobs,
-    STATUS_FIELDS.unassignedMachines,
-    STATUS_FIELDS.unchangedHeartbeats,
-    STATUS_FIELDS.availableTypes,
-  ].map((name) => stored[name]);
-  return (
-    typeof stored[STATUS_FIELDS.node] === 'string' &&
-    [shards, ...lists].every((list) => Array.isArray(list)) &&
-    (shards as unknown[]).every(isStoredShard)
-  );
+function fromStoredShard(stored: unknown): ShardSummary {
+  const shard = fromStored<ShardSummary>(stored, SHARD_FIELDS);
+  shard.machines = shard.machines.map((machine) => fromStored<MachineSummary>(machine, MACHINE_FIELDS));
+  shard.demands = shard.demands.map((demand) => fromStored<ResourceDemand>(demand, DEMAND_FIELDS));
+  return shard;
 }
 
-function isStoredShard(value: unknown): boolean {
-  const stored = value as Record<string, unknown> | null | undefined;
-  return Array.isArray(stored?.[SHARD_FIELDS.machines]) && Array.isArray(stored[SHARD_FIELDS.demands]);
+/** The record of a status, to be stored under `a/s/`. */
+export function encodeStatus(status: PeerStatus): unknown {
+  return {
+    ...toStored(status, STATUS_FIELDS),
+    [STATUS_FIELDS.shards]: status.shards.map(toStoredShard),
+    [STATUS_FIELDS.unassignedMachines]: status.unassignedMachines.map((machine) => toStored(machine, UNASSIGNED_MACHINE_FIELDS)),
+  };
 }
 
 /** The status that another controller stored; null if the value is no status. */
 export function parseStatus(value: unknown): PeerStatus | null {
   if (!isStoredStatus(value)) return null;
   const status = fromStored<PeerStatus>(value, STATUS_FIELDS);
-  status.shards = status.shards.map((stored) => {
-    const shard = fromStored<ShardSummary>(stored, SHARD_FIELDS);
-    shard.machines = shard.machines.map((machine) => fromStored<MachineSummary>(machine, MACHINE_FIELDS));
-    shard.demands = shard.demands.map((demand) => fromStored<ResourceDemand>(demand, DEMAND_FIELDS));
-    return shard;
-  });
+  status.shards = status.shards.map(fromStoredShard);
   status.unassignedMachines = status.unassignedMachines.map((machine) =>
     fromStored<UnassignedMachine>(machine, UNASSIGNED_MACHINE_FIELDS),
   );
   return status;
 }
+
+/** Lists that each stored status has. */
+const STATUS_LISTS = [
+  STATUS_FIELDS.shards,
+  STATUS_FIELDS.runningJobs,
+  STATUS_FIELDS.unassignedMachines,
+  STATUS_FIELDS.unchangedHeartbeats,
+  STATUS_FIELDS.availableTypes,
+];
+
+/** Has the value the name and the lists that each stored status has? Single fields aren't checked. */
+function isStoredStatus(value: unknown): boolean {
+  if (typeof value !== 'object' || value === null) return false;
+  const stored = value as Record<string, unknown>;
+  if (typeof stored[STATUS_FIELDS.node] !== 'string') return false;
+  if (!STATUS_LISTS.every((name) => Array.isArray(stored[name]))) return false;
+  return (stored[STATUS_FIELDS.shards] as unknown[]).every(isStoredShard);
+}
+
+function isStoredShard(value: unknown): boolean {
+  const stored = value as Record<string, unknown> | null | undefined;
+  return Array.isArray(stored?.[SHARD_FIELDS.machines]) && Array.isArray(stored[SHARD_FIELDS.demands]);
+}
