--- a/tools/bundle.mjs
+++ b/tools/build-service.mjs
@@ -24,10 +24,10 @@
 
 // The program that is started: it loads the bundle by what is kept compiled, if that fits
 // this Node and its flags, and as it is otherwise.
-writeFileSync('target/archpost.mjs', readFileSync('tools/load.mjs'));
+writeFileSync('target/archpost.mjs', readFileSync('tools/launcher.mjs'));
 const { run } = parse(readFileSync('deploy/service.toml', 'utf8'));
 const flags = run.split(' ').filter((w) => w.startsWith('--') && w !== '--config');
-execFileSync(process.execPath, [...flags, 'tools/compile.mjs'], { stdio: ['ignore', 'ignore', 'inherit'] });
+execFileSync(process.execPath, [...flags, 'tools/compile-bundle.mjs'], { stdio: ['ignore', 'ignore', 'inherit'] });
 
 const [settings, error] = hcl.parseToObject(readFileSync('deploy/archpost.hcl', 'utf8'));
 if (error) {
--- a/tools/compile.mjs
+++ b/tools/compile-bundle.mjs
@@ -2,7 +2,7 @@
 // than half went into compiling.
 import { rmSync, writeFileSync } from 'node:fs';
 import { resolve } from 'node:path';
-import { prepare } from './load.mjs';
+import { prepare } from './launcher.mjs';
 
 rmSync('target/archpost.cache', { force: true });
 process.argv = [process.execPath, 'archpost', '--help'];
--- a/tools/measure.mjs
+++ b/tools/measure.mjs
@@ -1,7 +1,7 @@
 // Runs a measurement of test/measure: `node tools/measure.mjs NAME [ARGUMENTS]`. None of them runs in CI.
 import { spawnSync } from 'node:child_process';
 import { buildSync } from 'esbuild';
-import { BUNDLING } from './bundling.mjs';
+import { BUNDLING } from './bundle-options.mjs';
 
 const [name, ...args] = process.argv.slice(2);
 const outfile = `target/measure/${name}.mjs`;
