--- a/tools/build-service.mjs
+++ b/tools/build-service.mjs
@@ -1,6 +1,8 @@
-// Bundles the service (a start is charged to a small share of a core, and one file loads far
-// faster than a tree of modules), keeps it compiled beside it, and turns the operators' HCL
-// into target/operator.json (its parser is too heavy to load at each start).
+/**
+ * Bundles the service (a start is charged to a small share of a core, and one file loads far faster than a tree of modules),
+ * caches its compiled code, and turns the operators' HCL into target/operator.json (its parser is too heavy to load at each
+ * start).
+ */
 import { execFileSync } from 'node:child_process';
 import { readFileSync, writeFileSync } from 'node:fs';
 import { build } from 'esbuild';
@@ -22,11 +24,12 @@
   logLevel: 'warning',
 });
 
-// The program that is started: it loads the bundle by what is kept compiled, if that fits
-// this Node and its flags, and as it is otherwise.
+// Compiled by a Node with the flags of production: cached code fits no others.
 writeFileSync('target/archpost.mjs', readFileSync('tools/launcher.mjs'));
 const { run } = parse(readFileSync('deploy/service.toml', 'utf8'));
-const flags = run.split(' ').filter((w) => w.startsWith('--') && w !== '--config');
+const flags = String(run)
+  .split(' ')
+  .filter((word) => word.startsWith('--') && word !== '--config');
 execFileSync(process.execPath, [...flags, 'tools/compile-bundle.mjs'], { stdio: ['ignore', 'ignore', 'inherit'] });
 
 const [settings, error] = hcl.parseToObject(readFileSync('deploy/archpost.hcl', 'utf8'));
--- a/tools/bundle-options.mjs
+++ b/tools/bundle-options.mjs
@@ -1,11 +1,15 @@
-// How tests and measurements are bundled: each file by itself, to be run by node as it is.
-export const BUNDLING = {
+/**
+ * How tests and measurements are bundled: each file by itself, to be run by Node as it is.
+ *
+ * @satisfies {import('esbuild').BuildOptions}
+ */
+export const BUNDLE_OPTIONS = {
   bundle: true,
-  platform: 'node',
-  format: 'esm',
+  platform: /** @type {const} */ ('node'),
+  format: /** @type {const} */ ('esm'),
   target: 'node20',
   banner: {
     js: "import { createRequire as archpostRequire } from 'node:module'; const require = archpostRequire(import.meta.url);",
   },
-  logLevel: 'warning',
+  logLevel: /** @type {const} */ ('warning'),
 };
--- a/tools/bundle-tests.mjs
+++ b/tools/bundle-tests.mjs
@@ -1,13 +1,13 @@
-// Bundles each test file by itself into target/test, where node:test runs it.
+/** Bundles each test file by itself into target/test, where node:test runs it. */
 import { readdirSync, rmSync } from 'node:fs';
 import { build } from 'esbuild';
-import { BUNDLING } from './bundle-options.mjs';
+import { BUNDLE_OPTIONS } from './bundle-options.mjs';
 
 rmSync('target/test', { recursive: true, force: true });
-const files = readdirSync('test').filter((f) => f.endsWith('.test.ts'));
+const testFiles = readdirSync('test').filter((name) => name.endsWith('.test.ts'));
 await build({
-  entryPoints: files.map((f) => `test/${f}`),
+  entryPoints: testFiles.map((name) => `test/${name}`),
   outdir: 'target/test',
   outExtension: { '.js': '.mjs' },
-  ...BUNDLING,
+  ...BUNDLE_OPTIONS,
 });
--- a/tools/compile-bundle.mjs
+++ b/tools/compile-bundle.mjs
@@ -1,5 +1,7 @@
-// Keeps the bundle compiled, with all that loading it runs: of some 130 ms of a start, more
-// than half went into compiling.
+/**
+ * Keeps the bundle's compiled code beside it, with all functions that loading it runs: of some 130 ms of a start, more than
+ * half went into compiling.
+ */
 import { rmSync, writeFileSync } from 'node:fs';
 import { resolve } from 'node:path';
 import { prepare } from './launcher.mjs';
--- a/tools/production-core.mjs
+++ b/tools/production-core.mjs
@@ -1,9 +1,11 @@
-// Bundles the core of the version in production, from the repository's history, for the tests of upgrades:
-//
-//     node tools/production-core.mjs
-//
-// The commit is the one that deploy/service.toml names. The result is kept in test/upgrade, so that tests need no
-// history; it is never edited by hand.
+/**
+ * Bundles the core of the version in production, from the repository's history, for the tests of upgrades:
+ *
+ *     node tools/production-core.mjs
+ *
+ * The commit is the one that deploy/service.toml names; names of packages and exports are those of that commit. The result
+ * is checked in to test/upgrade, so that tests need no history; it is never edited by hand.
+ */
 import { execFileSync } from 'node:child_process';
 import { mkdirSync, mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -14,7 +16,7 @@
 mkdirSync('target', { recursive: true });
 const sources = mkdtempSync('target/production-');
 try {
-  const archive = execFileSync('git', ['archive', production, 'packages/wire', 'packages/core'], { maxBuffer: 1 << 26 });
+  const archive = execFileSync('git', ['archive', String(production), 'packages/wire', 'packages/core'], { maxBuffer: 1 << 26 });
   execFileSync('tar', ['x', '-C', sources], { input: archive });
   writeFileSync(
     join(sources, 'entry.ts'),
