--- a/packages/cloud-client/src/index.ts
+++ b/packages/cloud-client/src/index.ts
@@ -105,7 +105,7 @@
 
   /** True once the machines and everything on them are gone. */
   async giveBack(machines: string[]): Promise<boolean> {
-    const response = await this.call('POST', PATHS.machinesReturn, encodeReleaseRequest(machines));
+    const response = await this.call('POST', PATHS.machinesRelease, encodeReleaseRequest(machines));
     return response.status === 200;
   }
 }
--- a/packages/protocol/src/cloud.ts
+++ b/packages/protocol/src/cloud.ts
@@ -13,7 +13,7 @@
   zones: string[];
 }
 
-const types = z.object({
+const machineTypesOnWire = z.object({
   builds: z.array(
     z.object({
       name: z.string(),
@@ -31,19 +31,19 @@
 });
 
 export function parseMachineTypes(body: Record<string, unknown>): MachineType[] | null {
-  const parsed = types.safeParse(body);
+  const parsed = machineTypesOnWire.safeParse(body);
   if (!parsed.success) return null;
-  return parsed.data.builds.map((b) => ({
-    name: b.name,
-    cpus: b.cores,
-    gpus: b.accelerators ?? 0,
-    memory: b.memory_gb,
-    cacheGb: b.cache_gb ?? 0,
-    fetchGbPerS: b.fetch_gb_per_s ?? 1,
-    price: b.hourly ?? 0,
-    spotPrice: b.spot_price ?? b.hourly ?? 0,
-    bootS: b.boot_s ?? 60,
-    zones: b.yards ?? [],
+  return parsed.data.builds.map((type) => ({
+    name: type.name,
+    cpus: type.cores,
+    gpus: type.accelerators ?? 0,
+    memory: type.memory_gb,
+    cacheGb: type.cache_gb ?? 0,
+    fetchGbPerS: type.fetch_gb_per_s ?? 1,
+    price: type.hourly ?? 0,
+    spotPrice: type.spot_price ?? type.hourly ?? 0,
+    bootS: type.boot_s ?? 60,
+    zones: type.yards ?? [],
   }));
 }
 
@@ -57,7 +57,7 @@
   ageS: number;
 }
 
-const listing = z.object({
+const machineListOnWire = z.object({
   hosts: z.array(
     z.object({
       ref: z.string(),
@@ -73,7 +73,7 @@
 });
 
 export function parseMachineList(body: Record<string, unknown>): { machines: ListedMachine[]; more: boolean } | null {
-  const parsed = listing.safeParse(body);
+  const parsed = machineListOnWire.safeParse(body);
   if (!parsed.success) return null;
   return {
     more: parsed.data.has_next ?? false,
--- a/packages/protocol/src/jobs.ts
+++ b/packages/protocol/src/jobs.ts
@@ -24,32 +24,32 @@
   deadlineS: number | null;
 }
 
-const name = z.string().min(1).max(120);
-const amount = z.number().min(0).max(1e9);
+const nameOnWire = z.string().min(1).max(120);
+const amountOnWire = z.number().min(0).max(1e9);
 
 export const JOB_ID_PATTERN = /^run-[A-Za-z0-9_.-]{1,64}$/;
 
-const submission = z.object({
+const submissionOnWire = z.object({
   ref: z.string().regex(JOB_ID_PATTERN),
-  jobclass: name,
-  crew: name,
+  jobclass: nameOnWire,
+  crew: nameOnWire,
   shape: z.enum(['sweep', 'gang', 'standing']),
   rank: z.enum(['critical', 'urgent', 'standard', 'best_effort']),
   pieces: z.number().int().min(1).max(100_000),
-  cores: amount,
-  accelerators: amount,
-  memory_gb: amount,
-  bundle: name,
-  size_gb: amount,
-  builds: z.array(name).max(64).nullish(),
-  yard: name.nullish(),
+  cores: amountOnWire,
+  accelerators: amountOnWire,
+  memory_gb: amountOnWire,
+  bundle: nameOnWire,
+  size_gb: amountOnWire,
+  builds: z.array(nameOnWire).max(64).nullish(),
+  yard: nameOnWire.nullish(),
   one_zone: z.boolean(),
   spread: z.boolean(),
   loaners: z.boolean(),
-  guess_s: amount,
-  snapshot_s: amount,
-  stow_s: amount,
-  due_s: amount.nullish(),
+  guess_s: amountOnWire,
+  snapshot_s: amountOnWire,
+  stow_s: amountOnWire,
+  due_s: amountOnWire.nullish(),
   awaits: z.array(z.string().regex(JOB_ID_PATTERN)).nullish(),
 });
 
@@ -61,7 +61,7 @@
 
 /** A user's submission, or the name of the first field at fault. */
 export function parseSubmission(body: Record<string, unknown>): Submission | { field: string } {
-  const parsed = submission.safeParse(body);
+  const parsed = submissionOnWire.safeParse(body);
   if (!parsed.success) return { field: parsed.error.issues[0]?.path.join('.') || 'body' };
   const fields = parsed.data;
   return {
--- a/packages/protocol/src/names.ts
+++ b/packages/protocol/src/names.ts
@@ -10,9 +10,9 @@
   status: '/show',
   machineTypes: '/machine_types',
   machines: '/machines',
-  machinesReturn: '/machines/return',
+  machinesRelease: '/machines/return',
   keys: '/keys',
-  txn: '/txn',
+  compareAndSwap: '/txn',
   leases: '/leases',
   changes: '/changes',
 } as const;
--- a/packages/protocol/src/state.ts
+++ b/packages/protocol/src/state.ts
@@ -45,13 +45,13 @@
   revision: number;
 }
 
-const rows = z.object({
+const keyPageOnWire = z.object({
   rows: z.array(z.object({ k: z.string(), v: z.unknown().optional(), stamp: z.number() })),
   has_next: z.boolean().nullish(),
   ledger: z.number(),
 });
 export function parseRows(body: Record<string, unknown>): { rows: StoredKey[]; more: boolean; revision: number } | null {
-  const parsed = rows.safeParse(body);
+  const parsed = keyPageOnWire.safeParse(body);
   if (!parsed.success) return null;
   return {
     rows: parsed.data.rows.map((row) => ({ key: row.k, value: row.v, revision: row.stamp })),
@@ -60,14 +60,14 @@
   };
 }
 
-const changes = z.object({
+const changesOnWire = z.object({
   ledger: z.number(),
   log: z.array(
     z.object({ write: z.string().nullish(), remove: z.string().nullish(), v: z.unknown().optional(), stamp: z.number() }),
   ),
 });
 export function parseChanges(body: Record<string, unknown>): { changes: KeyChange[]; revision: number } | null {
-  const parsed = changes.safeParse(body);
+  const parsed = changesOnWire.safeParse(body);
   if (!parsed.success) return null;
   return {
     revision: parsed.data.ledger,
@@ -80,9 +80,9 @@
 }
 
 export const encodeLeaseRequest = (ttlMs: number) => ({ ttl_ms: ttlMs });
-export const parseLease = (b: Record<string, unknown>) => (typeof b.permit === 'number' ? b.permit : null);
+export const parseLease = (body: Record<string, unknown>) => (typeof body.permit === 'number' ? body.permit : null);
 /** A transaction's 400: the lease has ended, or (any other) it can't be taken as it is. */
-export const isLeaseNotFound = (b: Record<string, unknown>) => b.error === 'no such lease';
-export const parseRevision = (b: Record<string, unknown>) => (typeof b.ledger === 'number' ? b.ledger : null);
-export const parseFailedKeys = (b: Record<string, unknown>): string[] =>
-  Array.isArray(b.failed) ? b.failed.filter((key): key is string => typeof key === 'string') : [];
+export const isLeaseNotFound = (body: Record<string, unknown>) => body.error === 'no such lease';
+export const parseRevision = (body: Record<string, unknown>) => (typeof body.ledger === 'number' ? body.ledger : null);
+export const parseFailedKeys = (body: Record<string, unknown>): string[] =>
+  Array.isArray(body.failed) ? body.failed.filter((key): key is string => typeof key === 'string') : [];
--- a/packages/protocol/src/workers.ts
+++ b/packages/protocol/src/workers.ts
@@ -25,7 +25,7 @@
   tasks: TaskStatus[];
 }
 
-const count = z.number().int().min(0);
+const countOnWire = z.number().int().min(0);
 const TASK_STATE_FROM_WIRE: Record<string, TaskState> = {
   fetching: 'fetching',
   gathering: 'waiting',
@@ -44,20 +44,20 @@
   no_such: 'unknown',
 };
 
-const report = z.object({
+const heartbeatOnWire = z.object({
   host: z.string().min(1).max(190),
   address: z.string().min(1).max(100),
   build: z.string(),
   yard: z.string(),
   loaners: z.boolean(),
-  shift: count,
-  tally: count,
-  baton: count.nullish(),
+  shift: countOnWire,
+  tally: countOnWire,
+  baton: countOnWire.nullish(),
   warning_s: z.number().nullish(),
   pieces: z.array(
     z.object({
       piece: z.string().regex(/^.+\/\d+$/),
-      try: count,
+      try: countOnWire,
       status: z.string(),
       cause: z.string().nullish(),
       saved: z.boolean().nullish(),
@@ -66,7 +66,7 @@
 });
 
 export function parseHeartbeat(body: Record<string, unknown>): Heartbeat | null {
-  const parsed = report.safeParse(body);
+  const parsed = heartbeatOnWire.safeParse(body);
   if (!parsed.success) return null;
   const fields = parsed.data;
   return {
@@ -79,16 +79,16 @@
     sequence: fields.tally,
     fencingToken: fields.baton ?? 0,
     preemptionNoticeS: fields.warning_s ?? null,
-    tasks: fields.pieces.map((piece) => {
-      const cut = piece.piece.lastIndexOf('/');
+    tasks: fields.pieces.map((task) => {
+      const separator = task.piece.lastIndexOf('/');
       return {
-        job: piece.piece.slice(0, cut),
-        index: Number(piece.piece.slice(cut + 1)),
-        attempt: piece.try,
+        job: task.piece.slice(0, separator),
+        index: Number(task.piece.slice(separator + 1)),
+        attempt: task.try,
         // A state unknown to us still occupies its place.
-        state: TASK_STATE_FROM_WIRE[piece.status] ?? 'running',
-        exitReason: piece.cause ? (EXIT_REASON_FROM_WIRE[piece.cause] ?? 'error') : null,
-        saved: piece.saved ?? false,
+        state: TASK_STATE_FROM_WIRE[task.status] ?? 'running',
+        exitReason: task.cause ? (EXIT_REASON_FROM_WIRE[task.cause] ?? 'error') : null,
+        saved: task.saved ?? false,
       };
     }),
   };
@@ -111,12 +111,12 @@
   return encoded;
 }
 
-export function encodeHeartbeatResponse(token: number, commands: Command[]) {
-  return { baton: token, orders: commands.map(encodeCommand) };
+export function encodeHeartbeatResponse(fencingToken: number, commands: Command[]) {
+  return { baton: fencingToken, orders: commands.map(encodeCommand) };
 }
 
-export function encodeCommandRequest(token: number, session: number, commands: Command[]) {
-  return { baton: token, shift: session, orders: commands.map(encodeCommand) };
+export function encodeCommandRequest(fencingToken: number, agentEpoch: number, commands: Command[]) {
+  return { baton: fencingToken, shift: agentEpoch, orders: commands.map(encodeCommand) };
 }
 
 export function encodeRedirect(controller: string | null) {
--- a/packages/state-client/src/index.ts
+++ b/packages/state-client/src/index.ts
@@ -221,7 +221,7 @@
     await this.budget.take();
     const outcome = await this.client.call({
       method: 'POST',
-      path: PATHS.txn,
+      path: PATHS.compareAndSwap,
       body: pack(encodeCompareAndSwap(conditions, writes)),
       timeoutMs: 1500,
     });
