--- a/packages/cloud-client/src/index.ts
+++ b/packages/cloud-client/src/index.ts
@@ -24,22 +24,22 @@
 const LIST_SHARE = 0.5;
 
 /** A page after the first is asked for so often before the list is given up. */
-const PAGE_TRIES = 3;
+const PAGE_ATTEMPTS = 3;
 
-export type RentOutcome = { kind: 'ok'; machines: string[] } | { kind: 'full' | 'unknown' };
+export type ProvisioningOutcome = { kind: 'ok'; machines: string[] } | { kind: 'full' | 'unknown' };
 
 /** The cloud that rents out machines, within this controller's part of its request limit. */
-export class Cloud {
+export class CloudClient {
   private readonly client: Client;
   private readonly budget: Budget;
   /** pages of lists take a part only: rentals and returns need the rest */
   private readonly listBudget: Budget;
   readonly unreadable$ = new Subject<string>();
 
-  constructor(address: string, rps: number) {
+  constructor(address: string, requestsPerS: number) {
     this.client = new Client(address, CLOUD_SOCKETS);
-    this.budget = new Budget(rps, steady);
-    this.listBudget = new Budget(rps * LIST_SHARE, steady);
+    this.budget = new Budget(requestsPerS, steady);
+    this.listBudget = new Budget(requestsPerS * LIST_SHARE, steady);
   }
 
   close(): void {
@@ -54,20 +54,20 @@
     return outcome.kind === 'answer' ? { status: outcome.status, body: unpackMap(outcome.body) } : { status: 0, body: null };
   }
 
-  async types(): Promise<MachineType[] | null> {
+  async fetchMachineTypes(): Promise<MachineType[] | null> {
     const response = await this.call('GET', PATHS.machineTypes);
-    return this.readable(response, 'machine types', parseMachineTypes);
+    return this.parse(response, 'machine types', parseMachineTypes);
   }
 
-  private readable<T>(answer: ServiceResponse, what: string, parse: (body: Record<string, unknown>) => T | null): T | null {
+  private parse<T>(answer: ServiceResponse, what: string, parse: (body: Record<string, unknown>) => T | null): T | null {
     return readResponse(answer, parse, () => this.unreadable$.next(what));
   }
 
-  async list(): Promise<ListedMachine[] | null> {
+  async listMachines(): Promise<ListedMachine[] | null> {
     const result: ListedMachine[] = [];
     let since = '';
     for (;;) {
-      const page = await this.page(since);
+      const page = await this.readPage(since);
       if (!page) return null;
       result.push(...page.machines);
       if (!page.more || page.machines.length === 0) return result;
@@ -76,12 +76,12 @@
   }
 
   /** A page of the list; a later one is asked for again, since all that came before it would be lost. */
-  private async page(since: string): Promise<ReturnType<typeof parseMachineList>> {
+  private async readPage(since: string): Promise<ReturnType<typeof parseMachineList>> {
     const path = `${PATHS.machines}?${since === '' ? '' : `since=${since}&`}most=${MAX_MACHINES_PER_LIST}`;
-    for (let tries = since === '' ? 1 : PAGE_TRIES; tries > 0; tries--) {
+    for (let attemptsLeft = since === '' ? 1 : PAGE_ATTEMPTS; attemptsLeft > 0; attemptsLeft--) {
       await this.listBudget.take();
       const answer = await this.call('GET', path);
-      const page = this.readable(answer, 'machine list', parseMachineList);
+      const page = this.parse(answer, 'machine list', parseMachineList);
       if (page || answer.status === 200) return page;
     }
     return null;
@@ -91,9 +91,9 @@
    * Rents under a name that is never used again. Without an answer the name is asked for
    * once more: if the first request was carried out, the same answer comes back.
    */
-  async rent(rental: ProvisioningRequest): Promise<RentOutcome> {
-    for (let tries = 0; tries < 3; tries++) {
-      const response = await this.call('POST', PATHS.machines, encodeProvisioningRequest(rental));
+  async provision(request: ProvisioningRequest): Promise<ProvisioningOutcome> {
+    for (let attempt = 0; attempt < 3; attempt++) {
+      const response = await this.call('POST', PATHS.machines, encodeProvisioningRequest(request));
       const error = response.body?.error;
       if (response.status === 200 && response.body)
         return { kind: 'ok', machines: parseProvisionedMachines(response.body) ?? [] };
@@ -104,7 +104,7 @@
   }
 
   /** True once the machines and everything on them are gone. */
-  async giveBack(machines: string[]): Promise<boolean> {
+  async releaseMachines(machines: string[]): Promise<boolean> {
     const response = await this.call('POST', PATHS.machinesRelease, encodeReleaseRequest(machines));
     return response.status === 200;
   }
--- a/packages/server/src/service.ts
+++ b/packages/server/src/service.ts
@@ -1,11 +1,11 @@
 import { randomUUID } from 'node:crypto';
-import { Cloud } from '@archpost/cloud-client';
+import { CloudClient } from '@archpost/cloud-client';
 import { Controller, type Effect } from '@archpost/controller';
 import { Api, Connections, type Request, Shedding } from '@archpost/http-api';
 import { splitAddr, steady } from '@archpost/http-client';
-import { Peers } from '@archpost/peer-transport';
-import { StateStore } from '@archpost/state-client';
-import { Workers } from '@archpost/worker-client';
+import { PeerTransport } from '@archpost/peer-transport';
+import { StateServiceClient } from '@archpost/state-client';
+import { WorkerClient } from '@archpost/worker-client';
 import type { Logger } from 'pino';
 import { interval, throttleTime, timer } from 'rxjs';
 import { commandSockets, inboundSockets } from './capacity.js';
@@ -26,10 +26,10 @@
 /** Wires the core to its edges: inputs in, effects out. */
 export class Service {
   private readonly core: Controller;
-  private readonly store: StateStore;
-  private readonly cloud: Cloud;
-  private readonly workers: Workers;
-  private readonly peers: Peers;
+  private readonly store: StateServiceClient;
+  private readonly cloud: CloudClient;
+  private readonly workers: WorkerClient;
+  private readonly peers: PeerTransport;
   private readonly api: Api;
   private readonly inbox: Inbox;
   private readonly shedding: Shedding;
@@ -54,7 +54,7 @@
     });
     // Half of the time a cancellation has: rides out outages, leaves time to take over.
     const ttlMs = Math.round(Math.min(600, Math.max(1, controllerSettings.workers.cancelS / 2)) * 1000);
-    this.store = new StateStore(
+    this.store = new StateServiceClient(
       settings.state,
       'a/',
       (Math.min(
@@ -66,11 +66,11 @@
       ttlMs,
       0.002,
     );
-    this.cloud = new Cloud(settings.cloud, controllerSettings.cloud.requestsPerS * Math.max(0.5, 0.9 / controllerCount));
+    this.cloud = new CloudClient(settings.cloud, controllerSettings.cloud.requestsPerS * Math.max(0.5, 0.9 / controllerCount));
     // All workers may come to one controller, with a connection each: those for commands, of which
     // the longest unused are closed, must leave room for that, and for users.
-    this.workers = new Workers(commandSockets(settings));
-    this.peers = new Peers(settings.others);
+    this.workers = new WorkerClient(commandSockets(settings));
+    this.peers = new PeerTransport(settings.others);
     this.api = new Api(
       (request) => this.request(request),
       () => this.core.isReady,
@@ -82,14 +82,14 @@
 
   async start(): Promise<void> {
     const { core, inbox } = this;
-    this.store.loaded$.subscribe((snapshot) =>
+    this.store.snapshot$.subscribe((snapshot) =>
       inbox.decision(() => core.receiveSnapshot(snapshot.rows, snapshot.revision, steady())),
     );
     this.store.changes$.subscribe((event) =>
       inbox.decision(() => core.receiveChanges(event.changes, event.revision, event.asOf, steady())),
     );
     this.store.lease$.subscribe((lease) =>
-      inbox.decision(() => core.receiveLeaseState(lease.permit, lease.validUntil, steady())),
+      inbox.decision(() => core.receiveLeaseState(lease.leaseId, lease.validUntil, steady())),
     );
     this.peers.message$.subscribe((message) => {
       const { heartbeat, status } = message;
@@ -101,7 +101,7 @@
     const told = throttleTime<string>(UNREADABLE_MS);
     this.cloud.unreadable$.pipe(told).subscribe((what) => this.log.error({ what }, "the cloud's answer can not be read"));
     this.store.unreadable$.pipe(told).subscribe((what) => this.log.error({ what }, "the state service's answer can not be read"));
-    this.peers.down$.subscribe((controller) => inbox.decision(() => core.peerDisconnected(controller, steady())));
+    this.peers.disconnected$.subscribe((controller) => inbox.decision(() => core.peerDisconnected(controller, steady())));
     this.store.start();
     const peer = splitAddr(this.settings.peerListen);
     await this.peers.listen(peer.host, peer.port);
@@ -191,38 +191,38 @@
         this.api.answer(effect.id, effect.status, effect.body, effect.retryAfterS);
         break;
       case 'readBarrier':
-        this.store.barrier(effect.urgent);
+        this.store.readBarrier(effect.urgent);
         break;
       case 'compareAndSwap':
         void this.store
-          .txn(effect.conditions, effect.writes)
+          .compareAndSwap(effect.conditions, effect.writes)
           .then((outcome) => back(() => core.receiveCompareAndSwapOutcome(effect.id, outcome, steady())));
         break;
       case 'command':
         void this.workers
-          .command(effect.address, effect.fencingToken, effect.agentEpoch, effect.commands)
+          .sendCommands(effect.address, effect.fencingToken, effect.agentEpoch, effect.commands)
           .then((outcome) => back(() => core.receiveCommandOutcome(effect.id, outcome, steady())));
         break;
       case 'probe':
         void this.workers
-          .ask(effect.address)
+          .probe(effect.address)
           .then((isAnswered) => back(() => core.receiveProbeOutcome(effect.id, isAnswered, steady())));
         break;
       case 'provision':
         void this.cloud
-          .rent(effect.request)
+          .provision(effect.request)
           .then((outcome) => back(() => core.receiveProvisioningOutcome(effect.id, outcome, steady())));
         break;
       case 'release':
         void this.cloud
-          .giveBack(effect.machines)
+          .releaseMachines(effect.machines)
           .then((isReleased) => back(() => core.receiveReleaseOutcome(effect.id, isReleased, steady())));
         break;
       case 'listMachines':
-        void this.cloud.list().then((machines) => back(() => core.receiveMachineList(machines, steady())));
+        void this.cloud.listMachines().then((machines) => back(() => core.receiveMachineList(machines, steady())));
         break;
       case 'fetchMachineTypes':
-        void this.cloud.types().then((types) => back(() => core.receiveMachineTypes(types, steady())));
+        void this.cloud.fetchMachineTypes().then((types) => back(() => core.receiveMachineTypes(types, steady())));
         break;
       case 'sendStatus':
         this.peers.send({ node: this.settings.core.name, status: effect.status, heartbeat: null }, effect.to);
--- a/packages/state-client/src/index.ts
+++ b/packages/state-client/src/index.ts
@@ -23,10 +23,10 @@
 } from '@archpost/protocol';
 import { Subject } from 'rxjs';
 
-export interface StateEvents {
-  loaded: { rows: StoredKey[]; revision: number };
+export interface StateServiceEvents {
+  snapshot: { rows: StoredKey[]; revision: number };
   changes: { changes: KeyChange[]; revision: number; asOf: number };
-  lease: { permit: number | null; validUntil: number };
+  lease: { leaseId: number | null; validUntil: number };
 }
 
 /** A wait this long bounds how old the copy can be when nothing changes. */
@@ -34,47 +34,47 @@
 const WATCH_MS = WATCH_S * 1000;
 
 /** Questions wait for the watch this long, of the two seconds that users give them. */
-const LAZY_MS = 350;
+const MAX_BARRIER_DELAY_MS = 350;
 
 /** Keys in a page, how long one may take, and how often one after the first is asked for. */
 const KEYS_PER_PAGE = 1000;
-const PAGE_MS = 3000;
-const PAGE_TRIES = 3;
-const PAGE_AGAIN_MS = 200;
+const PAGE_TIMEOUT_MS = 3000;
+const PAGE_ATTEMPTS = 3;
+const PAGE_RETRY_MS = 200;
 
 /** Connections to the state service: watch, barrier, lease, transactions, and calls that hang. */
 export const STATE_SOCKETS = 16;
 
 /** The state service: one lease, one copy of our keys kept up by a watch, transactions. */
-export class StateStore {
-  readonly loaded$ = new Subject<StateEvents['loaded']>();
-  readonly changes$ = new Subject<StateEvents['changes']>();
-  readonly lease$ = new Subject<StateEvents['lease']>();
+export class StateServiceClient {
+  readonly snapshot$ = new Subject<StateServiceEvents['snapshot']>();
+  readonly changes$ = new Subject<StateServiceEvents['changes']>();
+  readonly lease$ = new Subject<StateServiceEvents['lease']>();
   readonly unreadable$ = new Subject<string>();
   private readonly client: Client;
   private readonly budget: Budget;
   private revision = 0;
   /** when a reading was asked for last, and by when it is to begin */
-  private wantedAt = -1;
-  private wantedBy = Number.POSITIVE_INFINITY;
+  private requestedAt = -1;
+  private readDueAt = Number.POSITIVE_INFINITY;
   /** the newest reading that was answered began then */
-  private readAt = -1;
+  private newestReadAt = -1;
   private closed = false;
-  private barrierBusy = false;
-  private barrierAt = 0;
+  private isReadingForBarrier = false;
+  private lastBarrierReadAt = 0;
   private readonly pauseMs: number;
 
   constructor(
     address: string,
     private readonly prefix: string,
-    rps: number,
+    requestsPerS: number,
     private readonly ttlMs: number,
-    private readonly driftShare: number,
+    private readonly clockDrift: number,
   ) {
     this.client = new Client(address, STATE_SOCKETS);
-    this.budget = new Budget(rps, steady);
+    this.budget = new Budget(requestsPerS, steady);
     // Watch, barriers and writes share the budget: a third of it for re-opening the watch.
-    this.pauseMs = Math.max(40, Math.min(250, 3000 / rps));
+    this.pauseMs = Math.max(40, Math.min(250, 3000 / requestsPerS));
   }
 
   /** Ends what goes on by itself. */
@@ -84,8 +84,8 @@
   }
 
   start(): void {
-    void this.leaseLoop();
-    void this.watchLoop();
+    void this.keepLease();
+    void this.keepReplica();
   }
 
   private async get(path: string, timeoutMs: number): Promise<ServiceResponse> {
@@ -95,7 +95,7 @@
 
   // ---- the lease
 
-  private async leaseLoop(): Promise<void> {
+  private async keepLease(): Promise<void> {
     let leaseId: number | null = null;
     const every = Math.min(this.ttlMs / 6, 2500);
     while (!this.closed) {
@@ -109,12 +109,12 @@
         if (leaseId === null) leaseId = parseLease(unpackMap(outcome.body) ?? {});
         if (leaseId !== null) {
           // Counted from the sending, on a clock that may run fast or slow.
-          this.lease$.next({ permit: leaseId, validUntil: at + this.ttlMs * (1 - this.driftShare) - 20 });
+          this.lease$.next({ leaseId, validUntil: at + this.ttlMs * (1 - this.clockDrift) - 20 });
           wait = every;
         }
       } else if (outcome.kind === 'answer' && (outcome.status === 404 || outcome.status === 400) && leaseId !== null) {
         leaseId = null;
-        this.lease$.next({ permit: null, validUntil: 0 });
+        this.lease$.next({ leaseId: null, validUntil: 0 });
         wait = 0;
       }
       await sleep(wait);
@@ -123,26 +123,26 @@
 
   // ---- the copy
 
-  private async watchLoop(): Promise<void> {
+  private async keepReplica(): Promise<void> {
     while (!this.closed) {
-      if (!(await this.load())) {
+      if (!(await this.loadAllKeys())) {
         await sleep(300);
         continue;
       }
       while (!this.closed) {
-        const result = await this.read(WATCH_MS, WATCH_MS + 2000);
+        const result = await this.readChanges(WATCH_MS, WATCH_MS + 2000);
         if (result === 'old') break;
         await sleep(result === 'ok' ? this.pauseMs : 300);
       }
     }
   }
 
-  private async load(): Promise<boolean> {
+  private async loadAllKeys(): Promise<boolean> {
     const rows: StoredKey[] = [];
     let since = '';
     let first = -1;
     for (;;) {
-      const page = await this.page(since);
+      const page = await this.readPage(since);
       if (!page) return false;
       if (first < 0) first = page.revision;
       rows.push(...page.rows);
@@ -151,38 +151,38 @@
     }
     // Pages can be of different times: what changed since the first one comes by the watch.
     this.revision = first;
-    this.loaded$.next({ rows, revision: first });
-    const result = await this.read(0, 2000);
+    this.snapshot$.next({ rows, revision: first });
+    const result = await this.readChanges(0, 2000);
     return result === 'ok';
   }
 
   /** A page of all keys; a later one is asked for again, since all that came before it would be lost. */
-  private async page(since: string): Promise<ReturnType<typeof parseRows>> {
+  private async readPage(since: string): Promise<ReturnType<typeof parseRows>> {
     const at = since === '' ? '' : `&since=${since}`;
     const path = `${PATHS.keys}?starts=${this.prefix}${at}&most=${KEYS_PER_PAGE}`;
-    for (let tries = since === '' ? 1 : PAGE_TRIES; tries > 0; tries--) {
+    for (let attemptsLeft = since === '' ? 1 : PAGE_ATTEMPTS; attemptsLeft > 0; attemptsLeft--) {
       await this.budget.take();
-      const answer = await this.get(path, PAGE_MS);
-      const page = this.readable(answer, 'keys', parseRows);
+      const answer = await this.get(path, PAGE_TIMEOUT_MS);
+      const page = this.parse(answer, 'keys', parseRows);
       if (page || answer.status === 200) return page;
-      await sleep(PAGE_AGAIN_MS);
+      await sleep(PAGE_RETRY_MS);
     }
     return null;
   }
 
-  private readable<T>(answer: ServiceResponse, what: string, parse: (body: Record<string, unknown>) => T | null): T | null {
+  private parse<T>(answer: ServiceResponse, what: string, parse: (body: Record<string, unknown>) => T | null): T | null {
     return readResponse(answer, parse, () => this.unreadable$.next(what));
   }
 
-  private async read(waitMs: number, timeoutMs: number): Promise<'ok' | 'old' | 'failed'> {
+  private async readChanges(waitMs: number, timeoutMs: number): Promise<'ok' | 'old' | 'failed'> {
     await this.budget.take();
     const asOf = steady();
     const response = await this.get(`${PATHS.changes}?starts=${this.prefix}&since=${this.revision}&wait_ms=${waitMs}`, timeoutMs);
     if (response.status === 410) return 'old';
-    const page = this.readable(response, 'changes', parseChanges);
+    const page = this.parse(response, 'changes', parseChanges);
     if (!page) return 'failed';
     if (page.revision > this.revision) this.revision = page.revision;
-    if (asOf > this.readAt) this.readAt = asOf;
+    if (asOf > this.newestReadAt) this.newestReadAt = asOf;
     this.changes$.next({ changes: page.changes, revision: page.revision, asOf });
     return 'ok';
   }
@@ -191,33 +191,33 @@
    * Reads once more, newer than this call. Calls are batched. What can wait a moment is mostly
    * answered by the watch, which is opened anew after each change.
    */
-  barrier(soon: boolean): void {
-    this.wantedAt = steady();
-    this.wantedBy = Math.min(this.wantedBy, this.wantedAt + (soon ? 0 : LAZY_MS));
-    if (this.barrierBusy || this.revision === 0) return;
-    this.barrierBusy = true;
-    void this.barrierLoop();
+  readBarrier(isUrgent: boolean): void {
+    this.requestedAt = steady();
+    this.readDueAt = Math.min(this.readDueAt, this.requestedAt + (isUrgent ? 0 : MAX_BARRIER_DELAY_MS));
+    if (this.isReadingForBarrier || this.revision === 0) return;
+    this.isReadingForBarrier = true;
+    void this.readUntilFresh();
   }
 
-  private async barrierLoop(): Promise<void> {
-    while (this.wantedAt > this.readAt) {
-      const wait = Math.max(this.barrierAt + 1.5 * this.pauseMs, this.wantedBy) - steady();
+  private async readUntilFresh(): Promise<void> {
+    while (this.requestedAt > this.newestReadAt) {
+      const wait = Math.max(this.lastBarrierReadAt + 1.5 * this.pauseMs, this.readDueAt) - steady();
       if (wait > 0) {
         await sleep(Math.min(wait, 1.5 * this.pauseMs));
         continue;
       }
-      this.wantedBy = Number.POSITIVE_INFINITY;
-      this.barrierAt = steady();
-      const result = await this.read(0, 1200);
+      this.readDueAt = Number.POSITIVE_INFINITY;
+      this.lastBarrierReadAt = steady();
+      const result = await this.readChanges(0, 1200);
       if (result === 'failed') await sleep(200);
     }
-    this.wantedBy = Number.POSITIVE_INFINITY;
-    this.barrierBusy = false;
+    this.readDueAt = Number.POSITIVE_INFINITY;
+    this.isReadingForBarrier = false;
   }
 
   // ---- writing
 
-  async txn(conditions: RevisionCondition[], writes: KeyWrite[]): Promise<CompareAndSwapOutcome> {
+  async compareAndSwap(conditions: RevisionCondition[], writes: KeyWrite[]): Promise<CompareAndSwapOutcome> {
     await this.budget.take();
     const outcome = await this.client.call({
       method: 'POST',
--- a/packages/worker-client/src/index.ts
+++ b/packages/worker-client/src/index.ts
@@ -4,42 +4,42 @@
 export type CommandOutcome = { kind: 'ok' | 'stale'; report: Heartbeat | null } | { kind: 'lost' | 'refused' };
 
 /** Commands that go directly to workers. */
-export class Workers {
-  private readonly clients = new Map<string, { client: Client; used: number }>();
+export class WorkerClient {
+  private readonly clients = new Map<string, { client: Client; usedAt: number }>();
 
   constructor(private readonly maxClients: number) {}
 
-  private client(addr: string): Client {
-    const known = this.clients.get(addr);
+  private clientOf(address: string): Client {
+    const known = this.clients.get(address);
     if (known) {
-      known.used = Date.now();
+      known.usedAt = Date.now();
       return known.client;
     }
     if (this.clients.size >= this.maxClients) {
       let oldest: string | null = null;
-      for (const [address, connection] of this.clients)
-        if (oldest === null || connection.used < (this.clients.get(oldest)?.used ?? 0)) oldest = address;
+      for (const [candidate, connection] of this.clients)
+        if (oldest === null || connection.usedAt < (this.clients.get(oldest)?.usedAt ?? 0)) oldest = candidate;
       if (oldest !== null) {
         this.clients.get(oldest)?.client.close();
         this.clients.delete(oldest);
       }
     }
-    const client = new Client(addr, 1);
-    this.clients.set(addr, { client, used: Date.now() });
+    const client = new Client(address, 1);
+    this.clients.set(address, { client, usedAt: Date.now() });
     return client;
   }
 
   /** Does the worker answer? */
-  async ask(address: string): Promise<boolean> {
-    const outcome = await this.client(address).call({ method: 'GET', path: PATHS.status, timeoutMs: 1500 });
+  async probe(address: string): Promise<boolean> {
+    const outcome = await this.clientOf(address).call({ method: 'GET', path: PATHS.status, timeoutMs: 1500 });
     return outcome.kind === 'answer' && outcome.status === 200;
   }
 
-  async command(address: string, token: number, session: number, commands: Command[]): Promise<CommandOutcome> {
-    const outcome = await this.client(address).call({
+  async sendCommands(address: string, fencingToken: number, agentEpoch: number, commands: Command[]): Promise<CommandOutcome> {
+    const outcome = await this.clientOf(address).call({
       method: 'POST',
       path: PATHS.commands,
-      body: pack(encodeCommandRequest(token, session, commands)),
+      body: pack(encodeCommandRequest(fencingToken, agentEpoch, commands)),
       timeoutMs: 2500,
     });
     if (outcome.kind !== 'answer') return { kind: outcome.kind };
--- a/test/size-limits.test.ts
+++ b/test/size-limits.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import net from 'node:net';
 import { test } from 'node:test';
-import { Cloud } from '@archpost/cloud-client';
+import { CloudClient } from '@archpost/cloud-client';
 import {
   encodedBytes,
   encodeStatus,
@@ -13,9 +13,9 @@
   WriteQueue,
 } from '@archpost/controller';
 import { Api, Connections, Shedding } from '@archpost/http-api';
-import { encodeFrame, FrameReader, MAX_FRAME_BYTES, Peers } from '@archpost/peer-transport';
+import { encodeFrame, FrameReader, MAX_FRAME_BYTES, PeerTransport } from '@archpost/peer-transport';
 import { encodePeerMessage, MAX_COMMANDS_PER_BODY } from '@archpost/protocol';
-import { StateStore } from '@archpost/state-client';
+import { StateServiceClient } from '@archpost/state-client';
 import { CollectionTrigger, heapMb, planHeap, threadHeapMb } from '../packages/server/src/memory.js';
 import { LargeFleet } from './fleet/large-fleet.js';
 import { listen, serverFor } from './loopback/http.js';
@@ -44,7 +44,7 @@
     probe.listen(0, '127.0.0.1', () => resolve((probe.address() as net.AddressInfo).port)),
   );
   await new Promise((resolve) => probe.close(resolve));
-  const peers = new Peers([
+  const peers = new PeerTransport([
     { name: 'n1', addr: '127.0.0.1:1' },
     { name: 'n2', addr: '127.0.0.1:1' },
   ]);
@@ -232,15 +232,15 @@
     if (asked === 2) return { status: 429, body: {} };
     return { status: 200, body: isReadable ? { hosts: [host(2)], has_next: false } : { hosts: 'none' } };
   });
-  const cloud = new Cloud(await listen(server), 100);
+  const cloud = new CloudClient(await listen(server), 100);
   const unreadable: string[] = [];
   cloud.unreadable$.subscribe((what) => unreadable.push(what));
   assert.deepEqual(
-    (await cloud.list())?.map(({ machine }) => machine),
+    (await cloud.listMachines())?.map(({ machine }) => machine),
     ['n-1', 'n-2'],
   );
   isReadable = false;
-  assert.equal(await cloud.list(), null);
+  assert.equal(await cloud.listMachines(), null);
   assert.deepEqual(unreadable, ['machine list']);
   cloud.close();
   server.close();
@@ -258,9 +258,9 @@
     const row = { k: isFirst ? 'a/1' : 'a/2', v: 1, stamp: 1 };
     return { status: 200, body: { rows: [row], has_next: isFirst, ledger: 9 } };
   });
-  const store = new StateStore(await listen(server), 'a/', 100, 5000, 0.002);
+  const store = new StateServiceClient(await listen(server), 'a/', 100, 5000, 0.002);
   const keys = await new Promise<string[]>((resolve) => {
-    store.loaded$.subscribe(({ rows }) => resolve(rows.map(({ key }) => key)));
+    store.snapshot$.subscribe(({ rows }) => resolve(rows.map(({ key }) => key)));
     store.start();
   });
   assert.deepEqual(keys, ['a/1', 'a/2']);
