--- a/packages/protocol/src/jobs.ts
+++ b/packages/protocol/src/jobs/submission.ts
@@ -1,28 +1,10 @@
 import { z } from 'zod';
-import { JOB_STATE_TO_WIRE, type JobState, PRIORITY_FROM_WIRE, SHAPE_FROM_WIRE, type Shape } from './names.js';
+import type { JobSpec, Shape } from './job-spec.js';
 
-export interface JobSpec {
-  id: string;
-  cls: string;
-  team: string;
-  shape: Shape;
-  rank: number;
-  tasks: number;
-  cpus: number;
-  gpus: number;
-  memory: number;
-  image: string;
-  imageGb: number;
-  types: string[] | null;
-  zone: string | null;
-  oneZone: boolean;
-  spread: boolean;
-  spot: boolean;
-  estimateS: number;
-  checkpointS: number;
-  saveS: number;
-  deadlineS: number | null;
-}
+export const SHAPE_FROM_WIRE: Record<string, Shape> = { sweep: 'array', gang: 'gang', standing: 'service' };
+
+/** Larger is more urgent. */
+export const PRIORITY_FROM_WIRE: Record<string, number> = { critical: 3, urgent: 2, standard: 1, best_effort: 0 };
 
 const nameOnWire = z.string().min(1).max(120);
 const amountOnWire = z.number().min(0).max(1e9);
@@ -90,13 +72,3 @@
     },
   };
 }
-
-/** PROTOCOL's answer; of a job that fails everywhere it tells so in two fields more, which others ignore. */
-export function encodeJobStatus(id: string, state: JobState, counts?: { done: number; running: number; failed?: number }) {
-  const answer = { ref: id, status: JOB_STATE_TO_WIRE[state] };
-  if (!counts) return answer;
-  const { done, running, failed } = counts;
-  return failed
-    ? { ...answer, done, running, failed, note: 'its tasks fail on every machine that they start on' }
-    : { ...answer, done, running };
-}
--- a/packages/protocol/src/peer/peer-message.ts
+++ b/packages/protocol/src/peer/peer-message.ts
@@ -1,5 +1,5 @@
 import protobuf from 'protobufjs/light.js';
-import type { Heartbeat } from '../workers.js';
+import type { Heartbeat } from '../worker/heartbeat.js';
 import { heartbeatFields, taskStatusFields } from './forwarded-heartbeat.js';
 import {
   type PeerStatus,
