--- a/packages/protocol/src/body-limits.ts
+++ b/packages/protocol/src/body-limits.ts
@@ -1,6 +1,10 @@
-/** A request body, and an answer to workers or users, in the form in which PROTOCOL counts it (JSON). */
+/** Size limits of bodies, counted in the form of JSON although bodies are sent as MessagePack. */
+
+/** Largest request body, and largest response to workers and users, in bytes. */
 export const MAX_BODY_BYTES = 64 * 1024;
 
-/** A command to a worker is smaller than this, so many as these fit a body. */
-const COMMAND_BYTES = 160;
-export const MAX_COMMANDS_PER_BODY = Math.floor(MAX_BODY_BYTES / COMMAND_BYTES);
+/** An upper bound of the bytes of one encoded command. */
+const MAX_COMMAND_BYTES = 160;
+
+/** Commands that fit one body whatever they are. */
+export const MAX_COMMANDS_PER_BODY = Math.floor(MAX_BODY_BYTES / MAX_COMMAND_BYTES);
--- a/packages/protocol/src/cloud/machine-list.ts
+++ b/packages/protocol/src/cloud/machine-list.ts
@@ -1,18 +1,31 @@
+/** The cloud's list of machines, which is read in pages and lags behind what the cloud does. */
 import { z } from 'zod';
+import type { MessagePackMap } from '../message-pack.js';
+import { PATHS } from '../paths.js';
 
 /** Most machines that the cloud lists in one response. */
 export const MAX_MACHINES_PER_LIST = 500;
 
+/** A machine as the cloud lists it. */
 export interface ListedMachine {
   machine: string;
+  /** address of its worker; empty if it is not known */
   address: string;
   type: string;
   zone: string;
   spot: boolean;
   state: 'booting' | 'running' | 'failed';
+  /** seconds since it was asked for, at the time that the list describes */
   ageS: number;
 }
 
+/** One page of the list, in the order of the machines' names. */
+export interface MachinePage {
+  machines: ListedMachine[];
+  /** whether further pages follow */
+  more: boolean;
+}
+
 const machineListOnWire = z.object({
   hosts: z.array(
     z.object({
@@ -28,7 +41,14 @@
   has_next: z.boolean().nullish(),
 });
 
-export function parseMachineList(body: Record<string, unknown>): { machines: ListedMachine[]; more: boolean } | null {
+/** Path and query of the page that begins after this machine; an empty name asks for the first page. */
+export function machineListPath(after: string): string {
+  const start = after === '' ? '' : `since=${after}&`;
+  return `${PATHS.machines}?${start}most=${MAX_MACHINES_PER_LIST}`;
+}
+
+/** Null if a field is missing or invalid. */
+export function parseMachineList(body: MessagePackMap): MachinePage | null {
   const parsed = machineListOnWire.safeParse(body);
   if (!parsed.success) return null;
   return {
--- a/packages/protocol/src/cloud/machine-types.ts
+++ b/packages/protocol/src/cloud/machine-types.ts
@@ -1,18 +1,31 @@
+/** The machine types that the cloud rents out. */
 import { z } from 'zod';
+import type { MessagePackMap } from '../message-pack.js';
 
+/** A machine type and its current prices. Controllers store it under these field names. */
 export interface MachineType {
   name: string;
   cpus: number;
   gpus: number;
+  /** in GB */
   memory: number;
+  /** space for cached images, in GB */
   cacheGb: number;
+  /** nominal rate at which a machine fetches images, in GB per second */
   fetchGbPerS: number;
+  /** of an ordinary machine, per hour */
   price: number;
+  /** of a spot machine, per hour, at the time of the request */
   spotPrice: number;
+  /** usual boot time in seconds; single machines take several times as long */
   bootS: number;
+  /** zones in which machines of this type are rented out */
   zones: string[];
 }
 
+const DEFAULT_FETCH_GB_PER_S = 1;
+const DEFAULT_BOOT_S = 60;
+
 const machineTypesOnWire = z.object({
   builds: z.array(
     z.object({
@@ -30,7 +43,8 @@
   ),
 });
 
-export function parseMachineTypes(body: Record<string, unknown>): MachineType[] | null {
+/** Null if a field is missing or invalid. Optional fields that are missing get their defaults. */
+export function parseMachineTypes(body: MessagePackMap): MachineType[] | null {
   const parsed = machineTypesOnWire.safeParse(body);
   if (!parsed.success) return null;
   return parsed.data.builds.map((type) => ({
@@ -39,10 +53,10 @@
     gpus: type.accelerators ?? 0,
     memory: type.memory_gb,
     cacheGb: type.cache_gb ?? 0,
-    fetchGbPerS: type.fetch_gb_per_s ?? 1,
+    fetchGbPerS: type.fetch_gb_per_s ?? DEFAULT_FETCH_GB_PER_S,
     price: type.hourly ?? 0,
     spotPrice: type.spot_price ?? type.hourly ?? 0,
-    bootS: type.boot_s ?? 60,
+    bootS: type.boot_s ?? DEFAULT_BOOT_S,
     zones: type.yards ?? [],
   }));
 }
--- a/packages/protocol/src/cloud/provisioning.ts
+++ b/packages/protocol/src/cloud/provisioning.ts
@@ -1,28 +1,67 @@
+/** Requests by which machines are rented from the cloud and released. */
 import { z } from 'zod';
+import type { MessagePackMap } from '../message-pack.js';
 
-/** Most machines that the cloud takes in one request. */
+/** Most machines that the cloud rents out for one request. */
 export const MAX_MACHINES_PER_PROVISIONING = 50;
+
+/** Most machines that the cloud takes back in one request. */
 export const MAX_MACHINES_PER_RELEASE = 100;
 
+/** A request for machines of one type in one zone. */
 export interface ProvisioningRequest {
+  /**
+   * Makes the request idempotent: if it was granted and is repeated, the cloud returns the same machines. It must not
+   * be used again for another request, by no controller.
+   */
   requestId: string;
   machineType: string;
   zone: string;
   spot: boolean;
+  /** at most MAX_MACHINES_PER_PROVISIONING; the cloud may grant fewer */
   count: number;
 }
 
-export const encodeProvisioningRequest = (request: ProvisioningRequest) => ({
-  booking: request.requestId,
-  build: request.machineType,
-  yard: request.zone,
-  loaners: request.spot,
-  number: request.count,
-});
+interface ProvisioningRequestOnWire {
+  booking: string;
+  build: string;
+  yard: string;
+  loaners: boolean;
+  number: number;
+}
+
+interface ReleaseRequestOnWire {
+  hosts: string[];
+}
+
+const provisionedMachinesOnWire = z.object({ hosts: z.array(z.string()) });
 
-export const encodeReleaseRequest = (machines: string[]) => ({ hosts: machines });
+/** The error of a 503 that says that nothing is available; any other 503 is an outage. */
+const NO_CAPACITY_ON_WIRE = 'no capacity';
 
-export function parseProvisionedMachines(body: Record<string, unknown>): string[] | null {
-  const parsed = z.object({ hosts: z.array(z.string()) }).safeParse(body);
+/** The request as the cloud expects it. */
+export function encodeProvisioningRequest(request: ProvisioningRequest): ProvisioningRequestOnWire {
+  return {
+    booking: request.requestId,
+    build: request.machineType,
+    yard: request.zone,
+    loaners: request.spot,
+    number: request.count,
+  };
+}
+
+/** The names of the machines that were rented; null if they can not be read. */
+export function parseProvisionedMachines(body: MessagePackMap): string[] | null {
+  const parsed = provisionedMachinesOnWire.safeParse(body);
   return parsed.success ? parsed.data.hosts : null;
 }
+
+/** Whether a 503 says that the cloud has no machine of this type, zone and kind. */
+export function isOutOfCapacity(body: MessagePackMap | null): boolean {
+  return body?.error === NO_CAPACITY_ON_WIRE;
+}
+
+/** At most MAX_MACHINES_PER_RELEASE machines; names that the cloud does not know are ignored by it. */
+export function encodeReleaseRequest(machines: string[]): ReleaseRequestOnWire {
+  return { hosts: machines };
+}
--- a/packages/protocol/src/index.ts
+++ b/packages/protocol/src/index.ts
@@ -1,3 +1,8 @@
+/**
+ * The formats of every interface: of users, workers, the cloud, the state service and the other controllers. Each module
+ * holds the schema of what is sent, named after the wire, a model in the terms of the field, and the mapping between
+ * them. The names on the wire occur nowhere else.
+ */
 export * from './body-limits.js';
 export * from './cloud/machine-list.js';
 export * from './cloud/machine-types.js';
--- a/packages/protocol/src/jobs/job-status.ts
+++ b/packages/protocol/src/jobs/job-status.ts
@@ -1,13 +1,37 @@
+/** The state of a job as its user is told of it. */
+
+/** Queued: no task runs. Done and cancelled are final. */
 export type JobState = 'queued' | 'running' | 'done' | 'cancelled';
-export const JOB_STATE_TO_WIRE: Record<JobState, string> = {
+
+/** Counts of tasks, for display. */
+export interface TaskCounts {
+  done: number;
+  running: number;
+  /** tasks that failed, told only of a job that fails on every machine */
+  failed?: number;
+}
+
+const JOB_STATE_TO_WIRE: Record<JobState, string> = {
   queued: 'queued',
   running: 'running',
   done: 'done',
   cancelled: 'aborted',
 };
 
-/** PROTOCOL's answer; of a job that fails everywhere it tells so in two fields more, which others ignore. */
-export function encodeJobStatus(id: string, state: JobState, counts?: { done: number; running: number; failed?: number }) {
+interface JobStatusOnWire {
+  ref: string;
+  status: string;
+  done?: number;
+  running?: number;
+  failed?: number;
+  note?: string;
+}
+
+/**
+ * The response to a submission, a cancellation (both without counts) or a status query. For a job that fails on every
+ * machine it has two fields that the protocol does not know of, which other clients ignore.
+ */
+export function encodeJobStatus(id: string, state: JobState, counts?: TaskCounts): JobStatusOnWire {
   const answer = { ref: id, status: JOB_STATE_TO_WIRE[state] };
   if (!counts) return answer;
   const { done, running, failed } = counts;
--- a/packages/protocol/src/jobs/submission.ts
+++ b/packages/protocol/src/jobs/submission.ts
@@ -1,14 +1,22 @@
+/** A user's request to run a job. */
 import { z } from 'zod';
+import type { MessagePackMap } from '../message-pack.js';
 import type { JobSpec, Shape } from './job-spec.js';
 
-export const SHAPE_FROM_WIRE: Record<string, Shape> = { sweep: 'array', gang: 'gang', standing: 'service' };
+const SHAPE_FROM_WIRE = { sweep: 'array', gang: 'gang', standing: 'service' } as const satisfies Record<string, Shape>;
 
 /** Larger is more urgent. */
-export const PRIORITY_FROM_WIRE: Record<string, number> = { critical: 3, urgent: 2, standard: 1, best_effort: 0 };
+const PRIORITY_FROM_WIRE = { critical: 3, urgent: 2, standard: 1, best_effort: 0 } as const;
 
-const nameOnWire = z.string().min(1).max(120);
-const amountOnWire = z.number().min(0).max(1e9);
+const MAX_NAME_LENGTH = 120;
+const MAX_AMOUNT = 1e9;
+const MAX_TASKS = 100_000;
+const MAX_MACHINE_TYPES = 64;
 
+const nameOnWire = z.string().min(1).max(MAX_NAME_LENGTH);
+const amountOnWire = z.number().min(0).max(MAX_AMOUNT);
+
+/** Ids of jobs: only such are accepted, so that they fit keys and paths as they are. */
 export const JOB_ID_PATTERN = /^run-[A-Za-z0-9_.-]{1,64}$/;
 
 const submissionOnWire = z.object({
@@ -17,13 +25,13 @@
   crew: nameOnWire,
   shape: z.enum(['sweep', 'gang', 'standing']),
   rank: z.enum(['critical', 'urgent', 'standard', 'best_effort']),
-  pieces: z.number().int().min(1).max(100_000),
+  pieces: z.number().int().min(1).max(MAX_TASKS),
   cores: amountOnWire,
   accelerators: amountOnWire,
   memory_gb: amountOnWire,
   bundle: nameOnWire,
   size_gb: amountOnWire,
-  builds: z.array(nameOnWire).max(64).nullish(),
+  builds: z.array(nameOnWire).max(MAX_MACHINE_TYPES).nullish(),
   yard: nameOnWire.nullish(),
   one_zone: z.boolean(),
   spread: z.boolean(),
@@ -35,14 +43,19 @@
   awaits: z.array(z.string().regex(JOB_ID_PATTERN)).nullish(),
 });
 
-/** A job as its user wrote it, and the jobs that have to be done before it, each named once. */
+/** A job, and the jobs that have to be done before it, each named once. */
 export interface Submission {
   spec: JobSpec;
   awaits: string[];
 }
 
-/** A user's submission, or the name of the first field at fault. */
-export function parseSubmission(body: Record<string, unknown>): Submission | { field: string } {
+/** A submission that is refused for good. */
+export interface InvalidSubmission {
+  /** path of the first field at fault by its name on the wire, such as `awaits.1`; `body` if there is none */
+  field: string;
+}
+
+export function parseSubmission(body: MessagePackMap): Submission | InvalidSubmission {
   const parsed = submissionOnWire.safeParse(body);
   if (!parsed.success) return { field: parsed.error.issues[0]?.path.join('.') || 'body' };
   const fields = parsed.data;
@@ -52,8 +65,8 @@
       id: fields.ref,
       cls: fields.jobclass,
       team: fields.crew,
-      shape: SHAPE_FROM_WIRE[fields.shape] as Shape,
-      rank: PRIORITY_FROM_WIRE[fields.rank] as number,
+      shape: SHAPE_FROM_WIRE[fields.shape],
+      rank: PRIORITY_FROM_WIRE[fields.rank],
       tasks: fields.pieces,
       cpus: fields.cores,
       gpus: fields.accelerators,
--- a/packages/protocol/src/paths.ts
+++ b/packages/protocol/src/paths.ts
@@ -1,16 +1,17 @@
-/**
- * The names that PROTOCOL uses on the wire, met nowhere but in this package.
- * Everything else speaks of jobs, tasks, machines, tokens, sessions and attempts.
- */
+/** Paths of the HTTP interfaces: of the controllers, the workers, the cloud and the state service. */
 export const PATHS = {
+  // Controllers, asked by users and workers.
   jobs: '/v2/runs',
   up: '/up',
   report: '/checkin',
+  // Workers, asked by controllers.
   commands: '/do',
   status: '/show',
+  // Cloud.
   machineTypes: '/machine_types',
   machines: '/machines',
   machinesRelease: '/machines/return',
+  // State service.
   keys: '/keys',
   compareAndSwap: '/txn',
   leases: '/leases',
--- a/packages/protocol/src/peer/forwarded-heartbeat.ts
+++ b/packages/protocol/src/peer/forwarded-heartbeat.ts
@@ -1,3 +1,12 @@
+/** A worker's heartbeat, forwarded to the controller that holds the shard of its machine. */
+import type { Heartbeat, TaskStatus } from '../worker/heartbeat.js';
+import type { ProtobufFields } from './protobuf-fields.js';
+
+/** Protobuf knows no null: these stand for a machine without a notice, and for a task that has not exited. */
+const NO_PREEMPTION_NOTICE_S = -1;
+const NO_EXIT_REASON = '';
+
+/** Protobuf fields of a TaskStatus. */
 export const taskStatusFields = {
   job: { type: 'string', id: 1 },
   index: { type: 'uint32', id: 2 },
@@ -5,8 +14,9 @@
   state: { type: 'string', id: 4 },
   exitReason: { type: 'string', id: 5 },
   saved: { type: 'bool', id: 6 },
-};
+} satisfies ProtobufFields<TaskStatus>;
 
+/** Protobuf fields of a Heartbeat. */
 export const heartbeatFields = {
   machine: { type: 'string', id: 1 },
   address: { type: 'string', id: 2 },
@@ -18,4 +28,25 @@
   fencingToken: { type: 'uint64', id: 8 },
   preemptionNoticeS: { type: 'double', id: 9 },
   tasks: { rule: 'repeated', type: 'TaskStatus', id: 10 },
+} satisfies ProtobufFields<Heartbeat>;
+
+/** A heartbeat in which values that protobuf knows stand for null. */
+type HeartbeatWithoutNulls = Omit<Heartbeat, 'preemptionNoticeS' | 'tasks'> & {
+  preemptionNoticeS: number;
+  tasks: (Omit<TaskStatus, 'exitReason'> & { exitReason: string })[];
 };
+
+/** A copy of the heartbeat that protobuf can encode. */
+export function withoutNulls(heartbeat: Heartbeat): HeartbeatWithoutNulls {
+  return {
+    ...heartbeat,
+    preemptionNoticeS: heartbeat.preemptionNoticeS ?? NO_PREEMPTION_NOTICE_S,
+    tasks: heartbeat.tasks.map((task) => ({ ...task, exitReason: task.exitReason ?? NO_EXIT_REASON })),
+  };
+}
+
+/** Puts the nulls back into a decoded heartbeat, in place: a large one is not copied. */
+export function restoreNulls(heartbeat: Heartbeat): void {
+  if ((heartbeat.preemptionNoticeS ?? NO_PREEMPTION_NOTICE_S) < 0) heartbeat.preemptionNoticeS = null;
+  for (const task of heartbeat.tasks) if (!task.exitReason) task.exitReason = null;
+}
--- a/packages/protocol/src/peer/peer-message.ts
+++ b/packages/protocol/src/peer/peer-message.ts
@@ -1,6 +1,7 @@
+/** The message that controllers exchange, in protobuf. */
 import protobuf from 'protobufjs/light.js';
 import type { Heartbeat } from '../worker/heartbeat.js';
-import { heartbeatFields, taskStatusFields } from './forwarded-heartbeat.js';
+import { heartbeatFields, restoreNulls, taskStatusFields, withoutNulls } from './forwarded-heartbeat.js';
 import {
   type PeerStatus,
   peerStatusFields,
@@ -8,10 +9,12 @@
   unassignedMachineFields,
   unchangedHeartbeatFields,
 } from './peer-status.js';
+import type { ProtobufFields } from './protobuf-fields.js';
 import { machineSummaryFields, resourceDemandFields, shardSummaryFields } from './shard-summary.js';
 
-/** What one controller says to another: how it stands, or a report that it passes on. */
+/** A controller's own status, or a heartbeat that it forwards. */
 export interface PeerMessage {
+  /** name of the controller that sends it */
   node: string;
   status: PeerStatus | null;
   heartbeat: Heartbeat | null;
@@ -19,10 +22,9 @@
 
 const messageFields = {
   status: { type: 'PeerStatus', id: 1 },
-  /** a worker's report, passed on to the owner of its machine by a keeper */
   heartbeat: { type: 'Heartbeat', id: 2 },
   node: { type: 'string', id: 3 },
-};
+} satisfies ProtobufFields<PeerMessage>;
 
 const root = protobuf.Root.fromJSON({
   nested: {
@@ -40,29 +42,23 @@
 });
 const Message = root.lookupType('Message');
 
+/** Each field gets its value or its default, each list is an array, and 64-bit integers are numbers. */
+const CONVERSION = { defaults: true, arrays: true, longs: Number };
+
+/** The bytes of a message. Values of the wrong type are not refused here; callers pass typed messages. */
 export function encodePeerMessage(message: PeerMessage): Uint8Array {
-  const heartbeat = message.heartbeat && {
-    ...message.heartbeat,
-    // protobuf knows no null: a machine without a notice has a negative one.
-    preemptionNoticeS: message.heartbeat.preemptionNoticeS ?? -1,
-    tasks: message.heartbeat.tasks.map((task) => ({ ...task, exitReason: task.exitReason ?? '' })),
-  };
+  const { node, status, heartbeat } = message;
   return Message.encode({
-    node: message.node,
-    status: message.status ?? undefined,
-    heartbeat: heartbeat ?? undefined,
-  } as unknown as protobuf.Message).finish();
+    node,
+    status: status ?? undefined,
+    heartbeat: heartbeat ? withoutNulls(heartbeat) : undefined,
+  }).finish();
 }
 
+/** Throws on bytes that are no message. Fields that are unknown here are passed over. */
 export function decodePeerMessage(bytes: Uint8Array): PeerMessage {
-  const message = Message.toObject(Message.decode(bytes), {
-    defaults: true,
-    arrays: true,
-    longs: Number,
-  }) as unknown as PeerMessage;
-  if (message.heartbeat) {
-    if ((message.heartbeat.preemptionNoticeS ?? -1) < 0) message.heartbeat.preemptionNoticeS = null;
-    for (const task of message.heartbeat.tasks) if ((task.exitReason as string) === '') task.exitReason = null;
-  }
+  // The tables are checked against the model types, so what they decode to has these types.
+  const message = Message.toObject(Message.decode(bytes), CONVERSION) as PeerMessage;
+  if (message.heartbeat) restoreNulls(message.heartbeat);
   return message;
 }
--- a/packages/protocol/src/peer/peer-status.ts
+++ b/packages/protocol/src/peer/peer-status.ts
@@ -1,86 +1,99 @@
+/** What a controller tells each of the others of itself, several times in a few seconds. */
+import type { ProtobufFields } from './protobuf-fields.js';
 import type { ShardSummary } from './shard-summary.js';
 
+/** Counts of a job's tasks, for display to its user. */
 export interface RunningJob {
   job: string;
+  /** running tasks; 0: none runs any more */
   count: number;
   done: number;
+  /** failed tasks of a job that fails on every machine */
   failed: number;
 }
 
+/** Protobuf fields of a RunningJob. */
 export const runningJobFields = {
   job: { type: 'string', id: 1 },
   count: { type: 'uint32', id: 2 },
   done: { type: 'uint32', id: 3 },
   failed: { type: 'uint32', id: 4 },
-};
+} satisfies ProtobufFields<RunningJob>;
 
+/** A machine that is assigned to no shard, and whose worker sent a heartbeat to the controller that tells of it. */
 export interface UnassignedMachine {
   machine: string;
+  /** where its worker takes commands */
   address: string;
   type: string;
   zone: string;
   spot: boolean;
 }
 
+/** Protobuf fields of a UnassignedMachine. */
 export const unassignedMachineFields = {
   machine: { type: 'string', id: 1 },
   address: { type: 'string', id: 2 },
   type: { type: 'string', id: 3 },
   zone: { type: 'string', id: 4 },
   spot: { type: 'bool', id: 5 },
-};
+} satisfies ProtobufFields<UnassignedMachine>;
 
-/**
- * A machine whose reports are as they were: the last one passed on whole had the number
- * `whole`, and up to `seq` nothing has changed.
- */
+/** Stands for heartbeats that are not forwarded, since they tell the same as the last one that was. */
 export interface UnchangedHeartbeat {
   machine: string;
   agentEpoch: number;
+  /** of the newest heartbeat that told the same */
   sequence: number;
+  /** of the heartbeat that was forwarded */
   forwardedSequence: number;
 }
 
+/** Protobuf fields of a UnchangedHeartbeat. */
 export const unchangedHeartbeatFields = {
   machine: { type: 'string', id: 1 },
   agentEpoch: { type: 'uint64', id: 2 },
   sequence: { type: 'uint64', id: 3 },
   forwardedSequence: { type: 'uint64', id: 4 },
-};
+} satisfies ProtobufFields<UnchangedHeartbeat>;
 
+/** A controller's status, made for one of the others: lists that this one does not need are empty. */
 export interface PeerStatus {
+  /** name of the controller */
   node: string;
+  /** the shards whose leases it holds; only the leader needs them */
   shards: ShardSummary[];
-  /** running tasks of jobs, for display: of all that have any, or of those that changed */
   runningJobs: RunningJob[];
+  /** `runningJobs` names all jobs with running tasks, and not only those whose counts changed since the last status */
   runningJobsComplete: boolean;
-  /** machines without a grant whose workers reported here */
+  /** only the leader needs them */
   unassignedMachines: UnassignedMachine[];
-  /** machines of the one it is told to that reported here within the last seconds */
+  /** of machines in shards of the receiver, whose workers sent heartbeats to this controller in the last seconds */
   unchangedHeartbeats: UnchangedHeartbeat[];
-  /** told by the lead: machine types that the cloud still has, ordinary ones */
+  /** told by the leader: types of which the cloud still has ordinary machines */
   availableTypes: string[];
   isLeader: boolean;
-  /** may answer workers: its state lease stands */
+  /** its lease at the state service is valid, so that it may answer workers */
   mayAnswerWorkers: boolean;
-  /** workers can be reached from there */
+  /** it can connect to workers */
   reachesWorkers: boolean;
-  /** changes a second that it could do with */
+  /** changes of the state service's keys that it would make a second if it could */
   wantedWritesPerS: number;
   /** the state service answers it */
   stateServiceAnswers: boolean;
-  /** workers that it answered lately */
+  /** number of workers whose heartbeats it answered lately */
   heardWorkers: number;
-  /** holds all that the state service held at some moment since it began */
+  /** since it started it has read all keys of the state service once */
   replicaLoaded: boolean;
-  /** stamp of the newest cancellation that it knows of: it has told users of no newer one */
+  /** revision of the newest cancellation that it knows of: it has told no user of a newer one */
   cancellationRevision: number;
-  /** names this status; the one that it is sent to sends it back */
+  /** identifies this status; its receiver returns it as `echo` */
   ping: string;
-  /** the last ping that came from the one it is sent to, before all else here was worked out */
+  /** the last ping that came from the receiver before anything else in this status was determined; empty: none */
   echo: string;
 }
 
+/** Protobuf fields of a PeerStatus. */
 export const peerStatusFields = {
   node: { type: 'string', id: 1 },
   shards: { rule: 'repeated', type: 'ShardSummary', id: 2 },
@@ -89,6 +102,7 @@
   unchangedHeartbeats: { rule: 'repeated', type: 'UnchangedHeartbeat', id: 5 },
   availableTypes: { rule: 'repeated', type: 'string', id: 6 },
   isLeader: { type: 'bool', id: 7 },
+  // 8 is not in use.
   mayAnswerWorkers: { type: 'bool', id: 9 },
   reachesWorkers: { type: 'bool', id: 10 },
   stateServiceAnswers: { type: 'bool', id: 11 },
@@ -99,4 +113,4 @@
   cancellationRevision: { type: 'uint64', id: 16 },
   ping: { type: 'string', id: 17 },
   echo: { type: 'string', id: 18 },
-};
+} satisfies ProtobufFields<PeerStatus>;
--- a/packages/protocol/src/peer/shard-summary.ts
+++ b/packages/protocol/src/peer/shard-summary.ts
@@ -1,19 +1,24 @@
-/** What one share's owner tells of a machine. */
+/** What the holder of a shard tells the leader of it: its machines, and the work that they have no room for. */
+import type { ProtobufFields } from './protobuf-fields.js';
+
+/** A machine of a shard. */
 export interface MachineSummary {
   name: string;
   freeCpus: number;
   freeGpus: number;
+  /** in GB */
   freeMemory: number;
-  /** tasks on it, or meant for it */
+  /** tasks on it, or allocated to it */
   tasks: number;
-  /** highest rank of work that may not be stopped for others; -1: none */
+  /** highest priority of tasks on it that may not be stopped for others; -1: there are none */
   protectedPriority: number;
   /** seconds since its last task ended */
   idleS: number;
-  /** services on it, which a move would have to stop */
+  /** tasks of services on it, which would be stopped if it were moved to another shard */
   services: number;
 }
 
+/** Protobuf fields of a MachineSummary. */
 export const machineSummaryFields = {
   name: { type: 'string', id: 1 },
   freeCpus: { type: 'double', id: 2 },
@@ -23,28 +28,37 @@
   protectedPriority: { type: 'sint32', id: 6 },
   idleS: { type: 'double', id: 7 },
   services: { type: 'uint32', id: 8 },
-};
+} satisfies ProtobufFields<MachineSummary>;
 
-/** Work of a share that has no room. */
+/** Tasks of one kind that wait for room. */
 export interface ResourceDemand {
+  /** what each task takes of its machine */
   cpus: number;
   gpus: number;
+  /** in GB */
   memory: number;
+  /** allowed machine types; empty: any */
   types: string[];
+  /** the only allowed zone; empty: any */
   zone: string;
+  /** spot machines are allowed */
   spot: boolean;
   priority: number;
-  /** within the team's guarantee */
+  /** the team's quota covers it */
   withinQuota: boolean;
+  /** number of tasks */
   count: number;
+  /** they have to run at the same time */
   gang: boolean;
+  /** seconds for which it has waited */
   waitS: number;
-  /** seconds until it should start, by its objectives */
+  /** seconds until it should start by the objectives of its class; negative: it is late */
   slackS: number;
-  /** zones that its other tasks bar */
+  /** zones that are ruled out by where other tasks of the job are */
   excludedZones: string[];
 }
 
+/** Protobuf fields of a ResourceDemand. */
 export const resourceDemandFields = {
   cpus: { type: 'double', id: 1 },
   gpus: { type: 'double', id: 2 },
@@ -59,16 +73,18 @@
   waitS: { type: 'double', id: 11 },
   slackS: { type: 'double', id: 12 },
   excludedZones: { rule: 'repeated', type: 'string', id: 13 },
-};
+} satisfies ProtobufFields<ResourceDemand>;
 
+/** A shard: a part of the teams, and the machines that are assigned to it. */
 export interface ShardSummary {
   shard: number;
   machines: MachineSummary[];
   demands: ResourceDemand[];
 }
 
+/** Protobuf fields of a ShardSummary. */
 export const shardSummaryFields = {
   shard: { type: 'uint32', id: 1 },
   machines: { rule: 'repeated', type: 'MachineSummary', id: 2 },
   demands: { rule: 'repeated', type: 'ResourceDemand', id: 3 },
-};
+} satisfies ProtobufFields<ShardSummary>;
--- a/packages/protocol/src/service-response.ts
+++ b/packages/protocol/src/service-response.ts
@@ -1,19 +1,31 @@
-/** Answers of the state service and the cloud, and what can be read of them. */
+/** Responses of the state service and the cloud, before their bodies are parsed. */
+import { type MessagePackMap, unpackMap } from './message-pack.js';
 
+/** A response; its body is null if it is not a MessagePack map. */
 export interface ServiceResponse {
-  /** 0: there was none */
   status: number;
-  body: Record<string, unknown> | null;
+  body: MessagePackMap | null;
 }
 
-/** What the answer says; null if it was refused, or can't be read, which is told. */
+/** The part of an HTTP call's outcome that is needed here: a response, or one of the ways to have none. */
+type CallOutcome = { kind: 'answer'; status: number; body: Uint8Array } | { kind: 'refused' | 'lost' };
+
+/** The response to a call; null if none was received. */
+export function decodeServiceResponse(outcome: CallOutcome): ServiceResponse | null {
+  return outcome.kind === 'answer' ? { status: outcome.status, body: unpackMap(outcome.body) } : null;
+}
+
+/**
+ * The parsed body of a response with status 200, and null for any other. A body of status 200 that can not be parsed
+ * is reported by `onUnreadable`, since asking again is unlikely to help and an operator should know.
+ */
 export function readResponse<T>(
-  { status, body }: ServiceResponse,
-  parse: (body: Record<string, unknown>) => T | null,
-  unreadable: () => void,
+  response: ServiceResponse | null,
+  parse: (body: MessagePackMap) => T | null,
+  onUnreadable: () => void,
 ): T | null {
-  if (status !== 200) return null;
-  const parsed = body && parse(body);
-  if (parsed === null) unreadable();
+  if (response?.status !== 200) return null;
+  const parsed = response.body && parse(response.body);
+  if (parsed === null) onUnreadable();
   return parsed;
 }
--- a/packages/protocol/src/state/key-reads.ts
+++ b/packages/protocol/src/state/key-reads.ts
@@ -1,14 +1,38 @@
+/** Reads of the state service's keys: all of them in pages, and the changes that follow a revision. */
 import { z } from 'zod';
+import type { MessagePackMap } from '../message-pack.js';
+import { PATHS } from '../paths.js';
 
+/** A key and its value. */
 export interface StoredKey {
   key: string;
   value: unknown;
+  /** revision of its last change */
   revision: number;
 }
+
+/** A change of one key. */
 export interface KeyChange {
   key: string;
-  /** undefined: removed */
+  /** undefined: the key was removed */
   value: unknown;
+  /** revision of this change */
+  revision: number;
+}
+
+/** A page of keys in their order. */
+export interface KeyPage {
+  rows: StoredKey[];
+  /** whether further pages follow */
+  more: boolean;
+  /** revision of the service when it read this page: pages may be of different revisions */
+  revision: number;
+}
+
+/** All changes after the revision that was asked for. */
+export interface ChangePage {
+  changes: KeyChange[];
+  /** revision of the service, up to which the changes are complete */
   revision: number;
 }
 
@@ -17,7 +41,30 @@
   has_next: z.boolean().nullish(),
   ledger: z.number(),
 });
-export function parseRows(body: Record<string, unknown>): { rows: StoredKey[]; more: boolean; revision: number } | null {
+
+const changesOnWire = z.object({
+  ledger: z.number(),
+  log: z.array(
+    z.object({ write: z.string().nullish(), remove: z.string().nullish(), v: z.unknown().optional(), stamp: z.number() }),
+  ),
+});
+
+/** Path and query of a page of the keys with this prefix, from the key after `after`; an empty one asks for the first page. */
+export function keyPagePath(prefix: string, after: string, limit: number): string {
+  const start = after === '' ? '' : `&since=${after}`;
+  return `${PATHS.keys}?starts=${prefix}${start}&most=${limit}`;
+}
+
+/**
+ * Path and query of the changes of keys with this prefix. The service answers at once if there are any, and otherwise
+ * once there is one or this many milliseconds are over.
+ */
+export function changesPath(prefix: string, sinceRevision: number, waitMs: number): string {
+  return `${PATHS.changes}?starts=${prefix}&since=${sinceRevision}&wait_ms=${waitMs}`;
+}
+
+/** Null if a field is missing or invalid. */
+export function parseRows(body: MessagePackMap): KeyPage | null {
   const parsed = keyPageOnWire.safeParse(body);
   if (!parsed.success) return null;
   return {
@@ -27,13 +74,8 @@
   };
 }
 
-const changesOnWire = z.object({
-  ledger: z.number(),
-  log: z.array(
-    z.object({ write: z.string().nullish(), remove: z.string().nullish(), v: z.unknown().optional(), stamp: z.number() }),
-  ),
-});
-export function parseChanges(body: Record<string, unknown>): { changes: KeyChange[]; revision: number } | null {
+/** Null if a field is missing or invalid. */
+export function parseChanges(body: MessagePackMap): ChangePage | null {
   const parsed = changesOnWire.safeParse(body);
   if (!parsed.success) return null;
   return {
