--- /dev/null
+++ b/packages/state-client/src/compare-and-swap.ts
@@ -0,0 +1,49 @@
+/** Transactions of the state service. */
+import {
+  type CompareAndSwapOutcome,
+  encodeCompareAndSwap,
+  isLeaseNotFound,
+  type KeyWrite,
+  PATHS,
+  pack,
+  parseFailedKeys,
+  parseRevision,
+  type RevisionCondition,
+  unpackMap,
+} from '@archpost/protocol';
+import type { StateServiceConnection } from './state-service-connection.js';
+
+const TIMEOUT_MS = 1500;
+
+/** Makes all changes if all conditions hold, and none otherwise. A call that fails is an outcome, not a rejection. */
+export async function compareAndSwap(
+  connection: StateServiceConnection,
+  conditions: RevisionCondition[],
+  writes: KeyWrite[],
+): Promise<CompareAndSwapOutcome> {
+  await connection.budget.take();
+  const outcome = await connection.post(PATHS.compareAndSwap, pack(encodeCompareAndSwap(conditions, writes)), TIMEOUT_MS);
+  if (outcome.kind === 'refused') return { kind: 'refused' };
+  if (outcome.kind === 'lost') return { kind: 'unknown' };
+  return outcomeOfResponse(outcome.status, outcome.body);
+}
+
+function outcomeOfResponse(status: number, bytes: Buffer): CompareAndSwapOutcome {
+  const body = unpackMap(bytes) ?? {};
+  switch (status) {
+    case 200: {
+      const revision = parseRevision(body);
+      return revision === null ? { kind: 'unknown' } : { kind: 'ok', revision };
+    }
+    case 409:
+      return { kind: 'failed', keys: parseFailedKeys(body) };
+    case 400:
+      return { kind: isLeaseNotFound(body) ? 'noLease' : 'invalid' };
+    case 429:
+      return { kind: 'limited' };
+    case 503:
+      return { kind: 'refused' };
+    default:
+      return { kind: 'unknown' };
+  }
+}
--- /dev/null
+++ b/packages/state-client/src/lease-keeper.ts
@@ -0,0 +1,88 @@
+/** The lease of this controller at the state service, to which it attaches its keys. */
+import { type Outcome, steady } from '@archpost/http-client';
+import { encodeLeaseRequest, leaseRenewalPath, PATHS, pack, parseLease, unpackMap } from '@archpost/protocol';
+import { Subject } from 'rxjs';
+import { Delay } from './delay.js';
+import type { StateServiceConnection } from './state-service-connection.js';
+
+/** The lease as it stands. */
+export interface LeaseState {
+  /** null: there is none any more */
+  leaseId: number | null;
+  /** in milliseconds of this machine's steady clock */
+  validUntil: number;
+}
+
+const CALL_TIMEOUT_MS = 2000;
+
+/** Wait after a request that failed. */
+const RETRY_MS = 400;
+
+/** Renewals follow one another by this part of the lease's time, and by no more than MAX_RENEWAL_MS. */
+const RENEWALS_PER_LEASE = 6;
+const MAX_RENEWAL_MS = 2500;
+
+/** The lease counts as ended this much earlier than it may end. */
+const SAFETY_MARGIN_MS = 20;
+
+/** Asks for a lease, renews it, and asks for another one when it has ended. */
+export class LeaseKeeper {
+  readonly lease$ = new Subject<LeaseState>();
+  private readonly delay = new Delay();
+  private readonly renewalMs: number;
+  private leaseId: number | null = null;
+
+  /** `clockDrift`: part by which this machine's clock may run faster or slower than the service's. */
+  constructor(
+    private readonly connection: StateServiceConnection,
+    private readonly ttlMs: number,
+    private readonly clockDrift: number,
+  ) {
+    this.renewalMs = Math.min(ttlMs / RENEWALS_PER_LEASE, MAX_RENEWAL_MS);
+  }
+
+  start(): void {
+    void this.run();
+  }
+
+  /** Leaves the lease to end by itself. */
+  close(): void {
+    this.delay.close();
+  }
+
+  private async run(): Promise<void> {
+    while (!this.delay.isClosed) await this.delay.wait(await this.renew());
+  }
+
+  /** Renews the lease, or asks for one; returns the milliseconds until the next request. */
+  private async renew(): Promise<number> {
+    // A renewal does not wait for the budget: without a lease this controller may do nothing else either.
+    this.connection.budget.force();
+    const sentAt = steady();
+    const outcome = await this.call();
+    if (outcome.kind !== 'answer') return RETRY_MS;
+    if (outcome.status === 200) return this.accept(outcome.body, sentAt);
+    if (this.leaseId !== null && (outcome.status === 404 || outcome.status === 400)) return this.giveUp();
+    return RETRY_MS;
+  }
+
+  private call(): Promise<Outcome> {
+    if (this.leaseId === null) return this.connection.post(PATHS.leases, pack(encodeLeaseRequest(this.ttlMs)), CALL_TIMEOUT_MS);
+    return this.connection.post(leaseRenewalPath(this.leaseId), pack({}), CALL_TIMEOUT_MS);
+  }
+
+  private accept(body: Buffer, sentAt: number): number {
+    this.leaseId ??= parseLease(unpackMap(body) ?? {});
+    if (this.leaseId === null) return RETRY_MS;
+    // The service counts from when it got the request, which is not before it was sent.
+    const validUntil = sentAt + this.ttlMs * (1 - this.clockDrift) - SAFETY_MARGIN_MS;
+    this.lease$.next({ leaseId: this.leaseId, validUntil });
+    return this.renewalMs;
+  }
+
+  private giveUp(): number {
+    this.leaseId = null;
+    this.lease$.next({ leaseId: null, validUntil: 0 });
+    return 0;
+  }
+}
--- /dev/null
+++ b/packages/state-client/src/read-barrier.ts
@@ -0,0 +1,65 @@
+/** Reads that are newer than the moment at which they were asked for. */
+import { steady } from '@archpost/http-client';
+import { Delay } from './delay.js';
+
+/** A request that is not urgent waits this long for the watch, of the two seconds that users give an answer. */
+const MAX_DELAY_MS = 350;
+
+/** Wait after a read that failed, beyond the interval between reads. */
+const RETRY_MS = 200;
+
+/** The reads that a barrier waits for, and asks for. */
+export interface BarrierReads {
+  /** When the newest read that succeeded began, in milliseconds of the steady clock. */
+  newestReadAt(): number;
+  /** Reads once; false if that failed. */
+  read(): Promise<boolean>;
+}
+
+/**
+ * Sees to it that a read begins after each request. Requests are batched: one read serves all that came before it.
+ * Those that are not urgent are mostly served by the watch, which is opened anew after each change.
+ */
+export class ReadBarrier {
+  private readonly delay = new Delay();
+  private isRunning = false;
+  private requestedAt = -1;
+  /** when the next read is due at the latest */
+  private dueAt = Number.POSITIVE_INFINITY;
+  private lastReadAt = 0;
+
+  constructor(
+    private readonly reads: BarrierReads,
+    private readonly intervalMs: number,
+  ) {}
+
+  /** Notes a request; reads for it begin with the first request at which they are possible. */
+  request(isUrgent: boolean, canRead: boolean): void {
+    this.requestedAt = steady();
+    this.dueAt = Math.min(this.dueAt, this.requestedAt + (isUrgent ? 0 : MAX_DELAY_MS));
+    if (this.isRunning || !canRead) return;
+    this.isRunning = true;
+    void this.run();
+  }
+
+  close(): void {
+    this.delay.close();
+  }
+
+  private async run(): Promise<void> {
+    while (!this.delay.isClosed && this.requestedAt > this.reads.newestReadAt()) {
+      const waitMs = Math.max(this.lastReadAt + this.intervalMs, this.dueAt) - steady();
+      // No longer than an interval: an urgent request may come meanwhile, or the watch may serve all.
+      if (waitMs > 0) await this.delay.wait(Math.min(waitMs, this.intervalMs));
+      else await this.readNow();
+    }
+    this.dueAt = Number.POSITIVE_INFINITY;
+    this.isRunning = false;
+  }
+
+  private async readNow(): Promise<void> {
+    this.dueAt = Number.POSITIVE_INFINITY;
+    this.lastReadAt = steady();
+    if (!(await this.reads.read())) await this.delay.wait(RETRY_MS);
+  }
+}
--- /dev/null
+++ b/packages/state-client/src/replica-reader.ts
@@ -0,0 +1,160 @@
+/** Reads what a replica of this controller's keys needs: all keys once, and then their changes. */
+import { steady } from '@archpost/http-client';
+import {
+  changesPath,
+  type KeyChange,
+  type KeyPage,
+  keyPagePath,
+  parseChanges,
+  parseRows,
+  type StoredKey,
+} from '@archpost/protocol';
+import { Subject } from 'rxjs';
+import { Delay } from './delay.js';
+import { ReadBarrier } from './read-barrier.js';
+import type { StateServiceConnection } from './state-service-connection.js';
+
+/** All keys. Pages may be of later revisions than the first: those changes are told again. */
+export interface Snapshot {
+  rows: StoredKey[];
+  /** of the first page */
+  revision: number;
+}
+
+/** All changes after those told before. */
+export interface ReplicaChanges {
+  changes: KeyChange[];
+  /** up to which the replica is complete now */
+  revision: number;
+  /** when the read began, in milliseconds of the steady clock: the replica is no older than that */
+  asOf: number;
+}
+
+/** Longest wait of the service for a change, in seconds: it bounds how old the replica gets when nothing changes. */
+export const WATCH_S = 2.5;
+const WATCH_MS = WATCH_S * 1000;
+
+/** What a response may take beyond the wait that it was asked for. */
+const WATCH_GRACE_MS = 2000;
+const FIRST_CHANGES_TIMEOUT_MS = 2000;
+const BARRIER_TIMEOUT_MS = 1200;
+
+/** Wait after a read that failed. */
+const RETRY_MS = 300;
+
+const KEYS_PER_PAGE = 1000;
+const PAGE_TIMEOUT_MS = 3000;
+/** Pages after the first are asked for this often: what came before them would be lost. */
+const PAGE_ATTEMPTS = 3;
+const PAGE_RETRY_MS = 200;
+
+/**
+ * Watch, barriers and writes share the request budget: one request of so many may open the watch anew, which is done no
+ * more and no less often than these bounds say.
+ */
+const REQUESTS_PER_WATCH = 3;
+const MIN_WATCH_PAUSE_MS = 40;
+const MAX_WATCH_PAUSE_MS = 250;
+
+/** Reads for barriers follow one another by this many pauses of the watch. */
+const BARRIER_PAUSES = 1.5;
+
+type ReadResult = 'ok' | 'compacted' | 'failed';
+
+/** Loads all keys with a prefix, follows their changes, and loads them again when the service no longer has all changes. */
+export class ReplicaReader {
+  readonly snapshot$ = new Subject<Snapshot>();
+  readonly changes$ = new Subject<ReplicaChanges>();
+  private readonly delay = new Delay();
+  private readonly barrier: ReadBarrier;
+  private readonly watchPauseMs: number;
+  /** up to which changes were told; 0: nothing is loaded */
+  private revision = 0;
+  private newestReadAt = -1;
+
+  constructor(
+    private readonly connection: StateServiceConnection,
+    private readonly prefix: string,
+    requestsPerS: number,
+  ) {
+    this.watchPauseMs = Math.max(MIN_WATCH_PAUSE_MS, Math.min(MAX_WATCH_PAUSE_MS, (1000 * REQUESTS_PER_WATCH) / requestsPerS));
+    const reads = {
+      newestReadAt: () => this.newestReadAt,
+      read: async () => (await this.readChanges(0, BARRIER_TIMEOUT_MS)) !== 'failed',
+    };
+    this.barrier = new ReadBarrier(reads, BARRIER_PAUSES * this.watchPauseMs);
+  }
+
+  start(): void {
+    void this.run();
+  }
+
+  /** Has changes read that is newer than this call; urgently, or when the watch does not do so by itself. */
+  readBarrier(isUrgent: boolean): void {
+    this.barrier.request(isUrgent, this.revision !== 0);
+  }
+
+  close(): void {
+    this.delay.close();
+    this.barrier.close();
+  }
+
+  private async run(): Promise<void> {
+    while (!this.delay.isClosed) {
+      if (await this.load()) await this.watch();
+      else await this.delay.wait(RETRY_MS);
+    }
+  }
+
+  /** Tells all keys, and the changes since the first page was read. */
+  private async load(): Promise<boolean> {
+    const rows: StoredKey[] = [];
+    let firstRevision: number | null = null;
+    let after = '';
+    for (;;) {
+      const page = await this.readPage(after);
+      if (!page) return false;
+      firstRevision ??= page.revision;
+      rows.push(...page.rows);
+      if (!page.more || page.rows.length === 0) break;
+      after = page.rows[page.rows.length - 1]?.key ?? '';
+    }
+    this.revision = firstRevision;
+    this.snapshot$.next({ rows, revision: firstRevision });
+    return (await this.readChanges(0, FIRST_CHANGES_TIMEOUT_MS)) === 'ok';
+  }
+
+  private async readPage(after: string): Promise<KeyPage | null> {
+    const path = keyPagePath(this.prefix, after, KEYS_PER_PAGE);
+    for (let attemptsLeft = after === '' ? 1 : PAGE_ATTEMPTS; attemptsLeft > 0; attemptsLeft--) {
+      await this.connection.budget.take();
+      const response = await this.connection.get(path, PAGE_TIMEOUT_MS);
+      const page = this.connection.parse(response, 'keys', parseRows);
+      if (page || response?.status === 200) return page;
+      await this.delay.wait(PAGE_RETRY_MS);
+    }
+    return null;
+  }
+
+  /** Tells changes until the service no longer has all of them. */
+  private async watch(): Promise<void> {
+    while (!this.delay.isClosed) {
+      const result = await this.readChanges(WATCH_MS, WATCH_MS + WATCH_GRACE_MS);
+      if (result === 'compacted') return;
+      await this.delay.wait(result === 'ok' ? this.watchPauseMs : RETRY_MS);
+    }
+  }
+
+  private async readChanges(waitMs: number, timeoutMs: number): Promise<ReadResult> {
+    await this.connection.budget.take();
+    const asOf = steady();
+    const response = await this.connection.get(changesPath(this.prefix, this.revision, waitMs), timeoutMs);
+    if (response?.status === 410) return 'compacted';
+    const page = this.connection.parse(response, 'changes', parseChanges);
+    if (!page) return 'failed';
+    this.revision = Math.max(this.revision, page.revision);
+    this.newestReadAt = Math.max(this.newestReadAt, asOf);
+    this.changes$.next({ changes: page.changes, revision: page.revision, asOf });
+    return 'ok';
+  }
+}
--- /dev/null
+++ b/packages/state-client/src/state-service-client.ts
@@ -0,0 +1,55 @@
+/** The client of the state service: one lease, what a replica needs, and transactions. */
+import type { CompareAndSwapOutcome, KeyWrite, RevisionCondition } from '@archpost/protocol';
+import type { Observable } from 'rxjs';
+import { compareAndSwap } from './compare-and-swap.js';
+import { LeaseKeeper, type LeaseState } from './lease-keeper.js';
+import { type ReplicaChanges, ReplicaReader, type Snapshot } from './replica-reader.js';
+import { StateServiceConnection } from './state-service-connection.js';
+
+/** Its parts share connections and one request budget. `start` begins to keep the lease and to read; `close` ends all. */
+export class StateServiceClient {
+  readonly snapshot$: Observable<Snapshot>;
+  readonly changes$: Observable<ReplicaChanges>;
+  readonly lease$: Observable<LeaseState>;
+  /** What could not be parsed though the service answered with status 200. */
+  readonly unreadable$: Observable<string>;
+  private readonly connection: StateServiceConnection;
+  private readonly leaseKeeper: LeaseKeeper;
+  private readonly replicaReader: ReplicaReader;
+
+  /**
+   * `prefix`: of the keys that are read; `requestsPerS`: this controller's part of the service's limit; `ttlMs`: the
+   * lease's time without a renewal; `clockDrift`: part by which clocks may run apart.
+   */
+  constructor(address: string, prefix: string, requestsPerS: number, ttlMs: number, clockDrift: number) {
+    this.connection = new StateServiceConnection(address, requestsPerS);
+    this.leaseKeeper = new LeaseKeeper(this.connection, ttlMs, clockDrift);
+    this.replicaReader = new ReplicaReader(this.connection, prefix, requestsPerS);
+    this.snapshot$ = this.replicaReader.snapshot$;
+    this.changes$ = this.replicaReader.changes$;
+    this.lease$ = this.leaseKeeper.lease$;
+    this.unreadable$ = this.connection.unreadable$;
+  }
+
+  start(): void {
+    this.leaseKeeper.start();
+    this.replicaReader.start();
+  }
+
+  /** Has changes read by a request that begins after this call; see ReplicaReader. */
+  readBarrier(isUrgent: boolean): void {
+    this.replicaReader.readBarrier(isUrgent);
+  }
+
+  /** Makes all changes if all conditions hold, and none otherwise. A call that fails is an outcome, not a rejection. */
+  compareAndSwap(conditions: RevisionCondition[], writes: KeyWrite[]): Promise<CompareAndSwapOutcome> {
+    return compareAndSwap(this.connection, conditions, writes);
+  }
+
+  /** Ends all loops, timers, calls and connections. The lease ends by itself when its time is over. */
+  close(): void {
+    this.leaseKeeper.close();
+    this.replicaReader.close();
+    this.connection.close();
+  }
+}
--- /dev/null
+++ b/packages/state-client/src/state-service-connection.ts
@@ -0,0 +1,44 @@
+/** Requests to the state service, on connections and a request budget that all parts of the client share. */
+import { Budget, Client, type Outcome, steady } from '@archpost/http-client';
+import { decodeServiceResponse, type MessagePackMap, readResponse, type ServiceResponse } from '@archpost/protocol';
+import { Subject } from 'rxjs';
+
+/** Connections to the state service: watch, read barrier, lease, transactions, and calls that hang. */
+export const STATE_SOCKETS = 16;
+
+/** Owns the connections: `close` ends them, and no call is made after it. */
+export class StateServiceConnection {
+  /** What could not be parsed though the service answered with status 200. */
+  readonly unreadable$ = new Subject<string>();
+  /** Callers take from it before each request. */
+  readonly budget: Budget;
+  private readonly client: Client;
+  private isClosed = false;
+
+  constructor(address: string, requestsPerS: number) {
+    this.client = new Client(address, STATE_SOCKETS);
+    this.budget = new Budget(requestsPerS, steady);
+  }
+
+  /** Null if there is no response. */
+  async get(path: string, timeoutMs: number): Promise<ServiceResponse | null> {
+    if (this.isClosed) return null;
+    return decodeServiceResponse(await this.client.call({ method: 'GET', path, timeoutMs }));
+  }
+
+  async post(path: string, body: Buffer, timeoutMs: number): Promise<Outcome> {
+    if (this.isClosed) return { kind: 'refused' };
+    return this.client.call({ method: 'POST', path, body, timeoutMs });
+  }
+
+  /** The parsed body of a response with status 200; null if there is none, or if it can not be parsed, which is reported. */
+  parse<T>(response: ServiceResponse | null, what: string, parse: (body: MessagePackMap) => T | null): T | null {
+    return readResponse(response, parse, () => this.unreadable$.next(what));
+  }
+
+  /** Ends all calls; later ones are not made. */
+  close(): void {
+    this.isClosed = true;
+    this.client.close();
+  }
+}
