--- /dev/null
+++ b/packages/cloud-client/src/cloud-client.ts
@@ -0,0 +1,128 @@
+/** Machine types, the list of machines, and the renting and releasing of machines. */
+import { Budget, Client, steady } from '@archpost/http-client';
+import {
+  decodeServiceResponse,
+  encodeProvisioningRequest,
+  encodeReleaseRequest,
+  isOutOfCapacity,
+  type ListedMachine,
+  type MachinePage,
+  type MachineType,
+  type MessagePackMap,
+  machineListPath,
+  PATHS,
+  type ProvisioningRequest,
+  pack,
+  parseMachineList,
+  parseMachineTypes,
+  parseProvisionedMachines,
+  readResponse,
+  type ServiceResponse,
+} from '@archpost/protocol';
+import { Subject } from 'rxjs';
+
+/** Connections to the cloud. */
+export const CLOUD_SOCKETS = 6;
+
+const TIMEOUT_MS = 3000;
+
+/** Part of the request budget that pages of lists may take: renting and releasing need the rest. */
+const LIST_SHARE = 0.5;
+
+/** Pages after the first are asked for this often: what came before them would be lost. */
+const PAGE_ATTEMPTS = 3;
+
+const PROVISIONING_ATTEMPTS = 3;
+
+/**
+ * Ok: these machines were rented, fewer than were asked for perhaps. Full: nothing was rented. Unknown: no attempt was
+ * answered, and machines may have been rented, or may be later.
+ */
+export type ProvisioningOutcome = { kind: 'ok'; machines: string[] } | { kind: 'full' | 'unknown' };
+
+/** Owns the connections to the cloud. Calls wait for their turn in the request budget. */
+export class CloudClient {
+  /** What could not be parsed though the cloud answered with status 200. */
+  readonly unreadable$ = new Subject<string>();
+  private readonly client: Client;
+  private readonly budget: Budget;
+  private readonly listBudget: Budget;
+  private isClosed = false;
+
+  /** `requestsPerS`: this controller's part of the cloud's request limit. */
+  constructor(address: string, requestsPerS: number) {
+    this.client = new Client(address, CLOUD_SOCKETS);
+    this.budget = new Budget(requestsPerS, steady);
+    this.listBudget = new Budget(requestsPerS * LIST_SHARE, steady);
+  }
+
+  /** Null if the cloud did not answer, refused, or its answer can not be parsed. */
+  async fetchMachineTypes(): Promise<MachineType[] | null> {
+    const response = await this.get(PATHS.machineTypes);
+    return this.parse(response, 'machine types', parseMachineTypes);
+  }
+
+  /** All machines; null if a page could not be had. Pages are of different times, and all of them lag. */
+  async listMachines(): Promise<ListedMachine[] | null> {
+    const machines: ListedMachine[] = [];
+    let after = '';
+    for (;;) {
+      const page = await this.readPage(after);
+      if (!page) return null;
+      machines.push(...page.machines);
+      if (!page.more || page.machines.length === 0) return machines;
+      after = page.machines[page.machines.length - 1]?.machine ?? '';
+    }
+  }
+
+  /** Repeats a request that gets no answer: if one was carried out, the same answer comes back. */
+  async provision(request: ProvisioningRequest): Promise<ProvisioningOutcome> {
+    for (let attempt = 0; attempt < PROVISIONING_ATTEMPTS; attempt++) {
+      const response = await this.post(PATHS.machines, encodeProvisioningRequest(request));
+      if (response?.status === 200 && response.body)
+        return { kind: 'ok', machines: parseProvisionedMachines(response.body) ?? [] };
+      if (response?.status === 503 && isOutOfCapacity(response.body)) return { kind: 'full' };
+      if (response?.status === 400) return { kind: 'full' };
+    }
+    return { kind: 'unknown' };
+  }
+
+  /** True once the machines and everything on them are gone; false if that is not known. */
+  async releaseMachines(machines: string[]): Promise<boolean> {
+    const response = await this.post(PATHS.machinesRelease, encodeReleaseRequest(machines));
+    return response?.status === 200;
+  }
+
+  /** Ends all calls and connections; later calls are not made. */
+  close(): void {
+    this.isClosed = true;
+    this.client.close();
+  }
+
+  private async readPage(after: string): Promise<MachinePage | null> {
+    const path = machineListPath(after);
+    for (let attemptsLeft = after === '' ? 1 : PAGE_ATTEMPTS; attemptsLeft > 0; attemptsLeft--) {
+      await this.listBudget.take();
+      const response = await this.get(path);
+      const page = this.parse(response, 'machine list', parseMachineList);
+      if (page || response?.status === 200) return page;
+    }
+    return null;
+  }
+
+  private async get(path: string): Promise<ServiceResponse | null> {
+    await this.budget.take();
+    if (this.isClosed) return null;
+    return decodeServiceResponse(await this.client.call({ method: 'GET', path, timeoutMs: TIMEOUT_MS }));
+  }
+
+  private async post(path: string, body: unknown): Promise<ServiceResponse | null> {
+    await this.budget.take();
+    if (this.isClosed) return null;
+    return decodeServiceResponse(await this.client.call({ method: 'POST', path, body: pack(body), timeoutMs: TIMEOUT_MS }));
+  }
+
+  private parse<T>(response: ServiceResponse | null, what: string, parse: (body: MessagePackMap) => T | null): T | null {
+    return readResponse(response, parse, () => this.unreadable$.next(what));
+  }
+}
