--- /dev/null
+++ b/packages/worker-client/src/worker-client.ts
@@ -0,0 +1,52 @@
+/** Calls to workers at their own addresses. */
+import { type Command, encodeCommandRequest, type Heartbeat, PATHS, pack, parseHeartbeat, unpackMap } from '@archpost/protocol';
+import { WorkerConnectionPool } from './worker-connection-pool.js';
+
+const PROBE_TIMEOUT_MS = 1500;
+const COMMAND_TIMEOUT_MS = 2500;
+
+/**
+ * Ok: carried out. Stale: nothing was carried out, since the worker has seen a higher fencing token or is in another
+ * agent epoch. Both come with the worker's status afterwards, null if it can not be parsed. Refused: nothing was sent.
+ * Lost: the commands may have been carried out, or may be later.
+ */
+export type CommandOutcome = { kind: 'ok' | 'stale'; report: Heartbeat | null } | { kind: 'lost' | 'refused' };
+
+/** Owns the connections to workers. */
+export class WorkerClient {
+  private readonly connections: WorkerConnectionPool;
+  private isClosed = false;
+
+  constructor(maxConnections: number) {
+    this.connections = new WorkerConnectionPool(maxConnections);
+  }
+
+  /** Whether the worker answers. */
+  async probe(address: string): Promise<boolean> {
+    if (this.isClosed) return false;
+    const outcome = await this.connections.get(address).call({ method: 'GET', path: PATHS.status, timeoutMs: PROBE_TIMEOUT_MS });
+    return outcome.kind === 'answer' && outcome.status === 200;
+  }
+
+  /** At most MAX_COMMANDS_PER_BODY commands, which the worker carries out in order. */
+  async sendCommands(address: string, fencingToken: number, agentEpoch: number, commands: Command[]): Promise<CommandOutcome> {
+    if (this.isClosed) return { kind: 'refused' };
+    const outcome = await this.connections.get(address).call({
+      method: 'POST',
+      path: PATHS.commands,
+      body: pack(encodeCommandRequest(fencingToken, agentEpoch, commands)),
+      timeoutMs: COMMAND_TIMEOUT_MS,
+    });
+    if (outcome.kind !== 'answer') return { kind: outcome.kind };
+    const body = unpackMap(outcome.body);
+    if (outcome.status === 200) return { kind: 'ok', report: body && parseHeartbeat(body) };
+    if (outcome.status === 409) return { kind: 'stale', report: body && parseHeartbeat(body) };
+    return { kind: 'lost' };
+  }
+
+  /** Ends all calls and connections; later calls are not made. */
+  close(): void {
+    this.isClosed = true;
+    this.connections.close();
+  }
+}
--- /dev/null
+++ b/packages/worker-client/src/worker-connection-pool.ts
@@ -0,0 +1,45 @@
+/** Connections to workers: one for each, and no more than this process has sockets for. */
+import { Client } from '@archpost/http-client';
+
+interface WorkerConnection {
+  client: Client;
+  /** in milliseconds of the time of day */
+  usedAt: number;
+}
+
+/** Beyond its size the connection that was not used for longest is closed, with the call on it if there is one. */
+export class WorkerConnectionPool {
+  private readonly connections = new Map<string, WorkerConnection>();
+
+  constructor(private readonly maxConnections: number) {}
+
+  get(address: string): Client {
+    const known = this.connections.get(address);
+    if (known) {
+      known.usedAt = Date.now();
+      return known.client;
+    }
+    if (this.connections.size >= this.maxConnections) this.closeLeastRecentlyUsed();
+    const client = new Client(address, 1);
+    this.connections.set(address, { client, usedAt: Date.now() });
+    return client;
+  }
+
+  close(): void {
+    for (const { client } of this.connections.values()) client.close();
+    this.connections.clear();
+  }
+
+  private closeLeastRecentlyUsed(): void {
+    let oldestAddress: string | null = null;
+    let oldestUse = Number.POSITIVE_INFINITY;
+    for (const [address, { usedAt }] of this.connections) {
+      if (usedAt >= oldestUse) continue;
+      oldestAddress = address;
+      oldestUse = usedAt;
+    }
+    if (oldestAddress === null) return;
+    this.connections.get(oldestAddress)?.client.close();
+    this.connections.delete(oldestAddress);
+  }
+}
