--- a/packages/peer-transport/src/frames.ts
+++ b/packages/peer-transport/src/frames.ts
@@ -1,20 +1,24 @@
 /**
- * Frames on a link between controllers: a length of four bytes and a message. A frame comes in many chunks; they are
- * put together once, when it is whole, since doing so for each of them copies the square of its size.
+ * Frames on a link between controllers: the length of a message in four bytes, most significant first, and the message.
+ * A frame comes in many chunks. They are joined once, when the frame is complete: joining at each chunk would copy the
+ * square of its size.
  */
 
-/** No message is larger than this; the sender tells in turn what doesn't fit. */
+/** No frame carries more. The sender leaves out what does not fit, and tells it in later messages. */
 export const MAX_FRAME_BYTES = 4 << 20;
 
 const HEADER_BYTES = 4;
 
-/** A frame on its way is larger than any that is sent: what follows it can't be told apart any more. */
+/** A frame is announced that is larger than any that is sent: where the next one begins can not be known. */
 export class FrameTooLargeError extends Error {
+  readonly code = 'FRAME_TOO_LARGE';
+
   constructor(readonly bytes: number) {
     super(`a frame of ${bytes} bytes`);
   }
 }
 
+/** The frame of a message, which must not be larger than MAX_FRAME_BYTES. */
 export function encodeFrame(body: Uint8Array): Buffer {
   const frame = Buffer.alloc(HEADER_BYTES + body.length);
   frame.writeUInt32BE(body.length);
@@ -22,14 +26,14 @@
   return frame;
 }
 
-/** Takes chunks as they come and gives frames as they are whole. */
+/** Takes the chunks of one link and returns messages as they are complete. */
 export class FrameReader {
   private chunks: Buffer[] = [];
   private length = 0;
-  /** size of the body on its way; null: its head isn't there yet */
+  /** size of the message that is under way; null: its header is not complete */
   private bodyBytes: number | null = null;
 
-  /** The bodies of the frames that are whole now; throws FrameTooLargeError. */
+  /** The messages that this chunk completes. Throws FrameTooLargeError; the link can not be read any further then. */
   push(chunk: Buffer): Buffer[] {
     this.chunks.push(chunk);
     this.length += chunk.length;
@@ -46,6 +50,7 @@
     }
   }
 
+  /** Joins chunks only if the first one does not hold all of these bytes. */
   private takeBytes(bytes: number): Buffer {
     const first = this.chunks[0] ?? Buffer.alloc(0);
     const joined = first.length >= bytes ? first : Buffer.concat(this.chunks);
--- /dev/null
+++ b/packages/peer-transport/src/outgoing-links.ts
@@ -0,0 +1,53 @@
+/** Links that this controller opens to the others, on which it sends and nothing is received. */
+import net from 'node:net';
+import { interval, type Subscription } from 'rxjs';
+import type { Peer } from './peer.js';
+
+/** A link that is down is opened again this often. */
+const RECONNECT_MS = 500;
+
+/** A connection that does not come about, or a link on which nothing has moved, is given up after this long. */
+const IDLE_TIMEOUT_MS = 3000;
+
+/** A link on which more waits to be sent gets nothing until it has caught up. */
+const MAX_BACKLOG_BYTES = 256 * 1024;
+
+/** Owns the sockets and the timer that opens them again. */
+export class OutgoingLinks {
+  private readonly sockets = new Map<string, net.Socket>();
+  private reconnecting: Subscription | null = null;
+
+  constructor(private readonly peers: readonly Peer[]) {}
+
+  start(): void {
+    this.connectMissing();
+    this.reconnecting = interval(RECONNECT_MS).subscribe(() => this.connectMissing());
+  }
+
+  /** The link to this peer; null if it is down, or so far behind that what is sent now would arrive out of date. */
+  readyLink(peer: string): net.Socket | null {
+    const socket = this.sockets.get(peer);
+    return socket && !socket.connecting && socket.writableLength <= MAX_BACKLOG_BYTES ? socket : null;
+  }
+
+  /** Closes all links and opens none any more. */
+  close(): void {
+    this.reconnecting?.unsubscribe();
+    for (const socket of this.sockets.values()) socket.destroy();
+  }
+
+  private connectMissing(): void {
+    for (const peer of this.peers) if (!this.sockets.has(peer.name)) this.connect(peer);
+  }
+
+  private connect({ name, addr: address }: Peer): void {
+    const colon = address.lastIndexOf(':');
+    const socket = net.connect({ host: address.slice(0, colon), port: Number(address.slice(colon + 1)), noDelay: true });
+    this.sockets.set(name, socket);
+    socket.setTimeout(IDLE_TIMEOUT_MS, () => socket.destroy());
+    socket.on('error', () => socket.destroy());
+    socket.on('close', () => {
+      if (this.sockets.get(name) === socket) this.sockets.delete(name);
+    });
+  }
+}
--- /dev/null
+++ b/packages/peer-transport/src/peer.ts
@@ -0,0 +1,15 @@
+/** What the two kinds of links between controllers share. */
+
+/** Another controller. */
+export interface Peer {
+  name: string;
+  /** `host:port` at which it listens for its peers */
+  addr: string;
+}
+
+/** A message that was dropped, and from whom it came or to whom it was to go. Operators see it in the log. */
+export interface LinkProblem {
+  /** name of the peer, or its address or `unknown` as long as it has not told its name */
+  peer: string;
+  error: string;
+}
