--- a/packages/peer-transport/src/frames.ts
+++ b/packages/peer-transport/src/frames.ts
@@ -4,7 +4,7 @@
  * square of its size.
  */
 
-/** No frame carries more. The sender leaves out what does not fit, and tells it in later messages. */
+/** Largest message. The sender shortens its messages to fit, and sends the rest in later ones. */
 export const MAX_FRAME_BYTES = 4 << 20;
 
 const HEADER_BYTES = 4;
--- a/packages/peer-transport/src/peer.ts
+++ b/packages/peer-transport/src/peer.ts
@@ -9,7 +9,7 @@
 
 /** A message that was dropped, and from whom it came or to whom it was to go. Operators see it in the log. */
 export interface LinkProblem {
-  /** name of the peer, or its address or `unknown` as long as it has not told its name */
+  /** name of the peer, or its address or `unknown` if its name is not known */
   peer: string;
   error: string;
 }
--- a/packages/protocol/src/jobs/job-status.ts
+++ b/packages/protocol/src/jobs/job-status.ts
@@ -1,4 +1,4 @@
-/** The state of a job as its user is told of it. */
+/** The state of a job in responses to its user. */
 
 /** Queued: no task runs. Done and cancelled are final. */
 export type JobState = 'queued' | 'running' | 'done' | 'cancelled';
@@ -7,7 +7,7 @@
 export interface TaskCounts {
   done: number;
   running: number;
-  /** tasks that failed, told only of a job that fails on every machine */
+  /** tasks that failed; only given for a job that fails on every machine */
   failed?: number;
 }
 
--- a/packages/protocol/src/peer/peer-status.ts
+++ b/packages/protocol/src/peer/peer-status.ts
@@ -1,4 +1,4 @@
-/** What a controller tells each of the others of itself, several times in a few seconds. */
+/** The status that each controller sends to every other one, more than once a second. */
 import type { ProtobufFields } from './protobuf-fields.js';
 import type { ShardSummary } from './shard-summary.js';
 
@@ -20,7 +20,7 @@
   failed: { type: 'uint32', id: 4 },
 } satisfies ProtobufFields<RunningJob>;
 
-/** A machine that is assigned to no shard, and whose worker sent a heartbeat to the controller that tells of it. */
+/** A machine that is assigned to no shard, and whose worker sent a heartbeat to the sender of the status. */
 export interface UnassignedMachine {
   machine: string;
   /** where its worker takes commands */
@@ -39,11 +39,11 @@
   spot: { type: 'bool', id: 5 },
 } satisfies ProtobufFields<UnassignedMachine>;
 
-/** Stands for heartbeats that are not forwarded, since they tell the same as the last one that was. */
+/** Stands for heartbeats that are not forwarded, since they do not differ from the last one that was. */
 export interface UnchangedHeartbeat {
   machine: string;
   agentEpoch: number;
-  /** of the newest heartbeat that told the same */
+  /** of the newest heartbeat that did not differ */
   sequence: number;
   /** of the heartbeat that was forwarded */
   forwardedSequence: number;
@@ -70,7 +70,7 @@
   unassignedMachines: UnassignedMachine[];
   /** of machines in shards of the receiver, whose workers sent heartbeats to this controller in the last seconds */
   unchangedHeartbeats: UnchangedHeartbeat[];
-  /** told by the leader: types of which the cloud still has ordinary machines */
+  /** from the leader only: types of which the cloud still has ordinary machines */
   availableTypes: string[];
   isLeader: boolean;
   /** its lease at the state service is valid, so that it may answer workers */
@@ -85,7 +85,7 @@
   heardWorkers: number;
   /** since it started it has read all keys of the state service once */
   replicaLoaded: boolean;
-  /** revision of the newest cancellation that it knows of: it has told no user of a newer one */
+  /** revision of the newest cancellation that it knows of: it has confirmed no newer one to a user */
   cancellationRevision: number;
   /** identifies this status; its receiver returns it as `echo` */
   ping: string;
--- a/packages/protocol/src/peer/shard-summary.ts
+++ b/packages/protocol/src/peer/shard-summary.ts
@@ -1,4 +1,4 @@
-/** What the holder of a shard tells the leader of it: its machines, and the work that they have no room for. */
+/** Summary of a shard that its lease holder sends to the leader: its machines, and the tasks they have no room for. */
 import type { ProtobufFields } from './protobuf-fields.js';
 
 /** A machine of a shard. */
--- a/packages/protocol/src/worker/heartbeat.ts
+++ b/packages/protocol/src/worker/heartbeat.ts
@@ -24,7 +24,7 @@
   saved: boolean;
 }
 
-/** What a worker tells of itself, regularly and when something changes. */
+/** A worker's report on its machine, sent at regular intervals and when something changes. */
 export interface Heartbeat {
   machine: string;
   /** where the worker takes commands */
--- a/packages/state-client/src/replica-reader.ts
+++ b/packages/state-client/src/replica-reader.ts
@@ -14,14 +14,14 @@
 import { ReadBarrier } from './read-barrier.js';
 import type { StateServiceConnection } from './state-service-connection.js';
 
-/** All keys. Pages may be of later revisions than the first: those changes are told again. */
+/** All keys. Pages may be of later revisions than the first: those changes are emitted again. */
 export interface Snapshot {
   rows: StoredKey[];
   /** of the first page */
   revision: number;
 }
 
-/** All changes after those told before. */
+/** All changes after those that were emitted before. */
 export interface ReplicaChanges {
   changes: KeyChange[];
   /** up to which the replica is complete now */
@@ -49,8 +49,8 @@
 const PAGE_RETRY_MS = 200;
 
 /**
- * Watch, barriers and writes share the request budget: one request of so many may open the watch anew, which is done no
- * more and no less often than these bounds say.
+ * Watch, barriers and writes share the request budget: the watch is opened again by one in three requests. The pause
+ * before that stays within these bounds.
  */
 const REQUESTS_PER_WATCH = 3;
 const MIN_WATCH_PAUSE_MS = 40;
@@ -68,7 +68,7 @@
   private readonly delay = new Delay();
   private readonly barrier: ReadBarrier;
   private readonly watchPauseMs: number;
-  /** up to which changes were told; 0: nothing is loaded */
+  /** up to which changes were emitted; 0: nothing is loaded */
   private revision = 0;
   private newestReadAt = -1;
 
@@ -106,7 +106,7 @@
     }
   }
 
-  /** Tells all keys, and the changes since the first page was read. */
+  /** Emits all keys, and the changes since the first page was read; false if a read failed. */
   private async load(): Promise<boolean> {
     const rows: StoredKey[] = [];
     let firstRevision: number | null = null;
@@ -136,7 +136,7 @@
     return null;
   }
 
-  /** Tells changes until the service no longer has all of them. */
+  /** Emits changes until the service no longer has all of them. */
   private async watch(): Promise<void> {
     while (!this.delay.isClosed) {
       const result = await this.readChanges(WATCH_MS, WATCH_MS + WATCH_GRACE_MS);
--- a/packages/state-client/src/state-service-client.ts
+++ b/packages/state-client/src/state-service-client.ts
@@ -6,7 +6,7 @@
 import { type ReplicaChanges, ReplicaReader, type Snapshot } from './replica-reader.js';
 import { StateServiceConnection } from './state-service-connection.js';
 
-/** Its parts share connections and one request budget. `start` begins to keep the lease and to read; `close` ends all. */
+/** Its parts share connections and one request budget. `start` starts the loops that keep the lease and read keys. */
 export class StateServiceClient {
   readonly snapshot$: Observable<Snapshot>;
   readonly changes$: Observable<ReplicaChanges>;
