--- a/packages/state-client/src/lease-keeper.ts
+++ b/packages/state-client/src/lease-keeper.ts
@@ -9,7 +9,7 @@
 export interface LeaseState {
   /** null: there is none any more */
   leaseId: number | null;
-  /** in milliseconds of this machine's steady clock */
+  /** in milliseconds of this machine's monotonic clock */
   validUntil: number;
 }
 
--- a/packages/state-client/src/read-barrier.ts
+++ b/packages/state-client/src/read-barrier.ts
@@ -10,7 +10,7 @@
 
 /** The reads that a barrier waits for, and asks for. */
 export interface BarrierReads {
-  /** When the newest read that succeeded began, in milliseconds of the steady clock. */
+  /** When the newest read that succeeded began, in milliseconds of the monotonic clock. */
   newestReadAt(): number;
   /** Reads once; false if that failed. */
   read(): Promise<boolean>;
--- a/packages/state-client/src/replica-reader.ts
+++ b/packages/state-client/src/replica-reader.ts
@@ -26,7 +26,7 @@
   changes: KeyChange[];
   /** up to which the replica is complete now */
   revision: number;
-  /** when the read began, in milliseconds of the steady clock: the replica is no older than that */
+  /** when the read began, in milliseconds of the monotonic clock: the replica is no older than that */
   asOf: number;
 }
 
