--- a/packages/controller/src/state/cluster-state.ts
+++ b/packages/controller/src/state/cluster-state.ts
@@ -222,7 +222,7 @@
     return images;
   }
 
-  private applyAssignment(name: string, entry: ReplicaEntry | null, now: Milliseconds): { machine?: Machine; moved?: boolean } {
+  private applyAssignment(name: string, entry: ReplicaEntry | null, now: Milliseconds): AppliedChange {
     const old = this.machines.get(name);
     if (!entry) {
       if (old) {
@@ -259,7 +259,7 @@
     machine.assignmentRevision = entry.revision;
     machine.moveToShard = assignment.moveToShard;
     machine.isRetired = assignment.isRetired;
-    return { machine, moved };
+    return { machine, movedShard: moved };
   }
 
   /** The machine's grant to its share, with nothing else wanted of it. */
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -292,6 +292,21 @@
   assert.equal(cluster.running('run-a'), 2);
 });
 
+// A rename by tool had left the two sides of the move's flag with different names: what was known from the old shard stayed.
+test('what is known of a machine does not outlive its move to another shard', () => {
+  const core = new Controller(settings('n0'), 'boot');
+  const assignment = (shard: number) => ({ s: shard, a: 'm0:1', t: 'std', z: 'za', sp: false });
+  core.replica.set('a/g/m0', assignment(0), 1);
+  const machine = core.clusterState.machines.get('m0');
+  assert.ok(machine);
+  const tenure = machine.tenure;
+  core.replica.set('a/g/m0', { ...assignment(0), mv: 1 }, 2);
+  assert.equal(machine.tenure, tenure, 'a move that is ordered changes nothing yet');
+  core.replica.set('a/g/m0', assignment(1), 3);
+  assert.equal(machine.shard, 1);
+  assert.notEqual(machine.tenure, tenure, 'the move begins a new tenure');
+});
+
 // A new holder that found the work counted its time anew: jobs that are over leave the table of all but their owner.
 test('the time of a cancellation counts from its first reading, whoever finds a task of the job later', () => {
   const core = new Controller(settings('n0'), 'boot');
