--- a/packages/controller/src/leadership/running-task-deltas.ts
+++ b/packages/controller/src/leadership/running-task-deltas.ts
@@ -1,51 +1,59 @@
 /**
- * What the other controllers are told of running tasks, for display: all jobs now and then, and what changed in
- * between. What doesn't fit one status goes with the next ones, so that none outgrows a frame, however many jobs run.
+ * What the other controllers are told of running jobs, for display: all of them now and then, and what changed in between. What
+ * doesn't fit one status goes with the next ones, so that none outgrows a frame, however many jobs run.
+ *
+ * Owns what the others have been told, and what they have still to be told.
  */
 import type { PeerStatus } from '@archpost/protocol';
 import type { RunningTasks } from '../model/index.js';
 
-/** Each so many statuses tell of all jobs that run; a peer that missed a change has it within seconds. */
-const ALL_EACH = 5;
+/** Every so many statuses tell of all running jobs, so that a peer that missed a change has it within seconds. */
+const STATUSES_PER_FULL_LIST = 5;
 
 /** Jobs in one status; with the longest names they fill a quarter of a frame. */
-const MOST_JOBS = 10_000;
+const MAX_JOBS_PER_STATUS = 10_000;
 
-const NONE: RunningTasks = { count: 0, done: 0, failed: 0 };
+const NO_TASKS: RunningTasks = { count: 0, done: 0, failed: 0 };
 
+/** Turns the running jobs as of each status into what that status tells of them. */
 export class RunningTaskDeltas {
-  /** what the others have been told, or will be by what is still to be told */
-  private lastTold: ReadonlyMap<string, RunningTasks> = new Map();
+  /** what the others know once all that is pending has been sent */
+  private published: ReadonlyMap<string, RunningTasks> = new Map();
   private readonly pending = new Map<string, RunningTasks>();
   private statusCount = 0;
 
-  constructor(private readonly maxJobs = MOST_JOBS) {}
+  constructor(private readonly maxJobsPerStatus = MAX_JOBS_PER_STATUS) {}
 
-  /** What the next status says; `runningAll`: what was told before is to be forgotten. */
+  /**
+   * What the next status tells of the running jobs. `running` is kept until the next call and mustn't be changed.
+   * `runningJobsComplete`: the receiver is to forget what it was told before. A job with no tasks runs no more.
+   */
   next(running: ReadonlyMap<string, RunningTasks>): Pick<PeerStatus, 'runningJobs' | 'runningJobsComplete'> {
-    const runningAll = this.statusCount++ % ALL_EACH === 0 && this.pending.size === 0;
-    if (runningAll) for (const [job, tasks] of running) this.pending.set(job, tasks);
-    else this.noteChanges(running);
-    this.lastTold = running;
-    return { runningJobs: this.takeSome(), runningJobsComplete: runningAll };
+    const isFullListDue = this.statusCount++ % STATUSES_PER_FULL_LIST === 0;
+    // While changes are pending a full list would make the receiver forget those that it was told already.
+    const runningJobsComplete = isFullListDue && this.pending.size === 0;
+    if (runningJobsComplete) for (const [job, tasks] of running) this.pending.set(job, tasks);
+    else this.addChanges(running);
+    this.published = running;
+    return { runningJobs: this.takePending(), runningJobsComplete };
   }
 
-  private noteChanges(running: ReadonlyMap<string, RunningTasks>): void {
+  private addChanges(running: ReadonlyMap<string, RunningTasks>): void {
     for (const [job, tasks] of running) {
-      const known = this.lastTold.get(job);
+      const known = this.published.get(job);
       if (known?.count !== tasks.count || known.done !== tasks.done || known.failed !== tasks.failed)
         this.pending.set(job, tasks);
     }
-    for (const job of this.lastTold.keys()) if (!running.has(job)) this.pending.set(job, NONE);
+    for (const job of this.published.keys()) if (!running.has(job)) this.pending.set(job, NO_TASKS);
   }
 
-  private takeSome(): PeerStatus['runningJobs'] {
-    const some: PeerStatus['runningJobs'] = [];
+  private takePending(): PeerStatus['runningJobs'] {
+    const jobs: PeerStatus['runningJobs'] = [];
     for (const [job, tasks] of this.pending) {
-      if (some.length >= this.maxJobs) break;
-      some.push({ job, ...tasks });
+      if (jobs.length >= this.maxJobsPerStatus) break;
+      jobs.push({ job, ...tasks });
       this.pending.delete(job);
     }
-    return some;
+    return jobs;
   }
 }
--- a/packages/controller/src/leadership/stored-status.ts
+++ b/packages/controller/src/leadership/stored-status.ts
@@ -1,66 +1,75 @@
 /**
- * A controller's status as it is stored for the leader while the link between them is down. It has to fit one
- * value of the state service, so it tells what the leader needs most: waiting work, new machines, idle machines.
- * What doesn't fit is told in turn by the statuses that follow: the first machines of a list could be such as the
- * leader can't use, and would hide the others for as long as the cut lasts.
+ * The form of a status that is stored for the leader while the link to it is down. It has to fit one value of the state service, so
+ * it holds what the leader needs most: waiting work, machines without a shard, idle machines.
+ *
+ * Lists that don't fit are told in turns: the first machines of a list could be such as the leader can't use, and would hide the
+ * others for as long as the partition lasts. Pure functions; owns no state.
  */
 import type { PeerStatus } from '@archpost/protocol';
 import { roundRobinSlice } from '../model/index.js';
 import { encodedBytes, encodeStatus } from '../state/index.js';
 
-const MOST_MACHINES = 15;
-const MOST_DEMANDS = 8;
-const MOST_UNGRANTED = 20;
-
-/** The longest lists of a status that are still told. */
-interface Lengths {
+/** Most entries of each list of a status. */
+interface ListLimits {
+  /** idle machines of each shard */
   machines: number;
+  /** demands of each shard */
   demands: number;
-  ungranted: number;
+  unassignedMachines: number;
 }
 
-const LONGEST: Readonly<Lengths> = {
-  machines: MOST_MACHINES,
-  demands: MOST_DEMANDS,
-  ungranted: MOST_UNGRANTED,
-};
+/** The limits that a status that doesn't fit whole is tried with first. */
+const MAX_LIST_LIMITS: Readonly<ListLimits> = { machines: 15, demands: 8, unassignedMachines: 20 };
+
+/**
+ * The status with as much of its lists as fits a write of `maxBytes`, its key included. `turn`: how many statuses were stored before;
+ * each turn tells other parts of the lists that don't fit. A status that doesn't fit even without them is returned all the same: the
+ * writer drops it and logs that.
+ */
+export function fitStoredStatus(key: string, status: PeerStatus, maxBytes: number, turn = 0): PeerStatus {
+  const whole = withoutLinkFields(status);
+  if (isWithin(key, whole, maxBytes)) return whole;
+  const limits: ListLimits = { ...MAX_LIST_LIMITS };
+  let short = shorten(whole, limits, turn);
+  while (!isWithin(key, short, maxBytes) && lowerLimits(limits)) short = shorten(whole, limits, turn);
+  return short;
+}
 
-/** What of a status the leader reads nowhere else, without what it never takes from a stored one. */
-function essential(status: PeerStatus): PeerStatus {
+function isWithin(key: string, status: PeerStatus, maxBytes: number): boolean {
+  return encodedBytes(key, encodeStatus(status)) <= maxBytes;
+}
+
+/** Without what is only ever taken from a status that came over a link. */
+function withoutLinkFields(status: PeerStatus): PeerStatus {
   return { ...status, runningJobs: [], runningJobsComplete: false, unchangedHeartbeats: [] };
 }
 
-function shorten(status: PeerStatus, limit: Lengths, turn: number): PeerStatus {
+function shorten(status: PeerStatus, limits: ListLimits, turn: number): PeerStatus {
   return {
     ...status,
-    unassignedMachines: roundRobinSlice(status.unassignedMachines, limit.ungranted, turn),
-    shards: status.shards.map((shard) => ({
-      ...shard,
-      // Machines that bear work can't be moved anyway.
-      machines: roundRobinSlice(
-        shard.machines.filter((machine) => machine.tasks === 0),
-        limit.machines,
-        turn,
-      ),
-      demands: shard.demands.slice(0, limit.demands),
-    })),
+    unassignedMachines: roundRobinSlice(status.unassignedMachines, limits.unassignedMachines, turn),
+    shards: status.shards.map((shard) => {
+      // Machines with tasks on them can't be moved anyway.
+      const idleMachines = shard.machines.filter((machine) => machine.tasks === 0);
+      return {
+        ...shard,
+        machines: roundRobinSlice(idleMachines, limits.machines, turn),
+        demands: shard.demands.slice(0, limits.demands),
+      };
+    }),
   };
 }
 
-/** The status with as much of its lists as fits; each turn tells other parts of those that don't. */
-export function fitStoredStatus(key: string, status: PeerStatus, changeBytes: number, turn = 0): PeerStatus {
-  const whole = essential(status);
-  if (encodedBytes(key, encodeStatus(whole)) <= changeBytes) return whole;
-  const limit: Lengths = { ...LONGEST };
-  let short = shorten(whole, limit, turn);
-  while (encodedBytes(key, encodeStatus(short)) > changeBytes && Object.values(limit).some((length) => length > 0)) {
-    // Waiting work is what the others act on.
-    if (limit.machines > 1) limit.machines = Math.floor(limit.machines / 2);
-    else if (limit.demands > 1) limit.demands = Math.floor(limit.demands / 2);
-    else if (limit.ungranted > 0) limit.ungranted = Math.floor(limit.ungranted / 2);
-    else if (limit.machines > 0) limit.machines = 0;
-    else limit.demands = 0;
-    short = shorten(whole, limit, turn);
-  }
-  return short;
+/**
+ * Lowers the limit of the list that can best be spared; false if all are at zero. The demands are kept longest, and one machine of
+ * each shard as long as any machine without a shard: demands are what the leader acts on.
+ */
+function lowerLimits(limits: ListLimits): boolean {
+  if (limits.machines > 1) limits.machines = Math.floor(limits.machines / 2);
+  else if (limits.demands > 1) limits.demands = Math.floor(limits.demands / 2);
+  else if (limits.unassignedMachines > 0) limits.unassignedMachines = Math.floor(limits.unassignedMachines / 2);
+  else if (limits.machines > 0) limits.machines = 0;
+  else if (limits.demands > 0) limits.demands = 0;
+  else return false;
+  return true;
 }
