--- a/packages/controller/src/context/leases.ts
+++ b/packages/controller/src/context/leases.ts
@@ -1,6 +1,9 @@
 /** The controller's lease at the state service, and the shards (and the lead) that it holds under it. */
 import type { Milliseconds } from '../model/index.js';
 
+/** The name of the leader's lease; it is part of a stored key. */
+export const LEADER_LEASE = 'lead';
+
 /** This controller's lease at the state service. */
 export interface LeaseView {
   /** `id`: null without a lease; `validUntil`: it stands until then at least */
--- /dev/null
+++ b/packages/controller/src/leadership/idle-machine-scale-in.ts
@@ -0,0 +1,98 @@
+/**
+ * Scale-in of idle machines: the leader retires machines that have been idle for long and that no waiting work could use. The
+ * holder of the machine's shard then releases it.
+ *
+ * Owns no state: each round decides anew by the summaries of the shards.
+ */
+import type { MachineSummary, MachineType, ResourceDemand, ShardSummary } from '@archpost/protocol';
+import { matchesDemand } from '../capacity/index.js';
+import type { ClusterStateView, Logger, SettingsView, StateWriting } from '../context/index.js';
+import { countThatFit, type Machine, type Milliseconds } from '../model/index.js';
+import { WritePriority } from '../state/index.js';
+import { writeAssignmentOrder } from './assignment-orders.js';
+
+/** A cheap machine may stay idle for so many times as long as the most expensive one, at most. */
+const MAX_IDLE_FACTOR = 8;
+
+/** Prices below count as this, in the currency of the prices: a free machine has no infinite patience. */
+const MIN_PRICE = 1e-6;
+
+/** Work up to this priority, if it needs no accelerators, keeps no on-demand machine with accelerators from being retired. */
+const MAX_LOW_PRIORITY = 1;
+
+/** What a round of scale-in goes by. */
+export interface ScaleInRound {
+  shards: ReadonlyMap<number, ShardSummary>;
+  /** price of an hour of the most expensive machine type on demand */
+  highestPrice: number;
+  /** most machines that are retired in this round */
+  maxMachines: number;
+  /** of the leader's lease */
+  leaseRevision: number;
+  now: Milliseconds;
+}
+
+type ScaleInContext = SettingsView & ClusterStateView & StateWriting & Logger;
+
+/** Retires idle machines, those of one shard after another. */
+export class IdleMachineScaleIn {
+  constructor(private readonly context: ScaleInContext) {}
+
+  /** Orders the retirement of idle machines, as many as the round allows. */
+  retireIdleMachines(round: ScaleInRound): void {
+    const demands = [...round.shards.values()].flatMap((shard) => shard.demands);
+    let remaining = round.maxMachines;
+    for (const shard of round.shards.values()) {
+      for (const summary of shard.machines) {
+        if (remaining <= 0) return;
+        const machine = this.context.clusterState.machines.get(summary.name);
+        if (!machine || !this.isRetirable(machine, summary, round.highestPrice)) continue;
+        if (this.isWanted(machine, demands)) continue;
+        remaining--;
+        this.retire(machine, summary.idleS, round);
+      }
+    }
+  }
+
+  /** Has it been idle for long enough, with no other plans for it? */
+  private isRetirable(machine: Machine, summary: MachineSummary, highestPrice: number): boolean {
+    if (summary.tasks > 0 || machine.moveToShard !== null || machine.isRetired || summary.protectedPriority > 0) return false;
+    const idleLimitS = this.context.settings.policy.idleS * idleFactor(machine.capacity, machine.spot, highestPrice);
+    // Not ">=": without any known price the limit is NaN, and the machine is retirable.
+    return !(summary.idleS < idleLimitS);
+  }
+
+  /** Could waiting work use the machine? It has been idle all the while: lesser work doesn't take an expensive one for itself. */
+  private isWanted(machine: Machine, demands: readonly ResourceDemand[]): boolean {
+    const { capacity, spot } = machine;
+    if (!capacity) return false;
+    const zone = this.context.clusterState.zoneNames.nameOf(machine.zoneIndex);
+    const isExpensive = capacity.gpus > 0 && !spot;
+    return demands.some(
+      (demand) =>
+        countThatFit(demand, capacity) >= 1 &&
+        matchesDemand(demand, capacity.name, zone, spot) &&
+        (!isExpensive || demand.gpus > 0 || demand.priority > MAX_LOW_PRIORITY),
+    );
+  }
+
+  private retire(machine: Machine, idleS: number, { leaseRevision, now }: ScaleInRound): void {
+    this.context.log('info', 'retiring idle machine', { machine: machine.name, idleS: Math.round(idleS) });
+    writeAssignmentOrder(
+      this.context,
+      machine,
+      { isRetired: true },
+      { leaseRevision, priority: WritePriority.progress, now, onOutcome: () => {} },
+    );
+  }
+}
+
+/**
+ * For how many times the configured time a machine may stay idle. A cheap one may for longer: it costs little, and to have it
+ * again takes its boot time, which is paid and waited for.
+ */
+function idleFactor(type: MachineType | null, spot: boolean, highestPrice: number): number {
+  if (!type) return 1;
+  const price = Math.max(MIN_PRICE, spot ? type.spotPrice : type.price);
+  return Math.min(MAX_IDLE_FACTOR, Math.sqrt(highestPrice / price));
+}
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -1,12 +1,11 @@
-import type { MachineType, ShardSummary } from '@archpost/protocol';
-import {
-  Autoscaler,
-  MachineAssigner,
-  matchesDemand,
-  pendingDemands,
-  ShardRebalancer,
-  type UnassignedMachine,
-} from '../capacity/index.js';
+/**
+ * The elected leader: assigns machines to shards, moves machines between shards, and scales out and in.
+ *
+ * Owns the tenure of the leader's lease and the parts that only the leader uses. Machines without a shard are noted on every
+ * controller, and each tells the leader of them.
+ */
+import type { ShardSummary } from '@archpost/protocol';
+import { Autoscaler, MachineAssigner, pendingDemands, ShardRebalancer, type UnassignedMachine } from '../capacity/index.js';
 import type {
   CapacityView,
   ClusterStateView,
@@ -18,23 +17,30 @@
   StateFreshness,
   StateWriting,
 } from '../context/index.js';
-import { countThatFit, type Machine, type Milliseconds, NEVER } from '../model/index.js';
+import { type Machine, type Milliseconds, NEVER } from '../model/index.js';
 import type { ShardController } from '../shards/index.js';
-import { encodeAssignment, StateKey, WritePriority } from '../state/index.js';
+import { WritePriority } from '../state/index.js';
+import { writeAssignmentOrder } from './assignment-orders.js';
+import { IdleMachineScaleIn } from './idle-machine-scale-in.js';
 
-/** A round weighs all machines: with many of them rounds are rarer, though work that waits is never left for longer. */
-const ROUND_MS = 500;
+/** A round goes over all machines: with many of them rounds are rarer, though waiting work is never left for longer. */
+const MIN_ROUND_MS = 500;
 const ROUND_MS_PER_MACHINE = 1;
-const LONGEST_ROUND_MS = 1500;
+const MAX_ROUND_MS = 1500;
 
-/** Moves in one round: so many in any case, or this part of what the state service takes in the time of a round. */
-const MOVES_A_ROUND = 6;
-const MOVES_SHARE_OF_CHANGES = 0.03;
+/** No round is made on an older view of the state service: others may have changed what it would decide about. */
+const MAX_VIEW_AGE_MS = 4000;
 
-/** Idle machines let go in one round, for each move that it may order. */
-const LET_GO_PER_MOVE = 0.5;
+/** A shard's summary that came from a peer is used for so long: a few statuses may be lost. */
+const MAX_SUMMARY_AGE_MS = 5000;
+
+/** Moves in one round: so many in any case, or this part of the writes that the state service takes in the time of a round. */
+const MIN_MOVES_PER_ROUND = 6;
+const MOVES_PART_OF_WRITES = 0.03;
+
+/** Idle machines retired in one round, for each move that it may order. */
+const RETIREMENTS_PER_MOVE = 0.5;
 
-/** What the leader needs of its controller. */
 type LeaderContext = SettingsView &
   ClusterStateView &
   StateWriting &
@@ -45,14 +51,15 @@
   EffectSink &
   Logger;
 
-/** The elected leader: grants machines to shares, moves them, and lets go what is idle. */
+/** Acts while this controller holds the leader's lease. */
 export class Leader {
-  private leadingSince: Milliseconds | null = null;
-  private leaseRevision = 0;
-  private lastRoundAt: Milliseconds = NEVER;
-  private readonly machineAssigner: MachineAssigner;
   readonly autoscaler: Autoscaler;
+  private readonly machineAssigner: MachineAssigner;
   private readonly shardRebalancer: ShardRebalancer;
+  private readonly idleMachineScaleIn: IdleMachineScaleIn;
+  /** the revision at which the leader's lease was acquired; null: another controller leads, or nobody */
+  private leaseRevision: number | null = null;
+  private lastRoundAt: Milliseconds = NEVER;
 
   constructor(
     private readonly context: LeaderContext,
@@ -60,6 +67,7 @@
   ) {
     this.machineAssigner = new MachineAssigner(context, () => this.autoscaler);
     this.shardRebalancer = new ShardRebalancer(context);
+    this.idleMachineScaleIn = new IdleMachineScaleIn(context);
     this.autoscaler = new Autoscaler(
       context,
       (machine) => this.machineAssigner.isAssignmentPending(machine),
@@ -68,143 +76,122 @@
     );
   }
 
+  /** Does this controller hold the leader's lease? Whether it may act under it also depends on the state lease. */
+  get isLeading(): boolean {
+    return this.leaseRevision !== null;
+  }
+
+  /** A tenure begins: what was planned in an earlier one doesn't count. `revision`: the fencing token of the tenure. */
   leaseAcquired(revision: number, now: Milliseconds): void {
-    this.leadingSince = now;
     this.leaseRevision = revision;
     this.shardRebalancer.reset();
     this.autoscaler.leaseAcquired(revision, now);
   }
 
-  machineRemoved(name: string, now: Milliseconds): void {
-    this.shardRebalancer.machineRemoved(name);
-    this.autoscaler.machineReleased(name, now);
-  }
-
+  /** The tenure has ended. */
   leaseLost(): void {
-    this.leadingSince = null;
+    this.leaseRevision = null;
   }
 
-  get isLeading(): boolean {
-    return this.leadingSince !== null;
+  /** The machine's assignment is gone: it was released, or lost. */
+  machineRemoved(name: string, now: Milliseconds): void {
+    this.shardRebalancer.machineRemoved(name);
+    this.autoscaler.machineReleased(name, now);
   }
 
+  /** A machine that no shard has sent a heartbeat to this controller. */
   unassignedMachineReported(unassigned: UnassignedMachine, now: Milliseconds): void {
     this.machineAssigner.machineReported(unassigned, now);
   }
 
+  /** The machines without a shard that sent heartbeats to this controller lately, for the status to the leader. */
   unassignedMachines(now: Milliseconds): UnassignedMachine[] {
     return this.machineAssigner.recentlyReported(now);
   }
 
+  /** Assigns machines at once, and makes a round when one is due. Does nothing while another controller leads. */
   tick(now: Milliseconds): void {
-    if (this.leadingSince === null || !this.context.isLeaseValid(now)) return;
+    const { leaseRevision } = this;
+    if (leaseRevision === null || !this.context.isLeaseValid(now)) return;
     this.autoscaler.requestMachineList(now);
-    this.machineAssigner.assignAll(() => this.shardSummaries(now), this.leaseRevision, now);
-    // A round weighs all machines: with many of them, rounds are rarer.
-    if (now - this.lastRoundAt < this.roundMs || now - this.context.replicaFreshAt > 4000 || this.context.isCatchingUp()) return;
+    this.machineAssigner.assignAll(() => this.shardSummaries(now), leaseRevision, now);
+    if (!this.isRoundDue(now)) return;
     this.lastRoundAt = now;
+    this.runRound(leaseRevision, now);
+  }
+
+  private isRoundDue(now: Milliseconds): boolean {
+    return (
+      now - this.lastRoundAt >= this.roundMs &&
+      now - this.context.replicaFreshAt <= MAX_VIEW_AGE_MS &&
+      !this.context.isCatchingUp()
+    );
+  }
+
+  private runRound(leaseRevision: number, now: Milliseconds): void {
     const shards = this.shardSummaries(now);
-    this.rebalance(shards, now);
-    if (this.context.clusterState.machineTypesKnown && this.autoscaler.isListKnown) {
-      this.autoscaler.scaleOut(shards, now);
-      this.autoscaler.releaseOverdue(now);
-      if (!this.context.settings.policy.holdSpareCapacity) this.retireIdleMachines(shards, now);
-    }
+    this.rebalance(shards, leaseRevision, now);
+    // Without the types and the cloud's list nobody knows what a machine is worth, or which are on their way.
+    if (!this.context.clusterState.machineTypesKnown || !this.autoscaler.isListKnown) return;
+    this.autoscaler.scaleOut(shards, now);
+    this.autoscaler.releaseOverdue(now);
+    if (!this.context.settings.policy.holdSpareCapacity) this.retireIdleMachines(shards, leaseRevision, now);
   }
 
   private get roundMs(): Milliseconds {
-    return Math.min(LONGEST_ROUND_MS, ROUND_MS + ROUND_MS_PER_MACHINE * this.context.clusterState.machines.size);
+    return Math.min(MAX_ROUND_MS, MIN_ROUND_MS + ROUND_MS_PER_MACHINE * this.context.clusterState.machines.size);
   }
 
   private get movesPerRound(): number {
-    const changes = (this.context.settings.state.writesPerS * this.roundMs) / 1000;
-    return Math.max(MOVES_A_ROUND, Math.floor(MOVES_SHARE_OF_CHANGES * changes));
+    const writes = (this.context.settings.state.writesPerS * this.roundMs) / 1000;
+    return Math.max(MIN_MOVES_PER_ROUND, Math.floor(MOVES_PART_OF_WRITES * writes));
   }
 
+  /** The summary of each shard, by its holder. A shard whose holder isn't heard has none. */
   private shardSummaries(now: Milliseconds): Map<number, ShardSummary> {
-    const result = new Map<number, ShardSummary>();
-    for (const peer of this.context.peers.values()) {
-      if (now - peer.heardAt > 5000) continue;
-      for (const summary of peer.status.shards)
-        if (this.context.clusterState.leaseOf(summary.shard)?.holder.controller === peer.status.node)
-          result.set(summary.shard, summary);
+    const { clusterState, peers } = this.context;
+    const summaries = new Map<number, ShardSummary>();
+    for (const { status, heardAt } of peers.values()) {
+      if (now - heardAt > MAX_SUMMARY_AGE_MS) continue;
+      for (const summary of status.shards)
+        if (clusterState.leaseOf(summary.shard)?.holder.controller === status.node) summaries.set(summary.shard, summary);
     }
-    for (const shard of this.shardController.heldShards.keys()) result.set(shard, this.shardController.shardSummary(shard, now));
-    return result;
+    for (const shard of this.shardController.heldShards.keys())
+      summaries.set(shard, this.shardController.shardSummary(shard, now));
+    return summaries;
   }
 
-  private rebalance(shards: Map<number, ShardSummary>, now: Milliseconds): void {
-    const waiting = pendingDemands(shards.values());
-    this.machineAssigner.allocateRecentAssignments(waiting, now);
-    this.shardRebalancer.plan(shards, waiting, this.movesPerRound, (machine, shard) => this.orderMove(machine, shard, now), now);
+  private rebalance(shards: Map<number, ShardSummary>, leaseRevision: number, now: Milliseconds): void {
+    const demands = pendingDemands(shards.values());
+    this.machineAssigner.allocateRecentAssignments(demands, now);
+    const orderMove = (machine: Machine, shard: number) => this.orderMove(machine, shard, leaseRevision, now);
+    this.shardRebalancer.plan(shards, demands, this.movesPerRound, orderMove, now);
   }
 
-  private orderMove(machine: Machine, shard: number, now: Milliseconds): void {
+  private orderMove(machine: Machine, shard: number, leaseRevision: number, now: Milliseconds): void {
     this.context.log('debug', 'moving machine to another shard', { machine: machine.name, from: machine.shard, to: shard });
-    this.context.writer.add({
-      key: StateKey.assignment(machine.name),
-      value: () => encodeAssignment({ ...this.context.clusterState.assignmentOf(machine), moveToShard: shard }),
-      expectedRevision: machine.assignmentRevision,
-      conditions: [{ key: StateKey.shardLease('lead'), revision: this.leaseRevision }],
-      priority: WritePriority.assignment,
-      expiresAt: now + 4000,
-      onOutcome: (outcome) => {
-        if (outcome !== 'ok') this.shardRebalancer.orderFailed(machine.name);
+    writeAssignmentOrder(
+      this.context,
+      machine,
+      { moveToShard: shard },
+      {
+        leaseRevision,
+        priority: WritePriority.assignment,
+        now,
+        onOutcome: (outcome) => {
+          if (outcome !== 'ok') this.shardRebalancer.orderFailed(machine.name);
+        },
       },
-    });
+    );
   }
 
-  /**
-   * What costs little may stay idle for longer: it saves little, and to have it again takes
-   * its boot time, paid and waited for. The dearest kind goes back first.
-   */
-  private idlePatience(capacity: MachineType | null, spot: boolean, dearest: number): number {
-    if (!capacity) return 1;
-    return Math.min(8, Math.sqrt(dearest / Math.max(1e-6, spot ? capacity.spotPrice : capacity.price)));
-  }
-
-  private retireIdleMachines(shards: Map<number, ShardSummary>, now: Milliseconds): void {
-    const demands = [...shards.values()].flatMap((summary) => summary.demands);
-    const dearest = Math.max(...this.autoscaler.instanceOptions().map((option) => option.type.price));
-    let budget = Math.floor(this.movesPerRound * LET_GO_PER_MOVE);
-    for (const summary of shards.values()) {
-      for (const machineSummary of summary.machines) {
-        const machine = this.context.clusterState.machines.get(machineSummary.name);
-        if (
-          !machine ||
-          budget <= 0 ||
-          machineSummary.tasks > 0 ||
-          machine.moveToShard !== null ||
-          machine.isRetired ||
-          machineSummary.protectedPriority > 0
-        )
-          continue;
-        const capacity = machine.capacity;
-        if (machineSummary.idleS < this.context.settings.policy.idleS * this.idlePatience(capacity, machine.spot, dearest))
-          continue;
-        if (
-          capacity &&
-          demands.some(
-            (demand) =>
-              countThatFit(demand, capacity) >= 1 &&
-              matchesDemand(demand, capacity.name, this.context.clusterState.zoneNames.nameOf(machine.zoneIndex), machine.spot) &&
-              // It has been idle all the while: lesser work doesn't take a dear machine for itself.
-              (demand.gpus > 0 || demand.priority > 1 || capacity.gpus === 0 || machine.spot),
-          )
-        )
-          continue;
-        budget--;
-        this.context.log('info', 'retiring idle machine', { machine: machine.name, idleS: Math.round(machineSummary.idleS) });
-        this.context.writer.add({
-          key: StateKey.assignment(machine.name),
-          value: () => encodeAssignment({ ...this.context.clusterState.assignmentOf(machine), isRetired: true }),
-          expectedRevision: machine.assignmentRevision,
-          conditions: [{ key: StateKey.shardLease('lead'), revision: this.leaseRevision }],
-          priority: WritePriority.progress,
-          expiresAt: now + 4000,
-          onOutcome: () => {},
-        });
-      }
-    }
+  private retireIdleMachines(shards: Map<number, ShardSummary>, leaseRevision: number, now: Milliseconds): void {
+    this.idleMachineScaleIn.retireIdleMachines({
+      shards,
+      highestPrice: Math.max(...this.autoscaler.instanceOptions().map((option) => option.type.price)),
+      maxMachines: Math.floor(this.movesPerRound * RETIREMENTS_PER_MOVE),
+      leaseRevision,
+      now,
+    });
   }
 }
