--- a/packages/controller/src/capacity/machine-type-catalogue.ts
+++ b/packages/controller/src/capacity/machine-type-catalogue.ts
@@ -1,6 +1,6 @@
 /**
- * The catalogue of machine types that the cloud sells: when it is asked for, and that it is stored, so that a controller can start
- * while the cloud's interface is down.
+ * The catalogue of machine types that the cloud sells: when it is asked for, and that it is stored, so that a controller can
+ * start while the cloud's interface is down.
  *
  * Owns the time of the last request. The types themselves are part of the cluster state.
  */
--- a/packages/controller/src/controller-context.ts
+++ b/packages/controller/src/controller-context.ts
@@ -1,6 +1,6 @@
 /**
- * The context: all that the parts of a controller may ask of it. It implements the interfaces of context/, each part takes those that
- * it needs. Questions go on to the part that knows the answer.
+ * The context: all that the parts of a controller may ask of it. It implements the interfaces of context/, each part takes
+ * those that it needs. Questions go on to the part that knows the answer.
  *
  * Owns the time of the input that is being taken.
  */
--- a/packages/controller/src/controller-parts.ts
+++ b/packages/controller/src/controller-parts.ts
@@ -1,6 +1,6 @@
 /**
- * Composition: the parts of one controller are made here, and joined to one another. Each takes the context, as the interfaces that it
- * needs, and the parts that it works with.
+ * Composition: the parts of one controller are made here, and joined to one another. Each takes the context, as the interfaces
+ * that it needs, and the parts that it works with.
  *
  * Owns the parts.
  */
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -1,6 +1,6 @@
 /**
- * One controller as a state machine: inputs go in through its methods, each with its time, and effects come out by `takeEffects`. Each
- * input goes to the part that it concerns (controller-parts.ts makes them); nothing is decided here.
+ * One controller as a state machine: inputs go in through its methods, each with its time, and effects come out by
+ * `takeEffects`. Each input goes to the part that it concerns (controller-parts.ts makes them); nothing is decided here.
  *
  * Owns no state beside its parts.
  */
@@ -28,9 +28,9 @@
 type ProvisioningOutcome = Parameters<Autoscaler['handleProvisioningOutcome']>[1];
 
 /**
- * A controller's decisions. It never waits, and reads no clock: `now` is the time of an input by a steady clock in milliseconds, which
- * must not go back from one input to the next. An `id` in an input is that of the effect whose outcome it brings, or of the request that
- * is to be answered by an effect with the same id.
+ * A controller's decisions. It never waits, and reads no clock: `now` is the time of an input by a steady clock in
+ * milliseconds, which must not go back from one input to the next. An `id` in an input is that of the effect whose outcome it
+ * brings, or of the request that is to be answered by an effect with the same id.
  */
 export class Controller {
   private readonly parts: ControllerParts;
@@ -38,7 +38,7 @@
   /** `incarnation`: a name that no other start of this controller has. */
   constructor(
     readonly settings: ControllerSettings,
-    readonly incarnation: string,
+    incarnation: string,
   ) {
     this.parts = new ControllerParts(settings, incarnation);
   }
@@ -130,8 +130,8 @@
   }
 
   /**
-   * Keys changed, up to `revision`. `asOf`: when the request that read them was sent, by the same clock as `now`; the changes include all
-   * that were committed by then.
+   * Keys changed, up to `revision`. `asOf`: when the request that read them was sent, by the same clock as `now`; the changes
+   * include all that were committed by then.
    */
   receiveChanges(changes: KeyChange[], revision: number, asOf: Milliseconds, now: Milliseconds): void {
     this.beginInput(now);
@@ -154,8 +154,8 @@
   }
 
   /**
-   * The lease on the state service was granted or renewed; `leaseId` null: there is none. `validUntil`: until when it stands at least, by
-   * the same clock as `now`; without a lease it means nothing.
+   * The lease on the state service was granted or renewed; `leaseId` null: there is none. `validUntil`: until when it stands at
+   * least, by the same clock as `now`; without a lease it means nothing.
    */
   receiveLeaseState(leaseId: number | null, validUntil: Milliseconds, now: Milliseconds): void {
     this.beginInput(now);
@@ -171,7 +171,10 @@
 
   // Inputs from clients
 
-  /** A client submits a job. `body`: the parsed request body; null: it could not be parsed. `wallClockMs`: the time of day, since 1970. */
+  /**
+   * A client submits a job. `body`: the parsed request body; null: it could not be parsed. `wallClockMs`: the time of day,
+   * since 1970.
+   */
   submitJob(id: number, body: Record<string, unknown> | null, now: Milliseconds, wallClockMs: Milliseconds): void {
     this.beginInput(now);
     this.parts.clientRequests.submit(id, body, now, wallClockMs);
@@ -244,7 +247,9 @@
     this.flushWrites(now);
   }
 
-  /** The cloud released machines; `isReleased` false: it refused, or didn't answer in time. `id`: that of the `release` effect. */
+  /**
+   * The cloud released machines; `isReleased` false: it refused, or didn't answer in time. `id`: that of the `release` effect.
+   */
   receiveReleaseOutcome(id: number, isReleased: boolean, now: Milliseconds): void {
     this.beginInput(now);
     const { leader, shardController } = this.parts;
--- a/packages/controller/src/index.ts
+++ b/packages/controller/src/index.ts
@@ -1,12 +1,10 @@
-export * from './controller.js';
-export * from './leadership/running-task-deltas.js';
-export * from './leadership/stored-status.js';
+/**
+ * The controller package: decisions as a state machine, `Controller`, and the types of its settings and effects. What else is
+ * exported is there for tests of single parts: codecs of stored records, the replica, the writer and its queue, and what a
+ * status holds.
+ */
+export { Controller } from './controller.js';
+export { fitStoredStatus, RunningTaskDeltas } from './leadership/index.js';
 export * from './model/index.js';
 export * from './scheduling/gang-placement.js';
-export * from './state/job-record.js';
-export * from './state/limits.js';
-export * from './state/progress-layout.js';
-export * from './state/replica.js';
-export * from './state/state-writer.js';
-export * from './state/status-record.js';
-export * from './state/write-queue.js';
+export * from './state/index.js';
--- a/packages/controller/src/leadership/assignment-orders.ts
+++ b/packages/controller/src/leadership/assignment-orders.ts
@@ -1,6 +1,6 @@
 /**
- * Orders that the leader gives the holder of a machine's shard, as a change of the machine's stored assignment: hand it to another
- * shard, or release it to the cloud.
+ * Orders that the leader gives the holder of a machine's shard, as a change of the machine's stored assignment: hand it to
+ * another shard, or release it to the cloud.
  *
  * Owns no state. An order is written only while this controller still leads under the revision that it was decided under, and the
  * assignment is as it was then; one that isn't written in time is dropped, and decided anew by a later round.
--- a/packages/controller/src/leadership/cancellation-freshness.ts
+++ b/packages/controller/src/leadership/cancellation-freshness.ts
@@ -1,9 +1,9 @@
 /**
  * Since when no controller can have confirmed a cancellation that isn't known here, by what the others' statuses prove.
  *
- * While the state service is away for all, nobody can confirm a new cancellation. Each controller says so by naming the revision of
- * the newest one that it knows, and by sending back a ping of the receiver's, which proves that it said so after that ping had left.
- * Why that is enough: docs/design.md, "Who may answer workers, and how long".
+ * While the state service is away for all, nobody can confirm a new cancellation. Each controller says so by naming the
+ * revision of the newest one that it knows, and by sending back a ping of the receiver's, which proves that it said so after
+ * that ping had left. Why that is enough: docs/design.md, "Who may answer workers, and how long".
  *
  * Owns the pings that were sent and received, and what each of the other controllers has proved.
  */
--- a/packages/controller/src/leadership/idle-machine-scale-in.ts
+++ b/packages/controller/src/leadership/idle-machine-scale-in.ts
@@ -1,5 +1,5 @@
 /**
- * Scale-in of idle machines: the leader retires machines that have been idle for long and that no waiting work could use. The
+ * Scale-in of idle machines: the leader retires machines that have been idle for long and that no pending task could use. The
  * holder of the machine's shard then releases it.
  *
  * Owns no state: each round decides anew by the summaries of the shards.
@@ -17,7 +17,7 @@
 /** Prices below count as this, in the currency of the prices: a free machine has no infinite patience. */
 const MIN_PRICE = 1e-6;
 
-/** Work up to this priority, if it needs no accelerators, keeps no on-demand machine with accelerators from being retired. */
+/** Tasks up to this priority that need no accelerators keep no on-demand machine with accelerators from being retired. */
 const MAX_LOW_PRIORITY = 1;
 
 /** What a round of scale-in goes by. */
@@ -62,7 +62,7 @@
     return !(summary.idleS < idleLimitS);
   }
 
-  /** Could waiting work use the machine? It has been idle all the while: lesser work doesn't take an expensive one for itself. */
+  /** Could pending tasks use the machine? It has been idle all the while: those of low priority don't keep an expensive one. */
   private isWanted(machine: Machine, demands: readonly ResourceDemand[]): boolean {
     const { capacity, spot } = machine;
     if (!capacity) return false;
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -2,7 +2,7 @@
  * The elected leader: assigns machines to shards, moves machines between shards, and scales out and in.
  *
  * Owns the tenure of the leader's lease and the parts that only the leader uses. Machines without a shard are noted on every
- * controller, and each tells the leader of them.
+ * controller, and its status reports them to the leader.
  */
 import type { ShardSummary } from '@archpost/protocol';
 import { Autoscaler, MachineAssigner, pendingDemands, ShardRebalancer, type UnassignedMachine } from '../capacity/index.js';
@@ -23,7 +23,7 @@
 import { writeAssignmentOrder } from './assignment-orders.js';
 import { IdleMachineScaleIn } from './idle-machine-scale-in.js';
 
-/** A round goes over all machines: with many of them rounds are rarer, though waiting work is never left for longer. */
+/** A round goes over all machines: with many of them rounds are rarer, but pending tasks never wait longer than the maximum. */
 const MIN_ROUND_MS = 500;
 const ROUND_MS_PER_MACHINE = 1;
 const MAX_ROUND_MS = 1500;
--- a/packages/controller/src/leadership/lease-names.ts
+++ b/packages/controller/src/leadership/lease-names.ts
@@ -1,4 +1,6 @@
-/** The names of the leases that controllers compete for, and which controller each is meant for. Pure functions; owns no state. */
+/**
+ * The names of the leases that controllers compete for, and which controller each is meant for. Pure functions; owns no state.
+ */
 import { LEADER_LEASE, type LeaseName } from '../context/index.js';
 
 /** Stored numbers of shards: no signs, no leading zeros, so that each shard has one name. */
--- a/packages/controller/src/leadership/readiness.ts
+++ b/packages/controller/src/leadership/readiness.ts
@@ -4,9 +4,9 @@
 type ReadinessContext = SettingsView & InputClock & ClusterStateView & ReplicaView & StateFreshness & PeerDirectory;
 
 /**
- * A controller is ready once it knows what the state service holds. In an outage of the state service that all controllers share
- * it stays ready; one that alone has lost the service, or sees no peer that could tell, is not, so that its clients' connections
- * go elsewhere. A cluster of one controller has nowhere else.
+ * A controller is ready once it knows what the state service holds. In an outage of the state service that all controllers
+ * share it stays ready; one that alone has lost the service, or sees no peer by which to judge, is not, so that its clients'
+ * connections go elsewhere. A cluster of one controller has nowhere else.
  */
 export function isReadyForClients(context: ReadinessContext): boolean {
   const { replica, clusterState, peers, settings, now } = context;
--- a/packages/controller/src/leadership/running-task-deltas.ts
+++ b/packages/controller/src/leadership/running-task-deltas.ts
@@ -1,13 +1,13 @@
 /**
- * What the other controllers are told of running jobs, for display: all of them now and then, and what changed in between. What
- * doesn't fit one status goes with the next ones, so that none outgrows a frame, however many jobs run.
+ * The running jobs that statuses list, for display at the other controllers: all of them now and then, and what changed in
+ * between. What doesn't fit one status goes with the next ones, so that none outgrows a frame, however many jobs run.
  *
- * Owns what the others have been told, and what they have still to be told.
+ * Owns what was sent, and what has still to be sent.
  */
 import type { PeerStatus } from '@archpost/protocol';
 import type { RunningTasks } from '../model/index.js';
 
-/** Every so many statuses tell of all running jobs, so that a peer that missed a change has it within seconds. */
+/** One status of so many lists all running jobs, so that a peer that missed a change has it within seconds. */
 const STATUSES_PER_FULL_LIST = 5;
 
 /** Jobs in one status; with the longest names they fill a quarter of a frame. */
@@ -15,7 +15,7 @@
 
 const NO_TASKS: RunningTasks = { count: 0, done: 0, failed: 0 };
 
-/** Turns the running jobs as of each status into what that status tells of them. */
+/** Turns the running jobs as of each status into the entries of that status. */
 export class RunningTaskDeltas {
   /** what the others know once all that is pending has been sent */
   private published: ReadonlyMap<string, RunningTasks> = new Map();
@@ -25,12 +25,12 @@
   constructor(private readonly maxJobsPerStatus = MAX_JOBS_PER_STATUS) {}
 
   /**
-   * What the next status tells of the running jobs. `running` is kept until the next call and mustn't be changed.
-   * `runningJobsComplete`: the receiver is to forget what it was told before. A job with no tasks runs no more.
+   * The entries of the next status. `running` is kept until the next call and mustn't be changed meanwhile.
+   * `runningJobsComplete`: the receiver is to forget all earlier entries. An entry without tasks means that the job runs no more.
    */
   next(running: ReadonlyMap<string, RunningTasks>): Pick<PeerStatus, 'runningJobs' | 'runningJobsComplete'> {
     const isFullListDue = this.statusCount++ % STATUSES_PER_FULL_LIST === 0;
-    // While changes are pending a full list would make the receiver forget those that it was told already.
+    // While changes are pending a full list would make the receiver forget jobs whose entries it has already.
     const runningJobsComplete = isFullListDue && this.pending.size === 0;
     if (runningJobsComplete) for (const [job, tasks] of running) this.pending.set(job, tasks);
     else this.addChanges(running);
--- a/packages/controller/src/leadership/state-lease.ts
+++ b/packages/controller/src/leadership/state-lease.ts
@@ -16,7 +16,7 @@
   stateLeaseRenewedLate(overdueMs: Milliseconds, now: Milliseconds): void;
 }
 
-/** The lease, as its renewals and losses tell. */
+/** The lease, by what the state service answered about it. */
 export class StateLease implements LeaseView {
   private id: number | null = null;
   private validUntil: Milliseconds = NEVER;
--- a/packages/controller/src/leadership/status-assembly.ts
+++ b/packages/controller/src/leadership/status-assembly.ts
@@ -1,5 +1,5 @@
 /**
- * Assembly of this controller's status: what the other controllers are told of it. Owns no state.
+ * Assembly of this controller's status, which the other controllers decide by. Owns no state.
  *
  * What depends on the receiver (pings, unchanged heartbeats) or on earlier statuses (running jobs) is left empty here.
  */
@@ -10,7 +10,7 @@
 import type { ShardController } from '../shards/index.js';
 import type { Leader } from './leader.js';
 
-/** The parts that a status tells of. */
+/** The parts that a status reports. */
 export interface StatusSources {
   shardController: ShardController;
   leader: Leader;
--- a/packages/controller/src/leadership/status-exchange.ts
+++ b/packages/controller/src/leadership/status-exchange.ts
@@ -1,7 +1,7 @@
 /**
  * The status exchange: each controller sends the others its status over their links, and each receiver what concerns it.
  *
- * Owns when statuses were last sent, and what the others have been told of running jobs.
+ * Owns when statuses were last sent, and what they have listed of the running jobs.
  */
 import type { PeerStatus } from '@archpost/protocol';
 import { type ClusterStateView, type EffectSink, LEADER_LEASE, type SettingsView } from '../context/index.js';
@@ -16,13 +16,13 @@
 const STATUS_INTERVAL_MS = 700;
 
 /**
- * Most unchanged heartbeats, and most machines without a shard, in one status. Longer lists are told in turns. With the longest
+ * Most unchanged heartbeats, and most machines without a shard, in one status. Longer lists are sent in turns. With the longest
  * names each list fills a quarter of a frame.
  */
 const MAX_UNCHANGED_HEARTBEATS = 4000;
 const MAX_UNASSIGNED_MACHINES = 2000;
 
-/** The parts that a status over a link takes more from than `StatusAssembly` does. */
+/** The parts that contribute to a status over a link. */
 export interface StatusExchangeCollaborators {
   statusAssembly: StatusAssembly;
   shardController: ShardController;
--- a/packages/controller/src/leadership/stored-status-writer.ts
+++ b/packages/controller/src/leadership/stored-status-writer.ts
@@ -1,7 +1,7 @@
 /**
  * The status by way of the state service, while the link to the leader is down. A zone that is cut off from the other zones may
  * still reach the state service: without this the leader would neither assign the zone's new machines nor scale out for its
- * waiting work until the partition ends.
+ * unmet demands until the partition ends.
  *
  * Owns when the status was last stored, and whether a write is under way.
  */
--- a/packages/controller/src/leadership/stored-status.ts
+++ b/packages/controller/src/leadership/stored-status.ts
@@ -1,9 +1,9 @@
 /**
- * The form of a status that is stored for the leader while the link to it is down. It has to fit one value of the state service, so
- * it holds what the leader needs most: waiting work, machines without a shard, idle machines.
+ * The form of a status that is stored for the leader while the link to it is down. It has to fit one value of the state
+ * service, so it holds what the leader needs most: unmet demands, machines without a shard, idle machines.
  *
- * Lists that don't fit are told in turns: the first machines of a list could be such as the leader can't use, and would hide the
- * others for as long as the partition lasts. Pure functions; owns no state.
+ * Lists that don't fit are stored in turns: the first machines of a list could be such as the leader can't use, and would hide
+ * the others for as long as the partition lasts. Pure functions; owns no state.
  */
 import type { PeerStatus } from '@archpost/protocol';
 import { roundRobinSlice } from '../model/index.js';
@@ -22,9 +22,9 @@
 const MAX_LIST_LIMITS: Readonly<ListLimits> = { machines: 15, demands: 8, unassignedMachines: 20 };
 
 /**
- * The status with as much of its lists as fits a write of `maxBytes`, its key included. `turn`: how many statuses were stored before;
- * each turn tells other parts of the lists that don't fit. A status that doesn't fit even without them is returned all the same: the
- * writer drops it and logs that.
+ * The status with as much of its lists as fits a write of `maxBytes`, its key included. `turn`: how many statuses were stored
+ * before; each turn holds other parts of the lists that don't fit. A status that doesn't fit even without them is returned all
+ * the same: the writer drops it and logs that.
  */
 export function fitStoredStatus(key: string, status: PeerStatus, maxBytes: number, turn = 0): PeerStatus {
   const whole = withoutLinkFields(status);
@@ -61,8 +61,8 @@
 }
 
 /**
- * Lowers the limit of the list that can best be spared; false if all are at zero. The demands are kept longest, and one machine of
- * each shard as long as any machine without a shard: demands are what the leader acts on.
+ * Lowers the limit of the list that can best be spared; false if all are at zero. The demands are kept longest, and one machine
+ * of each shard as long as any machine without a shard: demands are what the leader acts on.
  */
 function lowerLimits(limits: ListLimits): boolean {
   if (limits.machines > 1) limits.machines = Math.floor(limits.machines / 2);
--- a/packages/controller/src/leadership/write-rate-share.ts
+++ b/packages/controller/src/leadership/write-rate-share.ts
@@ -1,11 +1,11 @@
 /**
- * How the controllers divide the state service's limit on writes among themselves: each computes its own part by the demands that
- * the others' statuses tell. Pure function; owns no state.
+ * Quotas of the state service's limit on writes: each controller computes its own by the demands in the others' statuses. Pure
+ * functions; own no state.
  */
 import type { PeerDirectory, SettingsView, StateWriting } from '../context/index.js';
 import type { Milliseconds } from '../model/index.js';
 
-/** The part of the limit that is used at all: statuses lag, so the parts may add up to a little more for a moment. */
+/** The part of the limit that is used at all: statuses lag, so the quotas may add up to a little more for a moment. */
 const USED_PART = 0.95;
 
 /** The part of that which is divided equally, whatever is demanded: a controller may have to write at once. */
@@ -14,7 +14,7 @@
 /** No controller goes below this, whatever the limit. */
 const MIN_WRITES_PER_S = 1;
 
-/** Writes a second of one controller before any status is known: an equal part. */
+/** Writes a second of one controller before any status is known: an equal part of the limit. */
 export function initialWritesPerS(limitPerS: number, controllerCount: number): number {
   return Math.max(MIN_WRITES_PER_S, limitPerS * (USED_PART / Math.max(1, controllerCount)));
 }
