--- a/packages/controller/src/leadership/index.ts
+++ b/packages/controller/src/leadership/index.ts
@@ -19,4 +19,4 @@
 export { StatusExchange } from './status-exchange.js';
 export { fitStoredStatus } from './stored-status.js';
 export { StoredStatusWriter } from './stored-status-writer.js';
-export { initialWritesPerS, ownWritesPerS } from './write-rate-share.js';
+export { initialWritesPerS, ownWritesPerS } from './write-rate-quota.js';
