--- a/packages/controller/src/controller-context.ts
+++ b/packages/controller/src/controller-context.ts
@@ -4,26 +4,26 @@
  *
  * Owns the time of the input that is being taken.
  */
-import type {
-  CapacityView,
-  ClusterStateView,
-  EffectSink,
-  IncarnationView,
-  InputClock,
-  LeaseListener,
-  LeaseName,
-  LeaseView,
-  Logger,
-  PeerDirectory,
-  ReadBarrierSource,
-  ReplicaView,
-  SettingsView,
-  ShardHealth,
-  ShardOwnership,
-  StateFreshness,
-  StateWriting,
+import {
+  type CapacityView,
+  type ClusterStateView,
+  type EffectSink,
+  type IncarnationView,
+  type InputClock,
+  LEADER_LEASE,
+  type LeaseListener,
+  type LeaseName,
+  type LeaseView,
+  type Logger,
+  type PeerDirectory,
+  type ReadBarrierSource,
+  type ReplicaView,
+  type SettingsView,
+  type ShardHealth,
+  type ShardOwnership,
+  type StateFreshness,
+  type StateWriting,
 } from './context/index.js';
-import { LEADER_LEASE } from './context/index.js';
 import type { EffectBuffer } from './effect-buffer.js';
 import type { Leader, PeerRegistry, ShardLeases, StateLease, StateServiceFreshness } from './leadership/index.js';
 import type { ControllerSettings, Effect, LogLevel, Milliseconds } from './model/index.js';
--- a/packages/controller/src/leadership/idle-machine-scale-in.ts
+++ b/packages/controller/src/leadership/idle-machine-scale-in.ts
@@ -14,7 +14,7 @@
 /** A cheap machine may stay idle for so many times as long as the most expensive one, at most. */
 const MAX_IDLE_FACTOR = 8;
 
-/** Prices below count as this, in the currency of the prices: a free machine has no infinite patience. */
+/** Lower prices count as this, in the currency of the prices: the quotient of two prices stays finite. */
 const MIN_PRICE = 1e-6;
 
 /** Tasks up to this priority that need no accelerators keep no on-demand machine with accelerators from being retired. */
--- a/packages/controller/src/leadership/lease-claims.ts
+++ b/packages/controller/src/leadership/lease-claims.ts
@@ -21,7 +21,7 @@
 /** While its preferred holder is fit to hold a lease, the others leave it this long to claim it. */
 const PREFERRED_HOLDER_WAIT_MS = 3000;
 
-/** With an unfit preferred holder the others wait for this long only: the key's removal reaches all of them within it. */
+/** With an unfit preferred holder the others wait for this long only: its shards are without a holder meanwhile. */
 const UNFIT_HOLDER_WAIT_MS = 200;
 
 /** Controllers that hold more leases wait longer, by this much for each, so that leases spread. */
