--- a/packages/controller/src/heartbeats/heartbeat-forwarding.ts
+++ b/packages/controller/src/heartbeats/heartbeat-forwarding.ts
@@ -7,13 +7,13 @@
 import { type Milliseconds, NEVER } from '../model/index.js';
 
 /** A machine heard within this time is named in the status. */
-const HEARD_LATELY_MS = 4000;
+const RECENTLY_HEARD_MS = 4000;
 
 /** An unchanged report is forwarded whole again after so many report intervals. */
 const FORWARD_AGAIN_INTERVALS = 5;
 
 /** What was heard is kept for so many leases: late copies of it may come. */
-const KEPT_LEASES = 10;
+const RETENTION_LEASES = 10;
 
 /** The newest report of a machine, and what its owner was told of it. */
 interface HeardMachine {
@@ -26,13 +26,8 @@
   forwardedAt: Milliseconds;
 }
 
-function isSameTask(task: TaskStatus, taskStatus: TaskStatus): boolean {
-  return (
-    task.index === taskStatus.index &&
-    task.attempt === taskStatus.attempt &&
-    task.state === taskStatus.state &&
-    task.job === taskStatus.job
-  );
+function isSameTask(task: TaskStatus, other: TaskStatus): boolean {
+  return task.index === other.index && task.attempt === other.attempt && task.state === other.state && task.job === other.job;
 }
 
 function isSameHeartbeat(heartbeat: Heartbeat, other: Heartbeat): boolean {
@@ -57,22 +52,27 @@
 
   /** A late copy must not make a silent machine seem alive: only what is newer counts. */
   receive(heartbeat: Heartbeat, holder: string | null, now: Milliseconds): void {
-    const old = this.heardMachines.get(heartbeat.machine);
-    if (old && !isNewer(heartbeat, old.heartbeat)) return;
+    const previous = this.heardMachines.get(heartbeat.machine);
+    if (previous && !isNewer(heartbeat, previous.heartbeat)) return;
     const machine: HeardMachine = {
       heartbeat,
       heardAt: now,
-      forwardedTo: old?.forwardedTo ?? null,
-      forwardedSequence: old?.forwardedSequence ?? -1,
-      forwardedAt: old?.forwardedAt ?? NEVER,
+      forwardedTo: previous?.forwardedTo ?? null,
+      forwardedSequence: previous?.forwardedSequence ?? -1,
+      forwardedAt: previous?.forwardedAt ?? NEVER,
     };
     this.heardMachines.set(heartbeat.machine, machine);
     if (holder === null || holder === this.context.settings.name || !this.context.isPeerAlive(holder, now)) {
       machine.forwardedTo = null;
       return;
     }
-    const again = FORWARD_AGAIN_INTERVALS * this.context.settings.workers.heartbeatIntervalS * 1000;
-    if (old && machine.forwardedTo === holder && isSameHeartbeat(old.heartbeat, heartbeat) && now - machine.forwardedAt < again)
+    const forwardAgainMs = FORWARD_AGAIN_INTERVALS * this.context.settings.workers.heartbeatIntervalS * 1000;
+    if (
+      previous &&
+      machine.forwardedTo === holder &&
+      isSameHeartbeat(previous.heartbeat, heartbeat) &&
+      now - machine.forwardedAt < forwardAgainMs
+    )
       return;
     machine.forwardedTo = holder;
     machine.forwardedSequence = heartbeat.sequence;
@@ -82,27 +82,32 @@
 
   /** The machines heard here lately, by the controller that owns them. */
   recentByHolder(now: Milliseconds): Map<string, UnchangedHeartbeat[]> {
-    const byOwner = new Map<string, UnchangedHeartbeat[]>();
-    const keptMs = KEPT_LEASES * this.context.settings.workers.leaseS * 1000;
+    const byHolder = new Map<string, UnchangedHeartbeat[]>();
+    const retentionMs = RETENTION_LEASES * this.context.settings.workers.leaseS * 1000;
     for (const [name, machine] of this.heardMachines) {
-      if (now - machine.heardAt < HEARD_LATELY_MS) this.addUnchanged(byOwner, name, machine);
-      else if (now - machine.heardAt > keptMs) this.heardMachines.delete(name);
+      if (now - machine.heardAt < RECENTLY_HEARD_MS) this.addUnchanged(byHolder, name, machine);
+      else if (now - machine.heardAt > retentionMs) this.heardMachines.delete(name);
     }
-    return byOwner;
+    return byHolder;
   }
 
   private addUnchanged(
-    byOwner: Map<string, UnchangedHeartbeat[]>,
+    byHolder: Map<string, UnchangedHeartbeat[]>,
     name: string,
-    { heartbeat, forwardedTo, forwardedSequence: forwardedSeq }: HeardMachine,
+    { heartbeat, forwardedTo, forwardedSequence }: HeardMachine,
   ): void {
     const machine = this.context.clusterState.machines.get(name);
     const holder = machine && this.context.clusterState.leaseOf(machine.shard)?.holder.controller;
     if (!holder) return;
-    const list = byOwner.get(holder) ?? [];
-    if (list.length === 0) byOwner.set(holder, list);
-    const whole = forwardedTo === holder ? forwardedSeq : heartbeat.sequence;
-    list.push({ machine: name, agentEpoch: heartbeat.agentEpoch, sequence: heartbeat.sequence, forwardedSequence: whole });
+    const list = byHolder.get(holder) ?? [];
+    if (list.length === 0) byHolder.set(holder, list);
+    const forwardedWhole = forwardedTo === holder ? forwardedSequence : heartbeat.sequence;
+    list.push({
+      machine: name,
+      agentEpoch: heartbeat.agentEpoch,
+      sequence: heartbeat.sequence,
+      forwardedSequence: forwardedWhole,
+    });
   }
 
   /** This process stood still: what was silent meanwhile was not heard because of that. */
--- a/packages/controller/src/heartbeats/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeats/heartbeat-reconciler.ts
@@ -14,8 +14,8 @@
 import { StateKey } from '../state/index.js';
 
 /** A worker numbers its reports, two a second at most, and its answers to questions and commands. */
-const MESSAGES_PER_S = 10;
-const MESSAGES_AT_ONCE = 200;
+const MAX_MESSAGES_PER_S = 10;
+const MAX_MESSAGE_BURST = 200;
 
 /** What the heartbeat reconciler needs of its controller. */
 type HeartbeatReconcilerContext = SettingsView & ClusterStateView & ReplicaView & Logger;
@@ -34,11 +34,11 @@
    * all: then only the answer to our own question (`asked`: what was known when it was
    * sent) does. A start under way isn't refuted by a report: it may have been made before it.
    */
-  reconcile(machine: Machine, heartbeat: Heartbeat, now: Milliseconds, asked: KnownHeartbeat | null = null): void {
+  reconcile(machine: Machine, heartbeat: Heartbeat, now: Milliseconds, knownBefore: KnownHeartbeat | null = null): void {
     this.allocations.now = now;
     const older = (a: KnownHeartbeat) =>
       heartbeat.agentEpoch < a.agentEpoch || (heartbeat.agentEpoch === a.agentEpoch && heartbeat.sequence <= a.sequence);
-    if (asked !== null && older(asked)) {
+    if (knownBefore !== null && older(knownBefore)) {
       // An answer is newer than what was known when it was asked for, unless the machine has
       // begun again: then nothing that was there is there any more.
       this.context.log('info', 'worker agent restarted', { machine: machine.name });
@@ -46,7 +46,7 @@
         if (allocation.phase !== 'planned') this.allocations.free(allocation);
       machine.tenure.agentEpoch = UNKNOWN_EPOCH;
       machine.tenure.sequence = NOTHING_HEARD;
-    } else if (asked === null && !machine.tenure.isVerified) {
+    } else if (knownBefore === null && !machine.tenure.isVerified) {
       // Which session to ask is all that can be learned from it.
       if (heartbeat.agentEpoch > machine.tenure.agentEpoch) machine.tenure.agentEpoch = heartbeat.agentEpoch;
       // ... and, for what it is worth, how urgent its answer is.
@@ -55,17 +55,21 @@
       return;
     } else if (older(machine.tenure)) {
       // A late copy, or a machine that began again: its answer will tell.
-      if (asked === null) this.requestProbe(machine, now);
+      if (knownBefore === null) this.requestProbe(machine, now);
       return;
     }
     // A number so high can't be the next of what is known: a late copy of from before the machine began
     // again, or much was said elsewhere. It frees and finishes nothing before the machine itself has answered.
-    if (asked === null && this.isImplausible(machine, heartbeat.sequence, now)) {
+    if (knownBefore === null && this.isImplausible(machine, heartbeat.sequence, now)) {
       this.requestProbe(machine, now);
       return;
     }
     // It has said something that didn't come here: perhaps our answers don't reach it.
-    if (asked === null && heartbeat.agentEpoch === machine.tenure.agentEpoch && heartbeat.sequence > machine.tenure.sequence + 1)
+    if (
+      knownBefore === null &&
+      heartbeat.agentEpoch === machine.tenure.agentEpoch &&
+      heartbeat.sequence > machine.tenure.sequence + 1
+    )
       this.requestProbe(machine, now);
     if (heartbeat.address) machine.address = heartbeat.address;
     machine.tenure.lastHeartbeatAt = now;
@@ -86,11 +90,11 @@
       this.context.log('info', 'spot preemption notice', { machine: machine.name, seconds: heartbeat.preemptionNoticeS });
       this.allocations.drain(machine);
     }
-    const seen = new Set<string>();
+    const reportedKeys = new Set<string>();
     machine.tenure.orphanedTasks = [];
     for (const task of heartbeat.tasks) {
       const key = taskKey(task.job, task.index, task.attempt);
-      seen.add(key);
+      reportedKeys.add(key);
       const allocation = machine.tenure.allocations.get(key) ?? this.adoptTask(machine, task, now);
       if (!allocation) {
         machine.tenure.orphanedTasks.push(task);
@@ -100,10 +104,10 @@
       this.reconcileTask(allocation, task, now);
     }
     for (const [key, allocation] of [...machine.tenure.allocations]) {
-      if (seen.has(key) || allocation.phase === 'planned' || allocation.phase === 'sent') continue;
+      if (reportedKeys.has(key) || allocation.phase === 'planned' || allocation.phase === 'sent') continue;
       // What runs never leaves the reports of its session by itself. Where it is missing the machine began
       // again, or this is a copy of something older: the answer to our own question tells which.
-      if (asked === null && allocation.phase === 'there') this.requestProbe(machine, now);
+      if (knownBefore === null && allocation.phase === 'there') this.requestProbe(machine, now);
       else this.allocations.free(allocation);
     }
   }
@@ -118,7 +122,8 @@
   private isImplausible(machine: Machine, sequence: number, now: Milliseconds): boolean {
     return (
       machine.tenure.sequence >= 0 &&
-      sequence - machine.tenure.sequence > MESSAGES_AT_ONCE + (MESSAGES_PER_S * (now - machine.tenure.lastHeartbeatAt)) / 1000
+      sequence - machine.tenure.sequence >
+        MAX_MESSAGE_BURST + (MAX_MESSAGES_PER_S * (now - machine.tenure.lastHeartbeatAt)) / 1000
     );
   }
 
@@ -181,13 +186,13 @@
   }
 
   private reconcileTask(allocation: Allocation, task: TaskStatus, now: Milliseconds): void {
-    const was = allocation.status?.state;
+    const previousState = allocation.status?.state;
     allocation.status = task;
     const machine = allocation.machine;
     const job = allocation.job;
     if (task.state !== 'exited') {
       allocation.phase = 'there';
-      if (task.state === 'running' && was !== 'running') {
+      if (task.state === 'running' && previousState !== 'running') {
         allocation.runningSince = now;
         const sec = (a: Milliseconds, b: Milliseconds) => Math.round((b - a) / 100) / 10;
         this.context.log('debug', 'task running', {
@@ -200,11 +205,11 @@
           gb: job.spec.imageGb,
           cached: machine.images.has(job.imageIndex),
         });
-        const fresh = !machine.images.has(job.imageIndex);
+        const isNewImage = !machine.images.has(job.imageIndex);
         machine.images.delete(job.imageIndex);
         machine.images.set(job.imageIndex, job.spec.imageGb);
         this.trimImages(machine);
-        if (fresh) this.progressWriter.scheduleImageWrite(machine);
+        if (isNewImage) this.progressWriter.scheduleImageWrite(machine);
       }
       return;
     }
@@ -234,12 +239,12 @@
 
   /** What the machine surely keeps: the most recently used images that fit its cache. */
   private trimImages(machine: Machine): void {
-    let sum = 0;
-    for (const gb of machine.images.values()) sum += gb;
+    let totalGb = 0;
+    for (const gb of machine.images.values()) totalGb += gb;
     for (const [index, gb] of machine.images) {
-      if (sum <= (machine.capacity?.cacheGb ?? 0)) break;
+      if (totalGb <= (machine.capacity?.cacheGb ?? 0)) break;
       machine.images.delete(index);
-      sum -= gb;
+      totalGb -= gb;
     }
   }
 }
--- a/packages/controller/src/heartbeats/heartbeat-responder.ts
+++ b/packages/controller/src/heartbeats/heartbeat-responder.ts
@@ -59,8 +59,8 @@
     // stays here while its lease runs out. Another controller must answer it.
     if (heartbeat.fencingToken > clusterState.fencingToken(machine)) return this.respond(id, 503, MAY_NOT_ANSWER);
     const holder = clusterState.leaseOf(machine.shard)?.holder.controller ?? null;
-    const elsewhere = workerRouting.redirectTarget(heartbeat, holder, now);
-    if (elsewhere !== null) return this.respond(id, 421, encodeRedirect(elsewhere));
+    const redirectTo = workerRouting.redirectTarget(heartbeat, holder, now);
+    if (redirectTo !== null) return this.respond(id, 421, encodeRedirect(redirectTo));
     workerRouting.workerServed(heartbeat.machine, now);
     if (shardController.allocations.holdsShard(machine.shard, now)) heartbeatReconciler.reconcile(machine, heartbeat, now);
     // The work must not die because its owner did, or can't be reached from here.
@@ -92,9 +92,9 @@
    */
   mayAnswerWorkers(now: Milliseconds): boolean {
     if (!this.context.replica.loaded) return false;
-    const { cancelS, leaseS, heartbeatIntervalS: reportS } = this.context.settings.workers;
-    const sure = Math.max(this.context.replicaFreshAt, this.collaborators.cancellationFreshness.freshSince(now));
-    return now - sure < (cancelS - leaseS - reportS) * 1000;
+    const { cancelS, leaseS, heartbeatIntervalS: intervalS } = this.context.settings.workers;
+    const confirmedAt = Math.max(this.context.replicaFreshAt, this.collaborators.cancellationFreshness.freshSince(now));
+    return now - confirmedAt < (cancelS - leaseS - intervalS) * 1000;
   }
 
   /** How many answers of each status were given since this was last asked. */
--- a/packages/controller/src/heartbeats/worker-routing.ts
+++ b/packages/controller/src/heartbeats/worker-routing.ts
@@ -7,13 +7,13 @@
 import { type Milliseconds, NEVER } from '../model/index.js';
 
 /** A controller that answers so many workers is known to be reached by them. */
-const HEARS_WORKERS = 3;
+const MIN_HEARD_WORKERS = 3;
 
 /** How often a worker is sent to one that isn't, to try. */
-const TRY_MS = 250;
+const TRIAL_REDIRECT_INTERVAL_MS = 250;
 
 /** A worker is sent to the same controller again only after so many leases. */
-const SENT_AGAIN_LEASES = 4;
+const REDIRECT_AGAIN_LEASES = 4;
 
 /** A worker that was answered within so many report intervals reports here. */
 const SERVED_INTERVALS = 2;
@@ -40,7 +40,7 @@
   /** How many workers were answered here lately. */
   servedWorkers(now: Milliseconds): number {
     for (const [machine, at] of this.servedAt) if (now - at > this.servedMs) this.servedAt.delete(machine);
-    for (const [machine, { at }] of this.redirected) if (now - at > this.sentAgainMs) this.redirected.delete(machine);
+    for (const [machine, { at }] of this.redirected) if (now - at > this.redirectAgainMs) this.redirected.delete(machine);
     return this.servedAt.size;
   }
 
@@ -53,8 +53,8 @@
     return SERVED_INTERVALS * this.context.settings.workers.heartbeatIntervalS * 1000;
   }
 
-  private get sentAgainMs(): Milliseconds {
-    return SENT_AGAIN_LEASES * this.context.settings.workers.leaseS * 1000;
+  private get redirectAgainMs(): Milliseconds {
+    return REDIRECT_AGAIN_LEASES * this.context.settings.workers.leaseS * 1000;
   }
 
   /**
@@ -63,11 +63,11 @@
    * lost them all was still thought well, and 115 leases ran out on the way to it and back.
    */
   private mayRedirectTo(machine: string, to: string, now: Milliseconds): boolean {
-    const sent = this.redirected.get(machine);
-    if (sent?.to === to && now - sent.at < this.sentAgainMs) return false;
-    const hears = this.context.peers.get(to)?.status.heardWorkers ?? 0;
-    if (hears < HEARS_WORKERS) {
-      if (now - this.trialRedirectAt < TRY_MS) return false;
+    const previous = this.redirected.get(machine);
+    if (previous?.to === to && now - previous.at < this.redirectAgainMs) return false;
+    const heardWorkers = this.context.peers.get(to)?.status.heardWorkers ?? 0;
+    if (heardWorkers < MIN_HEARD_WORKERS) {
+      if (now - this.trialRedirectAt < TRIAL_REDIRECT_INTERVAL_MS) return false;
       this.trialRedirectAt = now;
     }
     this.redirected.set(machine, { to, at: now });
@@ -84,13 +84,13 @@
 
   /** The controller that a worker of this zone should report to, as far as is seen from here. */
   private preferredController(zone: string, holder: string | null, now: Milliseconds): string {
-    const { name: self, zone: ownZone, controllers: nodes } = this.context.settings;
-    const ownerAnswers = holder !== null && this.canServe(holder, now);
-    if (ownerAnswers && nodes.find((node) => node.name === holder)?.zone === zone) return holder;
-    if (ownZone === zone) return self;
-    const near = nodes.find((node) => node.zone === zone && this.canServe(node.name, now));
-    if (near) return near.name;
-    return ownerAnswers ? holder : self;
+    const { name: ownName, zone: ownZone, controllers } = this.context.settings;
+    const holderCanServe = holder !== null && this.canServe(holder, now);
+    if (holderCanServe && controllers.find((node) => node.name === holder)?.zone === zone) return holder;
+    if (ownZone === zone) return ownName;
+    const inZone = controllers.find((node) => node.zone === zone && this.canServe(node.name, now));
+    if (inZone) return inZone.name;
+    return holderCanServe ? holder : ownName;
   }
 
   /** One that the state service refuses answers no worker, so none must be sent to it. */
--- a/packages/controller/src/shards/assignment-updates.ts
+++ b/packages/controller/src/shards/assignment-updates.ts
@@ -6,7 +6,7 @@
 import { encodeAssignment, StateKey, WritePriority } from '../state/index.js';
 
 /** What was stored of a gone machine's images is removed within this time, or left. */
-const IMAGES_MS = 15_000;
+const IMAGE_REMOVAL_TIMEOUT_MS = 15_000;
 
 /** What the assignment updates needs of its controller. */
 type AssignmentUpdatesContext = ClusterStateView & ReplicaView & StateWriting & Logger;
@@ -19,18 +19,19 @@
 
   /** Gives the machine, which bears nothing, to the share that it is to move to. */
   moveToShard(machine: Machine): void {
-    const to = machine.moveToShard;
-    if (machine.assignmentWriteQueued || to === null) return;
+    const targetShard = machine.moveToShard;
+    if (machine.assignmentWriteQueued || targetShard === null) return;
     machine.assignmentWriteQueued = true;
     this.context.writer.add({
       key: StateKey.assignment(machine.name),
-      value: () => encodeAssignment({ ...this.context.clusterState.assignmentOf(machine), shard: to }),
+      value: () => encodeAssignment({ ...this.context.clusterState.assignmentOf(machine), shard: targetShard }),
       expectedRevision: machine.assignmentRevision,
       conditions: this.allocations.leaseConditions(machine.shard),
       priority: WritePriority.assignment,
       onOutcome: (outcome) => {
         machine.assignmentWriteQueued = false;
-        if (outcome === 'ok') this.context.log('debug', 'machine moved to another shard', { machine: machine.name, to });
+        if (outcome === 'ok')
+          this.context.log('debug', 'machine moved to another shard', { machine: machine.name, to: targetShard });
       },
     });
   }
@@ -43,14 +44,14 @@
     if (machine.assignmentWriteQueued) return;
     machine.tenure.isRaisingToken = true;
     machine.assignmentWriteQueued = true;
-    const rewriteOf = machine.assignmentRevision;
+    const previousRevision = machine.assignmentRevision;
     this.context.writer.add({
       key: StateKey.assignment(machine.name),
       value: () => {
         const moveTo = machine.moveToShard;
         return encodeAssignment(
           { ...this.context.clusterState.assignmentOf(machine), moveToShard: moveTo, isRetired: machine.isRetired },
-          rewriteOf,
+          previousRevision,
         );
       },
       expectedRevision: machine.assignmentRevision,
@@ -72,15 +73,15 @@
 
   /** The machine is gone. */
   removeAssignment(machine: Machine): void {
-    const cache = StateKey.imageCache(machine.name);
-    const kept = this.context.replica.get(cache);
-    if (kept)
+    const imageCacheKey = StateKey.imageCache(machine.name);
+    const storedImages = this.context.replica.get(imageCacheKey);
+    if (storedImages)
       this.context.writer.add({
-        key: cache,
+        key: imageCacheKey,
         value: () => undefined,
-        expectedRevision: kept.revision,
+        expectedRevision: storedImages.revision,
         priority: WritePriority.images,
-        expiresAt: this.allocations.now + IMAGES_MS,
+        expiresAt: this.allocations.now + IMAGE_REMOVAL_TIMEOUT_MS,
         onOutcome: () => {},
       });
     this.context.writer.add({
--- a/packages/controller/src/shards/command-dispatcher.ts
+++ b/packages/controller/src/shards/command-dispatcher.ts
@@ -19,10 +19,10 @@
  * Machines asked how they stand at once, by a whole core. After a takeover all have to be, and
  * workers' reports, whose leases run, must not wait behind a hundred questions.
  */
-const PROBES_PER_TICK = 32;
+const MAX_PROBES_PER_TICK = 32;
 
 /** A machine that is silent for so many report intervals is asked. */
-const SILENT_INTERVALS = 2;
+const PROBE_AFTER_SILENT_INTERVALS = 2;
 
 /** Connections for each question under way: most are for commands, and a part of those for what is well. */
 const SOCKETS_PER_PROBE = 12;
@@ -38,13 +38,13 @@
 const UNANSWERED_RETRY_MS = 700;
 const HIGHER_TOKEN_RETRY_MS = 1000;
 
-const NOTHING: Resources = { cpus: 0, gpus: 0, memory: 0 };
+const NO_RESOURCES: Resources = { cpus: 0, gpus: 0, memory: 0 };
 
 /** Starts of the lowest rank, and what is only to be cleared away, go out this often to a machine. */
 const LOW_PRIORITY_START_INTERVAL_MS = 1000;
 const FORGET_INTERVAL_MS = 3000;
 
-function unansweredRank(machine: Machine): number {
+function unansweredOrder(machine: Machine): number {
   return Math.min(machine.tenure.unansweredCommands, 1);
 }
 
@@ -82,14 +82,14 @@
 
   /** To all our machines what each is to be told or asked. */
   dispatchAll(now: Milliseconds): void {
-    const toAsk: Machine[] = [];
-    const acting = this.allocations.actingShards();
+    const machinesToProbe: Machine[] = [];
+    const actingShards = this.allocations.actingShards();
     for (const machine of this.context.clusterState.machines.values()) {
-      if (!acting.has(machine.shard) || !this.mayCommand(machine, now)) continue;
+      if (!actingShards.has(machine.shard) || !this.mayCommand(machine, now)) continue;
       if (machine.tenure.isVerified && !this.needsProbe(machine, now)) this.dispatch(machine, now);
-      else toAsk.push(machine);
+      else machinesToProbe.push(machine);
     }
-    this.probeSome(toAsk, now);
+    this.probeSome(machinesToProbe, now);
   }
 
   private mayCommand(machine: Machine, now: Milliseconds): boolean {
@@ -104,21 +104,21 @@
 
   /** Silent, not answering, or odd: it is asked, rather than waited for. */
   private needsProbe(machine: Machine, now: Milliseconds): boolean {
-    const silentMs = SILENT_INTERVALS * this.context.settings.workers.heartbeatIntervalS * 1000;
+    const silentMs = PROBE_AFTER_SILENT_INTERVALS * this.context.settings.workers.heartbeatIntervalS * 1000;
     return machine.probeRequested || machine.tenure.unansweredCommands > 0 || now - machine.tenure.lastHeartbeatAt > silentMs;
   }
 
   /** As many as there is processor time for; questions to a silent zone must not close connections to live machines. */
   private probeSome(machines: Machine[], now: Milliseconds): void {
-    let remaining = Math.max(2, Math.round(PROBES_PER_TICK * this.context.settings.cpuShare));
+    let remaining = Math.max(2, Math.round(MAX_PROBES_PER_TICK * this.context.settings.cpuShare));
     if (machines.length > remaining) this.sortForProbing(machines);
     for (const machine of machines) {
       if (remaining < 1) return;
       // What is heard and has answered so far doesn't wait for what isn't.
-      const well =
+      const isHealthy =
         machine.tenure.isVerified && machine.tenure.unansweredCommands === 0 && this.allocations.isHeardRecently(machine, now);
-      const part = well ? SOCKETS_PER_HEALTHY_PROBE : SOCKETS_PER_PROBE;
-      if (this.pendingProbes >= this.context.settings.maxSockets / part) continue;
+      const socketsPerProbe = isHealthy ? SOCKETS_PER_HEALTHY_PROBE : SOCKETS_PER_PROBE;
+      if (this.pendingProbes >= this.context.settings.maxSockets / socketsPerProbe) continue;
       remaining--;
       this.probe(machine, now);
     }
@@ -137,9 +137,11 @@
           this.allocations.hasCancelledWork(machine) ? CANCELLED_WORK_PRIORITY : machine.tenure.reportedPriority,
         ] as const,
     );
-    const rankOf = new Map(priorities);
-    const rank = (machine: Machine) => rankOf.get(machine) ?? machine.tenure.reportedPriority;
-    machines.sort((a, b) => unansweredRank(a) - unansweredRank(b) || rank(b) - rank(a) || a.lastProbeAt - b.lastProbeAt);
+    const priorityByMachine = new Map(priorities);
+    const priorityOf = (machine: Machine) => priorityByMachine.get(machine) ?? machine.tenure.reportedPriority;
+    machines.sort(
+      (a, b) => unansweredOrder(a) - unansweredOrder(b) || priorityOf(b) - priorityOf(a) || a.lastProbeAt - b.lastProbeAt,
+    );
   }
 
   private probe(machine: Machine, now: Milliseconds): void {
@@ -162,7 +164,7 @@
       ? this.startableTasks(machine, free, MAX_COMMANDS_WITH_STARTS - commands.length)
       : [];
     commands.push(...started.map(({ command }) => command));
-    const allocations = started.map(({ placement: allocation }) => allocation);
+    const allocations = started.map(({ allocation }) => allocation);
     if (commands.length > 0 && !this.canBeDelayed(machine, commands, allocations, now))
       this.send(machine, commands, allocations, false);
     machine.commandsDue = this.hasCommandsDue(machine);
@@ -205,8 +207,8 @@
     return status?.exitReason === 'done' && job.state === 'live' && !job.storedDone[index];
   }
 
-  private startableTasks(machine: Machine, free: Resources, limit: number): { placement: Allocation; command: Command }[] {
-    const result: { placement: Allocation; command: Command }[] = [];
+  private startableTasks(machine: Machine, free: Resources, limit: number): { allocation: Allocation; command: Command }[] {
+    const result: { allocation: Allocation; command: Command }[] = [];
     for (const allocation of machine.tenure.allocations.values()) {
       const { job } = allocation;
       if (allocation.phase !== 'planned' || result.length > limit || this.allocations.isStateUnconfirmed(job)) continue;
@@ -214,7 +216,7 @@
       const command = startCommand(allocation);
       if (command === null) continue;
       subtract(free, job.resources);
-      result.push({ placement: allocation, command });
+      result.push({ allocation, command });
     }
     return result;
   }
@@ -229,13 +231,13 @@
     if (started.length > 0) return now - machine.lastCommandAt < LOW_PRIORITY_START_INTERVAL_MS;
     // What would be empty without them may be wanted elsewhere.
     if (machine.moveToShard !== null || machine.isRetired || machine.tenure.preemptionNoticeUntil !== null) return false;
-    let bears = false;
+    let hasReportedTask = false;
     for (const allocation of machine.tenure.allocations.values()) {
       // What was stopped or failed can't start again before it is cleared away.
       if (allocation.phase === 'exited' && allocation.status?.exitReason !== 'done') return false;
-      bears ||= allocation.phase === 'there';
+      hasReportedTask ||= allocation.phase === 'there';
     }
-    return bears && now - machine.lastCommandAt < FORGET_INTERVAL_MS;
+    return hasReportedTask && now - machine.lastCommandAt < FORGET_INTERVAL_MS;
   }
 
   /** Starts go out once every member has room in the held plan. */
@@ -246,10 +248,10 @@
       if (!machine.tenure.isVerified || machine.tenure.hasUncertainCommand || !machine.capacity) return false;
       const free = capacityOf(machine);
       for (const other of machine.tenure.allocations.values()) {
-        const isThere = other.phase === 'sent' || other.phase === 'there';
-        if (isThere || (other.phase === 'planned' && other.job === job)) subtract(free, other.job.resources);
+        const mayBeThere = other.phase === 'sent' || other.phase === 'there';
+        if (mayBeThere || (other.phase === 'planned' && other.job === job)) subtract(free, other.job.resources);
       }
-      if (!fits(NOTHING, free)) return false;
+      if (!fits(NO_RESOURCES, free)) return false;
     }
     return true;
   }
@@ -306,11 +308,11 @@
   }
 
   private handleExecuted(
-    { machine, starts, isProbe, knownBefore: seen }: PendingCommand,
+    { machine, starts, isProbe, knownBefore }: PendingCommand,
     heartbeat: Heartbeat | null,
     now: Milliseconds,
   ): void {
-    if (heartbeat) this.reconciler.reconcile(machine, heartbeat, now, seen);
+    if (heartbeat) this.reconciler.reconcile(machine, heartbeat, now, knownBefore);
     // What was started and isn't reported was there and is gone.
     for (const allocation of starts) if (this.allocations.isStartPending(allocation)) this.allocations.free(allocation);
     if (!isProbe || machine.tenure.isVerified) return;
@@ -322,14 +324,10 @@
   }
 
   /** The machine is in another session, or has seen a higher token. */
-  private handleRejected(
-    { machine, starts, knownBefore: seen }: PendingCommand,
-    heartbeat: Heartbeat | null,
-    now: Milliseconds,
-  ): void {
+  private handleRejected({ machine, starts, knownBefore }: PendingCommand, heartbeat: Heartbeat | null, now: Milliseconds): void {
     for (const allocation of starts) this.allocations.startNotSent(allocation);
     if (!heartbeat) return;
-    this.reconciler.reconcile(machine, heartbeat, now, seen);
+    this.reconciler.reconcile(machine, heartbeat, now, knownBefore);
     if (heartbeat.fencingToken > this.context.clusterState.fencingToken(machine))
       machine.tenure.retryAt = now + HIGHER_TOKEN_RETRY_MS;
   }
--- a/packages/controller/src/shards/failure-detector.ts
+++ b/packages/controller/src/shards/failure-detector.ts
@@ -8,19 +8,19 @@
 import type { Machine, Milliseconds } from '../model/index.js';
 
 /** No worker answers for this long, though some were asked for that: the fault is here. */
-const DOUBT_MS = 2000;
+const NO_ANSWER_LIMIT_MS = 2000;
 
 /** So many that are heard don't answer, and none has for so long: a doubt. */
-const DOUBTED_MACHINES = 3;
-const UNANSWERED_MS = 1500;
+const MIN_UNANSWERED_MACHINES = 3;
+const NO_ANSWER_SUSPICION_MS = 1500;
 
 /** Workers asked at once whether they can be reached, how often, and how many answers in a row end the doubt. */
 const PROBES_PER_ROUND = 4;
-const PROBE_RETRY_MS = 1500;
-const ANSWERS_TO_TRUST = 6;
+const PROBE_ROUND_INTERVAL_MS = 1500;
+const ANSWERS_TO_RECOVER = 6;
 
 /** A machine heard within this time counts as heard in its zone. */
-const HEARD_LATELY_MS = 4000;
+const RECENTLY_HEARD_MS = 4000;
 
 /** One that is well isn't asked more often than this. */
 const HEALTHY_PROBE_INTERVAL_MS = 1000;
@@ -50,7 +50,7 @@
   reachesWorkers = true;
   private unreachableSince: Milliseconds | null = null;
   /** since when no worker at all has answered; -1: some do */
-  private doubtSince: Milliseconds | null = null;
+  private noAnswerSince: Milliseconds | null = null;
   private consecutiveAnswers = 0;
   private nextProbeAt: Milliseconds = 0;
   /** questions of a round that were not answered yet, and whom they went to */
@@ -67,13 +67,13 @@
 
   /** Doubts of before a pause of this process start anew. */
   processPaused(): void {
-    this.doubtSince = null;
+    this.noAnswerSince = null;
     this.unreachableSince = null;
   }
 
   /** Looks at all machines held here. */
   evaluate(now: Milliseconds): void {
-    this.evaluateDoubt(now);
+    this.evaluateAnswers(now);
     this.zones = this.zoneViews(now);
     this.evaluateZones(this.zones, now);
     this.evaluateReachability(this.zones, now);
@@ -102,26 +102,27 @@
       const view = zones.get(machine.zoneIndex) ?? { total: 0, heard: 0, unanswered: 0 };
       view.total++;
       if (machine.tenure.unansweredCommands >= 2) view.unanswered++;
-      if (now - machine.tenure.lastHeartbeatAt < HEARD_LATELY_MS) view.heard++;
+      if (now - machine.tenure.lastHeartbeatAt < RECENTLY_HEARD_MS) view.heard++;
       zones.set(machine.zoneIndex, view);
     }
     return zones;
   }
 
   /** Several machines don't answer though they are heard, and since then none does. */
-  private evaluateDoubt(now: Milliseconds): void {
-    const doubt =
-      this.allocations.unansweredMachines.size >= DOUBTED_MACHINES && now - this.allocations.lastAnswerAt > UNANSWERED_MS;
-    if (!doubt) {
-      const lasted = this.doubtSince === null ? 0 : now - this.doubtSince;
-      this.doubtSince = null;
+  private evaluateAnswers(now: Milliseconds): void {
+    const nobodyAnswers =
+      this.allocations.unansweredMachines.size >= MIN_UNANSWERED_MACHINES &&
+      now - this.allocations.lastAnswerAt > NO_ANSWER_SUSPICION_MS;
+    if (!nobodyAnswers) {
+      const lastedMs = this.noAnswerSince === null ? 0 : now - this.noAnswerSince;
+      this.noAnswerSince = null;
       // Cleared at once by those who were asked: the others' silence is their own.
-      if (lasted < DOUBT_MS) return;
+      if (lastedMs < NO_ANSWER_LIMIT_MS) return;
       for (const machine of this.context.clusterState.machines.values())
         if (this.allocations.heldShards.has(machine.shard)) this.restartSilence(machine, now);
       return;
     }
-    if (this.doubtSince === null) this.doubtSince = now;
+    if (this.noAnswerSince === null) this.noAnswerSince = now;
     // At once: the doubt ends sooner than an answer stops counting for trust, and who is well isn't asked otherwise.
     this.probeHealthy(now);
   }
@@ -156,12 +157,12 @@
     }
     const view = own && own.total >= 3 ? own : all;
     const lost = view.total >= 3 && view.unanswered * 4 >= view.total * 3;
-    if (!lost && this.doubtSince === null) {
+    if (!lost && this.noAnswerSince === null) {
       this.unreachableSince = null;
       return;
     }
-    if (this.unreachableSince === null) this.unreachableSince = lost ? now : (this.doubtSince ?? now);
-    if (now - this.unreachableSince < DOUBT_MS) return;
+    if (this.unreachableSince === null) this.unreachableSince = lost ? now : (this.noAnswerSince ?? now);
+    if (now - this.unreachableSince < NO_ANSWER_LIMIT_MS) return;
     this.reachesWorkers = false;
     this.consecutiveAnswers = 0;
     this.individuallySilent.clear();
@@ -172,7 +173,7 @@
   /** Without shares no command tells whether workers can be reached again: a few are asked. */
   probeForRecovery(now: Milliseconds): void {
     if (this.reachesWorkers || now < this.nextProbeAt || this.pendingProbes.size > 0) return;
-    this.nextProbeAt = now + PROBE_RETRY_MS;
+    this.nextProbeAt = now + PROBE_ROUND_INTERVAL_MS;
     const zone = this.context.clusterState.zoneNames.indexOf(this.context.settings.zone);
     const all = [...this.context.clusterState.machines.values()].filter((machine) => machine.address !== '');
     const near = all.filter((machine) => machine.zoneIndex === zone);
@@ -213,10 +214,10 @@
     else this.probeRound.silent.push(name);
     this.endProbeRound();
     // Two rounds answered whole: a share that comes home must not leave again at once.
-    if (this.consecutiveAnswers < ANSWERS_TO_TRUST || this.reachesWorkers) return;
+    if (this.consecutiveAnswers < ANSWERS_TO_RECOVER || this.reachesWorkers) return;
     this.reachesWorkers = true;
     this.unreachableSince = null;
-    this.doubtSince = null;
+    this.noAnswerSince = null;
     this.allocations.unansweredMachines.clear();
     for (const machine of this.context.clusterState.machines.values()) machine.tenure.unansweredCommands = 0;
     this.context.log('info', 'workers reachable again');
@@ -232,8 +233,9 @@
     const name = this.context.clusterState.zoneNames.nameOf(zone);
     const { settings } = this.context;
     if (name === settings.zone) return view.total >= 3 && view.heard === 0;
-    const there = settings.controllers.filter((node) => node.zone === name && node.name !== settings.name);
-    if (there.length > 0) return there.every((node) => !this.context.isPeerAlive(node.name, now)) && view.heard * 2 <= view.total;
+    const zonePeers = settings.controllers.filter((node) => node.zone === name && node.name !== settings.name);
+    if (zonePeers.length > 0)
+      return zonePeers.every((node) => !this.context.isPeerAlive(node.name, now)) && view.heard * 2 <= view.total;
     return view.total >= 2 && view.heard === 0;
   }
 
@@ -245,15 +247,15 @@
    */
   isSilenceTrusted(now: Milliseconds, silent: Milliseconds): boolean {
     if (now - this.allocations.lastAnswerAt < 2000 * this.context.settings.workers.heartbeatIntervalS) return true;
-    const asked = this.probeHealthy(now);
-    return asked === 0 && silent > 2000 * this.context.settings.policy.silentS;
+    const probeable = this.probeHealthy(now);
+    return probeable === 0 && silent > 2000 * this.context.settings.policy.silentS;
   }
 
   /** Some that are heard and have answered so far are asked. Returns how many there are, up to a few. */
   private probeHealthy(now: Milliseconds): number {
-    let asked = 0;
+    let probeable = 0;
     for (const machine of this.context.clusterState.machines.values()) {
-      if (asked === PROBES_PER_ROUND) break;
+      if (probeable === PROBES_PER_ROUND) break;
       if (
         !this.allocations.heldShards.has(machine.shard) ||
         machine.tenure.unansweredCommands > 0 ||
@@ -262,9 +264,9 @@
         continue;
       if (!this.allocations.isHeardRecently(machine, now)) continue;
       if (now - machine.lastProbeAt > HEALTHY_PROBE_INTERVAL_MS) machine.probeRequested = true;
-      asked++;
+      probeable++;
     }
-    return asked;
+    return probeable;
   }
 
   /** Its silence so far may have been ours. */
--- a/packages/controller/src/shards/machine-lifecycle.ts
+++ b/packages/controller/src/shards/machine-lifecycle.ts
@@ -21,7 +21,7 @@
 const RELEASE_RETRY_MS = 1500;
 
 /** Cancelled work may stay for this part of the time that a cancellation has. */
-const OVERDUE_SHARE = 0.5;
+const OVERDUE_CANCELLATION_FRACTION = 0.5;
 
 /** A machine that another controller heard within this time isn't silent. */
 const HEARD_ELSEWHERE_MS = 5000;
@@ -46,17 +46,18 @@
 
   checkMachines(now: Milliseconds): void {
     this.failureDetector.evaluate(now);
-    const back: Machine[] = [];
-    const acting = this.allocations.actingShards();
+    const dueForRelease: Machine[] = [];
+    const actingShards = this.allocations.actingShards();
     const overdue = this.machinesWithOverdueCancellation(now, this.overdueCancellationMs);
     for (const machine of this.context.clusterState.machines.values()) {
-      if (!acting.has(machine.shard)) continue;
+      if (!actingShards.has(machine.shard)) continue;
       // Cancelled work must be gone in time, whatever the reason for a silence, and however long that is thought to last.
       if (machine.tenure.releaseReason === null && overdue.has(machine))
         this.markForRelease(machine, 'cancelled work does not end');
       this.checkSilence(machine, now);
       this.checkEmpty(machine, now);
-      if (machine.tenure.releaseReason && !machine.tenure.isReleasing && now >= machine.releaseRetryAt) back.push(machine);
+      if (machine.tenure.releaseReason && !machine.tenure.isReleasing && now >= machine.releaseRetryAt)
+        dueForRelease.push(machine);
       this.checkReachability(machine, now);
       if (
         machine.tenure.hasUncertainCommand &&
@@ -66,23 +67,24 @@
       )
         this.assignmentUpdates.raiseFencingToken(machine);
     }
-    if (back.length > 0 && now >= this.nextReleaseAt) this.releaseMachines(back, now);
+    if (dueForRelease.length > 0 && now >= this.nextReleaseAt) this.releaseMachines(dueForRelease, now);
   }
 
   private get overdueCancellationMs(): Milliseconds {
-    return this.context.settings.workers.cancelS * 1000 * OVERDUE_SHARE;
+    return this.context.settings.workers.cancelS * 1000 * OVERDUE_CANCELLATION_FRACTION;
   }
 
   private checkSilence(machine: Machine, now: Milliseconds): void {
-    const silent = this.isWaitedFor(machine) ? now - machine.tenure.lastHeartbeatAt : 0;
+    const silentMs = this.isWaitedFor(machine) ? now - machine.tenure.lastHeartbeatAt : 0;
     // Once its notice is over a silent machine is most likely taken.
-    const noticeOver = machine.tenure.preemptionNoticeUntil !== null && now > machine.tenure.preemptionNoticeUntil;
-    const taken = noticeOver && silent > this.context.settings.workers.heartbeatIntervalS * 1500;
-    const isSilent = silent > this.context.settings.policy.silentS * 1000 || taken;
+    const isNoticeOver = machine.tenure.preemptionNoticeUntil !== null && now > machine.tenure.preemptionNoticeUntil;
+    const isPreempted = isNoticeOver && silentMs > this.context.settings.workers.heartbeatIntervalS * 1500;
+    const isSilent = silentMs > this.context.settings.policy.silentS * 1000 || isPreempted;
     if (!isSilent || machine.tenure.releaseReason || now - machine.heardByPeerAt < HEARD_ELSEWHERE_MS) return;
-    const bearsCancelled = silent > this.overdueCancellationMs && this.machinesWithOverdueCancellation(now, 0).has(machine);
-    if (bearsCancelled) this.markForRelease(machine, 'silent with cancelled work');
-    else if (this.isOwnSilence(machine, silent, now)) this.markForRelease(machine, 'silent');
+    const hasOverdueCancellation =
+      silentMs > this.overdueCancellationMs && this.machinesWithOverdueCancellation(now, 0).has(machine);
+    if (hasOverdueCancellation) this.markForRelease(machine, 'silent with cancelled work');
+    else if (this.isOwnSilence(machine, silentMs, now)) this.markForRelease(machine, 'silent');
   }
 
   /**
@@ -94,9 +96,9 @@
     return machine.tenure.isVerified || (machine.tenure.isProbed && machine.lastProbeAt >= machine.tenure.lastHeartbeatAt);
   }
 
-  private isOwnSilence(machine: Machine, silent: Milliseconds, now: Milliseconds): boolean {
+  private isOwnSilence(machine: Machine, silentMs: Milliseconds, now: Milliseconds): boolean {
     const { failureDetector: reachability } = this;
-    return !reachability.isInCutZone(machine) && reachability.reachesWorkers && reachability.isSilenceTrusted(now, silent);
+    return !reachability.isInCutZone(machine) && reachability.reachesWorkers && reachability.isSilenceTrusted(now, silentMs);
   }
 
   private checkEmpty(machine: Machine, now: Milliseconds): void {
@@ -141,11 +143,11 @@
 
   private releaseMachines(machines: Machine[], now: Milliseconds): void {
     const id = this.context.nextEffectId();
-    const some = this.cancelledFirst(machines).slice(0, MAX_MACHINES_PER_RELEASE_REQUEST);
-    for (const machine of some) machine.tenure.isReleasing = true;
-    this.pendingReleases.set(id, some);
+    const batch = this.cancelledFirst(machines).slice(0, MAX_MACHINES_PER_RELEASE_REQUEST);
+    for (const machine of batch) machine.tenure.isReleasing = true;
+    this.pendingReleases.set(id, batch);
     this.nextReleaseAt = now + RELEASE_INTERVAL_MS;
-    this.context.emit({ type: 'release', id, machines: some.map((machine) => machine.name) });
+    this.context.emit({ type: 'release', id, machines: batch.map((machine) => machine.name) });
   }
 
   private cancelledFirst(machines: Machine[]): Machine[] {
@@ -158,11 +160,12 @@
    * the reading of the cancellation, not from when a new holder found the work. Few jobs are cancelled, and many
    * machines bear much: so this goes by jobs.
    */
-  private machinesWithOverdueCancellation(now: Milliseconds, longer: Milliseconds): ReadonlySet<Machine> {
-    const told = Math.min(longer, this.context.settings.workers.heartbeatIntervalS * 2000);
+  private machinesWithOverdueCancellation(now: Milliseconds, overdueMs: Milliseconds): ReadonlySet<Machine> {
+    const minStopAgeMs = Math.min(overdueMs, this.context.settings.workers.heartbeatIntervalS * 2000);
     const machines = new Set<Machine>();
     for (const job of this.context.clusterState.jobs.values()) {
-      if (job.state !== 'cancelled' || now - (job.cancelledAt ?? 0) <= longer || now - job.lastStopAt <= told) continue;
+      if (job.state !== 'cancelled' || now - (job.cancelledAt ?? 0) <= overdueMs || now - job.lastStopAt <= minStopAgeMs)
+        continue;
       for (const { machine, phase } of job.tenure.allocations.values()) if (phase !== 'exited') machines.add(machine);
     }
     return machines;
@@ -174,16 +177,16 @@
    * its work from going on elsewhere; what it bears, or may bear, is worth its return.
    */
   private isCutOffBeyondLease(machine: Machine, now: Milliseconds): boolean {
-    const bears =
+    const mayHoldUpWork =
       machine.tenure.isUnverifiedTakeover ||
       [...machine.tenure.allocations.values()].some((allocation) => allocation.job.spec.shape !== 'array');
-    const { cancelS, leaseS, heartbeatIntervalS: reportS } = this.context.settings.workers;
-    if (!bears || now - machine.tenure.lastHeartbeatAt < (leaseS + 2 * reportS) * 1000) return false;
+    const { cancelS, leaseS, heartbeatIntervalS: intervalS } = this.context.settings.workers;
+    if (!mayHoldUpWork || now - machine.tenure.lastHeartbeatAt < (leaseS + 2 * intervalS) * 1000) return false;
     const zone = this.context.clusterState.zoneNames.nameOf(machine.zoneIndex);
     return this.context.settings.controllers.every((node) => {
       if (node.zone !== zone) return true;
-      const since = this.context.clusterState.absentSince.get(node.name);
-      return since !== undefined && now - since > (cancelS / 2) * 1000;
+      const absentSince = this.context.clusterState.absentSince.get(node.name);
+      return absentSince !== undefined && now - absentSince > (cancelS / 2) * 1000;
     });
   }
 
@@ -207,10 +210,10 @@
 
   /** The cloud has answered a return. */
   handleReleaseOutcome(id: number, isReleased: boolean, now: Milliseconds): void {
-    const list = this.pendingReleases.get(id);
-    if (!list) return;
+    const machines = this.pendingReleases.get(id);
+    if (!machines) return;
     this.pendingReleases.delete(id);
-    for (const machine of list) {
+    for (const machine of machines) {
       machine.tenure.isReleasing = false;
       machine.releaseRetryAt = now + RELEASE_RETRY_MS;
       if (!isReleased || !this.allocations.heldShards.has(machine.shard)) continue;
--- a/packages/controller/src/shards/progress-writer.ts
+++ b/packages/controller/src/shards/progress-writer.ts
@@ -4,10 +4,10 @@
 import { encodeDoneJob, encodeImageCache, type ProgressPart, packBits, StateKey, WritePriority } from '../state/index.js';
 
 /** A machine's images are stored this long after one has come: others may follow. */
-const IMAGES_DELAY_MS = 15_000;
+const IMAGE_WRITE_DELAY_MS = 15_000;
 
 /** A job's completed tasks are stored this often at most, and at once when all are. */
-const PROGRESS_MS = 3000;
+const CHECKPOINT_INTERVAL_MS = 3000;
 
 /** Is a task of this part done that isn't stored as done? */
 function hasUnstoredTask(job: Job, part: ProgressPart): boolean {
@@ -20,7 +20,7 @@
 
 /** What must outlive this process: completed tasks, and the images that machines have. */
 export class ProgressWriter {
-  private readonly imageWrites: { m: Machine; at: Milliseconds }[] = [];
+  private readonly imageWrites: { machine: Machine; at: Milliseconds }[] = [];
 
   constructor(
     private readonly context: ProgressWriterContext,
@@ -31,7 +31,7 @@
   scheduleImageWrite(machine: Machine): void {
     if (machine.imagesWriteQueued) return;
     machine.imagesWriteQueued = true;
-    this.imageWrites.push({ m: machine, at: this.allocations.now + IMAGES_DELAY_MS });
+    this.imageWrites.push({ machine, at: this.allocations.now + IMAGE_WRITE_DELAY_MS });
   }
 
   /** Several images of a machine in one write, and none while more urgent writes wait. */
@@ -41,7 +41,7 @@
       (this.imageWrites[0] as { at: Milliseconds }).at <= now &&
       this.context.writer.length < 4
     ) {
-      const machine = (this.imageWrites.shift() as { m: Machine }).m;
+      const machine = (this.imageWrites.shift() as { machine: Machine }).machine;
       if (this.allocations.heldShards.has(machine.shard)) this.writeImagesOf(machine);
       else machine.imagesWriteQueued = false;
     }
@@ -62,8 +62,8 @@
   }
 
   storeProgress(job: Job): void {
-    const held = this.allocations.heldShards.get(job.shard);
-    if (!held || job.state !== 'live') return;
+    const heldShard = this.allocations.heldShards.get(job.shard);
+    if (!heldShard || job.state !== 'live') return;
     if (job.doneCount === job.spec.tasks && job.spec.shape !== 'service') {
       if (job.tenure.completionWriteQueued) return;
       job.tenure.completionWriteQueued = true;
@@ -85,7 +85,7 @@
     if (
       job.tenure.progressWriteQueued ||
       !job.tenure.progressUnstored ||
-      this.allocations.now - job.progressWrittenAt < PROGRESS_MS
+      this.allocations.now - job.progressWrittenAt < CHECKPOINT_INTERVAL_MS
     )
       return;
     const part = this.context.clusterState.progressLayout.parts(job.spec.tasks).find((part) => hasUnstoredTask(job, part));
@@ -112,13 +112,13 @@
 
   private writeProgress(job: Job, part: ProgressPart): void {
     const key = StateKey.progress(job.spec.id, part.name);
-    let written = new Uint8Array(0);
+    let writtenDone = new Uint8Array(0);
     job.tenure.progressWriteQueued = true;
     job.progressWrittenAt = this.allocations.now;
     this.context.writer.add({
       key,
       value: () => {
-        written = job.done.slice(part.from, part.to);
+        writtenDone = job.done.slice(part.from, part.to);
         return packBits(job.done, part.from, part.to);
       },
       expectedRevision: this.context.replica.get(key)?.revision ?? 0,
@@ -127,7 +127,7 @@
       onOutcome: (outcome) => {
         job.tenure.progressWriteQueued = false;
         if (outcome === 'ok')
-          for (let index = 0; index < written.length; index++) if (written[index]) job.storedDone[part.from + index] = 1;
+          for (let index = 0; index < writtenDone.length; index++) if (writtenDone[index]) job.storedDone[part.from + index] = 1;
       },
     });
   }
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -32,7 +32,7 @@
 import { ShardSummaries } from './shard-summary.js';
 
 /** All jobs are gone over this often for what time alone brings: plans to release, completions to store. */
-const JOBS_MS = 300;
+const JOB_CHECK_INTERVAL_MS = 300;
 
 /** What the shard controller shares with the reconciliation of heartbeats. */
 export interface ShardCollaborators {
@@ -133,12 +133,12 @@
     machine.allocationsChanged();
   }
 
-  machineChanged(machine: Machine, moved: boolean, now: Milliseconds): void {
+  machineChanged(machine: Machine, hasChangedShard: boolean, now: Milliseconds): void {
     if (machine.shard < 0) {
       this.machineRemoved(machine);
       return;
     }
-    if (moved) {
+    if (hasChangedShard) {
       // Came to, or left, a share: what was known of it here is of no worth any more. Only
       // machines seen empty are handed over, so it bears nothing unknown.
       this.machineRemoved(machine);
@@ -190,7 +190,7 @@
       this.logSummary(now);
     }
     if (this.allocations.heldShards.size === 0 || !this.context.isLeaseValid(now)) return;
-    if (now - this.jobsCheckedAt >= JOBS_MS) {
+    if (now - this.jobsCheckedAt >= JOB_CHECK_INTERVAL_MS) {
       this.jobsCheckedAt = now;
       this.checkJobs(now);
     }
@@ -205,27 +205,28 @@
     for (const shard of this.allocations.heldShards.keys()) {
       const summary = this.shardSummary(shard, now);
       const types: Record<string, string> = {};
-      const by = new Map<string, { n: number; idle: number; unusable: number }>();
+      const countsByKind = new Map<string, { total: number; idle: number; unusable: number }>();
       for (const machineSummary of summary.machines) {
         const machine = this.context.clusterState.machines.get(machineSummary.name);
         const key = `${machine?.capacity?.name ?? '?'}${machine?.spot ? '*' : ''}`;
-        const counts = by.get(key) ?? { n: 0, idle: 0, unusable: 0 };
-        counts.n++;
+        const counts = countsByKind.get(key) ?? { total: 0, idle: 0, unusable: 0 };
+        counts.total++;
         if (machineSummary.tasks === 0) counts.idle++;
         if (machine && !this.allocations.isSchedulable(machine, now)) counts.unusable++;
-        by.set(key, counts);
+        countsByKind.set(key, counts);
       }
-      for (const [kind, counts] of by) types[kind] = `${counts.n} (${counts.idle} idle, ${counts.unusable} not usable)`;
+      for (const [kind, counts] of countsByKind)
+        types[kind] = `${counts.total} (${counts.idle} idle, ${counts.unusable} not usable)`;
       const accelerated: Record<string, string> = {};
       for (const machine of this.context.clusterState.machines.values()) {
         if (machine.shard !== shard || !machine.capacity || machine.capacity.gpus === 0) continue;
-        const on = new Map<string, number>();
+        const countsByLabel = new Map<string, number>();
         for (const allocation of machine.tenure.allocations.values())
-          on.set(
+          countsByLabel.set(
             `${allocation.job.spec.cls} ${allocation.phase}`,
-            (on.get(`${allocation.job.spec.cls} ${allocation.phase}`) ?? 0) + 1,
+            (countsByLabel.get(`${allocation.job.spec.cls} ${allocation.phase}`) ?? 0) + 1,
           );
-        accelerated[`${machine.name}${machine.spot ? '*' : ''}`] = [...on]
+        accelerated[`${machine.name}${machine.spot ? '*' : ''}`] = [...countsByLabel]
           .map(([label, count]) => `${count} ${label}`)
           .join(', ');
       }
@@ -263,8 +264,8 @@
   }
 
   private checkGang(job: Job, now: Milliseconds): void {
-    const all = [...job.tenure.allocations.values()];
-    const planned = all.filter((allocation) => allocation.phase === 'planned');
+    const allocations = [...job.tenure.allocations.values()];
+    const planned = allocations.filter((allocation) => allocation.phase === 'planned');
     if (planned.length > 0) {
       if (now - (planned[0] as Allocation).plannedAt > this.context.settings.policy.planWaitS * 1000) {
         this.context.log('info', 'held allocations released', { job: job.spec.id });
@@ -273,7 +274,7 @@
       return;
     }
     // Found partly started after a takeover, with nowhere for the rest to be.
-    if (all.length < job.spec.tasks && job.doneCount < job.spec.tasks && !this.allocations.mayRunUnseen(job))
+    if (allocations.length < job.spec.tasks && job.doneCount < job.spec.tasks && !this.allocations.mayRunUnseen(job))
       this.allocations.failGang(job);
   }
 
--- a/packages/controller/src/shards/shard-summary.ts
+++ b/packages/controller/src/shards/shard-summary.ts
@@ -6,20 +6,20 @@
 import { type QueueOrder, type QuotaStatuses, type Scheduler, tasksPerZone, zoneAllowsTask } from '../scheduling/index.js';
 
 /** What is told of a share is worked out anew after this long. */
-const VIEW_MS = 400;
+const SUMMARY_MAX_AGE_MS = 400;
 
 /** Most kinds of waiting work that are told. */
-const MOST_DEMANDS = 32;
+const MAX_DEMANDS = 32;
 
 /** Higher than any rank: nothing may be moved off the machine. */
-const UNMOVABLE_RANK = 9;
+const UNMOVABLE_PRIORITY = 9;
 
 /** Slack is told within these bounds. */
-const MOST_SLACK_S = 1e4;
+const MAX_SLACK_S = 1e4;
 
 interface CachedSummary {
   at: Milliseconds;
-  share: ShardSummary;
+  summary: ShardSummary;
 }
 
 export class ShardSummaries {
@@ -34,11 +34,11 @@
 
   /** As it was at most a moment ago: the leader and the status both ask. */
   summaryOf(shard: number, now: Milliseconds): ShardSummary {
-    const old = this.summaries.get(shard);
-    if (old && now - old.at < VIEW_MS && this.allocations.heldShards.has(shard)) return old.share;
-    const fresh = { shard, machines: this.machines(shard, now), demands: this.demands(shard, now) };
-    this.summaries.set(shard, { at: now, share: fresh });
-    return fresh;
+    const cached = this.summaries.get(shard);
+    if (cached && now - cached.at < SUMMARY_MAX_AGE_MS && this.allocations.heldShards.has(shard)) return cached.summary;
+    const summary = { shard, machines: this.machines(shard, now), demands: this.demands(shard, now) };
+    this.summaries.set(shard, { at: now, summary });
+    return summary;
   }
 
   forget(shard: number): void {
@@ -47,32 +47,32 @@
 
   private machines(shard: number, now: Milliseconds): MachineSummary[] {
     const quotaStatuses = this.queueOrder.quotaStatuses();
-    const clearable = this.scheduler.evacuableMachines(shard, now);
-    const told: MachineSummary[] = [];
+    const evacuable = this.scheduler.evacuableMachines(shard, now);
+    const summaries: MachineSummary[] = [];
     for (const machine of this.context.clusterState.machines.values()) {
       if (machine.shard !== shard) continue;
       const free = this.allocations.freeResourcesOf(machine);
-      told.push({
+      summaries.push({
         name: machine.name,
         freeCpus: Math.max(0, free.cpus),
         freeGpus: Math.max(0, free.gpus),
         freeMemory: Math.max(0, free.memory),
         tasks: machine.tenure.allocations.size,
         protectedPriority: this.allocations.isSchedulable(machine, now)
-          ? this.protectedPriority(machine, quotaStatuses, clearable)
-          : UNMOVABLE_RANK,
+          ? this.protectedPriority(machine, quotaStatuses, evacuable)
+          : UNMOVABLE_PRIORITY,
         idleS: machine.tenure.allocations.size === 0 ? (now - machine.idleSince) / 1000 : 0,
         services: this.allocations.servicesOn(machine).length,
       });
     }
-    return told;
+    return summaries;
   }
 
   /** The highest rank of work on the machine that may not be stopped for others. */
-  private protectedPriority(machine: Machine, quotaStatuses: QuotaStatuses, clearable: Set<Machine>): number {
+  private protectedPriority(machine: Machine, quotaStatuses: QuotaStatuses, evacuable: Set<Machine>): number {
     let priority = -1;
     for (const { job, phase } of machine.tenure.allocations.values()) {
-      if (phase === 'exited' || (job.spec.shape === 'service' && clearable.has(machine))) continue;
+      if (phase === 'exited' || (job.spec.shape === 'service' && evacuable.has(machine))) continue;
       // Within a guarantee it gives way to the highest rank only.
       priority = Math.max(priority, job.priority, quotaStatuses.get(job)?.isProtected ? HIGHEST_PRIORITY - 1 : -1);
     }
@@ -85,14 +85,14 @@
     for (const unmet of this.allocations.unmetDemand) {
       if (unmet.job.shard !== shard) continue;
       const demand = this.demandOf(unmet, now);
-      const { cpus, gpus, memory, types, zone, spot, priority, withinQuota, excludedZones: notZones } = demand;
-      const key = [cpus, gpus, memory, types, zone, spot, priority, withinQuota, unmet.job.spec.shape, notZones].join('/');
-      const old = demands.get(key);
-      if (old) {
-        old.count += demand.count;
-        old.waitS = Math.max(old.waitS, demand.waitS);
-        old.slackS = Math.min(old.slackS, demand.slackS);
-      } else if (demands.size < MOST_DEMANDS) demands.set(key, demand);
+      const { cpus, gpus, memory, types, zone, spot, priority, withinQuota, excludedZones } = demand;
+      const key = [cpus, gpus, memory, types, zone, spot, priority, withinQuota, unmet.job.spec.shape, excludedZones].join('/');
+      const cached = demands.get(key);
+      if (cached) {
+        cached.count += demand.count;
+        cached.waitS = Math.max(cached.waitS, demand.waitS);
+        cached.slackS = Math.min(cached.slackS, demand.slackS);
+      } else if (demands.size < MAX_DEMANDS) demands.set(key, demand);
     }
     return [...demands.values()];
   }
@@ -113,7 +113,7 @@
       count,
       gang: shape === 'gang',
       waitS: (now - Math.max(job.arrivedAt, job.waitingSince ?? 0)) / 1000,
-      slackS: Math.max(-MOST_SLACK_S, Math.min(MOST_SLACK_S, slackS)),
+      slackS: Math.max(-MAX_SLACK_S, Math.min(MAX_SLACK_S, slackS)),
       excludedZones: shape === 'gang' ? [] : this.excludedZones(job),
     };
   }
