--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -14,7 +14,6 @@
   StateWriting,
 } from '../context/index.js';
 import {
-  type Allocation,
   HIGHEST_PRIORITY,
   type Job,
   JobTenure,
@@ -27,13 +26,18 @@
 import { QueueOrder, Scheduler } from '../scheduling/index.js';
 import { CommandDispatcher } from './command-dispatcher.js';
 import type { HeartbeatReconciliation } from './heartbeat-reconciliation.js';
+import { JobChecks } from './job-checks.js';
 import { MachineLifecycle } from './machine-lifecycle.js';
 import type { ProgressWriter } from './progress-writer.js';
+import { shardDebugSummary } from './shard-debug-summary.js';
 import { ShardSummaries } from './shard-summary.js';
 
 /** All jobs are gone over this often for what time alone brings: plans to release, completions to store. */
 const JOB_CHECK_INTERVAL_MS = 300;
 
+/** The summaries of all shards are logged this often. */
+const SUMMARY_LOG_INTERVAL_MS = 10_000;
+
 /** What the shard controller shares with the reconciliation of heartbeats. */
 export interface ShardCollaborators {
   allocations: TaskAllocations;
@@ -60,6 +64,7 @@
   readonly machineLifecycle: MachineLifecycle;
   readonly commandDispatcher: CommandDispatcher;
   private readonly progressWriter: ProgressWriter;
+  private readonly jobChecks: JobChecks;
   private readonly queueOrder: QueueOrder;
   private readonly scheduler: Scheduler;
   private readonly shardSummaries: ShardSummaries;
@@ -72,6 +77,7 @@
   ) {
     this.allocations = allocations;
     this.progressWriter = progressWriter;
+    this.jobChecks = new JobChecks(context, allocations, progressWriter);
     this.machineLifecycle = new MachineLifecycle(context, this.allocations);
     this.commandDispatcher = new CommandDispatcher(context, this.allocations, reconciler);
     this.queueOrder = new QueueOrder(context, this.allocations);
@@ -185,14 +191,14 @@
   tick(now: Milliseconds): void {
     this.allocations.now = now;
     this.machineLifecycle.failureDetector.probeForRecovery(now);
-    if (now - this.summaryLoggedAt > 10_000) {
+    if (now - this.summaryLoggedAt > SUMMARY_LOG_INTERVAL_MS) {
       this.summaryLoggedAt = now;
-      this.logSummary(now);
+      this.logSummaries(now);
     }
     if (this.allocations.heldShards.size === 0 || !this.context.isLeaseValid(now)) return;
     if (now - this.jobsCheckedAt >= JOB_CHECK_INTERVAL_MS) {
       this.jobsCheckedAt = now;
-      this.checkJobs(now);
+      this.jobChecks.checkAll(now);
     }
     if (!this.context.isCatchingUp()) this.machineLifecycle.checkMachines(now);
     this.progressWriter.writeDueImages(now);
@@ -200,82 +206,12 @@
     this.commandDispatcher.dispatchAll(now);
   }
 
-  /** What somebody reading the log wants to know first. */
-  private logSummary(now: Milliseconds): void {
+  private logSummaries(now: Milliseconds): void {
+    const sources = { clusterState: this.context.clusterState, allocations: this.allocations };
     for (const shard of this.allocations.heldShards.keys()) {
-      const summary = this.shardSummary(shard, now);
-      const types: Record<string, string> = {};
-      const countsByKind = new Map<string, { total: number; idle: number; unusable: number }>();
-      for (const machineSummary of summary.machines) {
-        const machine = this.context.clusterState.machines.get(machineSummary.name);
-        const key = `${machine?.capacity?.name ?? '?'}${machine?.spot ? '*' : ''}`;
-        const counts = countsByKind.get(key) ?? { total: 0, idle: 0, unusable: 0 };
-        counts.total++;
-        if (machineSummary.tasks === 0) counts.idle++;
-        if (machine && !this.allocations.isSchedulable(machine, now)) counts.unusable++;
-        countsByKind.set(key, counts);
-      }
-      for (const [kind, counts] of countsByKind)
-        types[kind] = `${counts.total} (${counts.idle} idle, ${counts.unusable} not usable)`;
-      const accelerated: Record<string, string> = {};
-      for (const machine of this.context.clusterState.machines.values()) {
-        if (machine.shard !== shard || !machine.capacity || machine.capacity.gpus === 0) continue;
-        const countsByLabel = new Map<string, number>();
-        for (const allocation of machine.tenure.allocations.values())
-          countsByLabel.set(
-            `${allocation.job.spec.cls} ${allocation.phase}`,
-            (countsByLabel.get(`${allocation.job.spec.cls} ${allocation.phase}`) ?? 0) + 1,
-          );
-        accelerated[`${machine.name}${machine.spot ? '*' : ''}`] = [...countsByLabel]
-          .map(([label, count]) => `${count} ${label}`)
-          .join(', ');
-      }
-      const waiting = this.allocations.unmetDemand
-        .filter((unmet) => unmet.job.shard === shard)
-        .map((unmet) => `${unmet.job.spec.cls} ${unmet.count} for ${Math.round((now - unmet.job.arrivedAt) / 1000)} s`);
-      this.context.log('debug', 'shard summary', { shard, machines: types, accelerated, waiting });
-    }
-  }
-
-  private checkJobs(now: Milliseconds): void {
-    for (const job of this.context.clusterState.jobs.values()) {
-      if (!this.allocations.heldShards.has(job.shard)) continue;
-      if (job.state === 'live') this.progressWriter.storeProgress(job);
-      else this.context.clusterState.forgetIfFinished(job);
-      if (job.spec.shape === 'gang' && job.tenure.gangAttempt !== null && !job.tenure.gangFailed) this.checkGang(job, now);
-      for (const allocation of job.tenure.allocations.values()) {
-        if (
-          job.spec.shape !== 'gang' &&
-          allocation.phase === 'planned' &&
-          now - allocation.plannedAt > this.context.settings.policy.planWaitS * 1000
-        ) {
-          this.allocations.free(allocation);
-        }
-        // Still saving long after it should have been done: end it.
-        if (
-          allocation.stopGraceS !== null &&
-          allocation.stopGraceS > 0 &&
-          allocation.firstStopSentAt !== null &&
-          now - allocation.firstStopSentAt > (allocation.stopGraceS + 8) * 1000
-        )
-          this.allocations.stop(allocation, 0);
-      }
-    }
-  }
-
-  private checkGang(job: Job, now: Milliseconds): void {
-    const allocations = [...job.tenure.allocations.values()];
-    const planned = allocations.filter((allocation) => allocation.phase === 'planned');
-    if (planned.length > 0) {
-      if (now - (planned[0] as Allocation).plannedAt > this.context.settings.policy.planWaitS * 1000) {
-        this.context.log('info', 'held allocations released', { job: job.spec.id });
-        for (const allocation of planned) this.allocations.free(allocation);
-      }
-      return;
+      const { machines } = this.shardSummary(shard, now);
+      this.context.log('debug', 'shard summary', { ...shardDebugSummary(sources, shard, machines, now) });
     }
-    // Found partly started after a takeover, with nowhere for the rest to be.
-    if (allocations.length < job.spec.tasks && job.doneCount < job.spec.tasks && !this.allocations.mayRunUnseen(job))
-      this.allocations.failGang(job);
   }
 
   /** What is told of a share to the leader. */
