--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -1,3 +1,8 @@
+/**
+ * What a controller does for the shards whose leases it holds: it begins and ends the tenure of a shard, takes changes of
+ * machines and jobs, and at each tick has the parts act in an order that they rely on. Owns the tenures of machines and jobs,
+ * and when jobs were last checked and summaries last logged.
+ */
 import type { ShardSummary } from '@archpost/protocol';
 import type { TaskAllocations } from '../allocation/index.js';
 import type {
@@ -32,13 +37,13 @@
 import { shardDebugSummary } from './shard-debug-summary.js';
 import { ShardSummaries } from './shard-summary.js';
 
-/** All jobs are gone over this often for what time alone brings: plans to release, completions to store. */
+/** All jobs of the shards held here are checked this often. */
 const JOB_CHECK_INTERVAL_MS = 300;
 
-/** The summaries of all shards are logged this often. */
+/** A debug summary of each shard held here is logged this often. */
 const SUMMARY_LOG_INTERVAL_MS = 10_000;
 
-/** What the shard controller shares with the reconciliation of heartbeats. */
+/** What the shard controller shares with the reconciliation of heartbeats, and therefore does not make itself. */
 export interface ShardCollaborators {
   allocations: TaskAllocations;
   progressWriter: ProgressWriter;
@@ -58,7 +63,14 @@
   EffectSink &
   Logger;
 
-/** Decisions for the shares held here: what starts where, what stops, what is stored. */
+/** Tasks of the job that run, by their workers' last heartbeats. */
+function runningCount(job: Job): number {
+  let count = 0;
+  for (const { phase, status } of job.tenure.allocations.values()) if (phase === 'there' && status?.state === 'running') count++;
+  return count;
+}
+
+/** The decisions for the shards held here: what starts where, what stops, and what is stored. */
 export class ShardController {
   readonly allocations: TaskAllocations;
   readonly machineLifecycle: MachineLifecycle;
@@ -85,15 +97,16 @@
     this.shardSummaries = new ShardSummaries(context, this.allocations, this.queueOrder, this.scheduler);
   }
 
-  /** The shares held here. */
+  /** The shards held here, with the revisions at which their leases were acquired. */
   get heldShards(): TaskAllocations['heldShards'] {
     return this.allocations.heldShards;
   }
 
+  /** Has every machine of the shard answered since the lease was acquired, and is all work of the highest priority placed? */
   isSettled(shard: number): boolean {
     for (const machine of this.context.clusterState.machines.values())
       if (machine.shard === shard && machine.tenure.isUnverifiedTakeover) return false;
-    // Not the last plan's leftovers: it left out what it could not prove yet.
+    // `unmetDemand` would not do: the scheduler leaves out of it what may run on a machine that has not answered yet.
     for (const job of this.context.clusterState.jobs.values())
       if (
         job.shard === shard &&
@@ -107,6 +120,7 @@
     return true;
   }
 
+  /** A tenure begins: nothing that an earlier holder, or an earlier tenure of this one, knew or intended counts. */
   leaseAcquired(shard: number, revision: number, now: Milliseconds): void {
     this.allocations.heldShards.set(shard, { shard, leaseRevision: revision });
     for (const machine of this.context.clusterState.machines.values()) {
@@ -118,6 +132,7 @@
     this.allocations.schedulingRequested = true;
   }
 
+  /** The tenure ends: the next holder learns of the shard's tasks from the workers. */
   leaseLost(shard: number): void {
     this.allocations.heldShards.delete(shard);
     this.shardSummaries.forget(shard);
@@ -134,33 +149,23 @@
     }
   }
 
-  private beginTenure(machine: Machine, isTakeover: boolean, now: Milliseconds): void {
-    machine.tenure = new MachineTenure(now, isTakeover);
-    machine.allocationsChanged();
-  }
-
+  /** The machine's stored assignment was written or removed. `hasChangedShard`: it came from another shard, or is new. */
   machineChanged(machine: Machine, hasChangedShard: boolean, now: Milliseconds): void {
+    // Not only `UNASSIGNED_SHARD`: a stored record is not refused for a shard that there isn't.
     if (machine.shard < 0) {
-      this.machineRemoved(machine);
+      this.forgetAllocations(machine);
       return;
     }
     if (hasChangedShard) {
-      // Came to, or left, a share: what was known of it here is of no worth any more. Only
-      // machines seen empty are handed over, so it bears nothing unknown.
-      this.machineRemoved(machine);
+      // What was known of it here counts no more. Only machines that were seen empty are handed over, so there is nothing
+      // on it that isn't known.
+      this.forgetAllocations(machine);
       this.beginTenure(machine, false, now);
     }
     this.allocations.schedulingRequested = true;
   }
 
-  /** Left to another share, or gone from the grants: nothing of ours is on it. */
-  private machineRemoved(machine: Machine): void {
-    for (const allocation of [...machine.tenure.allocations.values()]) this.allocations.free(allocation);
-    machine.tenure.allocations.clear();
-    machine.allocationsChanged();
-    this.allocations.schedulingRequested = true;
-  }
-
+  /** The job's stored record was written or removed. */
   jobChanged(job: Job): void {
     if (!this.allocations.heldShards.has(job.shard)) {
       this.context.clusterState.forgetIfFinished(job);
@@ -174,20 +179,24 @@
     this.allocations.schedulingRequested = true;
   }
 
-  /** Time that this process itself lost says nothing about the workers. */
-  processPaused(ms: Milliseconds, now: Milliseconds): void {
+  /** This process stood still until `now`: workers that it did not hear meanwhile were not silent. */
+  processPaused(pauseMs: Milliseconds, now: Milliseconds): void {
     this.allocations.now = now;
     this.allocations.lastAnswerAt = now;
     this.allocations.unansweredMachines.clear();
     this.machineLifecycle.failureDetector.processPaused();
     for (const machine of this.context.clusterState.machines.values()) {
-      machine.tenure.lastHeartbeatAt = Math.min(now, machine.tenure.lastHeartbeatAt + ms);
-      machine.heardByPeerAt = Math.min(now, machine.heardByPeerAt + ms);
+      machine.tenure.lastHeartbeatAt = Math.min(now, machine.tenure.lastHeartbeatAt + pauseMs);
+      machine.heardByPeerAt = Math.min(now, machine.heardByPeerAt + pauseMs);
       if (machine.tenure.unansweredSince !== null)
-        machine.tenure.unansweredSince = Math.min(now, machine.tenure.unansweredSince + ms);
+        machine.tenure.unansweredSince = Math.min(now, machine.tenure.unansweredSince + pauseMs);
     }
   }
 
+  /**
+   * The order matters: jobs free what waited for too long before the scheduler plans, and the dispatcher sends what the
+   * machine lifecycle and the scheduler decided.
+   */
   tick(now: Milliseconds): void {
     this.allocations.now = now;
     this.machineLifecycle.failureDetector.probeForRecovery(now);
@@ -206,30 +215,44 @@
     this.commandDispatcher.dispatchAll(now);
   }
 
-  private logSummaries(now: Milliseconds): void {
-    const sources = { clusterState: this.context.clusterState, allocations: this.allocations };
-    for (const shard of this.allocations.heldShards.keys()) {
-      const { machines } = this.shardSummary(shard, now);
-      this.context.log('debug', 'shard summary', { ...shardDebugSummary(sources, shard, machines, now) });
-    }
-  }
-
-  /** What is told of a share to the leader. */
+  /** The shard's summary for the leader and the status exchange; at most a moment old. */
   shardSummary(shard: number, now: Milliseconds): ShardSummary {
     return this.shardSummaries.summaryOf(shard, now);
   }
 
-  /** Tasks that run and are done, by job, and how often one failed of those that fail everywhere. */
+  /**
+   * How far the jobs of the shards held here are, by id, for the status queries of other controllers. Jobs with nothing to
+   * tell are left out.
+   */
   runningJobs(): Map<string, RunningTasks> {
     const result = new Map<string, RunningTasks>();
     for (const job of this.context.clusterState.jobs.values()) {
       if (!this.allocations.heldShards.has(job.shard)) continue;
-      let count = 0;
-      for (const allocation of job.tenure.allocations.values())
-        if (allocation.phase === 'there' && allocation.status?.state === 'running') count++;
+      const count = runningCount(job);
       const failed = this.allocations.failureAttribution.isCrashLooping(job) ? job.failureCount : 0;
       if (count > 0 || job.doneCount > 0 || failed > 0) result.set(job.spec.id, { count, done: job.doneCount, failed });
     }
     return result;
   }
+
+  private beginTenure(machine: Machine, isTakeover: boolean, now: Milliseconds): void {
+    machine.tenure = new MachineTenure(now, isTakeover);
+    machine.allocationsChanged();
+  }
+
+  /** It went to another shard, or its assignment is gone: none of our tasks is on it. */
+  private forgetAllocations(machine: Machine): void {
+    for (const allocation of [...machine.tenure.allocations.values()]) this.allocations.free(allocation);
+    machine.tenure.allocations.clear();
+    machine.allocationsChanged();
+    this.allocations.schedulingRequested = true;
+  }
+
+  private logSummaries(now: Milliseconds): void {
+    const sources = { clusterState: this.context.clusterState, allocations: this.allocations };
+    for (const shard of this.allocations.heldShards.keys()) {
+      const { machines } = this.shardSummary(shard, now);
+      this.context.log('debug', 'shard summary', { ...shardDebugSummary(sources, shard, machines, now) });
+    }
+  }
 }
