--- a/packages/controller/src/shards/heartbeat-reconciliation.ts
+++ b/packages/controller/src/shards/heartbeat-reconciliation.ts
@@ -1,15 +1,19 @@
-/** What shards need of the reconciliation of heartbeats, which stands above them. */
+/** What the shards need of the reconciliation of heartbeats, which depends on them and not the other way round. */
 import type { Heartbeat } from '@archpost/protocol';
 import type { Machine, Milliseconds } from '../model/index.js';
 
-/** What was known of a worker when a command or a probe was sent: its answer is newer. */
+/** The newest heartbeat of a worker that was known when a command or a probe was sent: the answer to it is newer. */
 export interface KnownHeartbeat {
   agentEpoch: number;
+  /** numbers the messages of one agent epoch */
   sequence: number;
 }
 
-/** Takes a heartbeat, or the status in a worker's answer, for what it is worth. */
+/** Brings what a worker reports together with what is stored and intended. */
 export interface HeartbeatReconciliation {
-  /** `knownBefore`: what was known when the question was asked that this answers; null: a heartbeat of the worker's own. */
+  /**
+   * Takes a heartbeat, or the status in a worker's answer. `knownBefore`: what was known when the command was sent that this
+   * answers; null: the worker sent it on its own, and it may be a late copy.
+   */
   reconcile(machine: Machine, heartbeat: Heartbeat, now: Milliseconds, knownBefore: KnownHeartbeat | null): void;
 }
--- a/packages/controller/src/shards/index.ts
+++ b/packages/controller/src/shards/index.ts
@@ -1,6 +1,8 @@
-/** Shards: what a controller does for the shards whose leases it holds: commands to workers, stored progress, failure detection, the lifecycle of machines.
- * Owns what lasts for one tenure of a shard. */
+/**
+ * Shards: what a controller does for the shards whose leases it holds: commands to workers, stored progress, failure detection,
+ * and the lifecycle of machines. Owns what lasts for one tenure of a shard.
+ */
 export * from './heartbeat-reconciliation.js';
 export * from './progress-writer.js';
 export * from './shard-controller.js';
-export * from './task-commands.js';
+export { stopReportedTask } from './task-commands.js';
--- a/packages/controller/src/shards/task-commands.ts
+++ b/packages/controller/src/shards/task-commands.ts
@@ -1,36 +1,45 @@
-/** Commands about single tasks, as a worker takes them. */
+/** Commands about single tasks, as a worker takes them. Owns no state. */
 import type { Command, TaskStatus } from '@archpost/protocol';
 import type { Allocation } from '../model/index.js';
 
+/** Which attempt of which task a command is about. */
+interface TaskAttempt {
+  job: string;
+  index: number;
+  attempt: number;
+}
+
 /**
- * The only place where a start is made, as the command leaves: whatever was true when it was planned, its job must be
- * one that runs, with nothing left to await, and the task not one that was told to stop meanwhile.
+ * The only place where a start is made, as the command leaves. Whatever was true when the task was planned, its job must be
+ * live and not blocked now, and the task must not have been told to stop meanwhile; null: it may not start.
  */
 export function startCommand(allocation: Allocation): Command | null {
-  const { job, stopGraceS: stop } = allocation;
-  if (job.state !== 'live' || job.isBlocked || stop !== null) return null;
-  return { type: 'start', ...taskOf(allocation) };
+  const { job, stopGraceS } = allocation;
+  if (job.state !== 'live' || job.isBlocked || stopGraceS !== null) return null;
+  return { type: 'start', ...attemptOf(allocation) };
 }
 
+/** Ends the task. `graceS`: seconds that it has for saving its state. */
 export function stopCommand(allocation: Allocation, graceS: number): Command {
-  return { type: 'stop', ...taskOf(allocation), graceS };
+  return { type: 'stop', ...attemptOf(allocation), graceS };
 }
 
+/** Has the worker drop an exited task from its status. */
 export function forgetCommand(allocation: Allocation): Command {
-  return { type: 'forget', ...taskOf(allocation) };
-}
-
-function taskOf({ job, taskIndex: index, attempt }: Allocation) {
-  return { job: job.spec.id, index, attempt };
+  return { type: 'forget', ...attemptOf(allocation) };
 }
 
-/** Ends a reported task that has no place here, or whose job is over, without time to save. */
+/** Ends a reported task that is not allocated, or whose job is finished, without time for saving. */
 export function stopReportedTask({ job, index, attempt }: TaskStatus): Command {
   return { type: 'stop', job, index, attempt, graceS: 0 };
 }
 
-/** What has no place here is stopped, and cleared away once it has ended. */
+/** A reported task that is not allocated is stopped, and cleared away once it has exited. */
 export function clearOrphanedTask(task: TaskStatus): Command {
   if (task.state !== 'exited') return stopReportedTask(task);
   return { type: 'forget', job: task.job, index: task.index, attempt: task.attempt };
 }
+
+function attemptOf({ job, taskIndex, attempt }: Allocation): TaskAttempt {
+  return { job: job.spec.id, index: taskIndex, attempt };
+}
