--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -52,7 +52,7 @@
 import { ClientRequests } from './jobs/index.js';
 import { CancellationFreshness, Leader, ShardLeases, StatusExchange } from './leadership/index.js';
 import { type ControllerSettings, type Effect, type LogLevel, type Milliseconds, NEVER } from './model/index.js';
-import { ProgressWriter, ShardController } from './shards/index.js';
+import { ImageCacheWriter, ProgressWriter, ShardController } from './shards/index.js';
 import {
   type AppliedChange,
   ClusterState,
@@ -130,8 +130,10 @@
     this.clientRequests = new ClientRequests(this);
     const allocations = new TaskAllocations(this);
     const progressWriter = new ProgressWriter(this, allocations);
-    this.heartbeatReconciler = new HeartbeatReconciler(this, allocations, progressWriter);
-    this.shardController = new ShardController(this, { allocations, progressWriter, reconciler: this.heartbeatReconciler });
+    const imageCacheWriter = new ImageCacheWriter(this, allocations);
+    this.heartbeatReconciler = new HeartbeatReconciler(this, allocations, progressWriter, imageCacheWriter);
+    const reconciler = this.heartbeatReconciler;
+    this.shardController = new ShardController(this, { allocations, progressWriter, imageCacheWriter, reconciler });
     this.leader = new Leader(this, this.shardController);
     this.shardLeases = new ShardLeases(this);
     this.cancellationFreshness = new CancellationFreshness(
--- a/packages/controller/src/heartbeats/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeats/heartbeat-reconciler.ts
@@ -10,7 +10,13 @@
   NOTHING_HEARD,
   UNKNOWN_EPOCH,
 } from '../model/index.js';
-import type { HeartbeatReconciliation, KnownHeartbeat, ProgressWriter } from '../shards/index.js';
+import {
+  type HeartbeatReconciliation,
+  type ImageCacheWriter,
+  type KnownHeartbeat,
+  type ProgressWriter,
+  toLoggedSeconds,
+} from '../shards/index.js';
 import { StateKey } from '../state/index.js';
 
 /** A worker numbers its reports, two a second at most, and its answers to questions and commands. */
@@ -26,6 +32,7 @@
     private readonly context: HeartbeatReconcilerContext,
     private readonly allocations: TaskAllocations,
     private readonly progressWriter: ProgressWriter,
+    private readonly imageCacheWriter: ImageCacheWriter,
   ) {}
 
   /**
@@ -194,14 +201,13 @@
       allocation.phase = 'there';
       if (task.state === 'running' && previousState !== 'running') {
         allocation.runningSince = now;
-        const sec = (a: Milliseconds, b: Milliseconds) => Math.round((b - a) / 100) / 10;
         this.context.log('debug', 'task running', {
           task: `${job.spec.id}/${allocation.taskIndex}`,
           jobClass: job.spec.cls,
           machine: machine.name,
           type: machine.capacity?.name,
-          sinceSubmit: sec(job.arrivedAt, now),
-          sincePlan: sec(allocation.plannedAt, now),
+          sinceSubmit: toLoggedSeconds(now - job.arrivedAt),
+          sincePlan: toLoggedSeconds(now - allocation.plannedAt),
           gb: job.spec.imageGb,
           cached: machine.images.has(job.imageIndex),
         });
@@ -209,7 +215,7 @@
         machine.images.delete(job.imageIndex);
         machine.images.set(job.imageIndex, job.spec.imageGb);
         this.trimImages(machine);
-        if (isNewImage) this.progressWriter.scheduleImageWrite(machine);
+        if (isNewImage) this.imageCacheWriter.schedule(machine);
       }
       return;
     }
--- /dev/null
+++ b/packages/controller/src/shards/job-completion-writer.ts
@@ -0,0 +1,54 @@
+/**
+ * Stores that a job is done, once all of its tasks are. Its users' status queries, and the jobs that depend on it, go by the
+ * stored record. Owns no state beside the mark in the job's tenure that the write is queued.
+ */
+import type { TaskAllocations } from '../allocation/index.js';
+import type { ClusterStateView, InputClock, Logger, StateWriting } from '../context/index.js';
+import type { Job, Milliseconds } from '../model/index.js';
+import { encodeDoneJob, StateKey, type WriteOutcome, WritePriority } from '../state/index.js';
+import { toLoggedSeconds } from './logged-seconds.js';
+
+/** What the writer of completions needs of its controller. */
+type JobCompletionWriterContext = InputClock & ClusterStateView & StateWriting & Logger;
+
+/** Writes the records of completed jobs. */
+export class JobCompletionWriter {
+  constructor(
+    private readonly context: JobCompletionWriterContext,
+    private readonly allocations: TaskAllocations,
+  ) {}
+
+  /** All tasks of the job are done, and its shard is held here. */
+  write(job: Job): void {
+    if (job.tenure.completionWriteQueued) return;
+    job.tenure.completionWriteQueued = true;
+    this.context.writer.add({
+      key: StateKey.job(job.spec.id),
+      value: (now) => encodeDoneJob(job.submittedAt, job.spec.tasks, now + this.context.clusterState.wallClockOffsetMs),
+      expectedRevision: job.modRevision,
+      conditions: this.allocations.leaseConditions(job.shard),
+      priority: WritePriority.assignment,
+      onOutcome: (outcome) => this.handleOutcome(job, outcome),
+    });
+  }
+
+  private handleOutcome(job: Job, outcome: WriteOutcome): void {
+    job.tenure.completionWriteQueued = false;
+    this.allocations.schedulingRequested = true;
+    if (outcome === 'ok') this.logDone(job, this.context.now);
+  }
+
+  private logDone(job: Job, now: Milliseconds): void {
+    const { wallClockOffsetMs } = this.context.clusterState;
+    this.context.log('debug', 'job done', {
+      job: job.spec.id,
+      jobClass: job.spec.cls,
+      sinceReady: toLoggedSeconds(now - job.arrivedAt),
+      sinceSubmit: toLoggedSeconds(now + wallClockOffsetMs - job.submittedAt),
+      // Against its own deadline, or the earlier one that it has from the jobs that depend on it.
+      spare: Number.isFinite(job.effectiveDeadlineAt) ? toLoggedSeconds(job.effectiveDeadlineAt - wallClockOffsetMs - now) : null,
+      guess: job.spec.estimateS,
+      longestRun: toLoggedSeconds(job.longestRunS * 1000),
+    });
+  }
+}
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -31,6 +31,7 @@
 import { QueueOrder, Scheduler } from '../scheduling/index.js';
 import { CommandDispatcher } from './command-dispatcher.js';
 import type { HeartbeatReconciliation } from './heartbeat-reconciliation.js';
+import type { ImageCacheWriter } from './image-cache-writer.js';
 import { JobChecks } from './job-checks.js';
 import { MachineLifecycle } from './machine-lifecycle.js';
 import type { ProgressWriter } from './progress-writer.js';
@@ -47,6 +48,7 @@
 export interface ShardCollaborators {
   allocations: TaskAllocations;
   progressWriter: ProgressWriter;
+  imageCacheWriter: ImageCacheWriter;
   reconciler: HeartbeatReconciliation;
 }
 
@@ -75,7 +77,7 @@
   readonly allocations: TaskAllocations;
   readonly machineLifecycle: MachineLifecycle;
   readonly commandDispatcher: CommandDispatcher;
-  private readonly progressWriter: ProgressWriter;
+  private readonly imageCacheWriter: ImageCacheWriter;
   private readonly jobChecks: JobChecks;
   private readonly queueOrder: QueueOrder;
   private readonly scheduler: Scheduler;
@@ -85,10 +87,10 @@
 
   constructor(
     private readonly context: ShardControllerContext,
-    { allocations, progressWriter, reconciler }: ShardCollaborators,
+    { allocations, progressWriter, imageCacheWriter, reconciler }: ShardCollaborators,
   ) {
     this.allocations = allocations;
-    this.progressWriter = progressWriter;
+    this.imageCacheWriter = imageCacheWriter;
     this.jobChecks = new JobChecks(context, allocations, progressWriter);
     this.machineLifecycle = new MachineLifecycle(context, this.allocations);
     this.commandDispatcher = new CommandDispatcher(context, this.allocations, reconciler);
@@ -210,7 +212,7 @@
       this.jobChecks.checkAll(now);
     }
     if (!this.context.isCatchingUp()) this.machineLifecycle.checkMachines(now);
-    this.progressWriter.writeDueImages(now);
+    this.imageCacheWriter.writeDue(now);
     this.scheduler.tick(now);
     this.commandDispatcher.dispatchAll(now);
   }
