--- a/packages/controller/src/shards/failure-detector.ts
+++ b/packages/controller/src/shards/failure-detector.ts
@@ -32,7 +32,7 @@
 }
 
 /** What is seen of a zone's machines that are ours. */
-interface ZoneView {
+interface ZoneHealth {
   total: number;
   /** heard lately */
   heard: number;
@@ -45,7 +45,7 @@
 
 export class FailureDetector {
   private readonly cutZones = new Set<number>();
-  private zones = new Map<number, ZoneView>();
+  private zones = new Map<number, ZoneHealth>();
   /** Can workers be reached from here? */
   reachesWorkers = true;
   private unreachableSince: Milliseconds | null = null;
@@ -74,18 +74,18 @@
   /** Looks at all machines held here. */
   evaluate(now: Milliseconds): void {
     this.evaluateAnswers(now);
-    this.zones = this.zoneViews(now);
+    this.zones = this.zoneHealths(now);
     this.evaluateZones(this.zones, now);
     this.evaluateReachability(this.zones, now);
   }
 
   /** Where many can't be reached at once, the fault isn't theirs. */
   isWidespreadLoss(zone: number): boolean {
-    const view = this.zones.get(zone);
+    const health = this.zones.get(zone);
     return (
       !this.reachesWorkers ||
       this.cutZones.has(zone) ||
-      (view !== undefined && view.unanswered > 1 && view.unanswered * 4 > view.total)
+      (health !== undefined && health.unanswered > 1 && health.unanswered * 4 > health.total)
     );
   }
 
@@ -94,16 +94,16 @@
     return this.cutZones.has(machine.zoneIndex);
   }
 
-  private zoneViews(now: Milliseconds): Map<number, ZoneView> {
-    const zones = new Map<number, ZoneView>();
+  private zoneHealths(now: Milliseconds): Map<number, ZoneHealth> {
+    const zones = new Map<number, ZoneHealth>();
     for (const machine of this.context.clusterState.machines.values()) {
       // What was not asked yet after a takeover says nothing of its zone.
       if (!this.allocations.heldShards.has(machine.shard) || (!machine.tenure.isVerified && !machine.tenure.isProbed)) continue;
-      const view = zones.get(machine.zoneIndex) ?? { total: 0, heard: 0, unanswered: 0 };
-      view.total++;
-      if (machine.tenure.unansweredCommands >= 2) view.unanswered++;
-      if (now - machine.tenure.lastHeartbeatAt < RECENTLY_HEARD_MS) view.heard++;
-      zones.set(machine.zoneIndex, view);
+      const health = zones.get(machine.zoneIndex) ?? { total: 0, heard: 0, unanswered: 0 };
+      health.total++;
+      if (machine.tenure.unansweredCommands >= 2) health.unanswered++;
+      if (now - machine.tenure.lastHeartbeatAt < RECENTLY_HEARD_MS) health.heard++;
+      zones.set(machine.zoneIndex, health);
     }
     return zones;
   }
@@ -131,9 +131,9 @@
    * When a cut ends, workers need a moment to find their way back from the keeper that
    * answered them meanwhile: until then their silence says nothing.
    */
-  private evaluateZones(zones: Map<number, ZoneView>, now: Milliseconds): void {
-    for (const [zone, view] of zones) {
-      if (this.isZoneCut(zone, view, now)) this.cutZones.add(zone);
+  private evaluateZones(zones: Map<number, ZoneHealth>, now: Milliseconds): void {
+    for (const [zone, health] of zones) {
+      if (this.isZoneCut(zone, health, now)) this.cutZones.add(zone);
       else if (this.cutZones.delete(zone)) {
         for (const machine of this.context.clusterState.machines.values()) {
           if (machine.zoneIndex === zone && this.allocations.heldShards.has(machine.shard)) this.restartSilence(machine, now);
@@ -147,27 +147,27 @@
    * ours, and another controller can do better. What is asked for here finds out when
    * it is over.
    */
-  private evaluateReachability(zones: Map<number, ZoneView>, now: Milliseconds): void {
+  private evaluateReachability(zones: Map<number, ZoneHealth>, now: Milliseconds): void {
     if (!this.reachesWorkers) return;
     const own = zones.get(this.context.clusterState.zoneNames.indexOf(this.context.settings.zone));
     const all = { total: 0, heard: 0, unanswered: 0 };
-    for (const view of zones.values()) {
-      all.total += view.total;
-      all.unanswered += view.unanswered;
+    for (const health of zones.values()) {
+      all.total += health.total;
+      all.unanswered += health.unanswered;
     }
-    const view = own && own.total >= 3 ? own : all;
-    const lost = view.total >= 3 && view.unanswered * 4 >= view.total * 3;
-    if (!lost && this.noAnswerSince === null) {
+    const health = own && own.total >= 3 ? own : all;
+    const isCutOff = health.total >= 3 && health.unanswered * 4 >= health.total * 3;
+    if (!isCutOff && this.noAnswerSince === null) {
       this.unreachableSince = null;
       return;
     }
-    if (this.unreachableSince === null) this.unreachableSince = lost ? now : (this.noAnswerSince ?? now);
+    if (this.unreachableSince === null) this.unreachableSince = isCutOff ? now : (this.noAnswerSince ?? now);
     if (now - this.unreachableSince < NO_ANSWER_LIMIT_MS) return;
     this.reachesWorkers = false;
     this.consecutiveAnswers = 0;
     this.individuallySilent.clear();
     this.nextProbeAt = now;
-    this.context.log('warn', 'workers unreachable', { lost: view.unanswered, of: view.total });
+    this.context.log('warn', 'workers unreachable', { lost: health.unanswered, of: health.total });
   }
 
   /** Without shares no command tells whether workers can be reached again: a few are asked. */
@@ -229,14 +229,14 @@
   }
 
   /** A zone whose machines are all silent, or most of them and its controllers too, is cut off. */
-  private isZoneCut(zone: number, view: ZoneView, now: Milliseconds): boolean {
+  private isZoneCut(zone: number, health: ZoneHealth, now: Milliseconds): boolean {
     const name = this.context.clusterState.zoneNames.nameOf(zone);
     const { settings } = this.context;
-    if (name === settings.zone) return view.total >= 3 && view.heard === 0;
+    if (name === settings.zone) return health.total >= 3 && health.heard === 0;
     const zonePeers = settings.controllers.filter((node) => node.zone === name && node.name !== settings.name);
     if (zonePeers.length > 0)
-      return zonePeers.every((node) => !this.context.isPeerAlive(node.name, now)) && view.heard * 2 <= view.total;
-    return view.total >= 2 && view.heard === 0;
+      return zonePeers.every((node) => !this.context.isPeerAlive(node.name, now)) && health.heard * 2 <= health.total;
+    return health.total >= 2 && health.heard === 0;
   }
 
   /**
@@ -245,7 +245,7 @@
    * 115 live machines. Those that are heard, by way of others if need be, are asked. Where
    * there is nobody to ask, it takes twice the silence.
    */
-  isSilenceTrusted(now: Milliseconds, silent: Milliseconds): boolean {
+  confirmSilence(now: Milliseconds, silent: Milliseconds): boolean {
     if (now - this.allocations.lastAnswerAt < 2000 * this.context.settings.workers.heartbeatIntervalS) return true;
     const probeable = this.probeHealthy(now);
     return probeable === 0 && silent > 2000 * this.context.settings.policy.silentS;
--- a/packages/controller/src/shards/machine-lifecycle.ts
+++ b/packages/controller/src/shards/machine-lifecycle.ts
@@ -97,8 +97,10 @@
   }
 
   private isOwnSilence(machine: Machine, silentMs: Milliseconds, now: Milliseconds): boolean {
-    const { failureDetector: reachability } = this;
-    return !reachability.isInCutZone(machine) && reachability.reachesWorkers && reachability.isSilenceTrusted(now, silentMs);
+    const { failureDetector } = this;
+    return (
+      !failureDetector.isInCutZone(machine) && failureDetector.reachesWorkers && failureDetector.confirmSilence(now, silentMs)
+    );
   }
 
   private checkEmpty(machine: Machine, now: Milliseconds): void {
@@ -128,16 +130,16 @@
    * many can't be reached at once, the fault isn't theirs.
    */
   private checkReachability(machine: Machine, now: Milliseconds): void {
-    const { failureDetector: reachability } = this;
-    if (machine.tenure.releaseReason === null && reachability.isInCutZone(machine) && this.isCutOffBeyondLease(machine, now))
+    const { failureDetector } = this;
+    if (machine.tenure.releaseReason === null && failureDetector.isInCutZone(machine) && this.isCutOffBeyondLease(machine, now))
       this.markForRelease(machine, 'cut off beyond its lease');
     if (
       machine.tenure.releaseReason !== null ||
       !this.isUnreachable(machine, now) ||
-      reachability.isWidespreadLoss(machine.zoneIndex)
+      failureDetector.isWidespreadLoss(machine.zoneIndex)
     )
       return;
-    if (reachability.isSilenceTrusted(now, now - (machine.tenure.unansweredSince ?? now)))
+    if (failureDetector.confirmSilence(now, now - (machine.tenure.unansweredSince ?? now)))
       this.markForRelease(machine, 'unreachable');
   }
 
