--- a/packages/controller/src/shards/machine-lifecycle.ts
+++ b/packages/controller/src/shards/machine-lifecycle.ts
@@ -1,4 +1,8 @@
-import { MAX_MACHINES_PER_RELEASE } from '@archpost/protocol';
+/**
+ * The life of the machines of the shards held here: which are given up for their silence, for not being reachable or for
+ * cancelled work that does not end, which are empty and can move or go, and whose fencing token has to rise. Decides machine
+ * by machine; the failure detector judges them together. Owns no state beside its parts' and the machines' tenures.
+ */
 import type { TaskAllocations } from '../allocation/index.js';
 import type {
   ClusterStateView,
@@ -9,32 +13,37 @@
   SettingsView,
   StateWriting,
 } from '../context/index.js';
-import type { Machine, Milliseconds, ReleaseReason } from '../model/index.js';
+import type { Machine, Milliseconds } from '../model/index.js';
 import { AssignmentUpdates } from './assignment-updates.js';
 import { FailureDetector } from './failure-detector.js';
+import { MachineReleases } from './machine-releases.js';
 
-/** Most machines in one return to the cloud, and how often one is made. */
-const MAX_MACHINES_PER_RELEASE_REQUEST = MAX_MACHINES_PER_RELEASE;
-const RELEASE_INTERVAL_MS = 300;
-
-/** A return that failed is tried again after this long. */
-const RELEASE_RETRY_MS = 1500;
-
-/** Cancelled work may stay for this part of the time that a cancellation has. */
+/** Cancelled work may stay for this part of the time within which a cancellation has to be carried out. */
 const OVERDUE_CANCELLATION_FRACTION = 0.5;
 
+/** Work counts as told to stop once the stop is this many heartbeat intervals old, or as old as the cancellation may be. */
+const STOP_SENT_INTERVALS = 2;
+
 /** A machine that another controller heard within this time isn't silent. */
-const HEARD_ELSEWHERE_MS = 5000;
+const HEARD_BY_PEER_MS = 5000;
+
+/** A machine whose spot preemption notice is over is given up after so many heartbeat intervals of silence. */
+const SILENT_INTERVALS_AFTER_NOTICE = 1.5;
+
+/** The lease of a worker that is cut off has surely run out so many heartbeat intervals after its length. */
+const LEASE_OVERRUN_INTERVALS = 2;
+
+/** A machine is unreachable once it did not answer so many commands in a row. */
+const UNANSWERED_COMMANDS = 3;
 
 /** What the machine lifecycle needs of its controller. */
 type MachineLifecycleContext = SettingsView & ClusterStateView & ReplicaView & StateWriting & PeerDirectory & EffectSink & Logger;
 
-/** The machines of the shares held here: which are silent or out of reach, which move and which go back. */
+/** Checks the machines of the shards held here, and carries out what follows. */
 export class MachineLifecycle {
   readonly failureDetector: FailureDetector;
   private readonly assignmentUpdates: AssignmentUpdates;
-  private readonly pendingReleases = new Map<number, Machine[]>();
-  private nextReleaseAt: Milliseconds = 0;
+  private readonly releases: MachineReleases;
 
   constructor(
     private readonly context: MachineLifecycleContext,
@@ -42,8 +51,10 @@
   ) {
     this.failureDetector = new FailureDetector(context, allocations);
     this.assignmentUpdates = new AssignmentUpdates(context, allocations);
+    this.releases = new MachineReleases(context, allocations, this.assignmentUpdates);
   }
 
+  /** To be called at each tick, unless this controller is catching up after a pause. */
   checkMachines(now: Milliseconds): void {
     this.failureDetector.evaluate(now);
     const dueForRelease: Machine[] = [];
@@ -53,49 +64,45 @@
       if (!actingShards.has(machine.shard)) continue;
       // Cancelled work must be gone in time, whatever the reason for a silence, and however long that is thought to last.
       if (machine.tenure.releaseReason === null && overdue.has(machine))
-        this.markForRelease(machine, 'cancelled work does not end');
+        this.releases.mark(machine, 'cancelled work does not end');
       this.checkSilence(machine, now);
       this.checkEmpty(machine, now);
-      if (machine.tenure.releaseReason && !machine.tenure.isReleasing && now >= machine.releaseRetryAt)
-        dueForRelease.push(machine);
+      if (this.releases.isDue(machine, now)) dueForRelease.push(machine);
       this.checkReachability(machine, now);
-      if (
-        machine.tenure.hasUncertainCommand &&
-        !machine.tenure.isRaisingToken &&
-        machine.tenure.pendingCommandId === null &&
-        !machine.tenure.releaseReason
-      )
-        this.assignmentUpdates.raiseFencingToken(machine);
+      if (needsHigherToken(machine)) this.assignmentUpdates.raiseFencingToken(machine);
     }
-    if (dueForRelease.length > 0 && now >= this.nextReleaseAt) this.releaseMachines(dueForRelease, now);
+    this.releases.request(dueForRelease, now);
+  }
+
+  /** The outcome of the release request with this effect id. */
+  handleReleaseOutcome(id: number, isReleased: boolean, now: Milliseconds): void {
+    this.releases.handleOutcome(id, isReleased, now);
   }
 
   private get overdueCancellationMs(): Milliseconds {
     return this.context.settings.workers.cancelS * 1000 * OVERDUE_CANCELLATION_FRACTION;
   }
 
+  /** A machine that nobody hears any more is given up, sooner if it has cancelled work. */
   private checkSilence(machine: Machine, now: Milliseconds): void {
-    const silentMs = this.isWaitedFor(machine) ? now - machine.tenure.lastHeartbeatAt : 0;
-    // Once its notice is over a silent machine is most likely taken.
-    const isNoticeOver = machine.tenure.preemptionNoticeUntil !== null && now > machine.tenure.preemptionNoticeUntil;
-    const isPreempted = isNoticeOver && silentMs > this.context.settings.workers.heartbeatIntervalS * 1500;
-    const isSilent = silentMs > this.context.settings.policy.silentS * 1000 || isPreempted;
-    if (!isSilent || machine.tenure.releaseReason || now - machine.heardByPeerAt < HEARD_ELSEWHERE_MS) return;
+    const silentMs = isWaitedFor(machine) ? now - machine.tenure.lastHeartbeatAt : 0;
+    if (!this.isSilent(machine, silentMs, now)) return;
+    if (machine.tenure.releaseReason !== null || now - machine.heardByPeerAt < HEARD_BY_PEER_MS) return;
     const hasOverdueCancellation =
       silentMs > this.overdueCancellationMs && this.machinesWithOverdueCancellation(now, 0).has(machine);
-    if (hasOverdueCancellation) this.markForRelease(machine, 'silent with cancelled work');
-    else if (this.isOwnSilence(machine, silentMs, now)) this.markForRelease(machine, 'silent');
+    if (hasOverdueCancellation) this.releases.mark(machine, 'silent with cancelled work');
+    else if (this.isOwnSilence(machine, silentMs, now)) this.releases.mark(machine, 'silent');
   }
 
-  /**
-   * Whose silence counts: one that was asked since it was last heard, where only answers count. At a first start that
-   * outlasts leases a machine's first answer tells its session alone, and those that were never asked come before it:
-   * within 90 s 1,312 of 4,000 machines, all of which reported, had been given back as silent.
-   */
-  private isWaitedFor(machine: Machine): boolean {
-    return machine.tenure.isVerified || (machine.tenure.isProbed && machine.lastProbeAt >= machine.tenure.lastHeartbeatAt);
+  /** Longer than silence is borne, or so that the cloud has most likely taken it at the end of its preemption notice. */
+  private isSilent({ tenure }: Machine, silentMs: Milliseconds, now: Milliseconds): boolean {
+    const { policy, workers } = this.context.settings;
+    if (silentMs > policy.silentS * 1000) return true;
+    const isNoticeOver = tenure.preemptionNoticeUntil !== null && now > tenure.preemptionNoticeUntil;
+    return isNoticeOver && silentMs > workers.heartbeatIntervalS * (SILENT_INTERVALS_AFTER_NOTICE * 1000);
   }
 
+  /** Is the silence the machine's, rather than that of its zone or of this controller? */
   private isOwnSilence(machine: Machine, silentMs: Milliseconds, now: Milliseconds): boolean {
     const { failureDetector } = this;
     return (
@@ -103,67 +110,46 @@
     );
   }
 
+  /** An empty machine can go or move; one that is to go or move is drained until it is empty. */
   private checkEmpty(machine: Machine, now: Milliseconds): void {
-    if (
-      machine.tenure.releaseReason === null &&
-      this.allocations.isEmpty(machine) &&
-      machine.tenure.isVerified &&
-      !machine.tenure.hasUncertainCommand
-    )
-      this.releaseEmpty(machine, now);
-    if ((machine.moveToShard !== null || machine.isRetired) && machine.tenure.releaseReason === null)
-      this.allocations.drain(machine);
+    const { tenure } = machine;
+    if (tenure.releaseReason !== null) return;
+    if (this.allocations.isEmpty(machine) && tenure.isVerified && !tenure.hasUncertainCommand) this.releaseEmpty(machine, now);
+    if ((machine.moveToShard !== null || machine.isRetired) && tenure.releaseReason === null) this.allocations.drain(machine);
   }
 
-  /** Nothing is on it: what was wanted of it can be done. */
   private releaseEmpty(machine: Machine, now: Milliseconds): void {
-    if (machine.isRetired) this.markForRelease(machine, 'idle');
-    else if (this.allocations.failureAttribution.isFaulty(machine, now)) {
-      this.allocations.failureAttribution.clearJobsOf(machine);
-      this.markForRelease(machine, 'quarantined');
-    } else if (machine.tenure.preemptionNoticeUntil !== null) this.markForRelease(machine, 'spot preemption notice');
+    const { failureAttribution } = this.allocations;
+    if (machine.isRetired) this.releases.mark(machine, 'idle');
+    else if (failureAttribution.isFaulty(machine, now)) {
+      failureAttribution.clearJobsOf(machine);
+      this.releases.mark(machine, 'quarantined');
+    } else if (machine.tenure.preemptionNoticeUntil !== null) this.releases.mark(machine, 'spot preemption notice');
     else if (machine.moveToShard !== null) this.assignmentUpdates.moveToShard(machine);
   }
 
   /**
-   * Its reports come, but nothing reaches it: it would be thought well for ever, though its lease runs out. Where
-   * many can't be reached at once, the fault isn't theirs.
+   * Its heartbeats come, but nothing reaches it: it would be taken for healthy for ever, though its lease runs out. Where many
+   * can't be reached at once, the fault isn't theirs.
    */
   private checkReachability(machine: Machine, now: Milliseconds): void {
     const { failureDetector } = this;
-    if (machine.tenure.releaseReason === null && failureDetector.isInCutZone(machine) && this.isCutOffBeyondLease(machine, now))
-      this.markForRelease(machine, 'cut off beyond its lease');
-    if (
-      machine.tenure.releaseReason !== null ||
-      !this.isUnreachable(machine, now) ||
-      failureDetector.isWidespreadLoss(machine.zoneIndex)
-    )
-      return;
-    if (failureDetector.confirmSilence(now, now - (machine.tenure.unansweredSince ?? now)))
-      this.markForRelease(machine, 'unreachable');
-  }
-
-  private releaseMachines(machines: Machine[], now: Milliseconds): void {
-    const id = this.context.nextEffectId();
-    const batch = this.cancelledFirst(machines).slice(0, MAX_MACHINES_PER_RELEASE_REQUEST);
-    for (const machine of batch) machine.tenure.isReleasing = true;
-    this.pendingReleases.set(id, batch);
-    this.nextReleaseAt = now + RELEASE_INTERVAL_MS;
-    this.context.emit({ type: 'release', id, machines: batch.map((machine) => machine.name) });
-  }
-
-  private cancelledFirst(machines: Machine[]): Machine[] {
-    const urgent = new Set(machines.filter((machine) => this.allocations.hasCancelledWork(machine)));
-    return [...urgent, ...machines.filter((machine) => !urgent.has(machine))];
+    const { tenure } = machine;
+    if (tenure.releaseReason === null && failureDetector.isInCutZone(machine) && this.isCutOffBeyondLease(machine, now))
+      this.releases.mark(machine, 'cut off beyond its lease');
+    if (tenure.releaseReason !== null || !this.isUnreachable(machine, now)) return;
+    if (failureDetector.isWidespreadLoss(machine.zoneIndex)) return;
+    if (failureDetector.confirmSilence(now, now - (tenure.unansweredSince ?? now))) this.releases.mark(machine, 'unreachable');
   }
 
   /**
-   * Machines that bear work whose user cancelled it longer than this ago, and that was told so: the time counts from
-   * the reading of the cancellation, not from when a new holder found the work. Few jobs are cancelled, and many
-   * machines bear much: so this goes by jobs.
+   * Machines with work whose user cancelled it more than `overdueMs` ago, and that was told to stop: the time counts from when
+   * the cancellation was read, not from when a new holder found the work. Goes by jobs: few are cancelled, and many machines
+   * have many tasks.
    */
   private machinesWithOverdueCancellation(now: Milliseconds, overdueMs: Milliseconds): ReadonlySet<Machine> {
-    const minStopAgeMs = Math.min(overdueMs, this.context.settings.workers.heartbeatIntervalS * 2000);
+    const { heartbeatIntervalS } = this.context.settings.workers;
+    const minStopAgeMs = Math.min(overdueMs, heartbeatIntervalS * (STOP_SENT_INTERVALS * 1000));
     const machines = new Set<Machine>();
     for (const job of this.context.clusterState.jobs.values()) {
       if (job.state !== 'cancelled' || now - (job.cancelledAt ?? 0) <= overdueMs || now - job.lastStopAt <= minStopAgeMs)
@@ -174,57 +160,53 @@
   }
 
   /**
-   * In a zone that is cut off from the state service too, its controllers stop answering
-   * workers, and the work there ends by their leases. From then on such a machine only keeps
-   * its work from going on elsewhere; what it bears, or may bear, is worth its return.
+   * In a zone that is cut off from the state service too, its controllers stop answering workers, and the work there ends by
+   * their leases. From then on such a machine only keeps its work from going on elsewhere, which is worth its release.
    */
   private isCutOffBeyondLease(machine: Machine, now: Milliseconds): boolean {
-    const mayHoldUpWork =
-      machine.tenure.isUnverifiedTakeover ||
-      [...machine.tenure.allocations.values()].some((allocation) => allocation.job.spec.shape !== 'array');
-    const { cancelS, leaseS, heartbeatIntervalS: intervalS } = this.context.settings.workers;
-    if (!mayHoldUpWork || now - machine.tenure.lastHeartbeatAt < (leaseS + 2 * intervalS) * 1000) return false;
-    const zone = this.context.clusterState.zoneNames.nameOf(machine.zoneIndex);
-    return this.context.settings.controllers.every((node) => {
-      if (node.zone !== zone) return true;
-      const absentSince = this.context.clusterState.absentSince.get(node.name);
-      return absentSince !== undefined && now - absentSince > (cancelS / 2) * 1000;
+    const { leaseS, heartbeatIntervalS } = this.context.settings.workers;
+    const leaseOverMs = (leaseS + LEASE_OVERRUN_INTERVALS * heartbeatIntervalS) * 1000;
+    if (now - machine.tenure.lastHeartbeatAt < leaseOverMs) return false;
+    return mayHoldUpWork(machine) && this.areZoneControllersAbsent(machine.zoneIndex, now);
+  }
+
+  /** Have all controllers of the zone been absent from the state service for half of the time that a cancellation has? */
+  private areZoneControllersAbsent(zoneIndex: number, now: Milliseconds): boolean {
+    const { clusterState, settings } = this.context;
+    const zone = clusterState.zoneNames.nameOf(zoneIndex);
+    return settings.controllers.every((controller) => {
+      if (controller.zone !== zone) return true;
+      const absentSince = clusterState.absentSince.get(controller.name);
+      return absentSince !== undefined && now - absentSince > (settings.workers.cancelS / 2) * 1000;
     });
   }
 
-  /** Three commands in a row without an answer, over longer than a machine's silence is borne. */
-  private isUnreachable(machine: Machine, now: Milliseconds): boolean {
-    const { unansweredCommands, unansweredSince } = machine.tenure;
-    if (unansweredCommands < 3 || unansweredSince === null) return false;
+  /** Several commands in a row without an answer, over longer than a machine's silence is borne. */
+  private isUnreachable({ tenure: { unansweredCommands, unansweredSince } }: Machine, now: Milliseconds): boolean {
+    if (unansweredCommands < UNANSWERED_COMMANDS || unansweredSince === null) return false;
     return now - unansweredSince > this.context.settings.policy.silentS * 1000;
   }
+}
 
-  private markForRelease(machine: Machine, reason: ReleaseReason): void {
-    machine.tenure.releaseReason = reason;
-    machine.releaseRetryAt = 0;
-    this.context.log('info', 'releasing machine', {
-      machine: machine.name,
-      zone: this.context.clusterState.zoneNames.nameOf(machine.zoneIndex),
-      reason,
-      tasks: machine.tenure.allocations.size,
-    });
-  }
+/**
+ * Whose silence counts: one that was probed since it was last heard, where only answers count. At a first start that outlasts
+ * leases a machine's first answer tells its agent epoch alone, and those that were never probed come before it: within 90 s
+ * 1,312 of 4,000 machines, all of which sent heartbeats, had been released as silent.
+ */
+function isWaitedFor({ tenure, lastProbeAt }: Machine): boolean {
+  return tenure.isVerified || (tenure.isProbed && lastProbeAt >= tenure.lastHeartbeatAt);
+}
 
-  /** The cloud has answered a return. */
-  handleReleaseOutcome(id: number, isReleased: boolean, now: Milliseconds): void {
-    const machines = this.pendingReleases.get(id);
-    if (!machines) return;
-    this.pendingReleases.delete(id);
-    for (const machine of machines) {
-      machine.tenure.isReleasing = false;
-      machine.releaseRetryAt = now + RELEASE_RETRY_MS;
-      if (!isReleased || !this.allocations.heldShards.has(machine.shard)) continue;
-      // 200: the machine and everything on it are gone.
-      machine.tenure.isReleasing = true;
-      machine.tenure.isVerified = true;
-      machine.tenure.isUnverifiedTakeover = false;
-      for (const allocation of [...machine.tenure.allocations.values()]) this.allocations.free(allocation);
-      this.assignmentUpdates.removeAssignment(machine);
-    }
-  }
+/** A command may be carried out late, and nothing else is to become of the machine. */
+function needsHigherToken({ tenure }: Machine): boolean {
+  return (
+    tenure.hasUncertainCommand && !tenure.isRaisingToken && tenure.pendingCommandId === null && tenure.releaseReason === null
+  );
+}
+
+/** May the machine have work that waits for its end to go on elsewhere? A few tasks of an array are not worth a machine. */
+function mayHoldUpWork({ tenure }: Machine): boolean {
+  if (tenure.isUnverifiedTakeover) return true;
+  for (const { job } of tenure.allocations.values()) if (job.spec.shape !== 'array') return true;
+  return false;
 }
