--- a/packages/controller/src/shards/assignment-updates.ts
+++ b/packages/controller/src/shards/assignment-updates.ts
@@ -1,23 +1,26 @@
-/** What an owner writes of its machines' grants: moves to another share, tokens that rise, and machines that are gone. */
-
+/**
+ * What the holder of a shard writes to the assignments of its machines: moves to another shard, fencing tokens that rise, and
+ * removals. Each write stands under the lease on the shard. Owns no state beside the marks in the machine that a write is queued.
+ */
 import type { TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, Logger, ReplicaView, StateWriting } from '../context/index.js';
 import type { Machine } from '../model/index.js';
 import { encodeAssignment, StateKey, WritePriority } from '../state/index.js';
 
-/** What was stored of a gone machine's images is removed within this time, or left. */
+/** The stored images of a removed machine are removed within this time, or stay: nothing depends on it. */
 const IMAGE_REMOVAL_TIMEOUT_MS = 15_000;
 
-/** What the assignment updates needs of its controller. */
+/** What the assignment updates need of their controller. */
 type AssignmentUpdatesContext = ClusterStateView & ReplicaView & StateWriting & Logger;
 
+/** Writes assignments; a machine has at most one such write queued at a time, removals aside. */
 export class AssignmentUpdates {
   constructor(
     private readonly context: AssignmentUpdatesContext,
     private readonly allocations: TaskAllocations,
   ) {}
 
-  /** Gives the machine, which bears nothing, to the share that it is to move to. */
+  /** Hands the machine over to the shard that it is to move to. It has to be empty. */
   moveToShard(machine: Machine): void {
     const targetShard = machine.moveToShard;
     if (machine.assignmentWriteQueued || targetShard === null) return;
@@ -37,8 +40,8 @@
   }
 
   /**
-   * Guards against a command that we gave up on and that is executed late: the worker
-   * takes nothing older once it has seen the higher token.
+   * Guards against a command that got no answer and that may be carried out late: the worker takes nothing older once it has
+   * seen the higher token, which is the revision of the assignment. Until the machine has answered under it, it is unverified.
    */
   raiseFencingToken(machine: Machine): void {
     if (machine.assignmentWriteQueued) return;
@@ -48,11 +51,8 @@
     this.context.writer.add({
       key: StateKey.assignment(machine.name),
       value: () => {
-        const moveTo = machine.moveToShard;
-        return encodeAssignment(
-          { ...this.context.clusterState.assignmentOf(machine), moveToShard: moveTo, isRetired: machine.isRetired },
-          previousRevision,
-        );
+        const { moveToShard, isRetired } = machine;
+        return encodeAssignment({ ...this.context.clusterState.assignmentOf(machine), moveToShard, isRetired }, previousRevision);
       },
       expectedRevision: machine.assignmentRevision,
       conditions: this.allocations.leaseConditions(machine.shard),
@@ -62,28 +62,17 @@
       onOutcome: (outcome) => {
         machine.assignmentWriteQueued = false;
         machine.tenure.isRaisingToken = false;
-        if (outcome === 'ok') {
-          machine.tenure.hasUncertainCommand = false;
-          machine.tenure.isVerified = false;
-          machine.tenure.isProbed = false;
-        }
+        if (outcome !== 'ok') return;
+        machine.tenure.hasUncertainCommand = false;
+        machine.tenure.isVerified = false;
+        machine.tenure.isProbed = false;
       },
     });
   }
 
-  /** The machine is gone. */
+  /** The machine is gone. Tried again until it is stored, for as long as the machine is known and its shard held here. */
   removeAssignment(machine: Machine): void {
-    const imageCacheKey = StateKey.imageCache(machine.name);
-    const storedImages = this.context.replica.get(imageCacheKey);
-    if (storedImages)
-      this.context.writer.add({
-        key: imageCacheKey,
-        value: () => undefined,
-        expectedRevision: storedImages.revision,
-        priority: WritePriority.images,
-        expiresAt: this.allocations.now + IMAGE_REMOVAL_TIMEOUT_MS,
-        onOutcome: () => {},
-      });
+    this.removeStoredImages(machine);
     this.context.writer.add({
       key: StateKey.assignment(machine.name),
       value: () => undefined,
@@ -91,13 +80,26 @@
       conditions: this.allocations.leaseConditions(machine.shard),
       priority: WritePriority.release,
       onOutcome: (outcome) => {
-        if (
-          outcome !== 'ok' &&
-          this.context.clusterState.machines.get(machine.name) === machine &&
-          this.allocations.heldShards.has(machine.shard)
-        )
-          this.removeAssignment(machine);
+        if (outcome !== 'ok' && this.isStillOurs(machine)) this.removeAssignment(machine);
       },
     });
   }
+
+  private removeStoredImages(machine: Machine): void {
+    const key = StateKey.imageCache(machine.name);
+    const stored = this.context.replica.get(key);
+    if (!stored) return;
+    this.context.writer.add({
+      key,
+      value: () => undefined,
+      expectedRevision: stored.revision,
+      priority: WritePriority.images,
+      expiresAt: this.allocations.now + IMAGE_REMOVAL_TIMEOUT_MS,
+      onOutcome: () => {},
+    });
+  }
+
+  private isStillOurs(machine: Machine): boolean {
+    return this.context.clusterState.machines.get(machine.name) === machine && this.allocations.heldShards.has(machine.shard);
+  }
 }
--- a/packages/controller/src/shards/shard-summary.ts
+++ b/packages/controller/src/shards/shard-summary.ts
@@ -1,27 +1,47 @@
-/** What an owner tells the leader of a share: its machines, and its work that has no room. */
+/**
+ * The summary of a shard that its holder sends to the leader: the machines with what is free on them, and the demand of tasks
+ * that found no room. Owns the summaries made last.
+ */
 import type { MachineSummary, ResourceDemand, ShardSummary } from '@archpost/protocol';
 import type { TaskAllocations, UnmetDemand } from '../allocation/index.js';
 import type { ClusterStateView, SettingsView } from '../context/index.js';
-import { HIGHEST_PRIORITY, type Machine, type Milliseconds } from '../model/index.js';
+import { HIGHEST_PRIORITY, type Job, type Machine, type Milliseconds } from '../model/index.js';
 import { type QueueOrder, type QuotaStatuses, type Scheduler, tasksPerZone, zoneAllowsTask } from '../scheduling/index.js';
 
-/** What is told of a share is worked out anew after this long. */
+/** A summary is made anew after this long. */
 const SUMMARY_MAX_AGE_MS = 400;
 
-/** Most kinds of waiting work that are told. */
+/** Demands in a summary; further kinds of waiting tasks are left out. */
 const MAX_DEMANDS = 32;
 
-/** Higher than any rank: nothing may be moved off the machine. */
+/** The protected priority of a machine whose work may all be preempted; lower than any. */
+const NOTHING_PROTECTED = -1;
+
+/** Higher than any priority: the machine can't be made free for other work. */
 const UNMOVABLE_PRIORITY = 9;
 
-/** Slack is told within these bounds. */
+/** Slack is limited to this in both directions: without a deadline it would be infinite. */
 const MAX_SLACK_S = 1e4;
 
 interface CachedSummary {
-  at: Milliseconds;
+  madeAt: Milliseconds;
   summary: ShardSummary;
 }
 
+/** Demands with equal keys are added up. */
+function demandKey(demand: ResourceDemand, shape: Job['spec']['shape']): string {
+  const { cpus, gpus, memory, types, zone, spot, priority, withinQuota, excludedZones } = demand;
+  return [cpus, gpus, memory, types, zone, spot, priority, withinQuota, shape, excludedZones].join('/');
+}
+
+/** Adds a demand with the same key: the longest wait and the least slack count. */
+function addTo(existing: ResourceDemand, demand: ResourceDemand): void {
+  existing.count += demand.count;
+  existing.waitS = Math.max(existing.waitS, demand.waitS);
+  existing.slackS = Math.min(existing.slackS, demand.slackS);
+}
+
+/** Makes the summaries of the shards held here. */
 export class ShardSummaries {
   private readonly summaries = new Map<number, CachedSummary>();
 
@@ -32,15 +52,16 @@
     private readonly scheduler: Scheduler,
   ) {}
 
-  /** As it was at most a moment ago: the leader and the status both ask. */
+  /** At most `SUMMARY_MAX_AGE_MS` old: the leader and the status exchange both ask. */
   summaryOf(shard: number, now: Milliseconds): ShardSummary {
     const cached = this.summaries.get(shard);
-    if (cached && now - cached.at < SUMMARY_MAX_AGE_MS && this.allocations.heldShards.has(shard)) return cached.summary;
+    if (cached && now - cached.madeAt < SUMMARY_MAX_AGE_MS && this.allocations.heldShards.has(shard)) return cached.summary;
     const summary = { shard, machines: this.machines(shard, now), demands: this.demands(shard, now) };
-    this.summaries.set(shard, { at: now, summary });
+    this.summaries.set(shard, { madeAt: now, summary });
     return summary;
   }
 
+  /** The shard isn't held any more. */
   forget(shard: number): void {
     this.summaries.delete(shard);
   }
@@ -68,31 +89,28 @@
     return summaries;
   }
 
-  /** The highest rank of work on the machine that may not be stopped for others. */
+  /** Only work of a higher priority than this may preempt all that is on the machine. */
   private protectedPriority(machine: Machine, quotaStatuses: QuotaStatuses, evacuable: Set<Machine>): number {
-    let priority = -1;
+    let priority = NOTHING_PROTECTED;
     for (const { job, phase } of machine.tenure.allocations.values()) {
       if (phase === 'exited' || (job.spec.shape === 'service' && evacuable.has(machine))) continue;
-      // Within a guarantee it gives way to the highest rank only.
-      priority = Math.max(priority, job.priority, quotaStatuses.get(job)?.isProtected ? HIGHEST_PRIORITY - 1 : -1);
+      priority = Math.max(priority, job.priority);
+      // Work within its team's quota is preempted by the highest priority only.
+      if (quotaStatuses.get(job)?.isProtected) priority = Math.max(priority, HIGHEST_PRIORITY - 1);
     }
     return priority;
   }
 
-  /** Work that is alike in what it wants is told as one. */
+  /** Tasks that need the same are one demand. */
   private demands(shard: number, now: Milliseconds): ResourceDemand[] {
     const demands = new Map<string, ResourceDemand>();
     for (const unmet of this.allocations.unmetDemand) {
       if (unmet.job.shard !== shard) continue;
       const demand = this.demandOf(unmet, now);
-      const { cpus, gpus, memory, types, zone, spot, priority, withinQuota, excludedZones } = demand;
-      const key = [cpus, gpus, memory, types, zone, spot, priority, withinQuota, unmet.job.spec.shape, excludedZones].join('/');
-      const cached = demands.get(key);
-      if (cached) {
-        cached.count += demand.count;
-        cached.waitS = Math.max(cached.waitS, demand.waitS);
-        cached.slackS = Math.min(cached.slackS, demand.slackS);
-      } else if (demands.size < MAX_DEMANDS) demands.set(key, demand);
+      const key = demandKey(demand, unmet.job.spec.shape);
+      const existing = demands.get(key);
+      if (existing) addTo(existing, demand);
+      else if (demands.size < MAX_DEMANDS) demands.set(key, demand);
     }
     return [...demands.values()];
   }
@@ -118,8 +136,8 @@
     };
   }
 
-  /** Zones that the job's other tasks bar for one more. */
-  private excludedZones(job: UnmetDemand['job']): string[] {
+  /** Zones where the job's constraints allow no further task beside those that it has. */
+  private excludedZones(job: Job): string[] {
     const { settings, clusterState } = this.context;
     const counts = tasksPerZone(job);
     return settings.zones.filter((zone) => !zoneAllowsTask(job, counts, clusterState.zoneNames.indexOf(zone)));
