--- a/packages/controller/src/heartbeats/heartbeat-forwarding.ts
+++ b/packages/controller/src/heartbeats/heartbeat-forwarding.ts
@@ -5,6 +5,7 @@
 import type { Heartbeat, TaskStatus, UnchangedHeartbeat } from '@archpost/protocol';
 import type { ClusterStateView, EffectSink, PeerDirectory, SettingsView } from '../context/index.js';
 import { type Milliseconds, NEVER } from '../model/index.js';
+import { isNewer } from './heartbeat-order.js';
 
 /** A machine heard within this time is named in the status. */
 const RECENTLY_HEARD_MS = 4000;
@@ -115,9 +116,3 @@
     for (const machine of this.heardMachines.values()) machine.heardAt += ms;
   }
 }
-
-function isNewer(heartbeat: Heartbeat, than: Heartbeat): boolean {
-  return (
-    heartbeat.agentEpoch > than.agentEpoch || (heartbeat.agentEpoch === than.agentEpoch && heartbeat.sequence > than.sequence)
-  );
-}
--- /dev/null
+++ b/packages/controller/src/heartbeats/heartbeat-verdict.ts
@@ -0,0 +1,59 @@
+/**
+ * Whether a heartbeat counts, by what is known of its worker. Copies can come late and messages can be lost, so most of what
+ * is decided here guards against taking an old heartbeat for a new one. Pure; owns no state.
+ */
+import type { Heartbeat } from '@archpost/protocol';
+import type { MachineTenure, Milliseconds } from '../model/index.js';
+import type { KnownHeartbeat } from '../shards/index.js';
+import { isNewer } from './heartbeat-order.js';
+
+/** A worker numbers its heartbeats, two a second at most, and its answers to probes and commands: together fewer than this. */
+const MAX_MESSAGES_PER_S = 10;
+
+/** It may have sent so many at once beside. */
+const MAX_MESSAGE_BURST = 200;
+
+/** What is to be done with a heartbeat, or with the status in an answer. */
+export type HeartbeatVerdict =
+  /** newer than all that is known: it counts. `isGapBefore`: messages before it did not come here */
+  | { readonly kind: 'accepted'; readonly isGapBefore: boolean }
+  /** an answer older than what was known when it was asked for: the agent began again, nothing of before is there any more */
+  | { readonly kind: 'agentRestarted' }
+  /** no answer came since the shard was taken over: what came before isn't known, so it may be a copy of anything */
+  | { readonly kind: 'unverified' }
+  /** not newer than what is known: a late copy, or the agent began again */
+  | { readonly kind: 'stale' }
+  /** numbered higher than the worker can have come to: a copy of before the agent began again, or much was lost */
+  | { readonly kind: 'implausible' };
+
+// One of each, so that no object is made for a heartbeat.
+const ACCEPTED: HeartbeatVerdict = { kind: 'accepted', isGapBefore: false };
+const ACCEPTED_AFTER_GAP: HeartbeatVerdict = { kind: 'accepted', isGapBefore: true };
+const AGENT_RESTARTED: HeartbeatVerdict = { kind: 'agentRestarted' };
+const UNVERIFIED: HeartbeatVerdict = { kind: 'unverified' };
+const STALE: HeartbeatVerdict = { kind: 'stale' };
+const IMPLAUSIBLE: HeartbeatVerdict = { kind: 'implausible' };
+
+/** Judges a heartbeat that the worker sent on its own. */
+export function judgeHeartbeat(tenure: MachineTenure, heartbeat: Heartbeat, now: Milliseconds): HeartbeatVerdict {
+  if (!tenure.isVerified) return UNVERIFIED;
+  if (!isNewer(heartbeat, tenure)) return STALE;
+  if (isImplausible(tenure, heartbeat.sequence, now)) return IMPLAUSIBLE;
+  const isGapBefore = heartbeat.agentEpoch === tenure.agentEpoch && heartbeat.sequence > tenure.sequence + 1;
+  return isGapBefore ? ACCEPTED_AFTER_GAP : ACCEPTED;
+}
+
+/**
+ * Judges the status in an answer. `knownBefore`: what was known when the command was sent that it answers. An answer is newer
+ * than that, unless the agent has begun again.
+ */
+export function judgeAnswer(tenure: MachineTenure, answer: Heartbeat, knownBefore: KnownHeartbeat): HeartbeatVerdict {
+  if (!isNewer(answer, knownBefore)) return AGENT_RESTARTED;
+  return isNewer(answer, tenure) ? ACCEPTED : STALE;
+}
+
+/** Has the worker more messages behind it than it can have sent since it was last heard? Nothing heard yet tells nothing. */
+export function isImplausible(tenure: MachineTenure, sequence: number, now: Milliseconds): boolean {
+  const sinceHeardMs = now - tenure.lastHeartbeatAt;
+  return tenure.sequence >= 0 && sequence - tenure.sequence > MAX_MESSAGE_BURST + (MAX_MESSAGES_PER_S * sinceHeardMs) / 1000;
+}
