--- a/packages/controller/src/heartbeats/heartbeat-forwarding.ts
+++ b/packages/controller/src/heartbeats/heartbeat-forwarding.ts
@@ -1,36 +1,39 @@
 /**
- * Reports of workers whose machine another controller owns: they are answered here, and the owner is told what
- * they say. A report that differs from the last one is forwarded whole; that nothing changed goes with the status.
+ * Heartbeats of workers whose shard another controller holds: they are answered here, and the holder is sent what they say. A
+ * heartbeat that differs from the one before is forwarded whole; that nothing changed goes with the next status of this
+ * controller. Owns the newest heartbeat of each such worker, and what the holder was sent of it.
  */
 import type { Heartbeat, TaskStatus, UnchangedHeartbeat } from '@archpost/protocol';
 import type { ClusterStateView, EffectSink, PeerDirectory, SettingsView } from '../context/index.js';
-import { type Milliseconds, NEVER } from '../model/index.js';
+import { type Milliseconds, NEVER, NOTHING_HEARD } from '../model/index.js';
 import { isNewer } from './heartbeat-order.js';
 
-/** A machine heard within this time is named in the status. */
+/** The status names machines heard within this time. */
 const RECENTLY_HEARD_MS = 4000;
 
-/** An unchanged report is forwarded whole again after so many report intervals. */
+/** An unchanged heartbeat is forwarded whole again after so many heartbeat intervals. */
 const FORWARD_AGAIN_INTERVALS = 5;
 
-/** What was heard is kept for so many leases: late copies of it may come. */
+/** What was heard is kept for so many worker leases: late copies of it may come. */
 const RETENTION_LEASES = 10;
 
-/** The newest report of a machine, and what its owner was told of it. */
+/** The newest heartbeat of a machine, and what the holder of its shard was sent of it. */
 interface HeardMachine {
   heartbeat: Heartbeat;
   heardAt: Milliseconds;
-  /** who was last sent a report whole; null: nobody */
+  /** the controller that was last sent a heartbeat whole; null: none */
   forwardedTo: string | null;
-  /** number of the report that was sent whole, and when */
+  /** the sequence of the heartbeat that was sent whole */
   forwardedSequence: number;
   forwardedAt: Milliseconds;
 }
 
+/** Does a task stand as it stood? */
 function isSameTask(task: TaskStatus, other: TaskStatus): boolean {
   return task.index === other.index && task.attempt === other.attempt && task.state === other.state && task.job === other.job;
 }
 
+/** Does a heartbeat say nothing that the holder was not sent? A preemption notice counts as news until it is over. */
 function isSameHeartbeat(heartbeat: Heartbeat, other: Heartbeat): boolean {
   if (
     heartbeat.agentEpoch !== other.agentEpoch ||
@@ -43,15 +46,19 @@
   return heartbeat.tasks.every((task, index) => isSameTask(task, other.tasks[index] as TaskStatus));
 }
 
-/** What the heartbeat forwarding needs of its controller. */
+/** What the forwarding of heartbeats needs of its controller. */
 type HeartbeatForwardingContext = SettingsView & ClusterStateView & PeerDirectory & EffectSink;
 
+/** Keeps and forwards heartbeats that are answered here for other controllers. */
 export class HeartbeatForwarding {
   private readonly heardMachines = new Map<string, HeardMachine>();
 
   constructor(private readonly context: HeartbeatForwardingContext) {}
 
-  /** A late copy must not make a silent machine seem alive: only what is newer counts. */
+  /**
+   * Takes a heartbeat that is answered here. `holder`: the controller that holds the machine's shard; null: none does. A late
+   * copy must not make a silent machine seem alive: only a newer heartbeat counts.
+   */
   receive(heartbeat: Heartbeat, holder: string | null, now: Milliseconds): void {
     const previous = this.heardMachines.get(heartbeat.machine);
     if (previous && !isNewer(heartbeat, previous.heartbeat)) return;
@@ -59,29 +66,14 @@
       heartbeat,
       heardAt: now,
       forwardedTo: previous?.forwardedTo ?? null,
-      forwardedSequence: previous?.forwardedSequence ?? -1,
+      forwardedSequence: previous?.forwardedSequence ?? NOTHING_HEARD,
       forwardedAt: previous?.forwardedAt ?? NEVER,
     };
     this.heardMachines.set(heartbeat.machine, machine);
-    if (holder === null || holder === this.context.settings.name || !this.context.isPeerAlive(holder, now)) {
-      machine.forwardedTo = null;
-      return;
-    }
-    const forwardAgainMs = FORWARD_AGAIN_INTERVALS * this.context.settings.workers.heartbeatIntervalS * 1000;
-    if (
-      previous &&
-      machine.forwardedTo === holder &&
-      isSameHeartbeat(previous.heartbeat, heartbeat) &&
-      now - machine.forwardedAt < forwardAgainMs
-    )
-      return;
-    machine.forwardedTo = holder;
-    machine.forwardedSequence = heartbeat.sequence;
-    machine.forwardedAt = now;
-    this.context.emit({ type: 'forwardHeartbeat', to: holder, heartbeat });
+    this.forward(machine, previous?.heartbeat ?? null, holder, now);
   }
 
-  /** The machines heard here lately, by the controller that owns them. */
+  /** Machines heard here recently whose heartbeats go on as they were forwarded, by the controller that holds their shard. */
   recentByHolder(now: Milliseconds): Map<string, UnchangedHeartbeat[]> {
     const byHolder = new Map<string, UnchangedHeartbeat[]>();
     const retentionMs = RETENTION_LEASES * this.context.settings.workers.leaseS * 1000;
@@ -92,6 +84,30 @@
     return byHolder;
   }
 
+  /** This process stood still: workers that it did not hear meanwhile were not silent. */
+  processPaused(pauseMs: Milliseconds): void {
+    for (const machine of this.heardMachines.values()) machine.heardAt += pauseMs;
+  }
+
+  /** `previous`: the heartbeat before; null: there was none. */
+  private forward(machine: HeardMachine, previous: Heartbeat | null, holder: string | null, now: Milliseconds): void {
+    if (holder === null || holder === this.context.settings.name || !this.context.isPeerAlive(holder, now)) {
+      machine.forwardedTo = null;
+      return;
+    }
+    const { heartbeat } = machine;
+    const isKnownThere = previous !== null && machine.forwardedTo === holder && isSameHeartbeat(previous, heartbeat);
+    if (isKnownThere && now - machine.forwardedAt < this.forwardAgainMs) return;
+    machine.forwardedTo = holder;
+    machine.forwardedSequence = heartbeat.sequence;
+    machine.forwardedAt = now;
+    this.context.emit({ type: 'forwardHeartbeat', to: holder, heartbeat });
+  }
+
+  private get forwardAgainMs(): Milliseconds {
+    return FORWARD_AGAIN_INTERVALS * this.context.settings.workers.heartbeatIntervalS * 1000;
+  }
+
   private addUnchanged(
     byHolder: Map<string, UnchangedHeartbeat[]>,
     name: string,
@@ -110,9 +126,4 @@
       forwardedSequence: forwardedWhole,
     });
   }
-
-  /** This process stood still: what was silent meanwhile was not heard because of that. */
-  processPaused(ms: Milliseconds): void {
-    for (const machine of this.heardMachines.values()) machine.heardAt += ms;
-  }
 }
--- a/packages/controller/src/heartbeats/heartbeat-responder.ts
+++ b/packages/controller/src/heartbeats/heartbeat-responder.ts
@@ -1,6 +1,7 @@
 /**
- * Answers to workers' reports, and who learns what they say. Any controller answers, so that work doesn't die with
- * its owner; only the owner commands. How long, and why that breaks nothing: docs/design.md, "Who may answer workers".
+ * Responses to workers' heartbeats, and who gets to know what they say. Any controller responds, so that tasks don't end with
+ * the holder of their shard; only the holder commands. For how long, and why that breaks nothing: docs/design.md, "Who may
+ * answer workers". Owns the counts of responses.
  */
 import { type Command, encodeHeartbeatResponse, encodeRedirect, type Heartbeat, MAX_COMMANDS_PER_BODY } from '@archpost/protocol';
 import type { UnassignedMachine } from '../capacity/index.js';
@@ -11,9 +12,15 @@
 import type { HeartbeatReconciler } from './heartbeat-reconciler.js';
 import type { WorkerRouting } from './worker-routing.js';
 
+/** Status codes of responses. 421: another controller is to be asked, which the body names if there is one. */
+const HTTP_OK = 200;
+const HTTP_MISDIRECTED_REQUEST = 421;
+const HTTP_SERVICE_UNAVAILABLE = 503;
+
+/** The body of a response that renews no lease: the worker tries another controller. */
 const MAY_NOT_ANSWER = { error: 'not entitled' };
 
-/** Learns of machines that report and that no shard has. */
+/** Learns of machines that send heartbeats and that no shard has. */
 export interface UnassignedMachineListener {
   unassignedMachineReported(machine: UnassignedMachine, now: Milliseconds): void;
 }
@@ -23,7 +30,7 @@
   freshSince(now: Milliseconds): Milliseconds;
 }
 
-/** Who takes what workers say. */
+/** The parts that take what workers say. */
 export interface HeartbeatCollaborators {
   shardController: ShardController;
   heartbeatReconciler: HeartbeatReconciler;
@@ -36,8 +43,9 @@
 /** What the heartbeat responder needs of its controller. */
 type HeartbeatResponderContext = SettingsView & ClusterStateView & ReplicaView & StateFreshness & EffectSink;
 
+/** Responds to each heartbeat once, and hands on what it says. */
 export class HeartbeatResponder {
-  /** answers since the last look, by status */
+  /** responses since the last `takeResponseCounts`, by status code */
   private readonly responseCounts = new Map<number, number>();
 
   constructor(
@@ -45,30 +53,32 @@
     private readonly collaborators: HeartbeatCollaborators,
   ) {}
 
+  /** A heartbeat that came to this controller. `id`: that of the request, which the response names. */
   receive(id: number, heartbeat: Heartbeat, now: Milliseconds): void {
     const { shardController, heartbeatReconciler, leader, heartbeatForwarding, workerRouting } = this.collaborators;
     const { clusterState } = this.context;
-    if (!this.mayAnswerWorkers(now)) return this.respond(id, 503, MAY_NOT_ANSWER);
+    if (!this.mayAnswerWorkers(now)) return this.respond(id, HTTP_SERVICE_UNAVAILABLE, MAY_NOT_ANSWER);
     const machine = clusterState.machines.get(heartbeat.machine);
     if (!machine) {
       const { address, type, zone, spot } = heartbeat;
       leader.unassignedMachineReported({ machine: heartbeat.machine, address, type, zone, spot }, now);
-      return this.respond(id, 421, encodeRedirect(null));
+      return this.respond(id, HTTP_MISDIRECTED_REQUEST, encodeRedirect(null));
     }
-    // It has been told a higher token than is known here: whatever is answered, it drops, and
-    // stays here while its lease runs out. Another controller must answer it.
-    if (heartbeat.fencingToken > clusterState.fencingToken(machine)) return this.respond(id, 503, MAY_NOT_ANSWER);
+    // It has seen a higher token than is known here: it would drop any response, and stay here while its lease runs out.
+    // Another controller must answer it.
+    if (heartbeat.fencingToken > clusterState.fencingToken(machine))
+      return this.respond(id, HTTP_SERVICE_UNAVAILABLE, MAY_NOT_ANSWER);
     const holder = clusterState.leaseOf(machine.shard)?.holder.controller ?? null;
     const redirectTo = workerRouting.redirectTarget(heartbeat, holder, now);
-    if (redirectTo !== null) return this.respond(id, 421, encodeRedirect(redirectTo));
+    if (redirectTo !== null) return this.respond(id, HTTP_MISDIRECTED_REQUEST, encodeRedirect(redirectTo));
     workerRouting.workerServed(heartbeat.machine, now);
     if (shardController.allocations.holdsShard(machine.shard, now)) heartbeatReconciler.reconcile(machine, heartbeat, now);
-    // The work must not die because its owner did, or can't be reached from here.
+    // Its tasks must not end because the holder of their shard did, or can't be reached from here.
     else heartbeatForwarding.receive(heartbeat, holder, now);
-    this.respond(id, 200, encodeHeartbeatResponse(clusterState.fencingToken(machine), this.stopsForFinishedJobs(heartbeat)));
+    this.respond(id, HTTP_OK, encodeHeartbeatResponse(clusterState.fencingToken(machine), this.stopsForFinishedJobs(heartbeat)));
   }
 
-  /** A report that another controller answered and passed on. */
+  /** A heartbeat that another controller answered and forwarded. */
   receiveForwarded(heartbeat: Heartbeat, now: Milliseconds): void {
     const { shardController, heartbeatReconciler } = this.collaborators;
     const { clusterState, settings } = this.context;
@@ -80,15 +90,14 @@
     )
       return;
     heartbeatReconciler.reconcile(machine, heartbeat, now);
-    // Workers of our own zone report here, unless this controller or the machine is apart.
+    // Workers of this zone send their heartbeats here, unless this controller or the machine is cut off from the zone.
     if (heartbeat.zone === settings.zone) heartbeatReconciler.requestProbe(machine, now);
   }
 
   /**
-   * May workers' reports be answered here, so that their leases go on? For as long as a
-   * cancellation that we can't have learned of would still be kept: what we last let go on
-   * ends by its worker's lease in time. Without a lease no command of ours goes out
-   * meanwhile, and nobody counts a worker's lease as over.
+   * May heartbeats be answered here, so that the workers' leases go on? For as long as a cancellation that can't be known here
+   * would still be carried out in time: what was last let go on ends by its worker's lease before that. Without a lease at the
+   * state service this controller sends no command meanwhile, and no controller takes a worker's lease for expired.
    */
   mayAnswerWorkers(now: Milliseconds): boolean {
     if (!this.context.replica.loaded) return false;
@@ -97,7 +106,7 @@
     return now - confirmedAt < (cancelS - leaseS - intervalS) * 1000;
   }
 
-  /** How many answers of each status were given since this was last asked. */
+  /** How many responses of each status code were given since the last call. */
   takeResponseCounts(): Record<string, number> {
     const counts = Object.fromEntries(this.responseCounts);
     this.responseCounts.clear();
@@ -105,14 +114,14 @@
   }
 
   /**
-   * What a report names of jobs that are over is stopped by the answer, whoever gives it: a direct command may
-   * not get through where the answer does, and the answer is what lets the work live on. Of a job that is done a
-   * second attempt may be left, which its owner knows nothing of any more.
+   * Reported tasks of finished jobs are stopped by the response, whoever gives it: a command may not get through where the
+   * response does, and the response is what lets the tasks go on. Of a job that is done a second attempt may be left, which the
+   * holder of its shard does not know any more.
    */
   private stopsForFinishedJobs(heartbeat: Heartbeat): Command[] {
     const { finishedJobs } = this.context.clusterState;
-    const over = heartbeat.tasks.filter(({ job, state }) => state !== 'exited' && finishedJobs.has(job));
-    return over.slice(0, MAX_COMMANDS_PER_BODY).map(stopReportedTask);
+    const finished = heartbeat.tasks.filter(({ job, state }) => state !== 'exited' && finishedJobs.has(job));
+    return finished.slice(0, MAX_COMMANDS_PER_BODY).map(stopReportedTask);
   }
 
   private respond(id: number, status: number, body: unknown): void {
--- a/packages/controller/src/heartbeats/worker-routing.ts
+++ b/packages/controller/src/heartbeats/worker-routing.ts
@@ -1,52 +1,69 @@
 /**
- * Which controller a worker should report to. Workers stay with a controller of their own zone: a cut between
- * zones then costs them nothing, where finding another controller could take longer than their lease.
+ * Which controller a worker should send its heartbeats to. Workers stay with a controller of their own zone: a cut between
+ * zones then costs them nothing, where finding another controller could take longer than their lease. Owns which workers were
+ * answered here, and which were redirected.
  */
 import type { Heartbeat } from '@archpost/protocol';
 import type { PeerDirectory, SettingsView } from '../context/index.js';
 import { type Milliseconds, NEVER } from '../model/index.js';
 
-/** A controller that answers so many workers is known to be reached by them. */
+/** A controller that answers so many workers is known to be reachable for them. */
 const MIN_HEARD_WORKERS = 3;
 
-/** How often a worker is sent to one that isn't, to try. */
+/** A worker is redirected to a controller of which that isn't known this often, as a trial. */
 const TRIAL_REDIRECT_INTERVAL_MS = 250;
 
-/** A worker is sent to the same controller again only after so many leases. */
+/** A worker is redirected to the same controller again only after so many worker leases. */
 const REDIRECT_AGAIN_LEASES = 4;
 
-/** A worker that was answered within so many report intervals reports here. */
+/** A worker that was answered here within so many heartbeat intervals counts as served here. */
 const SERVED_INTERVALS = 2;
 
+/** The last redirect of a worker. */
+interface Redirect {
+  /** the controller that it was redirected to */
+  to: string;
+  at: Milliseconds;
+}
+
+/** Decides for each heartbeat whether it is answered here. */
 export class WorkerRouting {
   /** when each worker was last answered here */
   private readonly servedAt = new Map<string, Milliseconds>();
-  private readonly redirected = new Map<string, { to: string; at: Milliseconds }>();
+  private readonly redirects = new Map<string, Redirect>();
   private trialRedirectAt: Milliseconds = NEVER;
 
   constructor(private readonly context: SettingsView & PeerDirectory) {}
 
-  /** The controller that the worker is to be sent to instead; null: it is to be answered here. */
+  /**
+   * The controller that the worker is to be redirected to; null: it is to be answered here. `holder`: the controller that holds
+   * the machine's shard; null: none does. A redirect that is returned counts as carried out.
+   */
   redirectTarget(heartbeat: Heartbeat, holder: string | null, now: Milliseconds): string | null {
     const controller = this.preferredController(heartbeat.zone, holder, now);
     if (controller === this.context.settings.name) return null;
     return this.mayRedirectWorker(heartbeat, now) && this.mayRedirectTo(heartbeat.machine, controller, now) ? controller : null;
   }
 
+  /** The worker's heartbeat is answered here. */
   workerServed(machine: string, now: Milliseconds): void {
     this.servedAt.set(machine, now);
   }
 
-  /** How many workers were answered here lately. */
+  /** How many workers were answered here recently. */
   servedWorkers(now: Milliseconds): number {
-    for (const [machine, at] of this.servedAt) if (now - at > this.servedMs) this.servedAt.delete(machine);
-    for (const [machine, { at }] of this.redirected) if (now - at > this.redirectAgainMs) this.redirected.delete(machine);
+    this.dropOld(now);
     return this.servedAt.size;
   }
 
-  /** This process stood still: what was silent meanwhile was not heard because of that. */
-  processPaused(ms: Milliseconds): void {
-    for (const [machine, at] of this.servedAt) this.servedAt.set(machine, at + ms);
+  /** This process stood still: workers that it did not hear meanwhile were not silent. */
+  processPaused(pauseMs: Milliseconds): void {
+    for (const [machine, at] of this.servedAt) this.servedAt.set(machine, at + pauseMs);
+  }
+
+  private dropOld(now: Milliseconds): void {
+    for (const [machine, at] of this.servedAt) if (now - at > this.servedMs) this.servedAt.delete(machine);
+    for (const [machine, { at }] of this.redirects) if (now - at > this.redirectAgainMs) this.redirects.delete(machine);
   }
 
   private get servedMs(): Milliseconds {
@@ -58,42 +75,45 @@
   }
 
   /**
-   * A worker that is sent away and comes back got no answer there, and its lease runs: it is sent once, then
-   * answered here. Nor are more than a few sent, to try, to a controller that hears no workers: one that had
-   * lost them all was still thought well, and 115 leases ran out on the way to it and back.
+   * A worker that is redirected and comes back got no answer there, and its lease runs: it is redirected once, then answered
+   * here. Nor are more than a few redirected, as a trial, to a controller that hears no workers: one that had lost them all
+   * was still taken for healthy, and 115 leases ran out on the way to it and back.
    */
   private mayRedirectTo(machine: string, to: string, now: Milliseconds): boolean {
-    const previous = this.redirected.get(machine);
+    const previous = this.redirects.get(machine);
     if (previous?.to === to && now - previous.at < this.redirectAgainMs) return false;
     const heardWorkers = this.context.peers.get(to)?.status.heardWorkers ?? 0;
     if (heardWorkers < MIN_HEARD_WORKERS) {
       if (now - this.trialRedirectAt < TRIAL_REDIRECT_INTERVAL_MS) return false;
       this.trialRedirectAt = now;
     }
-    this.redirected.set(machine, { to, at: now });
+    this.redirects.set(machine, { to, at: now });
     return true;
   }
 
   /**
-   * A worker that bears work and comes from elsewhere got no answer there, and part of its lease is gone: it is
-   * answered here first and sent with its next report, so that trying the other controller costs it no lease.
+   * A worker that has tasks and comes from elsewhere got no answer there, and part of its lease is gone: it is answered here
+   * first and redirected at its next heartbeat, so that trying the other controller costs it no lease.
    */
   private mayRedirectWorker(heartbeat: Heartbeat, now: Milliseconds): boolean {
     return heartbeat.tasks.length === 0 || now - (this.servedAt.get(heartbeat.machine) ?? NEVER) < this.servedMs;
   }
 
-  /** The controller that a worker of this zone should report to, as far as is seen from here. */
+  /**
+   * The controller that a worker of this zone should send its heartbeats to, as far as is seen from here: the holder of its
+   * shard if that is in its zone, else this one if it is, else another one there, else the holder, else this one.
+   */
   private preferredController(zone: string, holder: string | null, now: Milliseconds): string {
     const { name: ownName, zone: ownZone, controllers } = this.context.settings;
     const holderCanServe = holder !== null && this.canServe(holder, now);
-    if (holderCanServe && controllers.find((node) => node.name === holder)?.zone === zone) return holder;
+    if (holderCanServe && controllers.find((controller) => controller.name === holder)?.zone === zone) return holder;
     if (ownZone === zone) return ownName;
-    const inZone = controllers.find((node) => node.zone === zone && this.canServe(node.name, now));
+    const inZone = controllers.find((controller) => controller.zone === zone && this.canServe(controller.name, now));
     if (inZone) return inZone.name;
     return holderCanServe ? holder : ownName;
   }
 
-  /** One that the state service refuses answers no worker, so none must be sent to it. */
+  /** A controller without access to the state service answers no worker, so none must be redirected to it. */
   private canServe(controller: string, now: Milliseconds): boolean {
     if (controller === this.context.settings.name) return true;
     const status = this.context.peers.get(controller)?.status;
