--- a/packages/controller/src/heartbeats/heartbeat-forwarding.ts
+++ b/packages/controller/src/heartbeats/heartbeat-forwarding.ts
@@ -29,11 +29,17 @@
 }
 
 /** Does a task stand as it stood? */
-function isSameTask(task: TaskStatus, other: TaskStatus): boolean {
-  return task.index === other.index && task.attempt === other.attempt && task.state === other.state && task.job === other.job;
+function isSameTask(task: TaskStatus, other: TaskStatus | undefined): boolean {
+  return (
+    other !== undefined &&
+    task.index === other.index &&
+    task.attempt === other.attempt &&
+    task.state === other.state &&
+    task.job === other.job
+  );
 }
 
-/** Does a heartbeat say nothing that the holder was not sent? A preemption notice counts as news until it is over. */
+/** Does a heartbeat say nothing that the holder was not sent? A preemption notice is sent each time. */
 function isSameHeartbeat(heartbeat: Heartbeat, other: Heartbeat): boolean {
   if (
     heartbeat.agentEpoch !== other.agentEpoch ||
@@ -43,7 +49,7 @@
     return false;
   if (heartbeat.preemptionNoticeS !== null || other.preemptionNoticeS !== null || heartbeat.tasks.length !== other.tasks.length)
     return false;
-  return heartbeat.tasks.every((task, index) => isSameTask(task, other.tasks[index] as TaskStatus));
+  return heartbeat.tasks.every((task, index) => isSameTask(task, other.tasks[index]));
 }
 
 /** What the forwarding of heartbeats needs of its controller. */
--- a/packages/controller/src/heartbeats/worker-routing.ts
+++ b/packages/controller/src/heartbeats/worker-routing.ts
@@ -77,7 +77,7 @@
   /**
    * A worker that is redirected and comes back got no answer there, and its lease runs: it is redirected once, then answered
    * here. Nor are more than a few redirected, as a trial, to a controller that hears no workers: one that had lost them all
-   * was still taken for healthy, and 115 leases ran out on the way to it and back.
+   * was still taken for healthy, and 115 leases ran out on the way to it and back (docs/incidents/hunt-2b89-apart.md).
    */
   private mayRedirectTo(machine: string, to: string, now: Milliseconds): boolean {
     const previous = this.redirects.get(machine);
--- a/packages/controller/src/shards/failure-detector.ts
+++ b/packages/controller/src/shards/failure-detector.ts
@@ -12,7 +12,7 @@
 /** No worker answers for this long, though some that are heard were probed for that: the fault is here. */
 const NO_ANSWER_LIMIT_MS = 2000;
 
-/** Whether any worker answers is in doubt once so many that are heard did not answer, and none has for so long. */
+/** No worker seems to answer once so many that are heard did not, and none has for so long. */
 const MIN_UNANSWERED_MACHINES = 3;
 const NO_ANSWER_SUSPICION_MS = 1500;
 
--- a/packages/controller/src/shards/machine-commands.ts
+++ b/packages/controller/src/shards/machine-commands.ts
@@ -122,7 +122,7 @@
 
 /**
  * Machines that run short tasks of low priority get several commands at once: with a message and its answer for each, the
- * tasks of one large array took all processor time that there was.
+ * tasks of one large array took all processor time that there was (docs/incidents/inc-3aa6-leith-ops.md).
  */
 function canWait(machine: Machine, commands: readonly Command[], starts: readonly Allocation[], now: Milliseconds): boolean {
   if (commands.some((command) => command.type === 'stop') || starts.some((allocation) => allocation.job.priority > 0))
--- a/packages/controller/src/shards/machine-lifecycle.ts
+++ b/packages/controller/src/shards/machine-lifecycle.ts
@@ -21,7 +21,7 @@
 /** Cancelled work may stay for this part of the time within which a cancellation has to be carried out. */
 const OVERDUE_CANCELLATION_FRACTION = 0.5;
 
-/** Work counts as told to stop once the stop is this many heartbeat intervals old, or as old as the cancellation may be. */
+/** Overdue work must have been stopped this many heartbeat intervals ago, or for as long as the cancellation is overdue. */
 const STOP_SENT_INTERVALS = 2;
 
 /** A machine that another controller heard within this time isn't silent. */
@@ -143,7 +143,7 @@
   }
 
   /**
-   * Machines with work whose user cancelled it more than `overdueMs` ago, and that was told to stop: the time counts from when
+   * Machines with work whose user cancelled it more than `overdueMs` ago, and that was stopped: the time counts from when
    * the cancellation was read, not from when a new holder found the work. Goes by jobs: few are cancelled, and many machines
    * have many tasks.
    */
@@ -191,7 +191,8 @@
 /**
  * Whose silence counts: one that was probed since it was last heard, where only answers count. At a first start that outlasts
  * leases a machine's first answer tells its agent epoch alone, and those that were never probed come before it: within 90 s
- * 1,312 of 4,000 machines, all of which sent heartbeats, had been released as silent.
+ * 1,312 of 4,000 machines, all of which sent heartbeats, had been released as silent (docs/incidents/
+ * first-start-of-a-large-fleet.md).
  */
 function isWaitedFor({ tenure, lastProbeAt }: Machine): boolean {
   return tenure.isVerified || (tenure.isProbed && lastProbeAt >= tenure.lastHeartbeatAt);
--- a/packages/controller/src/shards/probe-selection.ts
+++ b/packages/controller/src/shards/probe-selection.ts
@@ -80,7 +80,7 @@
 /**
  * First those that answered so far; then those with cancelled work, or the most urgent work as far as is heard; then those
  * that were not probed for longest. In the order of their names, a hundred machines of a cut zone were probed again and
- * again, and 31 live ones, never probed, were released as silent.
+ * again, and 31 live ones, never probed, were released as silent (docs/incidents/zone-takeover.md).
  */
 function sortForProbing(machines: Machine[], allocations: TaskAllocations): void {
   const priorities = new Map<Machine, number>();
--- a/packages/controller/src/shards/recovery-probes.ts
+++ b/packages/controller/src/shards/recovery-probes.ts
@@ -11,7 +11,7 @@
 /** A round begins this long after the one before, once all of that one's probes have an outcome. */
 const PROBE_ROUND_INTERVAL_MS = 1500;
 
-/** Answers in a row that end the doubt, more than one round gives: a shard that comes back must not leave again at once. */
+/** So many answers in a row, more than one round gives, show it: a shard that comes back must not leave again at once. */
 const ANSWERS_TO_RECOVER = 6;
 
 /** Machines of this controller's own zone are probed if there are so many. */
@@ -83,8 +83,8 @@
     const offset = this.roundCount++;
     const count = Math.min(PROBES_PER_ROUND, machines.length);
     for (let index = 0; index < count; index++) {
-      const position = Math.floor((index * machines.length) / PROBES_PER_ROUND + offset) % machines.length;
-      const machine = machines[position] as Machine;
+      const machine = machines[Math.floor((index * machines.length) / PROBES_PER_ROUND + offset) % machines.length];
+      if (machine === undefined) return;
       const id = this.context.nextEffectId();
       this.pendingProbes.set(id, machine.name);
       this.context.emit({ type: 'probe', id, address: machine.address });
@@ -93,7 +93,8 @@
 
   /**
    * Where others of its round answer, a machine's silence is its own, and it isn't probed again. With a third of all machines
-   * dead the same four were probed for ever, and nobody released the dead ones meanwhile.
+   * dead the same four were probed for ever, and nobody released the dead ones meanwhile (docs/incidents/
+   * a-third-lost-during-a-takeover.md).
    */
   private endRound(): void {
     if (this.round.answered < this.round.silent.length) return;
