--- a/packages/controller/src/heartbeats/heartbeat-forwarding.ts
+++ b/packages/controller/src/heartbeats/heartbeat-forwarding.ts
@@ -28,7 +28,7 @@
   forwardedAt: Milliseconds;
 }
 
-/** Does a task stand as it stood? */
+/** Is what a heartbeat says of the task the same? */
 function isSameTask(task: TaskStatus, other: TaskStatus | undefined): boolean {
   return (
     other !== undefined &&
@@ -39,7 +39,7 @@
   );
 }
 
-/** Does a heartbeat say nothing that the holder was not sent? A preemption notice is sent each time. */
+/** Does a heartbeat say the same as the other of its worker? A preemption notice is sent each time. */
 function isSameHeartbeat(heartbeat: Heartbeat, other: Heartbeat): boolean {
   if (
     heartbeat.agentEpoch !== other.agentEpoch ||
--- a/packages/controller/src/heartbeats/heartbeat-responder.ts
+++ b/packages/controller/src/heartbeats/heartbeat-responder.ts
@@ -30,7 +30,7 @@
   freshSince(now: Milliseconds): Milliseconds;
 }
 
-/** The parts that take what workers say. */
+/** The parts that heartbeats are handed to, or that say how they are answered. */
 export interface HeartbeatCollaborators {
   shardController: ShardController;
   heartbeatReconciler: HeartbeatReconciler;
--- a/packages/controller/src/heartbeats/heartbeat-verdict.ts
+++ b/packages/controller/src/heartbeats/heartbeat-verdict.ts
@@ -10,7 +10,7 @@
 /** A worker numbers its heartbeats, two a second at most, and its answers to probes and commands: together fewer than this. */
 const MAX_MESSAGES_PER_S = 10;
 
-/** It may have sent so many at once beside. */
+/** So many more may have been sent at once. */
 const MAX_MESSAGE_BURST = 200;
 
 /** What is to be done with a heartbeat, or with the status in an answer. */
@@ -19,7 +19,7 @@
   | { readonly kind: 'accepted'; readonly isGapBefore: boolean }
   /** an answer older than what was known when it was asked for: the agent began again, nothing of before is there any more */
   | { readonly kind: 'agentRestarted' }
-  /** no answer came since the shard was taken over: what came before isn't known, so it may be a copy of anything */
+  /** no answer came since the shard was taken over: what the worker sent before isn't known, so it may be a late copy */
   | { readonly kind: 'unverified' }
   /** not newer than what is known: a late copy, or the agent began again */
   | { readonly kind: 'stale' }
@@ -52,7 +52,7 @@
   return isNewer(answer, tenure) ? ACCEPTED : STALE;
 }
 
-/** Has the worker more messages behind it than it can have sent since it was last heard? Nothing heard yet tells nothing. */
+/** Is the sequence higher than the worker can have come to since it was last heard? Not known before its first heartbeat. */
 export function isImplausible(tenure: MachineTenure, sequence: number, now: Milliseconds): boolean {
   const sinceHeardMs = now - tenure.lastHeartbeatAt;
   return tenure.sequence >= 0 && sequence - tenure.sequence > MAX_MESSAGE_BURST + (MAX_MESSAGES_PER_S * sinceHeardMs) / 1000;
--- a/packages/controller/src/shards/command-dispatcher.ts
+++ b/packages/controller/src/shards/command-dispatcher.ts
@@ -56,7 +56,7 @@
     // It was sent in an earlier tenure of the shard.
     if (machine.tenure.pendingCommandId !== id) return;
     machine.tenure.pendingCommandId = null;
-    // That a machine is as it was known to be opens nothing to the scheduler.
+    // A probe that confirms what was known gives the scheduler nothing new to work with.
     if (!isProbe || !machine.tenure.isVerified || machine.tenure.unansweredCommands > 0)
       this.allocations.schedulingRequested = true;
     if (this.allocations.heldShards.has(machine.shard)) this.outcomes.handle(pending, outcome, now);
--- a/packages/controller/src/shards/job-completion-writer.ts
+++ b/packages/controller/src/shards/job-completion-writer.ts
@@ -18,7 +18,7 @@
     private readonly allocations: TaskAllocations,
   ) {}
 
-  /** All tasks of the job are done, and its shard is held here. */
+  /** All tasks of the job have to be done, and its shard to be held here. */
   write(job: Job): void {
     if (job.tenure.completionWriteQueued) return;
     job.tenure.completionWriteQueued = true;
--- a/packages/controller/src/shards/machine-lifecycle.ts
+++ b/packages/controller/src/shards/machine-lifecycle.ts
@@ -30,7 +30,7 @@
 /** A machine whose spot preemption notice is over is given up after so many heartbeat intervals of silence. */
 const SILENT_INTERVALS_AFTER_NOTICE = 1.5;
 
-/** The lease of a worker that is cut off has surely run out so many heartbeat intervals after its length. */
+/** A worker's lease has surely expired once it was not heard for the lease and so many heartbeat intervals. */
 const LEASE_OVERRUN_INTERVALS = 2;
 
 /** A machine is unreachable once it did not answer so many commands in a row. */
@@ -205,7 +205,7 @@
   );
 }
 
-/** May the machine have work that waits for its end to go on elsewhere? A few tasks of an array are not worth a machine. */
+/** May the machine have work that can't go on elsewhere before it is gone? Tasks of an array are not worth a machine. */
 function mayHoldUpWork({ tenure }: Machine): boolean {
   if (tenure.isUnverifiedTakeover) return true;
   for (const { job } of tenure.allocations.values()) if (job.spec.shape !== 'array') return true;
--- a/packages/controller/src/shards/task-checkpoint-writer.ts
+++ b/packages/controller/src/shards/task-checkpoint-writer.ts
@@ -27,8 +27,8 @@
   ) {}
 
   /**
-   * Writes the first part of the job's progress that lacks a completed task, unless one was written a moment ago. The job's
-   * shard is held here. Until a completion is stored, the worker keeps the result.
+   * Writes the first part of the job's progress in which a completed task isn't stored, unless a part was written a moment ago.
+   * The job's shard has to be held here. Until a completion is stored, the worker keeps the result.
    */
   write(job: Job): void {
     const { tenure } = job;
