--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -18,12 +18,9 @@
 import { ControllerParts } from './controller-parts.js';
 import { isReadyForClients, type Leader, ownWritesPerS, type ShardLeases } from './leadership/index.js';
 import type { ControllerSettings, Effect, Milliseconds } from './model/index.js';
-import type { ShardController } from './shards/index.js';
+import type { CommandOutcome, ShardController } from './shards/index.js';
 import type { ClusterState, Replica, StateWriter } from './state/index.js';
 
-/** What became of commands to a worker. */
-type CommandOutcome = Parameters<ShardController['commandDispatcher']['handleOutcome']>[1];
-
 /** What became of a request for machines. */
 type ProvisioningOutcome = Parameters<Autoscaler['handleProvisioningOutcome']>[1];
 
