--- a/packages/controller/src/controller-parts.ts
+++ b/packages/controller/src/controller-parts.ts
@@ -27,7 +27,7 @@
   shiftTimes,
 } from './leadership/index.js';
 import type { ControllerSettings } from './model/index.js';
-import { ProgressWriter, ShardController } from './shards/index.js';
+import { ImageCacheWriter, ProgressWriter, ShardController } from './shards/index.js';
 import { ClusterState, ReadBarriers, Replica, StateWriter, WriteRateLimit } from './state/index.js';
 
 /** The parts of a controller. They are made in the order in which they need one another. */
@@ -77,8 +77,10 @@
     this.clientRequests = new ClientRequests(context);
     const allocations = new TaskAllocations(context);
     const progressWriter = new ProgressWriter(context, allocations);
-    this.heartbeatReconciler = new HeartbeatReconciler(context, allocations, progressWriter);
-    this.shardController = new ShardController(context, { allocations, progressWriter, reconciler: this.heartbeatReconciler });
+    const imageCacheWriter = new ImageCacheWriter(context, allocations);
+    const reconciler = new HeartbeatReconciler(context, allocations, progressWriter, imageCacheWriter);
+    this.heartbeatReconciler = reconciler;
+    this.shardController = new ShardController(context, { allocations, progressWriter, imageCacheWriter, reconciler });
     this.leader = new Leader(context, this.shardController);
     this.shardLeases = new ShardLeases(context);
     this.heartbeatForwarding = new HeartbeatForwarding(context);
