--- a/packages/controller/src/heartbeats/heartbeat-forwarding.ts
+++ b/packages/controller/src/heartbeats/heartbeat-forwarding.ts
@@ -1,40 +1,45 @@
 /**
- * Reports of workers whose machine another controller owns: they are answered here, and the owner is told what
- * they say. A report that differs from the last one is forwarded whole; that nothing changed goes with the status.
+ * Heartbeats of workers whose shard another controller holds: they are answered here, and the holder is sent what they say. A
+ * heartbeat that differs from the one before is forwarded whole; that nothing changed goes with the next status of this
+ * controller. Owns the newest heartbeat of each such worker, and what the holder was sent of it.
  */
 import type { Heartbeat, TaskStatus, UnchangedHeartbeat } from '@archpost/protocol';
 import type { ClusterStateView, EffectSink, PeerDirectory, SettingsView } from '../context/index.js';
-import { type Milliseconds, NEVER } from '../model/index.js';
+import { type Milliseconds, NEVER, NOTHING_HEARD } from '../model/index.js';
+import { isNewer } from './heartbeat-order.js';
 
-/** A machine heard within this time is named in the status. */
-const HEARD_LATELY_MS = 4000;
+/** The status names machines heard within this time. */
+const RECENTLY_HEARD_MS = 4000;
 
-/** An unchanged report is forwarded whole again after so many report intervals. */
+/** An unchanged heartbeat is forwarded whole again after so many heartbeat intervals. */
 const FORWARD_AGAIN_INTERVALS = 5;
 
-/** What was heard is kept for so many leases: late copies of it may come. */
-const KEPT_LEASES = 10;
+/** What was heard is kept for so many worker leases: late copies of it may come. */
+const RETENTION_LEASES = 10;
 
-/** The newest report of a machine, and what its owner was told of it. */
+/** The newest heartbeat of a machine, and what the holder of its shard was sent of it. */
 interface HeardMachine {
   heartbeat: Heartbeat;
   heardAt: Milliseconds;
-  /** who was last sent a report whole; null: nobody */
+  /** the controller that was last sent a heartbeat whole; null: none */
   forwardedTo: string | null;
-  /** number of the report that was sent whole, and when */
+  /** the sequence of the heartbeat that was sent whole */
   forwardedSequence: number;
   forwardedAt: Milliseconds;
 }
 
-function isSameTask(task: TaskStatus, taskStatus: TaskStatus): boolean {
+/** Is what a heartbeat says of the task the same? */
+function isSameTask(task: TaskStatus, other: TaskStatus | undefined): boolean {
   return (
-    task.index === taskStatus.index &&
-    task.attempt === taskStatus.attempt &&
-    task.state === taskStatus.state &&
-    task.job === taskStatus.job
+    other !== undefined &&
+    task.index === other.index &&
+    task.attempt === other.attempt &&
+    task.state === other.state &&
+    task.job === other.job
   );
 }
 
+/** Does a heartbeat say the same as the other of its worker? A preemption notice is sent each time. */
 function isSameHeartbeat(heartbeat: Heartbeat, other: Heartbeat): boolean {
   if (
     heartbeat.agentEpoch !== other.agentEpoch ||
@@ -44,75 +49,87 @@
     return false;
   if (heartbeat.preemptionNoticeS !== null || other.preemptionNoticeS !== null || heartbeat.tasks.length !== other.tasks.length)
     return false;
-  return heartbeat.tasks.every((task, index) => isSameTask(task, other.tasks[index] as TaskStatus));
+  return heartbeat.tasks.every((task, index) => isSameTask(task, other.tasks[index]));
 }
 
-/** What the heartbeat forwarding needs of its controller. */
+/** What the forwarding of heartbeats needs of its controller. */
 type HeartbeatForwardingContext = SettingsView & ClusterStateView & PeerDirectory & EffectSink;
 
+/** Keeps and forwards heartbeats that are answered here for other controllers. */
 export class HeartbeatForwarding {
   private readonly heardMachines = new Map<string, HeardMachine>();
 
   constructor(private readonly context: HeartbeatForwardingContext) {}
 
-  /** A late copy must not make a silent machine seem alive: only what is newer counts. */
+  /**
+   * Takes a heartbeat that is answered here. `holder`: the controller that holds the machine's shard; null: none does. A late
+   * copy must not make a silent machine seem alive: only a newer heartbeat counts.
+   */
   receive(heartbeat: Heartbeat, holder: string | null, now: Milliseconds): void {
-    const old = this.heardMachines.get(heartbeat.machine);
-    if (old && !isNewer(heartbeat, old.heartbeat)) return;
+    const previous = this.heardMachines.get(heartbeat.machine);
+    if (previous && !isNewer(heartbeat, previous.heartbeat)) return;
     const machine: HeardMachine = {
       heartbeat,
       heardAt: now,
-      forwardedTo: old?.forwardedTo ?? null,
-      forwardedSequence: old?.forwardedSequence ?? -1,
-      forwardedAt: old?.forwardedAt ?? NEVER,
+      forwardedTo: previous?.forwardedTo ?? null,
+      forwardedSequence: previous?.forwardedSequence ?? NOTHING_HEARD,
+      forwardedAt: previous?.forwardedAt ?? NEVER,
     };
     this.heardMachines.set(heartbeat.machine, machine);
+    this.forward(machine, previous?.heartbeat ?? null, holder, now);
+  }
+
+  /** Machines heard here recently whose heartbeats go on as they were forwarded, by the controller that holds their shard. */
+  recentByHolder(now: Milliseconds): Map<string, UnchangedHeartbeat[]> {
+    const byHolder = new Map<string, UnchangedHeartbeat[]>();
+    const retentionMs = RETENTION_LEASES * this.context.settings.workers.leaseS * 1000;
+    for (const [name, machine] of this.heardMachines) {
+      if (now - machine.heardAt < RECENTLY_HEARD_MS) this.addUnchanged(byHolder, name, machine);
+      else if (now - machine.heardAt > retentionMs) this.heardMachines.delete(name);
+    }
+    return byHolder;
+  }
+
+  /** This process stood still: workers that it did not hear meanwhile were not silent. */
+  processPaused(pauseMs: Milliseconds): void {
+    for (const machine of this.heardMachines.values()) machine.heardAt += pauseMs;
+  }
+
+  /** `previous`: the heartbeat before; null: there was none. */
+  private forward(machine: HeardMachine, previous: Heartbeat | null, holder: string | null, now: Milliseconds): void {
     if (holder === null || holder === this.context.settings.name || !this.context.isPeerAlive(holder, now)) {
       machine.forwardedTo = null;
       return;
     }
-    const again = FORWARD_AGAIN_INTERVALS * this.context.settings.workers.heartbeatIntervalS * 1000;
-    if (old && machine.forwardedTo === holder && isSameHeartbeat(old.heartbeat, heartbeat) && now - machine.forwardedAt < again)
-      return;
+    const { heartbeat } = machine;
+    const isKnownThere = previous !== null && machine.forwardedTo === holder && isSameHeartbeat(previous, heartbeat);
+    if (isKnownThere && now - machine.forwardedAt < this.forwardAgainMs) return;
     machine.forwardedTo = holder;
     machine.forwardedSequence = heartbeat.sequence;
     machine.forwardedAt = now;
     this.context.emit({ type: 'forwardHeartbeat', to: holder, heartbeat });
   }
 
-  /** The machines heard here lately, by the controller that owns them. */
-  recentByHolder(now: Milliseconds): Map<string, UnchangedHeartbeat[]> {
-    const byOwner = new Map<string, UnchangedHeartbeat[]>();
-    const keptMs = KEPT_LEASES * this.context.settings.workers.leaseS * 1000;
-    for (const [name, machine] of this.heardMachines) {
-      if (now - machine.heardAt < HEARD_LATELY_MS) this.addUnchanged(byOwner, name, machine);
-      else if (now - machine.heardAt > keptMs) this.heardMachines.delete(name);
-    }
-    return byOwner;
+  private get forwardAgainMs(): Milliseconds {
+    return FORWARD_AGAIN_INTERVALS * this.context.settings.workers.heartbeatIntervalS * 1000;
   }
 
   private addUnchanged(
-    byOwner: Map<string, UnchangedHeartbeat[]>,
+    byHolder: Map<string, UnchangedHeartbeat[]>,
     name: string,
-    { heartbeat, forwardedTo, forwardedSequence: forwardedSeq }: HeardMachine,
+    { heartbeat, forwardedTo, forwardedSequence }: HeardMachine,
   ): void {
     const machine = this.context.clusterState.machines.get(name);
     const holder = machine && this.context.clusterState.leaseOf(machine.shard)?.holder.controller;
     if (!holder) return;
-    const list = byOwner.get(holder) ?? [];
-    if (list.length === 0) byOwner.set(holder, list);
-    const whole = forwardedTo === holder ? forwardedSeq : heartbeat.sequence;
-    list.push({ machine: name, agentEpoch: heartbeat.agentEpoch, sequence: heartbeat.sequence, forwardedSequence: whole });
-  }
-
-  /** This process stood still: what was silent meanwhile was not heard because of that. */
-  processPaused(ms: Milliseconds): void {
-    for (const machine of this.heardMachines.values()) machine.heardAt += ms;
+    const list = byHolder.get(holder) ?? [];
+    if (list.length === 0) byHolder.set(holder, list);
+    const forwardedWhole = forwardedTo === holder ? forwardedSequence : heartbeat.sequence;
+    list.push({
+      machine: name,
+      agentEpoch: heartbeat.agentEpoch,
+      sequence: heartbeat.sequence,
+      forwardedSequence: forwardedWhole,
+    });
   }
 }
-
-function isNewer(heartbeat: Heartbeat, than: Heartbeat): boolean {
-  return (
-    heartbeat.agentEpoch > than.agentEpoch || (heartbeat.agentEpoch === than.agentEpoch && heartbeat.sequence > than.sequence)
-  );
-}
--- a/packages/controller/src/state/cluster-state.ts
+++ b/packages/controller/src/state/cluster-state.ts
@@ -143,9 +143,9 @@
     }
   }
 
-  /** This process stood still for so long: absences of controllers count from as much later. */
-  processPaused(ms: Milliseconds): void {
-    this.leases.processPaused(ms);
+  /** This process was paused for `pausedMs`: the absences of controllers are as old as before the pause. */
+  processPaused(pausedMs: Milliseconds): void {
+    this.leases.processPaused(pausedMs);
   }
 
   /** Takes over the cloud's list of machine types. */
--- a/packages/controller/src/state/index.ts
+++ b/packages/controller/src/state/index.ts
@@ -12,18 +12,20 @@
   encodeAcceptedJob,
   encodeCancelledJob,
   encodeDoneJob,
+  parseJobPart,
+  parseJobRecord,
   readJobRecord,
 } from './job-record.js';
 export type { JobsChange } from './job-registry.js';
-export { LEADER_LEASE, StateKey } from './keys.js';
+export { LEADER_LEASE, type LeaseName, StateKey } from './keys.js';
 export { encodeHolder, encodePresence, isPresenceOf } from './lease-record.js';
-export { encodedBytes } from './limits.js';
+export { encodedBytes, stateSizeLimits } from './limits.js';
 export type { MachineChange } from './machine-registry.js';
 export { encodeMachineTypes, encodeMachineTypesParts } from './machine-types-record.js';
-export { type ProgressPart, packBits } from './progress-layout.js';
+export { ProgressLayout, type ProgressPart, packBits } from './progress-layout.js';
 export { ReadBarriers } from './read-barriers.js';
 export { Replica, type ReplicaEntry } from './replica.js';
 export { StateWriter } from './state-writer.js';
 export { encodeStatus, parseStatus } from './status-record.js';
-export { NO_REVISION, type PendingWrite, type WriteOutcome, WritePriority } from './write-queue.js';
+export { NO_REVISION, type PendingWrite, type QueuedWrite, type WriteOutcome, WritePriority, WriteQueue } from './write-queue.js';
 export { WriteRateLimit } from './write-rate-limit.js';
--- a/packages/controller/src/state/keys.ts
+++ b/packages/controller/src/state/keys.ts
@@ -3,11 +3,11 @@
  * described by the `*-record.ts` module of its kind. The key formats are fixed: other versions use the same keys.
  */
 
-/** The leader's lease is named so in its key, and beside the shards' numbers wherever leases are named. */
+/** The name of the leader's lease; it is part of a stored key. */
 export const LEADER_LEASE = 'lead';
 
-/** Names a lease: a shard's number, or the leader's. */
-export type LeaseName = number | typeof LEADER_LEASE;
+/** A lease that controllers compete for: the leader's, or that of the shard with this number. */
+export type LeaseName = typeof LEADER_LEASE | number;
 
 /** Builds the key of each kind of record. */
 export const StateKey = {
--- a/packages/controller/src/state/lease-registry.ts
+++ b/packages/controller/src/state/lease-registry.ts
@@ -33,9 +33,9 @@
     else this.absentSince.set(controller, now);
   }
 
-  /** This process stood still for so long: an absence that it saw counts from as much later. */
-  processPaused(ms: Milliseconds): void {
-    for (const [controller, since] of this.absentSince) this.absentSince.set(controller, since + ms);
+  /** This process was paused for `pausedMs`: the absences that it saw are as old as before the pause. */
+  processPaused(pausedMs: Milliseconds): void {
+    for (const [controller, since] of this.absentSince) this.absentSince.set(controller, since + pausedMs);
   }
 
   /** The lease of a shard or of the leader; null while nobody holds it. */
