--- a/packages/controller/src/state/cluster-state.ts
+++ b/packages/controller/src/state/cluster-state.ts
@@ -15,7 +15,7 @@
 import { LeaseRegistry, type ShardLease } from './lease-registry.js';
 import { type StateSizeLimits, stateSizeLimits } from './limits.js';
 import { type MachineChange, MachineRegistry } from './machine-registry.js';
-import { MachineTypeCatalog } from './machine-type-catalog.js';
+import { MachineTypeRegistry } from './machine-type-registry.js';
 import { ProgressLayout } from './progress-layout.js';
 import type { ReplicaEntry } from './replica.js';
 import { assignTeamsToShards } from './team-sharding.js';
@@ -59,7 +59,7 @@
   /** how jobs ended, by id, also of those that were cancelled with one that they await */
   readonly finishedJobs: ReadonlyMap<string, FinalState>;
   private readonly leases = new LeaseRegistry();
-  private readonly catalog: MachineTypeCatalog;
+  private readonly machineTypeRegistry: MachineTypeRegistry;
   private readonly machineRegistry: MachineRegistry;
   private readonly imageCaches: ImageCaches;
   private readonly gpuDemand: GpuDemandHistory;
@@ -71,11 +71,11 @@
     this.shardOfTeam = assignTeamsToShards(settings);
     this.sizeLimits = stateSizeLimits(settings.state);
     this.progressLayout = new ProgressLayout(settings.state.valueKib, this.sizeLimits.maxWriteBytes);
-    this.catalog = new MachineTypeCatalog(this.typeNames);
+    this.machineTypeRegistry = new MachineTypeRegistry(this.typeNames);
     this.imageCaches = new ImageCaches(this.imageNames, this.sizeLimits.maxWriteBytes);
-    const { typeNames, zoneNames, catalog, imageCaches } = this;
-    this.machineRegistry = new MachineRegistry({ typeNames, zoneNames, catalog, imageCaches });
-    this.gpuDemand = new GpuDemandHistory(this.catalog.types);
+    const { typeNames, zoneNames, machineTypeRegistry, imageCaches } = this;
+    this.machineRegistry = new MachineRegistry({ typeNames, zoneNames, machineTypeRegistry, imageCaches });
+    this.gpuDemand = new GpuDemandHistory(this.machineTypeRegistry.types);
     const jobHost: JobRegistryHost = {
       createJob: (spec) => this.createJob(spec),
       internTypeName: (name) => this.typeNames.intern(name),
@@ -85,7 +85,7 @@
     this.machines = this.machineRegistry.machines;
     this.leaseHolders = this.leases.leaseHolders;
     this.absentSince = this.leases.absentSince;
-    this.machineTypes = this.catalog.types;
+    this.machineTypes = this.machineTypeRegistry.types;
     this.gpuDemandByType = this.gpuDemand.byType;
     this.shardsWithGpuWork = this.gpuDemand.shardsWithGpuWork;
     this.jobs = this.jobRegistry.jobs;
@@ -94,7 +94,7 @@
 
   /** A list of machine types was read, from the cloud or from what is stored. */
   get machineTypesKnown(): boolean {
-    return this.catalog.isKnown;
+    return this.machineTypeRegistry.isKnown;
   }
 
   /** Revision of the newest cancellation that is known. */
@@ -150,13 +150,13 @@
 
   /** Takes over the cloud's list of machine types. */
   setMachineTypes(list: MachineType[]): void {
-    this.catalog.setTypes(list);
+    this.machineTypeRegistry.setTypes(list);
     this.machineRegistry.refreshCapacities();
   }
 
   /** How soon a new machine without accelerators can be up for the job; 0 if no type is known that would do. */
   bootTimeFor(job: Job): Milliseconds {
-    return this.catalog.bootTimeFor(job);
+    return this.machineTypeRegistry.bootTimeFor(job);
   }
 
   /** Replaces the machine's images by those that are stored, least recently used first. */
@@ -211,13 +211,13 @@
 
   private applyMachineTypes(entry: ReplicaEntry | null): AppliedChange {
     if (!entry) return NO_CHANGE;
-    this.catalog.applyStoredList(entry.value);
+    this.machineTypeRegistry.applyStoredList(entry.value);
     this.machineRegistry.refreshCapacities();
     return NO_CHANGE;
   }
 
   private applyMachineTypesPart(name: string, entry: ReplicaEntry | null): AppliedChange {
-    if (entry && this.catalog.applyStoredPart(name, entry.value)) this.machineRegistry.refreshCapacities();
+    if (entry && this.machineTypeRegistry.applyStoredPart(name, entry.value)) this.machineRegistry.refreshCapacities();
     return NO_CHANGE;
   }
 }
--- a/packages/controller/src/state/machine-registry.ts
+++ b/packages/controller/src/state/machine-registry.ts
@@ -5,7 +5,7 @@
 import { Machine, type Milliseconds, type NameInterner, UNASSIGNED_SHARD } from '../model/index.js';
 import { type MachineAssignment, parseAssignment } from './assignment-record.js';
 import type { ImageCaches } from './image-caches.js';
-import type { MachineTypeCatalog } from './machine-type-catalog.js';
+import type { MachineTypeRegistry } from './machine-type-registry.js';
 import type { ReplicaEntry } from './replica.js';
 
 /** A machine's assignment was set or removed. */
@@ -20,7 +20,7 @@
 export interface MachineRegistryParts {
   typeNames: NameInterner;
   zoneNames: NameInterner;
-  catalog: MachineTypeCatalog;
+  machineTypeRegistry: MachineTypeRegistry;
   imageCaches: ImageCaches;
 }
 
@@ -61,10 +61,10 @@
     };
   }
 
-  /** To be called when the catalog has changed. A machine whose type isn't in it keeps the capacity that it has. */
+  /** To be called when the machine types have changed. A machine whose type isn't known keeps the capacity that it has. */
   refreshCapacities(): void {
     for (const machine of this.machines.values()) {
-      machine.capacity = this.parts.catalog.types[machine.typeIndex] ?? machine.capacity;
+      machine.capacity = this.parts.machineTypeRegistry.types[machine.typeIndex] ?? machine.capacity;
       machine.allocationsChanged();
     }
   }
@@ -72,7 +72,7 @@
   private create(name: string, assignment: MachineAssignment, now: Milliseconds): Machine {
     const typeIndex = this.parts.typeNames.intern(assignment.type);
     const zoneIndex = this.parts.zoneNames.intern(assignment.zone);
-    const capacity = this.parts.catalog.types[typeIndex] ?? null;
+    const capacity = this.parts.machineTypeRegistry.types[typeIndex] ?? null;
     const machine = new Machine(name, assignment.address, typeIndex, zoneIndex, assignment.spot, capacity);
     machine.tenure.lastHeartbeatAt = now;
     machine.idleSince = now;
--- a/packages/controller/src/state/machine-type-catalog.ts
+++ b/packages/controller/src/state/machine-type-registry.ts
@@ -7,7 +7,7 @@
 import { type MachineTypesPart, parseMachineTypesPart, parseMachineTypesRecord } from './machine-types-record.js';
 
 /** The known machine types, by the dense indices of their names. */
-export class MachineTypeCatalog {
+export class MachineTypeRegistry {
   /** null or absent: a type that is known by its name alone */
   readonly types: (MachineType | null)[] = [];
   /** a list with at least one type was read */
