--- a/packages/controller/src/model/job.ts
+++ b/packages/controller/src/model/job.ts
@@ -13,17 +13,19 @@
 /** Stands for a task's index where there is no task. */
 export const NO_TASK = -1;
 
+/**
+ * How far an allocation is. `planned`: resources are reserved, nothing was sent. `sent`: the start was sent and may have been
+ * executed. `there`: the machine reports the task. `exited`: the task has ended, and the machine is to be told to forget it.
+ */
+export type AllocationPhase = 'planned' | 'sent' | 'there' | 'exited';
+
 /** One task on one machine, from the scheduling decision until the machine has forgotten the task. */
 export interface Allocation {
   job: Job;
   taskIndex: number;
   attempt: number;
   machine: Machine;
-  /**
-   * `planned`: resources are reserved, nothing was sent. `sent`: the start was sent and may have been executed. `there`: the
-   * machine reports the task. `exited`: the task has ended, and the machine is to be told to forget it.
-   */
-  phase: 'planned' | 'sent' | 'there' | 'exited';
+  phase: AllocationPhase;
   /** as the machine reported it last; null: not reported yet */
   status: TaskStatus | null;
   plannedAt: Milliseconds;
