--- a/packages/controller/src/model/machine.ts
+++ b/packages/controller/src/model/machine.ts
@@ -90,6 +90,19 @@
     public lastHeartbeatAt: Milliseconds,
     public isUnverifiedTakeover: boolean,
   ) {}
+
+  /** What runs on the machine is known: it has answered under our fencing token, or the cloud says that nothing runs any more. */
+  recordVerified(): void {
+    this.isVerified = true;
+    this.isUnverifiedTakeover = false;
+  }
+
+  /** The fencing token has risen: no earlier command can be executed any more, and the machine is to be probed under the new one. */
+  recordTokenRaised(): void {
+    this.hasUncertainCommand = false;
+    this.isVerified = false;
+    this.isProbed = false;
+  }
 }
 
 /** A machine: what is stored of it, and what this controller knows and intends. */
--- a/packages/controller/src/shards/assignment-updates.ts
+++ b/packages/controller/src/shards/assignment-updates.ts
@@ -63,9 +63,7 @@
         machine.assignmentWriteQueued = false;
         machine.tenure.isRaisingToken = false;
         if (outcome !== 'ok') return;
-        machine.tenure.hasUncertainCommand = false;
-        machine.tenure.isVerified = false;
-        machine.tenure.isProbed = false;
+        machine.tenure.recordTokenRaised();
       },
     });
   }
--- a/packages/controller/src/shards/command-outcomes.ts
+++ b/packages/controller/src/shards/command-outcomes.ts
@@ -74,8 +74,7 @@
 
   /** Under the new token no older start can be carried out any more: a task that the status lacks isn't there. */
   private recordVerified(machine: Machine): void {
-    machine.tenure.isVerified = true;
-    machine.tenure.isUnverifiedTakeover = false;
+    machine.tenure.recordVerified();
     for (const allocation of [...machine.tenure.allocations.values()])
       if (allocation.phase === 'sent') this.allocations.free(allocation);
   }
--- a/packages/controller/src/shards/machine-releases.ts
+++ b/packages/controller/src/shards/machine-releases.ts
@@ -72,8 +72,7 @@
   /** Its tasks run nowhere now and can be placed anew. */
   private recordReleased(machine: Machine): void {
     machine.tenure.isReleasing = true;
-    machine.tenure.isVerified = true;
-    machine.tenure.isUnverifiedTakeover = false;
+    machine.tenure.recordVerified();
     for (const allocation of [...machine.tenure.allocations.values()]) this.allocations.free(allocation);
     this.assignmentUpdates.removeAssignment(machine);
   }
