--- a/packages/controller/src/state/limits.ts
+++ b/packages/controller/src/state/limits.ts
@@ -7,6 +7,7 @@
 /** Bytes of a value left to how the service counts: it may add a field or two around what we send. */
 const VALUE_SPARE_BYTES = 64;
 
+/** Limits of sizes are given in KiB. */
 export const BYTES_PER_KIB = 1024;
 
 /** Size of a write as the service counts it: the key and the value in JSON. `value`: undefined for a removal. */
--- a/packages/controller/src/state/state-writer.ts
+++ b/packages/controller/src/state/state-writer.ts
@@ -32,7 +32,7 @@
 
 /** What the writer needs of its controller. */
 export interface StateWriterHost {
-  /** takes over what was written, before the watch tells of it */
+  /** takes over what was written, before the watch reports it */
   readonly replica: Replica;
   emit(effect: Effect): void;
   /** our lease at the state service; null: we have none */
@@ -202,7 +202,7 @@
 
   // ---- outcomes
 
-  /** The replica has all writes before the first of their owners is told. */
+  /** The replica holds all writes before the first `onOutcome` is called. */
   private handleSuccess(writes: readonly QueuedWrite[], revision: number): void {
     for (const write of writes) {
       if (write.sentValue === undefined) this.host.replica.remove(write.key, revision);
