--- a/packages/http-api/src/connections.ts
+++ b/packages/http-api/src/connections.ts
@@ -5,44 +5,44 @@
 import type net from 'node:net';
 
 /** Who is answered. */
-export type Client = 'user' | 'worker';
+export type ClientKind = 'user' | 'worker';
 
 /** Beyond this part of the limit a connection of such a client is closed once it is answered. */
-const KEPT_SHARE: Readonly<Record<Client, number>> = { user: 0.9, worker: 0.95 };
+const KEEP_ALIVE_FRACTION: Readonly<Record<ClientKind, number>> = { user: 0.9, worker: 0.95 };
 
-export class Connections {
-  private open = 0;
-  private dropped = 0;
+export class ConnectionLimiter {
+  private openConnections = 0;
+  private rejectedConnections = 0;
 
   constructor(private readonly limit: number) {}
 
   /** Beyond the limit new connections are closed at once: what this process opens itself needs the other sockets. */
-  watch(server: net.Server): void {
+  attach(server: net.Server): void {
     if (Number.isFinite(this.limit)) server.maxConnections = this.limit;
     server.on('drop', () => {
-      this.dropped++;
+      this.rejectedConnections++;
     });
     server.on('connection', (socket: net.Socket) => {
-      this.open++;
+      this.openConnections++;
       socket.once('close', () => {
-        this.open--;
+        this.openConnections--;
       });
     });
   }
 
   /** How many are open. */
-  get count(): number {
-    return this.open;
+  get openCount(): number {
+    return this.openConnections;
   }
 
   /** How many were refused since this was last asked. */
-  takeDropped(): number {
-    const { dropped } = this;
-    this.dropped = 0;
-    return dropped;
+  takeRejectedCount(): number {
+    const { rejectedConnections } = this;
+    this.rejectedConnections = 0;
+    return rejectedConnections;
   }
 
-  mayStay(client: Client): boolean {
-    return this.open <= this.limit * KEPT_SHARE[client];
+  mayKeepAlive(client: ClientKind): boolean {
+    return this.openConnections <= this.limit * KEEP_ALIVE_FRACTION[client];
   }
 }
--- a/packages/http-api/src/front.ts
+++ b/packages/http-api/src/front.ts
@@ -4,63 +4,63 @@
  */
 import http from 'node:http';
 import net from 'node:net';
-import { IDLE_MS, MUTE_MS, ReportConnection, startsReport } from './report-connection.js';
+import { HeartbeatConnection, IDLE_TIMEOUT_MS, REQUEST_TIMEOUT_MS, startsHeartbeat } from './report-connection.js';
 
-export interface FrontOptions {
+export interface HttpListenerOptions {
   /** a report is there; null: its body is too large */
-  report(connection: ReportConnection, body: Buffer | null): void;
+  onHeartbeat(connection: HeartbeatConnection, body: Buffer | null): void;
   /** anything else */
-  request(request: http.IncomingMessage, response: http.ServerResponse): void;
+  onOtherRequest(request: http.IncomingMessage, response: http.ServerResponse): void;
 }
 
-export class Front {
+export class HttpListener {
   /** every connection comes here first */
   readonly server: net.Server;
-  private readonly others: http.Server;
-  private readonly open = new Set<net.Socket>();
+  private readonly httpServer: http.Server;
+  private readonly openSockets = new Set<net.Socket>();
 
   /** `muteMs`: a connection that says nothing, or whose request is not whole, after so long is closed */
   constructor(
-    private readonly options: FrontOptions,
-    private readonly muteMs = MUTE_MS,
+    private readonly options: HttpListenerOptions,
+    private readonly requestTimeoutMs = REQUEST_TIMEOUT_MS,
   ) {
-    this.others = http.createServer({ connectionsCheckingInterval: muteMs / 2 }, options.request);
-    this.others.keepAliveTimeout = IDLE_MS;
-    this.others.requestTimeout = muteMs;
-    this.others.headersTimeout = muteMs;
-    this.others.timeout = IDLE_MS;
+    this.httpServer = http.createServer({ connectionsCheckingInterval: requestTimeoutMs / 2 }, options.onOtherRequest);
+    this.httpServer.keepAliveTimeout = IDLE_TIMEOUT_MS;
+    this.httpServer.requestTimeout = requestTimeoutMs;
+    this.httpServer.headersTimeout = requestTimeoutMs;
+    this.httpServer.timeout = IDLE_TIMEOUT_MS;
     // It never listens itself; Node begins to look for requests that are not whole with this event.
-    this.others.emit('listening');
+    this.httpServer.emit('listening');
     this.server = net.createServer({ noDelay: true }, (socket) => this.accept(socket));
   }
 
   private accept(socket: net.Socket): void {
-    this.open.add(socket);
-    socket.once('close', () => this.open.delete(socket));
+    this.openSockets.add(socket);
+    socket.once('close', () => this.openSockets.delete(socket));
     const destroy = () => socket.destroy();
     socket.on('error', destroy);
-    socket.setTimeout(this.muteMs, destroy);
+    socket.setTimeout(this.requestTimeoutMs, destroy);
     socket.once('data', (chunk: Buffer) => {
       socket.off('error', destroy);
       socket.off('timeout', destroy);
-      if (startsReport(chunk)) this.keep(socket, chunk);
-      else this.handOver(socket, chunk);
+      if (startsHeartbeat(chunk)) this.attachHeartbeatConnection(socket, chunk);
+      else this.handOverToHttpServer(socket, chunk);
     });
   }
 
-  private keep(socket: net.Socket, chunk: Buffer): void {
-    const connection = new ReportConnection(socket, {
-      report: (on, body) => this.options.report(on, body),
-      handOver: (of, first) => this.handOver(of, first),
+  private attachHeartbeatConnection(socket: net.Socket, chunk: Buffer): void {
+    const connection = new HeartbeatConnection(socket, {
+      onHeartbeat: (on, body) => this.options.onHeartbeat(on, body),
+      onOtherRequest: (of, first) => this.handOverToHttpServer(of, first),
     });
-    connection.take(chunk);
+    connection.receive(chunk);
   }
 
-  private handOver(socket: net.Socket, chunk: Buffer): void {
+  private handOverToHttpServer(socket: net.Socket, chunk: Buffer): void {
     socket.pause();
     socket.setTimeout(0);
     socket.unshift(chunk);
-    this.others.emit('connection', socket);
+    this.httpServer.emit('connection', socket);
     // Its parser reads what was put back before anything new.
     process.nextTick(() => socket.resume());
   }
@@ -68,7 +68,7 @@
   /** Listens no more, and ends every connection. */
   close(): void {
     this.server.close();
-    this.others.close();
-    for (const socket of this.open) socket.destroy();
+    this.httpServer.close();
+    for (const socket of this.openSockets) socket.destroy();
   }
 }
--- a/packages/http-api/src/responder.ts
+++ b/packages/http-api/src/responder.ts
@@ -2,19 +2,19 @@
 import http from 'node:http';
 
 /** What is answered. The body is MessagePack. */
-export interface Answer {
+export interface HttpResponse {
   status: number;
   body: Buffer;
   retryAfterS: number | undefined;
   /** the connection is closed once this is sent */
-  isLast: boolean;
+  closeConnection: boolean;
 }
 
 export interface Responder {
   /** Sends the answer; nothing happens if the other side is gone. */
-  send(answer: Answer): void;
+  send(answer: HttpResponse): void;
   /** Calls back when nobody waits for the answer any more. */
-  whenGone(gone: () => void): void;
+  onDisconnect(gone: () => void): void;
 }
 
 export const CONTENT_TYPE = 'application/msgpack';
@@ -23,26 +23,26 @@
 export class HttpResponder implements Responder {
   constructor(private readonly response: http.ServerResponse) {}
 
-  send({ status, body, retryAfterS, isLast }: Answer): void {
+  send({ status, body, retryAfterS, closeConnection }: HttpResponse): void {
     const { response } = this;
     if (response.headersSent || response.destroyed) return;
     response.statusCode = status;
     response.setHeader('content-type', CONTENT_TYPE);
     response.setHeader('content-length', body.length);
-    if (isLast) response.setHeader('connection', 'close');
+    if (closeConnection) response.setHeader('connection', 'close');
     if (retryAfterS !== undefined) response.setHeader('retry-after', String(retryAfterS));
     response.end(body);
   }
 
-  whenGone(gone: () => void): void {
+  onDisconnect(gone: () => void): void {
     this.response.once('close', gone);
   }
 }
 
 /** Head and body in one piece, so that it leaves by one call. */
-export function encodeAnswer({ status, body, retryAfterS, isLast }: Answer): Buffer {
+export function encodeResponse({ status, body, retryAfterS, closeConnection }: HttpResponse): Buffer {
   const retryAfter = retryAfterS === undefined ? '' : `retry-after: ${retryAfterS}\r\n`;
-  const connection = isLast ? 'connection: close\r\n' : '';
+  const connection = closeConnection ? 'connection: close\r\n' : '';
   const head =
     `HTTP/1.1 ${status} ${http.STATUS_CODES[status] ?? ''}\r\ncontent-type: ${CONTENT_TYPE}\r\n` +
     `content-length: ${body.length}\r\n${retryAfter}${connection}\r\n`;
--- a/packages/http-api/src/shedding.ts
+++ b/packages/http-api/src/shedding.ts
@@ -1,40 +1,40 @@
 /** Timers this late: a job that was answered here a moment ago is asked to wait. */
-const BUSY_MS = 150;
+const BUSY_DELAY_MS = 150;
 
 /** Timers this late: workers' reports wait too, and only who has gone without an answer for long is served. */
-const BEHIND_MS = 500;
+const OVERLOAD_DELAY_MS = 500;
 
 /** A job answered here within this time can wait; users ask every 5 s. */
-const LATELY_MS = 4000;
+const RECENTLY_ANSWERED_MS = 4000;
 
 /**
  * Who has gone without an answer for longer is served though much else waits: a job about which
  * nothing is answered for 75 s counts as forgotten, and there may be other controllers like this.
  */
-const LONG_MS = 20_000;
+const STARVED_MS = 20_000;
 
 /** So many of these a second, at the most, while workers' reports wait. */
-const LONG_PER_S = 8;
+const STARVED_QUERIES_PER_S = 8;
 
 /** So many a second, and as many at once. */
-class Allowance {
-  private left: number;
-  private at = 0;
+class TokenBucket {
+  private tokens: number;
+  private refilledAt = 0;
 
   constructor(
     private readonly perS: number,
     private readonly clock: () => number,
   ) {
-    this.left = perS;
+    this.tokens = perS;
   }
 
   take(): boolean {
     const now = this.clock();
     const limit = this.perS > 0 ? Math.max(1, this.perS) : 0;
-    this.left = Math.min(limit, this.left + ((now - this.at) / 1000) * this.perS);
-    this.at = now;
-    if (this.left < 1) return false;
-    this.left--;
+    this.tokens = Math.min(limit, this.tokens + ((now - this.refilledAt) / 1000) * this.perS);
+    this.refilledAt = now;
+    if (this.tokens < 1) return false;
+    this.tokens--;
     return true;
   }
 }
@@ -45,68 +45,69 @@
  * cancellations are refused only when workers' reports themselves wait, but for a few a second:
  * each that is refused comes again, and costs nearly as much then.
  */
-export class Shedding {
+export class LoadShedder {
   /** how late timers fire, the worst of late */
-  private lateMs = 0;
-  private readonly answered = new Map<string, number>();
+  private timerDelayMs = 0;
+  private readonly answeredAt = new Map<string, number>();
   private sweptAt = 0;
-  private readonly longUnanswered: Allowance;
-  private readonly requests: Allowance;
-  private refusedQuestions = 0;
-  private refusedRequests = 0;
+  private readonly starvedQueryBucket: TokenBucket;
+  private readonly mutationBucket: TokenBucket;
+  private rejectedStatusQueries = 0;
+  private rejectedMutations = 0;
 
-  /** `requestsPerS`: submissions and cancellations that are taken though reports wait */
+  /** `mutationsPerS`: submissions and cancellations that are taken though reports wait */
   constructor(
     private readonly clock: () => number,
-    requestsPerS = 0,
+    mutationsPerS = 0,
   ) {
-    this.longUnanswered = new Allowance(LONG_PER_S, clock);
-    this.requests = new Allowance(requestsPerS, clock);
+    this.starvedQueryBucket = new TokenBucket(STARVED_QUERIES_PER_S, clock);
+    this.mutationBucket = new TokenBucket(mutationsPerS, clock);
   }
 
   /** A timer fired so much later than it was asked for. */
-  late(ms: number): void {
-    this.lateMs = Math.max(ms, this.lateMs / 2);
+  recordTimerDelay(ms: number): void {
+    this.timerDelayMs = Math.max(ms, this.timerDelayMs / 2);
   }
 
-  get behind(): boolean {
-    return this.lateMs > BEHIND_MS;
+  get isOverloaded(): boolean {
+    return this.timerDelayMs > OVERLOAD_DELAY_MS;
   }
 
-  request(): boolean {
-    if (!this.behind || this.requests.take()) return true;
-    this.refusedRequests++;
+  admitMutation(): boolean {
+    if (!this.isOverloaded || this.mutationBucket.take()) return true;
+    this.rejectedMutations++;
     return false;
   }
 
-  question(job: string): boolean {
+  admitStatusQuery(job: string): boolean {
     const now = this.clock();
-    if (now - this.sweptAt > LONG_MS) this.sweep(now);
-    if (this.lateMs <= BUSY_MS || this.mayStill(now - (this.answered.get(job) ?? Number.NEGATIVE_INFINITY))) return true;
-    this.refusedQuestions++;
+    if (now - this.sweptAt > STARVED_MS) this.forgetStaleAnswers(now);
+    if (this.timerDelayMs <= BUSY_DELAY_MS || this.isDueForAnswer(now - (this.answeredAt.get(job) ?? Number.NEGATIVE_INFINITY)))
+      return true;
+    this.rejectedStatusQueries++;
     return false;
   }
 
-  private mayStill(sinceMs: number): boolean {
-    if (!this.behind) return sinceMs > LATELY_MS;
-    return sinceMs >= LONG_MS && this.longUnanswered.take();
+  private isDueForAnswer(sinceMs: number): boolean {
+    if (!this.isOverloaded) return sinceMs > RECENTLY_ANSWERED_MS;
+    return sinceMs >= STARVED_MS && this.starvedQueryBucket.take();
   }
 
   /** The question about this job is being answered. */
-  told(job: string): void {
-    this.answered.set(job, this.clock());
+  recordAnswered(job: string): void {
+    this.answeredAt.set(job, this.clock());
   }
 
-  private sweep(now: number): void {
+  private forgetStaleAnswers(now: number): void {
     this.sweptAt = now;
-    for (const [job, at] of this.answered) if (now - at > LONG_MS) this.answered.delete(job);
+    for (const [job, at] of this.answeredAt) if (now - at > STARVED_MS) this.answeredAt.delete(job);
   }
 
   /** What was refused since this was last asked. */
-  refused(): { questions: number; requests: number } {
-    const refused = { questions: this.refusedQuestions, requests: this.refusedRequests };
-    this.refusedQuestions = 0;
-    this.refusedRequests = 0;
-    return refused;
+  takeRejectedCounts(): { statusQueries: number; mutations: number } {
+    const rejected = { statusQueries: this.rejectedStatusQueries, mutations: this.rejectedMutations };
+    this.rejectedStatusQueries = 0;
+    this.rejectedMutations = 0;
+    return rejected;
   }
 }
--- a/packages/server/src/service.ts
+++ b/packages/server/src/service.ts
@@ -1,7 +1,7 @@
 import { randomUUID } from 'node:crypto';
 import { Cloud } from '@archpost/cloud-client';
 import { Controller, type Effect } from '@archpost/controller';
-import { Api, Connections, type Request, Shedding } from '@archpost/http-api';
+import { type ApiRequest, ConnectionLimiter, HttpApi, LoadShedder } from '@archpost/http-api';
 import { splitAddr, steady } from '@archpost/http-client';
 import { Peers } from '@archpost/peer-transport';
 import { StateStore } from '@archpost/state-client';
@@ -30,9 +30,9 @@
   private readonly cloud: Cloud;
   private readonly workers: Workers;
   private readonly peers: Peers;
-  private readonly api: Api;
+  private readonly api: HttpApi;
   private readonly inbox: Inbox;
-  private readonly shedding: Shedding;
+  private readonly loadShedder: LoadShedder;
 
   constructor(
     private readonly settings: Settings,
@@ -40,7 +40,7 @@
   ) {
     const controllerSettings = settings.core;
     const controllerCount = controllerSettings.controllers.length;
-    this.shedding = new Shedding(steady, REQUESTS_PER_S_OF_CORE * controllerSettings.cpuShare);
+    this.loadShedder = new LoadShedder(steady, REQUESTS_PER_S_OF_CORE * controllerSettings.cpuShare);
     this.core = new Controller(controllerSettings, randomUUID().slice(0, 8));
     this.inbox = new Inbox({
       clock: steady,
@@ -71,12 +71,12 @@
     // the longest unused are closed, must leave room for that, and for users.
     this.workers = new Workers(commandSockets(settings));
     this.peers = new Peers(settings.others);
-    this.api = new Api(
+    this.api = new HttpApi(
       (request) => this.request(request),
       () => this.core.isReady,
-      this.shedding,
+      this.loadShedder,
       (from) => this.log.warn({ from }, 'a report can not be read'),
-      new Connections(inboundSockets(settings)),
+      new ConnectionLimiter(inboundSockets(settings)),
     );
   }
 
@@ -111,9 +111,10 @@
     this.tickIn(TICK_MS);
     // What each controller refused, and what its processor time and memory go to, is worth seeing at any size.
     interval(10_000).subscribe(() => {
-      const refused = this.shedding.refused();
-      if (refused.questions + refused.requests > 0) this.log.info(refused, 'users refused');
-      const connections = this.api.connections.takeDropped();
+      const rejected = this.loadShedder.takeRejectedCounts();
+      if (rejected.statusQueries + rejected.mutations > 0)
+        this.log.info({ questions: rejected.statusQueries, requests: rejected.mutations }, 'users refused');
+      const connections = this.api.connections.takeRejectedCount();
       if (connections > 0) this.log.warn({ connections }, 'connections refused');
       const cpu = process.cpuUsage();
       const { rss, heapUsed } = process.memoryUsage();
@@ -131,7 +132,7 @@
     const { core, inbox } = this;
     const due = steady() + delayMs;
     timer(delayMs).subscribe(() => {
-      this.shedding.late(Math.max(steady() - due, inbox.waitedMs));
+      this.loadShedder.recordTimerDelay(Math.max(steady() - due, inbox.waitedMs));
       inbox.decision(() => {
         const startedAt = steady();
         try {
@@ -144,14 +145,14 @@
     });
   }
 
-  private request(request: Request): void {
+  private request(request: ApiRequest): void {
     const { core, inbox } = this;
-    if (request.kind === 'report') {
-      inbox.report(() => core.receiveHeartbeat(request.id, request.report, steady()));
+    if (request.kind === 'heartbeat') {
+      inbox.report(() => core.receiveHeartbeat(request.id, request.heartbeat, steady()));
       return;
     }
-    const refuse = () => this.api.answer(request.id, 503, { error: 'overloaded' }, 1);
-    if (request.kind === 'poll') {
+    const refuse = () => this.api.respond(request.id, 503, { error: 'overloaded' }, 1);
+    if (request.kind === 'statusQuery') {
       inbox.question(() => core.queryJobStatus(request.id, request.job, steady()), refuse);
       return;
     }
@@ -188,7 +189,7 @@
     const back = (run: () => void) => inbox.decision(run);
     switch (effect.type) {
       case 'respond':
-        this.api.answer(effect.id, effect.status, effect.body, effect.retryAfterS);
+        this.api.respond(effect.id, effect.status, effect.body, effect.retryAfterS);
         break;
       case 'readBarrier':
         this.store.barrier(effect.urgent);
--- a/test/edges.test.ts
+++ b/test/edges.test.ts
@@ -4,9 +4,9 @@
 import { join } from 'node:path';
 import { test } from 'node:test';
 import { type FreeResources, Job, Machine, placeGang, Replica, StateWriter, WritePriority } from '@archpost/controller';
-import { Api } from '@archpost/http-api';
+import { HttpApi } from '@archpost/http-api';
 import { decodePeerMessage, encodePeerMessage, PATHS, pack, parseChanges, parseSubmission } from '@archpost/protocol';
-import { Shedding } from '../packages/http-api/src/shedding.js';
+import { LoadShedder } from '../packages/http-api/src/shedding.js';
 import { Inbox, SLICE_MS } from '../packages/server/src/inbox.js';
 import { loadSettings, SettingsError } from '../packages/server/src/settings.js';
 import { job, TYPES } from './stand-ins.js';
@@ -336,24 +336,24 @@
 
 test('while reports wait a few submissions a second are taken all the same, the others refused', () => {
   let now = 0;
-  const shedding = new Shedding(() => now, 2);
-  shedding.late(2000);
-  const tries = () => Array.from({ length: 4 }, () => shedding.request());
+  const shedding = new LoadShedder(() => now, 2);
+  shedding.recordTimerDelay(2000);
+  const tries = () => Array.from({ length: 4 }, () => shedding.admitMutation());
   assert.deepEqual(tries(), [true, true, false, false]);
   now = 500;
   assert.deepEqual(tries(), [true, false, false, false]);
   now = 60_000;
   assert.deepEqual(tries(), [true, true, false, false], 'no more at once after a long time');
-  assert.deepEqual(shedding.refused(), { questions: 0, requests: 7 });
+  assert.deepEqual(shedding.takeRejectedCounts(), { statusQueries: 0, mutations: 7 });
 });
 
 test('at the door: reports pass by, users are refused at once when more is asked than can be done', async () => {
-  const shedding = new Shedding(() => 0);
+  const shedding = new LoadShedder(() => 0);
   const seen: string[] = [];
-  const api: Api = new Api(
+  const api: HttpApi = new HttpApi(
     (request) => {
       seen.push(request.kind);
-      api.answer(request.id, 200, {});
+      api.respond(request.id, 200, {});
     },
     () => true,
     shedding,
@@ -381,12 +381,12 @@
     assert.equal((await call(PATHS.report, new Uint8Array(64 * 1024 + 1))).status, 400, 'over 64 KiB');
     assert.equal((await call(PATHS.jobs, new Uint8Array(64 * 1024 + 1))).status, 400, 'over 64 KiB');
     assert.equal((await call(`${PATHS.jobs}/run-000001`)).status, 200);
-    shedding.late(2000);
+    shedding.recordTimerDelay(2000);
     assert.deepEqual(await call(`${PATHS.jobs}/run-000001`), { status: 503, retry: '1' });
     assert.deepEqual(await call(PATHS.jobs, pack({})), { status: 503, retry: '1' });
     assert.equal((await call(PATHS.report, report)).status, 200, 'reports are taken all the same');
     assert.equal((await call(PATHS.up)).status, 200);
-    assert.deepEqual(seen, ['report', 'poll', 'report']);
+    assert.deepEqual(seen, ['heartbeat', 'statusQuery', 'heartbeat']);
   } finally {
     api.close();
   }
--- a/test/malformed-input.test.ts
+++ b/test/malformed-input.test.ts
@@ -9,7 +9,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { type TestContext, test } from 'node:test';
-import { Api, type Request, Shedding } from '@archpost/http-api';
+import { type ApiRequest, HttpApi, LoadShedder } from '@archpost/http-api';
 import { encodeFrame, FrameReader } from '@archpost/peer-transport';
 import {
   decodePeerMessage,
@@ -41,13 +41,13 @@
 const ANSWER_WITHIN_S = 10;
 
 /** Hands a request to a controller of a simulated cluster and lets time pass there until it is answered. */
-function handOver(cluster: Cluster, request: Request, isAnswered: () => boolean): void {
+function handOver(cluster: Cluster, request: ApiRequest, isAnswered: () => boolean): void {
   const { core } = cluster.node('n0');
   const id = FIRST_REQUEST_ID + request.id;
   const { now } = cluster;
-  if (request.kind === 'report') core.receiveHeartbeat(id, request.report, now);
+  if (request.kind === 'heartbeat') core.receiveHeartbeat(id, request.heartbeat, now);
   else if (request.kind === 'submit') core.submitJob(id, request.body, now, now);
-  else if (request.kind === 'poll') core.queryJobStatus(id, request.job, now);
+  else if (request.kind === 'statusQuery') core.queryJobStatus(id, request.job, now);
   else core.cancelJob(id, request.job, now);
   cluster.node('n0').run();
   cluster.until(`an answer to ${request.kind}`, isAnswered, ANSWER_WITHIN_S);
@@ -59,17 +59,17 @@
   const { core } = cluster.node('n0');
   const takeEffects = core.takeEffects.bind(core);
   const answered = new Set<number>();
-  const api: Api = new Api(
+  const api: HttpApi = new HttpApi(
     (request) => handOver(cluster, request, () => answered.has(request.id)),
     () => true,
-    new Shedding(() => 0),
+    new LoadShedder(() => 0),
   );
   core.takeEffects = () => {
     const effects = takeEffects();
     for (const effect of effects) {
       if (effect.type !== 'respond' || effect.id < FIRST_REQUEST_ID) continue;
       answered.add(effect.id - FIRST_REQUEST_ID);
-      api.answer(effect.id - FIRST_REQUEST_ID, effect.status, effect.body, effect.retryAfterS);
+      api.respond(effect.id - FIRST_REQUEST_ID, effect.status, effect.body, effect.retryAfterS);
     }
     return effects;
   };
--- a/test/ops.test.ts
+++ b/test/ops.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import type { ControllerSettings } from '@archpost/controller';
 import { BootTimeEstimator } from '../packages/controller/src/capacity/boot-time-estimator.js';
-import { Shedding } from '../packages/http-api/src/shedding.js';
+import { LoadShedder } from '../packages/http-api/src/shedding.js';
 import { Cluster, holderOf, job, kept, shareOf, smallCluster } from './stand-ins.js';
 
 const dead = (cluster: Cluster) => cluster.workers.filter((w) => w.dead).map((w) => w.name);
@@ -304,23 +304,23 @@
 
 test('what is refused in a storm is fair: no job goes unanswered for long, and no submission pays for it', () => {
   let now = 0;
-  const door = new Shedding(() => now);
+  const door = new LoadShedder(() => now);
   const last = new Map<string, number>();
   let asked = 0;
   let answered = 0;
   let longest = 0;
   for (now = 0; now < 120_000; now += 10) {
     // Timers are somewhat late all the while, and far too late for a while.
-    if (now % 100 === 0) door.late(now > 40_000 && now < 60_000 ? 900 : 250);
+    if (now % 100 === 0) door.recordTimerDelay(now > 40_000 && now < 60_000 ? 900 : 250);
     const id = `run-${(now / 10) % 100}`;
     asked++;
-    if (door.question(id)) {
+    if (door.admitStatusQuery(id)) {
       answered++;
-      door.told(id);
+      door.recordAnswered(id);
       longest = Math.max(longest, now - (last.get(id) ?? 0));
       last.set(id, now);
     }
-    if (now < 40_000) assert.ok(door.request());
+    if (now < 40_000) assert.ok(door.admitMutation());
   }
   assert.ok(answered < asked / 3, `${answered} of ${asked} answered`);
   assert.equal(last.size, 100);
--- a/test/report-connections.test.ts
+++ b/test/report-connections.test.ts
@@ -1,10 +1,10 @@
-// Connections of workers, which come by no HTTP server: whatever a client does on one, it is answered as by any server.
+// ConnectionLimiter of workers, which come by no HTTP server: whatever a client does on one, it is answered as by any server.
 import assert from 'node:assert/strict';
 import net from 'node:net';
 import { type TestContext, test } from 'node:test';
-import { Api, Connections, type Request, Shedding } from '@archpost/http-api';
+import { type ApiRequest, ConnectionLimiter, HttpApi, LoadShedder } from '@archpost/http-api';
 import { PATHS, pack, unpackMap } from '@archpost/protocol';
-import { Front } from '../packages/http-api/src/front.js';
+import { HttpListener } from '../packages/http-api/src/front.js';
 
 const REPORT = pack({
   host: 'n-1',
@@ -75,23 +75,23 @@
 }
 
 interface Door {
-  api: Api;
+  api: HttpApi;
   /** what was handed on, in order */
-  requests: Request[];
+  requests: ApiRequest[];
   /** answers are given by the test itself */
   isHeld: boolean;
   connect(): Promise<RawClient>;
 }
 
-async function door(context: TestContext, connections = new Connections(100)): Promise<Door> {
-  const requests: Request[] = [];
-  const api: Api = new Api(
+async function door(context: TestContext, connections = new ConnectionLimiter(100)): Promise<Door> {
+  const requests: ApiRequest[] = [];
+  const api: HttpApi = new HttpApi(
     (each) => {
       requests.push(each);
-      if (!opened.isHeld) api.answer(each.id, 200, { kind: each.kind });
+      if (!opened.isHeld) api.respond(each.id, 200, { kind: each.kind });
     },
     () => true,
-    new Shedding(() => 0),
+    new LoadShedder(() => 0),
     () => {},
     connections,
   );
@@ -113,7 +113,7 @@
   client.socket.write(request(REPORT));
   const first = await client.reply();
   assert.equal(first?.status, 200);
-  assert.deepEqual(first?.body, { kind: 'report' });
+  assert.deepEqual(first?.body, { kind: 'heartbeat' });
   assert.doesNotMatch(first?.head ?? '', /connection: close/);
   // Cut within the head, and within the body.
   const bytes = request(REPORT);
@@ -128,7 +128,7 @@
   assert.equal((await client.reply())?.status, 200);
   assert.deepEqual(
     requests.map(({ kind }) => kind),
-    ['report', 'report'],
+    ['heartbeat', 'heartbeat'],
   );
   api.close();
   await client.closed();
@@ -142,13 +142,13 @@
   mixed.socket.write(`GET ${PATHS.up} HTTP/1.1\r\nHost: c\r\n\r\n`);
   assert.equal((await mixed.reply())?.status, 200);
   mixed.socket.write(request(REPORT));
-  assert.deepEqual((await mixed.reply())?.body, { kind: 'report' }, 'by the HTTP server from then on');
+  assert.deepEqual((await mixed.reply())?.body, { kind: 'heartbeat' }, 'by the HTTP server from then on');
   mixed.socket.write(request(pack({}), 'POST /elsewhere'));
   assert.equal((await mixed.reply())?.status, 404);
 
   const user = await connect();
   user.socket.write(`GET ${PATHS.jobs}/run-000001 HTTP/1.1\r\nHost: c\r\n\r\n`);
-  assert.deepEqual((await user.reply())?.body, { kind: 'poll' });
+  assert.deepEqual((await user.reply())?.body, { kind: 'statusQuery' });
 
   const large = await connect();
   large.socket.write(request(Buffer.alloc(LONGEST_BODY + 1)));
@@ -182,38 +182,38 @@
   while (requests.length < 2) await new Promise((resolve) => setTimeout(resolve, 5));
   flood.socket.write(Buffer.alloc(4 * LONGEST_BODY));
   await flood.closed();
-  for (const { id } of requests) api.answer(id, 200, {});
+  for (const { id } of requests) api.respond(id, 200, {});
   const next = await connect();
   next.socket.write(request(REPORT));
   while (requests.length < 3) await new Promise((resolve) => setTimeout(resolve, 5));
-  api.answer(requests[2]?.id ?? 0, 200, {});
+  api.respond(requests[2]?.id ?? 0, 200, {});
   assert.equal((await next.reply())?.status, 200, 'others are served');
 });
 
 test('a connection is closed when its client says so, and beyond the sockets that workers may have', async (context) => {
-  const connections = new Connections(4);
+  const connections = new ConnectionLimiter(4);
   const { connect } = await door(context, connections);
   const leaving = await connect();
   leaving.socket.write(request(REPORT, undefined, 'Connection: close\r\n'));
   assert.match((await leaving.reply())?.head ?? '', /connection: close/);
   await leaving.closed();
   const staying = await Promise.all([connect(), connect(), connect(), connect()]);
-  while (connections.count < 4) await new Promise((resolve) => setTimeout(resolve, 5));
+  while (connections.openCount < 4) await new Promise((resolve) => setTimeout(resolve, 5));
   staying[0]?.socket.write(request(REPORT));
   assert.match((await staying[0]?.reply())?.head ?? '', /connection: close/);
   await staying[0]?.closed();
-  while (connections.count === 4) await new Promise((resolve) => setTimeout(resolve, 5));
+  while (connections.openCount === 4) await new Promise((resolve) => setTimeout(resolve, 5));
   staying[1]?.socket.write(request(REPORT));
   assert.doesNotMatch((await staying[1]?.reply())?.head ?? '', /connection: close/);
 });
 
-// The HTTP server behind the front listens nowhere, and Node looks for half requests only at servers that do: such a
+// The HTTP server behind the listener listens nowhere, and Node looks for half requests only at servers that do: such a
 // connection was kept for ever.
 test('who says nothing, or half a request, is closed after a while', async (context) => {
-  const front = new Front({ report: assert.fail, request: assert.fail }, 100);
-  context.after(() => front.close());
-  await new Promise<void>((resolve) => front.server.listen(0, '127.0.0.1', resolve));
-  const { port } = front.server.address() as net.AddressInfo;
+  const listener = new HttpListener({ onHeartbeat: assert.fail, onOtherRequest: assert.fail }, 100);
+  context.after(() => listener.close());
+  await new Promise<void>((resolve) => listener.server.listen(0, '127.0.0.1', resolve));
+  const { port } = listener.server.address() as net.AddressInfo;
   const connect = (start: string) => {
     const client = new RawClient(net.connect(port, '127.0.0.1'));
     client.socket.write(start);
--- a/test/size-limits.test.ts
+++ b/test/size-limits.test.ts
@@ -12,7 +12,7 @@
   WritePriority,
   WriteQueue,
 } from '@archpost/controller';
-import { Api, Connections, Shedding } from '@archpost/http-api';
+import { ConnectionLimiter, HttpApi, LoadShedder } from '@archpost/http-api';
 import { encodeFrame, FrameReader, MAX_FRAME_BYTES, Peers } from '@archpost/peer-transport';
 import { encodePeerMessage, MAX_COMMANDS_PER_BODY } from '@archpost/protocol';
 import { StateStore } from '@archpost/state-client';
@@ -271,11 +271,11 @@
 });
 
 test('with few sockets left users give theirs back before workers do', async (context) => {
-  const connections = new Connections(20);
-  const api = new Api(
-    ({ id }) => api.answer(id, 200, {}),
+  const connections = new ConnectionLimiter(20);
+  const api = new HttpApi(
+    ({ id }) => api.respond(id, 200, {}),
     () => true,
-    new Shedding(() => 0),
+    new LoadShedder(() => 0),
     () => {},
     connections,
   );
@@ -284,7 +284,7 @@
   const server = await api.listen('127.0.0.1', 0);
   const { port } = server.address() as net.AddressInfo;
   const sockets = Array.from({ length: 17 }, () => net.connect(port, '127.0.0.1'));
-  for (let index = 0; index < 500 && connections.count < 17; index++) await new Promise((resolve) => setTimeout(resolve, 10));
+  for (let index = 0; index < 500 && connections.openCount < 17; index++) await new Promise((resolve) => setTimeout(resolve, 10));
   const closes = async (path: string) => {
     const response = await fetch(`http://127.0.0.1:${port}${path}`, { method: 'POST', body: new Uint8Array([0x80]) });
     // Read to its end, so that the connection is used again: another one would change the count.
@@ -293,7 +293,7 @@
   };
   assert.equal(await closes('/v2/runs'), false, '18 of 20');
   sockets.push(net.connect(port, '127.0.0.1'));
-  for (let index = 0; index < 500 && connections.count < 19; index++) await new Promise((resolve) => setTimeout(resolve, 10));
+  for (let index = 0; index < 500 && connections.openCount < 19; index++) await new Promise((resolve) => setTimeout(resolve, 10));
   assert.equal(await closes('/checkin'), false, 'a worker stays with 19 of 20');
   assert.equal(await closes('/v2/runs'), true, 'a user does not');
   for (const socket of sockets) socket.destroy();
