--- a/packages/server/src/index.ts
+++ b/packages/server/src/index.ts
@@ -4,8 +4,8 @@
 import { isMainThread } from 'node:worker_threads';
 import { Command } from 'commander';
 import { type Logger, pino } from 'pino';
-import { shortages } from './capacity.js';
-import { collectBeyond, heapLimitMb, planHeap, runInThread } from './memory.js';
+import { findShortages } from './capacity.js';
+import { heapLimitMb, planHeap, runInThread, startGarbageCollection } from './memory.js';
 import { Service } from './service.js';
 import { loadSettings, type Settings, SettingsError } from './settings.js';
 
@@ -13,7 +13,7 @@
 
 const here = dirname(fileURLToPath(import.meta.url));
 
-function operatorFile(given: string | undefined): string | null {
+function resolveOperatorFile(given: string | undefined): string | null {
   if (given !== undefined) return given;
   const built = join(here, 'operator.json');
   return existsSync(built) ? built : null;
@@ -27,29 +27,29 @@
   .option('--check', 'check the settings and end')
   .addHelpText('after', '\nEnvironment: LOG_LEVEL=error|info|debug, how much is logged to standard error.')
   .action(async (options: { config: string; operator?: string; check?: boolean }) => {
-    const settings = loadSettings(options.config, operatorFile(options.operator));
+    const settings = loadSettings(options.config, resolveOperatorFile(options.operator));
     if (options.check) {
-      for (const { what, short, need: resources, have } of shortages(settings))
-        process.stdout.write(`${options.config}: ${what}: ${have} is ${short} short of ${resources}\n`);
+      for (const { what, short, need, have } of findShortages(settings))
+        process.stdout.write(`${options.config}: ${what}: ${have} is ${short} short of ${need}\n`);
       process.stdout.write(`${options.config}: in order\n`);
       return;
     }
     const level = process.env.LOG_LEVEL ?? 'info';
     if (!['error', 'warn', 'info', 'debug'].includes(level))
       throw new SettingsError(`LOG_LEVEL: ${level}: must be error, info or debug`);
-    const log = pino({ level, base: { node: settings.core.name } }, pino.destination({ dest: 2, sync: true }));
+    const log = pino({ level, base: { node: settings.controller.name } }, pino.destination({ dest: 2, sync: true }));
     process.on('unhandledRejection', (reason) => log.error({ err: reason }, 'unexpected'));
     process.on('uncaughtException', (error) => log.error({ err: error }, 'unexpected'));
-    if (isMainThread && startsElsewhere(settings, log)) return;
-    for (const shortage of shortages(settings)) log.warn(shortage, 'settings are short');
+    if (isMainThread && startInOwnThread(settings, log)) return;
+    for (const shortage of findShortages(settings)) log.warn(shortage, 'settings are short');
     await new Service(settings, log).start();
   });
 
 /** Runs the service in a thread with the heap that its memory allows, if this one's doesn't fit. */
-function startsElsewhere(settings: Settings, log: Logger): boolean {
+function startInOwnThread(settings: Settings, log: Logger): boolean {
   const plan = planHeap({ memoryMb: settings.memoryMb, sockets: settings.maxSockets }, heapLimitMb());
   log.debug(plan, 'heap');
-  if (plan.kind === 'collect') collectBeyond(plan.beyondMb);
+  if (plan.kind === 'collect') startGarbageCollection(plan.beyondMb);
   if (plan.kind !== 'thread') return false;
   runInThread(process.argv[1] as string, plan.heapMb);
   return true;
--- a/packages/server/src/memory.ts
+++ b/packages/server/src/memory.ts
@@ -8,63 +8,64 @@
 import { Worker } from 'node:worker_threads';
 
 /** Measured: a process with the program loaded, without its heap. */
-const PROCESS_MB = 46;
+const PROCESS_OVERHEAD_MB = 46;
 
 /** Measured: what a second thread and the program that the first one loaded take, and a young generation in full use. */
-const THREAD_MB = 20;
+const THREAD_OVERHEAD_MB = 20;
 const YOUNG_GENERATION_MB = 32;
 
 /** What a connection takes outside the heap, buffers included. */
-const SOCKET_KB = 17;
+const KB_PER_SOCKET = 17;
 
 /** A heap is as it should be if it is within this factor of it. */
-const TOLERANCE = 1.1;
+const HEAP_TOLERANCE_FACTOR = 1.1;
 
 /** A process with too little memory for its heap's limit collects garbage beyond this part of its memory. */
-const COLLECT_SHARE = 0.85;
-const COLLECT_EACH_MS = 5000;
+const COLLECTION_START_FRACTION = 0.85;
+const COLLECTION_CHECK_INTERVAL_MS = 5000;
 
 /**
  * What a collection leaves is no garbage: the next one comes once the process holds this part of its memory more. A full
  * collection takes tens of milliseconds of processor, most of a second on a small share of a core.
  */
-const COLLECT_AGAIN_SHARE = 0.04;
+const COLLECTION_GROWTH_FRACTION = 0.04;
 
 /** Node's young generation at its largest, as V8 counts it: three times 16 MB. */
-const MOST_YOUNG_MB = 48;
+const MAX_YOUNG_GENERATION_MB = 48;
 
 const BYTES_PER_MB = 1024 * 1024;
 
 /** What the process may use. */
-export interface MemorySettings {
+export interface MemoryBudget {
   memoryMb: number;
   sockets: number;
 }
 
 /** Megabytes of the old generation that are left when sockets and the process itself have theirs. */
-export function heapMb({ memoryMb, sockets }: MemorySettings): number {
-  return Math.floor(memoryMb - PROCESS_MB - (sockets * SOCKET_KB) / 1024);
+export function heapMb({ memoryMb, sockets }: MemoryBudget): number {
+  return Math.floor(memoryMb - PROCESS_OVERHEAD_MB - (sockets * KB_PER_SOCKET) / 1024);
 }
 
 /** The same for the service in a thread of its own. */
-export function threadHeapMb(settings: MemorySettings): number {
-  return heapMb(settings) - THREAD_MB - YOUNG_GENERATION_MB;
+export function threadHeapMb(settings: MemoryBudget): number {
+  return heapMb(settings) - THREAD_OVERHEAD_MB - YOUNG_GENERATION_MB;
 }
 
 /** How the service is to run, given the heap that Node started with. */
 export type HeapPlan = { kind: 'as it is' } | { kind: 'thread'; heapMb: number } | { kind: 'collect'; beyondMb: number };
 
 /** `limitMb`: the old generation's limit that is in force. */
-export function planHeap(settings: MemorySettings, limitMb: number): HeapPlan {
+export function planHeap(settings: MemoryBudget, limitMb: number): HeapPlan {
   const inThread = threadHeapMb(settings);
-  if (inThread > limitMb * TOLERANCE) return { kind: 'thread', heapMb: inThread };
-  if (heapMb(settings) * TOLERANCE < limitMb) return { kind: 'collect', beyondMb: settings.memoryMb * COLLECT_SHARE };
+  if (inThread > limitMb * HEAP_TOLERANCE_FACTOR) return { kind: 'thread', heapMb: inThread };
+  if (heapMb(settings) * HEAP_TOLERANCE_FACTOR < limitMb)
+    return { kind: 'collect', beyondMb: settings.memoryMb * COLLECTION_START_FRACTION };
   return { kind: 'as it is' };
 }
 
 /** The old generation's limit in force; the young one is counted with it in what V8 tells. */
 export function heapLimitMb(): number {
-  return Math.round(v8.getHeapStatistics().heap_size_limit / BYTES_PER_MB) - MOST_YOUNG_MB;
+  return Math.round(v8.getHeapStatistics().heap_size_limit / BYTES_PER_MB) - MAX_YOUNG_GENERATION_MB;
 }
 
 /** Runs the program again in a thread with such a heap; the process ends as that thread does. */
@@ -82,34 +83,34 @@
 /** Says when collecting garbage is worth its price, by what the process held at each look. */
 export class CollectionTrigger {
   /** what was left by the last collection */
-  private leftMb = 0;
-  private isFresh = false;
+  private retainedMb = 0;
+  private wasJustCollected = false;
 
   constructor(
-    private readonly beyondMb: number,
-    private readonly againMb: number,
+    private readonly thresholdMb: number,
+    private readonly growthMb: number,
   ) {}
 
   /** Told what the process holds; true: garbage is to be collected now. */
   isDue(heldMb: number): boolean {
-    if (this.isFresh) {
-      this.isFresh = false;
-      this.leftMb = heldMb;
+    if (this.wasJustCollected) {
+      this.wasJustCollected = false;
+      this.retainedMb = heldMb;
     }
     // What was given back since counts too: growth is measured from the least.
-    this.leftMb = Math.min(this.leftMb, heldMb);
-    if (heldMb <= Math.max(this.beyondMb, this.leftMb + this.againMb)) return false;
-    this.isFresh = true;
+    this.retainedMb = Math.min(this.retainedMb, heldMb);
+    if (heldMb <= Math.max(this.thresholdMb, this.retainedMb + this.growthMb)) return false;
+    this.wasJustCollected = true;
     return true;
   }
 }
 
 /** Collects garbage, now and then, while the process grows beyond so many megabytes of its memory. */
-export function collectBeyond(beyondMb: number): NodeJS.Timeout {
+export function startGarbageCollection(thresholdMb: number): NodeJS.Timeout {
   v8.setFlagsFromString('--expose-gc');
   const collect = vm.runInNewContext('gc') as () => void;
-  const trigger = new CollectionTrigger(beyondMb, (beyondMb * COLLECT_AGAIN_SHARE) / COLLECT_SHARE);
+  const trigger = new CollectionTrigger(thresholdMb, (thresholdMb * COLLECTION_GROWTH_FRACTION) / COLLECTION_START_FRACTION);
   return setInterval(() => {
     if (trigger.isDue(process.memoryUsage.rss() / BYTES_PER_MB)) collect();
-  }, COLLECT_EACH_MS);
+  }, COLLECTION_CHECK_INTERVAL_MS);
 }
--- a/packages/server/src/service.ts
+++ b/packages/server/src/service.ts
@@ -8,25 +8,25 @@
 import { Workers } from '@archpost/worker-client';
 import type { Logger } from 'pino';
 import { interval, throttleTime, timer } from 'rxjs';
-import { commandSockets, inboundSockets } from './capacity.js';
-import { Inbox, PAUSE_MS } from './inbox.js';
+import { maxCommandSockets, maxInboundSockets } from './capacity.js';
+import { Inbox, PROCESS_PAUSE_MS } from './inbox.js';
 import type { Settings } from './settings.js';
 
-const TICK_MS = 100;
+const TICK_INTERVAL_MS = 100;
 
 /**
  * Submissions and cancellations taken a second, by a whole core, though reports wait: each costs a few milliseconds, so
  * this is a tenth of the processor.
  */
-const REQUESTS_PER_S_OF_CORE = 30;
+const MUTATIONS_PER_S_AND_CORE = 30;
 
 /** An answer that can't be read is asked for again at once: it is told of this often. */
-const UNREADABLE_MS = 10_000;
+const UNREADABLE_LOG_INTERVAL_MS = 10_000;
 
 /** Wires the core to its edges: inputs in, effects out. */
 export class Service {
-  private readonly core: Controller;
-  private readonly store: StateStore;
+  private readonly controller: Controller;
+  private readonly stateStore: StateStore;
   private readonly cloud: Cloud;
   private readonly workers: Workers;
   private readonly peers: Peers;
@@ -38,23 +38,23 @@
     private readonly settings: Settings,
     private readonly log: Logger,
   ) {
-    const controllerSettings = settings.core;
+    const controllerSettings = settings.controller;
     const controllerCount = controllerSettings.controllers.length;
-    this.loadShedder = new LoadShedder(steady, REQUESTS_PER_S_OF_CORE * controllerSettings.cpuShare);
-    this.core = new Controller(controllerSettings, randomUUID().slice(0, 8));
+    this.loadShedder = new LoadShedder(steady, MUTATIONS_PER_S_AND_CORE * controllerSettings.cpuShare);
+    this.controller = new Controller(controllerSettings, randomUUID().slice(0, 8));
     this.inbox = new Inbox({
       clock: steady,
-      afterEach: () => this.carryOut(),
-      staleMs: 1500,
-      paused: (ms) => {
-        this.carryOut(true);
-        this.core.processPaused(ms, steady());
+      onTurnEnd: () => this.executeEffects(),
+      maxClientRequestAgeMs: 1500,
+      onProcessPause: (ms) => {
+        this.executeEffects(true);
+        this.controller.processPaused(ms, steady());
       },
-      failed: (error) => this.log.error({ err: error }, 'an input could not be taken'),
+      onError: (error) => this.log.error({ err: error }, 'an input could not be taken'),
     });
     // Half of the time a cancellation has: rides out outages, leaves time to take over.
     const ttlMs = Math.round(Math.min(600, Math.max(1, controllerSettings.workers.cancelS / 2)) * 1000);
-    this.store = new StateStore(
+    this.stateStore = new StateStore(
       settings.state,
       'a/',
       (Math.min(
@@ -69,46 +69,48 @@
     this.cloud = new Cloud(settings.cloud, controllerSettings.cloud.requestsPerS * Math.max(0.5, 0.9 / controllerCount));
     // All workers may come to one controller, with a connection each: those for commands, of which
     // the longest unused are closed, must leave room for that, and for users.
-    this.workers = new Workers(commandSockets(settings));
-    this.peers = new Peers(settings.others);
+    this.workers = new Workers(maxCommandSockets(settings));
+    this.peers = new Peers(settings.peers);
     this.api = new HttpApi(
-      (request) => this.request(request),
-      () => this.core.isReady,
+      (request) => this.receiveRequest(request),
+      () => this.controller.isReady,
       this.loadShedder,
       (from) => this.log.warn({ from }, 'a report can not be read'),
-      new ConnectionLimiter(inboundSockets(settings)),
+      new ConnectionLimiter(maxInboundSockets(settings)),
     );
   }
 
   async start(): Promise<void> {
-    const { core, inbox } = this;
-    this.store.loaded$.subscribe((snapshot) =>
-      inbox.decision(() => core.receiveSnapshot(snapshot.rows, snapshot.revision, steady())),
+    const { controller, inbox } = this;
+    this.stateStore.loaded$.subscribe((snapshot) =>
+      inbox.enqueueControlEvent(() => controller.receiveSnapshot(snapshot.rows, snapshot.revision, steady())),
     );
-    this.store.changes$.subscribe((event) =>
-      inbox.decision(() => core.receiveChanges(event.changes, event.revision, event.asOf, steady())),
+    this.stateStore.changes$.subscribe((event) =>
+      inbox.enqueueControlEvent(() => controller.receiveChanges(event.changes, event.revision, event.asOf, steady())),
     );
-    this.store.lease$.subscribe((lease) =>
-      inbox.decision(() => core.receiveLeaseState(lease.permit, lease.validUntil, steady())),
+    this.stateStore.lease$.subscribe((lease) =>
+      inbox.enqueueControlEvent(() => controller.receiveLeaseState(lease.permit, lease.validUntil, steady())),
     );
     this.peers.message$.subscribe((message) => {
       const { heartbeat, status } = message;
-      if (heartbeat) inbox.report(() => core.receiveForwardedHeartbeat(heartbeat, steady()));
-      if (status) inbox.decision(() => core.receivePeerStatus(status, steady()));
+      if (heartbeat) inbox.enqueueHeartbeat(() => controller.receiveForwardedHeartbeat(heartbeat, steady()));
+      if (status) inbox.enqueueControlEvent(() => controller.receivePeerStatus(status, steady()));
     });
     this.peers.unreadable$.subscribe((problem) => this.log.warn(problem, 'a peer message can not be read'));
     this.peers.unsent$.subscribe((problem) => this.log.error(problem, 'a peer message can not be sent'));
-    const told = throttleTime<string>(UNREADABLE_MS);
-    this.cloud.unreadable$.pipe(told).subscribe((what) => this.log.error({ what }, "the cloud's answer can not be read"));
-    this.store.unreadable$.pipe(told).subscribe((what) => this.log.error({ what }, "the state service's answer can not be read"));
-    this.peers.down$.subscribe((controller) => inbox.decision(() => core.peerDisconnected(controller, steady())));
-    this.store.start();
-    const peer = splitAddr(this.settings.peerListen);
-    await this.peers.listen(peer.host, peer.port);
+    const throttled = throttleTime<string>(UNREADABLE_LOG_INTERVAL_MS);
+    this.cloud.unreadable$.pipe(throttled).subscribe((what) => this.log.error({ what }, "the cloud's answer can not be read"));
+    this.stateStore.unreadable$
+      .pipe(throttled)
+      .subscribe((what) => this.log.error({ what }, "the state service's answer can not be read"));
+    this.peers.down$.subscribe((peer) => inbox.enqueueControlEvent(() => controller.peerDisconnected(peer, steady())));
+    this.stateStore.start();
+    const peerAddress = splitAddr(this.settings.peerListen);
+    await this.peers.listen(peerAddress.host, peerAddress.port);
     this.peers.start();
-    const pub = splitAddr(this.settings.publicAddr);
-    await this.api.listen(pub.host, pub.port);
-    this.tickIn(TICK_MS);
+    const publicAddress = splitAddr(this.settings.publicAddr);
+    await this.api.listen(publicAddress.host, publicAddress.port);
+    this.scheduleTick(TICK_INTERVAL_MS);
     // What each controller refused, and what its processor time and memory go to, is worth seeing at any size.
     interval(10_000).subscribe(() => {
       const rejected = this.loadShedder.takeRejectedCounts();
@@ -120,116 +122,123 @@
       const { rss, heapUsed } = process.memoryUsage();
       const toMegabytes = (count: number) => Math.round(count / 1048576);
       this.log.debug(
-        { cpuS: (cpu.user + cpu.system) / 1e6, rssMb: toMegabytes(rss), heapMb: toMegabytes(heapUsed), ...this.inbox.counts() },
+        {
+          cpuS: (cpu.user + cpu.system) / 1e6,
+          rssMb: toMegabytes(rss),
+          heapMb: toMegabytes(heapUsed),
+          ...this.inbox.takeProcessedCounts(),
+        },
         'process',
       );
     });
-    this.log.info({ node: this.settings.core.name, addr: this.settings.publicAddr }, 'started');
+    this.log.info({ node: this.settings.controller.name, addr: this.settings.publicAddr }, 'started');
   }
 
   /** One tick after the other: one that took long is followed by as long a time for everything else. */
-  private tickIn(delayMs: number): void {
-    const { core, inbox } = this;
-    const due = steady() + delayMs;
+  private scheduleTick(delayMs: number): void {
+    const { controller, inbox } = this;
+    const dueAt = steady() + delayMs;
     timer(delayMs).subscribe(() => {
-      this.loadShedder.recordTimerDelay(Math.max(steady() - due, inbox.waitedMs));
-      inbox.decision(() => {
+      this.loadShedder.recordTimerDelay(Math.max(steady() - dueAt, inbox.queueDelayMs));
+      inbox.enqueueControlEvent(() => {
         const startedAt = steady();
         try {
-          core.tick(startedAt, Date.now());
+          controller.tick(startedAt, Date.now());
         } finally {
           const tookMs = steady() - startedAt;
-          this.tickIn(Math.max(TICK_MS - tookMs, tookMs));
+          this.scheduleTick(Math.max(TICK_INTERVAL_MS - tookMs, tookMs));
         }
       });
     });
   }
 
-  private request(request: ApiRequest): void {
-    const { core, inbox } = this;
+  private receiveRequest(request: ApiRequest): void {
+    const { controller, inbox } = this;
     if (request.kind === 'heartbeat') {
-      inbox.report(() => core.receiveHeartbeat(request.id, request.heartbeat, steady()));
+      inbox.enqueueHeartbeat(() => controller.receiveHeartbeat(request.id, request.heartbeat, steady()));
       return;
     }
-    const refuse = () => this.api.respond(request.id, 503, { error: 'overloaded' }, 1);
+    const reject = () => this.api.respond(request.id, 503, { error: 'overloaded' }, 1);
     if (request.kind === 'statusQuery') {
-      inbox.question(() => core.queryJobStatus(request.id, request.job, steady()), refuse);
+      inbox.enqueueStatusQuery(() => controller.queryJobStatus(request.id, request.job, steady()), reject);
       return;
     }
-    inbox.request(() => {
-      if (request.kind === 'submit') core.submitJob(request.id, request.body, steady(), Date.now());
-      else core.cancelJob(request.id, request.job, steady());
-    }, refuse);
+    inbox.enqueueMutation(() => {
+      if (request.kind === 'submit') controller.submitJob(request.id, request.body, steady(), Date.now());
+      else controller.cancelJob(request.id, request.job, steady());
+    }, reject);
   }
 
-  private carryOut(beforePause = false): void {
+  private executeEffects(beforePause = false): void {
     // What was decided before a pause is not told to machines or the cloud after it: another
     // controller may have decided since. Answers and writes go out: a late answer finds nobody,
     // and a late write fails on its guards.
-    const decided = this.inbox.last;
-    for (const effect of this.core.takeEffects()) {
-      if ((beforePause || steady() - decided > PAUSE_MS) && this.unsent(effect)) continue;
-      this.effect(effect);
+    const decidedAt = this.inbox.lastClockReading;
+    for (const effect of this.controller.takeEffects()) {
+      if ((beforePause || steady() - decidedAt > PROCESS_PAUSE_MS) && this.withholdAfterPause(effect)) continue;
+      this.execute(effect);
     }
   }
 
   /** Is it kept back? Then the core learns that it never left. */
-  private unsent(effect: Effect): boolean {
-    const { core, inbox } = this;
-    if (effect.type === 'command') inbox.decision(() => core.receiveCommandOutcome(effect.id, { kind: 'refused' }, steady()));
-    else if (effect.type === 'release') inbox.decision(() => core.receiveReleaseOutcome(effect.id, false, steady()));
+  private withholdAfterPause(effect: Effect): boolean {
+    const { controller, inbox } = this;
+    if (effect.type === 'command')
+      inbox.enqueueControlEvent(() => controller.receiveCommandOutcome(effect.id, { kind: 'refused' }, steady()));
+    else if (effect.type === 'release')
+      inbox.enqueueControlEvent(() => controller.receiveReleaseOutcome(effect.id, false, steady()));
     else if (effect.type === 'provision')
-      inbox.decision(() => core.receiveProvisioningOutcome(effect.id, { kind: 'unknown' }, steady()));
+      inbox.enqueueControlEvent(() => controller.receiveProvisioningOutcome(effect.id, { kind: 'unknown' }, steady()));
     else return false;
     return true;
   }
 
-  private effect(effect: Effect): void {
-    const { core, inbox } = this;
-    const back = (run: () => void) => inbox.decision(run);
+  private execute(effect: Effect): void {
+    const { controller, inbox } = this;
+    const enqueueOutcome = (run: () => void) => inbox.enqueueControlEvent(run);
     switch (effect.type) {
       case 'respond':
         this.api.respond(effect.id, effect.status, effect.body, effect.retryAfterS);
         break;
       case 'readBarrier':
-        this.store.barrier(effect.urgent);
+        this.stateStore.barrier(effect.urgent);
         break;
       case 'compareAndSwap':
-        void this.store
+        void this.stateStore
           .txn(effect.conditions, effect.writes)
-          .then((outcome) => back(() => core.receiveCompareAndSwapOutcome(effect.id, outcome, steady())));
+          .then((outcome) => enqueueOutcome(() => controller.receiveCompareAndSwapOutcome(effect.id, outcome, steady())));
         break;
       case 'command':
         void this.workers
           .command(effect.address, effect.fencingToken, effect.agentEpoch, effect.commands)
-          .then((outcome) => back(() => core.receiveCommandOutcome(effect.id, outcome, steady())));
+          .then((outcome) => enqueueOutcome(() => controller.receiveCommandOutcome(effect.id, outcome, steady())));
         break;
       case 'probe':
         void this.workers
           .ask(effect.address)
-          .then((isAnswered) => back(() => core.receiveProbeOutcome(effect.id, isAnswered, steady())));
+          .then((isAnswered) => enqueueOutcome(() => controller.receiveProbeOutcome(effect.id, isAnswered, steady())));
         break;
       case 'provision':
         void this.cloud
           .rent(effect.request)
-          .then((outcome) => back(() => core.receiveProvisioningOutcome(effect.id, outcome, steady())));
+          .then((outcome) => enqueueOutcome(() => controller.receiveProvisioningOutcome(effect.id, outcome, steady())));
         break;
       case 'release':
         void this.cloud
           .giveBack(effect.machines)
-          .then((isReleased) => back(() => core.receiveReleaseOutcome(effect.id, isReleased, steady())));
+          .then((isReleased) => enqueueOutcome(() => controller.receiveReleaseOutcome(effect.id, isReleased, steady())));
         break;
       case 'listMachines':
-        void this.cloud.list().then((machines) => back(() => core.receiveMachineList(machines, steady())));
+        void this.cloud.list().then((machines) => enqueueOutcome(() => controller.receiveMachineList(machines, steady())));
         break;
       case 'fetchMachineTypes':
-        void this.cloud.types().then((types) => back(() => core.receiveMachineTypes(types, steady())));
+        void this.cloud.types().then((types) => enqueueOutcome(() => controller.receiveMachineTypes(types, steady())));
         break;
       case 'sendStatus':
-        this.peers.send({ node: this.settings.core.name, status: effect.status, heartbeat: null }, effect.to);
+        this.peers.send({ node: this.settings.controller.name, status: effect.status, heartbeat: null }, effect.to);
         break;
       case 'forwardHeartbeat':
-        this.peers.send({ node: this.settings.core.name, status: null, heartbeat: effect.heartbeat }, effect.to);
+        this.peers.send({ node: this.settings.controller.name, status: null, heartbeat: effect.heartbeat }, effect.to);
         break;
       case 'log':
         this.log[effect.level](effect.fields ?? {}, effect.message);
--- a/packages/server/src/settings.ts
+++ b/packages/server/src/settings.ts
@@ -6,64 +6,73 @@
 
 export class SettingsError extends Error {}
 
-const text = z.string().min(1);
-const addr = z.string().regex(/^[0-9.]+:\d{1,5}$/, 'must be an address such as 10.0.0.1:8080');
-const positive = z.number().positive();
-const amount = z.number().min(0);
-
-const stateLimits = { rps: positive, write_rps: positive, value_kb: positive, txn_ops: z.number().int().min(1) };
-
-const file = z.object({
-  host_name: text,
-  location: text,
-  public_addr: addr,
-  peer_listen: addr,
-  others: z.array(z.object({ host_name: text, location: text, peer_addr: addr })).default([]),
-  external: z.object({ cloud: addr, state: addr }),
+const nonEmptyString = z.string().min(1);
+const socketAddress = z.string().regex(/^[0-9.]+:\d{1,5}$/, 'must be an address such as 10.0.0.1:8080');
+const positiveNumber = z.number().positive();
+const nonNegative = z.number().min(0);
+
+const stateLimitFields = {
+  rps: positiveNumber,
+  write_rps: positiveNumber,
+  value_kb: positiveNumber,
+  txn_ops: z.number().int().min(1),
+};
+
+const platformSchema = z.object({
+  host_name: nonEmptyString,
+  location: nonEmptyString,
+  public_addr: socketAddress,
+  peer_listen: socketAddress,
+  others: z.array(z.object({ host_name: nonEmptyString, location: nonEmptyString, peer_addr: socketAddress })).default([]),
+  external: z.object({ cloud: socketAddress, state: socketAddress }),
   params: z.object({
     initial_size: z.number().int().min(1).max(64),
-    zones: z.array(text).min(1),
-    clock_error_ms: amount.default(0),
-    teams: z.array(z.object({ name: text, cpus: amount, cpus_max: amount, gpus: amount, gpus_max: amount })).min(1),
+    zones: z.array(nonEmptyString).min(1),
+    clock_error_ms: nonNegative.default(0),
+    teams: z
+      .array(
+        z.object({ name: nonEmptyString, cpus: nonNegative, cpus_max: nonNegative, gpus: nonNegative, gpus_max: nonNegative }),
+      )
+      .min(1),
     objectives: z
       .array(
         z.object({
-          kind: text,
+          kind: nonEmptyString,
           class: z.string().nullish(),
-          within_s: amount.nullish(),
-          after_s: amount.nullish(),
-          share: amount.nullish(),
-          most: amount.nullish(),
-          times: amount.nullish(),
+          within_s: nonNegative.nullish(),
+          after_s: nonNegative.nullish(),
+          share: nonNegative.nullish(),
+          most: nonNegative.nullish(),
+          times: nonNegative.nullish(),
         }),
       )
       .default([]),
     workers: z.object({
-      report_s: positive,
-      lease_s: positive,
-      gang_wait_s: positive,
-      gang_peer_s: positive,
-      cancel_s: positive,
+      report_s: positiveNumber,
+      lease_s: positiveNumber,
+      gang_wait_s: positiveNumber,
+      gang_peer_s: positiveNumber,
+      cancel_s: positiveNumber,
     }),
-    state: z.object({ ...stateLimits, next: z.object(stateLimits).partial().nullish() }),
-    cloud: z.object({ rps: positive, list_lag_s: amount }),
-    machine_limits: z.object({ cpu_share: positive, mem_mb: positive, max_sockets: positive }),
+    state: z.object({ ...stateLimitFields, next: z.object(stateLimitFields).partial().nullish() }),
+    cloud: z.object({ rps: positiveNumber, list_lag_s: nonNegative }),
+    machine_limits: z.object({ cpu_share: positiveNumber, mem_mb: positiveNumber, max_sockets: positiveNumber }),
   }),
 });
 
-const operator = z.strictObject({
-  plan_wait_s: positive.default(10),
-  silent_s: positive.nullish(),
+const operatorSchema = z.strictObject({
+  plan_wait_s: positiveNumber.default(10),
+  silent_s: positiveNumber.nullish(),
   hold: z.boolean().default(false),
-  idle_s: positive.default(40),
+  idle_s: positiveNumber.default(40),
   max_machines: z.number().int().positive().nullish(),
 });
 
 export interface Settings {
-  core: ControllerSettings;
+  controller: ControllerSettings;
   publicAddr: string;
   peerListen: string;
-  others: { name: string; addr: string }[];
+  peers: { name: string; addr: string }[];
   cloud: string;
   state: string;
   clockErrorMs: number;
@@ -71,14 +80,14 @@
   memoryMb: number;
 }
 
-function check<T>(name: string, schema: z.ZodType<T>, value: unknown): T {
+function validate<T>(name: string, schema: z.ZodType<T>, value: unknown): T {
   const parsed = schema.safeParse(value);
   if (parsed.success) return parsed.data;
   const issue = parsed.error.issues[0];
   throw new SettingsError(`${name}: ${issue?.path.join('.') || 'file'}: ${issue?.message ?? 'invalid'}`);
 }
 
-function read(path: string): string {
+function readSettingsFile(path: string): string {
   try {
     return readFileSync(path, 'utf8');
   } catch (error) {
@@ -90,16 +99,16 @@
 
 function parseToml(path: string): unknown {
   try {
-    return parse(read(path));
+    return parse(readSettingsFile(path));
   } catch (error) {
     if (error instanceof SettingsError) throw error;
     throw new SettingsError(`${path}: not valid TOML: ${(error as Error).message.split('\n')[0]}`);
   }
 }
 
-function parseOperator(path: string): unknown {
+function parseOperatorJson(path: string): unknown {
   try {
-    return JSON.parse(read(path));
+    return JSON.parse(readSettingsFile(path));
   } catch (error) {
     if (error instanceof SettingsError) throw error;
     throw new SettingsError(`${path}: not valid JSON (the build makes it of the HCL file)`);
@@ -107,41 +116,47 @@
 }
 
 /** What of a limit has to be there for a controller to run at all; the reason is what it is for. */
-function enough(path: string, field: string, have: number, resources: number, what: string): void {
-  if (have < resources) throw new SettingsError(`${path}: params.${field}: ${have} is too little: ${what} takes ${resources}`);
+function requireAtLeast(path: string, field: string, have: number, need: number, purpose: string): void {
+  if (have < need) throw new SettingsError(`${path}: params.${field}: ${have} is too little: ${purpose} takes ${need}`);
 }
 
-function enoughState(
+function requireStateLimits(
   path: string,
   field: string,
-  limits: z.infer<z.ZodObject<typeof stateLimits>>,
+  limits: z.infer<z.ZodObject<typeof stateLimitFields>>,
   controllerCount: number,
 ): void {
-  enough(path, `${field}.write_rps`, limits.write_rps, controllerCount, 'a change a second for each controller');
-  enough(path, `${field}.rps`, limits.rps, 4 * controllerCount, 'lease, watch and a transaction a second for each controller');
-  enough(path, `${field}.value_kb`, limits.value_kb, 2, 'the record of a job');
+  requireAtLeast(path, `${field}.write_rps`, limits.write_rps, controllerCount, 'a change a second for each controller');
+  requireAtLeast(
+    path,
+    `${field}.rps`,
+    limits.rps,
+    4 * controllerCount,
+    'lease, watch and a transaction a second for each controller',
+  );
+  requireAtLeast(path, `${field}.value_kb`, limits.value_kb, 2, 'the record of a job');
 }
 
 /**
  * Settings under which rules could not be kept, or nothing could be served, are refused here
  * rather than found out by users.
  */
-function refuseHopeless(path: string, settings: z.infer<typeof file>): void {
+function requireFeasibleSettings(path: string, settings: z.infer<typeof platformSchema>): void {
   const controllerCount = settings.others.length + 1;
   const workers = settings.params.workers;
   // Workers are answered for what this leaves after the last reading of all changes: no less
   // than the time between two readings (docs/design.md, "Who may answer workers").
-  const least = workers.lease_s + workers.report_s + WATCH_S;
-  if (workers.cancel_s <= least)
+  const minCancelS = workers.lease_s + workers.report_s + WATCH_S;
+  if (workers.cancel_s <= minCancelS)
     throw new SettingsError(
-      `${path}: params.workers.cancel_s: must exceed lease_s + report_s by more than ${WATCH_S} s (${least}), but is ${workers.cancel_s}`,
+      `${path}: params.workers.cancel_s: must exceed lease_s + report_s by more than ${WATCH_S} s (${minCancelS}), but is ${workers.cancel_s}`,
     );
   const { max_sockets, mem_mb } = settings.params.machine_limits;
   const { next, ...present } = settings.params.state;
-  enoughState(path, 'state', present, controllerCount);
-  if (next) enoughState(path, 'state.next', { ...present, ...next }, controllerCount);
-  enough(path, 'machine_limits.mem_mb', mem_mb, LEAST_MB, 'the process without any work');
-  enough(
+  requireStateLimits(path, 'state', present, controllerCount);
+  if (next) requireStateLimits(path, 'state.next', { ...present, ...next }, controllerCount);
+  requireAtLeast(path, 'machine_limits.mem_mb', mem_mb, MIN_MEMORY_MB, 'the process without any work');
+  requireAtLeast(
     path,
     'machine_limits.max_sockets',
     max_sockets,
@@ -151,10 +166,10 @@
 }
 
 /** Measured at a start on simulated machines, without work: 66 MB. */
-const LEAST_MB = 80;
+const MIN_MEMORY_MB = 80;
 
 /** Only the limits that are announced. */
-function nextLimits(next: Partial<z.infer<z.ZodObject<typeof stateLimits>>>): Partial<StateLimits> {
+function mapAnnouncedLimits(next: Partial<z.infer<z.ZodObject<typeof stateLimitFields>>>): Partial<StateLimits> {
   const limits: Partial<StateLimits> = {};
   if (next.rps !== undefined) limits.requestsPerS = next.rps;
   if (next.write_rps !== undefined) limits.writesPerS = next.write_rps;
@@ -164,13 +179,13 @@
 }
 
 export function loadSettings(path: string, operatorPath: string | null): Settings {
-  const platform = check(path, file, parseToml(path));
-  const operatorSettings = check(
+  const platform = validate(path, platformSchema, parseToml(path));
+  const operatorSettings = validate(
     operatorPath ?? 'operator settings',
-    operator,
-    operatorPath === null ? {} : parseOperator(operatorPath),
+    operatorSchema,
+    operatorPath === null ? {} : parseOperatorJson(operatorPath),
   );
-  refuseHopeless(path, platform);
+  requireFeasibleSettings(path, platform);
   const names = [platform.host_name, ...platform.others.map((other) => other.host_name)];
   if (new Set(names).size !== names.length) throw new SettingsError(`${path}: others: host_name given twice`);
   const policy: Policy = {
@@ -183,7 +198,7 @@
   };
   const workers = platform.params.workers;
   return {
-    core: {
+    controller: {
       name: platform.host_name,
       zone: platform.location,
       controllers: [
@@ -222,14 +237,14 @@
         writesPerS: platform.params.state.write_rps,
         valueKib: platform.params.state.value_kb,
         writesPerTransaction: platform.params.state.txn_ops,
-        next: platform.params.state.next ? nextLimits(platform.params.state.next) : null,
+        next: platform.params.state.next ? mapAnnouncedLimits(platform.params.state.next) : null,
       },
       cloud: { requestsPerS: platform.params.cloud.rps, listLagS: platform.params.cloud.list_lag_s },
       policy,
     },
     publicAddr: platform.public_addr,
     peerListen: platform.peer_listen,
-    others: platform.others.map((other) => ({ name: other.host_name, addr: other.peer_addr })),
+    peers: platform.others.map((other) => ({ name: other.host_name, addr: other.peer_addr })),
     cloud: platform.external.cloud,
     state: platform.external.state,
     clockErrorMs: platform.params.clock_error_ms,
--- a/test/edges.test.ts
+++ b/test/edges.test.ts
@@ -7,7 +7,7 @@
 import { HttpApi } from '@archpost/http-api';
 import { decodePeerMessage, encodePeerMessage, PATHS, pack, parseChanges, parseSubmission } from '@archpost/protocol';
 import { LoadShedder } from '../packages/http-api/src/shedding.js';
-import { Inbox, SLICE_MS } from '../packages/server/src/inbox.js';
+import { Inbox, TIME_SLICE_MS } from '../packages/server/src/inbox.js';
 import { loadSettings, SettingsError } from '../packages/server/src/settings.js';
 import { job, TYPES } from './stand-ins.js';
 
@@ -56,7 +56,7 @@
 }
 
 test('settings: unknown fields are ignored; a bad file is named with its field', () => {
-  assert.equal(loadSettings(file(SETTINGS), null).core.name, 'a');
+  assert.equal(loadSettings(file(SETTINGS), null).controller.name, 'a');
   const wrong = file(SETTINGS.replace('lease_s = 12.0', 'lease_s = "long"'));
   assert.throws(
     () => loadSettings(wrong, null),
@@ -76,31 +76,31 @@
   refused('write_rps = 20.0', 'write_rps = 0.5', /params\.state\.write_rps/);
   refused('mem_mb = 178.0', 'mem_mb = 32.0', /params\.machine_limits\.mem_mb/);
   refused('max_sockets = 1200', 'max_sockets = 40', /params\.machine_limits\.max_sockets/);
-  assert.equal(loadSettings(file(SETTINGS.replace('cancel_s = 37.0', 'cancel_s = 17.0')), null).core.workers.cancelS, 17);
+  assert.equal(loadSettings(file(SETTINGS.replace('cancel_s = 37.0', 'cancel_s = 17.0')), null).controller.workers.cancelS, 17);
 });
 
 test('overload: reports first, then decisions, then users, and users who waited too long are refused', async () => {
   let now = 0;
   const seen: string[] = [];
-  const inbox = new Inbox({ clock: () => now, afterEach: () => {}, staleMs: 1500, failed: assert.ifError });
-  inbox.request(
+  const inbox = new Inbox({ clock: () => now, onTurnEnd: () => {}, maxClientRequestAgeMs: 1500, onError: assert.ifError });
+  inbox.enqueueMutation(
     () => seen.push('old user'),
     () => seen.push('old user refused'),
   );
   now = 2000;
   for (let index = 0; index < 6; index++) {
-    inbox.request(
+    inbox.enqueueMutation(
       () => seen.push(`user ${index}`),
       () => seen.push(`user ${index} refused`),
     );
   }
-  inbox.decision(() => seen.push('decision'));
-  inbox.report(() => {
+  inbox.enqueueControlEvent(() => seen.push('decision'));
+  inbox.enqueueHeartbeat(() => {
     seen.push('report');
   });
-  inbox.drain();
-  inbox.report(() => seen.push('later report'));
-  inbox.drain();
+  inbox.runTurn();
+  inbox.enqueueHeartbeat(() => seen.push('later report'));
+  inbox.runTurn();
   assert.deepEqual(seen, [
     'report',
     'decision',
@@ -120,32 +120,32 @@
   const seen: string[] = [];
   const inbox = new Inbox({
     clock: () => now,
-    afterEach: () => {},
-    staleMs: 1500,
-    paused: (ms) => seen.push(`stood still for ${ms}`),
-    failed: assert.ifError,
+    onTurnEnd: () => {},
+    maxClientRequestAgeMs: 1500,
+    onProcessPause: (ms) => seen.push(`stood still for ${ms}`),
+    onError: assert.ifError,
   });
-  inbox.question(
+  inbox.enqueueStatusQuery(
     () => seen.push('old question'),
     () => seen.push('old question refused'),
   );
-  inbox.report(() => {
+  inbox.enqueueHeartbeat(() => {
     seen.push('report');
     // It stands still in the middle of its inputs.
     now += 5000;
   });
-  inbox.decision(() => seen.push('decision'));
-  inbox.drain();
-  inbox.question(
+  inbox.enqueueControlEvent(() => seen.push('decision'));
+  inbox.runTurn();
+  inbox.enqueueStatusQuery(
     () => seen.push('question'),
     () => seen.push('question refused'),
   );
-  inbox.request(
+  inbox.enqueueMutation(
     () => seen.push('submission'),
     () => seen.push('submission refused'),
   );
   now += 100;
-  inbox.drain();
+  inbox.runTurn();
   assert.deepEqual(seen, ['report', 'stood still for 5000', 'decision', 'old question refused', 'submission', 'question']);
 });
 
@@ -303,22 +303,22 @@
   const taken: string[] = [];
   const inbox = new Inbox({
     clock: () => now,
-    afterEach: () => taken.push('answers leave'),
-    staleMs: 1500,
-    failed: assert.ifError,
+    onTurnEnd: () => taken.push('answers leave'),
+    maxClientRequestAgeMs: 1500,
+    onError: assert.ifError,
   });
   const input = (name: string) => () => {
-    now += 0.4 * SLICE_MS;
+    now += 0.4 * TIME_SLICE_MS;
     taken.push(name);
   };
-  for (let index = 0; index < 5; index++) inbox.report(input(`report ${index}`));
-  inbox.decision(input('decision 0'));
+  for (let index = 0; index < 5; index++) inbox.enqueueHeartbeat(input(`report ${index}`));
+  inbox.enqueueControlEvent(input('decision 0'));
   now += 50;
-  assert.equal(inbox.waitedMs, 50);
-  inbox.drain();
-  inbox.report(input('report 5'));
-  inbox.drain();
-  inbox.drain();
+  assert.equal(inbox.queueDelayMs, 50);
+  inbox.runTurn();
+  inbox.enqueueHeartbeat(input('report 5'));
+  inbox.runTurn();
+  inbox.runTurn();
   assert.deepEqual(taken, [
     'report 0',
     'report 1',
@@ -331,7 +331,7 @@
     'answers leave',
     'answers leave',
   ]);
-  assert.equal(inbox.waitedMs, 0);
+  assert.equal(inbox.queueDelayMs, 0);
 });
 
 test('while reports wait a few submissions a second are taken all the same, the others refused', () => {
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -192,16 +192,16 @@
   const failed: unknown[] = [];
   const inbox = new Inbox({
     clock: () => 0,
-    afterEach: () => seen.push('carried out'),
-    staleMs: 1500,
-    failed: (error) => failed.push(error),
+    onTurnEnd: () => seen.push('carried out'),
+    maxClientRequestAgeMs: 1500,
+    onError: (error) => failed.push(error),
   });
-  inbox.decision(() => seen.push('first'));
-  inbox.decision(() => {
+  inbox.enqueueControlEvent(() => seen.push('first'));
+  inbox.enqueueControlEvent(() => {
     throw new Error('odd');
   });
-  inbox.decision(() => seen.push('last'));
-  inbox.drain();
+  inbox.enqueueControlEvent(() => seen.push('last'));
+  inbox.runTurn();
   assert.deepEqual(seen, ['first', 'last', 'carried out']);
   assert.equal(failed.length, 1);
 
