--- a/packages/http-client/src/index.ts
+++ b/packages/http-client/src/index.ts
@@ -1,51 +1,51 @@
 import http from 'node:http';
 
-export type Outcome =
+export type CallOutcome =
   | { kind: 'answer'; status: number; body: Buffer }
   /** nothing left this machine: the request can't be carried out later */
   | { kind: 'refused' }
   /** no answer: it may have been carried out, or may be yet */
   | { kind: 'lost' };
 
-export interface Call {
+export interface HttpCall {
   method: 'GET' | 'POST' | 'DELETE';
   path: string;
   body?: Buffer;
   timeoutMs: number;
 }
 
-export function splitAddr(address: string): { host: string; port: number } {
-  const cut = address.lastIndexOf(':');
-  return { host: address.slice(0, cut), port: Number(address.slice(cut + 1)) };
+export function parseAddress(address: string): { host: string; port: number } {
+  const colon = address.lastIndexOf(':');
+  return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
 }
 
 /** Timers that fire so much later than asked for: this process stood still, or had no processor. */
-const LATE_MS = 250;
+const LATE_TIMER_MS = 250;
 
 /** HTTP/1.1 to one address, on persistent connections, never pipelined. */
-export class Client {
+export class HttpClient {
   private readonly agent: http.Agent;
   private readonly host: string;
   private readonly port: number;
 
   constructor(address: string, maxSockets: number) {
-    const { host, port } = splitAddr(address);
+    const { host, port } = parseAddress(address);
     this.host = host;
     this.port = port;
     this.agent = new http.Agent({ keepAlive: true, maxSockets, maxFreeSockets: maxSockets, scheduling: 'lifo' });
   }
 
-  call(call: Call): Promise<Outcome> {
+  call(call: HttpCall): Promise<CallOutcome> {
     return new Promise((resolve) => {
-      let sent = false;
-      let over = false;
-      const finish = (outcome: Outcome) => {
-        if (over) return;
-        over = true;
+      let isSent = false;
+      let isSettled = false;
+      const settle = (outcome: CallOutcome) => {
+        if (isSettled) return;
+        isSettled = true;
         clearTimeout(timer);
         resolve(outcome);
       };
-      const req = http.request({
+      const request = http.request({
         agent: this.agent,
         host: this.host,
         port: this.port,
@@ -56,39 +56,39 @@
           : { accept: 'application/msgpack' },
       });
       const fail = () => {
-        finish(sent ? { kind: 'lost' } : { kind: 'refused' });
-        req.destroy();
+        settle(isSent ? { kind: 'lost' } : { kind: 'refused' });
+        request.destroy();
       };
-      const due = steady() + call.timeoutMs;
+      const deadline = monotonicMs() + call.timeoutMs;
       // A timer that fires late has been waited for by answers too: they are looked at first.
       let timer = setTimeout(() => {
-        if (steady() - due > LATE_MS) timer = setTimeout(fail, LATE_MS);
+        if (monotonicMs() - deadline > LATE_TIMER_MS) timer = setTimeout(fail, LATE_TIMER_MS);
         else fail();
       }, call.timeoutMs);
-      req.on('socket', (socket) => {
-        if (!socket.connecting) sent = true;
+      request.on('socket', (socket) => {
+        if (!socket.connecting) isSent = true;
         else
           socket.once('connect', () => {
             // This process stood still while it connected: what it wanted to say is out of date.
-            if (steady() > due) fail();
-            else sent = true;
+            if (monotonicMs() > deadline) fail();
+            else isSent = true;
           });
       });
-      req.on('error', fail);
-      req.on('response', (res) => {
-        const parts: Buffer[] = [];
-        res.on('data', (chunk: Buffer) => parts.push(chunk));
-        res.on('error', fail);
-        res.on('aborted', fail);
-        res.on('end', () =>
-          finish({
+      request.on('error', fail);
+      request.on('response', (response) => {
+        const chunks: Buffer[] = [];
+        response.on('data', (chunk: Buffer) => chunks.push(chunk));
+        response.on('error', fail);
+        response.on('aborted', fail);
+        response.on('end', () =>
+          settle({
             kind: 'answer',
-            status: res.statusCode ?? 0,
-            body: parts.length === 1 ? (parts[0] as Buffer) : Buffer.concat(parts),
+            status: response.statusCode ?? 0,
+            body: chunks.length === 1 ? (chunks[0] as Buffer) : Buffer.concat(chunks),
           }),
         );
       });
-      req.end(call.body);
+      request.end(call.body);
     });
   }
 
@@ -98,22 +98,22 @@
 }
 
 /** A request budget: so many a second, with a burst of one second's worth. */
-export class Budget {
+export class RequestBudget {
   private tokens: number;
-  private at: number;
+  private refilledAt: number;
 
   constructor(
     private readonly perS: number,
     private readonly clock: () => number,
   ) {
     this.tokens = Math.max(1, perS);
-    this.at = clock();
+    this.refilledAt = clock();
   }
 
   private refill(): void {
     const now = this.clock();
-    this.tokens = Math.min(Math.max(1, this.perS), this.tokens + ((now - this.at) / 1000) * this.perS);
-    this.at = now;
+    this.tokens = Math.min(Math.max(1, this.perS), this.tokens + ((now - this.refilledAt) / 1000) * this.perS);
+    this.refilledAt = now;
   }
 
   /** Takes one whatever is left: for what must not wait. */
@@ -139,6 +139,9 @@
 }
 
 /** Milliseconds of the steady clock. */
-export function steady(): number {
+export function monotonicMs(): number {
   return Number(process.hrtime.bigint() / 1000n) / 1000;
 }
+
+// The former names, until state-client, cloud-client and worker-client use the new ones.
+export { HttpClient as Client, monotonicMs as steady, RequestBudget as Budget };
--- a/packages/server/src/service.ts
+++ b/packages/server/src/service.ts
@@ -2,7 +2,7 @@
 import { Cloud } from '@archpost/cloud-client';
 import { Controller, type Effect } from '@archpost/controller';
 import { type ApiRequest, ConnectionLimiter, HttpApi, LoadShedder } from '@archpost/http-api';
-import { splitAddr, steady } from '@archpost/http-client';
+import { monotonicMs, parseAddress } from '@archpost/http-client';
 import { Peers } from '@archpost/peer-transport';
 import { StateStore } from '@archpost/state-client';
 import { Workers } from '@archpost/worker-client';
@@ -40,15 +40,15 @@
   ) {
     const controllerSettings = settings.controller;
     const controllerCount = controllerSettings.controllers.length;
-    this.loadShedder = new LoadShedder(steady, MUTATIONS_PER_S_AND_CORE * controllerSettings.cpuShare);
+    this.loadShedder = new LoadShedder(monotonicMs, MUTATIONS_PER_S_AND_CORE * controllerSettings.cpuShare);
     this.controller = new Controller(controllerSettings, randomUUID().slice(0, 8));
     this.inbox = new Inbox({
-      clock: steady,
+      clock: monotonicMs,
       onTurnEnd: () => this.executeEffects(),
       maxClientRequestAgeMs: 1500,
       onProcessPause: (ms) => {
         this.executeEffects(true);
-        this.controller.processPaused(ms, steady());
+        this.controller.processPaused(ms, monotonicMs());
       },
       onError: (error) => this.log.error({ err: error }, 'an input could not be taken'),
     });
@@ -83,18 +83,18 @@
   async start(): Promise<void> {
     const { controller, inbox } = this;
     this.stateStore.loaded$.subscribe((snapshot) =>
-      inbox.enqueueControlEvent(() => controller.receiveSnapshot(snapshot.rows, snapshot.revision, steady())),
+      inbox.enqueueControlEvent(() => controller.receiveSnapshot(snapshot.rows, snapshot.revision, monotonicMs())),
     );
     this.stateStore.changes$.subscribe((event) =>
-      inbox.enqueueControlEvent(() => controller.receiveChanges(event.changes, event.revision, event.asOf, steady())),
+      inbox.enqueueControlEvent(() => controller.receiveChanges(event.changes, event.revision, event.asOf, monotonicMs())),
     );
     this.stateStore.lease$.subscribe((lease) =>
-      inbox.enqueueControlEvent(() => controller.receiveLeaseState(lease.permit, lease.validUntil, steady())),
+      inbox.enqueueControlEvent(() => controller.receiveLeaseState(lease.permit, lease.validUntil, monotonicMs())),
     );
     this.peers.message$.subscribe((message) => {
       const { heartbeat, status } = message;
-      if (heartbeat) inbox.enqueueHeartbeat(() => controller.receiveForwardedHeartbeat(heartbeat, steady()));
-      if (status) inbox.enqueueControlEvent(() => controller.receivePeerStatus(status, steady()));
+      if (heartbeat) inbox.enqueueHeartbeat(() => controller.receiveForwardedHeartbeat(heartbeat, monotonicMs()));
+      if (status) inbox.enqueueControlEvent(() => controller.receivePeerStatus(status, monotonicMs()));
     });
     this.peers.unreadable$.subscribe((problem) => this.log.warn(problem, 'a peer message can not be read'));
     this.peers.unsent$.subscribe((problem) => this.log.error(problem, 'a peer message can not be sent'));
@@ -103,12 +103,12 @@
     this.stateStore.unreadable$
       .pipe(throttled)
       .subscribe((what) => this.log.error({ what }, "the state service's answer can not be read"));
-    this.peers.down$.subscribe((peer) => inbox.enqueueControlEvent(() => controller.peerDisconnected(peer, steady())));
+    this.peers.down$.subscribe((peer) => inbox.enqueueControlEvent(() => controller.peerDisconnected(peer, monotonicMs())));
     this.stateStore.start();
-    const peerAddress = splitAddr(this.settings.peerListen);
+    const peerAddress = parseAddress(this.settings.peerListen);
     await this.peers.listen(peerAddress.host, peerAddress.port);
     this.peers.start();
-    const publicAddress = splitAddr(this.settings.publicAddr);
+    const publicAddress = parseAddress(this.settings.publicAddr);
     await this.api.listen(publicAddress.host, publicAddress.port);
     this.scheduleTick(TICK_INTERVAL_MS);
     // What each controller refused, and what its processor time and memory go to, is worth seeing at any size.
@@ -137,15 +137,15 @@
   /** One tick after the other: one that took long is followed by as long a time for everything else. */
   private scheduleTick(delayMs: number): void {
     const { controller, inbox } = this;
-    const dueAt = steady() + delayMs;
+    const dueAt = monotonicMs() + delayMs;
     timer(delayMs).subscribe(() => {
-      this.loadShedder.recordTimerDelay(Math.max(steady() - dueAt, inbox.queueDelayMs));
+      this.loadShedder.recordTimerDelay(Math.max(monotonicMs() - dueAt, inbox.queueDelayMs));
       inbox.enqueueControlEvent(() => {
-        const startedAt = steady();
+        const startedAt = monotonicMs();
         try {
           controller.tick(startedAt, Date.now());
         } finally {
-          const tookMs = steady() - startedAt;
+          const tookMs = monotonicMs() - startedAt;
           this.scheduleTick(Math.max(TICK_INTERVAL_MS - tookMs, tookMs));
         }
       });
@@ -155,17 +155,17 @@
   private receiveRequest(request: ApiRequest): void {
     const { controller, inbox } = this;
     if (request.kind === 'heartbeat') {
-      inbox.enqueueHeartbeat(() => controller.receiveHeartbeat(request.id, request.heartbeat, steady()));
+      inbox.enqueueHeartbeat(() => controller.receiveHeartbeat(request.id, request.heartbeat, monotonicMs()));
       return;
     }
     const reject = () => this.api.respond(request.id, 503, { error: 'overloaded' }, 1);
     if (request.kind === 'statusQuery') {
-      inbox.enqueueStatusQuery(() => controller.queryJobStatus(request.id, request.job, steady()), reject);
+      inbox.enqueueStatusQuery(() => controller.queryJobStatus(request.id, request.job, monotonicMs()), reject);
       return;
     }
     inbox.enqueueMutation(() => {
-      if (request.kind === 'submit') controller.submitJob(request.id, request.body, steady(), Date.now());
-      else controller.cancelJob(request.id, request.job, steady());
+      if (request.kind === 'submit') controller.submitJob(request.id, request.body, monotonicMs(), Date.now());
+      else controller.cancelJob(request.id, request.job, monotonicMs());
     }, reject);
   }
 
@@ -175,7 +175,7 @@
     // and a late write fails on its guards.
     const decidedAt = this.inbox.lastClockReading;
     for (const effect of this.controller.takeEffects()) {
-      if ((beforePause || steady() - decidedAt > PROCESS_PAUSE_MS) && this.withholdAfterPause(effect)) continue;
+      if ((beforePause || monotonicMs() - decidedAt > PROCESS_PAUSE_MS) && this.withholdAfterPause(effect)) continue;
       this.execute(effect);
     }
   }
@@ -184,11 +184,11 @@
   private withholdAfterPause(effect: Effect): boolean {
     const { controller, inbox } = this;
     if (effect.type === 'command')
-      inbox.enqueueControlEvent(() => controller.receiveCommandOutcome(effect.id, { kind: 'refused' }, steady()));
+      inbox.enqueueControlEvent(() => controller.receiveCommandOutcome(effect.id, { kind: 'refused' }, monotonicMs()));
     else if (effect.type === 'release')
-      inbox.enqueueControlEvent(() => controller.receiveReleaseOutcome(effect.id, false, steady()));
+      inbox.enqueueControlEvent(() => controller.receiveReleaseOutcome(effect.id, false, monotonicMs()));
     else if (effect.type === 'provision')
-      inbox.enqueueControlEvent(() => controller.receiveProvisioningOutcome(effect.id, { kind: 'unknown' }, steady()));
+      inbox.enqueueControlEvent(() => controller.receiveProvisioningOutcome(effect.id, { kind: 'unknown' }, monotonicMs()));
     else return false;
     return true;
   }
@@ -206,33 +206,33 @@
       case 'compareAndSwap':
         void this.stateStore
           .txn(effect.conditions, effect.writes)
-          .then((outcome) => enqueueOutcome(() => controller.receiveCompareAndSwapOutcome(effect.id, outcome, steady())));
+          .then((outcome) => enqueueOutcome(() => controller.receiveCompareAndSwapOutcome(effect.id, outcome, monotonicMs())));
         break;
       case 'command':
         void this.workers
           .command(effect.address, effect.fencingToken, effect.agentEpoch, effect.commands)
-          .then((outcome) => enqueueOutcome(() => controller.receiveCommandOutcome(effect.id, outcome, steady())));
+          .then((outcome) => enqueueOutcome(() => controller.receiveCommandOutcome(effect.id, outcome, monotonicMs())));
         break;
       case 'probe':
         void this.workers
           .ask(effect.address)
-          .then((isAnswered) => enqueueOutcome(() => controller.receiveProbeOutcome(effect.id, isAnswered, steady())));
+          .then((isAnswered) => enqueueOutcome(() => controller.receiveProbeOutcome(effect.id, isAnswered, monotonicMs())));
         break;
       case 'provision':
         void this.cloud
           .rent(effect.request)
-          .then((outcome) => enqueueOutcome(() => controller.receiveProvisioningOutcome(effect.id, outcome, steady())));
+          .then((outcome) => enqueueOutcome(() => controller.receiveProvisioningOutcome(effect.id, outcome, monotonicMs())));
         break;
       case 'release':
         void this.cloud
           .giveBack(effect.machines)
-          .then((isReleased) => enqueueOutcome(() => controller.receiveReleaseOutcome(effect.id, isReleased, steady())));
+          .then((isReleased) => enqueueOutcome(() => controller.receiveReleaseOutcome(effect.id, isReleased, monotonicMs())));
         break;
       case 'listMachines':
-        void this.cloud.list().then((machines) => enqueueOutcome(() => controller.receiveMachineList(machines, steady())));
+        void this.cloud.list().then((machines) => enqueueOutcome(() => controller.receiveMachineList(machines, monotonicMs())));
         break;
       case 'fetchMachineTypes':
-        void this.cloud.types().then((types) => enqueueOutcome(() => controller.receiveMachineTypes(types, steady())));
+        void this.cloud.types().then((types) => enqueueOutcome(() => controller.receiveMachineTypes(types, monotonicMs())));
         break;
       case 'sendStatus':
         this.peers.send({ node: this.settings.controller.name, status: effect.status, heartbeat: null }, effect.to);
