--- a/packages/http-api/src/front.ts
+++ b/packages/http-api/src/http-listener.ts
@@ -4,7 +4,7 @@
  */
 import http from 'node:http';
 import net from 'node:net';
-import { HeartbeatConnection, IDLE_TIMEOUT_MS, REQUEST_TIMEOUT_MS, startsHeartbeat } from './report-connection.js';
+import { HeartbeatConnection, IDLE_TIMEOUT_MS, REQUEST_TIMEOUT_MS, startsHeartbeat } from './heartbeat-connection.js';
 
 export interface HttpListenerOptions {
   /** a report is there; null: its body is too large */
--- a/packages/http-api/src/shedding.ts
+++ b/packages/http-api/src/load-shedder.ts
@@ -1,3 +1,5 @@
+import { TokenBucket } from './token-bucket.js';
+
 /** Timers this late: a job that was answered here a moment ago is asked to wait. */
 const BUSY_DELAY_MS = 150;
 
@@ -16,29 +18,6 @@
 /** So many of these a second, at the most, while workers' reports wait. */
 const STARVED_QUERIES_PER_S = 8;
 
-/** So many a second, and as many at once. */
-class TokenBucket {
-  private tokens: number;
-  private refilledAt = 0;
-
-  constructor(
-    private readonly perS: number,
-    private readonly clock: () => number,
-  ) {
-    this.tokens = perS;
-  }
-
-  take(): boolean {
-    const now = this.clock();
-    const limit = this.perS > 0 ? Math.max(1, this.perS) : 0;
-    this.tokens = Math.min(limit, this.tokens + ((now - this.refilledAt) / 1000) * this.perS);
-    this.refilledAt = now;
-    if (this.tokens < 1) return false;
-    this.tokens--;
-    return true;
-  }
-}
-
 /**
  * Who is refused when more is asked than can be done. Questions go first, and fairly: those
  * about jobs that were answered lately, so that none is unlucky for long. Submissions and
--- /dev/null
+++ b/packages/http-client/src/address.ts
@@ -0,0 +1,4 @@
+export function parseAddress(address: string): { host: string; port: number } {
+  const colon = address.lastIndexOf(':');
+  return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
+}
--- a/packages/server/src/memory.ts
+++ b/packages/server/src/heap-plan.ts
@@ -4,8 +4,6 @@
  * with less collects garbage before it reaches its limit.
  */
 import v8 from 'node:v8';
-import vm from 'node:vm';
-import { Worker } from 'node:worker_threads';
 
 /** Measured: a process with the program loaded, without its heap. */
 const PROCESS_OVERHEAD_MB = 46;
@@ -21,19 +19,12 @@
 const HEAP_TOLERANCE_FACTOR = 1.1;
 
 /** A process with too little memory for its heap's limit collects garbage beyond this part of its memory. */
-const COLLECTION_START_FRACTION = 0.85;
-const COLLECTION_CHECK_INTERVAL_MS = 5000;
-
-/**
- * What a collection leaves is no garbage: the next one comes once the process holds this part of its memory more. A full
- * collection takes tens of milliseconds of processor, most of a second on a small share of a core.
- */
-const COLLECTION_GROWTH_FRACTION = 0.04;
+export const COLLECTION_START_FRACTION = 0.85;
 
 /** Node's young generation at its largest, as V8 counts it: three times 16 MB. */
 const MAX_YOUNG_GENERATION_MB = 48;
 
-const BYTES_PER_MB = 1024 * 1024;
+export const BYTES_PER_MB = 1024 * 1024;
 
 /** What the process may use. */
 export interface MemoryBudget {
@@ -67,50 +58,3 @@
 export function heapLimitMb(): number {
   return Math.round(v8.getHeapStatistics().heap_size_limit / BYTES_PER_MB) - MAX_YOUNG_GENERATION_MB;
 }
-
-/** Runs the program again in a thread with such a heap; the process ends as that thread does. */
-export function runInThread(program: string, oldGenerationMb: number): void {
-  // The flag counts for heaps that begin after it; a thread's own limits give way to it.
-  v8.setFlagsFromString(`--max-old-space-size=${oldGenerationMb}`);
-  const thread = new Worker(program, { argv: process.argv.slice(2) });
-  thread.on('error', (error) => {
-    process.stderr.write(`archpost: ${error.message}\n`);
-    process.exit(1);
-  });
-  thread.on('exit', (code) => process.exit(code));
-}
-
-/** Says when collecting garbage is worth its price, by what the process held at each look. */
-export class CollectionTrigger {
-  /** what was left by the last collection */
-  private retainedMb = 0;
-  private wasJustCollected = false;
-
-  constructor(
-    private readonly thresholdMb: number,
-    private readonly growthMb: number,
-  ) {}
-
-  /** Told what the process holds; true: garbage is to be collected now. */
-  isDue(heldMb: number): boolean {
-    if (this.wasJustCollected) {
-      this.wasJustCollected = false;
-      this.retainedMb = heldMb;
-    }
-    // What was given back since counts too: growth is measured from the least.
-    this.retainedMb = Math.min(this.retainedMb, heldMb);
-    if (heldMb <= Math.max(this.thresholdMb, this.retainedMb + this.growthMb)) return false;
-    this.wasJustCollected = true;
-    return true;
-  }
-}
-
-/** Collects garbage, now and then, while the process grows beyond so many megabytes of its memory. */
-export function startGarbageCollection(thresholdMb: number): NodeJS.Timeout {
-  v8.setFlagsFromString('--expose-gc');
-  const collect = vm.runInNewContext('gc') as () => void;
-  const trigger = new CollectionTrigger(thresholdMb, (thresholdMb * COLLECTION_GROWTH_FRACTION) / COLLECTION_START_FRACTION);
-  return setInterval(() => {
-    if (trigger.isDue(process.memoryUsage.rss() / BYTES_PER_MB)) collect();
-  }, COLLECTION_CHECK_INTERVAL_MS);
-}
--- a/packages/server/src/index.ts
+++ b/packages/server/src/index.ts
@@ -4,10 +4,13 @@
 import { isMainThread } from 'node:worker_threads';
 import { Command } from 'commander';
 import { type Logger, pino } from 'pino';
-import { findShortages } from './capacity.js';
-import { heapLimitMb, planHeap, runInThread, startGarbageCollection } from './memory.js';
+import { startGarbageCollection } from './garbage-collection.js';
+import { heapLimitMb, planHeap } from './heap-plan.js';
 import { Service } from './service.js';
-import { loadSettings, type Settings, SettingsError } from './settings.js';
+import { runInThread } from './service-thread.js';
+import { loadSettings, type Settings } from './settings/load-settings.js';
+import { SettingsError } from './settings/settings-error.js';
+import { findShortages } from './sizing.js';
 
 declare const ARCHPOST_VERSION: string;
 
--- a/packages/server/src/service.ts
+++ b/packages/server/src/service.ts
@@ -8,9 +8,9 @@
 import { Workers } from '@archpost/worker-client';
 import type { Logger } from 'pino';
 import { interval, throttleTime, timer } from 'rxjs';
-import { maxCommandSockets, maxInboundSockets } from './capacity.js';
 import { Inbox, PROCESS_PAUSE_MS } from './inbox.js';
-import type { Settings } from './settings.js';
+import type { Settings } from './settings/load-settings.js';
+import { maxCommandSockets, maxInboundSockets } from './sizing.js';
 
 const TICK_INTERVAL_MS = 100;
 
--- /dev/null
+++ b/packages/server/src/settings/settings-error.ts
@@ -0,0 +1,1 @@
+export class SettingsError extends Error {}
--- a/packages/server/src/capacity.ts
+++ b/packages/server/src/sizing.ts
@@ -4,7 +4,7 @@
  */
 import { CLOUD_SOCKETS } from '@archpost/cloud-client';
 import { STATE_SOCKETS } from '@archpost/state-client';
-import type { Settings } from './settings.js';
+import type { Settings } from './settings/load-settings.js';
 
 /** Part of the sockets that commands to workers may take; those that were not used for longest are closed. */
 const COMMAND_SOCKET_FRACTION = 1 / 6;
--- a/test/edges.test.ts
+++ b/test/edges.test.ts
@@ -6,9 +6,10 @@
 import { type FreeResources, Job, Machine, placeGang, Replica, StateWriter, WritePriority } from '@archpost/controller';
 import { HttpApi } from '@archpost/http-api';
 import { decodePeerMessage, encodePeerMessage, PATHS, pack, parseChanges, parseSubmission } from '@archpost/protocol';
-import { LoadShedder } from '../packages/http-api/src/shedding.js';
+import { LoadShedder } from '../packages/http-api/src/load-shedder.js';
 import { Inbox, TIME_SLICE_MS } from '../packages/server/src/inbox.js';
-import { loadSettings, SettingsError } from '../packages/server/src/settings.js';
+import { loadSettings } from '../packages/server/src/settings/load-settings.js';
+import { SettingsError } from '../packages/server/src/settings/settings-error.js';
 import { job, TYPES } from './stand-ins.js';
 
 const SETTINGS = `
--- a/test/loopback.test.ts
+++ b/test/loopback.test.ts
@@ -4,7 +4,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { test } from 'node:test';
-import { threadHeapMb } from '../packages/server/src/memory.js';
+import { threadHeapMb } from '../packages/server/src/heap-plan.js';
 import { ControllerProcess, freeAddress } from './loopback/controller-process.js';
 import { singleController } from './loopback/single-controller.js';
 
--- a/test/malformed-input.test.ts
+++ b/test/malformed-input.test.ts
@@ -29,7 +29,8 @@
   unpackMap,
 } from '@archpost/protocol';
 import { stringify } from 'smol-toml';
-import { loadSettings, SettingsError } from '../packages/server/src/settings.js';
+import { loadSettings } from '../packages/server/src/settings/load-settings.js';
+import { SettingsError } from '../packages/server/src/settings/settings-error.js';
 import { type Cluster, STATUS, smallCluster } from './stand-ins.js';
 
 // ---- The code under test: all uses of internal interfaces but the functions that decode single bodies.
--- a/test/ops.test.ts
+++ b/test/ops.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import type { ControllerSettings } from '@archpost/controller';
 import { BootTimeEstimator } from '../packages/controller/src/capacity/boot-time-estimator.js';
-import { LoadShedder } from '../packages/http-api/src/shedding.js';
+import { LoadShedder } from '../packages/http-api/src/load-shedder.js';
 import { Cluster, holderOf, job, kept, shareOf, smallCluster } from './stand-ins.js';
 
 const dead = (cluster: Cluster) => cluster.workers.filter((w) => w.dead).map((w) => w.name);
--- a/test/report-connections.test.ts
+++ b/test/report-connections.test.ts
@@ -4,7 +4,7 @@
 import { type TestContext, test } from 'node:test';
 import { type ApiRequest, ConnectionLimiter, HttpApi, LoadShedder } from '@archpost/http-api';
 import { PATHS, pack, unpackMap } from '@archpost/protocol';
-import { HttpListener } from '../packages/http-api/src/front.js';
+import { HttpListener } from '../packages/http-api/src/http-listener.js';
 
 const REPORT = pack({
   host: 'n-1',
