--- a/packages/server/src/index.ts
+++ b/packages/server/src/index.ts
@@ -39,7 +39,7 @@
     }
     const level = process.env.LOG_LEVEL ?? 'info';
     if (!['error', 'warn', 'info', 'debug'].includes(level))
-      throw new SettingsError(`LOG_LEVEL: ${level}: must be error, info or debug`);
+      throw new SettingsError({ source: 'LOG_LEVEL', field: null, reason: `${level}: must be error, info or debug` });
     const log = pino({ level, base: { node: settings.controller.name } }, pino.destination({ dest: 2, sync: true }));
     process.on('unhandledRejection', (reason) => log.error({ err: reason }, 'unexpected'));
     process.on('uncaughtException', (error) => log.error({ err: error }, 'unexpected'));
--- a/packages/server/src/settings/feasibility.ts
+++ b/packages/server/src/settings/feasibility.ts
@@ -1,57 +1,95 @@
+/**
+ * Settings under which rules could not be kept, or nothing could be served, are refused at the start rather than found
+ * out by users.
+ */
 import { STATE_SOCKETS, WATCH_S } from '@archpost/state-client';
-import type { z } from 'zod';
-import type { platformSchema, stateLimitFields } from './platform-settings.js';
+import type { PlatformSettings, StateLimitFields } from './platform-settings.js';
 import { SettingsError } from './settings-error.js';
 
 /** Measured at a start on simulated machines, without work: 66 MB. */
 const MIN_MEMORY_MB = 80;
 
-/** What of a limit has to be there for a controller to run at all; the reason is what it is for. */
-function requireAtLeast(path: string, field: string, have: number, need: number, purpose: string): void {
-  if (have < need) throw new SettingsError(`${path}: params.${field}: ${have} is too little: ${purpose} takes ${need}`);
+/** Requests for its lease, its watch and a transaction. */
+const STATE_REQUESTS_PER_S_AND_CONTROLLER = 4;
+
+/** For the record of a job. */
+const MIN_VALUE_KIB = 2;
+
+/** For the links between controllers. */
+const SOCKETS_PER_CONTROLLER = 4;
+
+/** Sockets for workers and users, at the least. */
+const MIN_INBOUND_SOCKETS = 64;
+
+/** One limit and the least that a controller needs of it. */
+interface Requirement {
+  /** the field below `params` */
+  field: string;
+  have: number;
+  need: number;
+  /** what the least is for, as the subject of a sentence */
+  purpose: string;
 }
 
-function requireStateLimits(
-  path: string,
-  field: string,
-  limits: z.infer<z.ZodObject<typeof stateLimitFields>>,
-  controllerCount: number,
-): void {
-  requireAtLeast(path, `${field}.write_rps`, limits.write_rps, controllerCount, 'a change a second for each controller');
-  requireAtLeast(
-    path,
-    `${field}.rps`,
-    limits.rps,
-    4 * controllerCount,
-    'lease, watch and a transaction a second for each controller',
-  );
-  requireAtLeast(path, `${field}.value_kb`, limits.value_kb, 2, 'the record of a job');
+/**
+ * Refuses limits that are too small for any service at all.
+ *
+ * @throws SettingsError that names the first such field
+ */
+export function requireFeasibleSettings(path: string, settings: PlatformSettings): void {
+  requireCancellationTime(path, settings.params.workers);
+  for (const { field, have, need, purpose } of requirements(settings)) {
+    if (have >= need) continue;
+    const reason = `${have} is too little: ${purpose} takes ${need}`;
+    throw new SettingsError({ source: path, field: `params.${field}`, reason });
+  }
 }
 
 /**
- * Settings under which rules could not be kept, or nothing could be served, are refused here
- * rather than found out by users.
+ * Workers are answered for what this leaves after the last reading of all changes: no less than the time between two
+ * readings (docs/design.md, "Who may answer workers").
  */
-export function requireFeasibleSettings(path: string, settings: z.infer<typeof platformSchema>): void {
-  const controllerCount = settings.others.length + 1;
-  const workers = settings.params.workers;
-  // Workers are answered for what this leaves after the last reading of all changes: no less
-  // than the time between two readings (docs/design.md, "Who may answer workers").
+function requireCancellationTime(path: string, workers: PlatformSettings['params']['workers']): void {
   const minCancelS = workers.lease_s + workers.report_s + WATCH_S;
-  if (workers.cancel_s <= minCancelS)
-    throw new SettingsError(
-      `${path}: params.workers.cancel_s: must exceed lease_s + report_s by more than ${WATCH_S} s (${minCancelS}), but is ${workers.cancel_s}`,
-    );
+  if (workers.cancel_s > minCancelS) return;
+  throw new SettingsError({
+    source: path,
+    field: 'params.workers.cancel_s',
+    reason: `must exceed lease_s + report_s by more than ${WATCH_S} s (${minCancelS}), but is ${workers.cancel_s}`,
+  });
+}
+
+function requirements(settings: PlatformSettings): Requirement[] {
+  const controllerCount = settings.others.length + 1;
   const { max_sockets, mem_mb } = settings.params.machine_limits;
   const { next, ...present } = settings.params.state;
-  requireStateLimits(path, 'state', present, controllerCount);
-  if (next) requireStateLimits(path, 'state.next', { ...present, ...next }, controllerCount);
-  requireAtLeast(path, 'machine_limits.mem_mb', mem_mb, MIN_MEMORY_MB, 'the process without any work');
-  requireAtLeast(
-    path,
-    'machine_limits.max_sockets',
-    max_sockets,
-    STATE_SOCKETS + 4 * controllerCount + 64,
-    'the state service, the other controllers and a few workers and users',
-  );
+  return [
+    ...stateRequirements('state', present, controllerCount),
+    ...(next ? stateRequirements('state.next', { ...present, ...next }, controllerCount) : []),
+    { field: 'machine_limits.mem_mb', have: mem_mb, need: MIN_MEMORY_MB, purpose: 'the process without any work' },
+    {
+      field: 'machine_limits.max_sockets',
+      have: max_sockets,
+      need: STATE_SOCKETS + SOCKETS_PER_CONTROLLER * controllerCount + MIN_INBOUND_SOCKETS,
+      purpose: 'the state service, the other controllers and a few workers and users',
+    },
+  ];
+}
+
+function stateRequirements(table: string, limits: StateLimitFields, controllerCount: number): Requirement[] {
+  return [
+    {
+      field: `${table}.write_rps`,
+      have: limits.write_rps,
+      need: controllerCount,
+      purpose: 'a change a second for each controller',
+    },
+    {
+      field: `${table}.rps`,
+      have: limits.rps,
+      need: STATE_REQUESTS_PER_S_AND_CONTROLLER * controllerCount,
+      purpose: 'lease, watch and a transaction a second for each controller',
+    },
+    { field: `${table}.value_kb`, have: limits.value_kb, need: MIN_VALUE_KIB, purpose: 'the record of a job' },
+  ];
 }
--- a/packages/server/src/settings/settings-file.ts
+++ b/packages/server/src/settings/settings-file.ts
@@ -1,39 +1,62 @@
+/**
+ * Reads the two settings files and validates them against their schemas. Whatever is wrong with a file becomes a
+ * `SettingsError` that names it.
+ */
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 import type { z } from 'zod';
+import { errorMessage, systemErrorCode } from '../error-message.js';
 import { SettingsError } from './settings-error.js';
 
-export function validate<T>(name: string, schema: z.ZodType<T>, value: unknown): T {
-  const parsed = schema.safeParse(value);
-  if (parsed.success) return parsed.data;
-  const issue = parsed.error.issues[0];
-  throw new SettingsError(`${name}: ${issue?.path.join('.') || 'file'}: ${issue?.message ?? 'invalid'}`);
+/** Stands for the field where a value as a whole, not one of its fields, has the wrong type. */
+const WHOLE_FILE = 'file';
+
+/**
+ * The value as its schema describes it, defaults filled in and unknown fields dropped, unless the schema forbids them.
+ *
+ * @param source names the file in errors
+ * @throws SettingsError that names the first field at fault
+ */
+export function validate<Value>(source: string, schema: z.ZodType<Value>, value: unknown): Value {
+  const result = schema.safeParse(value);
+  if (result.success) return result.data;
+  const issue = result.error.issues[0];
+  throw new SettingsError({
+    source,
+    field: issue?.path.join('.') || WHOLE_FILE,
+    reason: issue?.message ?? 'invalid',
+    cause: result.error,
+  });
 }
 
-function readSettingsFile(path: string): string {
+/** The platform's settings file, which is TOML. Throws a SettingsError if it can't be read or parsed. */
+export function parseToml(path: string): unknown {
+  const text = readSettingsFile(path);
   try {
-    return readFileSync(path, 'utf8');
+    return parse(text);
   } catch (error) {
-    throw new SettingsError(
-      `${path}: ${(error as NodeJS.ErrnoException).code === 'ENOENT' ? 'no such file' : (error as Error).message}`,
-    );
+    // The parser's other lines show the place in the file.
+    const [firstLine] = errorMessage(error).split('\n');
+    throw new SettingsError({ source: path, field: null, reason: `not valid TOML: ${firstLine}`, cause: error });
   }
 }
 
-export function parseToml(path: string): unknown {
+/** The operators' settings, which the build turns from HCL into JSON. Throws a SettingsError as `parseToml` does. */
+export function parseOperatorJson(path: string): unknown {
+  const text = readSettingsFile(path);
   try {
-    return parse(readSettingsFile(path));
+    return JSON.parse(text);
   } catch (error) {
-    if (error instanceof SettingsError) throw error;
-    throw new SettingsError(`${path}: not valid TOML: ${(error as Error).message.split('\n')[0]}`);
+    const reason = 'not valid JSON (the build makes it of the HCL file)';
+    throw new SettingsError({ source: path, field: null, reason, cause: error });
   }
 }
 
-export function parseOperatorJson(path: string): unknown {
+function readSettingsFile(path: string): string {
   try {
-    return JSON.parse(readSettingsFile(path));
+    return readFileSync(path, 'utf8');
   } catch (error) {
-    if (error instanceof SettingsError) throw error;
-    throw new SettingsError(`${path}: not valid JSON (the build makes it of the HCL file)`);
+    const reason = systemErrorCode(error) === 'ENOENT' ? 'no such file' : errorMessage(error);
+    throw new SettingsError({ source: path, field: null, reason, cause: error });
   }
 }
