--- /dev/null
+++ b/packages/http-api/src/express-app.ts
@@ -0,0 +1,68 @@
+/**
+ * Routes and refusals of the HTTP interface, as an Express application. Frequent requests don't come this way: the
+ * framework would cost each several times what is done for it (see `HttpApi`).
+ */
+import type http from 'node:http';
+import { MAX_BODY_BYTES, PATHS } from '@archpost/protocol';
+import express from 'express';
+
+const JOB_PATH = `${PATHS.jobs}/:id`;
+const CANCEL_PATH = `${JOB_PATH}/cancel`;
+
+/** The only method of each path; others are answered 405. */
+const ALLOWED_METHODS: readonly { path: string; method: string }[] = [
+  { path: PATHS.report, method: 'POST' },
+  { path: PATHS.up, method: 'GET' },
+  { path: PATHS.jobs, method: 'POST' },
+  { path: JOB_PATH, method: 'GET' },
+  { path: CANCEL_PATH, method: 'POST' },
+];
+
+/** What is done for each route. */
+export interface RouteHandlers {
+  health(response: http.ServerResponse): void;
+  /** `body`: null where the request has none */
+  submit(response: http.ServerResponse, body: Buffer | null): void;
+  queryStatus(response: http.ServerResponse, job: string): void;
+  cancel(response: http.ServerResponse, job: string): void;
+  /** a request that no route takes, or that is malformed */
+  reject(response: http.ServerResponse, status: number, error: string): void;
+}
+
+/** Bodies reach their handlers as they were sent, whatever type they claim to have; compressed ones are refused. */
+export function createExpressApp(handlers: RouteHandlers): express.Express {
+  const app = express();
+  app.disable('x-powered-by');
+  app.disable('etag');
+  app.set('query parser', false);
+  app.set('case sensitive routing', true);
+  addRoutes(app, handlers);
+  addRejections(app, handlers);
+  return app;
+}
+
+function addRoutes(app: express.Express, handlers: RouteHandlers): void {
+  const rawBody = express.raw({ type: () => true, limit: MAX_BODY_BYTES, inflate: false });
+  app.get(PATHS.up, (_request, response) => handlers.health(response));
+  app.post(PATHS.jobs, rawBody, ({ body }, response) => handlers.submit(response, Buffer.isBuffer(body) ? body : null));
+  app.get(JOB_PATH, (request, response) => handlers.queryStatus(response, String(request.params.id)));
+  app.post(CANCEL_PATH, rawBody, (request, response) => handlers.cancel(response, String(request.params.id)));
+}
+
+function addRejections(app: express.Express, handlers: RouteHandlers): void {
+  for (const { path, method } of ALLOWED_METHODS) {
+    app.all(path, (_request, response) => {
+      response.setHeader('allow', method);
+      handlers.reject(response, 405, 'method not allowed');
+    });
+  }
+  app.use((_request, response) => handlers.reject(response, 404, 'no such path'));
+  // Express knows a handler of errors by its four parameters.
+  app.use((error: unknown, _request: express.Request, response: express.Response, _next: express.NextFunction) => {
+    handlers.reject(response, 400, isBodyTooLarge(error) ? 'the body is too large' : 'malformed request');
+  });
+}
+
+function isBodyTooLarge(error: unknown): boolean {
+  return typeof error === 'object' && error !== null && 'status' in error && error.status === 413;
+}
--- a/packages/http-api/src/heartbeat-connection.ts
+++ b/packages/http-api/src/heartbeat-connection.ts
@@ -1,41 +1,43 @@
 /**
- * A connection on which a worker reports. Reports are by far the most frequent requests, and Node's HTTP server makes a
- * stream of each request and answer, half as much processor time again as this takes. Here the parser is fed directly, and
- * an answer is one write.
+ * A connection on which a worker sends heartbeats. Heartbeats are by far the most frequent requests, and Node's HTTP server
+ * makes a stream of each request and response, half as much processor time again as this takes. Here the parser is fed
+ * directly, and a response is one write.
  */
 import type net from 'node:net';
 import { MAX_BODY_BYTES, PATHS } from '@archpost/protocol';
 import { HTTPParser } from 'http-parser-js';
 import { encodeResponse, type HttpResponse, type Responder } from './responder.js';
 
-/** How a report begins. What begins otherwise is no matter for this connection. */
+/** How a heartbeat begins. What begins otherwise is left to Node's HTTP server. */
 const HEARTBEAT_REQUEST_LINE = Buffer.from(`POST ${PATHS.report} HTTP/1.1\r\n`, 'latin1');
 
-/** A report that is not whole, or an answer that is not taken, after this long closes the connection. */
+/** A request that is not whole, or a response that is not taken, after this long closes the connection. */
 export const REQUEST_TIMEOUT_MS = 10_000;
+
+/** A connection without any request for this long is closed. */
 export const IDLE_TIMEOUT_MS = 75_000;
 
-/** Is this the beginning of a report? */
+/** Whether the first bytes of a request are those of a heartbeat; a request line that comes in pieces doesn't count. */
 export function startsHeartbeat(chunk: Buffer): boolean {
-  return (
-    chunk.length >= HEARTBEAT_REQUEST_LINE.length &&
-    chunk.compare(HEARTBEAT_REQUEST_LINE, 0, HEARTBEAT_REQUEST_LINE.length, 0, HEARTBEAT_REQUEST_LINE.length) === 0
-  );
+  const { length } = HEARTBEAT_REQUEST_LINE;
+  return chunk.length >= length && chunk.compare(HEARTBEAT_REQUEST_LINE, 0, length, 0, length) === 0;
 }
 
+/** What a connection hands on. */
 export interface HeartbeatConnectionOptions {
-  /** a report is there; null: its body is too large */
+  /** a heartbeat has come and waits for its response; null: its body is too large */
   onHeartbeat(connection: HeartbeatConnection, body: Buffer | null): void;
   /** something else begins on this connection: from here on it is Node's HTTP server's */
   onOtherRequest(socket: net.Socket, chunk: Buffer): void;
 }
 
+/** Owns its socket until it is handed over, or closed. */
 export class HeartbeatConnection implements Responder {
   private readonly parser = new HTTPParser(HTTPParser.REQUEST);
   private bodyChunks: Buffer[] = [];
   private bodyBytes = 0;
-  private state: 'idle' | 'reading' | 'answering' = 'idle';
-  /** the worker closes the connection after this answer */
+  private state: 'idle' | 'reading' | 'responding' = 'idle';
+  /** the worker wants the connection closed after this response */
   private closeRequested = false;
   private disconnectListener: (() => void) | null = null;
 
@@ -56,10 +58,10 @@
     socket.on('timeout', this.destroy);
   }
 
-  /** What has come; the first of it was read by who made this connection. */
+  /** Takes bytes of the socket; whoever made this connection has read the first of them. */
   readonly receive = (chunk: Buffer): void => {
     // Requests are not pipelined (PROTOCOL): whoever does it all the same is no worker.
-    if (this.state === 'answering') return this.destroy();
+    if (this.state === 'responding') return this.destroy();
     if (this.state === 'idle') {
       if (!startsHeartbeat(chunk)) return this.detach(chunk);
       this.state = 'reading';
@@ -68,31 +70,17 @@
     if (typeof this.parser.execute(chunk) !== 'number') this.destroy();
   };
 
-  private appendBody(part: Buffer): void {
-    this.bodyBytes += part.length;
-    if (this.bodyBytes <= MAX_BODY_BYTES) this.bodyChunks.push(part);
-  }
-
-  private completeRequest(): void {
-    const { bodyChunks: parts, bodyBytes: bytes } = this;
-    if (this.state === 'answering') return this.destroy();
-    this.state = 'answering';
-    this.bodyChunks = [];
-    this.bodyBytes = 0;
-    if (bytes > MAX_BODY_BYTES) return this.options.onHeartbeat(this, null);
-    this.options.onHeartbeat(this, parts.length === 1 ? (parts[0] as Buffer) : Buffer.concat(parts));
-  }
-
-  onDisconnect(gone: () => void): void {
-    this.disconnectListener = gone;
+  onDisconnect(listener: () => void): void {
+    this.disconnectListener = listener;
   }
 
-  send(answer: HttpResponse): void {
+  send(response: HttpResponse): void {
     const { socket } = this;
     this.disconnectListener = null;
-    if (socket.destroyed || this.state !== 'answering') return;
-    const bytes = encodeResponse({ ...answer, closeConnection: answer.closeConnection || this.closeRequested });
-    if (answer.closeConnection || this.closeRequested) {
+    if (socket.destroyed || this.state !== 'responding') return;
+    const closeConnection = response.closeConnection || this.closeRequested;
+    const bytes = encodeResponse(response, closeConnection);
+    if (closeConnection) {
       socket.end(bytes);
       return;
     }
@@ -101,6 +89,23 @@
     this.state = 'idle';
   }
 
+  /** The rest of a body that is too large is counted, but not kept. */
+  private appendBody(chunk: Buffer): void {
+    this.bodyBytes += chunk.length;
+    if (this.bodyBytes <= MAX_BODY_BYTES) this.bodyChunks.push(chunk);
+  }
+
+  private completeRequest(): void {
+    const { bodyChunks, bodyBytes } = this;
+    if (this.state === 'responding') return this.destroy();
+    this.state = 'responding';
+    this.bodyChunks = [];
+    this.bodyBytes = 0;
+    if (bodyBytes > MAX_BODY_BYTES) return this.options.onHeartbeat(this, null);
+    const first = bodyChunks[0];
+    this.options.onHeartbeat(this, bodyChunks.length === 1 && first ? first : Buffer.concat(bodyChunks));
+  }
+
   private detach(chunk: Buffer): void {
     const { socket } = this;
     socket.off('data', this.receive);
--- a/packages/http-api/src/http-listener.ts
+++ b/packages/http-api/src/http-listener.ts
@@ -1,25 +1,27 @@
 /**
- * The listening server: looks at how each connection begins, keeps those of workers, and leaves all others to Node's
- * HTTP server.
+ * The listening server. It looks at how each connection begins, serves those that begin with a heartbeat itself, and
+ * leaves all others to Node's HTTP server.
  */
 import http from 'node:http';
 import net from 'node:net';
 import { HeartbeatConnection, IDLE_TIMEOUT_MS, REQUEST_TIMEOUT_MS, startsHeartbeat } from './heartbeat-connection.js';
 
+/** What the listener hands on. */
 export interface HttpListenerOptions {
-  /** a report is there; null: its body is too large */
+  /** a heartbeat has come; null: its body is too large */
   onHeartbeat(connection: HeartbeatConnection, body: Buffer | null): void;
-  /** anything else */
+  /** any other request */
   onOtherRequest(request: http.IncomingMessage, response: http.ServerResponse): void;
 }
 
+/** Owns the listening socket, Node's HTTP server behind it, and every connection that either has. */
 export class HttpListener {
   /** every connection comes here first */
   readonly server: net.Server;
   private readonly httpServer: http.Server;
   private readonly openSockets = new Set<net.Socket>();
 
-  /** `muteMs`: a connection that says nothing, or whose request is not whole, after so long is closed */
+  /** @param requestTimeoutMs a connection that says nothing, or whose request is not whole, after so long is closed */
   constructor(
     private readonly options: HttpListenerOptions,
     private readonly requestTimeoutMs = REQUEST_TIMEOUT_MS,
@@ -34,6 +36,14 @@
     this.server = net.createServer({ noDelay: true }, (socket) => this.accept(socket));
   }
 
+  /** Listens no more, and ends every connection. */
+  close(): void {
+    this.server.close();
+    this.httpServer.close();
+    for (const socket of this.openSockets) socket.destroy();
+  }
+
+  /** Waits for the first bytes of a connection, which say whose it is. */
   private accept(socket: net.Socket): void {
     this.openSockets.add(socket);
     socket.once('close', () => this.openSockets.delete(socket));
@@ -50,8 +60,8 @@
 
   private attachHeartbeatConnection(socket: net.Socket, chunk: Buffer): void {
     const connection = new HeartbeatConnection(socket, {
-      onHeartbeat: (on, body) => this.options.onHeartbeat(on, body),
-      onOtherRequest: (of, first) => this.handOverToHttpServer(of, first),
+      onHeartbeat: (from, body) => this.options.onHeartbeat(from, body),
+      onOtherRequest: (detached, first) => this.handOverToHttpServer(detached, first),
     });
     connection.receive(chunk);
   }
@@ -64,11 +74,4 @@
     // Its parser reads what was put back before anything new.
     process.nextTick(() => socket.resume());
   }
-
-  /** Listens no more, and ends every connection. */
-  close(): void {
-    this.server.close();
-    this.httpServer.close();
-    for (const socket of this.openSockets) socket.destroy();
-  }
 }
--- a/packages/http-api/src/load-shedder.ts
+++ b/packages/http-api/src/load-shedder.ts
@@ -1,12 +1,16 @@
+/**
+ * Load shedding: which requests of users are refused when more is asked than can be done. How late timers fire is the
+ * measure of load, since it counts whatever takes the processor, also from outside this process.
+ */
 import { TokenBucket } from './token-bucket.js';
 
-/** Timers this late: a job that was answered here a moment ago is asked to wait. */
+/** Timers this late: a job whose status was told here a moment ago is asked to wait. */
 const BUSY_DELAY_MS = 150;
 
-/** Timers this late: workers' reports wait too, and only who has gone without an answer for long is served. */
+/** Timers this late: workers' heartbeats wait too, and only who has gone without an answer for long is served. */
 const OVERLOAD_DELAY_MS = 500;
 
-/** A job answered here within this time can wait; users ask every 5 s. */
+/** A job whose status was told here within this time can wait; users ask every 5 s. */
 const RECENTLY_ANSWERED_MS = 4000;
 
 /**
@@ -15,18 +19,18 @@
  */
 const STARVED_MS = 20_000;
 
-/** So many of these a second, at the most, while workers' reports wait. */
+/** So many of these a second, at the most, while workers' heartbeats wait. */
 const STARVED_QUERIES_PER_S = 8;
 
 /**
- * Who is refused when more is asked than can be done. Questions go first, and fairly: those
- * about jobs that were answered lately, so that none is unlucky for long. Submissions and
- * cancellations are refused only when workers' reports themselves wait, but for a few a second:
- * each that is refused comes again, and costs nearly as much then.
+ * Status queries are refused first, and fairly: those about jobs that were answered lately, so that none is unlucky for
+ * long. Mutations (submissions and cancellations) are refused only when workers' heartbeats themselves wait, but for a few
+ * a second: each that is refused comes again, and costs nearly as much then.
  */
 export class LoadShedder {
   /** how late timers fire, the worst of late */
   private timerDelayMs = 0;
+  /** when the status of a job was told last, by its id; swept of those that count as starved anyway */
   private readonly answeredAt = new Map<string, number>();
   private sweptAt = 0;
   private readonly starvedQueryBucket: TokenBucket;
@@ -34,7 +38,10 @@
   private rejectedStatusQueries = 0;
   private rejectedMutations = 0;
 
-  /** `mutationsPerS`: submissions and cancellations that are taken though reports wait */
+  /**
+   * @param clock milliseconds of a monotonic clock
+   * @param mutationsPerS submissions and cancellations that are admitted though heartbeats wait
+   */
   constructor(
     private readonly clock: () => number,
     mutationsPerS = 0,
@@ -43,21 +50,24 @@
     this.mutationBucket = new TokenBucket(mutationsPerS, clock);
   }
 
-  /** A timer fired so much later than it was asked for. */
+  /** A timer fired so much later than it was asked for. Half of the worst delay is forgotten with each call. */
   recordTimerDelay(ms: number): void {
     this.timerDelayMs = Math.max(ms, this.timerDelayMs / 2);
   }
 
+  /** Whether workers' heartbeats wait. */
   get isOverloaded(): boolean {
     return this.timerDelayMs > OVERLOAD_DELAY_MS;
   }
 
+  /** Whether a submission or cancellation is taken now; one that isn't is counted as rejected. */
   admitMutation(): boolean {
     if (!this.isOverloaded || this.mutationBucket.take()) return true;
     this.rejectedMutations++;
     return false;
   }
 
+  /** Whether a query about this job is taken now; one that isn't is counted as rejected. */
   admitStatusQuery(job: string): boolean {
     const now = this.clock();
     if (now - this.sweptAt > STARVED_MS) this.forgetStaleAnswers(now);
@@ -67,26 +77,26 @@
     return false;
   }
 
-  private isDueForAnswer(sinceMs: number): boolean {
-    if (!this.isOverloaded) return sinceMs > RECENTLY_ANSWERED_MS;
-    return sinceMs >= STARVED_MS && this.starvedQueryBucket.take();
-  }
-
-  /** The question about this job is being answered. */
+  /** The query about this job is being answered. */
   recordAnswered(job: string): void {
     this.answeredAt.set(job, this.clock());
   }
 
-  private forgetStaleAnswers(now: number): void {
-    this.sweptAt = now;
-    for (const [job, at] of this.answeredAt) if (now - at > STARVED_MS) this.answeredAt.delete(job);
-  }
-
-  /** What was refused since this was last asked. */
+  /** What was rejected since the last call. */
   takeRejectedCounts(): { statusQueries: number; mutations: number } {
     const rejected = { statusQueries: this.rejectedStatusQueries, mutations: this.rejectedMutations };
     this.rejectedStatusQueries = 0;
     this.rejectedMutations = 0;
     return rejected;
   }
+
+  private isDueForAnswer(unansweredMs: number): boolean {
+    if (!this.isOverloaded) return unansweredMs > RECENTLY_ANSWERED_MS;
+    return unansweredMs >= STARVED_MS && this.starvedQueryBucket.take();
+  }
+
+  private forgetStaleAnswers(now: number): void {
+    this.sweptAt = now;
+    for (const [job, at] of this.answeredAt) if (now - at > STARVED_MS) this.answeredAt.delete(job);
+  }
 }
--- a/packages/http-api/src/responder.ts
+++ b/packages/http-api/src/responder.ts
@@ -1,7 +1,7 @@
-/** Where the answer to a request goes, whichever way the request came. */
+/** Where the response to a request goes, whichever way the request came. */
 import http from 'node:http';
 
-/** What is answered. The body is MessagePack. */
+/** A response whose body is encoded already, as MessagePack. */
 export interface HttpResponse {
   status: number;
   body: Buffer;
@@ -10,16 +10,17 @@
   closeConnection: boolean;
 }
 
+/** The client's side of one request. */
 export interface Responder {
-  /** Sends the answer; nothing happens if the other side is gone. */
-  send(answer: HttpResponse): void;
-  /** Calls back when nobody waits for the answer any more. */
-  onDisconnect(gone: () => void): void;
+  /** Sends the response; nothing happens if the client is gone. */
+  send(response: HttpResponse): void;
+  /** Calls back when nobody waits for the response any more. */
+  onDisconnect(listener: () => void): void;
 }
 
-export const CONTENT_TYPE = 'application/msgpack';
+const CONTENT_TYPE = 'application/msgpack';
 
-/** A request that came by Node's HTTP server. */
+/** Responds by Node's HTTP server. */
 export class HttpResponder implements Responder {
   constructor(private readonly response: http.ServerResponse) {}
 
@@ -34,13 +35,13 @@
     response.end(body);
   }
 
-  onDisconnect(gone: () => void): void {
-    this.response.once('close', gone);
+  onDisconnect(listener: () => void): void {
+    this.response.once('close', listener);
   }
 }
 
 /** Head and body in one piece, so that it leaves by one call. */
-export function encodeResponse({ status, body, retryAfterS, closeConnection }: HttpResponse): Buffer {
+export function encodeResponse({ status, body, retryAfterS }: HttpResponse, closeConnection: boolean): Buffer {
   const retryAfter = retryAfterS === undefined ? '' : `retry-after: ${retryAfterS}\r\n`;
   const connection = closeConnection ? 'connection: close\r\n' : '';
   const head =
--- a/packages/http-client/src/http-exchange.ts
+++ b/packages/http-client/src/http-exchange.ts
@@ -85,7 +85,7 @@
     response.on('error', this.fail);
     response.on('aborted', this.fail);
     response.on('end', () => {
-      const [first] = chunks;
+      const first = chunks[0];
       const body = chunks.length === 1 && first ? first : Buffer.concat(chunks);
       this.settle({ kind: 'answer', status: response.statusCode ?? 0, body });
     });
