--- /dev/null
+++ b/packages/server/src/effect-executor.ts
@@ -0,0 +1,150 @@
+/** Carries out what the controller decided; outcomes come back to it as control events. */
+import type { Cloud } from '@archpost/cloud-client';
+import type { Controller, Effect } from '@archpost/controller';
+import type { HttpApi } from '@archpost/http-api';
+import { monotonicMs } from '@archpost/http-client';
+import type { Peers } from '@archpost/peer-transport';
+import type { StateStore } from '@archpost/state-client';
+import type { Workers } from '@archpost/worker-client';
+import { type Inbox, PROCESS_PAUSE_MS } from './inbox.js';
+import type { ServiceLog } from './service-log.js';
+
+type EffectOf<Type extends Effect['type']> = Extract<Effect, { type: Type }>;
+
+/** Where effects go. */
+export interface EffectTargets {
+  api: HttpApi;
+  stateStore: StateStore;
+  workers: Workers;
+  cloud: Cloud;
+  peers: Peers;
+  log: ServiceLog;
+}
+
+/** Executes the controller's effects in the order in which it decided them. */
+export class EffectExecutor {
+  /** @param nodeName this controller's name, which its messages bear */
+  constructor(
+    private readonly controller: Controller,
+    private readonly inbox: Inbox,
+    private readonly targets: EffectTargets,
+    private readonly nodeName: string,
+  ) {}
+
+  /**
+   * Executes whatever was decided since the last call.
+   *
+   * What was decided before a pause is not told to machines or the cloud after it: another controller may have decided
+   * since. Responses and writes go out: a late response finds nobody, and a late write fails on its conditions.
+   *
+   * @param wasPaused all of it was decided before a pause of this process
+   */
+  executeAll(wasPaused = false): void {
+    const decidedAt = this.inbox.lastClockReading;
+    for (const effect of this.controller.takeEffects()) {
+      const isOutdated = wasPaused || monotonicMs() - decidedAt > PROCESS_PAUSE_MS;
+      if (isOutdated && this.withhold(effect)) continue;
+      this.execute(effect);
+    }
+  }
+
+  /** Keeps back an effect on machines or the cloud: the controller learns that it never left. False: it may go out. */
+  private withhold(effect: Effect): boolean {
+    const { controller, inbox } = this;
+    switch (effect.type) {
+      case 'command':
+        inbox.enqueueControlEvent(() => controller.receiveCommandOutcome(effect.id, { kind: 'refused' }, monotonicMs()));
+        return true;
+      case 'release':
+        inbox.enqueueControlEvent(() => controller.receiveReleaseOutcome(effect.id, false, monotonicMs()));
+        return true;
+      case 'provision':
+        inbox.enqueueControlEvent(() => controller.receiveProvisioningOutcome(effect.id, { kind: 'unknown' }, monotonicMs()));
+        return true;
+      default:
+        return false;
+    }
+  }
+
+  private execute(effect: Effect): void {
+    const { api, stateStore, peers, log } = this.targets;
+    switch (effect.type) {
+      case 'respond':
+        return api.respond(effect.id, effect.status, effect.body, effect.retryAfterS);
+      case 'readBarrier':
+        return stateStore.barrier(effect.urgent);
+      case 'compareAndSwap':
+        return this.compareAndSwap(effect);
+      case 'command':
+        return this.command(effect);
+      case 'probe':
+        return this.probe(effect);
+      case 'provision':
+        return this.provision(effect);
+      case 'release':
+        return this.release(effect);
+      case 'listMachines':
+        return this.listMachines();
+      case 'fetchMachineTypes':
+        return this.fetchMachineTypes();
+      case 'sendStatus':
+        return peers.send({ node: this.nodeName, status: effect.status, heartbeat: null }, effect.to);
+      case 'forwardHeartbeat':
+        return peers.send({ node: this.nodeName, status: null, heartbeat: effect.heartbeat }, effect.to);
+      case 'log':
+        return log.controllerEvent(effect);
+      default:
+        // The compiler refuses an effect without a case.
+        effect satisfies never;
+    }
+  }
+
+  private compareAndSwap({ id, conditions, writes }: EffectOf<'compareAndSwap'>): void {
+    const { controller, inbox, targets } = this;
+    void targets.stateStore
+      .txn(conditions, writes)
+      .then((outcome) => inbox.enqueueControlEvent(() => controller.receiveCompareAndSwapOutcome(id, outcome, monotonicMs())));
+  }
+
+  private command({ id, address, fencingToken, agentEpoch, commands }: EffectOf<'command'>): void {
+    const { controller, inbox, targets } = this;
+    void targets.workers
+      .command(address, fencingToken, agentEpoch, commands)
+      .then((outcome) => inbox.enqueueControlEvent(() => controller.receiveCommandOutcome(id, outcome, monotonicMs())));
+  }
+
+  private probe({ id, address }: EffectOf<'probe'>): void {
+    const { controller, inbox, targets } = this;
+    void targets.workers
+      .ask(address)
+      .then((isAnswered) => inbox.enqueueControlEvent(() => controller.receiveProbeOutcome(id, isAnswered, monotonicMs())));
+  }
+
+  private provision({ id, request }: EffectOf<'provision'>): void {
+    const { controller, inbox, targets } = this;
+    void targets.cloud
+      .rent(request)
+      .then((outcome) => inbox.enqueueControlEvent(() => controller.receiveProvisioningOutcome(id, outcome, monotonicMs())));
+  }
+
+  private release({ id, machines }: EffectOf<'release'>): void {
+    const { controller, inbox, targets } = this;
+    void targets.cloud
+      .giveBack(machines)
+      .then((isReleased) => inbox.enqueueControlEvent(() => controller.receiveReleaseOutcome(id, isReleased, monotonicMs())));
+  }
+
+  private listMachines(): void {
+    const { controller, inbox, targets } = this;
+    void targets.cloud
+      .list()
+      .then((machines) => inbox.enqueueControlEvent(() => controller.receiveMachineList(machines, monotonicMs())));
+  }
+
+  private fetchMachineTypes(): void {
+    const { controller, inbox, targets } = this;
+    void targets.cloud
+      .types()
+      .then((types) => inbox.enqueueControlEvent(() => controller.receiveMachineTypes(types, monotonicMs())));
+  }
+}
--- a/packages/server/src/index.ts
+++ b/packages/server/src/index.ts
@@ -3,10 +3,11 @@
 import { fileURLToPath } from 'node:url';
 import { isMainThread } from 'node:worker_threads';
 import { Command } from 'commander';
-import { type Logger, pino } from 'pino';
+import { pino } from 'pino';
 import { startGarbageCollection } from './garbage-collection.js';
 import { heapLimitMb, planHeap } from './heap-plan.js';
 import { Service } from './service.js';
+import { ServiceLog } from './service-log.js';
 import { runInThread } from './service-thread.js';
 import { loadSettings, type Settings } from './settings/load-settings.js';
 import { SettingsError } from './settings/settings-error.js';
@@ -40,18 +41,20 @@
     const level = process.env.LOG_LEVEL ?? 'info';
     if (!['error', 'warn', 'info', 'debug'].includes(level))
       throw new SettingsError({ source: 'LOG_LEVEL', field: null, reason: `${level}: must be error, info or debug` });
-    const log = pino({ level, base: { node: settings.controller.name } }, pino.destination({ dest: 2, sync: true }));
-    process.on('unhandledRejection', (reason) => log.error({ err: reason }, 'unexpected'));
-    process.on('uncaughtException', (error) => log.error({ err: error }, 'unexpected'));
+    const log = new ServiceLog(
+      pino({ level, base: { node: settings.controller.name } }, pino.destination({ dest: 2, sync: true })),
+    );
+    process.on('unhandledRejection', (reason) => log.unexpectedError(reason));
+    process.on('uncaughtException', (error) => log.unexpectedError(error));
     if (isMainThread && startInOwnThread(settings, log)) return;
-    for (const shortage of findShortages(settings)) log.warn(shortage, 'settings are short');
+    for (const shortage of findShortages(settings)) log.settingsShort(shortage);
     await new Service(settings, log).start();
   });
 
 /** Runs the service in a thread with the heap that its memory allows, if this one's doesn't fit. */
-function startInOwnThread(settings: Settings, log: Logger): boolean {
+function startInOwnThread(settings: Settings, log: ServiceLog): boolean {
   const plan = planHeap({ memoryMb: settings.memoryMb, sockets: settings.maxSockets }, heapLimitMb());
-  log.debug(plan, 'heap');
+  log.heapPlanned(plan);
   if (plan.kind === 'collect') startGarbageCollection(plan.beyondMb);
   if (plan.kind !== 'thread') return false;
   runInThread(process.argv[1] as string, plan.heapMb);
--- /dev/null
+++ b/packages/server/src/input-router.ts
@@ -0,0 +1,84 @@
+/** The way of inputs to the controller: requests, changes of the stored state and messages of peers, each to its queue. */
+import type { Controller } from '@archpost/controller';
+import type { ApiRequest, HttpApi } from '@archpost/http-api';
+import { monotonicMs } from '@archpost/http-client';
+import type { Peers } from '@archpost/peer-transport';
+import type { StateStore } from '@archpost/state-client';
+import { Subscription } from 'rxjs';
+import type { Inbox } from './inbox.js';
+
+const OVERLOADED_BODY = { error: 'overloaded' };
+
+/** After this long a client whose request became too old may ask again. */
+const OVERLOADED_RETRY_S = 1;
+
+/** Owns its subscriptions to the state service and to peers. */
+export class InputRouter {
+  private readonly subscriptions = new Subscription();
+
+  constructor(
+    private readonly controller: Controller,
+    private readonly inbox: Inbox,
+    private readonly api: Pick<HttpApi, 'respond'>,
+  ) {}
+
+  /** Takes what the state service and the peers tell from now on. */
+  subscribe(stateStore: StateStore, peers: Peers): void {
+    this.subscribeToState(stateStore);
+    this.subscribeToPeers(peers);
+  }
+
+  close(): void {
+    this.subscriptions.unsubscribe();
+  }
+
+  /** Takes a request of a user or worker. */
+  receiveRequest(request: ApiRequest): void {
+    const { controller, inbox } = this;
+    if (request.kind === 'heartbeat') {
+      inbox.enqueueHeartbeat(() => controller.receiveHeartbeat(request.id, request.heartbeat, monotonicMs()));
+      return;
+    }
+    const reject = () => this.api.respond(request.id, 503, OVERLOADED_BODY, OVERLOADED_RETRY_S);
+    if (request.kind === 'statusQuery') {
+      inbox.enqueueStatusQuery(() => controller.queryJobStatus(request.id, request.job, monotonicMs()), reject);
+      return;
+    }
+    inbox.enqueueMutation(() => {
+      if (request.kind === 'submit') controller.submitJob(request.id, request.body, monotonicMs(), Date.now());
+      else controller.cancelJob(request.id, request.job, monotonicMs());
+    }, reject);
+  }
+
+  private subscribeToState(stateStore: StateStore): void {
+    const { controller, inbox, subscriptions } = this;
+    subscriptions.add(
+      stateStore.loaded$.subscribe(({ rows, revision }) =>
+        inbox.enqueueControlEvent(() => controller.receiveSnapshot(rows, revision, monotonicMs())),
+      ),
+    );
+    subscriptions.add(
+      stateStore.changes$.subscribe(({ changes, revision, asOf }) =>
+        inbox.enqueueControlEvent(() => controller.receiveChanges(changes, revision, asOf, monotonicMs())),
+      ),
+    );
+    subscriptions.add(
+      stateStore.lease$.subscribe(({ permit, validUntil }) =>
+        inbox.enqueueControlEvent(() => controller.receiveLeaseState(permit, validUntil, monotonicMs())),
+      ),
+    );
+  }
+
+  private subscribeToPeers(peers: Peers): void {
+    const { controller, inbox, subscriptions } = this;
+    subscriptions.add(
+      peers.message$.subscribe(({ heartbeat, status }) => {
+        if (heartbeat) inbox.enqueueHeartbeat(() => controller.receiveForwardedHeartbeat(heartbeat, monotonicMs()));
+        if (status) inbox.enqueueControlEvent(() => controller.receivePeerStatus(status, monotonicMs()));
+      }),
+    );
+    subscriptions.add(
+      peers.down$.subscribe((peer) => inbox.enqueueControlEvent(() => controller.peerDisconnected(peer, monotonicMs()))),
+    );
+  }
+}
