--- a/packages/server/src/garbage-collection.ts
+++ b/packages/server/src/garbage-collection.ts
@@ -1,3 +1,4 @@
+/** Garbage collection for a process with less memory than its heap's limit, which V8 would let grow too far. */
 import v8 from 'node:v8';
 import vm from 'node:vm';
 import { BYTES_PER_MB, COLLECTION_START_FRACTION } from './heap-plan.js';
@@ -10,18 +11,22 @@
  */
 const COLLECTION_GROWTH_FRACTION = 0.04;
 
-/** Says when collecting garbage is worth its price, by what the process held at each look. */
+/** Says when collecting garbage is worth its price, by what the process held at each check. */
 export class CollectionTrigger {
-  /** what was left by the last collection */
+  /** the least that was held since the last collection */
   private retainedMb = 0;
   private wasJustCollected = false;
 
+  /**
+   * @param thresholdMb below this no garbage is collected
+   * @param growthMb nor before the process holds so much more than a collection left
+   */
   constructor(
     private readonly thresholdMb: number,
     private readonly growthMb: number,
   ) {}
 
-  /** Told what the process holds; true: garbage is to be collected now. */
+  /** Takes what the process holds now; true: garbage is to be collected. */
   isDue(heldMb: number): boolean {
     if (this.wasJustCollected) {
       this.wasJustCollected = false;
@@ -35,12 +40,27 @@
   }
 }
 
-/** Collects garbage, now and then, while the process grows beyond so many megabytes of its memory. */
-export function startGarbageCollection(thresholdMb: number): NodeJS.Timeout {
-  v8.setFlagsFromString('--expose-gc');
-  const collect = vm.runInNewContext('gc') as () => void;
-  const trigger = new CollectionTrigger(thresholdMb, (thresholdMb * COLLECTION_GROWTH_FRACTION) / COLLECTION_START_FRACTION);
-  return setInterval(() => {
-    if (trigger.isDue(process.memoryUsage.rss() / BYTES_PER_MB)) collect();
-  }, COLLECTION_CHECK_INTERVAL_MS);
+/** Collects garbage, now and then, while the process holds more than its threshold. */
+export class GarbageCollector {
+  private readonly trigger: CollectionTrigger;
+  private timer: NodeJS.Timeout | undefined;
+
+  /** @param thresholdMb resident memory beyond which garbage is collected */
+  constructor(thresholdMb: number) {
+    const growthMb = (thresholdMb * COLLECTION_GROWTH_FRACTION) / COLLECTION_START_FRACTION;
+    this.trigger = new CollectionTrigger(thresholdMb, growthMb);
+  }
+
+  start(): void {
+    // Node shows its collector to contexts that are made after this flag is set.
+    v8.setFlagsFromString('--expose-gc');
+    const collect: () => void = vm.runInNewContext('gc');
+    this.timer = setInterval(() => {
+      if (this.trigger.isDue(process.memoryUsage.rss() / BYTES_PER_MB)) collect();
+    }, COLLECTION_CHECK_INTERVAL_MS);
+  }
+
+  close(): void {
+    clearInterval(this.timer);
+  }
 }
--- a/packages/server/src/heap-plan.ts
+++ b/packages/server/src/heap-plan.ts
@@ -8,8 +8,10 @@
 /** Measured: a process with the program loaded, without its heap. */
 const PROCESS_OVERHEAD_MB = 46;
 
-/** Measured: what a second thread and the program that the first one loaded take, and a young generation in full use. */
+/** Measured: what a second thread and the program that the first one loaded take. */
 const THREAD_OVERHEAD_MB = 20;
+
+/** Measured: a young generation in full use. */
 const YOUNG_GENERATION_MB = 32;
 
 /** What a connection takes outside the heap, buffers included. */
@@ -24,11 +26,14 @@
 /** Node's young generation at its largest, as V8 counts it: three times 16 MB. */
 const MAX_YOUNG_GENERATION_MB = 48;
 
+/** A megabyte, as the settings and V8 count it. */
 export const BYTES_PER_MB = 1024 * 1024;
 
 /** What the process may use. */
 export interface MemoryBudget {
+  /** memory in all, in megabytes */
   memoryMb: number;
+  /** connections that may be open */
   sockets: number;
 }
 
@@ -38,19 +43,24 @@
 }
 
 /** The same for the service in a thread of its own. */
-export function threadHeapMb(settings: MemoryBudget): number {
-  return heapMb(settings) - THREAD_OVERHEAD_MB - YOUNG_GENERATION_MB;
+export function threadHeapMb(budget: MemoryBudget): number {
+  return heapMb(budget) - THREAD_OVERHEAD_MB - YOUNG_GENERATION_MB;
 }
 
-/** How the service is to run, given the heap that Node started with. */
-export type HeapPlan = { kind: 'as it is' } | { kind: 'thread'; heapMb: number } | { kind: 'collect'; beyondMb: number };
+/** How the service is to run, given the heap that Node started with. It is logged as it is. */
+export type HeapPlan =
+  | { kind: 'as it is' }
+  /** in a thread with an old generation of this size */
+  | { kind: 'thread'; heapMb: number }
+  /** in this thread; garbage is collected while the process holds more than this */
+  | { kind: 'collect'; beyondMb: number };
 
-/** `limitMb`: the old generation's limit that is in force. */
-export function planHeap(settings: MemoryBudget, limitMb: number): HeapPlan {
-  const inThread = threadHeapMb(settings);
-  if (inThread > limitMb * HEAP_TOLERANCE_FACTOR) return { kind: 'thread', heapMb: inThread };
-  if (heapMb(settings) * HEAP_TOLERANCE_FACTOR < limitMb)
-    return { kind: 'collect', beyondMb: settings.memoryMb * COLLECTION_START_FRACTION };
+/** @param limitMb the old generation's limit that is in force */
+export function planHeap(budget: MemoryBudget, limitMb: number): HeapPlan {
+  const largestHeapMb = threadHeapMb(budget);
+  if (largestHeapMb > limitMb * HEAP_TOLERANCE_FACTOR) return { kind: 'thread', heapMb: largestHeapMb };
+  if (heapMb(budget) * HEAP_TOLERANCE_FACTOR < limitMb)
+    return { kind: 'collect', beyondMb: budget.memoryMb * COLLECTION_START_FRACTION };
   return { kind: 'as it is' };
 }
 
--- a/packages/server/src/index.ts
+++ b/packages/server/src/index.ts
@@ -1,28 +1,53 @@
+/** The program: its command line and its exit codes. */
 import { existsSync } from 'node:fs';
 import { dirname, join } from 'node:path';
 import { fileURLToPath } from 'node:url';
-import { isMainThread } from 'node:worker_threads';
 import { Command } from 'commander';
-import { pino } from 'pino';
-import { startGarbageCollection } from './garbage-collection.js';
-import { heapLimitMb, planHeap } from './heap-plan.js';
-import { Service } from './service.js';
-import { ServiceLog } from './service-log.js';
-import { runInThread } from './service-thread.js';
+import { errorMessage } from './error-message.js';
+import { runService } from './run-service.js';
 import { loadSettings, type Settings } from './settings/load-settings.js';
 import { SettingsError } from './settings/settings-error.js';
 import { findShortages } from './sizing.js';
 
+/** Set by the build. */
 declare const ARCHPOST_VERSION: string;
 
-const here = dirname(fileURLToPath(import.meta.url));
+/** What the build makes of the operators' HCL, beside the program. */
+const BUILT_OPERATOR_FILE = 'operator.json';
 
-function resolveOperatorFile(given: string | undefined): string | null {
-  if (given !== undefined) return given;
-  const built = join(here, 'operator.json');
+const EXIT_CODES = { failure: 1, badSettings: 2 } as const;
+
+interface ProgramOptions {
+  config: string;
+  operator?: string;
+  check?: boolean;
+}
+
+/** The operators' file that was named, or the one beside the program; null if there is none. */
+function resolveOperatorFile(named: string | undefined): string | null {
+  if (named !== undefined) return named;
+  const built = join(dirname(fileURLToPath(import.meta.url)), BUILT_OPERATOR_FILE);
   return existsSync(built) ? built : null;
 }
 
+/** Shortages don't make settings wrong: the service runs with them. */
+function printCheck(file: string, settings: Settings): void {
+  for (const { what, short, need, have } of findShortages(settings))
+    process.stdout.write(`${file}: ${what}: ${have} is ${short} short of ${need}\n`);
+  process.stdout.write(`${file}: in order\n`);
+}
+
+async function run({ config, operator, check }: ProgramOptions): Promise<void> {
+  const settings = loadSettings(config, resolveOperatorFile(operator));
+  if (check) printCheck(config, settings);
+  else await runService(settings);
+}
+
+function exitWith(error: unknown): never {
+  process.stderr.write(`archpost: ${errorMessage(error)}\n`);
+  process.exit(error instanceof SettingsError ? EXIT_CODES.badSettings : EXIT_CODES.failure);
+}
+
 const program = new Command('archpost')
   .description('A cluster scheduler: places gangs whole, in the smallest domain that holds them.')
   .version(ARCHPOST_VERSION)
@@ -30,38 +55,6 @@
   .option('--operator <file>', "the operators' settings, as built from HCL (default: operator.json beside the program)")
   .option('--check', 'check the settings and end')
   .addHelpText('after', '\nEnvironment: LOG_LEVEL=error|info|debug, how much is logged to standard error.')
-  .action(async (options: { config: string; operator?: string; check?: boolean }) => {
-    const settings = loadSettings(options.config, resolveOperatorFile(options.operator));
-    if (options.check) {
-      for (const { what, short, need, have } of findShortages(settings))
-        process.stdout.write(`${options.config}: ${what}: ${have} is ${short} short of ${need}\n`);
-      process.stdout.write(`${options.config}: in order\n`);
-      return;
-    }
-    const level = process.env.LOG_LEVEL ?? 'info';
-    if (!['error', 'warn', 'info', 'debug'].includes(level))
-      throw new SettingsError({ source: 'LOG_LEVEL', field: null, reason: `${level}: must be error, info or debug` });
-    const log = new ServiceLog(
-      pino({ level, base: { node: settings.controller.name } }, pino.destination({ dest: 2, sync: true })),
-    );
-    process.on('unhandledRejection', (reason) => log.unexpectedError(reason));
-    process.on('uncaughtException', (error) => log.unexpectedError(error));
-    if (isMainThread && startInOwnThread(settings, log)) return;
-    for (const shortage of findShortages(settings)) log.settingsShort(shortage);
-    await new Service(settings, log).start();
-  });
-
-/** Runs the service in a thread with the heap that its memory allows, if this one's doesn't fit. */
-function startInOwnThread(settings: Settings, log: ServiceLog): boolean {
-  const plan = planHeap({ memoryMb: settings.memoryMb, sockets: settings.maxSockets }, heapLimitMb());
-  log.heapPlanned(plan);
-  if (plan.kind === 'collect') startGarbageCollection(plan.beyondMb);
-  if (plan.kind !== 'thread') return false;
-  runInThread(process.argv[1] as string, plan.heapMb);
-  return true;
-}
+  .action(run);
 
-program.parseAsync().catch((error: unknown) => {
-  process.stderr.write(`archpost: ${error instanceof Error ? error.message : String(error)}\n`);
-  process.exit(error instanceof SettingsError ? 2 : 1);
-});
+program.parseAsync().catch(exitWith);
--- a/packages/server/src/sizing.ts
+++ b/packages/server/src/sizing.ts
@@ -18,26 +18,33 @@
 /** Part of the limit on changes that is used. */
 const WRITE_RATE_FRACTION = 0.95;
 
+/** Connections between this controller and each of its peers: one each way. */
+const SOCKETS_PER_PEER = 2;
+
 /** Measured (docs/results.md): 67 MB without machines and 14 KB a machine without work; the rest is for work. */
 const IDLE_PROCESS_MB = 80;
 const KB_PER_MACHINE = 24;
 
+/** Connections to workers, for commands, that may be open at once. */
 export function maxCommandSockets({ maxSockets }: Settings): number {
   return Math.floor(maxSockets * COMMAND_SOCKET_FRACTION);
 }
 
 /** Sockets that workers and users can have: what is left by those that this process opens, and by its peers. */
 export function maxInboundSockets(settings: Settings): number {
-  const peers = 2 * settings.peers.length;
-  return Math.max(1, settings.maxSockets - maxCommandSockets(settings) - STATE_SOCKETS - CLOUD_SOCKETS - peers);
+  const peerSockets = SOCKETS_PER_PEER * settings.peers.length;
+  return Math.max(1, settings.maxSockets - maxCommandSockets(settings) - STATE_SOCKETS - CLOUD_SOCKETS - peerSockets);
 }
 
-/** One setting that is too small for the machines it allows. */
+/** One setting that is too small for the machines it allows. It is logged as it is: its fields are known to operators. */
 export interface Shortage {
+  /** the setting, below the platform's `params` */
   what: 'machine_limits.max_sockets' | 'machine_limits.mem_mb' | 'state.write_rps';
+  /** machines that the operators allow */
   machines: number;
   have: number;
   need: number;
+  /** what is missing, rounded up */
   short: number;
 }
 
