--- a/packages/server/src/service.ts
+++ b/packages/server/src/service.ts
@@ -62,13 +62,13 @@
     this.inbox = this.createInbox();
     this.loadShedder = new LoadShedder(monotonicMs, MUTATIONS_PER_S_AND_CORE * controllerSettings.cpuShare);
     this.stateStore = new StateStore(
-      settings.state,
+      settings.stateAddress,
       STATE_KEY_PREFIX,
       stateRequestsPerS(controllerSettings),
       stateLeaseMs(controllerSettings),
       CLOCK_DRIFT_FRACTION,
     );
-    this.cloud = new Cloud(settings.cloud, cloudRequestsPerS(controllerSettings));
+    this.cloud = new Cloud(settings.cloudAddress, cloudRequestsPerS(controllerSettings));
     this.peers = new Peers(settings.peers);
     this.api = this.createApi();
     this.inputRouter = new InputRouter(this.controller, this.inbox, this.api);
@@ -83,14 +83,14 @@
     this.inputRouter.subscribe(this.stateStore, this.peers);
     this.subscribeLog();
     this.stateStore.start();
-    const peerAddress = parseAddress(settings.peerListen);
+    const peerAddress = parseAddress(settings.peerAddress);
     await this.peers.listen(peerAddress.host, peerAddress.port);
     this.peers.start();
-    const publicAddress = parseAddress(settings.publicAddr);
+    const publicAddress = parseAddress(settings.publicAddress);
     await this.api.listen(publicAddress.host, publicAddress.port);
     this.tickTimer.start();
     this.metricsReporter.start();
-    this.log.started(settings.controller.name, settings.publicAddr);
+    this.log.started(settings.controller.name, settings.publicAddress);
   }
 
   /** Ends timers, subscriptions and connections; those for commands to workers are left for the workers to end. */
--- a/packages/server/src/settings/load-settings.ts
+++ b/packages/server/src/settings/load-settings.ts
@@ -17,12 +17,12 @@
   /** what decisions depend on */
   controller: ControllerSettings;
   /** where users, workers and health checks connect */
-  publicAddr: string;
+  publicAddress: string;
   /** where the other controllers connect */
-  peerListen: string;
+  peerAddress: string;
   peers: { name: string; addr: string }[];
-  cloud: string;
-  state: string;
+  cloudAddress: string;
+  stateAddress: string;
   /** bound on the difference between the time of day and true time */
   clockErrorMs: number;
   /** connections that the process may have open */
@@ -49,11 +49,11 @@
   const policy = toPolicy(operator, platform.params.workers.report_s);
   return {
     controller: toControllerSettings(platform, policy),
-    publicAddr: platform.public_addr,
-    peerListen: platform.peer_listen,
+    publicAddress: platform.public_addr,
+    peerAddress: platform.peer_listen,
     peers: platform.others.map((other) => ({ name: other.host_name, addr: other.peer_addr })),
-    cloud: platform.external.cloud,
-    state: platform.external.state,
+    cloudAddress: platform.external.cloud,
+    stateAddress: platform.external.state,
     clockErrorMs: platform.params.clock_error_ms,
     maxSockets: platform.params.machine_limits.max_sockets,
     memoryMb: platform.params.machine_limits.mem_mb,
