--- a/packages/http-api/src/connection-limiter.ts
+++ b/packages/http-api/src/connection-limiter.ts
@@ -1,13 +1,13 @@
 /**
- * How many connections are open from users and workers, and whose may stay open. With fewer sockets than workers and
- * users, those that are answered give theirs back: users' first, then workers', whose heartbeats come before all else.
+ * Limits the connections from users and workers. When there are fewer sockets than workers and users, connections are
+ * closed after their response so that others get a turn: users' first, then workers', whose heartbeats matter most.
  */
 import type net from 'node:net';
 
-/** Who is answered. */
+/** Whose connection it is. */
 export type ClientKind = 'user' | 'worker';
 
-/** Beyond this part of the limit a connection of such a client is closed once it is answered. */
+/** Beyond this part of the limit, connections of such a client are closed after their response. */
 const KEEP_ALIVE_FRACTION: Readonly<Record<ClientKind, number>> = { user: 0.9, worker: 0.95 };
 
 /** Counts the connections of one server and holds them below a limit. */
@@ -18,7 +18,10 @@
   /** @param limit connections that may be open at once; infinite: no limit */
   constructor(private readonly limit: number) {}
 
-  /** Beyond the limit new connections are closed at once: what this process opens itself needs the other sockets. */
+  /**
+   * Counts this server's connections, and has it close new ones beyond the limit at once: the other sockets are needed for
+   * connections that this process opens.
+   */
   attach(server: net.Server): void {
     if (Number.isFinite(this.limit)) server.maxConnections = this.limit;
     server.on('drop', () => {
@@ -32,19 +35,19 @@
     });
   }
 
-  /** How many are open. */
+  /** Connections that are open. */
   get openCount(): number {
     return this.openConnections;
   }
 
-  /** How many were rejected since the last call. */
+  /** How many connections were rejected since the last call. */
   takeRejectedCount(): number {
     const { rejectedConnections } = this;
     this.rejectedConnections = 0;
     return rejectedConnections;
   }
 
-  /** Whether the connection of such a client stays open after its response. */
+  /** Whether a connection of such a client may stay open after its response. */
   mayKeepAlive(clientKind: ClientKind): boolean {
     return this.openConnections <= this.limit * KEEP_ALIVE_FRACTION[clientKind];
   }
--- a/packages/http-api/src/express-app.ts
+++ b/packages/http-api/src/express-app.ts
@@ -1,6 +1,6 @@
 /**
- * Routes and refusals of the HTTP interface, as an Express application. Frequent requests don't come this way: the
- * framework would cost each several times what is done for it (see `HttpApi`).
+ * The routes of the HTTP interface as an Express application, and what is answered to requests without a route. Frequent
+ * requests don't come this way: the framework would cost each several times what is done for it (see `HttpApi`).
  */
 import type http from 'node:http';
 import { MAX_BODY_BYTES, PATHS } from '@archpost/protocol';
@@ -9,7 +9,7 @@
 const JOB_PATH = `${PATHS.jobs}/:id`;
 const CANCEL_PATH = `${JOB_PATH}/cancel`;
 
-/** The only method of each path; others are answered 405. */
+/** The only method of each path; others get 405. */
 const ALLOWED_METHODS: readonly { path: string; method: string }[] = [
   { path: PATHS.report, method: 'POST' },
   { path: PATHS.up, method: 'GET' },
@@ -18,18 +18,18 @@
   { path: CANCEL_PATH, method: 'POST' },
 ];
 
-/** What is done for each route. */
+/** What the application calls for each route. */
 export interface RouteHandlers {
   health(response: http.ServerResponse): void;
-  /** `body`: null where the request has none */
+  /** `body`: null if the request has none */
   submit(response: http.ServerResponse, body: Buffer | null): void;
   queryStatus(response: http.ServerResponse, job: string): void;
   cancel(response: http.ServerResponse, job: string): void;
-  /** a request that no route takes, or that is malformed */
+  /** the request has no route, or is malformed */
   reject(response: http.ServerResponse, status: number, error: string): void;
 }
 
-/** Bodies reach their handlers as they were sent, whatever type they claim to have; compressed ones are refused. */
+/** Bodies are passed on undecoded, whatever content type they declare; compressed ones are refused. */
 export function createExpressApp(handlers: RouteHandlers): express.Express {
   const app = express();
   app.disable('x-powered-by');
@@ -57,7 +57,7 @@
     });
   }
   app.use((_request, response) => handlers.reject(response, 404, 'no such path'));
-  // Express knows a handler of errors by its four parameters.
+  // Express recognizes an error handler by its four parameters.
   app.use((error: unknown, _request: express.Request, response: express.Response, _next: express.NextFunction) => {
     handlers.reject(response, 400, isBodyTooLarge(error) ? 'the body is too large' : 'malformed request');
   });
--- a/packages/http-api/src/heartbeat-connection.ts
+++ b/packages/http-api/src/heartbeat-connection.ts
@@ -1,20 +1,20 @@
 /**
- * A connection on which a worker sends heartbeats. Heartbeats are by far the most frequent requests, and Node's HTTP server
- * makes a stream of each request and response, half as much processor time again as this takes. Here the parser is fed
- * directly, and a response is one write.
+ * A connection on which a worker sends heartbeats, by far the most frequent requests. Node's HTTP server takes half as much
+ * processor time again, since it makes streams of each request and response. Here the parser is fed directly, and a
+ * response is one write.
  */
 import type net from 'node:net';
 import { MAX_BODY_BYTES, PATHS } from '@archpost/protocol';
 import { HTTPParser } from 'http-parser-js';
 import { encodeResponse, type HttpResponse, type Responder } from './responder.js';
 
-/** How a heartbeat begins. What begins otherwise is left to Node's HTTP server. */
+/** The request line of a heartbeat. Requests that begin otherwise are left to Node's HTTP server. */
 const HEARTBEAT_REQUEST_LINE = Buffer.from(`POST ${PATHS.report} HTTP/1.1\r\n`, 'latin1');
 
-/** A request that is not whole, or a response that is not taken, after this long closes the connection. */
+/** The connection is closed if a request isn't complete, or a response isn't received, after this long. */
 export const REQUEST_TIMEOUT_MS = 10_000;
 
-/** A connection without any request for this long is closed. */
+/** The connection is closed if no request begins for this long. */
 export const IDLE_TIMEOUT_MS = 75_000;
 
 /** Whether the first bytes of a request are those of a heartbeat; a request line that comes in pieces doesn't count. */
@@ -25,19 +25,19 @@
 
 /** What a connection hands on. */
 export interface HeartbeatConnectionOptions {
-  /** a heartbeat has come and waits for its response; null: its body is too large */
+  /** a whole heartbeat was received and waits for its response; null: its body is too large */
   onHeartbeat(connection: HeartbeatConnection, body: Buffer | null): void;
-  /** something else begins on this connection: from here on it is Node's HTTP server's */
+  /** another request begins with this chunk; the connection no longer uses the socket */
   onOtherRequest(socket: net.Socket, chunk: Buffer): void;
 }
 
-/** Owns its socket until it is handed over, or closed. */
+/** Owns its socket until the socket closes or is handed over. */
 export class HeartbeatConnection implements Responder {
   private readonly parser = new HTTPParser(HTTPParser.REQUEST);
   private bodyChunks: Buffer[] = [];
   private bodyBytes = 0;
   private state: 'idle' | 'reading' | 'responding' = 'idle';
-  /** the worker wants the connection closed after this response */
+  /** the current request asks for the connection to be closed after its response */
   private closeRequested = false;
   private disconnectListener: (() => void) | null = null;
 
@@ -58,9 +58,9 @@
     socket.on('timeout', this.destroy);
   }
 
-  /** Takes bytes of the socket; whoever made this connection has read the first of them. */
+  /** Takes bytes from the socket. The creator of this object passes on the first ones, which it has read itself. */
   readonly receive = (chunk: Buffer): void => {
-    // Requests are not pipelined (PROTOCOL): whoever does it all the same is no worker.
+    // Workers don't pipeline requests (PROTOCOL), so this client is no worker.
     if (this.state === 'responding') return this.destroy();
     if (this.state === 'idle') {
       if (!startsHeartbeat(chunk)) return this.detach(chunk);
@@ -89,7 +89,7 @@
     this.state = 'idle';
   }
 
-  /** The rest of a body that is too large is counted, but not kept. */
+  /** What exceeds the limit is counted, but not kept. */
   private appendBody(chunk: Buffer): void {
     this.bodyBytes += chunk.length;
     if (this.bodyBytes <= MAX_BODY_BYTES) this.bodyChunks.push(chunk);
--- a/packages/http-api/src/http-api.ts
+++ b/packages/http-api/src/http-api.ts
@@ -1,6 +1,6 @@
 /**
- * The HTTP interface to users and workers. Requests are decoded, admitted or refused, and handed on; their responses come
- * back by id. The frequent ones (heartbeats, status queries, health checks) pass Express by.
+ * The HTTP interface to users and workers. It decodes requests, admits or refuses them, and passes them on with an id by
+ * which their response comes back. Frequent requests (heartbeats, status queries, health checks) bypass Express.
  */
 import type http from 'node:http';
 import type net from 'node:net';
@@ -13,26 +13,26 @@
 import { PendingRequests } from './pending-requests.js';
 import { HttpResponder, type Responder } from './responder.js';
 
-/** What the interface hands on. Each carries the id that its response must bear. */
+/** A request that was admitted, with the id by which to respond to it. */
 export type ApiRequest =
   | { kind: 'heartbeat'; id: number; heartbeat: Heartbeat }
-  /** `body`: null where it is no map */
+  /** `body`: null if it is not a map */
   | { kind: 'submit'; id: number; body: Record<string, unknown> | null }
   | { kind: 'statusQuery'; id: number; job: string }
   | { kind: 'cancel'; id: number; job: string };
 
-/** A status query's path: what follows is the job's id, and nothing else. */
+/** The path of a status query is this and the job's id. */
 const STATUS_QUERY_PREFIX = `${PATHS.jobs}/`;
 
-/** A job's id that needs no decoding; any other is left to Express. */
-const NEEDS_DECODING = /[^\w-]/;
+/** Where a path has such a character, its job id is encoded or it is no status query: it is left to Express. */
+const NON_JOB_ID_CHARACTER = /[^\w-]/;
 
-/** The body of a response about health: its status says all. */
+/** Responses about health say all by their status. */
 const EMPTY_BODY = {};
 
 const OVERLOADED_BODY = { error: 'overloaded' };
 
-/** After this long a client whose request was refused for load may ask again. */
+/** `Retry-After` of requests that are refused under load, in seconds. */
 const OVERLOADED_RETRY_S = 1;
 
 /** Owns the listening server and all connections of users and workers. */
@@ -44,9 +44,9 @@
   private lastEncodedBytes: Buffer = Buffer.alloc(0);
 
   /**
-   * @param onRequest takes each request that is admitted
-   * @param isReady what health checks are answered
-   * @param onMalformedHeartbeat is given the address that sent a heartbeat which can't be read
+   * @param onRequest is called with each admitted request, whose response is given by `respond`
+   * @param isReady the answer to health checks
+   * @param onMalformedHeartbeat is called with the client's address when a heartbeat can't be decoded
    */
   constructor(
     private readonly onRequest: (request: ApiRequest) => void,
@@ -68,7 +68,7 @@
     });
   }
 
-  /** Rejects if the address can't be listened on. */
+  /** Starts to listen; rejects if the address can't be listened on. */
   listen(host: string, port: number): Promise<net.Server> {
     const { server } = this.listener;
     return new Promise((resolve, reject) => {
@@ -78,15 +78,15 @@
     });
   }
 
-  /** Listens no more, and ends every connection. */
+  /** Stops listening and destroys every connection. */
   close(): void {
     this.listener.close();
   }
 
   /**
-   * Responds to a request that was handed on; nothing happens if its client has gone.
+   * Responds to a request; nothing happens if its client has disconnected.
    *
-   * @param body is encoded as MessagePack. One object stands for one content: it must not change after this
+   * @param body is encoded as MessagePack. The object must not change afterwards: its encoding is cached by identity
    */
   respond(id: number, status: number, body: unknown, retryAfterS?: number): void {
     const pending = this.pendingRequests.take(id);
@@ -118,7 +118,7 @@
     this.onRequest({ kind: 'cancel', id, job });
   }
 
-  /** A heartbeat on a connection that began with something else, so that Node's HTTP server has it. */
+  /** Reads a heartbeat on a connection that began with another request, so that Node's HTTP server serves it. */
   private readHeartbeat(request: http.IncomingMessage, response: http.ServerResponse): void {
     const chunks: Buffer[] = [];
     let size = 0;
@@ -132,7 +132,7 @@
     });
   }
 
-  /** `bytes`: null where the body is too large. */
+  /** `bytes`: null if the body is too large. */
   private receiveHeartbeat(responder: Responder, bytes: Buffer | null, socket: net.Socket): void {
     const body = bytes && unpackMap(bytes);
     const heartbeat = body && parseHeartbeat(body);
@@ -143,10 +143,13 @@
     this.onRequest({ kind: 'heartbeat', id: this.pendingRequests.add(responder, 'worker', null), heartbeat });
   }
 
-  /** Status queries come eight times as often as submissions at times. */
+  /**
+   * Serves plain paths without Express, which would cost each query several times what is done for it: at times there are
+   * eight times as many as usual.
+   */
   private receiveStatusQuery(request: http.IncomingMessage, path: string, response: http.ServerResponse): void {
     const job = path.slice(STATUS_QUERY_PREFIX.length);
-    if (NEEDS_DECODING.test(job)) return this.app(request, response);
+    if (NON_JOB_ID_CHARACTER.test(job)) return this.app(request, response);
     request.resume();
     this.queryStatus(response, job);
   }
@@ -168,7 +171,7 @@
     responder.send({ status, body: this.encodeBody(body), retryAfterS, closeConnection });
   }
 
-  /** Queries about one job in a row share their response, and its bytes. */
+  /** Consecutive queries about one job get the same body object, so its encoding is reused. */
   private encodeBody(body: unknown): Buffer {
     if (body !== this.lastEncodedBody) {
       this.lastEncodedBody = body;
--- a/packages/http-api/src/http-listener.ts
+++ b/packages/http-api/src/http-listener.ts
@@ -1,6 +1,6 @@
 /**
- * The listening server. It looks at how each connection begins, serves those that begin with a heartbeat itself, and
- * leaves all others to Node's HTTP server.
+ * The listening server. By the first bytes of a connection it decides who serves it: a `HeartbeatConnection` if they are a
+ * heartbeat's, Node's HTTP server otherwise.
  */
 import http from 'node:http';
 import net from 'node:net';
@@ -8,7 +8,7 @@
 
 /** What the listener hands on. */
 export interface HttpListenerOptions {
-  /** a heartbeat has come; null: its body is too large */
+  /** a whole heartbeat was received; null: its body is too large */
   onHeartbeat(connection: HeartbeatConnection, body: Buffer | null): void;
   /** any other request */
   onOtherRequest(request: http.IncomingMessage, response: http.ServerResponse): void;
@@ -16,12 +16,12 @@
 
 /** Owns the listening socket, Node's HTTP server behind it, and every connection that either has. */
 export class HttpListener {
-  /** every connection comes here first */
+  /** accepts all connections */
   readonly server: net.Server;
   private readonly httpServer: http.Server;
   private readonly openSockets = new Set<net.Socket>();
 
-  /** @param requestTimeoutMs a connection that says nothing, or whose request is not whole, after so long is closed */
+  /** @param requestTimeoutMs connections on which no whole request has come for this long are closed */
   constructor(
     private readonly options: HttpListenerOptions,
     private readonly requestTimeoutMs = REQUEST_TIMEOUT_MS,
@@ -31,19 +31,19 @@
     this.httpServer.requestTimeout = requestTimeoutMs;
     this.httpServer.headersTimeout = requestTimeoutMs;
     this.httpServer.timeout = IDLE_TIMEOUT_MS;
-    // It never listens itself; Node begins to look for requests that are not whole with this event.
+    // It never listens itself, but Node starts to check for incomplete requests only on this event.
     this.httpServer.emit('listening');
     this.server = net.createServer({ noDelay: true }, (socket) => this.accept(socket));
   }
 
-  /** Listens no more, and ends every connection. */
+  /** Stops listening and destroys every connection. */
   close(): void {
     this.server.close();
     this.httpServer.close();
     for (const socket of this.openSockets) socket.destroy();
   }
 
-  /** Waits for the first bytes of a connection, which say whose it is. */
+  /** Waits for the first bytes of a connection, which decide who serves it. */
   private accept(socket: net.Socket): void {
     this.openSockets.add(socket);
     socket.once('close', () => this.openSockets.delete(socket));
@@ -71,7 +71,7 @@
     socket.setTimeout(0);
     socket.unshift(chunk);
     this.httpServer.emit('connection', socket);
-    // Its parser reads what was put back before anything new.
+    // The HTTP server's parser reads the bytes that were put back before any new ones.
     process.nextTick(() => socket.resume());
   }
 }
--- a/packages/http-api/src/load-shedder.ts
+++ b/packages/http-api/src/load-shedder.ts
@@ -1,36 +1,36 @@
 /**
- * Load shedding: which requests of users are refused when more is asked than can be done. How late timers fire is the
- * measure of load, since it counts whatever takes the processor, also from outside this process.
+ * Load shedding: decides which requests of users are refused when the process can't serve all of them. The measure of load
+ * is how late timers fire, because that includes whatever else takes the processor.
  */
 import { TokenBucket } from './token-bucket.js';
 
-/** Timers this late: a job whose status was told here a moment ago is asked to wait. */
+/** With timers this late, status queries about recently answered jobs are refused. */
 const BUSY_DELAY_MS = 150;
 
-/** Timers this late: workers' heartbeats wait too, and only who has gone without an answer for long is served. */
+/** With timers this late, workers' heartbeats are delayed too, and only queries about starved jobs are admitted. */
 const OVERLOAD_DELAY_MS = 500;
 
-/** A job whose status was told here within this time can wait; users ask every 5 s. */
+/** A job whose status this controller told within this time is recently answered; users ask every 5 s. */
 const RECENTLY_ANSWERED_MS = 4000;
 
 /**
- * Who has gone without an answer for longer is served though much else waits: a job about which
- * nothing is answered for 75 s counts as forgotten, and there may be other controllers like this.
+ * A job whose status this controller hasn't told for this long is starved, and queries about it are admitted even under
+ * overload: a job without any answer for 75 s counts as forgotten, and other controllers may be overloaded as well.
  */
 const STARVED_MS = 20_000;
 
-/** So many of these a second, at the most, while workers' heartbeats wait. */
+/** Queries about starved jobs that are admitted a second under overload. */
 const STARVED_QUERIES_PER_S = 8;
 
 /**
- * Status queries are refused first, and fairly: those about jobs that were answered lately, so that none is unlucky for
- * long. Mutations (submissions and cancellations) are refused only when workers' heartbeats themselves wait, but for a few
- * a second: each that is refused comes again, and costs nearly as much then.
+ * Status queries are refused first, and fairly: those about recently answered jobs, so that no job goes without an answer
+ * for long. Mutations (submissions and cancellations) are refused only when workers' heartbeats are delayed, and a few a
+ * second are admitted even then: a client repeats what was refused, which costs nearly as much as serving it.
  */
 export class LoadShedder {
-  /** how late timers fire, the worst of late */
+  /** how late timers fire; the worst delay counts for a while */
   private timerDelayMs = 0;
-  /** when the status of a job was told last, by its id; swept of those that count as starved anyway */
+  /** when this controller last told a job's status, by job id; starved jobs are removed */
   private readonly answeredAt = new Map<string, number>();
   private sweptAt = 0;
   private readonly starvedQueryBucket: TokenBucket;
@@ -40,7 +40,7 @@
 
   /**
    * @param clock milliseconds of a monotonic clock
-   * @param mutationsPerS submissions and cancellations that are admitted though heartbeats wait
+   * @param mutationsPerS submissions and cancellations that are admitted a second under overload
    */
   constructor(
     private readonly clock: () => number,
@@ -50,24 +50,24 @@
     this.mutationBucket = new TokenBucket(mutationsPerS, clock);
   }
 
-  /** A timer fired so much later than it was asked for. Half of the worst delay is forgotten with each call. */
+  /** Records that a timer fired this late. Half of the worst delay so far is forgotten with each call. */
   recordTimerDelay(ms: number): void {
     this.timerDelayMs = Math.max(ms, this.timerDelayMs / 2);
   }
 
-  /** Whether workers' heartbeats wait. */
+  /** Whether timers are so late that workers' heartbeats are delayed. */
   get isOverloaded(): boolean {
     return this.timerDelayMs > OVERLOAD_DELAY_MS;
   }
 
-  /** Whether a submission or cancellation is taken now; one that isn't is counted as rejected. */
+  /** Whether to serve a submission or cancellation; counts it as rejected if not. */
   admitMutation(): boolean {
     if (!this.isOverloaded || this.mutationBucket.take()) return true;
     this.rejectedMutations++;
     return false;
   }
 
-  /** Whether a query about this job is taken now; one that isn't is counted as rejected. */
+  /** Whether to serve a query about this job; counts it as rejected if not. */
   admitStatusQuery(job: string): boolean {
     const now = this.clock();
     if (now - this.sweptAt > STARVED_MS) this.forgetStaleAnswers(now);
@@ -77,12 +77,12 @@
     return false;
   }
 
-  /** The query about this job is being answered. */
+  /** Records that a query about this job is being answered. */
   recordAnswered(job: string): void {
     this.answeredAt.set(job, this.clock());
   }
 
-  /** What was rejected since the last call. */
+  /** How many requests were rejected since the last call. */
   takeRejectedCounts(): { statusQueries: number; mutations: number } {
     const rejected = { statusQueries: this.rejectedStatusQueries, mutations: this.rejectedMutations };
     this.rejectedStatusQueries = 0;
--- a/packages/http-api/src/pending-requests.ts
+++ b/packages/http-api/src/pending-requests.ts
@@ -1,20 +1,21 @@
-/** Requests that were handed on and wait for their response. */
+/** Requests that were passed on and wait for their response. */
 import type { ClientKind } from './connection-limiter.js';
 import type { Responder } from './responder.js';
 
+/** What is needed to respond to a request. */
 export interface PendingRequest {
   responder: Responder;
   clientKind: ClientKind;
-  /** the job whose status it asks for; null for any other request */
+  /** the job whose status is queried; null for other requests */
   job: string | null;
 }
 
-/** Numbers requests, and forgets those whose client has gone. */
+/** Gives each request an id, and forgets requests whose client disconnects. */
 export class PendingRequests {
   private readonly byId = new Map<number, PendingRequest>();
   private nextId = 1;
 
-  /** Returns the id that the response must bear. */
+  /** Adds a request and returns its id. */
   add(responder: Responder, clientKind: ClientKind, job: string | null): number {
     const id = this.nextId++;
     this.byId.set(id, { responder, clientKind, job });
@@ -22,7 +23,7 @@
     return id;
   }
 
-  /** The request of this id, which is pending no more; undefined if nobody waits for its response. */
+  /** Removes the request with this id and returns it; undefined if nobody waits for its response. */
   take(id: number): PendingRequest | undefined {
     const pending = this.byId.get(id);
     if (pending) this.byId.delete(id);
--- a/packages/http-api/src/responder.ts
+++ b/packages/http-api/src/responder.ts
@@ -1,26 +1,26 @@
-/** Where the response to a request goes, whichever way the request came. */
+/** Ways to send a response, by Node's HTTP server or straight to a socket. */
 import http from 'node:http';
 
-/** A response whose body is encoded already, as MessagePack. */
+/** A response. Its body is already encoded, as MessagePack. */
 export interface HttpResponse {
   status: number;
   body: Buffer;
   retryAfterS: number | undefined;
-  /** the connection is closed once this is sent */
+  /** close the connection after this response */
   closeConnection: boolean;
 }
 
-/** The client's side of one request. */
+/** Sends the response to one request. */
 export interface Responder {
-  /** Sends the response; nothing happens if the client is gone. */
+  /** Sends the response; nothing happens if the client has disconnected. */
   send(response: HttpResponse): void;
-  /** Calls back when nobody waits for the response any more. */
+  /** Calls the listener when the client disconnects; it may be called after the response as well. */
   onDisconnect(listener: () => void): void;
 }
 
 const CONTENT_TYPE = 'application/msgpack';
 
-/** Responds by Node's HTTP server. */
+/** Responds through Node's HTTP server. */
 export class HttpResponder implements Responder {
   constructor(private readonly response: http.ServerResponse) {}
 
@@ -40,7 +40,7 @@
   }
 }
 
-/** Head and body in one piece, so that it leaves by one call. */
+/** Head and body of a response in one buffer, so that they are sent by one call. */
 export function encodeResponse({ status, body, retryAfterS }: HttpResponse, closeConnection: boolean): Buffer {
   const retryAfter = retryAfterS === undefined ? '' : `retry-after: ${retryAfterS}\r\n`;
   const connection = closeConnection ? 'connection: close\r\n' : '';
--- a/packages/http-api/src/token-bucket.ts
+++ b/packages/http-api/src/token-bucket.ts
@@ -1,6 +1,6 @@
-/** A rate limit that refuses rather than waits. */
+/** A rate limiter that refuses rather than waits. */
 
-/** So many tokens a second, and as many at once, though one at the least; a rate of 0 gives none. */
+/** A token bucket that holds one second's worth of tokens, and at least one. A rate of 0 never gives any. */
 export class TokenBucket {
   private tokens: number;
   private refilledAt = 0;
@@ -13,7 +13,7 @@
     this.tokens = perS;
   }
 
-  /** Takes a token; false: there is none. */
+  /** Takes a token if there is one, and tells whether there was. */
   take(): boolean {
     const now = this.clock();
     const limit = this.perS > 0 ? Math.max(1, this.perS) : 0;
--- a/packages/http-client/src/address.ts
+++ b/packages/http-client/src/address.ts
@@ -1,6 +1,6 @@
-/** Addresses as the settings and the services write them. */
+/** Addresses of services. */
 
-/** Splits `IP:port`. The form isn't checked: the settings' schema does that. */
+/** Splits `IP:port`. Assumes that form, which the settings' schema checks. */
 export function parseAddress(address: string): { host: string; port: number } {
   const colon = address.lastIndexOf(':');
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
--- a/packages/http-client/src/http-client.ts
+++ b/packages/http-client/src/http-client.ts
@@ -1,9 +1,9 @@
-/** Calls to one service, over HTTP/1.1. */
+/** A client of one HTTP service. */
 import http from 'node:http';
 import { parseAddress } from './address.js';
 import { type CallOutcome, type HttpCall, type HttpEndpoint, HttpExchange } from './http-exchange.js';
 
-/** Calls to one address, on persistent connections that it owns, never pipelined. */
+/** Calls one address over HTTP/1.1. Owns its connections, which persist; requests aren't pipelined. */
 export class HttpClient {
   private readonly endpoint: HttpEndpoint;
 
@@ -16,7 +16,7 @@
     this.endpoint = { agent, ...parseAddress(address) };
   }
 
-  /** Sends a request; resolves at the latest shortly after its timeout. Failures of the network are outcomes, not errors. */
+  /** Sends a request and resolves with its outcome, shortly after the timeout at the latest. */
   call(call: HttpCall): Promise<CallOutcome> {
     return new Promise((resolve) => {
       new HttpExchange(this.endpoint, call, resolve);
--- a/packages/http-client/src/http-exchange.ts
+++ b/packages/http-client/src/http-exchange.ts
@@ -1,11 +1,11 @@
 /**
- * One HTTP request and what came of it. A caller has to know whether a request that failed may still be carried out, so an
- * exchange follows its socket: before it is connected nothing can have left this machine.
+ * One HTTP request and its outcome. Callers have to know whether a request that failed may still be carried out, so an
+ * exchange watches its socket: until that is connected, nothing can have left this machine.
  */
 import http from 'node:http';
 import { monotonicMs } from './clock.js';
 
-/** How a call ended. A call never fails otherwise. */
+/** How a call ended. Calls don't throw for failures of the network. */
 export type CallOutcome =
   | { kind: 'answer'; status: number; body: Buffer }
   /** nothing left this machine: the request can't be carried out later */
@@ -13,7 +13,7 @@
   /** no answer: it may have been carried out, or may be yet */
   | { kind: 'lost' };
 
-/** A request; with a body, which is MessagePack, it says so in its head. */
+/** A request. Its body, if any, is MessagePack. */
 export interface HttpCall {
   method: 'GET' | 'POST' | 'DELETE';
   path: string;
@@ -21,28 +21,28 @@
   timeoutMs: number;
 }
 
-/** Where a request goes, and by whose connections. */
+/** Where requests go, and the connections that they use. */
 export interface HttpEndpoint {
   agent: http.Agent;
   host: string;
   port: number;
 }
 
-/** Timers that fire so much later than asked for: this process stood still, or had no processor. */
+/** A timer that fires this much too late shows that the process stood still, or had no processor. */
 const LATE_TIMER_MS = 250;
 
 const CONTENT_TYPE = 'application/msgpack';
 
-/** Owns its request and its timer: both end with the outcome, which is told once. */
+/** Owns its request and its timer, which end with the outcome. There is exactly one outcome. */
 export class HttpExchange {
   private readonly request: http.ClientRequest;
   private readonly deadline: number;
   private timer: NodeJS.Timeout;
-  /** the connection stood, so the request may have left this machine */
+  /** the socket was connected, so the request may have left this machine */
   private isSent = false;
   private isSettled = false;
 
-  /** Sends the request at once. */
+  /** Sends the request. */
   constructor(
     endpoint: HttpEndpoint,
     call: HttpCall,
@@ -67,14 +67,14 @@
     this.request.end(call.body);
   }
 
-  /** A timer that fires late has been waited for by answers too: they are looked at first. */
+  /** After a pause of the process responses may wait as well: a late timer gives them a moment to be read first. */
   private handleTimeout(): void {
     if (monotonicMs() - this.deadline > LATE_TIMER_MS) this.timer = setTimeout(this.fail, LATE_TIMER_MS);
     else this.fail();
   }
 
   private handleConnect(): void {
-    // This process stood still while it connected: what it wanted to say is out of date.
+    // The process stood still while it connected, so the request is out of date.
     if (monotonicMs() > this.deadline) this.fail();
     else this.isSent = true;
   }
--- a/packages/http-client/src/request-budget.ts
+++ b/packages/http-client/src/request-budget.ts
@@ -1,15 +1,18 @@
-/** The rate at which this process may ask a service that limits requests. */
+/** Keeps this process within the request limit of a service. */
 import { sleep } from './clock.js';
 
-/** No wait for a token is shorter than this: timers fire in steps of a few milliseconds. */
+/** The shortest wait for a token; timers fire in steps of a few milliseconds anyway. */
 const MIN_WAIT_MS = 5;
 
-/** A token bucket: so many requests a second, with a burst of one second's worth, and of one request at the least. */
+/** A token bucket that holds one second's worth of requests, and at least one. Callers wait for tokens. */
 export class RequestBudget {
   private tokens: number;
   private refilledAt: number;
 
-  /** @param clock milliseconds of a monotonic clock */
+  /**
+   * @param perS requests a second
+   * @param clock milliseconds of a monotonic clock
+   */
   constructor(
     private readonly perS: number,
     private readonly clock: () => number,
@@ -18,13 +21,13 @@
     this.refilledAt = clock();
   }
 
-  /** Takes a token whether there is one or not, for what must not wait; those that come later wait longer. */
+  /** Takes a token even if there is none, for requests that must not wait; later ones wait longer instead. */
   force(): void {
     this.refill();
     this.tokens -= 1;
   }
 
-  /** Takes a token if there is one. */
+  /** Takes a token if there is one, and tells whether there was. */
   tryTake(): boolean {
     this.refill();
     if (this.tokens < 1) return false;
--- a/packages/server/src/effect-executor.ts
+++ b/packages/server/src/effect-executor.ts
@@ -1,4 +1,4 @@
-/** Carries out what the controller decided; outcomes come back to it as control events. */
+/** Carries out the controller's effects and brings it their outcomes, as control events. */
 import type { Cloud } from '@archpost/cloud-client';
 import type { Controller, Effect } from '@archpost/controller';
 import type { HttpApi } from '@archpost/http-api';
@@ -11,7 +11,7 @@
 
 type EffectOf<Type extends Effect['type']> = Extract<Effect, { type: Type }>;
 
-/** Where effects go. */
+/** What effects act on. */
 export interface EffectTargets {
   api: HttpApi;
   stateStore: StateStore;
@@ -23,7 +23,7 @@
 
 /** Executes the controller's effects in the order in which it decided them. */
 export class EffectExecutor {
-  /** @param nodeName this controller's name, which its messages bear */
+  /** @param nodeName this controller's name, which its messages to peers contain */
   constructor(
     private readonly controller: Controller,
     private readonly inbox: Inbox,
@@ -32,12 +32,13 @@
   ) {}
 
   /**
-   * Executes whatever was decided since the last call.
+   * Executes all effects since the last call.
    *
-   * What was decided before a pause is not told to machines or the cloud after it: another controller may have decided
-   * since. Responses and writes go out: a late response finds nobody, and a late write fails on its conditions.
+   * Effects on machines and the cloud that were decided before a pause of the process are withheld after it, because
+   * another controller may have decided otherwise meanwhile. Others are harmless: a late response finds nobody, and a late
+   * write fails on its conditions.
    *
-   * @param wasPaused all of it was decided before a pause of this process
+   * @param wasPaused all effects were decided before a pause
    */
   executeAll(wasPaused = false): void {
     const decidedAt = this.inbox.lastClockReading;
@@ -48,7 +49,7 @@
     }
   }
 
-  /** Keeps back an effect on machines or the cloud: the controller learns that it never left. False: it may go out. */
+  /** Withholds an effect on machines or the cloud and tells the controller so. Returns false for any other effect. */
   private withhold(effect: Effect): boolean {
     const { controller, inbox } = this;
     switch (effect.type) {
@@ -94,7 +95,7 @@
       case 'log':
         return log.controllerEvent(effect);
       default:
-        // The compiler refuses an effect without a case.
+        // Keeps the switch exhaustive: an effect without a case doesn't compile.
         effect satisfies never;
     }
   }
--- a/packages/server/src/garbage-collection.ts
+++ b/packages/server/src/garbage-collection.ts
@@ -1,4 +1,4 @@
-/** Garbage collection for a process with less memory than its heap's limit, which V8 would let grow too far. */
+/** Early garbage collection, for a process whose memory is smaller than the heap that V8 would let grow. */
 import v8 from 'node:v8';
 import vm from 'node:vm';
 import { BYTES_PER_MB, COLLECTION_START_FRACTION } from './heap-plan.js';
@@ -6,33 +6,33 @@
 const COLLECTION_CHECK_INTERVAL_MS = 5000;
 
 /**
- * What a collection leaves is no garbage: the next one comes once the process holds this part of its memory more. A full
- * collection takes tens of milliseconds of processor, most of a second on a small share of a core.
+ * The next collection comes once the process has grown by this part of its memory, since what the last one left is no
+ * garbage. A full collection takes tens of milliseconds of processor, most of a second on a small share of a core.
  */
 const COLLECTION_GROWTH_FRACTION = 0.04;
 
-/** Says when collecting garbage is worth its price, by what the process held at each check. */
+/** Decides when a collection is worth its cost, by the memory that the process holds at each check. */
 export class CollectionTrigger {
   /** the least that was held since the last collection */
   private retainedMb = 0;
   private wasJustCollected = false;
 
   /**
-   * @param thresholdMb below this no garbage is collected
-   * @param growthMb nor before the process holds so much more than a collection left
+   * @param thresholdMb memory below which garbage isn't collected
+   * @param growthMb growth since the last collection below which it isn't either
    */
   constructor(
     private readonly thresholdMb: number,
     private readonly growthMb: number,
   ) {}
 
-  /** Takes what the process holds now; true: garbage is to be collected. */
+  /** Whether to collect now; the caller collects whenever this is true. */
   isDue(heldMb: number): boolean {
     if (this.wasJustCollected) {
       this.wasJustCollected = false;
       this.retainedMb = heldMb;
     }
-    // What was given back since counts too: growth is measured from the least.
+    // Memory may be given back later than at the collection: growth is measured from the least.
     this.retainedMb = Math.min(this.retainedMb, heldMb);
     if (heldMb <= Math.max(this.thresholdMb, this.retainedMb + this.growthMb)) return false;
     this.wasJustCollected = true;
@@ -40,7 +40,7 @@
   }
 }
 
-/** Collects garbage, now and then, while the process holds more than its threshold. */
+/** Collects garbage from time to time while the process holds more than a threshold. */
 export class GarbageCollector {
   private readonly trigger: CollectionTrigger;
   private timer: NodeJS.Timeout | undefined;
@@ -51,8 +51,9 @@
     this.trigger = new CollectionTrigger(thresholdMb, growthMb);
   }
 
+  /** Starts the periodic checks. */
   start(): void {
-    // Node shows its collector to contexts that are made after this flag is set.
+    // V8 exposes its collector to contexts that are created after this flag is set.
     v8.setFlagsFromString('--expose-gc');
     const collect: () => void = vm.runInNewContext('gc');
     this.timer = setInterval(() => {
@@ -60,6 +61,7 @@
     }, COLLECTION_CHECK_INTERVAL_MS);
   }
 
+  /** Ends the periodic checks. */
   close(): void {
     clearInterval(this.timer);
   }
--- a/packages/server/src/heap-plan.ts
+++ b/packages/server/src/heap-plan.ts
@@ -1,7 +1,7 @@
 /**
- * The heap that the settings' memory leaves room for. Node fixes it when it starts, by a flag that can't know the
- * settings, so a process with more memory runs the service in a thread whose heap is as large as it may be, and one
- * with less collects garbage before it reaches its limit.
+ * Plans the heap that fits the memory which the settings allow. Node fixes the heap's limit when it starts, by a flag that
+ * can't know the settings. So a process with more memory runs the service in a thread with a larger heap, and one with less
+ * collects garbage before it reaches the limit.
  */
 import v8 from 'node:v8';
 
@@ -14,13 +14,13 @@
 /** Measured: a young generation in full use. */
 const YOUNG_GENERATION_MB = 32;
 
-/** What a connection takes outside the heap, buffers included. */
+/** Memory of a connection outside the heap, buffers included. */
 const KB_PER_SOCKET = 17;
 
-/** A heap is as it should be if it is within this factor of it. */
+/** A heap within this factor of the planned one is left as it is. */
 const HEAP_TOLERANCE_FACTOR = 1.1;
 
-/** A process with too little memory for its heap's limit collects garbage beyond this part of its memory. */
+/** A process whose memory is smaller than its heap's limit collects garbage beyond this part of its memory. */
 export const COLLECTION_START_FRACTION = 0.85;
 
 /** Node's young generation at its largest, as V8 counts it: three times 16 MB. */
@@ -37,12 +37,12 @@
   sockets: number;
 }
 
-/** Megabytes of the old generation that are left when sockets and the process itself have theirs. */
+/** Megabytes that are left for the old generation when sockets and the process itself have theirs. */
 export function heapMb({ memoryMb, sockets }: MemoryBudget): number {
   return Math.floor(memoryMb - PROCESS_OVERHEAD_MB - (sockets * KB_PER_SOCKET) / 1024);
 }
 
-/** The same for the service in a thread of its own. */
+/** As `heapMb`, if the service runs in a thread of its own. */
 export function threadHeapMb(budget: MemoryBudget): number {
   return heapMb(budget) - THREAD_OVERHEAD_MB - YOUNG_GENERATION_MB;
 }
@@ -64,7 +64,7 @@
   return { kind: 'as it is' };
 }
 
-/** The old generation's limit in force; the young one is counted with it in what V8 tells. */
+/** The old generation's limit in force, in megabytes; V8 counts the young generation with it. */
 export function heapLimitMb(): number {
   return Math.round(v8.getHeapStatistics().heap_size_limit / BYTES_PER_MB) - MAX_YOUNG_GENERATION_MB;
 }
--- a/packages/server/src/inbox.ts
+++ b/packages/server/src/inbox.ts
@@ -1,48 +1,47 @@
 /**
- * The queue of inputs before the controller, which takes one at a time. Under overload the users wish for this order:
- * heartbeats of workers first, then the events that decisions are made of, then submissions and cancellations, and status
- * queries last.
+ * Queues of inputs to the controller, which takes one at a time. Under overload they are served in the order that the users
+ * asked for: heartbeats of workers, then control events, then mutations (submissions and cancellations), then status queries.
  */
 
-/** An input that was not taken yet. */
+/** An input that waits. */
 interface QueuedInput {
   /** milliseconds of the inbox's clock */
   enqueuedAt: number;
   run: () => void;
 }
 
-/** An input that may be refused: its user asks again. */
+/** An input that may be rejected, because its user repeats it. */
 interface QueuedClientRequest extends QueuedInput {
   reject: () => void;
 }
 
-/** So long between two readings of the clock: this process stood still, or had no processor. */
+/** With this long between two readings of the clock, the process stood still or had no processor. */
 export const PROCESS_PAUSE_MS = 800;
 
 /**
- * So long at most for heartbeats, and then for control events, before connections are looked at again. On a small share
- * of a core a backlog takes seconds, in which no health check would be answered and no response would leave.
+ * The longest time spent on heartbeats, and then on control events, in one turn. On a small share of a core a backlog takes
+ * seconds, in which without this no health check would be answered and no response would leave.
  */
 export const TIME_SLICE_MS = 100;
 
-/** Mutations, and then status queries, that are taken before looking for anything more urgent. */
+/** Mutations, and then status queries, that are served in one turn, before more urgent inputs get theirs. */
 const CLIENT_REQUESTS_PER_TURN = 4;
 
-/** What an inbox calls, and by which clock. */
+/** The clock and the callbacks of an inbox. */
 export interface InboxOptions {
   /** milliseconds of a monotonic clock */
   clock: () => number;
-  /** called after each turn */
+  /** a turn is over */
   onTurnEnd: () => void;
-  /** a client's request older than this is refused rather than carried out late */
+  /** a mutation or status query that has waited longer than this is rejected rather than served late */
   maxClientRequestAgeMs: number;
-  /** this process stood still for so long: called before anything else is taken */
+  /** the process stood still for this long; called before the next input */
   onProcessPause?: (ms: number) => void;
-  /** an input threw; the others are taken */
+  /** an input threw; the others are served all the same */
   onError: (error: unknown) => void;
 }
 
-/** Inputs that were taken, by queue, and client requests that were refused for their age. */
+/** Inputs that were served, by queue, and those that were rejected for their age. */
 export interface ProcessedCounts {
   heartbeats: number;
   controlEvents: number;
@@ -59,7 +58,7 @@
   rejected: 0,
 };
 
-/** Takes inputs in turns; between two turns Node's event loop goes round. */
+/** Serves inputs in turns; between two turns Node's event loop handles timers and sockets. */
 export class Inbox {
   private heartbeats: QueuedInput[] = [];
   private controlEvents: QueuedInput[] = [];
@@ -67,7 +66,7 @@
   private readonly statusQueries: QueuedClientRequest[] = [];
   private nextTurn: NodeJS.Immediate | null = null;
   private isClosed = false;
-  /** when the clock was read last: at most a slice before whatever is being taken began */
+  /** when the clock was read last, which is before each heartbeat and control event, and before client requests */
   lastClockReading: number;
   private processed: ProcessedCounts = { ...NOTHING_PROCESSED };
 
@@ -75,38 +74,38 @@
     this.lastClockReading = options.clock();
   }
 
-  /** A worker's heartbeat, its own or one that another controller forwarded. */
+  /** Adds a heartbeat, received from its worker or forwarded by another controller. */
   enqueueHeartbeat(run: () => void): void {
     this.heartbeats.push({ enqueuedAt: this.options.clock(), run });
     this.scheduleTurn();
   }
 
-  /** Anything else that decisions are made of: ticks, changes of the stored state, messages of peers, outcomes of effects. */
+  /** Adds any other input that decisions depend on: a tick, a change of the stored state, a peer's status, an outcome. */
   enqueueControlEvent(run: () => void): void {
     this.controlEvents.push({ enqueuedAt: this.options.clock(), run });
     this.scheduleTurn();
   }
 
-  /** A submission or cancellation; `reject` is called instead of `run` when it has become too old. */
+  /** Adds a submission or cancellation. `reject` is called instead of `run` if it has waited too long. */
   enqueueMutation(run: () => void, reject: () => void): void {
     this.mutations.push({ enqueuedAt: this.options.clock(), run, reject });
     this.scheduleTurn();
   }
 
-  /** As `enqueueMutation`, for a query about a job's status. */
+  /** Adds a query about a job's status; `reject` is as for mutations. */
   enqueueStatusQuery(run: () => void, reject: () => void): void {
     this.statusQueries.push({ enqueuedAt: this.options.clock(), run, reject });
     this.scheduleTurn();
   }
 
-  /** What was processed since the last call. */
+  /** How many inputs were served and rejected since the last call. */
   takeProcessedCounts(): ProcessedCounts {
     const { processed } = this;
     this.processed = { ...NOTHING_PROCESSED };
     return processed;
   }
 
-  /** How long the oldest heartbeat or control event has waited; 0 if none waits. */
+  /** How long the oldest heartbeat or control event has waited, in milliseconds; 0 if none waits. */
   get queueDelayMs(): number {
     const oldest = Math.min(
       this.heartbeats[0]?.enqueuedAt ?? Number.POSITIVE_INFINITY,
@@ -115,14 +114,14 @@
     return Math.max(0, this.options.clock() - oldest);
   }
 
-  /** Takes nothing more; what waits is dropped. */
+  /** Ends the turns; inputs that wait, and those that are added later, are dropped. */
   close(): void {
     this.isClosed = true;
     if (this.nextTurn) clearImmediate(this.nextTurn);
     this.nextTurn = null;
   }
 
-  /** Heartbeats, then control events, each for a slice of time; then a few client requests before looking for more. */
+  /** Serves heartbeats, then control events, each for a slice of time, and then a few mutations or status queries. */
   runTurn(): void {
     this.nextTurn = null;
     this.readClock();
@@ -144,11 +143,11 @@
     this.nextTurn = setImmediate(() => this.runTurn());
   }
 
-  /** Takes inputs of one queue in their order, at least one, until the slice is over. Returns how many. */
+  /** Serves inputs of one queue in their order, at least one, until the time slice is over. Returns how many. */
   private processSlice(name: 'heartbeats' | 'controlEvents'): number {
     const queue = this[name];
     if (queue.length === 0) return 0;
-    // What comes meanwhile waits for the next turn.
+    // Inputs that are added meanwhile wait for the next turn.
     this[name] = [];
     const deadline = this.lastClockReading + TIME_SLICE_MS;
     let count = 0;
@@ -161,7 +160,7 @@
     return count;
   }
 
-  /** A few mutations; status queries only when none waits any more. */
+  /** Serves a few mutations, and a few status queries if no mutation waits any more. */
   private processClientRequests(now: number): void {
     for (const request of this.mutations.splice(0, CLIENT_REQUESTS_PER_TURN))
       this.processClientRequest(request, now, 'mutations');
@@ -180,7 +179,7 @@
     }
   }
 
-  /** One that fails must not cost those that wait behind it: what they bring comes once. */
+  /** An input that throws must not take those behind it along: most of them come only once. */
   private runInput(run: () => void): void {
     try {
       run();
@@ -190,8 +189,8 @@
   }
 
   /**
-   * A timer wakes the process every tenth of a second. Where far more time has passed, it stood still, and whatever comes
-   * first afterwards (a timer, a heartbeat, a response) must find its times put in order.
+   * Ticks come every tenth of a second, so if far more time has passed, the process stood still. The controller has to
+   * adjust its times before the next input, whichever comes first (a tick, a heartbeat, an outcome).
    */
   private readClock(): number {
     const now = this.options.clock();
--- a/packages/server/src/input-router.ts
+++ b/packages/server/src/input-router.ts
@@ -1,4 +1,4 @@
-/** The way of inputs to the controller: requests, changes of the stored state and messages of peers, each to its queue. */
+/** Puts inputs of the controller into their queues: requests, changes of the stored state, messages of peers. */
 import type { Controller } from '@archpost/controller';
 import type { ApiRequest, HttpApi } from '@archpost/http-api';
 import { monotonicMs } from '@archpost/http-client';
@@ -9,7 +9,7 @@
 
 const OVERLOADED_BODY = { error: 'overloaded' };
 
-/** After this long a client whose request became too old may ask again. */
+/** `Retry-After` of requests that waited too long, in seconds. */
 const OVERLOADED_RETRY_S = 1;
 
 /** Owns its subscriptions to the state service and to peers. */
@@ -22,12 +22,13 @@
     private readonly api: Pick<HttpApi, 'respond'>,
   ) {}
 
-  /** Takes what the state service and the peers tell from now on. */
+  /** Starts to take events of the state service and of peers. */
   subscribe(stateStore: StateStore, peers: Peers): void {
     this.subscribeToState(stateStore);
     this.subscribeToPeers(peers);
   }
 
+  /** Ends the subscriptions. */
   close(): void {
     this.subscriptions.unsubscribe();
   }
--- a/packages/server/src/metrics-reporter.ts
+++ b/packages/server/src/metrics-reporter.ts
@@ -1,14 +1,14 @@
-/** What each controller refused, and what its processor time and memory go to, is worth seeing at any size. */
+/** Periodic figures of load: rejected requests and connections, processor time, memory, inputs. */
 import type { ConnectionLimiter, LoadShedder } from '@archpost/http-api';
 import type { Inbox } from './inbox.js';
 import type { ProcessFigures, ServiceLog } from './service-log.js';
 
-const REPORT_INTERVAL_MS = 10_000;
+const LOG_INTERVAL_MS = 10_000;
 
 const BYTES_PER_MB = 1024 * 1024;
 const MICROSECONDS_PER_S = 1e6;
 
-/** Logs figures of the last ten seconds, again and again. */
+/** Logs the figures of each interval. */
 export class MetricsReporter {
   private timer: NodeJS.Timeout | undefined;
 
@@ -19,15 +19,17 @@
     private readonly log: ServiceLog,
   ) {}
 
+  /** Starts the timer; the first figures come after one interval. */
   start(): void {
-    this.timer = setInterval(() => this.report(), REPORT_INTERVAL_MS);
+    this.timer = setInterval(() => this.logFigures(), LOG_INTERVAL_MS);
   }
 
+  /** Ends the timer. */
   close(): void {
     clearInterval(this.timer);
   }
 
-  private report(): void {
+  private logFigures(): void {
     const rejected = this.loadShedder.takeRejectedCounts();
     if (rejected.statusQueries + rejected.mutations > 0) this.log.clientRequestsRejected(rejected);
     const connections = this.connections.takeRejectedCount();
--- a/packages/server/src/request-limits.ts
+++ b/packages/server/src/request-limits.ts
@@ -1,4 +1,4 @@
-/** What this controller may take of limits that all controllers share, and how long its lease of the state lasts. */
+/** This controller's part of the request limits that all controllers share, and the time of its lease. */
 import type { ControllerSettings } from '@archpost/controller';
 
 /** Part of a limit on requests that is used. */
@@ -22,7 +22,10 @@
   return cloud.requestsPerS * Math.max(MIN_CLOUD_FRACTION, USED_FRACTION / controllers.length);
 }
 
-/** Half of the time that a cancellation has: rides out outages, and leaves time to take over. */
+/**
+ * The time of the lease at the state service, in milliseconds: half of the time that a cancellation may take. That rides out
+ * outages, and leaves others time to take over.
+ */
 export function stateLeaseMs({ workers }: ControllerSettings): number {
   return Math.round(Math.min(MAX_LEASE_S, Math.max(MIN_LEASE_S, workers.cancelS / 2)) * 1000);
 }
--- a/packages/server/src/run-service.ts
+++ b/packages/server/src/run-service.ts
@@ -1,4 +1,4 @@
-/** Runs the service in this thread, or in one whose heap suits the memory that the settings allow. */
+/** Starts the service, in this thread or in one whose heap suits the memory that the settings allow. */
 import { isMainThread } from 'node:worker_threads';
 import { pino } from 'pino';
 import { GarbageCollector } from './garbage-collection.js';
@@ -22,7 +22,7 @@
  */
 export async function runService(settings: Settings): Promise<void> {
   const log = createLog(settings.controller.name);
-  // A controller that goes on with one input less serves better than one that starts anew.
+  // One failed input costs less than a restart, so the process goes on.
   process.on('unhandledRejection', (reason) => log.unexpectedError(reason));
   process.on('uncaughtException', (error) => log.unexpectedError(error));
   if (isMainThread && startThread(settings, log)) return;
@@ -30,7 +30,7 @@
   await new Service(settings, log).start();
 }
 
-/** Written at once: a line that waits in a buffer is lost when the process is killed. */
+/** Logs to standard error, synchronously: lines in a buffer would be lost when the process is killed. */
 function createLog(node: string): ServiceLog {
   const level = process.env.LOG_LEVEL ?? DEFAULT_LOG_LEVEL;
   if (!LOG_LEVELS.includes(level))
@@ -38,7 +38,7 @@
   return new ServiceLog(pino({ level, base: { node } }, pino.destination({ dest: STANDARD_ERROR, sync: true })));
 }
 
-/** Does what the heap's plan asks of the main thread. True: the service runs in a thread of its own. */
+/** Carries out the heap's plan in the main thread. Returns whether the service runs in another thread. */
 function startThread(settings: Settings, log: ServiceLog): boolean {
   const plan = planHeap({ memoryMb: settings.memoryMb, sockets: settings.maxSockets }, heapLimitMb());
   log.heapPlanned(plan);
--- a/packages/server/src/service-log.ts
+++ b/packages/server/src/service-log.ts
@@ -1,6 +1,6 @@
 /**
- * The log events of the service: each message, its level and its fields stand here once. Operators' alerts match messages
- * and fields, so they keep their words where names in the code have changed.
+ * The log events of the service, with their levels, messages and fields. Operators' alerts match messages and fields, so
+ * these don't follow the names in the code.
  */
 import type { Effect } from '@archpost/controller';
 import type { LinkProblem } from '@archpost/peer-transport';
@@ -9,10 +9,10 @@
 import type { ProcessedCounts } from './inbox.js';
 import type { Shortage } from './sizing.js';
 
-/** An event that the controller decided to log. */
+/** A log event of the controller. */
 type ControllerLogEffect = Extract<Effect, { type: 'log' }>;
 
-/** What the process took since it started, and holds now. */
+/** Resources that the process has used since its start, or holds now. */
 export interface ProcessFigures {
   /** processor time, in seconds */
   cpuS: number;
@@ -22,7 +22,7 @@
   heapMb: number;
 }
 
-/** Writes the service's events. */
+/** Writes log events, one method for each. */
 export class ServiceLog {
   constructor(private readonly logger: Logger) {}
 
--- a/packages/server/src/service.ts
+++ b/packages/server/src/service.ts
@@ -1,4 +1,4 @@
-/** The service: the controller, what brings it inputs, and what carries out its effects. */
+/** Puts a controller together: its state machine, the clients and servers around it, and what connects them. */
 import { randomUUID } from 'node:crypto';
 import { Cloud } from '@archpost/cloud-client';
 import { Controller } from '@archpost/controller';
@@ -19,26 +19,26 @@
 import { TickTimer } from './tick-timer.js';
 
 /**
- * Submissions and cancellations taken a second, by a whole core, though heartbeats wait: each costs a few milliseconds, so
- * this is a tenth of the processor.
+ * Submissions and cancellations that a whole core admits a second under overload. Each costs a few milliseconds, so they
+ * take a tenth of the processor.
  */
 const MUTATIONS_PER_S_AND_CORE = 30;
 
-/** A client's request is refused rather than carried out later than this; users wait 2 s for a status, 5 s otherwise. */
+/** Older requests are rejected: users give up a status query after 2 s, and any other request after 5 s. */
 const MAX_CLIENT_REQUEST_AGE_MS = 1500;
 
-/** A response that can't be read is asked for again at once: it is logged this often. */
+/** A response that can't be read is requested again at once; it is logged at most this often. */
 const UNREADABLE_LOG_INTERVAL_MS = 10_000;
 
-/** All stored keys begin so. */
+/** The prefix of all stored keys. */
 const STATE_KEY_PREFIX = 'a/';
 
-/** Part of a lease's time that this clock may be wrong by: several times the drift that the platform allows (0.05%). */
+/** Allowance for the drift of the monotonic clock over a lease; the platform's clocks drift by up to 0.0005. */
 const CLOCK_DRIFT_FRACTION = 0.002;
 
 const INCARNATION_LENGTH = 8;
 
-/** Owns every part of a running controller: what `start` begins, `close` ends. */
+/** Owns every part of a running controller. */
 export class Service {
   private readonly controller: Controller;
   private readonly inbox: Inbox;
--- a/packages/server/src/settings/feasibility.ts
+++ b/packages/server/src/settings/feasibility.ts
@@ -1,6 +1,6 @@
 /**
- * Settings under which rules could not be kept, or nothing could be served, are refused at the start rather than found
- * out by users.
+ * Refuses settings under which rules would be broken or nothing could be served, so that operators learn of it at the start
+ * and users don't later.
  */
 import { STATE_SOCKETS, WATCH_S } from '@archpost/state-client';
 import type { PlatformSettings, StateLimitFields } from './platform-settings.js';
@@ -27,14 +27,14 @@
   field: string;
   have: number;
   need: number;
-  /** what the least is for, as the subject of a sentence */
+  /** what needs it, as the subject of a sentence */
   purpose: string;
 }
 
 /**
- * Refuses limits that are too small for any service at all.
+ * Checks the limits that a controller can't do without.
  *
- * @throws SettingsError that names the first such field
+ * @throws SettingsError that names the first field that is too small
  */
 export function requireFeasibleSettings(path: string, settings: PlatformSettings): void {
   requireCancellationTime(path, settings.params.workers);
--- a/packages/server/src/settings/load-settings.ts
+++ b/packages/server/src/settings/load-settings.ts
@@ -14,17 +14,16 @@
 
 /** What the program uses of both files. Addresses are `IP:port`. */
 export interface Settings {
-  /** what decisions depend on */
+  /** what the controller's decisions depend on */
   controller: ControllerSettings;
   /** where users, workers and health checks connect */
   publicAddress: string;
   /** where the other controllers connect */
   peerAddress: string;
+  /** the other controllers, and where they listen for this one */
   peers: { name: string; addr: string }[];
   cloudAddress: string;
   stateAddress: string;
-  /** bound on the difference between the time of day and true time */
-  clockErrorMs: number;
   /** connections that the process may have open */
   maxSockets: number;
   /** memory that the process may hold, in megabytes */
@@ -35,7 +34,7 @@
  * Reads and checks both files.
  *
  * @param operatorPath null: the operators' defaults count
- * @throws SettingsError if a file can't be read, a field is not as its schema says, or the program could not work so
+ * @throws SettingsError if a file can't be read, a field violates its schema, or a limit is too small to run with
  */
 export function loadSettings(path: string, operatorPath: string | null): Settings {
   const platform = validate(path, platformSchema, parseToml(path));
@@ -54,7 +53,6 @@
     peers: platform.others.map((other) => ({ name: other.host_name, addr: other.peer_addr })),
     cloudAddress: platform.external.cloud,
     stateAddress: platform.external.state,
-    clockErrorMs: platform.params.clock_error_ms,
     maxSockets: platform.params.machine_limits.max_sockets,
     memoryMb: platform.params.machine_limits.mem_mb,
   };
--- a/packages/server/src/sizing.ts
+++ b/packages/server/src/sizing.ts
@@ -1,21 +1,21 @@
 /**
- * What a number of machines takes of sockets, memory and changes, and what the settings lack of it. Nothing is refused
- * for that: the service starts, and gives up what ranks lowest.
+ * Sizing: the sockets, memory and write rate that a number of machines needs, and how far the settings fall short of it.
+ * Settings that fall short aren't refused: the service runs and sheds what has the lowest priority.
  */
 import { CLOUD_SOCKETS } from '@archpost/cloud-client';
 import { STATE_SOCKETS } from '@archpost/state-client';
 import type { Settings } from './settings/load-settings.js';
 
-/** Part of the sockets that commands to workers may take; those that were not used for longest are closed. */
+/** Part of the sockets for commands to workers; beyond it the least recently used ones are closed. */
 const COMMAND_SOCKET_FRACTION = 1 / 6;
 
-/** Sockets left to users, at the least. */
+/** The least number of sockets for users. */
 const MIN_USER_SOCKETS = 64;
 
-/** A first start, which writes a grant for each machine, should not take longer than this. */
+/** The longest that a first start, which writes an assignment for each machine, should take. */
 const MAX_FIRST_START_S = 120;
 
-/** Part of the limit on changes that is used. */
+/** Part of the limit on writes that is used. */
 const WRITE_RATE_FRACTION = 0.95;
 
 /** Connections between this controller and each of its peers: one each way. */
@@ -30,7 +30,7 @@
   return Math.floor(maxSockets * COMMAND_SOCKET_FRACTION);
 }
 
-/** Sockets that workers and users can have: what is left by those that this process opens, and by its peers. */
+/** Sockets for workers and users: what is left by those that this process opens, and by its peers. */
 export function maxInboundSockets(settings: Settings): number {
   const peerSockets = SOCKETS_PER_PEER * settings.peers.length;
   return Math.max(1, settings.maxSockets - maxCommandSockets(settings) - STATE_SOCKETS - CLOUD_SOCKETS - peerSockets);
@@ -48,7 +48,7 @@
   short: number;
 }
 
-/** What the settings lack for the machines that the operators allow; nothing where they don't say how many. */
+/** How far the settings fall short for the machines that the operators allow; empty if they don't limit machines. */
 export function findShortages(settings: Settings): Shortage[] {
   const machines = settings.controller.policy.maxMachines;
   if (machines === null) return [];
--- a/packages/server/src/tick-timer.ts
+++ b/packages/server/src/tick-timer.ts
@@ -1,4 +1,4 @@
-/** The controller's ticks. */
+/** The timer of the controller's ticks. */
 import type { Controller } from '@archpost/controller';
 import type { LoadShedder } from '@archpost/http-api';
 import { monotonicMs } from '@archpost/http-client';
@@ -7,8 +7,8 @@
 const TICK_INTERVAL_MS = 100;
 
 /**
- * One tick after the other: one that took long is followed by as long a time for everything else. How late a tick comes,
- * or what comes before it, is the load that the load shedder goes by.
+ * Schedules each tick when the one before is over; a tick that took long is followed by as long a time for everything else.
+ * How late the timer fires, or how long inputs have waited by then, is what the load shedder measures load by.
  */
 export class TickTimer {
   private timer: NodeJS.Timeout | undefined;
@@ -20,11 +20,12 @@
     private readonly loadShedder: LoadShedder,
   ) {}
 
+  /** Schedules the first tick. */
   start(): void {
     this.schedule(TICK_INTERVAL_MS);
   }
 
-  /** No tick begins after this. */
+  /** Ends the timer; no further tick is scheduled. */
   close(): void {
     this.isClosed = true;
     clearTimeout(this.timer);
@@ -41,7 +42,7 @@
     this.inbox.enqueueControlEvent(() => this.tick());
   }
 
-  /** The next tick is due also when this one fails. */
+  /** Schedules the next tick even if this one throws. */
   private tick(): void {
     const startedAt = monotonicMs();
     try {
