--- a/packages/controller/src/allocation/failure-attribution.ts
+++ b/packages/controller/src/allocation/failure-attribution.ts
@@ -1,4 +1,4 @@
-import type { ControllerContext } from '../context/index.js';
+import type { ClusterStateView, Logger } from '../context/index.js';
 import type { Allocation, Job, Machine, Milliseconds } from '../model/index.js';
 
 /** A job that failed on so many machines, and never went well, is taken for broken. */
@@ -24,13 +24,17 @@
  * job, and what it cast on machines before is taken back.
  */
 export class FailureAttribution {
-  constructor(private readonly context: ControllerContext) {}
+  constructor(private readonly context: ClusterStateView & Logger) {}
 
   /** Has any of it gone well? */
   private hasRunWithoutError(job: Job, now: Milliseconds): boolean {
     if (job.doneCount > 0 || job.ranWithoutError) return true;
-    for (const allocation of job.allocations.values()) {
-      if (allocation.phase === 'there' && allocation.runningSince >= 0 && now - allocation.runningSince >= ERROR_FREE_RUN_MS) {
+    for (const allocation of job.tenure.allocations.values()) {
+      if (
+        allocation.phase === 'there' &&
+        allocation.runningSince !== null &&
+        now - allocation.runningSince >= ERROR_FREE_RUN_MS
+      ) {
         job.ranWithoutError = true;
         return true;
       }
@@ -40,7 +44,7 @@
 
   /** It fails wherever it goes, until its user cancels it. */
   isCrashLooping(job: Job): boolean {
-    return job.crashLoopingSince >= 0;
+    return job.crashLoopingSince !== null;
   }
 
   isFaulty(machine: Machine, now: Milliseconds): boolean {
@@ -85,22 +89,23 @@
     job.crashLoopingSince = now;
     job.retries = 0;
     for (const name of job.failedOn) this.context.clusterState.machines.get(name)?.failedJobs.delete(job.spec.id);
-    this.context.log('info', 'a job fails on every machine', { job: job.spec.id, machines: job.failedOn.size });
+    this.context.log('info', 'job crash-looping', { job: job.spec.id, machines: job.failedOn.size });
   }
 
   /** A task was done: its job is well after all, and what began after a machine's last failure clears the machine. */
   recordSuccess(allocation: Allocation): void {
     const { job, machine } = allocation;
-    if (allocation.runningSince > machine.lastErrorAt) {
+    // One that was never seen running counts as begun before any error.
+    if ((allocation.runningSince ?? 0) > machine.lastErrorAt) {
       machine.failedJobs.clear();
       machine.failedTaskCount = 0;
     }
     if (!this.isCrashLooping(job)) return;
-    job.crashLoopingSince = -1;
+    job.crashLoopingSince = null;
     job.retryAt = 0;
     // It was the machines, then.
     for (const name of job.failedOn) this.context.clusterState.machines.get(name)?.failedJobs.add(job.spec.id);
-    this.context.log('info', 'a job that failed goes well', { job: job.spec.id });
+    this.context.log('info', 'job recovered from crash loop', { job: job.spec.id });
   }
 
   /** A faulty machine goes: what failed there says nothing about the jobs. */
@@ -115,7 +120,7 @@
 
   /** How many tasks of a broken job are tried now; the next time is put off. */
   nextRetryCount(job: Job, now: Milliseconds): number {
-    const fresh = job.spec.tasks - job.nextUntriedTask;
+    const fresh = job.spec.tasks - job.tenure.nextUntriedTask;
     if (fresh > 0 && job.spec.shape !== 'gang') {
       job.retryAt = now + RETRY_MS;
       return Math.min(TRIES, fresh);
--- a/packages/controller/src/capacity/autoscaler.ts
+++ b/packages/controller/src/capacity/autoscaler.ts
@@ -7,9 +7,8 @@
   type ResourceDemand,
   type ShardSummary,
 } from '@archpost/protocol';
-import type { ControllerContext } from '../context/index.js';
-import { HIGHEST_PRIORITY, type Machine, type Milliseconds } from '../model/index.js';
-import { countThatFit } from '../scheduling/placement.js';
+import type { ClusterStateView, EffectSink, Logger, SettingsView } from '../context/index.js';
+import { countThatFit, HIGHEST_PRIORITY, type Machine, type Milliseconds, NEVER } from '../model/index.js';
 import { BootTimeEstimator } from './boot-time-estimator.js';
 import { type InstanceKind, instanceKindKey, machineTypeNamed, matchesDemand } from './demand.js';
 
@@ -42,6 +41,9 @@
 /** A machine that was given back may still be listed for so long. */
 const RETURN_SHOWS_MS = 60_000;
 
+/** Ages of the last leader's list count from here until the first list of this one. */
+const BEFORE_ANY_LIST: Milliseconds = -1;
+
 /** Machines that one demand may ask for in a round: so many, or one for each so many that there are. */
 const MOST_FOR_DEMAND = 40;
 const MACHINES_PER_PURCHASE = 25;
@@ -58,6 +60,9 @@
   wasFilled: boolean;
 }
 
+/** What the autoscaler needs of its controller. */
+type AutoscalerContext = SettingsView & ClusterStateView & EffectSink & Logger;
+
 /** What is rented from the cloud, what is on its way, and what never came up. */
 export class Autoscaler {
   private leadingSince: Milliseconds = -1;
@@ -65,10 +70,10 @@
   /** machines were granted before this lead began */
   private isTakeover = false;
   private requestCounter = 0;
-  private listRequestedAt: Milliseconds = -1e12;
+  private listRequestedAt: Milliseconds = NEVER;
   private isListPending = false;
   private listedMachines = new Map<string, ListedMachine>();
-  private listReceivedAt: Milliseconds = -1;
+  private listReceivedAt: Milliseconds | null = null;
   private readonly pendingRequests = new Map<number, PendingProvisioning>();
   private readonly booting = new Map<string, PendingProvisioning>();
   private readonly instancePools = new Map<string, InstancePool>();
@@ -79,7 +84,7 @@
   private nextRequestAt: Milliseconds = 0;
 
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: AutoscalerContext,
     /** is a grant for the machine under way? */
     private readonly isBeingAssigned: (machine: string) => boolean,
     /** what was granted so lately that wants don't show it yet */
@@ -95,12 +100,12 @@
     this.booting.clear();
     this.pendingRequests.clear();
     this.isListPending = false;
-    this.listReceivedAt = -1;
+    this.listReceivedAt = null;
   }
 
   /** The cloud has been asked what there is, since this lead began. */
   get isListKnown(): boolean {
-    return this.listReceivedAt >= 0;
+    return this.listReceivedAt !== null;
   }
 
   requestMachineList(now: Milliseconds): void {
@@ -189,7 +194,7 @@
 
   /** The list told how old it was then. */
   private listedAge(listed: ListedMachine, now: Milliseconds): Milliseconds {
-    return listed.ageS * 1000 + (now - this.listReceivedAt);
+    return listed.ageS * 1000 + (now - (this.listReceivedAt ?? BEFORE_ANY_LIST));
   }
 
   private bootLimitMs(type: string, now: Milliseconds): Milliseconds {
@@ -240,7 +245,7 @@
       const request = `r-${this.leaseRevision}-${++this.requestCounter}`;
       const { type, zone, spot } = gpuDemand;
       this.pendingRequests.set(id, { type, zone, spot, count, at: now });
-      this.context.log('info', 'renting', { request, type, zone, spot, count });
+      this.context.log('info', 'provisioning machines', { request, type, zone, spot, count });
       this.context.emit({ type: 'provision', id, request: { requestId: request, machineType: type, zone, spot, count } });
       this.nextRequestAt = now + Math.max(300, 1000 / settings.cloud.requestsPerS);
     }
@@ -312,7 +317,7 @@
           machine.spot ||
           machine.isRetired ||
           machineSummary.tasks > 0 ||
-          (machineSummary.protectedPriority >= 0 && machine.moveToShard < 0)
+          (machineSummary.protectedPriority >= 0 && machine.moveToShard === null)
         )
           continue;
         coming.push({
@@ -396,7 +401,7 @@
     if (fails === this.failingKinds.has(name)) return fails;
     if (fails) this.failingKinds.add(name);
     else this.failingKinds.delete(name);
-    this.context.log('info', fails ? 'machines of a kind do not come up' : 'machines of a kind come up again', { ...kind });
+    this.context.log('info', fails ? 'instance kind fails to boot' : 'instance kind boots again', { ...kind });
     return fails;
   }
 
@@ -481,7 +486,7 @@
     const some = back.slice(0, MAX_MACHINES_PER_RELEASE);
     const id = this.context.nextEffectId();
     this.pendingReleases.set(id, some);
-    this.context.log('info', 'returning machines that never came up', { machines: some });
+    this.context.log('info', 'releasing machines that never booted', { machines: some });
     this.context.emit({ type: 'release', id, machines: some });
   }
 
--- a/packages/controller/src/capacity/shard-balance.ts
+++ b/packages/controller/src/capacity/shard-balance.ts
@@ -2,9 +2,9 @@
  * What machines of each type the shares have, beside what their teams are guaranteed. Counted once for a round of
  * grants: counting for each machine made the first start cost the square of the machines.
  */
-import type { ControllerContext } from '../context/index.js';
+import type { ClusterStateView, SettingsView } from '../context/index.js';
 import { machineTypeNamed } from './demand.js';
-import type { RecentAssignment } from './machine-assigner.js';
+import type { RecentAssignment } from './machine-assignment.js';
 
 /** What a team without guaranteed accelerators weighs among those that have some. */
 const LEAST_WEIGHT = 0.1;
@@ -15,12 +15,12 @@
   private readonly weights = new Map<boolean, number[]>();
 
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: SettingsView & ClusterStateView,
     recentAssignments: ReadonlyMap<string, RecentAssignment>,
   ) {
     const { clusterState } = context;
     for (const machine of clusterState.machines.values()) {
-      const shard = machine.moveToShard >= 0 ? machine.moveToShard : machine.shard;
+      const shard = machine.moveToShard ?? machine.shard;
       if (shard >= 0) this.add(clusterState.typeNames.nameOf(machine.typeIndex), shard);
     }
     for (const [name, assignment] of recentAssignments)
--- a/packages/controller/src/capacity/shard-rebalancer.ts
+++ b/packages/controller/src/capacity/shard-rebalancer.ts
@@ -3,9 +3,8 @@
  * no room.
  */
 import type { MachineSummary, ResourceDemand, ShardSummary } from '@archpost/protocol';
-import type { ControllerContext } from '../context/index.js';
-import { HIGHEST_PRIORITY, type Machine, type Milliseconds, NEVER, SCARCE_MACHINE_WAIT_S } from '../model/index.js';
-import { countThatFit } from '../scheduling/placement.js';
+import type { CapacityView, ClusterStateView, SettingsView } from '../context/index.js';
+import { countThatFit, HIGHEST_PRIORITY, type Machine, type Milliseconds, NEVER, SCARCE_MACHINE_WAIT_S } from '../model/index.js';
 import { allocateToDemands, matchesDemand, type PendingDemand } from './demand.js';
 
 /** Work of the highest rank that waited for so many plan waits gets machines that bear firm work elsewhere. */
@@ -54,7 +53,7 @@
 class RoundView {
   private readonly idleCounts = new Map<number, number>();
 
-  constructor(private readonly context: ControllerContext) {}
+  constructor(private readonly context: ClusterStateView) {}
 
   /** Idle ordinary machines of the share, without accelerators. */
   idle(shard: ShardSummary): number {
@@ -70,13 +69,16 @@
   }
 }
 
+/** What the shard rebalancer needs of its controller. */
+type ShardRebalancerContext = SettingsView & ClusterStateView & CapacityView;
+
 export class ShardRebalancer {
   /** moves that were ordered and are not done yet, and when */
   private readonly orderedMoves = new Map<string, Milliseconds>();
   private readonly lastMoveAt = new Map<string, Milliseconds>();
   private servicesDisplacedAt: Milliseconds = NEVER;
 
-  constructor(private readonly context: ControllerContext) {}
+  constructor(private readonly context: ShardRebalancerContext) {}
 
   /** A new lead knows of no orders. */
   reset(): void {
@@ -126,7 +128,7 @@
   private forgetCompletedMoves(now: Milliseconds): void {
     for (const [name, at] of this.orderedMoves) {
       const machine = this.context.clusterState.machines.get(name);
-      if (!machine || (machine.moveToShard < 0 && now - at > ORDER_SHOWS_MS)) this.orderedMoves.delete(name);
+      if (!machine || (machine.moveToShard === null && now - at > ORDER_SHOWS_MS)) this.orderedMoves.delete(name);
     }
   }
 
@@ -136,7 +138,7 @@
     const taken = new Set<string>();
     for (const name of this.orderedMoves.keys()) {
       const machine = clusterState.machines.get(name);
-      if (!machine || machine.moveToShard < 0 || !machine.capacity) continue;
+      if (!machine || machine.moveToShard === null || !machine.capacity) continue;
       const kind = { type: machine.capacity.name, zone: clusterState.zoneNames.nameOf(machine.zoneIndex), spot: machine.spot };
       allocateToDemands(waiting, machine.moveToShard, kind, machine.capacity);
       taken.add(name);
@@ -155,7 +157,7 @@
     for (const shard of shards.values()) {
       for (const summary of shard.machines) {
         const machine = clusterState.machines.get(summary.name);
-        if (!machine?.capacity || machine.shard !== shard.shard || machine.moveToShard >= 0 || machine.isRetired) continue;
+        if (!machine?.capacity || machine.shard !== shard.shard || machine.moveToShard !== null || machine.isRetired) continue;
         if (taken.has(summary.name) || summary.protectedPriority >= highestRank || this.isRecentlyMoved(summary, now)) continue;
         movables.push({
           machine,
--- a/packages/controller/src/jobs/job-status.ts
+++ b/packages/controller/src/jobs/job-status.ts
@@ -1,9 +1,8 @@
 /** What users are told of a job, by what the replica holds. */
 import { encodeJobStatus } from '@archpost/protocol';
-import type { ControllerContext } from '../context/index.js';
+import type { ClusterStateView, PeerDirectory, ReplicaView } from '../context/index.js';
 import type { Job } from '../model/index.js';
-import { readJobRecord } from '../state/job-record.js';
-import { StateKey } from '../state/keys.js';
+import { readJobRecord, StateKey } from '../state/index.js';
 
 export type JobStatus = 'queued' | 'running' | 'done' | 'cancelled';
 
@@ -14,7 +13,7 @@
 }
 
 /** The job's status; null if it isn't known here. */
-export function statusOf(context: ControllerContext, id: string): JobStatus | null {
+export function statusOf(context: ClusterStateView & PeerDirectory, id: string): JobStatus | null {
   const final = context.clusterState.finishedJobs.get(id);
   if (final) return final;
   const job = context.clusterState.jobs.get(id);
@@ -22,8 +21,11 @@
   return countTasks(context, job).running > 0 ? 'running' : 'queued';
 }
 
+/** What the describe job needs of its controller. */
+type DescribeJobContext = ClusterStateView & ReplicaView & PeerDirectory;
+
 /** An answer with counts of tasks; null if the job isn't known here. */
-export function describeJob(context: ControllerContext, id: string): ReturnType<typeof encodeJobStatus> | null {
+export function describeJob(context: DescribeJobContext, id: string): ReturnType<typeof encodeJobStatus> | null {
   const status = statusOf(context, id);
   const job = context.clusterState.jobs.get(id);
   if (status === 'done' || status === 'cancelled') return describeFinal(context, id, status);
@@ -31,7 +33,7 @@
 }
 
 export function describeFinal(
-  context: ControllerContext,
+  context: ReplicaView,
   id: string,
   status: 'done' | 'cancelled',
 ): ReturnType<typeof encodeJobStatus> {
@@ -40,12 +42,12 @@
 }
 
 /** By what runs here, or else by what the other controllers told last. */
-function countTasks(context: ControllerContext, job: Job): TaskCounts {
+function countTasks(context: PeerDirectory, job: Job): TaskCounts {
   let running = 0;
-  for (const allocation of job.allocations.values())
+  for (const allocation of job.tenure.allocations.values())
     if (allocation.phase === 'there' && allocation.status?.state === 'running') running++;
   let done = job.doneCount;
-  let failed = job.crashLoopingSince >= 0 ? job.failureCount : 0;
+  let failed = job.crashLoopingSince !== null ? job.failureCount : 0;
   for (const peer of running === 0 ? context.peers.values() : []) {
     const told = peer.runningJobs.get(job.spec.id);
     if (!told) continue;
--- a/packages/controller/src/scheduling/machine-scoring.ts
+++ b/packages/controller/src/scheduling/machine-scoring.ts
@@ -1,7 +1,16 @@
-import type { TaskAllocations } from '../allocation/task-allocations.js';
-import type { ControllerContext } from '../context/index.js';
-import { type Job, type Machine, type Milliseconds, type Resources, SCARCE_MACHINE_WAIT_S } from '../model/index.js';
-import { type FreeResources, fits, isAllowedOn, RESOURCE_TOLERANCE } from './placement.js';
+import type { TaskAllocations } from '../allocation/index.js';
+import type { CapacityView, ClusterStateView } from '../context/index.js';
+import {
+  type FreeResources,
+  fits,
+  type Job,
+  type Machine,
+  type Milliseconds,
+  RESOURCE_TOLERANCE,
+  type Resources,
+  SCARCE_MACHINE_WAIT_S,
+} from '../model/index.js';
+import { isAllowedOn } from './placement-constraints.js';
 import type { QueueOrder } from './queue-order.js';
 
 const NOTHING: Resources = { cpus: 0, gpus: 0, memory: 0 };
@@ -13,7 +22,7 @@
   private dedicatedMachinesCache: { job: Job; machines: Machine[] } | null = null;
 
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: ClusterStateView & CapacityView,
     private readonly allocations: TaskAllocations,
     private readonly queueOrder: QueueOrder,
   ) {}
@@ -29,7 +38,7 @@
     let score = 0;
     if (!machine.images.has(job.imageIndex)) {
       let coming = false;
-      for (const allocation of machine.allocations.values())
+      for (const allocation of machine.tenure.allocations.values())
         if (allocation.job.imageIndex === job.imageIndex && allocation.phase !== 'exited') coming = true;
       score -= (job.spec.imageGb / capacity.fetchGbPerS) * (coming ? 0.5 : 1);
     }
@@ -87,7 +96,7 @@
   }
 
   private isFetchingForGang(machine: Machine): boolean {
-    for (const allocation of machine.allocations.values()) {
+    for (const allocation of machine.tenure.allocations.values()) {
       if (
         allocation.job.spec.gpus === 0 ||
         allocation.phase === 'exited' ||
@@ -108,7 +117,7 @@
     // Where no more are to be had and what needs them outranks this, it does no harm there.
     if (!gpuDemand || (gpuDemand.rank > job.priority && !this.context.isTypeAvailable(capacity.name))) return true;
     let cpus = job.spec.cpus;
-    for (const allocation of free.machine.allocations.values())
+    for (const allocation of free.machine.tenure.allocations.values())
       if (allocation.phase !== 'exited' && allocation.job.spec.gpus === 0) cpus += allocation.job.spec.cpus;
     // Beside what keeps the machine here anyway, it costs nothing; alone it would keep it.
     if (cpus <= capacity.cpus - gpuDemand.cpus + RESOURCE_TOLERANCE && this.isKeptBusy(free.machine)) return true;
@@ -154,7 +163,7 @@
 
   /** Bears work for accelerators, or is full of services. */
   isKeptBusy(machine: Machine): boolean {
-    for (const allocation of machine.allocations.values())
+    for (const allocation of machine.tenure.allocations.values())
       if (allocation.phase !== 'exited' && allocation.job.spec.gpus > 0) return true;
     return !this.leavesSpaceForGpuWork(machine, NOTHING);
   }
--- a/packages/controller/src/scheduling/preemption.ts
+++ b/packages/controller/src/scheduling/preemption.ts
@@ -1,8 +1,17 @@
-import type { TaskAllocations } from '../allocation/task-allocations.js';
-import type { ControllerContext } from '../context/index.js';
-import { type Allocation, HIGHEST_PRIORITY, type Job, type Machine, type Milliseconds, type Resources } from '../model/index.js';
+import type { TaskAllocations } from '../allocation/index.js';
+import type { ClusterStateView, SettingsView } from '../context/index.js';
+import {
+  type Allocation,
+  countThatFit,
+  type FreeResources,
+  fits,
+  HIGHEST_PRIORITY,
+  type Job,
+  type Machine,
+  type Milliseconds,
+  type Resources,
+} from '../model/index.js';
 import type { MachineScoring } from './machine-scoring.js';
-import { countThatFit, type FreeResources, fits } from './placement.js';
 import type { QuotaStatuses } from './queue-order.js';
 
 /** What may be stopped for what, and the least of it that makes room. */
@@ -13,7 +22,7 @@
   private readonly lowestPriority = new Map<number, number>();
 
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: SettingsView & ClusterStateView,
     private readonly allocations: TaskAllocations,
     private readonly machineScoring: MachineScoring,
   ) {}
@@ -23,7 +32,7 @@
     this.pressingTasks.clear();
     this.lowestPriority.clear();
     for (const job of this.context.clusterState.jobs.values()) {
-      if (job.allocations.size === 0) continue;
+      if (job.tenure.allocations.size === 0) continue;
       this.lowestPriority.set(job.shard, Math.min(job.priority, this.lowestPriority.get(job.shard) ?? job.priority));
     }
   }
@@ -38,7 +47,7 @@
   }
 
   hasProtectedWork(machine: Machine, quotaStatuses: QuotaStatuses): boolean {
-    for (const allocation of machine.allocations.values())
+    for (const allocation of machine.tenure.allocations.values())
       if (allocation.phase !== 'exited' && quotaStatuses.get(allocation.job)?.isProtected) return true;
     return false;
   }
@@ -74,13 +83,13 @@
     return (
       job.priority === HIGHEST_PRIORITY &&
       job.spec.shape === 'service' &&
-      job.waitingSince >= 0 &&
+      job.waitingSince !== null &&
       this.allocations.now - job.waitingSince > this.context.settings.policy.planWaitS * 1000
     );
   }
 
   stopCost(allocation: Allocation, now: Milliseconds): number {
-    const ran = allocation.runningSince >= 0 ? (now - allocation.runningSince) / 1000 : 0;
+    const ran = allocation.runningSince !== null ? (now - allocation.runningSince) / 1000 : 0;
     return (
       allocation.job.priority * 1000 +
       (allocation.phase === 'planned' ? -1 : ran) +
@@ -100,7 +109,7 @@
     const resources: Resources = { cpus: job.spec.cpus * count, gpus: job.spec.gpus * count, memory: job.spec.memory * count };
     const free: Resources = { cpus: candidate.cpus, gpus: candidate.gpus, memory: candidate.memory };
     const result: Allocation[] = [];
-    const list = [...candidate.machine.allocations.values()]
+    const list = [...candidate.machine.tenure.allocations.values()]
       .filter((allocation) => this.isVictim(allocation, job, withinQuota, quotaStatuses))
       .sort((a, b) => this.stopCost(a, now) - this.stopCost(b, now));
     for (const allocation of list) {
--- a/packages/controller/src/scheduling/queue-order.ts
+++ b/packages/controller/src/scheduling/queue-order.ts
@@ -1,7 +1,7 @@
-import type { TaskAllocations } from '../allocation/task-allocations.js';
-import type { ControllerContext } from '../context/index.js';
+import type { TaskAllocations } from '../allocation/index.js';
+import type { ClusterStateView, SettingsView } from '../context/index.js';
 import type { Job, Milliseconds } from '../model/index.js';
-import { expectedDurationMs } from '../state/job-dependencies.js';
+import { expectedDurationMs } from '../state/index.js';
 
 /** A gang that has waited for this many plan waits is aged. */
 const AGED_PLAN_WAITS = 6;
@@ -29,7 +29,7 @@
   private readonly inheritedTimes: number[];
 
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: SettingsView & ClusterStateView,
     private readonly allocations: TaskAllocations,
   ) {
     for (const objective of context.settings.objectives) {
@@ -203,7 +203,8 @@
       // What can keep none of its times any more comes last, the shortest first; what hasn't
       // begun for too long comes before all: being last must not mean never.
       for (const entry of open) {
-        const late = entry.w.j.doneCount === 0 && entry.w.j.allocations.size === 0 && now - entry.w.j.arrivedAt > LONGEST_WAIT_MS;
+        const late =
+          entry.w.j.doneCount === 0 && entry.w.j.tenure.allocations.size === 0 && now - entry.w.j.arrivedAt > LONGEST_WAIT_MS;
         entry.w.due = late ? entry.w.j.arrivedAt : (entry.dues[0] ?? now + 1e7 + entry.ms);
       }
     }
@@ -215,7 +216,7 @@
     for (const other of this.context.clusterState.jobs.values()) {
       if (other.shard !== job.shard || other.spec.shape !== 'array' || other.spec.gpus > 0 || other.priority !== job.priority)
         continue;
-      cpus += other.allocations.size * other.spec.cpus;
+      cpus += other.tenure.allocations.size * other.spec.cpus;
     }
     return cpus;
   }
--- a/packages/controller/src/scheduling/scheduler.ts
+++ b/packages/controller/src/scheduling/scheduler.ts
@@ -1,19 +1,20 @@
-import type { TaskAllocations } from '../allocation/task-allocations.js';
-import type { ControllerContext } from '../context/index.js';
-import type { Job, Machine, Milliseconds, Resources } from '../model/index.js';
-import { CandidateMachines } from './candidate-machines.js';
-import { MachineScoring } from './machine-scoring.js';
+import type { TaskAllocations } from '../allocation/index.js';
+import type { CapacityView, ClusterStateView, Logger, SettingsView, ShardOwnership } from '../context/index.js';
 import {
   countThatFit,
   type FreeResources,
   fits,
-  isAllowedOn,
-  placeGang,
+  type Job,
+  type Machine,
+  type Milliseconds,
+  NEVER,
+  type Resources,
   subtract,
-  tasksPerZone,
-  topologyDomains,
-  zoneAllowsTask,
-} from './placement.js';
+} from '../model/index.js';
+import { CandidateMachines } from './candidate-machines.js';
+import { placeGang, topologyDomains } from './gang-placement.js';
+import { MachineScoring } from './machine-scoring.js';
+import { isAllowedOn, tasksPerZone, zoneAllowsTask } from './placement-constraints.js';
 import { Preemption } from './preemption.js';
 import type { QueueOrder, QuotaStatuses } from './queue-order.js';
 import { ServiceEviction } from './service-eviction.js';
@@ -31,17 +32,20 @@
 /** A service whose best place is worth less than this, in seconds of waiting, may have a better one cleared for it. */
 const WORTH_STOPPING_FOR = -1;
 
+/** What the scheduler needs of its controller. */
+type SchedulerContext = SettingsView & ClusterStateView & CapacityView & ShardOwnership & Logger;
+
 /** Which task goes where: the plan, in the order of the queue. */
 export class Scheduler {
   private hasUnfinishedWork = false;
-  private scheduledAt: Milliseconds = -1e12;
-  private nextRunAt: Milliseconds = -1e12;
+  private scheduledAt: Milliseconds = NEVER;
+  private nextRunAt: Milliseconds = NEVER;
   private readonly machineScoring: MachineScoring;
   private readonly serviceEviction: ServiceEviction;
   private readonly preemption: Preemption;
 
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: SchedulerContext,
     private readonly allocations: TaskAllocations,
     private readonly queueOrder: QueueOrder,
   ) {
@@ -73,7 +77,7 @@
     for (const job of this.context.clusterState.jobs.values()) {
       const usage = use[job.teamIndex];
       if (!usage || !this.allocations.heldShards.has(job.shard)) continue;
-      for (const allocation of job.allocations.values()) {
+      for (const allocation of job.tenure.allocations.values()) {
         if (allocation.phase === 'exited') continue;
         usage.cpus += job.spec.cpus;
         usage.gpus += job.spec.gpus;
@@ -81,7 +85,7 @@
     }
     // Any team of the share may have work on a machine that hasn't answered yet.
     for (const machine of this.context.clusterState.machines.values()) {
-      if (!machine.isUnverifiedTakeover || !this.allocations.heldShards.has(machine.shard)) continue;
+      if (!machine.tenure.isUnverifiedTakeover || !this.allocations.heldShards.has(machine.shard)) continue;
       for (let teamIndex = 0; teamIndex < use.length; teamIndex++) {
         if (this.context.clusterState.shardOfTeam[teamIndex] !== machine.shard) continue;
         (use[teamIndex] as Resources).cpus += machine.capacity?.cpus ?? 0;
@@ -140,7 +144,7 @@
         this.allocations.unmetDemand.push({ job, count: left, withinQuota: quota.withinQuota });
         this.rememberNoFit(job, quota.withinQuota);
       }
-      if (aged && job.allocations.size === 0) open = this.reserveForAgedGang(job, open, usage);
+      if (aged && job.tenure.allocations.size === 0) open = this.reserveForAgedGang(job, open, usage);
     }
     for (const job of broken) this.retryCrashLooping(job, open, usage, now);
     later ||= broken.length > 0;
@@ -248,7 +252,7 @@
     let can = Math.min(left, quota);
     const unplaceable = left - can;
     const counts = tasksPerZone(job);
-    if (job.waitingSince < 0) job.waitingSince = now;
+    if (job.waitingSince === null) job.waitingSince = now;
     const waited = now - job.waitingSince;
     this.machineScoring.beginJob();
     const candidates = new CandidateMachines(
@@ -275,7 +279,7 @@
       can--;
       left--;
     }
-    if (left === 0) job.waitingSince = -1;
+    if (left === 0) job.waitingSince = null;
     return left - unplaceable;
   }
 
@@ -309,7 +313,7 @@
     now: Milliseconds,
   ): number {
     const count = job.spec.tasks;
-    if (job.gangAttempt !== 0 || job.allocations.size > 0) return 0;
+    if (job.tenure.gangAttempt !== null || job.tenure.allocations.size > 0) return 0;
     if (this.quotaLeft(job, usage) < count) return 0;
     let machines = placeGang(job, count, candidates, (free) => this.machineScoring.score(job, free));
     if (!machines) {
@@ -319,7 +323,7 @@
         for (const domain of topologyDomains(candidates, layer)) {
           const widened = domain.map((free) => {
             const widened = { ...free };
-            for (const allocation of free.machine.allocations.values()) {
+            for (const allocation of free.machine.tenure.allocations.values()) {
               if (!this.preemption.isVictim(allocation, job, withinQuota, quotaStatuses)) continue;
               widened.cpus += allocation.job.spec.cpus;
               widened.gpus += allocation.job.spec.gpus;
@@ -362,13 +366,14 @@
     usage: { cpus: number; gpus: number }[],
     now: Milliseconds,
   ): void {
-    job.gangAttempt = this.allocations.nextAttempt(job.shard);
-    job.gangFailed = false;
+    const attempt = this.allocations.nextAttempt(job.shard);
+    job.tenure.gangAttempt = attempt;
+    job.tenure.gangFailed = false;
     const pending = job.pendingTasks();
     machines.forEach((machine, index) => {
       const free = candidates.find((candidate) => candidate.machine === machine);
       if (free) subtract(free, job.resources);
-      this.allocations.allocate(job, pending[index] as number, job.gangAttempt, machine, 'planned', now);
+      this.allocations.allocate(job, pending[index] as number, attempt, machine, 'planned', now);
       this.addUsage(usage, job);
     });
   }
@@ -391,7 +396,7 @@
     );
     const count = Math.min(this.allocations.failureAttribution.nextRetryCount(job, now), this.quotaLeft(job, usage));
     if (job.spec.shape === 'gang') {
-      if (job.gangAttempt !== 0 || job.allocations.size > 0 || count < job.spec.tasks) return;
+      if (job.tenure.gangAttempt !== null || job.tenure.allocations.size > 0 || count < job.spec.tasks) return;
       const machines = placeGang(job, count, mine, (free) => this.machineScoring.score(job, free));
       if (machines) this.allocateGang(job, machines, mine, usage, now);
       return;
--- a/packages/controller/src/scheduling/service-eviction.ts
+++ b/packages/controller/src/scheduling/service-eviction.ts
@@ -1,8 +1,18 @@
-import type { TaskAllocations } from '../allocation/task-allocations.js';
-import type { ControllerContext } from '../context/index.js';
-import type { Allocation, Machine, Milliseconds, Resources } from '../model/index.js';
+import type { TaskAllocations } from '../allocation/index.js';
+import type { ClusterStateView, Logger, SettingsView } from '../context/index.js';
+import {
+  type Allocation,
+  countThatFit,
+  type FreeResources,
+  fits,
+  type Machine,
+  type Milliseconds,
+  NEVER,
+  type Resources,
+  subtract,
+} from '../model/index.js';
 import type { MachineScoring } from './machine-scoring.js';
-import { countThatFit, type FreeResources, fits, isAllowedOn, subtract, tasksPerZone, zoneAllowsTask } from './placement.js';
+import { isAllowedOn, tasksPerZone, zoneAllowsTask } from './placement-constraints.js';
 import { RelocationTargets } from './relocation-targets.js';
 
 /** How often services of one machine are gathered elsewhere. */
@@ -11,13 +21,16 @@
 /** A service that has run for this long may be moved; a machine that was emptied takes none for as long. */
 const SETTLED_MS = 40_000;
 
+/** What the service eviction needs of its controller. */
+type ServiceEvictionContext = SettingsView & ClusterStateView & Logger;
+
 /** Services that move so that machines come free: for gangs, for other shares, or to go back. */
 export class ServiceEviction {
-  private evictedAt: Milliseconds = -1e12;
-  private consolidatedAt: Milliseconds = -1e12;
+  private evictedAt: Milliseconds = NEVER;
+  private consolidatedAt: Milliseconds = NEVER;
 
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: ServiceEvictionContext,
     private readonly allocations: TaskAllocations,
     private readonly machineScoring: MachineScoring,
   ) {}
@@ -33,11 +46,11 @@
       if (machine.shard !== shard || !machine.capacity || machine.spot || !this.allocations.isSchedulable(machine, now)) continue;
       if (machine.capacity.gpus > 0 && !this.machineScoring.isDedicatedToServices(machine)) continue;
       const free = this.allocations.freeResourcesOf(machine);
-      for (const allocation of machine.allocations.values()) {
+      for (const allocation of machine.tenure.allocations.values()) {
         if (allocation.phase !== 'exited' && allocation.job.spec.shape === 'array')
           subtract(free, { cpus: -allocation.job.spec.cpus, gpus: 0, memory: -allocation.job.spec.memory });
       }
-      if (machine.allocations.size > 0) candidates.push(free);
+      if (machine.tenure.allocations.size > 0) candidates.push(free);
     }
     const destinations = new RelocationTargets(candidates, (machine) => this.allocations.serviceUsage(machine).cpus);
     for (const machine of this.context.clusterState.machines.values()) {
@@ -73,7 +86,11 @@
         const here = countThatFit(job.resources, this.allocations.freeResourcesOf(machine));
         remaining += here;
         if (here > 0 || !can.has(machine)) continue;
-        if ([...machine.allocations.values()].some((allocation) => allocation.phase !== 'exited' && allocation.job.spec.gpus > 0))
+        if (
+          [...machine.tenure.allocations.values()].some(
+            (allocation) => allocation.phase !== 'exited' && allocation.job.spec.gpus > 0,
+          )
+        )
           continue;
         const usage = this.allocations.serviceUsage(machine);
         const without: Resources = {
@@ -94,7 +111,7 @@
       if (remaining + gained < job.spec.tasks) continue;
       this.evictedAt = now;
       for (const machine of chosen) {
-        this.context.log('info', 'moving services off a machine with accelerators', { machine: machine.name });
+        this.context.log('info', 'evicting services from a GPU machine', { machine: machine.name });
         machine.reservedUntil = now + 2 * this.context.settings.policy.planWaitS * 1000;
         for (const allocation of this.allocations.servicesOn(machine)) this.allocations.stop(allocation, 0);
       }
@@ -122,7 +139,7 @@
         )
           continue;
         const services = this.allocations.servicesOn(machine);
-        const gpuWork = [...machine.allocations.values()].some(
+        const gpuWork = [...machine.tenure.allocations.values()].some(
           (allocation) => allocation.phase !== 'exited' && allocation.job.spec.gpus > 0,
         );
         if (machine.capacity.gpus === 0 || services.length > 0 || gpuWork)
@@ -131,11 +148,11 @@
         if (
           services.some(
             (allocation) =>
-              allocation.stopGraceS !== null || allocation.runningSince < 0 || now - allocation.runningSince < SETTLED_MS,
+              allocation.stopGraceS !== null || allocation.runningSince === null || now - allocation.runningSince < SETTLED_MS,
           )
         )
           continue;
-        if (gpuWork || [...machine.allocations.values()].some((allocation) => allocation.phase === 'planned')) continue;
+        if (gpuWork || [...machine.tenure.allocations.values()].some((allocation) => allocation.phase === 'planned')) continue;
         best = { m: machine, services };
       }
       if (!best) continue;
@@ -165,7 +182,7 @@
         return candidate !== undefined;
       });
       if (!all) continue;
-      this.context.log('debug', 'gathering services of a machine elsewhere', {
+      this.context.log('debug', 'consolidating services on other machines', {
         machine: machine.name,
         services: services.length,
       });
--- a/packages/controller/src/shards/assignment-updates.ts
+++ b/packages/controller/src/shards/assignment-updates.ts
@@ -1,56 +1,58 @@
-/** What an owner writes of its machines' grants: moves to another share, tokens that rise, and machines that are gone. */
-
-import type { TaskAllocations } from '../allocation/task-allocations.js';
-import type { ControllerContext } from '../context/index.js';
+/**
+ * What the holder of a shard writes to the assignments of its machines: moves to another shard, fencing tokens that rise, and
+ * removals. Each write stands under the lease on the shard. Owns no state beside the marks in the machine that a write is queued.
+ */
+import type { TaskAllocations } from '../allocation/index.js';
+import type { ClusterStateView, Logger, ReplicaView, StateWriting } from '../context/index.js';
 import type { Machine } from '../model/index.js';
-import { encodeAssignment } from '../state/assignment-record.js';
-import { StateKey } from '../state/keys.js';
-import { WritePriority } from '../state/write-queue.js';
+import { encodeAssignment, StateKey, WritePriority } from '../state/index.js';
+
+/** The stored images of a removed machine are removed within this time, or stay: nothing depends on it. */
+const IMAGE_REMOVAL_TIMEOUT_MS = 15_000;
 
-/** What was stored of a gone machine's images is removed within this time, or left. */
-const IMAGES_MS = 15_000;
+/** What the assignment updates need of their controller. */
+type AssignmentUpdatesContext = ClusterStateView & ReplicaView & StateWriting & Logger;
 
+/** Writes assignments; a machine has at most one such write queued at a time, removals aside. */
 export class AssignmentUpdates {
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: AssignmentUpdatesContext,
     private readonly allocations: TaskAllocations,
   ) {}
 
-  /** Gives the machine, which bears nothing, to the share that it is to move to. */
+  /** Hands the machine over to the shard that it is to move to. It has to be empty. */
   moveToShard(machine: Machine): void {
-    if (machine.assignmentWriteQueued) return;
+    const targetShard = machine.moveToShard;
+    if (machine.assignmentWriteQueued || targetShard === null) return;
     machine.assignmentWriteQueued = true;
-    const to = machine.moveToShard;
     this.context.writer.add({
       key: StateKey.assignment(machine.name),
-      value: () => encodeAssignment({ ...this.context.clusterState.assignmentOf(machine), shard: to }),
+      value: () => encodeAssignment({ ...this.context.clusterState.assignmentOf(machine), shard: targetShard }),
       expectedRevision: machine.assignmentRevision,
       conditions: this.allocations.leaseConditions(machine.shard),
       priority: WritePriority.assignment,
       onOutcome: (outcome) => {
         machine.assignmentWriteQueued = false;
-        if (outcome === 'ok') this.context.log('debug', 'machine handed over', { machine: machine.name, to });
+        if (outcome === 'ok')
+          this.context.log('debug', 'machine moved to another shard', { machine: machine.name, to: targetShard });
       },
     });
   }
 
   /**
-   * Guards against a command that we gave up on and that is executed late: the worker
-   * takes nothing older once it has seen the higher token.
+   * Guards against a command that got no answer and that may be carried out late: the worker takes nothing older once it has
+   * seen the higher token, which is the revision of the assignment. Until the machine has answered under it, it is unverified.
    */
   raiseFencingToken(machine: Machine): void {
     if (machine.assignmentWriteQueued) return;
-    machine.isRaisingToken = true;
+    machine.tenure.isRaisingToken = true;
     machine.assignmentWriteQueued = true;
-    const rewriteOf = machine.assignmentRevision;
+    const previousRevision = machine.assignmentRevision;
     this.context.writer.add({
       key: StateKey.assignment(machine.name),
       value: () => {
-        const moveTo = machine.moveToShard >= 0 ? machine.moveToShard : null;
-        return encodeAssignment(
-          { ...this.context.clusterState.assignmentOf(machine), moveToShard: moveTo, isRetired: machine.isRetired },
-          rewriteOf,
-        );
+        const { moveToShard, isRetired } = machine;
+        return encodeAssignment({ ...this.context.clusterState.assignmentOf(machine), moveToShard, isRetired }, previousRevision);
       },
       expectedRevision: machine.assignmentRevision,
       conditions: this.allocations.leaseConditions(machine.shard),
@@ -59,29 +61,18 @@
       isUrgent: () => this.allocations.hasCancelledWork(machine),
       onOutcome: (outcome) => {
         machine.assignmentWriteQueued = false;
-        machine.isRaisingToken = false;
-        if (outcome === 'ok') {
-          machine.hasUncertainCommand = false;
-          machine.isVerified = false;
-          machine.isProbed = false;
-        }
+        machine.tenure.isRaisingToken = false;
+        if (outcome !== 'ok') return;
+        machine.tenure.hasUncertainCommand = false;
+        machine.tenure.isVerified = false;
+        machine.tenure.isProbed = false;
       },
     });
   }
 
-  /** The machine is gone. */
+  /** The machine is gone. Tried again until it is stored, for as long as the machine is known and its shard held here. */
   removeAssignment(machine: Machine): void {
-    const cache = StateKey.imageCache(machine.name);
-    const kept = this.context.replica.get(cache);
-    if (kept)
-      this.context.writer.add({
-        key: cache,
-        value: () => undefined,
-        expectedRevision: kept.revision,
-        priority: WritePriority.images,
-        expiresAt: this.allocations.now + IMAGES_MS,
-        onOutcome: () => {},
-      });
+    this.removeStoredImages(machine);
     this.context.writer.add({
       key: StateKey.assignment(machine.name),
       value: () => undefined,
@@ -89,13 +80,26 @@
       conditions: this.allocations.leaseConditions(machine.shard),
       priority: WritePriority.release,
       onOutcome: (outcome) => {
-        if (
-          outcome !== 'ok' &&
-          this.context.clusterState.machines.get(machine.name) === machine &&
-          this.allocations.heldShards.has(machine.shard)
-        )
-          this.removeAssignment(machine);
+        if (outcome !== 'ok' && this.isStillOurs(machine)) this.removeAssignment(machine);
       },
     });
   }
+
+  private removeStoredImages(machine: Machine): void {
+    const key = StateKey.imageCache(machine.name);
+    const stored = this.context.replica.get(key);
+    if (!stored) return;
+    this.context.writer.add({
+      key,
+      value: () => undefined,
+      expectedRevision: stored.revision,
+      priority: WritePriority.images,
+      expiresAt: this.allocations.now + IMAGE_REMOVAL_TIMEOUT_MS,
+      onOutcome: () => {},
+    });
+  }
+
+  private isStillOurs(machine: Machine): boolean {
+    return this.context.clusterState.machines.get(machine.name) === machine && this.allocations.heldShards.has(machine.shard);
+  }
 }
--- a/packages/controller/src/shards/shard-summary.ts
+++ b/packages/controller/src/shards/shard-summary.ts
@@ -1,100 +1,116 @@
-/** What an owner tells the leader of a share: its machines, and its work that has no room. */
+/**
+ * The summary of a shard that its holder sends to the leader: the machines with what is free on them, and the demand of tasks
+ * that found no room. Owns the summaries made last.
+ */
 import type { MachineSummary, ResourceDemand, ShardSummary } from '@archpost/protocol';
-import type { TaskAllocations, UnmetDemand } from '../allocation/task-allocations.js';
-import type { ControllerContext } from '../context/index.js';
-import { HIGHEST_PRIORITY, type Machine, type Milliseconds } from '../model/index.js';
-import { tasksPerZone, zoneAllowsTask } from '../scheduling/placement.js';
-import type { QueueOrder, QuotaStatuses } from '../scheduling/queue-order.js';
-import type { Scheduler } from '../scheduling/scheduler.js';
+import type { TaskAllocations, UnmetDemand } from '../allocation/index.js';
+import type { ClusterStateView, SettingsView } from '../context/index.js';
+import { HIGHEST_PRIORITY, type Job, type Machine, type Milliseconds } from '../model/index.js';
+import { type QueueOrder, type QuotaStatuses, type Scheduler, tasksPerZone, zoneAllowsTask } from '../scheduling/index.js';
 
-/** What is told of a share is worked out anew after this long. */
-const VIEW_MS = 400;
+/** A summary is made anew after this long. */
+const SUMMARY_MAX_AGE_MS = 400;
 
-/** Most kinds of waiting work that are told. */
-const MOST_DEMANDS = 32;
+/** Demands in a summary; further kinds of waiting tasks are left out. */
+const MAX_DEMANDS = 32;
 
-/** Higher than any rank: nothing may be moved off the machine. */
-const UNMOVABLE_RANK = 9;
+/** The protected priority of a machine whose work may all be preempted; lower than any. */
+const NOTHING_PROTECTED = -1;
 
-/** Slack is told within these bounds. */
-const MOST_SLACK_S = 1e4;
+/** Higher than any priority: the machine can't be made free for other work. */
+const UNMOVABLE_PRIORITY = 9;
+
+/** Slack is limited to this in both directions: without a deadline it would be infinite. */
+const MAX_SLACK_S = 1e4;
 
 interface CachedSummary {
-  at: Milliseconds;
-  share: ShardSummary;
+  madeAt: Milliseconds;
+  summary: ShardSummary;
+}
+
+/** Demands with equal keys are added up. */
+function demandKey(demand: ResourceDemand, shape: Job['spec']['shape']): string {
+  const { cpus, gpus, memory, types, zone, spot, priority, withinQuota, excludedZones } = demand;
+  return [cpus, gpus, memory, types, zone, spot, priority, withinQuota, shape, excludedZones].join('/');
+}
+
+/** Adds a demand with the same key: the longest wait and the least slack count. */
+function addTo(existing: ResourceDemand, demand: ResourceDemand): void {
+  existing.count += demand.count;
+  existing.waitS = Math.max(existing.waitS, demand.waitS);
+  existing.slackS = Math.min(existing.slackS, demand.slackS);
 }
 
+/** Makes the summaries of the shards held here. */
 export class ShardSummaries {
   private readonly summaries = new Map<number, CachedSummary>();
 
   constructor(
-    private readonly context: ControllerContext,
+    private readonly context: SettingsView & ClusterStateView,
     private readonly allocations: TaskAllocations,
     private readonly queueOrder: QueueOrder,
     private readonly scheduler: Scheduler,
   ) {}
 
-  /** As it was at most a moment ago: the leader and the status both ask. */
+  /** At most `SUMMARY_MAX_AGE_MS` old: the leader and the status exchange both ask. */
   summaryOf(shard: number, now: Milliseconds): ShardSummary {
-    const old = this.summaries.get(shard);
-    if (old && now - old.at < VIEW_MS && this.allocations.heldShards.has(shard)) return old.share;
-    const fresh = { shard, machines: this.machines(shard, now), demands: this.demands(shard, now) };
-    this.summaries.set(shard, { at: now, share: fresh });
-    return fresh;
+    const cached = this.summaries.get(shard);
+    if (cached && now - cached.madeAt < SUMMARY_MAX_AGE_MS && this.allocations.heldShards.has(shard)) return cached.summary;
+    const summary = { shard, machines: this.machines(shard, now), demands: this.demands(shard, now) };
+    this.summaries.set(shard, { madeAt: now, summary });
+    return summary;
   }
 
+  /** The shard isn't held any more. */
   forget(shard: number): void {
     this.summaries.delete(shard);
   }
 
   private machines(shard: number, now: Milliseconds): MachineSummary[] {
     const quotaStatuses = this.queueOrder.quotaStatuses();
-    const clearable = this.scheduler.evacuableMachines(shard, now);
-    const told: MachineSummary[] = [];
+    const evacuable = this.scheduler.evacuableMachines(shard, now);
+    const summaries: MachineSummary[] = [];
     for (const machine of this.context.clusterState.machines.values()) {
       if (machine.shard !== shard) continue;
       const free = this.allocations.freeResourcesOf(machine);
-      told.push({
+      summaries.push({
         name: machine.name,
         freeCpus: Math.max(0, free.cpus),
         freeGpus: Math.max(0, free.gpus),
         freeMemory: Math.max(0, free.memory),
-        tasks: machine.allocations.size,
+        tasks: machine.tenure.allocations.size,
         protectedPriority: this.allocations.isSchedulable(machine, now)
-          ? this.protectedPriority(machine, quotaStatuses, clearable)
-          : UNMOVABLE_RANK,
-        idleS: machine.allocations.size === 0 ? (now - machine.idleSince) / 1000 : 0,
+          ? this.protectedPriority(machine, quotaStatuses, evacuable)
+          : UNMOVABLE_PRIORITY,
+        idleS: machine.tenure.allocations.size === 0 ? (now - machine.idleSince) / 1000 : 0,
         services: this.allocations.servicesOn(machine).length,
       });
     }
-    return told;
+    return summaries;
   }
 
-  /** The highest rank of work on the machine that may not be stopped for others. */
-  private protectedPriority(machine: Machine, quotaStatuses: QuotaStatuses, clearable: Set<Machine>): number {
-    let priority = -1;
-    for (const { job, phase } of machine.allocations.values()) {
-      if (phase === 'exited' || (job.spec.shape === 'service' && clearable.has(machine))) continue;
-      // Within a guarantee it gives way to the highest rank only.
-      priority = Math.max(priority, job.priority, quotaStatuses.get(job)?.isProtected ? HIGHEST_PRIORITY - 1 : -1);
+  /** Only work of a higher priority than this may preempt all that is on the machine. */
+  private protectedPriority(machine: Machine, quotaStatuses: QuotaStatuses, evacuable: Set<Machine>): number {
+    let priority = NOTHING_PROTECTED;
+    for (const { job, phase } of machine.tenure.allocations.values()) {
+      if (phase === 'exited' || (job.spec.shape === 'service' && evacuable.has(machine))) continue;
+      priority = Math.max(priority, job.priority);
+      // Work within its team's quota is preempted by the highest priority only.
+      if (quotaStatuses.get(job)?.isProtected) priority = Math.max(priority, HIGHEST_PRIORITY - 1);
     }
     return priority;
   }
 
-  /** Work that is alike in what it wants is told as one. */
+  /** Tasks that need the same are one demand. */
   private demands(shard: number, now: Milliseconds): ResourceDemand[] {
     const demands = new Map<string, ResourceDemand>();
     for (const unmet of this.allocations.unmetDemand) {
       if (unmet.job.shard !== shard) continue;
       const demand = this.demandOf(unmet, now);
-      const { cpus, gpus, memory, types, zone, spot, priority, withinQuota, excludedZones: notZones } = demand;
-      const key = [cpus, gpus, memory, types, zone, spot, priority, withinQuota, unmet.job.spec.shape, notZones].join('/');
-      const old = demands.get(key);
-      if (old) {
-        old.count += demand.count;
-        old.waitS = Math.max(old.waitS, demand.waitS);
-        old.slackS = Math.min(old.slackS, demand.slackS);
-      } else if (demands.size < MOST_DEMANDS) demands.set(key, demand);
+      const key = demandKey(demand, unmet.job.spec.shape);
+      const existing = demands.get(key);
+      if (existing) addTo(existing, demand);
+      else if (demands.size < MAX_DEMANDS) demands.set(key, demand);
     }
     return [...demands.values()];
   }
@@ -114,14 +130,14 @@
       withinQuota,
       count,
       gang: shape === 'gang',
-      waitS: (now - Math.max(job.arrivedAt, job.waitingSince)) / 1000,
-      slackS: Math.max(-MOST_SLACK_S, Math.min(MOST_SLACK_S, slackS)),
+      waitS: (now - Math.max(job.arrivedAt, job.waitingSince ?? 0)) / 1000,
+      slackS: Math.max(-MAX_SLACK_S, Math.min(MAX_SLACK_S, slackS)),
       excludedZones: shape === 'gang' ? [] : this.excludedZones(job),
     };
   }
 
-  /** Zones that the job's other tasks bar for one more. */
-  private excludedZones(job: UnmetDemand['job']): string[] {
+  /** Zones where the job's constraints allow no further task beside those that it has. */
+  private excludedZones(job: Job): string[] {
     const { settings, clusterState } = this.context;
     const counts = tasksPerZone(job);
     return settings.zones.filter((zone) => !zoneAllowsTask(job, counts, clusterState.zoneNames.indexOf(zone)));
--- a/packages/controller/src/state/cluster-state.ts
+++ b/packages/controller/src/state/cluster-state.ts
@@ -1,6 +1,13 @@
 import type { JobSpec, MachineType } from '@archpost/protocol';
-import { type ControllerSettings, Job, Machine, type Milliseconds, NameInterner } from '../model/index.js';
-import { fits } from '../scheduling/placement.js';
+import {
+  type ControllerSettings,
+  fits,
+  Job,
+  Machine,
+  type Milliseconds,
+  NameInterner,
+  UNASSIGNED_SHARD,
+} from '../model/index.js';
 import { type MachineAssignment, parseAssignment } from './assignment-record.js';
 import { parseImageCache, type StoredImage } from './image-cache-record.js';
 import type { FinalState } from './job-record.js';
@@ -215,11 +222,11 @@
     return images;
   }
 
-  private applyAssignment(name: string, entry: ReplicaEntry | null, now: Milliseconds): { machine?: Machine; moved?: boolean } {
+  private applyAssignment(name: string, entry: ReplicaEntry | null, now: Milliseconds): AppliedChange {
     const old = this.machines.get(name);
     if (!entry) {
       if (old) {
-        old.shard = -1;
+        old.shard = UNASSIGNED_SHARD;
         this.machines.delete(name);
         return { machine: old };
       }
@@ -238,21 +245,21 @@
         assignment.spot,
         this.machineTypes[type] ?? null,
       );
-      machine.lastHeartbeatAt = now;
+      machine.tenure.lastHeartbeatAt = now;
       machine.idleSince = now;
       this.machines.set(name, machine);
     }
     if (machine.shard !== assignment.shard) {
       machine.shard = assignment.shard;
-      machine.isVerified = false;
+      machine.tenure.isVerified = false;
       moved = true;
     }
     if (moved) this.restoreImages(machine);
     if (assignment.address) machine.address = assignment.address;
     machine.assignmentRevision = entry.revision;
-    machine.moveToShard = assignment.moveToShard ?? -1;
+    machine.moveToShard = assignment.moveToShard;
     machine.isRetired = assignment.isRetired;
-    return { machine, moved };
+    return { machine, movedShard: moved };
   }
 
   /** The machine's grant to its share, with nothing else wanted of it. */
--- a/packages/peer-transport/src/frames.ts
+++ b/packages/peer-transport/src/frames.ts
@@ -1,52 +1,57 @@
 /**
- * Frames on a link between controllers: a length of four bytes and a message. A frame comes in many chunks; they are
- * put together once, when it is whole, since doing so for each of them copies the square of its size.
+ * Frames on a link between controllers: the length of a message in four bytes, most significant first, and the message.
+ * A frame comes in many chunks. They are joined once, when the frame is complete: joining at each chunk would copy the
+ * square of its size.
  */
 
-/** No message is larger than this; the sender tells in turn what doesn't fit. */
+/** Largest message. The sender shortens its messages to fit, and sends the rest in later ones. */
 export const MAX_FRAME_BYTES = 4 << 20;
 
-const HEAD_BYTES = 4;
+const HEADER_BYTES = 4;
+
+/** A frame is announced that is larger than any that is sent: where the next one begins can not be known. */
+export class FrameTooLargeError extends Error {
+  readonly code = 'FRAME_TOO_LARGE';
 
-/** A frame on its way is larger than any that is sent: what follows it can't be told apart any more. */
-export class FrameTooLarge extends Error {
   constructor(readonly bytes: number) {
     super(`a frame of ${bytes} bytes`);
   }
 }
 
+/** The frame of a message, which must not be larger than MAX_FRAME_BYTES. */
 export function encodeFrame(body: Uint8Array): Buffer {
-  const frame = Buffer.alloc(HEAD_BYTES + body.length);
+  const frame = Buffer.alloc(HEADER_BYTES + body.length);
   frame.writeUInt32BE(body.length);
-  frame.set(body, HEAD_BYTES);
+  frame.set(body, HEADER_BYTES);
   return frame;
 }
 
-/** Takes chunks as they come and gives frames as they are whole. */
+/** Takes the chunks of one link and returns messages as they are complete. */
 export class FrameReader {
   private chunks: Buffer[] = [];
   private length = 0;
-  /** size of the body on its way; null: its head isn't there yet */
+  /** size of the message that is under way; null: its header is not complete */
   private bodyBytes: number | null = null;
 
-  /** The bodies of the frames that are whole now; throws FrameTooLarge. */
+  /** The messages that this chunk completes. Throws FrameTooLargeError; the link can not be read any further then. */
   push(chunk: Buffer): Buffer[] {
     this.chunks.push(chunk);
     this.length += chunk.length;
     const bodies: Buffer[] = [];
     for (;;) {
       if (this.bodyBytes === null) {
-        if (this.length < HEAD_BYTES) return bodies;
-        this.bodyBytes = this.takeOut(HEAD_BYTES).readUInt32BE(0);
-        if (this.bodyBytes > MAX_FRAME_BYTES) throw new FrameTooLarge(this.bodyBytes);
+        if (this.length < HEADER_BYTES) return bodies;
+        this.bodyBytes = this.takeBytes(HEADER_BYTES).readUInt32BE(0);
+        if (this.bodyBytes > MAX_FRAME_BYTES) throw new FrameTooLargeError(this.bodyBytes);
       }
       if (this.length < this.bodyBytes) return bodies;
-      bodies.push(this.takeOut(this.bodyBytes));
+      bodies.push(this.takeBytes(this.bodyBytes));
       this.bodyBytes = null;
     }
   }
 
-  private takeOut(bytes: number): Buffer {
+  /** Joins chunks only if the first one does not hold all of these bytes. */
+  private takeBytes(bytes: number): Buffer {
     const first = this.chunks[0] ?? Buffer.alloc(0);
     const joined = first.length >= bytes ? first : Buffer.concat(this.chunks);
     const others = first.length >= bytes ? this.chunks.slice(1) : [];
--- a/packages/protocol/src/index.ts
+++ b/packages/protocol/src/index.ts
@@ -1,8 +1,23 @@
-export * from './answers.js';
-export * from './cloud.js';
-export * from './jobs.js';
-export * from './names.js';
-export * from './pack.js';
-export * from './peer.js';
-export * from './state.js';
-export * from './workers.js';
+/**
+ * The formats of every interface: of users, workers, the cloud, the state service and the other controllers. Each module
+ * holds the schema of what is sent, named after the wire, a model in the terms of the field, and the mapping between
+ * them. The names on the wire occur nowhere else.
+ */
+export * from './body-limits.js';
+export * from './cloud/machine-list.js';
+export * from './cloud/machine-types.js';
+export * from './cloud/provisioning.js';
+export * from './jobs/job-spec.js';
+export * from './jobs/job-status.js';
+export * from './jobs/submission.js';
+export * from './message-pack.js';
+export * from './paths.js';
+export { decodePeerMessage, encodePeerMessage, type PeerMessage } from './peer/peer-message.js';
+export type { PeerStatus, RunningJob, UnassignedMachine, UnchangedHeartbeat } from './peer/peer-status.js';
+export type { MachineSummary, ResourceDemand, ShardSummary } from './peer/shard-summary.js';
+export * from './service-response.js';
+export * from './state/compare-and-swap.js';
+export * from './state/key-reads.js';
+export * from './state/lease.js';
+export * from './worker/commands.js';
+export * from './worker/heartbeat.js';
--- a/packages/server/src/effect-executor.ts
+++ b/packages/server/src/effect-executor.ts
@@ -1,11 +1,11 @@
 /** Carries out the controller's effects and brings it their outcomes, as control events. */
-import type { Cloud } from '@archpost/cloud-client';
+import type { CloudClient } from '@archpost/cloud-client';
 import type { Controller, Effect } from '@archpost/controller';
 import type { HttpApi } from '@archpost/http-api';
 import { monotonicMs } from '@archpost/http-client';
-import type { Peers } from '@archpost/peer-transport';
-import type { StateStore } from '@archpost/state-client';
-import type { Workers } from '@archpost/worker-client';
+import type { PeerTransport } from '@archpost/peer-transport';
+import type { StateServiceClient } from '@archpost/state-client';
+import type { WorkerClient } from '@archpost/worker-client';
 import { type Inbox, PROCESS_PAUSE_MS } from './inbox.js';
 import type { ServiceLog } from './service-log.js';
 
@@ -14,10 +14,10 @@
 /** What effects act on. */
 export interface EffectTargets {
   api: HttpApi;
-  stateStore: StateStore;
-  workers: Workers;
-  cloud: Cloud;
-  peers: Peers;
+  stateStore: StateServiceClient;
+  workers: WorkerClient;
+  cloud: CloudClient;
+  peers: PeerTransport;
   log: ServiceLog;
 }
 
@@ -73,7 +73,7 @@
       case 'respond':
         return api.respond(effect.id, effect.status, effect.body, effect.retryAfterS);
       case 'readBarrier':
-        return stateStore.barrier(effect.urgent);
+        return stateStore.readBarrier(effect.urgent);
       case 'compareAndSwap':
         return this.compareAndSwap(effect);
       case 'command':
@@ -103,49 +103,49 @@
   private compareAndSwap({ id, conditions, writes }: EffectOf<'compareAndSwap'>): void {
     const { controller, inbox, targets } = this;
     void targets.stateStore
-      .txn(conditions, writes)
+      .compareAndSwap(conditions, writes)
       .then((outcome) => inbox.enqueueControlEvent(() => controller.receiveCompareAndSwapOutcome(id, outcome, monotonicMs())));
   }
 
   private command({ id, address, fencingToken, agentEpoch, commands }: EffectOf<'command'>): void {
     const { controller, inbox, targets } = this;
     void targets.workers
-      .command(address, fencingToken, agentEpoch, commands)
+      .sendCommands(address, fencingToken, agentEpoch, commands)
       .then((outcome) => inbox.enqueueControlEvent(() => controller.receiveCommandOutcome(id, outcome, monotonicMs())));
   }
 
   private probe({ id, address }: EffectOf<'probe'>): void {
     const { controller, inbox, targets } = this;
     void targets.workers
-      .ask(address)
+      .probe(address)
       .then((isAnswered) => inbox.enqueueControlEvent(() => controller.receiveProbeOutcome(id, isAnswered, monotonicMs())));
   }
 
   private provision({ id, request }: EffectOf<'provision'>): void {
     const { controller, inbox, targets } = this;
     void targets.cloud
-      .rent(request)
+      .provision(request)
       .then((outcome) => inbox.enqueueControlEvent(() => controller.receiveProvisioningOutcome(id, outcome, monotonicMs())));
   }
 
   private release({ id, machines }: EffectOf<'release'>): void {
     const { controller, inbox, targets } = this;
     void targets.cloud
-      .giveBack(machines)
+      .releaseMachines(machines)
       .then((isReleased) => inbox.enqueueControlEvent(() => controller.receiveReleaseOutcome(id, isReleased, monotonicMs())));
   }
 
   private listMachines(): void {
     const { controller, inbox, targets } = this;
     void targets.cloud
-      .list()
+      .listMachines()
       .then((machines) => inbox.enqueueControlEvent(() => controller.receiveMachineList(machines, monotonicMs())));
   }
 
   private fetchMachineTypes(): void {
     const { controller, inbox, targets } = this;
     void targets.cloud
-      .types()
+      .fetchMachineTypes()
       .then((types) => inbox.enqueueControlEvent(() => controller.receiveMachineTypes(types, monotonicMs())));
   }
 }
--- a/packages/server/src/input-router.ts
+++ b/packages/server/src/input-router.ts
@@ -2,8 +2,8 @@
 import type { Controller } from '@archpost/controller';
 import type { ApiRequest, HttpApi } from '@archpost/http-api';
 import { monotonicMs } from '@archpost/http-client';
-import type { Peers } from '@archpost/peer-transport';
-import type { StateStore } from '@archpost/state-client';
+import type { PeerTransport } from '@archpost/peer-transport';
+import type { StateServiceClient } from '@archpost/state-client';
 import { Subscription } from 'rxjs';
 import type { Inbox } from './inbox.js';
 
@@ -23,7 +23,7 @@
   ) {}
 
   /** Starts to take events of the state service and of peers. */
-  subscribe(stateStore: StateStore, peers: Peers): void {
+  subscribe(stateStore: StateServiceClient, peers: PeerTransport): void {
     this.subscribeToState(stateStore);
     this.subscribeToPeers(peers);
   }
@@ -51,10 +51,10 @@
     }, reject);
   }
 
-  private subscribeToState(stateStore: StateStore): void {
+  private subscribeToState(stateStore: StateServiceClient): void {
     const { controller, inbox, subscriptions } = this;
     subscriptions.add(
-      stateStore.loaded$.subscribe(({ rows, revision }) =>
+      stateStore.snapshot$.subscribe(({ rows, revision }) =>
         inbox.enqueueControlEvent(() => controller.receiveSnapshot(rows, revision, monotonicMs())),
       ),
     );
@@ -64,13 +64,13 @@
       ),
     );
     subscriptions.add(
-      stateStore.lease$.subscribe(({ permit, validUntil }) =>
-        inbox.enqueueControlEvent(() => controller.receiveLeaseState(permit, validUntil, monotonicMs())),
+      stateStore.lease$.subscribe(({ leaseId, validUntil }) =>
+        inbox.enqueueControlEvent(() => controller.receiveLeaseState(leaseId, validUntil, monotonicMs())),
       ),
     );
   }
 
-  private subscribeToPeers(peers: Peers): void {
+  private subscribeToPeers(peers: PeerTransport): void {
     const { controller, inbox, subscriptions } = this;
     subscriptions.add(
       peers.message$.subscribe(({ heartbeat, status }) => {
@@ -79,7 +79,7 @@
       }),
     );
     subscriptions.add(
-      peers.down$.subscribe((peer) => inbox.enqueueControlEvent(() => controller.peerDisconnected(peer, monotonicMs()))),
+      peers.disconnected$.subscribe((peer) => inbox.enqueueControlEvent(() => controller.peerDisconnected(peer, monotonicMs()))),
     );
   }
 }
--- a/packages/server/src/service.ts
+++ b/packages/server/src/service.ts
@@ -1,12 +1,12 @@
 /** Puts a controller together: its state machine, the clients and servers around it, and what connects them. */
 import { randomUUID } from 'node:crypto';
-import { Cloud } from '@archpost/cloud-client';
+import { CloudClient } from '@archpost/cloud-client';
 import { Controller } from '@archpost/controller';
 import { ConnectionLimiter, HttpApi, LoadShedder } from '@archpost/http-api';
 import { monotonicMs, parseAddress } from '@archpost/http-client';
-import { Peers } from '@archpost/peer-transport';
-import { StateStore } from '@archpost/state-client';
-import { Workers } from '@archpost/worker-client';
+import { PeerTransport } from '@archpost/peer-transport';
+import { StateServiceClient } from '@archpost/state-client';
+import { WorkerClient } from '@archpost/worker-client';
 import { Subscription, throttleTime } from 'rxjs';
 import { EffectExecutor } from './effect-executor.js';
 import { Inbox } from './inbox.js';
@@ -43,9 +43,9 @@
   private readonly controller: Controller;
   private readonly inbox: Inbox;
   private readonly loadShedder: LoadShedder;
-  private readonly stateStore: StateStore;
-  private readonly cloud: Cloud;
-  private readonly peers: Peers;
+  private readonly stateStore: StateServiceClient;
+  private readonly cloud: CloudClient;
+  private readonly peers: PeerTransport;
   private readonly api: HttpApi;
   private readonly inputRouter: InputRouter;
   private readonly effectExecutor: EffectExecutor;
@@ -61,15 +61,15 @@
     this.controller = new Controller(controllerSettings, randomUUID().slice(0, INCARNATION_LENGTH));
     this.inbox = this.createInbox();
     this.loadShedder = new LoadShedder(monotonicMs, MUTATIONS_PER_S_AND_CORE * controllerSettings.cpuShare);
-    this.stateStore = new StateStore(
+    this.stateStore = new StateServiceClient(
       settings.stateAddress,
       STATE_KEY_PREFIX,
       stateRequestsPerS(controllerSettings),
       stateLeaseMs(controllerSettings),
       CLOCK_DRIFT_FRACTION,
     );
-    this.cloud = new Cloud(settings.cloudAddress, cloudRequestsPerS(controllerSettings));
-    this.peers = new Peers(settings.peers);
+    this.cloud = new CloudClient(settings.cloudAddress, cloudRequestsPerS(controllerSettings));
+    this.peers = new PeerTransport(settings.peers);
     this.api = this.createApi();
     this.inputRouter = new InputRouter(this.controller, this.inbox, this.api);
     this.effectExecutor = this.createEffectExecutor();
@@ -133,7 +133,7 @@
     const { api, stateStore, cloud, peers, log, settings } = this;
     // All workers may come to one controller, with a connection each: those for commands, of which
     // the longest unused are closed, must leave room for that, and for users.
-    const workers = new Workers(maxCommandSockets(settings));
+    const workers = new WorkerClient(maxCommandSockets(settings));
     const targets = { api, stateStore, workers, cloud, peers, log };
     return new EffectExecutor(this.controller, this.inbox, targets, settings.controller.name);
   }
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -67,7 +67,7 @@
   fail();
   cluster.submit(job('run-a', { tasks: 2, estimateS: 300 }));
   const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-a')));
-  const allocations = () => [...(owner.core.clusterState.jobs.get('run-a')?.allocations.values() ?? [])];
+  const allocations = () => [...(owner.core.clusterState.jobs.get('run-a')?.tenure.allocations.values() ?? [])];
   cluster.until('sent', () => allocations().some((allocation) => allocation.phase === 'sent'), 5);
   cluster.cancel('run-a');
   mend();
@@ -240,12 +240,12 @@
   const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-0')));
   const machines = () => [...owner.core.clusterState.machines.values()];
   const sent = () =>
-    [...(owner.core.clusterState.jobs.get('run-more')?.allocations.values() ?? [])].filter(
+    [...(owner.core.clusterState.jobs.get('run-more')?.tenure.allocations.values() ?? [])].filter(
       (allocation) => allocation.phase === 'sent',
     );
   cluster.until('the starts are under way', () => sent().length > 200, 20);
   cluster.stateDown = true;
-  const waiting = () => machines().filter((machine) => machine.hasUncertainCommand).length;
+  const waiting = () => machines().filter((machine) => machine.tenure.hasUncertainCommand).length;
   cluster.until('they are lost', () => waiting() > 200, 20);
   cluster.stateDown = false;
   cluster.mute = () => true;
@@ -292,6 +292,21 @@
   assert.equal(cluster.running('run-a'), 2);
 });
 
+// A rename by tool had left the two sides of the move's flag with different names: what was known from the old shard stayed.
+test('what is known of a machine does not outlive its move to another shard', () => {
+  const core = new Controller(settings('n0'), 'boot');
+  const assignment = (shard: number) => ({ s: shard, a: 'm0:1', t: 'std', z: 'za', sp: false });
+  core.replica.set('a/g/m0', assignment(0), 1);
+  const machine = core.clusterState.machines.get('m0');
+  assert.ok(machine);
+  const tenure = machine.tenure;
+  core.replica.set('a/g/m0', { ...assignment(0), mv: 1 }, 2);
+  assert.equal(machine.tenure, tenure, 'a move that is ordered changes nothing yet');
+  core.replica.set('a/g/m0', assignment(1), 3);
+  assert.equal(machine.shard, 1);
+  assert.notEqual(machine.tenure, tenure, 'the move begins a new tenure');
+});
+
 // A new holder that found the work counted its time anew: jobs that are over leave the table of all but their owner.
 test('the time of a cancellation counts from its first reading, whoever finds a task of the job later', () => {
   const core = new Controller(settings('n0'), 'boot');
--- a/test/size-limits.test.ts
+++ b/test/size-limits.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import net from 'node:net';
 import { test } from 'node:test';
-import { Cloud } from '@archpost/cloud-client';
+import { CloudClient } from '@archpost/cloud-client';
 import {
   encodedBytes,
   encodeStatus,
@@ -13,9 +13,9 @@
   WriteQueue,
 } from '@archpost/controller';
 import { ConnectionLimiter, HttpApi, LoadShedder } from '@archpost/http-api';
-import { encodeFrame, FrameReader, MAX_FRAME_BYTES, Peers } from '@archpost/peer-transport';
+import { encodeFrame, FrameReader, MAX_FRAME_BYTES, PeerTransport } from '@archpost/peer-transport';
 import { encodePeerMessage, MAX_COMMANDS_PER_BODY } from '@archpost/protocol';
-import { StateStore } from '@archpost/state-client';
+import { StateServiceClient } from '@archpost/state-client';
 import { CollectionTrigger } from '../packages/server/src/garbage-collection.js';
 import { heapMb, planHeap, threadHeapMb } from '../packages/server/src/heap-plan.js';
 import { LargeFleet } from './fleet/large-fleet.js';
@@ -23,7 +23,7 @@
 import { Cluster, holderOf, job, type Node, STATUS, shareOf } from './stand-ins.js';
 
 const ungranted = (count: number) =>
-  Array.from({ length: count }, (_, index) => ({ machine: `m${index}`, addr: 'x', type: 'small', zone: 'east', spot: false }));
+  Array.from({ length: count }, (_, index) => ({ machine: `m${index}`, address: 'x', type: 'small', zone: 'east', spot: false }));
 
 test('frames: whole whatever the chunks; put together once; one beyond the limit is refused', () => {
   const bodies = [Buffer.from('a'), Buffer.alloc(0), Buffer.alloc(70_000, 7), Buffer.from('end')];
@@ -45,7 +45,7 @@
     probe.listen(0, '127.0.0.1', () => resolve((probe.address() as net.AddressInfo).port)),
   );
   await new Promise((resolve) => probe.close(resolve));
-  const peers = new Peers([
+  const peers = new PeerTransport([
     { name: 'n1', addr: '127.0.0.1:1' },
     { name: 'n2', addr: '127.0.0.1:1' },
   ]);
@@ -97,7 +97,7 @@
 
 test('a stored status tells all machines without a grant in turn, though the first ones are never granted', () => {
   const told = new Set<string>();
-  const status = { ...STATUS, strangers: ungranted(500) };
+  const status = { ...STATUS, unassignedMachines: ungranted(500) };
   const limit = 8 * 1024;
   for (let turn = 0; turn < 25; turn++) {
     const stored = fitStoredStatus('a/s/n0', status, limit, turn);
@@ -193,7 +193,7 @@
   for (let index = 0; index < 500; index++) cluster.machine(`m${index}`);
   cluster.until(
     'all have answered',
-    () => cluster.workers.every((w) => cluster.nodes[0]?.core.clusterState.machines.get(w.name)?.isVerified),
+    () => cluster.workers.every((w) => cluster.nodes[0]?.core.clusterState.machines.get(w.name)?.tenure.isVerified),
     120,
   );
   assert.equal(cluster.workers.filter((worker) => worker.dead).length, 0);
@@ -233,15 +233,15 @@
     if (asked === 2) return { status: 429, body: {} };
     return { status: 200, body: isReadable ? { hosts: [host(2)], has_next: false } : { hosts: 'none' } };
   });
-  const cloud = new Cloud(await listen(server), 100);
+  const cloud = new CloudClient(await listen(server), 100);
   const unreadable: string[] = [];
   cloud.unreadable$.subscribe((what) => unreadable.push(what));
   assert.deepEqual(
-    (await cloud.list())?.map(({ machine }) => machine),
+    (await cloud.listMachines())?.map(({ machine }) => machine),
     ['n-1', 'n-2'],
   );
   isReadable = false;
-  assert.equal(await cloud.list(), null);
+  assert.equal(await cloud.listMachines(), null);
   assert.deepEqual(unreadable, ['machine list']);
   cloud.close();
   server.close();
@@ -259,9 +259,9 @@
     const row = { k: isFirst ? 'a/1' : 'a/2', v: 1, stamp: 1 };
     return { status: 200, body: { rows: [row], has_next: isFirst, ledger: 9 } };
   });
-  const store = new StateStore(await listen(server), 'a/', 100, 5000, 0.002);
+  const store = new StateServiceClient(await listen(server), 'a/', 100, 5000, 0.002);
   const keys = await new Promise<string[]>((resolve) => {
-    store.loaded$.subscribe(({ rows }) => resolve(rows.map(({ key }) => key)));
+    store.snapshot$.subscribe(({ rows }) => resolve(rows.map(({ key }) => key)));
     store.start();
   });
   assert.deepEqual(keys, ['a/1', 'a/2']);
--- a/test/walk.ts
+++ b/test/walk.ts
@@ -143,7 +143,7 @@
     const { c: cluster } = this;
     const odd = (): string[] => {
       const result: string[] = [];
-      for (const share of ['0', '1', '2', 'lead'])
+      for (const share of [0, 1, 2, 'lead'] as const)
         if (!cluster.nodes.some((node) => node.core.shardLeases.mayActUnder(share, cluster.now)))
           result.push(`nobody holds ${share}`);
       for (const w of cluster.workers) {
@@ -153,7 +153,7 @@
           return (
             machine &&
             node.core.shardController.heldShards.has(machine.shard) &&
-            (machine.releaseReason !== '' || node.core.shardController.allocations.isSchedulable(machine, cluster.now))
+            (machine.tenure.releaseReason !== null || node.core.shardController.allocations.isSchedulable(machine, cluster.now))
           );
         });
         if (!used) result.push(`${w.name} is out of use`);
