--- a/packages/server/src/effect-executor.ts
+++ b/packages/server/src/effect-executor.ts
@@ -14,7 +14,7 @@
 /** What effects act on. */
 export interface EffectTargets {
   api: HttpApi;
-  stateStore: StateServiceClient;
+  stateService: StateServiceClient;
   workers: WorkerClient;
   cloud: CloudClient;
   peers: PeerTransport;
@@ -68,12 +68,12 @@
   }
 
   private execute(effect: Effect): void {
-    const { api, stateStore, peers, log } = this.targets;
+    const { api, stateService, peers, log } = this.targets;
     switch (effect.type) {
       case 'respond':
         return api.respond(effect.id, effect.status, effect.body, effect.retryAfterS);
       case 'readBarrier':
-        return stateStore.readBarrier(effect.urgent);
+        return stateService.readBarrier(effect.urgent);
       case 'compareAndSwap':
         return this.compareAndSwap(effect);
       case 'command':
@@ -102,7 +102,7 @@
 
   private compareAndSwap({ id, conditions, writes }: EffectOf<'compareAndSwap'>): void {
     const { controller, inbox, targets } = this;
-    void targets.stateStore
+    void targets.stateService
       .compareAndSwap(conditions, writes)
       .then((outcome) => inbox.enqueueControlEvent(() => controller.receiveCompareAndSwapOutcome(id, outcome, monotonicMs())));
   }
--- a/packages/server/src/input-router.ts
+++ b/packages/server/src/input-router.ts
@@ -23,8 +23,8 @@
   ) {}
 
   /** Starts to take events of the state service and of peers. */
-  subscribe(stateStore: StateServiceClient, peers: PeerTransport): void {
-    this.subscribeToState(stateStore);
+  subscribe(stateService: StateServiceClient, peers: PeerTransport): void {
+    this.subscribeToState(stateService);
     this.subscribeToPeers(peers);
   }
 
@@ -51,20 +51,20 @@
     }, reject);
   }
 
-  private subscribeToState(stateStore: StateServiceClient): void {
+  private subscribeToState(stateService: StateServiceClient): void {
     const { controller, inbox, subscriptions } = this;
     subscriptions.add(
-      stateStore.snapshot$.subscribe(({ rows, revision }) =>
+      stateService.snapshot$.subscribe(({ rows, revision }) =>
         inbox.enqueueControlEvent(() => controller.receiveSnapshot(rows, revision, monotonicMs())),
       ),
     );
     subscriptions.add(
-      stateStore.changes$.subscribe(({ changes, revision, asOf }) =>
+      stateService.changes$.subscribe(({ changes, revision, asOf }) =>
         inbox.enqueueControlEvent(() => controller.receiveChanges(changes, revision, asOf, monotonicMs())),
       ),
     );
     subscriptions.add(
-      stateStore.lease$.subscribe(({ leaseId, validUntil }) =>
+      stateService.lease$.subscribe(({ leaseId, validUntil }) =>
         inbox.enqueueControlEvent(() => controller.receiveLeaseState(leaseId, validUntil, monotonicMs())),
       ),
     );
--- a/packages/server/src/service.ts
+++ b/packages/server/src/service.ts
@@ -43,8 +43,9 @@
   private readonly controller: Controller;
   private readonly inbox: Inbox;
   private readonly loadShedder: LoadShedder;
-  private readonly stateStore: StateServiceClient;
+  private readonly stateService: StateServiceClient;
   private readonly cloud: CloudClient;
+  private readonly workers: WorkerClient;
   private readonly peers: PeerTransport;
   private readonly api: HttpApi;
   private readonly inputRouter: InputRouter;
@@ -61,7 +62,7 @@
     this.controller = new Controller(controllerSettings, randomUUID().slice(0, INCARNATION_LENGTH));
     this.inbox = this.createInbox();
     this.loadShedder = new LoadShedder(monotonicMs, MUTATIONS_PER_S_AND_CORE * controllerSettings.cpuShare);
-    this.stateStore = new StateServiceClient(
+    this.stateService = new StateServiceClient(
       settings.stateAddress,
       STATE_KEY_PREFIX,
       stateRequestsPerS(controllerSettings),
@@ -69,6 +70,9 @@
       CLOCK_DRIFT_FRACTION,
     );
     this.cloud = new CloudClient(settings.cloudAddress, cloudRequestsPerS(controllerSettings));
+    // All workers may come to one controller, with a connection each: those for commands, of which
+    // the longest unused are closed, must leave room for that, and for users.
+    this.workers = new WorkerClient(maxCommandSockets(settings));
     this.peers = new PeerTransport(settings.peers);
     this.api = this.createApi();
     this.inputRouter = new InputRouter(this.controller, this.inbox, this.api);
@@ -80,9 +84,9 @@
   /** Resolves once peers, users and workers can connect; rejects if an address can't be listened on. */
   async start(): Promise<void> {
     const { settings } = this;
-    this.inputRouter.subscribe(this.stateStore, this.peers);
+    this.inputRouter.subscribe(this.stateService, this.peers);
     this.subscribeLog();
-    this.stateStore.start();
+    this.stateService.start();
     const peerAddress = parseAddress(settings.peerAddress);
     await this.peers.listen(peerAddress.host, peerAddress.port);
     this.peers.start();
@@ -93,7 +97,7 @@
     this.log.started(settings.controller.name, settings.publicAddress);
   }
 
-  /** Ends timers, subscriptions and connections; those for commands to workers are left for the workers to end. */
+  /** Ends all timers, subscriptions and connections. */
   close(): void {
     this.tickTimer.close();
     this.metricsReporter.close();
@@ -102,8 +106,9 @@
     this.inbox.close();
     this.api.close();
     this.peers.close();
+    this.workers.close();
     this.cloud.close();
-    this.stateStore.close();
+    this.stateService.close();
   }
 
   private createInbox(): Inbox {
@@ -130,20 +135,17 @@
   }
 
   private createEffectExecutor(): EffectExecutor {
-    const { api, stateStore, cloud, peers, log, settings } = this;
-    // All workers may come to one controller, with a connection each: those for commands, of which
-    // the longest unused are closed, must leave room for that, and for users.
-    const workers = new WorkerClient(maxCommandSockets(settings));
-    const targets = { api, stateStore, workers, cloud, peers, log };
+    const { api, stateService, workers, cloud, peers, log, settings } = this;
+    const targets = { api, stateService, workers, cloud, peers, log };
     return new EffectExecutor(this.controller, this.inbox, targets, settings.controller.name);
   }
 
   private subscribeLog(): void {
-    const { log, logSubscriptions, peers, cloud, stateStore } = this;
+    const { log, logSubscriptions, peers, cloud, stateService } = this;
     const throttled = throttleTime<string>(UNREADABLE_LOG_INTERVAL_MS);
     logSubscriptions.add(peers.unreadable$.subscribe((problem) => log.peerMessageUnreadable(problem)));
     logSubscriptions.add(peers.unsent$.subscribe((problem) => log.peerMessageNotSent(problem)));
     logSubscriptions.add(cloud.unreadable$.pipe(throttled).subscribe((what) => log.cloudResponseUnreadable(what)));
-    logSubscriptions.add(stateStore.unreadable$.pipe(throttled).subscribe((what) => log.stateResponseUnreadable(what)));
+    logSubscriptions.add(stateService.unreadable$.pipe(throttled).subscribe((what) => log.stateResponseUnreadable(what)));
   }
 }
