--- a/packages/server/src/settings/operator-settings.ts
+++ b/packages/server/src/settings/operator-settings.ts
@@ -12,6 +12,7 @@
   max_machines: z.number().int().positive().nullish(),
 });
 
+/** The operators' file, validated and with its defaults. */
 export type OperatorSettings = z.infer<typeof operatorSchema>;
 
 /** Heartbeats after which a machine counts as silent by default: three missed, and some more for a packet sent again. */
--- a/packages/server/src/settings/platform-settings.ts
+++ b/packages/server/src/settings/platform-settings.ts
@@ -46,6 +46,7 @@
 
 const stateSchema = z.object({ ...stateLimitFields, next: announcedStateLimitsSchema.nullish() });
 
+/** The file as a whole. Its paths, such as `params.workers.lease_s`, name fields in errors. */
 export const platformSchema = z.object({
   host_name: nonEmptyString,
   location: nonEmptyString,
@@ -66,6 +67,7 @@
   }),
 });
 
+/** The platform's file, validated and with its defaults. */
 export type PlatformSettings = z.infer<typeof platformSchema>;
 
 /** Limits of the state service as the file names them. */
