--- /dev/null
+++ b/packages/http-api/src/heartbeat-connection.ts
@@ -0,0 +1,128 @@
+/**
+ * A connection on which a worker sends heartbeats, by far the most frequent requests. Node's HTTP server takes half as much
+ * processor time again, since it makes streams of each request and response. Here the parser is fed directly, and a
+ * response is one write.
+ */
+import type net from 'node:net';
+import { MAX_BODY_BYTES, PATHS } from '@archpost/protocol';
+import { HTTPParser } from 'http-parser-js';
+import { encodeResponse, type HttpResponse, type Responder } from './responder.js';
+
+/** The request line of a heartbeat. Requests that begin otherwise are left to Node's HTTP server. */
+const HEARTBEAT_REQUEST_LINE = Buffer.from(`POST ${PATHS.report} HTTP/1.1\r\n`, 'latin1');
+
+/** The connection is closed if a request isn't complete, or a response isn't received, after this long. */
+export const REQUEST_TIMEOUT_MS = 10_000;
+
+/** The connection is closed if no request begins for this long. */
+export const IDLE_TIMEOUT_MS = 75_000;
+
+/** Whether the first bytes of a request are those of a heartbeat; a request line that comes in pieces doesn't count. */
+export function startsHeartbeat(chunk: Buffer): boolean {
+  const { length } = HEARTBEAT_REQUEST_LINE;
+  return chunk.length >= length && chunk.compare(HEARTBEAT_REQUEST_LINE, 0, length, 0, length) === 0;
+}
+
+/** What a connection hands on. */
+export interface HeartbeatConnectionOptions {
+  /** a whole heartbeat was received and waits for its response; null: its body is too large */
+  onHeartbeat(connection: HeartbeatConnection, body: Buffer | null): void;
+  /** another request begins with this chunk; the connection no longer uses the socket */
+  onOtherRequest(socket: net.Socket, chunk: Buffer): void;
+}
+
+/** Owns its socket until the socket closes or is handed over. */
+export class HeartbeatConnection implements Responder {
+  private readonly parser = new HTTPParser(HTTPParser.REQUEST);
+  private bodyChunks: Buffer[] = [];
+  private bodyBytes = 0;
+  private state: 'idle' | 'reading' | 'responding' = 'idle';
+  /** the current request asks for the connection to be closed after its response */
+  private closeRequested = false;
+  private disconnectListener: (() => void) | null = null;
+
+  constructor(
+    readonly socket: net.Socket,
+    private readonly options: HeartbeatConnectionOptions,
+  ) {
+    const { parser } = this;
+    parser[HTTPParser.kOnHeaders] = () => {};
+    parser[HTTPParser.kOnHeadersComplete] = ({ shouldKeepAlive }) => {
+      this.closeRequested = !shouldKeepAlive;
+    };
+    parser[HTTPParser.kOnBody] = (chunk, offset, length) => this.appendBody(chunk.subarray(offset, offset + length));
+    parser[HTTPParser.kOnMessageComplete] = () => this.completeRequest();
+    socket.on('data', this.receive);
+    socket.on('close', this.handleClose);
+    socket.on('error', this.destroy);
+    socket.on('timeout', this.destroy);
+  }
+
+  /** Takes bytes from the socket. The creator of this object passes on the first ones, which it has read itself. */
+  readonly receive = (chunk: Buffer): void => {
+    // Workers don't pipeline requests (PROTOCOL), so this client is no worker.
+    if (this.state === 'responding') return this.destroy();
+    if (this.state === 'idle') {
+      if (!startsHeartbeat(chunk)) return this.detach(chunk);
+      this.state = 'reading';
+      this.socket.setTimeout(REQUEST_TIMEOUT_MS);
+    }
+    if (typeof this.parser.execute(chunk) !== 'number') this.destroy();
+  };
+
+  onDisconnect(listener: () => void): void {
+    this.disconnectListener = listener;
+  }
+
+  send(response: HttpResponse): void {
+    const { socket } = this;
+    this.disconnectListener = null;
+    if (socket.destroyed || this.state !== 'responding') return;
+    const closeConnection = response.closeConnection || this.closeRequested;
+    const bytes = encodeResponse(response, closeConnection);
+    if (closeConnection) {
+      socket.end(bytes);
+      return;
+    }
+    socket.write(bytes);
+    socket.setTimeout(IDLE_TIMEOUT_MS);
+    this.state = 'idle';
+  }
+
+  /** What exceeds the limit is counted, but not kept. */
+  private appendBody(chunk: Buffer): void {
+    this.bodyBytes += chunk.length;
+    if (this.bodyBytes <= MAX_BODY_BYTES) this.bodyChunks.push(chunk);
+  }
+
+  private completeRequest(): void {
+    const { bodyChunks, bodyBytes } = this;
+    if (this.state === 'responding') return this.destroy();
+    this.state = 'responding';
+    this.bodyChunks = [];
+    this.bodyBytes = 0;
+    if (bodyBytes > MAX_BODY_BYTES) return this.options.onHeartbeat(this, null);
+    const first = bodyChunks[0];
+    this.options.onHeartbeat(this, bodyChunks.length === 1 && first ? first : Buffer.concat(bodyChunks));
+  }
+
+  private detach(chunk: Buffer): void {
+    const { socket } = this;
+    socket.off('data', this.receive);
+    socket.off('close', this.handleClose);
+    socket.off('error', this.destroy);
+    socket.off('timeout', this.destroy);
+    socket.setTimeout(0);
+    this.options.onOtherRequest(socket, chunk);
+  }
+
+  private readonly handleClose = (): void => {
+    const { disconnectListener } = this;
+    this.disconnectListener = null;
+    disconnectListener?.();
+  };
+
+  private readonly destroy = (): void => {
+    this.socket.destroy();
+  };
+}
--- /dev/null
+++ b/packages/http-api/src/http-api.ts
@@ -0,0 +1,182 @@
+/**
+ * The HTTP interface to users and workers. It decodes requests, admits or refuses them, and passes them on with an id by
+ * which their response comes back. Frequent requests (heartbeats, status queries, health checks) bypass Express.
+ */
+import type http from 'node:http';
+import type net from 'node:net';
+import { type Heartbeat, MAX_BODY_BYTES, PATHS, pack, parseHeartbeat, unpackMap } from '@archpost/protocol';
+import type express from 'express';
+import { type ClientKind, ConnectionLimiter } from './connection-limiter.js';
+import { createExpressApp } from './express-app.js';
+import { HttpListener } from './http-listener.js';
+import type { LoadShedder } from './load-shedder.js';
+import { PendingRequests } from './pending-requests.js';
+import { HttpResponder, type Responder } from './responder.js';
+
+/** A request that was admitted, with the id by which to respond to it. */
+export type ApiRequest =
+  | { kind: 'heartbeat'; id: number; heartbeat: Heartbeat }
+  /** `body`: null if it is not a map */
+  | { kind: 'submit'; id: number; body: Record<string, unknown> | null }
+  | { kind: 'statusQuery'; id: number; job: string }
+  | { kind: 'cancel'; id: number; job: string };
+
+/** The path of a status query is this and the job's id. */
+const STATUS_QUERY_PREFIX = `${PATHS.jobs}/`;
+
+/** Where a path has such a character, its job id is encoded or it is no status query: it is left to Express. */
+const NON_JOB_ID_CHARACTER = /[^\w-]/;
+
+/** Responses about health say all by their status. */
+const EMPTY_BODY = {};
+
+const OVERLOADED_BODY = { error: 'overloaded' };
+
+/** `Retry-After` of requests that are refused under load, in seconds. */
+const OVERLOADED_RETRY_S = 1;
+
+/** Owns the listening server and all connections of users and workers. */
+export class HttpApi {
+  private readonly pendingRequests = new PendingRequests();
+  private readonly app: express.Express;
+  private readonly listener: HttpListener;
+  private lastEncodedBody: unknown;
+  private lastEncodedBytes: Buffer = Buffer.alloc(0);
+
+  /**
+   * @param onRequest is called with each admitted request, whose response is given by `respond`
+   * @param isReady the answer to health checks
+   * @param onMalformedHeartbeat is called with the client's address when a heartbeat can't be decoded
+   */
+  constructor(
+    private readonly onRequest: (request: ApiRequest) => void,
+    private readonly isReady: () => boolean,
+    private readonly loadShedder: LoadShedder,
+    private readonly onMalformedHeartbeat: (from: string) => void = () => {},
+    readonly connections = new ConnectionLimiter(Number.POSITIVE_INFINITY),
+  ) {
+    this.app = createExpressApp({
+      health: (response) => this.respondHealth(response),
+      submit: (response, body) => this.submit(response, body),
+      queryStatus: (response, job) => this.queryStatus(response, job),
+      cancel: (response, job) => this.cancel(response, job),
+      reject: (response, status, error) => this.send(new HttpResponder(response), status, { error }),
+    });
+    this.listener = new HttpListener({
+      onHeartbeat: (connection, body) => this.receiveHeartbeat(connection, body, connection.socket),
+      onOtherRequest: (request, response) => this.dispatch(request, response),
+    });
+  }
+
+  /** Starts to listen; rejects if the address can't be listened on. */
+  listen(host: string, port: number): Promise<net.Server> {
+    const { server } = this.listener;
+    return new Promise((resolve, reject) => {
+      this.connections.attach(server);
+      server.once('error', reject);
+      server.listen(port, host, () => resolve(server));
+    });
+  }
+
+  /** Stops listening and destroys every connection. */
+  close(): void {
+    this.listener.close();
+  }
+
+  /**
+   * Responds to a request; nothing happens if its client has disconnected.
+   *
+   * @param body is encoded as MessagePack. The object must not change afterwards: its encoding is cached by identity
+   */
+  respond(id: number, status: number, body: unknown, retryAfterS?: number): void {
+    const pending = this.pendingRequests.take(id);
+    if (!pending) return;
+    if (pending.job !== null && status !== 503) this.loadShedder.recordAnswered(pending.job);
+    this.send(pending.responder, status, body, retryAfterS, pending.clientKind);
+  }
+
+  private dispatch(request: http.IncomingMessage, response: http.ServerResponse): void {
+    if (request.method === 'POST' && request.url === PATHS.report) this.readHeartbeat(request, response);
+    else if (request.method === 'GET' && request.url?.startsWith(STATUS_QUERY_PREFIX))
+      this.receiveStatusQuery(request, request.url, response);
+    else if (request.method === 'GET' && request.url === PATHS.up) this.respondHealth(response);
+    else if (request.url?.startsWith(PATHS.jobs) && !this.loadShedder.admitMutation()) this.rejectOverloaded(request, response);
+    else this.app(request, response);
+  }
+
+  private respondHealth(response: http.ServerResponse): void {
+    this.send(new HttpResponder(response), this.isReady() ? 200 : 503, EMPTY_BODY);
+  }
+
+  private submit(response: http.ServerResponse, bytes: Buffer | null): void {
+    const id = this.pendingRequests.add(new HttpResponder(response), 'user', null);
+    this.onRequest({ kind: 'submit', id, body: bytes && unpackMap(bytes) });
+  }
+
+  private cancel(response: http.ServerResponse, job: string): void {
+    const id = this.pendingRequests.add(new HttpResponder(response), 'user', null);
+    this.onRequest({ kind: 'cancel', id, job });
+  }
+
+  /** Reads a heartbeat on a connection that began with another request, so that Node's HTTP server serves it. */
+  private readHeartbeat(request: http.IncomingMessage, response: http.ServerResponse): void {
+    const chunks: Buffer[] = [];
+    let size = 0;
+    request.on('data', (chunk: Buffer) => {
+      size += chunk.length;
+      if (size <= MAX_BODY_BYTES) chunks.push(chunk);
+    });
+    request.on('end', () => {
+      const body = size <= MAX_BODY_BYTES ? Buffer.concat(chunks) : null;
+      this.receiveHeartbeat(new HttpResponder(response), body, request.socket);
+    });
+  }
+
+  /** `bytes`: null if the body is too large. */
+  private receiveHeartbeat(responder: Responder, bytes: Buffer | null, socket: net.Socket): void {
+    const body = bytes && unpackMap(bytes);
+    const heartbeat = body && parseHeartbeat(body);
+    if (!heartbeat) {
+      this.onMalformedHeartbeat(`${socket.remoteAddress}`);
+      return this.send(responder, 400, { error: 'not a report' }, undefined, 'worker');
+    }
+    this.onRequest({ kind: 'heartbeat', id: this.pendingRequests.add(responder, 'worker', null), heartbeat });
+  }
+
+  /**
+   * Serves plain paths without Express, which would cost each query several times what is done for it: at times there are
+   * eight times as many as usual.
+   */
+  private receiveStatusQuery(request: http.IncomingMessage, path: string, response: http.ServerResponse): void {
+    const job = path.slice(STATUS_QUERY_PREFIX.length);
+    if (NON_JOB_ID_CHARACTER.test(job)) return this.app(request, response);
+    request.resume();
+    this.queryStatus(response, job);
+  }
+
+  private queryStatus(response: http.ServerResponse, job: string): void {
+    const responder = new HttpResponder(response);
+    if (this.loadShedder.admitStatusQuery(job))
+      this.onRequest({ kind: 'statusQuery', id: this.pendingRequests.add(responder, 'user', job), job });
+    else this.send(responder, 503, OVERLOADED_BODY, OVERLOADED_RETRY_S);
+  }
+
+  private rejectOverloaded(request: http.IncomingMessage, response: http.ServerResponse): void {
+    request.resume();
+    this.send(new HttpResponder(response), 503, OVERLOADED_BODY, OVERLOADED_RETRY_S);
+  }
+
+  private send(responder: Responder, status: number, body: unknown, retryAfterS?: number, clientKind: ClientKind = 'user'): void {
+    const closeConnection = !this.connections.mayKeepAlive(clientKind);
+    responder.send({ status, body: this.encodeBody(body), retryAfterS, closeConnection });
+  }
+
+  /** Consecutive queries about one job get the same body object, so its encoding is reused. */
+  private encodeBody(body: unknown): Buffer {
+    if (body !== this.lastEncodedBody) {
+      this.lastEncodedBody = body;
+      this.lastEncodedBytes = pack(body);
+    }
+    return this.lastEncodedBytes;
+  }
+}
--- /dev/null
+++ b/packages/http-api/src/http-listener.ts
@@ -0,0 +1,77 @@
+/**
+ * The listening server. By the first bytes of a connection it decides who serves it: a `HeartbeatConnection` if they are a
+ * heartbeat's, Node's HTTP server otherwise.
+ */
+import http from 'node:http';
+import net from 'node:net';
+import { HeartbeatConnection, IDLE_TIMEOUT_MS, REQUEST_TIMEOUT_MS, startsHeartbeat } from './heartbeat-connection.js';
+
+/** What the listener hands on. */
+export interface HttpListenerOptions {
+  /** a whole heartbeat was received; null: its body is too large */
+  onHeartbeat(connection: HeartbeatConnection, body: Buffer | null): void;
+  /** any other request */
+  onOtherRequest(request: http.IncomingMessage, response: http.ServerResponse): void;
+}
+
+/** Owns the listening socket, Node's HTTP server behind it, and every connection that either has. */
+export class HttpListener {
+  /** accepts all connections */
+  readonly server: net.Server;
+  private readonly httpServer: http.Server;
+  private readonly openSockets = new Set<net.Socket>();
+
+  /** @param requestTimeoutMs connections on which no whole request has come for this long are closed */
+  constructor(
+    private readonly options: HttpListenerOptions,
+    private readonly requestTimeoutMs = REQUEST_TIMEOUT_MS,
+  ) {
+    this.httpServer = http.createServer({ connectionsCheckingInterval: requestTimeoutMs / 2 }, options.onOtherRequest);
+    this.httpServer.keepAliveTimeout = IDLE_TIMEOUT_MS;
+    this.httpServer.requestTimeout = requestTimeoutMs;
+    this.httpServer.headersTimeout = requestTimeoutMs;
+    this.httpServer.timeout = IDLE_TIMEOUT_MS;
+    // It never listens itself, but Node starts to check for incomplete requests only on this event.
+    this.httpServer.emit('listening');
+    this.server = net.createServer({ noDelay: true }, (socket) => this.accept(socket));
+  }
+
+  /** Stops listening and destroys every connection. */
+  close(): void {
+    this.server.close();
+    this.httpServer.close();
+    for (const socket of this.openSockets) socket.destroy();
+  }
+
+  /** Waits for the first bytes of a connection, which decide who serves it. */
+  private accept(socket: net.Socket): void {
+    this.openSockets.add(socket);
+    socket.once('close', () => this.openSockets.delete(socket));
+    const destroy = () => socket.destroy();
+    socket.on('error', destroy);
+    socket.setTimeout(this.requestTimeoutMs, destroy);
+    socket.once('data', (chunk: Buffer) => {
+      socket.off('error', destroy);
+      socket.off('timeout', destroy);
+      if (startsHeartbeat(chunk)) this.attachHeartbeatConnection(socket, chunk);
+      else this.handOverToHttpServer(socket, chunk);
+    });
+  }
+
+  private attachHeartbeatConnection(socket: net.Socket, chunk: Buffer): void {
+    const connection = new HeartbeatConnection(socket, {
+      onHeartbeat: (from, body) => this.options.onHeartbeat(from, body),
+      onOtherRequest: (detached, first) => this.handOverToHttpServer(detached, first),
+    });
+    connection.receive(chunk);
+  }
+
+  private handOverToHttpServer(socket: net.Socket, chunk: Buffer): void {
+    socket.pause();
+    socket.setTimeout(0);
+    socket.unshift(chunk);
+    this.httpServer.emit('connection', socket);
+    // The HTTP server's parser reads the bytes that were put back before any new ones.
+    process.nextTick(() => socket.resume());
+  }
+}
--- /dev/null
+++ b/packages/http-api/src/load-shedder.ts
@@ -0,0 +1,102 @@
+/**
+ * Load shedding: decides which requests of users are refused when the process can't serve all of them. The measure of load
+ * is how late timers fire, because that includes whatever else takes the processor.
+ */
+import { TokenBucket } from './token-bucket.js';
+
+/** With timers this late, status queries about recently answered jobs are refused. */
+const BUSY_DELAY_MS = 150;
+
+/** With timers this late, workers' heartbeats are delayed too, and only queries about starved jobs are admitted. */
+const OVERLOAD_DELAY_MS = 500;
+
+/** A job whose status this controller told within this time is recently answered; users ask every 5 s. */
+const RECENTLY_ANSWERED_MS = 4000;
+
+/**
+ * A job whose status this controller hasn't told for this long is starved, and queries about it are admitted even under
+ * overload: a job without any answer for 75 s counts as forgotten, and other controllers may be overloaded as well.
+ */
+const STARVED_MS = 20_000;
+
+/** Queries about starved jobs that are admitted a second under overload. */
+const STARVED_QUERIES_PER_S = 8;
+
+/**
+ * Status queries are refused first, and fairly: those about recently answered jobs, so that no job goes without an answer
+ * for long. Mutations (submissions and cancellations) are refused only when workers' heartbeats are delayed, and a few a
+ * second are admitted even then: a client repeats what was refused, which costs nearly as much as serving it.
+ */
+export class LoadShedder {
+  /** how late timers fire; the worst delay counts for a while */
+  private timerDelayMs = 0;
+  /** when this controller last told a job's status, by job id; starved jobs are removed */
+  private readonly answeredAt = new Map<string, number>();
+  private sweptAt = 0;
+  private readonly starvedQueryBucket: TokenBucket;
+  private readonly mutationBucket: TokenBucket;
+  private rejectedStatusQueries = 0;
+  private rejectedMutations = 0;
+
+  /**
+   * @param clock milliseconds of a monotonic clock
+   * @param mutationsPerS submissions and cancellations that are admitted a second under overload
+   */
+  constructor(
+    private readonly clock: () => number,
+    mutationsPerS = 0,
+  ) {
+    this.starvedQueryBucket = new TokenBucket(STARVED_QUERIES_PER_S, clock);
+    this.mutationBucket = new TokenBucket(mutationsPerS, clock);
+  }
+
+  /** Records that a timer fired this late. Half of the worst delay so far is forgotten with each call. */
+  recordTimerDelay(ms: number): void {
+    this.timerDelayMs = Math.max(ms, this.timerDelayMs / 2);
+  }
+
+  /** Whether timers are so late that workers' heartbeats are delayed. */
+  get isOverloaded(): boolean {
+    return this.timerDelayMs > OVERLOAD_DELAY_MS;
+  }
+
+  /** Whether to serve a submission or cancellation; counts it as rejected if not. */
+  admitMutation(): boolean {
+    if (!this.isOverloaded || this.mutationBucket.take()) return true;
+    this.rejectedMutations++;
+    return false;
+  }
+
+  /** Whether to serve a query about this job; counts it as rejected if not. */
+  admitStatusQuery(job: string): boolean {
+    const now = this.clock();
+    if (now - this.sweptAt > STARVED_MS) this.forgetStaleAnswers(now);
+    if (this.timerDelayMs <= BUSY_DELAY_MS || this.isDueForAnswer(now - (this.answeredAt.get(job) ?? Number.NEGATIVE_INFINITY)))
+      return true;
+    this.rejectedStatusQueries++;
+    return false;
+  }
+
+  /** Records that a query about this job is being answered. */
+  recordAnswered(job: string): void {
+    this.answeredAt.set(job, this.clock());
+  }
+
+  /** How many requests were rejected since the last call. */
+  takeRejectedCounts(): { statusQueries: number; mutations: number } {
+    const rejected = { statusQueries: this.rejectedStatusQueries, mutations: this.rejectedMutations };
+    this.rejectedStatusQueries = 0;
+    this.rejectedMutations = 0;
+    return rejected;
+  }
+
+  private isDueForAnswer(unansweredMs: number): boolean {
+    if (!this.isOverloaded) return unansweredMs > RECENTLY_ANSWERED_MS;
+    return unansweredMs >= STARVED_MS && this.starvedQueryBucket.take();
+  }
+
+  private forgetStaleAnswers(now: number): void {
+    this.sweptAt = now;
+    for (const [job, at] of this.answeredAt) if (now - at > STARVED_MS) this.answeredAt.delete(job);
+  }
+}
--- a/packages/http-api/src/responder.ts
+++ b/packages/http-api/src/responder.ts
@@ -1,48 +1,49 @@
-/** Where the answer to a request goes, whichever way the request came. */
+/** Ways to send a response, by Node's HTTP server or straight to a socket. */
 import http from 'node:http';
 
-/** What is answered. The body is MessagePack. */
-export interface Answer {
+/** A response. Its body is already encoded, as MessagePack. */
+export interface HttpResponse {
   status: number;
   body: Buffer;
   retryAfterS: number | undefined;
-  /** the connection is closed once this is sent */
-  isLast: boolean;
+  /** close the connection after this response */
+  closeConnection: boolean;
 }
 
+/** Sends the response to one request. */
 export interface Responder {
-  /** Sends the answer; nothing happens if the other side is gone. */
-  send(answer: Answer): void;
-  /** Calls back when nobody waits for the answer any more. */
-  whenGone(gone: () => void): void;
+  /** Sends the response; nothing happens if the client has disconnected. */
+  send(response: HttpResponse): void;
+  /** Calls the listener when the client disconnects; it may be called after the response as well. */
+  onDisconnect(listener: () => void): void;
 }
 
-export const CONTENT_TYPE = 'application/msgpack';
+const CONTENT_TYPE = 'application/msgpack';
 
-/** A request that came by Node's HTTP server. */
+/** Responds through Node's HTTP server. */
 export class HttpResponder implements Responder {
   constructor(private readonly response: http.ServerResponse) {}
 
-  send({ status, body, retryAfterS, isLast }: Answer): void {
+  send({ status, body, retryAfterS, closeConnection }: HttpResponse): void {
     const { response } = this;
     if (response.headersSent || response.destroyed) return;
     response.statusCode = status;
     response.setHeader('content-type', CONTENT_TYPE);
     response.setHeader('content-length', body.length);
-    if (isLast) response.setHeader('connection', 'close');
+    if (closeConnection) response.setHeader('connection', 'close');
     if (retryAfterS !== undefined) response.setHeader('retry-after', String(retryAfterS));
     response.end(body);
   }
 
-  whenGone(gone: () => void): void {
-    this.response.once('close', gone);
+  onDisconnect(listener: () => void): void {
+    this.response.once('close', listener);
   }
 }
 
-/** Head and body in one piece, so that it leaves by one call. */
-export function encodeAnswer({ status, body, retryAfterS, isLast }: Answer): Buffer {
+/** Head and body of a response in one buffer, so that they are sent by one call. */
+export function encodeResponse({ status, body, retryAfterS }: HttpResponse, closeConnection: boolean): Buffer {
   const retryAfter = retryAfterS === undefined ? '' : `retry-after: ${retryAfterS}\r\n`;
-  const connection = isLast ? 'connection: close\r\n' : '';
+  const connection = closeConnection ? 'connection: close\r\n' : '';
   const head =
     `HTTP/1.1 ${status} ${http.STATUS_CODES[status] ?? ''}\r\ncontent-type: ${CONTENT_TYPE}\r\n` +
     `content-length: ${body.length}\r\n${retryAfter}${connection}\r\n`;
--- /dev/null
+++ b/packages/http-client/src/request-budget.ts
@@ -0,0 +1,48 @@
+/** Keeps this process within the request limit of a service. */
+import { sleep } from './clock.js';
+
+/** The shortest wait for a token; timers fire in steps of a few milliseconds anyway. */
+const MIN_WAIT_MS = 5;
+
+/** A token bucket that holds one second's worth of requests, and at least one. Callers wait for tokens. */
+export class RequestBudget {
+  private tokens: number;
+  private refilledAt: number;
+
+  /**
+   * @param perS requests a second
+   * @param clock milliseconds of a monotonic clock
+   */
+  constructor(
+    private readonly perS: number,
+    private readonly clock: () => number,
+  ) {
+    this.tokens = Math.max(1, perS);
+    this.refilledAt = clock();
+  }
+
+  /** Takes a token even if there is none, for requests that must not wait; later ones wait longer instead. */
+  force(): void {
+    this.refill();
+    this.tokens -= 1;
+  }
+
+  /** Takes a token if there is one, and tells whether there was. */
+  tryTake(): boolean {
+    this.refill();
+    if (this.tokens < 1) return false;
+    this.tokens -= 1;
+    return true;
+  }
+
+  /** Waits until there is a token, and takes it. */
+  async take(): Promise<void> {
+    while (!this.tryTake()) await sleep(Math.max(MIN_WAIT_MS, ((1 - this.tokens) / this.perS) * 1000));
+  }
+
+  private refill(): void {
+    const now = this.clock();
+    this.tokens = Math.min(Math.max(1, this.perS), this.tokens + ((now - this.refilledAt) / 1000) * this.perS);
+    this.refilledAt = now;
+  }
+}
--- a/packages/server/src/inbox.ts
+++ b/packages/server/src/inbox.ts
@@ -1,153 +1,202 @@
-/** An input that was not taken yet, and since when. */
-interface Waiting {
-  at: number;
+/**
+ * Queues of inputs to the controller, which takes one at a time. Under overload they are served in the order that the users
+ * asked for: heartbeats of workers, then control events, then mutations (submissions and cancellations), then status queries.
+ */
+
+/** An input that waits. */
+interface QueuedInput {
+  /** milliseconds of the inbox's clock */
+  enqueuedAt: number;
   run: () => void;
 }
 
-/** One that can be refused: its user asks again. */
-interface WaitingRequest extends Waiting {
-  refuse: () => void;
+/** An input that may be rejected, because its user repeats it. */
+interface QueuedClientRequest extends QueuedInput {
+  reject: () => void;
 }
 
-/** So long between two inputs: this process stood still, or had no processor. */
-export const PAUSE_MS = 800;
+/** With this long between two readings of the clock, the process stood still or had no processor. */
+export const PROCESS_PAUSE_MS = 800;
+
+/**
+ * The longest time spent on heartbeats, and then on control events, in one turn. On a small share of a core a backlog takes
+ * seconds, in which without this no health check would be answered and no response would leave.
+ */
+export const TIME_SLICE_MS = 100;
 
-/** What an inbox tells, and by which clock. */
+/** Mutations, and then status queries, that are served in one turn, before more urgent inputs get theirs. */
+const CLIENT_REQUESTS_PER_TURN = 4;
+
+/** The clock and the callbacks of an inbox. */
 export interface InboxOptions {
+  /** milliseconds of a monotonic clock */
   clock: () => number;
-  /** called after what waited was taken */
-  afterEach: () => void;
-  /** a user's request older than this is refused rather than carried out late */
-  staleMs: number;
-  /** this process stood still: told before anything else is taken */
-  paused?: (ms: number) => void;
-  /** an input could not be taken; the others are */
-  failed: (error: unknown) => void;
+  /** a turn is over */
+  onTurnEnd: () => void;
+  /** a mutation or status query that has waited longer than this is rejected rather than served late */
+  maxClientRequestAgeMs: number;
+  /** the process stood still for this long; called before the next input */
+  onProcessPause?: (ms: number) => void;
+  /** an input threw; the others are served all the same */
+  onError: (error: unknown) => void;
 }
 
-/**
- * So long at most for reports, and then for decisions, before connections are looked at again. On a small share of a core
- * a backlog takes seconds, in which no health check would be answered and no answer would leave.
- */
-export const SLICE_MS = 100;
+/** Inputs that were served, by queue, and those that were rejected for their age. */
+export interface ProcessedCounts {
+  heartbeats: number;
+  controlEvents: number;
+  mutations: number;
+  statusQueries: number;
+  rejected: number;
+}
 
-/** Users' requests, and then questions, that are taken before looking for anything more urgent. */
-const AT_ONCE = 4;
+const NOTHING_PROCESSED: Readonly<ProcessedCounts> = {
+  heartbeats: 0,
+  controlEvents: 0,
+  mutations: 0,
+  statusQueries: 0,
+  rejected: 0,
+};
 
-/**
- * What waits to be decided, in the order the users wish for under overload: reports of
- * workers first, then the inputs that decisions are made of, then submissions and cancellations, and
- * users' questions last.
- */
+/** Serves inputs in turns; between two turns Node's event loop handles timers and sockets. */
 export class Inbox {
-  private readonly ranks: [Waiting[], Waiting[], WaitingRequest[], WaitingRequest[]] = [[], [], [], []];
-  private scheduled = false;
-  /** when something was last taken */
-  last: number;
-  /** inputs taken since the last look, by rank, and requests refused for their age */
-  private taken = { reports: 0, decisions: 0, requests: 0, questions: 0, refused: 0 };
+  private heartbeats: QueuedInput[] = [];
+  private controlEvents: QueuedInput[] = [];
+  private readonly mutations: QueuedClientRequest[] = [];
+  private readonly statusQueries: QueuedClientRequest[] = [];
+  private nextTurn: NodeJS.Immediate | null = null;
+  private isClosed = false;
+  /** when the clock was read last, which is before each heartbeat and control event, and before client requests */
+  lastClockReading: number;
+  private processed: ProcessedCounts = { ...NOTHING_PROCESSED };
 
   constructor(private readonly options: InboxOptions) {
-    this.last = options.clock();
+    this.lastClockReading = options.clock();
   }
 
-  report(run: () => void): void {
-    this.ranks[0].push({ at: this.options.clock(), run });
-    this.wake();
+  /** Adds a heartbeat, received from its worker or forwarded by another controller. */
+  enqueueHeartbeat(run: () => void): void {
+    this.heartbeats.push({ enqueuedAt: this.options.clock(), run });
+    this.scheduleTurn();
   }
 
-  decision(run: () => void): void {
-    this.ranks[1].push({ at: this.options.clock(), run });
-    this.wake();
+  /** Adds any other input that decisions depend on: a tick, a change of the stored state, a peer's status, an outcome. */
+  enqueueControlEvent(run: () => void): void {
+    this.controlEvents.push({ enqueuedAt: this.options.clock(), run });
+    this.scheduleTurn();
   }
 
-  request(run: () => void, refuse: () => void): void {
-    this.ranks[2].push({ at: this.options.clock(), run, refuse });
-    this.wake();
+  /** Adds a submission or cancellation. `reject` is called instead of `run` if it has waited too long. */
+  enqueueMutation(run: () => void, reject: () => void): void {
+    this.mutations.push({ enqueuedAt: this.options.clock(), run, reject });
+    this.scheduleTurn();
   }
 
-  question(run: () => void, refuse: () => void): void {
-    this.ranks[3].push({ at: this.options.clock(), run, refuse });
-    this.wake();
+  /** Adds a query about a job's status; `reject` is as for mutations. */
+  enqueueStatusQuery(run: () => void, reject: () => void): void {
+    this.statusQueries.push({ enqueuedAt: this.options.clock(), run, reject });
+    this.scheduleTurn();
   }
 
-  counts(): Inbox['taken'] {
-    const taken = this.taken;
-    this.taken = { reports: 0, decisions: 0, requests: 0, questions: 0, refused: 0 };
-    return taken;
+  /** How many inputs were served and rejected since the last call. */
+  takeProcessedCounts(): ProcessedCounts {
+    const { processed } = this;
+    this.processed = { ...NOTHING_PROCESSED };
+    return processed;
   }
 
-  private wake(): void {
-    if (this.scheduled) return;
-    this.scheduled = true;
-    setImmediate(() => this.drain());
+  /** How long the oldest heartbeat or control event has waited, in milliseconds; 0 if none waits. */
+  get queueDelayMs(): number {
+    const oldest = Math.min(
+      this.heartbeats[0]?.enqueuedAt ?? Number.POSITIVE_INFINITY,
+      this.controlEvents[0]?.enqueuedAt ?? Number.POSITIVE_INFINITY,
+    );
+    return Math.max(0, this.options.clock() - oldest);
   }
 
-  /** How long the oldest report or decision has waited. */
-  get waitedMs(): number {
-    const oldest = Math.min(this.ranks[0][0]?.at ?? Number.POSITIVE_INFINITY, this.ranks[1][0]?.at ?? Number.POSITIVE_INFINITY);
-    return Math.max(0, this.options.clock() - oldest);
+  /** Ends the turns; inputs that wait, and those that are added later, are dropped. */
+  close(): void {
+    this.isClosed = true;
+    if (this.nextTurn) clearImmediate(this.nextTurn);
+    this.nextTurn = null;
+  }
+
+  /** Serves heartbeats, then control events, each for a slice of time, and then a few mutations or status queries. */
+  runTurn(): void {
+    this.nextTurn = null;
+    this.readClock();
+    this.processed.heartbeats += this.processSlice('heartbeats');
+    this.processed.controlEvents += this.processSlice('controlEvents');
+    this.processClientRequests(this.readClock());
+    this.options.onTurnEnd();
+    if (this.hasInput) this.scheduleTurn();
+  }
+
+  private get hasInput(): boolean {
+    return (
+      this.heartbeats.length > 0 || this.controlEvents.length > 0 || this.mutations.length > 0 || this.statusQueries.length > 0
+    );
+  }
+
+  private scheduleTurn(): void {
+    if (this.nextTurn !== null || this.isClosed) return;
+    this.nextTurn = setImmediate(() => this.runTurn());
   }
 
-  /** Reports, then decisions, each for a slice of time; then a few requests before looking for more. */
-  drain(): void {
-    this.scheduled = false;
-    this.look();
-    this.taken.reports += this.takeSlice(0);
-    this.taken.decisions += this.takeSlice(1);
-    const now = this.look();
-    for (const waiting of this.ranks[2].splice(0, AT_ONCE)) this.serve(waiting, now, 'requests');
-    if (this.ranks[2].length === 0) for (const waiting of this.ranks[3].splice(0, AT_ONCE)) this.serve(waiting, now, 'questions');
-    this.options.afterEach();
-    if (this.ranks.some((list) => list.length > 0)) this.wake();
-  }
-
-  /** Takes inputs of the rank in their order, at least one, until its time is over. Returns how many. */
-  private takeSlice(rank: 0 | 1): number {
-    const list = this.ranks[rank];
-    if (list.length === 0) return 0;
-    // What comes meanwhile waits for the next turn.
-    this.ranks[rank] = [];
-    const until = this.last + SLICE_MS;
+  /** Serves inputs of one queue in their order, at least one, until the time slice is over. Returns how many. */
+  private processSlice(name: 'heartbeats' | 'controlEvents'): number {
+    const queue = this[name];
+    if (queue.length === 0) return 0;
+    // Inputs that are added meanwhile wait for the next turn.
+    this[name] = [];
+    const deadline = this.lastClockReading + TIME_SLICE_MS;
     let count = 0;
-    for (const { run } of list) {
-      if (this.look() > until && count > 0) break;
-      this.take(run);
+    for (const { run } of queue) {
+      if (this.readClock() > deadline && count > 0) break;
+      this.runInput(run);
       count++;
     }
-    if (count < list.length) this.ranks[rank] = [...list.slice(count), ...this.ranks[rank]];
+    if (count < queue.length) this[name] = [...queue.slice(count), ...this[name]];
     return count;
   }
 
-  /** One that fails must not cost those that wait behind it: what they bring comes once. */
-  private take(run: () => void): void {
+  /** Serves a few mutations, and a few status queries if no mutation waits any more. */
+  private processClientRequests(now: number): void {
+    for (const request of this.mutations.splice(0, CLIENT_REQUESTS_PER_TURN))
+      this.processClientRequest(request, now, 'mutations');
+    if (this.mutations.length > 0) return;
+    for (const request of this.statusQueries.splice(0, CLIENT_REQUESTS_PER_TURN))
+      this.processClientRequest(request, now, 'statusQueries');
+  }
+
+  private processClientRequest(request: QueuedClientRequest, now: number, queue: 'mutations' | 'statusQueries'): void {
+    if (now - request.enqueuedAt > this.options.maxClientRequestAgeMs) {
+      this.processed.rejected++;
+      request.reject();
+    } else {
+      this.processed[queue]++;
+      this.runInput(request.run);
+    }
+  }
+
+  /** An input that throws must not take those behind it along: most of them come only once. */
+  private runInput(run: () => void): void {
     try {
       run();
     } catch (error) {
-      this.options.failed(error);
+      this.options.onError(error);
     }
   }
 
   /**
-   * A timer wakes this every tenth of a second. Where far more time has passed, the process
-   * stood still, and whatever comes first afterwards (a timer, a report, an answer) must find
-   * its times put in order.
+   * Ticks come every tenth of a second, so if far more time has passed, the process stood still. The controller has to
+   * adjust its times before the next input, whichever comes first (a tick, a heartbeat, an outcome).
    */
-  private look(): number {
+  private readClock(): number {
     const now = this.options.clock();
-    const gap = now - this.last;
-    this.last = now;
-    if (gap > PAUSE_MS) this.options.paused?.(gap);
+    const gap = now - this.lastClockReading;
+    this.lastClockReading = now;
+    if (gap > PROCESS_PAUSE_MS) this.options.onProcessPause?.(gap);
     return now;
   }
-
-  private serve(waiting: WaitingRequest, now: number, rank: 'requests' | 'questions'): void {
-    if (now - waiting.at > this.options.staleMs) {
-      this.taken.refused++;
-      waiting.refuse();
-    } else {
-      this.taken[rank]++;
-      this.take(waiting.run);
-    }
-  }
 }
