--- a/packages/controller/src/capacity/autoscaler.ts
+++ b/packages/controller/src/capacity/autoscaler.ts
@@ -20,33 +20,33 @@
 }
 
 /** Work of the lowest rank that found no room for so long gets ordinary machines too. */
-const LOW_RANK_S = 60;
+const LOWEST_PRIORITY_WAIT_S = 60;
 
 /** Rentals under way at once. */
-const BOOKINGS = 3;
+const MAX_PENDING_REQUESTS = 3;
 
 /** How often the cloud is asked what there is, and the part of its requests that this may take. */
-const LIST_MS = 2000;
-const LIST_SHARE_OF_REQUESTS = 0.25;
+const MIN_LIST_INTERVAL_MS = 2000;
+const LIST_FRACTION_OF_REQUESTS = 0.25;
 
 /** What is said of a machine that was given back may be old for this long. */
-const GONE_MS = 120_000;
+const STALE_REPORT_MS = 120_000;
 
 /** A machine that was rented is in a list after this long. */
-const SHOWN_MS = 60_000;
+const MIN_LIST_VISIBILITY_MS = 60_000;
 
 /** A machine that runs and that no controller has heard is given back once a lead has listened for so long. */
-const UNHEARD_MS = 60_000;
+const UNHEARD_GRACE_MS = 60_000;
 
 /** A machine that was given back may still be listed for so long. */
-const RETURN_SHOWS_MS = 60_000;
+const RELEASE_VISIBILITY_MS = 60_000;
 
 /** Ages of the last leader's list count from here until the first list of this one. */
 const BEFORE_ANY_LIST: Milliseconds = -1;
 
 /** Machines that one demand may ask for in a round: so many, or one for each so many that there are. */
-const MOST_FOR_DEMAND = 40;
-const MACHINES_PER_PURCHASE = 25;
+const MAX_MACHINES_PER_DEMAND = 40;
+const FLEET_MACHINES_PER_REQUESTED_MACHINE = 25;
 
 interface PendingProvisioning extends InstanceKind {
   count: number;
@@ -118,7 +118,10 @@
   /** A list of many machines takes many requests, and may take a part of them only: rentals and returns need the rest. */
   private get listIntervalMs(): Milliseconds {
     const pages = Math.max(1, Math.ceil(this.listedMachines.size / MAX_MACHINES_PER_LIST));
-    return Math.max(LIST_MS, (pages * 1000) / (LIST_SHARE_OF_REQUESTS * this.context.settings.cloud.requestsPerS));
+    return Math.max(
+      MIN_LIST_INTERVAL_MS,
+      (pages * 1000) / (LIST_FRACTION_OF_REQUESTS * this.context.settings.cloud.requestsPerS),
+    );
   }
 
   /** A machine is up: how long that took says how long others may take. */
@@ -133,8 +136,8 @@
 
   /** It was given back so lately that what is said of it may be old. */
   isRecentlyReleased(machine: string, now: Milliseconds): boolean {
-    const gone = this.releasedAt.get(machine);
-    return gone !== undefined && now - gone < GONE_MS;
+    const releasedAt = this.releasedAt.get(machine);
+    return releasedAt !== undefined && now - releasedAt < STALE_REPORT_MS;
   }
 
   machineReleased(machine: string, now: Milliseconds): void {
@@ -143,7 +146,7 @@
     this.booting.delete(machine);
     // In the order in which they were last told of: the oldest come first.
     for (const [name, at] of this.releasedAt) {
-      if (now - at < GONE_MS) break;
+      if (now - at < STALE_REPORT_MS) break;
       this.releasedAt.delete(name);
     }
   }
@@ -204,7 +207,7 @@
   /** Room that is on its way: rented machines that nobody has been granted yet. */
   provisioningMachines(now: Milliseconds): InstanceKind[] {
     const result: InstanceKind[] = [];
-    const late: ListedMachine[] = [];
+    const overdue: ListedMachine[] = [];
     for (const pending of this.booting.values()) result.push(pending);
     for (const pending of this.pendingRequests.values()) for (let index = 0; index < pending.count; index++) result.push(pending);
     for (const listed of this.listedMachines.values()) {
@@ -215,9 +218,9 @@
       )
         continue;
       if (this.listedAge(listed, now) < this.bootLimitMs(listed.type, now)) result.push(listed);
-      else late.push(listed);
+      else overdue.push(listed);
     }
-    this.bootTimes.setOverdue(late);
+    this.bootTimes.setOverdue(overdue);
     return result;
   }
 
@@ -227,26 +230,29 @@
     if (now < this.nextRequestAt) return;
     const { settings, clusterState } = this.context;
     const max = settings.policy.maxMachines;
-    let held = clusterState.machines.size + this.provisioningMachines(now).length;
+    let machineCount = clusterState.machines.size + this.provisioningMachines(now).length;
     // What a wave of losses took from services is asked for at once, all kinds: a round each would
     // add seconds to the boot time that everybody waits for. For the rest one kind a round will
     // do: what comes free meanwhile need not be rented.
-    let first = true;
-    for (const gpuDemand of settings.policy.holdSpareCapacity
+    let isFirst = true;
+    for (const request of settings.policy.holdSpareCapacity
       ? this.requestsToHoldSpare(shards, now)
       : this.requestsByDemand(shards, now)) {
-      if (this.pendingRequests.size >= BOOKINGS || (max !== null && held >= max)) return;
-      if (!first && !gpuDemand.urgent) continue;
-      first = false;
-      const limit = this.isFailing(gpuDemand, now) ? 2 : MAX_MACHINES_PER_PROVISIONING;
-      const count = Math.max(1, Math.min(gpuDemand.count, limit, max === null ? MAX_MACHINES_PER_PROVISIONING : max - held));
-      held += count;
+      if (this.pendingRequests.size >= MAX_PENDING_REQUESTS || (max !== null && machineCount >= max)) return;
+      if (!isFirst && !request.urgent) continue;
+      isFirst = false;
+      const limit = this.isFailing(request, now) ? 2 : MAX_MACHINES_PER_PROVISIONING;
+      const count = Math.max(
+        1,
+        Math.min(request.count, limit, max === null ? MAX_MACHINES_PER_PROVISIONING : max - machineCount),
+      );
+      machineCount += count;
       const id = this.context.nextEffectId();
-      const request = `r-${this.leaseRevision}-${++this.requestCounter}`;
-      const { type, zone, spot } = gpuDemand;
+      const requestId = `r-${this.leaseRevision}-${++this.requestCounter}`;
+      const { type, zone, spot } = request;
       this.pendingRequests.set(id, { type, zone, spot, count, at: now });
-      this.context.log('info', 'provisioning machines', { request, type, zone, spot, count });
-      this.context.emit({ type: 'provision', id, request: { requestId: request, machineType: type, zone, spot, count } });
+      this.context.log('info', 'provisioning machines', { request: requestId, type, zone, spot, count });
+      this.context.emit({ type: 'provision', id, request: { requestId, machineType: type, zone, spot, count } });
       this.nextRequestAt = now + Math.max(300, 1000 / settings.cloud.requestsPerS);
     }
   }
@@ -269,34 +275,34 @@
       for (const machineSummary of summary.machines) {
         const machine = this.context.clusterState.machines.get(machineSummary.name);
         if (!machine?.capacity) continue;
-        const r = capacityByType.get(machine.capacity.name) ?? { all: 0, free: 0 };
-        r.all += machine.capacity.cpus;
-        r.free +=
+        const cpus = capacityByType.get(machine.capacity.name) ?? { all: 0, free: 0 };
+        cpus.all += machine.capacity.cpus;
+        cpus.free +=
           machine.capacity.gpus > 0
             ? (machine.capacity.cpus * machineSummary.freeGpus) / machine.capacity.gpus
             : machineSummary.freeCpus;
-        capacityByType.set(machine.capacity.name, r);
+        capacityByType.set(machine.capacity.name, cpus);
       }
     }
-    const unmet = [...shards.values()].flatMap((summary) => summary.demands);
-    const coming = this.provisioningMachines(now);
+    const demands = [...shards.values()].flatMap((summary) => summary.demands);
+    const arriving = this.provisioningMachines(now);
     let best: (Omit<ScaleOutRequest, 'urgent'> & { score: number }) | null = null;
     for (const option of this.instanceOptions()) {
       const pool = this.instancePool(option.type.name, option.zone, option.spot);
       if (now < pool.retryAt) continue;
-      const r = capacityByType.get(option.type.name) ?? { all: 0, free: 0 };
-      const due = coming.filter((kind) => kind.type === option.type.name).length * option.type.cpus;
-      const asked = unmet.filter(
+      const cpus = capacityByType.get(option.type.name) ?? { all: 0, free: 0 };
+      const arrivingCpus = arriving.filter((kind) => kind.type === option.type.name).length * option.type.cpus;
+      const servedDemands = demands.filter(
         (demand) => countThatFit(demand, option.type) >= 1 && matchesDemand(demand, option.type.name, option.zone, option.spot),
       );
-      const spare = (r.free + due) / Math.max(1, r.all + due);
-      if (asked.length === 0 && spare > 0.4) continue;
+      const spare = (cpus.free + arrivingCpus) / Math.max(1, cpus.all + arrivingCpus);
+      if (servedDemands.length === 0 && spare > 0.4) continue;
       const zoneCount = [...this.context.clusterState.machines.values()].filter(
         (machine) =>
           machine.capacity?.name === option.type.name &&
           this.context.clusterState.zoneNames.nameOf(machine.zoneIndex) === option.zone,
       ).length;
-      const score = asked.length * 10 - zoneCount - (option.spot ? 1 : 0);
+      const score = servedDemands.length * 10 - zoneCount - (option.spot ? 1 : 0);
       if (!best || score > best.score) best = { type: option.type.name, zone: option.zone, spot: option.spot, count: 4, score };
     }
     return best ? [{ type: best.type, zone: best.zone, spot: best.spot, count: best.count, urgent: false }] : [];
@@ -304,10 +310,10 @@
 
   /** Money is an objective: rent for what waits, the cheapest kind per task. */
   private requestsByDemand(shards: Map<number, ShardSummary>, now: Milliseconds): ScaleOutRequest[] {
-    const coming: { c: { type: string; zone: string; spot: boolean; idle?: boolean }; t: MachineType | null }[] = [
+    const arriving: { kind: { type: string; zone: string; spot: boolean; idle?: boolean }; capacity: MachineType | null }[] = [
       ...this.provisioningMachines(now),
       ...this.recentAssignments(now),
-    ].map((kind) => ({ c: kind, t: machineTypeNamed(this.context, kind.type) }));
+    ].map((kind) => ({ kind, capacity: machineTypeNamed(this.context, kind.type) }));
     // Idle machines of other shares are about to be moved to where they are wanted.
     for (const summary of shards.values()) {
       for (const machineSummary of summary.machines) {
@@ -320,47 +326,47 @@
           (machineSummary.protectedPriority >= 0 && machine.moveToShard === null)
         )
           continue;
-        coming.push({
-          c: {
+        arriving.push({
+          kind: {
             type: machine.capacity.name,
             zone: this.context.clusterState.zoneNames.nameOf(machine.zoneIndex),
             spot: false,
             idle: true,
           },
-          t: machine.capacity,
+          capacity: machine.capacity,
         });
       }
     }
-    const free = coming
-      .filter((arriving) => arriving.t)
-      .map((arriving) => ({
-        ...arriving,
-        cpus: arriving.t?.cpus ?? 0,
-        gpus: arriving.t?.gpus ?? 0,
-        memory: arriving.t?.memory ?? 0,
+    const offers = arriving
+      .filter((offer) => offer.capacity)
+      .map((offer) => ({
+        ...offer,
+        cpus: offer.capacity?.cpus ?? 0,
+        gpus: offer.capacity?.gpus ?? 0,
+        memory: offer.capacity?.memory ?? 0,
       }));
-    const wants = [...shards.values()]
+    const demands = [...shards.values()]
       .flatMap((summary) => summary.demands)
       .sort((a, b) => b.priority - a.priority || b.waitS - a.waitS);
     const cheapest = Math.min(
       ...this.instanceOptions().map((option) => (option.spot ? Number.POSITIVE_INFINITY : option.type.price / option.type.cpus)),
     );
     // All wants are fitted, on paper, into what is coming and what would be rented for them.
-    const buy = new Map<string, ScaleOutRequest>();
-    const inZone = new Map<string, number>();
+    const requests = new Map<string, ScaleOutRequest>();
+    const machinesPerZone = new Map<string, number>();
     for (const machine of this.context.clusterState.machines.values()) {
       const zone = this.context.clusterState.zoneNames.nameOf(machine.zoneIndex);
-      inZone.set(zone, (inZone.get(zone) ?? 0) + 1);
+      machinesPerZone.set(zone, (machinesPerZone.get(zone) ?? 0) + 1);
     }
-    for (const demand of wants) {
-      let left = demand.count;
+    for (const demand of demands) {
+      let remainingTasks = demand.count;
       const fill = () => {
-        for (const offer of free) {
-          if (left <= 0) return;
-          if (!matchesDemand(demand, offer.c.type, offer.c.zone, offer.c.spot)) continue;
-          if (offer.c.idle && demand.gpus === 0 && (demand.priority < 2 || (offer.t?.gpus ?? 0) > 0)) continue;
-          const count = Math.min(left, countThatFit(demand, offer));
-          left -= count;
+        for (const offer of offers) {
+          if (remainingTasks <= 0) return;
+          if (!matchesDemand(demand, offer.kind.type, offer.kind.zone, offer.kind.spot)) continue;
+          if (offer.kind.idle && demand.gpus === 0 && (demand.priority < 2 || (offer.capacity?.gpus ?? 0) > 0)) continue;
+          const count = Math.min(remainingTasks, countThatFit(demand, offer));
+          remainingTasks -= count;
           offer.cpus -= count * demand.cpus;
           offer.gpus -= count * demand.gpus;
           offer.memory -= count * demand.memory;
@@ -368,45 +374,51 @@
       };
       fill();
       if (demand.waitS < 1) continue;
-      for (let more = 0; left > 0 && more < this.maxMachinesPerDemand; more++) {
-        const option = this.cheapestFor(demand, left, cheapest, inZone, now);
+      for (let more = 0; remainingTasks > 0 && more < this.maxMachinesPerDemand; more++) {
+        const option = this.cheapestFor(demand, remainingTasks, cheapest, machinesPerZone, now);
         if (!option) break;
         const kind = { type: option.type.name, zone: option.zone, spot: option.spot };
         const key = instanceKindKey(kind);
-        const request = buy.get(key) ?? { ...kind, count: 0, urgent: false };
+        const request = requests.get(key) ?? { ...kind, count: 0, urgent: false };
         request.count++;
         request.urgent ||= demand.priority >= HIGHEST_PRIORITY;
-        buy.set(key, request);
-        inZone.set(kind.zone, (inZone.get(kind.zone) ?? 0) + 1);
-        free.push({ c: kind, t: option.type, cpus: option.type.cpus, gpus: option.type.gpus, memory: option.type.memory });
+        requests.set(key, request);
+        machinesPerZone.set(kind.zone, (machinesPerZone.get(kind.zone) ?? 0) + 1);
+        offers.push({ kind, capacity: option.type, cpus: option.type.cpus, gpus: option.type.gpus, memory: option.type.memory });
         fill();
       }
     }
-    return [...buy.values()];
+    return [...requests.values()];
   }
 
   /** A wave of losses takes a part of all machines: what one demand may ask for in a round grows with them. */
   private get maxMachinesPerDemand(): number {
-    return Math.max(MOST_FOR_DEMAND, this.context.clusterState.machines.size / MACHINES_PER_PURCHASE);
+    return Math.max(MAX_MACHINES_PER_DEMAND, this.context.clusterState.machines.size / FLEET_MACHINES_PER_REQUESTED_MACHINE);
   }
 
   /** By then a rented machine is in a list, if it is there: some lists are as late as twice the lag. */
   private get listVisibilityMs(): Milliseconds {
-    return Math.max(SHOWN_MS, 2 * this.listIntervalMs + 2000 * this.context.settings.cloud.listLagS);
+    return Math.max(MIN_LIST_VISIBILITY_MS, 2 * this.listIntervalMs + 2000 * this.context.settings.cloud.listLagS);
   }
 
   private isFailing(kind: InstanceKind, now: Milliseconds): boolean {
-    const fails = this.bootTimes.isFailing(kind, this.bootLimitMs(kind.type, now), now);
+    const isFailing = this.bootTimes.isFailing(kind, this.bootLimitMs(kind.type, now), now);
     const name = instanceKindKey(kind);
-    if (fails === this.failingKinds.has(name)) return fails;
-    if (fails) this.failingKinds.add(name);
+    if (isFailing === this.failingKinds.has(name)) return isFailing;
+    if (isFailing) this.failingKinds.add(name);
     else this.failingKinds.delete(name);
-    this.context.log('info', fails ? 'instance kind fails to boot' : 'instance kind boots again', { ...kind });
-    return fails;
+    this.context.log('info', isFailing ? 'instance kind fails to boot' : 'instance kind boots again', { ...kind });
+    return isFailing;
   }
 
   /** The kind of machine that serves most of these tasks for the money, if any is worth it. */
-  private cheapestFor(demand: ResourceDemand, left: number, cheapest: number, inZone: Map<string, number>, now: Milliseconds) {
+  private cheapestFor(
+    demand: ResourceDemand,
+    remainingTasks: number,
+    cheapest: number,
+    machinesPerZone: Map<string, number>,
+    now: Milliseconds,
+  ) {
     let best: { type: MachineType; zone: string; spot: boolean; score: number } | null = null;
     for (const option of this.instanceOptions()) {
       const count = countThatFit(demand, option.type);
@@ -423,13 +435,18 @@
         continue;
       // The lowest rank lives on what is idle and what is cheap; an ordinary machine only so that it
       // begins at all, and none with accelerators.
-      const dear = hourlyPrice / option.type.cpus > (option.type.gpus > 0 ? 1 : 3) * cheapest;
-      if (demand.priority === 0 && demand.gpus === 0 && (dear || (!option.spot && demand.waitS < LOW_RANK_S))) continue;
+      const isExpensive = hourlyPrice / option.type.cpus > (option.type.gpus > 0 ? 1 : 3) * cheapest;
+      if (demand.priority === 0 && demand.gpus === 0 && (isExpensive || (!option.spot && demand.waitS < LOWEST_PRIORITY_WAIT_S)))
+        continue;
       // What boots in a zone that is cut off is of no use until the cut is over.
-      const late = this.isZoneCut(option.zone) ? 10 : 1;
+      const cutZoneFactor = this.isZoneCut(option.zone) ? 10 : 1;
       // Where boots fail, what boots well is worth more, while there is any.
-      const fails = this.isFailing({ type: option.type.name, zone: option.zone, spot: option.spot }, now) ? 2 : 1;
-      const score = (hourlyPrice / Math.min(count, left)) * (1 + 0.001 * (inZone.get(option.zone) ?? 0)) * late * fails;
+      const failingFactor = this.isFailing({ type: option.type.name, zone: option.zone, spot: option.spot }, now) ? 2 : 1;
+      const score =
+        (hourlyPrice / Math.min(count, remainingTasks)) *
+        (1 + 0.001 * (machinesPerZone.get(option.zone) ?? 0)) *
+        cutZoneFactor *
+        failingFactor;
       if (!best || score < best.score) best = { ...option, score };
     }
     return best;
@@ -474,20 +491,20 @@
   /** Machines that never come up, or that failed and nobody has been granted, go back. */
   releaseOverdue(now: Milliseconds): void {
     if (this.pendingReleases.size > 0) return;
-    const back: string[] = [];
+    const overdue: string[] = [];
     for (const listed of this.listedMachines.values()) {
       if (this.context.clusterState.machines.has(listed.machine) || this.isBeingAssigned(listed.machine)) continue;
-      const gone = this.releasedAt.get(listed.machine);
-      if (gone !== undefined && now - gone < RETURN_SHOWS_MS) continue;
-      if (this.isOverdue(listed, now)) back.push(listed.machine);
+      const releasedAt = this.releasedAt.get(listed.machine);
+      if (releasedAt !== undefined && now - releasedAt < RELEASE_VISIBILITY_MS) continue;
+      if (this.isOverdue(listed, now)) overdue.push(listed.machine);
     }
     for (const [name, pending] of this.booting) if (now - pending.at > this.listVisibilityMs) this.booting.delete(name);
-    if (back.length === 0) return;
-    const some = back.slice(0, MAX_MACHINES_PER_RELEASE);
+    if (overdue.length === 0) return;
+    const machines = overdue.slice(0, MAX_MACHINES_PER_RELEASE);
     const id = this.context.nextEffectId();
-    this.pendingReleases.set(id, some);
-    this.context.log('info', 'releasing machines that never booted', { machines: some });
-    this.context.emit({ type: 'release', id, machines: some });
+    this.pendingReleases.set(id, machines);
+    this.context.log('info', 'releasing machines that never booted', { machines });
+    this.context.emit({ type: 'release', id, machines });
   }
 
   /**
@@ -498,7 +515,7 @@
   private isOverdue(listed: ListedMachine, now: Milliseconds): boolean {
     if (listed.state === 'failed') return true;
     if (this.listedAge(listed, now) <= 2 * this.bootLimitMs(listed.type, now)) return false;
-    return listed.state !== 'running' || now - this.leadingSince > UNHEARD_MS;
+    return listed.state !== 'running' || now - this.leadingSince > UNHEARD_GRACE_MS;
   }
 
   handleReleaseOutcome(id: number, isReleased: boolean, now: Milliseconds): boolean {
--- a/packages/controller/src/capacity/boot-time-estimator.ts
+++ b/packages/controller/src/capacity/boot-time-estimator.ts
@@ -2,40 +2,40 @@
 import { type InstanceKind, instanceKindKey } from './demand.js';
 
 /** PROTOCOL: boots usually take up to one and a half times what the cloud names. */
-const USUAL = 1.6;
+const EXPECTED_BOOT_FACTOR = 1.6;
 
 /** What took longer lately may take longer again, by so much. */
-const SPARE = 1.3;
+const OBSERVED_BOOT_FACTOR = 1.3;
 
 /** Boots that ended within this time say how it stands; later ones of the kind may be better again. */
-const RECENT_MS = 180_000;
+const OBSERVATION_WINDOW_MS = 180_000;
 
 /** So many of a kind late, and none that came up, mean that the kind fails. */
-const FAILING = 2;
+const MIN_OVERDUE_TO_FAIL = 2;
 
 /**
  * How long machines take to come up, by what their types took lately: boots can be late for
  * all, for some, or never end.
  */
 export class BootTimeEstimator {
-  private readonly recent = new Map<string, { at: Milliseconds; ms: Milliseconds }[]>();
+  private readonly recentBoots = new Map<string, { at: Milliseconds; durationMs: Milliseconds }[]>();
   private readonly lastBootAt = new Map<string, Milliseconds>();
   private readonly overdueByKind = new Map<string, number>();
 
   /** One came up that long after it was asked for. */
-  recordBoot(kind: InstanceKind, ms: Milliseconds, now: Milliseconds): void {
-    const list = (this.recent.get(kind.type) ?? []).filter((incarnation) => now - incarnation.at < RECENT_MS);
-    list.push({ at: now, ms });
-    this.recent.set(kind.type, list.slice(-20));
+  recordBoot(kind: InstanceKind, durationMs: Milliseconds, now: Milliseconds): void {
+    const boots = (this.recentBoots.get(kind.type) ?? []).filter((boot) => now - boot.at < OBSERVATION_WINDOW_MS);
+    boots.push({ at: now, durationMs });
+    this.recentBoots.set(kind.type, boots.slice(-20));
     this.lastBootAt.set(instanceKindKey(kind), now);
   }
 
   /** One that isn't up after this long is late: it is counted on no more. */
   limitMs(type: string, bootS: number, now: Milliseconds): Milliseconds {
-    let limit = USUAL * bootS * 1000;
-    for (const incarnation of this.recent.get(type) ?? [])
-      if (now - incarnation.at < RECENT_MS) limit = Math.max(limit, SPARE * incarnation.ms);
-    return Math.min(limit, 3 * USUAL * bootS * 1000);
+    let limit = EXPECTED_BOOT_FACTOR * bootS * 1000;
+    for (const boot of this.recentBoots.get(type) ?? [])
+      if (now - boot.at < OBSERVATION_WINDOW_MS) limit = Math.max(limit, OBSERVED_BOOT_FACTOR * boot.durationMs);
+    return Math.min(limit, 3 * EXPECTED_BOOT_FACTOR * bootS * 1000);
   }
 
   /** The machines that are late, of the kind of each. */
@@ -48,7 +48,7 @@
   /** Several are late and none has come up for as long as that: others are preferred meanwhile. */
   isFailing(kind: InstanceKind, limitMs: Milliseconds, now: Milliseconds): boolean {
     return (
-      (this.overdueByKind.get(instanceKindKey(kind)) ?? 0) >= FAILING &&
+      (this.overdueByKind.get(instanceKindKey(kind)) ?? 0) >= MIN_OVERDUE_TO_FAIL &&
       now - (this.lastBootAt.get(instanceKindKey(kind)) ?? NEVER) > limitMs
     );
   }
--- a/packages/controller/src/capacity/machine-assigner.ts
+++ b/packages/controller/src/capacity/machine-assigner.ts
@@ -9,22 +9,22 @@
 import { ShardBalance } from './shard-balance.js';
 
 /** A granted machine is probed, planned for and told of within this time. */
-const GRANT_SHOWS_MS = 1500;
+const ASSIGNMENT_VISIBILITY_MS = 1500;
 
 /** A machine that was last heard longer ago isn't granted: it may be gone. */
-const HEARD_MS = 4000;
+const MAX_HEARTBEAT_AGE_MS = 4000;
 
 /** What a peer told longer ago isn't counted on. */
-const PEER_TOLD_MS = 5000;
+const MAX_PEER_STATUS_AGE_MS = 5000;
 
-const GRANT_EXPIRES_MS = 8000;
+const ASSIGNMENT_EXPIRES_MS = 8000;
 
 /** What the machine assigner needs of its controller. */
 type MachineAssignerContext = SettingsView & ClusterStateView & StateWriting & PeerDirectory;
 
 export class MachineAssigner {
-  private readonly unassignedMachines = new Map<string, { stranger: UnassignedMachine; at: Milliseconds }>();
-  private readonly writing = new Set<string>();
+  private readonly unassignedMachines = new Map<string, { machine: UnassignedMachine; at: Milliseconds }>();
+  private readonly pendingWrites = new Set<string>();
   private readonly recentAssignments = new Map<string, RecentAssignment>();
 
   constructor(
@@ -33,25 +33,25 @@
   ) {}
 
   machineReported(unassigned: UnassignedMachine, now: Milliseconds): void {
-    this.unassignedMachines.set(unassigned.machine, { stranger: unassigned, at: now });
+    this.unassignedMachines.set(unassigned.machine, { machine: unassigned, at: now });
   }
 
   /** Machines without a grant that reported here lately. */
   recentlyReported(now: Milliseconds): UnassignedMachine[] {
     for (const [name, { at }] of this.unassignedMachines)
-      if (now - at > HEARD_MS || this.context.clusterState.machines.has(name)) this.unassignedMachines.delete(name);
-    return [...this.unassignedMachines.values()].map(({ stranger: unassigned }) => unassigned);
+      if (now - at > MAX_HEARTBEAT_AGE_MS || this.context.clusterState.machines.has(name)) this.unassignedMachines.delete(name);
+    return [...this.unassignedMachines.values()].map(({ machine: unassigned }) => unassigned);
   }
 
   /** A grant of this machine is being written. */
   isAssignmentPending(machine: string): boolean {
-    return this.writing.has(machine);
+    return this.pendingWrites.has(machine);
   }
 
   /** What was granted so lately that what its share tells doesn't show it yet. */
   recentlyAssigned(now: Milliseconds): RecentAssignment[] {
     for (const [name, assignment] of this.recentAssignments)
-      if (!this.writing.has(name) && now - assignment.at > GRANT_SHOWS_MS) this.recentAssignments.delete(name);
+      if (!this.pendingWrites.has(name) && now - assignment.at > ASSIGNMENT_VISIBILITY_MS) this.recentAssignments.delete(name);
     return [...this.recentAssignments.values()];
   }
 
@@ -82,10 +82,11 @@
   private unassigned(now: Milliseconds): Map<string, UnassignedMachine> {
     const { clusterState, peers } = this.context;
     const candidates = this.recentlyReported(now);
-    for (const peer of peers.values()) if (now - peer.heardAt < PEER_TOLD_MS) candidates.push(...peer.status.unassignedMachines);
+    for (const peer of peers.values())
+      if (now - peer.heardAt < MAX_PEER_STATUS_AGE_MS) candidates.push(...peer.status.unassignedMachines);
     const all = new Map<string, UnassignedMachine>();
     for (const unassigned of candidates) {
-      if (clusterState.machines.has(unassigned.machine) || this.writing.has(unassigned.machine)) continue;
+      if (clusterState.machines.has(unassigned.machine) || this.pendingWrites.has(unassigned.machine)) continue;
       // Else a late report of a machine that was given back.
       if (!this.autoscaler().isRecentlyReleased(unassigned.machine, now)) all.set(unassigned.machine, unassigned);
     }
@@ -98,7 +99,7 @@
     leaderRevision: number,
     now: Milliseconds,
   ): void {
-    this.writing.add(machine);
+    this.pendingWrites.add(machine);
     this.recentAssignments.set(machine, { shard, type, zone, spot, at: now });
     this.context.writer.add({
       key: StateKey.assignment(machine),
@@ -106,9 +107,9 @@
       expectedRevision: 0,
       conditions: [{ key: StateKey.shardLease('lead'), revision: leaderRevision }],
       priority: WritePriority.assignment,
-      expiresAt: now + GRANT_EXPIRES_MS,
+      expiresAt: now + ASSIGNMENT_EXPIRES_MS,
       onOutcome: () => {
-        this.writing.delete(machine);
+        this.pendingWrites.delete(machine);
         this.autoscaler().machineAssigned(machine);
       },
     });
@@ -119,10 +120,10 @@
     const { type, zone, spot } = unassigned;
     const capacity = machineTypeNamed(this.context, type);
     if (!capacity) return null;
-    const served = ({ remainingTasks: left, demand }: PendingDemand) =>
-      left > 0 && countThatFit(demand, capacity) >= 1 && matchesDemand(demand, type, zone, spot);
-    const accelerated = capacity.gpus > 0 && !spot ? waiting.find((work) => work.demand.gpus > 0 && served(work)) : undefined;
-    const work = accelerated ?? waiting.find(served);
+    const serves = ({ remainingTasks, demand }: PendingDemand) =>
+      remainingTasks > 0 && countThatFit(demand, capacity) >= 1 && matchesDemand(demand, type, zone, spot);
+    const accelerated = capacity.gpus > 0 && !spot ? waiting.find((work) => work.demand.gpus > 0 && serves(work)) : undefined;
+    const work = accelerated ?? waiting.find(serves);
     if (!work) return null;
     allocateToDemands(waiting, work.shard, unassigned, capacity);
     return work.shard;
--- a/packages/controller/src/capacity/shard-balance.ts
+++ b/packages/controller/src/capacity/shard-balance.ts
@@ -7,7 +7,7 @@
 import type { RecentAssignment } from './machine-assignment.js';
 
 /** What a team without guaranteed accelerators weighs among those that have some. */
-const LEAST_WEIGHT = 0.1;
+const MIN_GPU_WEIGHT = 0.1;
 
 export class ShardBalance {
   /** machines of each type that each share has, or is being given */
@@ -29,21 +29,24 @@
 
   /** One more machine of the type is given to the share. */
   add(type: string, shard: number): void {
-    const counts = this.of(type);
+    const counts = this.countsOf(type);
     counts[shard] = (counts[shard] ?? 0) + 1;
   }
 
   /** The share that is worst off for this type, by what its teams are guaranteed. */
   worstOff(type: string): number {
-    const counts = this.of(type);
+    const counts = this.countsOf(type);
     const weights = this.weightsFor((machineTypeNamed(this.context, type)?.gpus ?? 0) > 0);
-    const part = (shard: number) => (counts[shard] ?? 0) / (weights[shard] ?? 1);
+    const machinesPerWeight = (shard: number) => (counts[shard] ?? 0) / (weights[shard] ?? 1);
     // A share without teams has no use for machines.
-    const entitled = weights.flatMap((weight, shard) => (weight > 0 ? [shard] : []));
-    return entitled.reduce((best, shard) => (part(shard) < part(best) ? shard : best), entitled[0] ?? 0);
+    const shardsWithTeams = weights.flatMap((weight, shard) => (weight > 0 ? [shard] : []));
+    return shardsWithTeams.reduce(
+      (best, shard) => (machinesPerWeight(shard) < machinesPerWeight(best) ? shard : best),
+      shardsWithTeams[0] ?? 0,
+    );
   }
 
-  private of(type: string): number[] {
+  private countsOf(type: string): number[] {
     const known = this.counts.get(type);
     if (known) return known;
     const counts = new Array<number>(this.context.settings.shardCount).fill(0);
@@ -51,16 +54,16 @@
     return counts;
   }
 
-  private weightsFor(accelerated: boolean): number[] {
-    const known = this.weights.get(accelerated);
+  private weightsFor(hasGpus: boolean): number[] {
+    const known = this.weights.get(hasGpus);
     if (known) return known;
     const { clusterState, settings } = this.context;
     const weights = new Array<number>(settings.shardCount).fill(0);
     settings.teams.forEach((team, index) => {
       const shard = clusterState.shardOfTeam[index] ?? 0;
-      weights[shard] = (weights[shard] ?? 0) + (accelerated ? team.gpus + LEAST_WEIGHT : 1);
+      weights[shard] = (weights[shard] ?? 0) + (hasGpus ? team.gpus + MIN_GPU_WEIGHT : 1);
     });
-    this.weights.set(accelerated, weights);
+    this.weights.set(hasGpus, weights);
     return weights;
   }
 }
--- a/packages/controller/src/capacity/shard-rebalancer.ts
+++ b/packages/controller/src/capacity/shard-rebalancer.ts
@@ -8,32 +8,32 @@
 import { allocateToDemands, matchesDemand, type PendingDemand } from './demand.js';
 
 /** Work of the highest rank that waited for so many plan waits gets machines that bear firm work elsewhere. */
-const PRESSING_PLAN_WAITS = 1.5;
+const PRESSING_AFTER_PLAN_WAITS = 1.5;
 
-/** An ordered move that its owner hasn't taken up after this long was refused or is done. */
-const ORDER_SHOWS_MS = 3000;
+/** An ordered move that its holder hasn't taken up after this long was refused or is done. */
+const ORDER_VISIBILITY_MS = 3000;
 
 /**
  * A machine that was moved stays for so long, with and without work on it: going to and fro would serve nobody.
  */
-const STAYS_WITH_WORK_MS = 30_000;
-const STAYS_EMPTY_MS = 3000;
+const MIN_STAY_BUSY_MS = 30_000;
+const MIN_STAY_IDLE_MS = 3000;
 
 /** Services are displaced this often at most, for work that waited this long. */
-const DISPLACE_EACH_MS = 3000;
-const DISPLACE_AFTER_S = 3;
+const MIN_SERVICE_DISPLACEMENT_INTERVAL_MS = 3000;
+const SERVICE_DISPLACEMENT_WAIT_S = 3;
 
 /** A share keeps so many idle ordinary machines from work that may use cheap ones. */
-const KEPT_FOR_OTHERS = 3;
+const MIN_IDLE_ORDINARY_MACHINES = 3;
 
 /** A rival's work counts once it has waited this long. */
-const RIVAL_WAIT_S = 0.2;
+const MIN_COMPETING_WAIT_S = 0.2;
 
 /** Scores: what is displaced, what is stopped, and accelerators that are not needed cost this much each. */
 const COST_OF_SERVICE = 200;
-const COST_OF_BUSY = 100;
+const COST_OF_BUSY_MACHINE = 100;
 const COST_OF_TASK = 10;
-const COST_OF_ACCELERATORS = 50;
+const COST_OF_UNUSED_GPUS = 50;
 
 /** A machine that may be moved, as its owner tells of it. */
 interface Movable {
@@ -56,7 +56,7 @@
   constructor(private readonly context: ClusterStateView) {}
 
   /** Idle ordinary machines of the share, without accelerators. */
-  idle(shard: ShardSummary): number {
+  idleCount(shard: ShardSummary): number {
     const known = this.idleCounts.get(shard.shard);
     if (known !== undefined) return known;
     const { machines } = this.context.clusterState;
@@ -81,7 +81,7 @@
   constructor(private readonly context: ShardRebalancerContext) {}
 
   /** A new lead knows of no orders. */
-  reset(): void {
+  leaseAcquired(): void {
     this.orderedMoves.clear();
   }
 
@@ -95,7 +95,7 @@
   }
 
   /** The moves of a round: at most so many, for what is waiting. Calls `order` for each. */
-  plan(
+  planMoves(
     shards: Map<number, ShardSummary>,
     waiting: PendingDemand[],
     limit: number,
@@ -103,17 +103,17 @@
     now: Milliseconds,
   ): void {
     this.forgetCompletedMoves(now);
-    const taken = this.allocateOrderedMoves(waiting);
-    const movables = this.movables(shards, taken, this.highestRank(waiting), now);
+    const movingMachines = this.allocateOrderedMoves(waiting);
+    const movables = this.movables(shards, movingMachines, this.highestPriority(waiting), now);
     const view = new RoundView(this.context);
-    let left = limit;
+    let remainingMoves = limit;
     for (const work of waiting) {
-      if (left <= 0) return;
-      for (const { movable } of this.moveOptions(movables, work, taken, view, now)) {
-        if (work.remainingTasks <= 0 || left <= 0) break;
+      if (remainingMoves <= 0) return;
+      for (const { movable } of this.moveOptions(movables, work, movingMachines, view, now)) {
+        if (work.remainingTasks <= 0 || remainingMoves <= 0) break;
         const { machine, summary, capacity } = movable;
-        taken.add(machine.name);
-        left--;
+        movingMachines.add(machine.name);
+        remainingMoves--;
         work.remainingTasks -= countThatFit(work.demand, capacity);
         this.lastMoveAt.set(machine.name, now);
         this.orderedMoves.set(machine.name, now);
@@ -128,37 +128,47 @@
   private forgetCompletedMoves(now: Milliseconds): void {
     for (const [name, at] of this.orderedMoves) {
       const machine = this.context.clusterState.machines.get(name);
-      if (!machine || (machine.moveToShard === null && now - at > ORDER_SHOWS_MS)) this.orderedMoves.delete(name);
+      if (!machine || (machine.moveToShard === null && now - at > ORDER_VISIBILITY_MS)) this.orderedMoves.delete(name);
     }
   }
 
   /** What is on its way already serves the first who want it. Returns its names. */
   private allocateOrderedMoves(waiting: PendingDemand[]): Set<string> {
     const { clusterState } = this.context;
-    const taken = new Set<string>();
+    const movingMachines = new Set<string>();
     for (const name of this.orderedMoves.keys()) {
       const machine = clusterState.machines.get(name);
       if (!machine || machine.moveToShard === null || !machine.capacity) continue;
       const kind = { type: machine.capacity.name, zone: clusterState.zoneNames.nameOf(machine.zoneIndex), spot: machine.spot };
       allocateToDemands(waiting, machine.moveToShard, kind, machine.capacity);
-      taken.add(name);
+      movingMachines.add(name);
     }
-    return taken;
+    return movingMachines;
   }
 
-  private highestRank(waiting: PendingDemand[]): number {
+  private highestPriority(waiting: PendingDemand[]): number {
     return waiting.reduce((highest, { demand }) => Math.max(highest, demand.priority), -1);
   }
 
   /** Sorted out once a round, whatever waits: going over all machines for each demand was most of a round's cost. */
-  private movables(shards: Map<number, ShardSummary>, taken: Set<string>, highestRank: number, now: Milliseconds): Movable[] {
+  private movables(
+    shards: Map<number, ShardSummary>,
+    movingMachines: Set<string>,
+    highestPriority: number,
+    now: Milliseconds,
+  ): Movable[] {
     const { clusterState } = this.context;
     const movables: Movable[] = [];
     for (const shard of shards.values()) {
       for (const summary of shard.machines) {
         const machine = clusterState.machines.get(summary.name);
         if (!machine?.capacity || machine.shard !== shard.shard || machine.moveToShard !== null || machine.isRetired) continue;
-        if (taken.has(summary.name) || summary.protectedPriority >= highestRank || this.isRecentlyMoved(summary, now)) continue;
+        if (
+          movingMachines.has(summary.name) ||
+          summary.protectedPriority >= highestPriority ||
+          this.isRecentlyMoved(summary, now)
+        )
+          continue;
         movables.push({
           machine,
           summary,
@@ -173,26 +183,26 @@
 
   private isRecentlyMoved(summary: MachineSummary, now: Milliseconds): boolean {
     const since = now - (this.lastMoveAt.get(summary.name) ?? NEVER);
-    return since < (summary.tasks > 0 ? STAYS_WITH_WORK_MS : STAYS_EMPTY_MS);
+    return since < (summary.tasks > 0 ? MIN_STAY_BUSY_MS : MIN_STAY_IDLE_MS);
   }
 
   /** The machines that may be moved for the work, the one that costs least first. */
   private moveOptions(
     movables: Movable[],
     work: PendingDemand,
-    taken: Set<string>,
+    movingMachines: Set<string>,
     view: RoundView,
     now: Milliseconds,
   ): MoveOption[] {
-    const rivals = new Map<ShardSummary, boolean>();
+    const competingDemandByShard = new Map<ShardSummary, boolean>();
     const options: MoveOption[] = [];
     for (const movable of movables) {
       const { shard, machine } = movable;
-      if (shard.shard === work.shard || taken.has(machine.name)) continue;
+      if (shard.shard === work.shard || movingMachines.has(machine.name)) continue;
       if (!this.canServe(movable, work.demand, now) || this.isReserved(movable, work, view)) continue;
-      const rival = rivals.get(shard) ?? this.hasCompetingDemand(shard, work.demand);
-      rivals.set(shard, rival);
-      if (rival && this.servesOwnDemand(movable, work.demand)) continue;
+      const competes = competingDemandByShard.get(shard) ?? this.hasCompetingDemand(shard, work.demand);
+      competingDemandByShard.set(shard, competes);
+      if (competes && this.servesOwnDemand(movable, work.demand)) continue;
       options.push({ movable, score: this.score(movable, work) });
     }
     return options.sort((a, b) => a.score - b.score);
@@ -200,7 +210,10 @@
 
   private canServe({ summary, capacity, zone, machine }: Movable, demand: ResourceDemand, now: Milliseconds): boolean {
     // A machine that bears services that would have to move stays for a while.
-    if (summary.services > 0 && (demand.waitS < DISPLACE_AFTER_S || now - this.servicesDisplacedAt < DISPLACE_EACH_MS))
+    if (
+      summary.services > 0 &&
+      (demand.waitS < SERVICE_DISPLACEMENT_WAIT_S || now - this.servicesDisplacedAt < MIN_SERVICE_DISPLACEMENT_INTERVAL_MS)
+    )
       return false;
     if (summary.protectedPriority >= demand.priority || countThatFit(demand, capacity) < 1) return false;
     return matchesDemand(demand, capacity.name, zone, machine.spot);
@@ -211,7 +224,7 @@
     return shard.demands.some(
       (own) =>
         own.priority > demand.priority ||
-        (own.priority === demand.priority && (own.withinQuota || !demand.withinQuota) && own.waitS > RIVAL_WAIT_S),
+        (own.priority === demand.priority && (own.withinQuota || !demand.withinQuota) && own.waitS > MIN_COMPETING_WAIT_S),
     );
   }
 
@@ -230,7 +243,7 @@
     // Work on it gives way only to what has pressed for longer than its own share needs to clear one.
     const pressing =
       demand.priority >= HIGHEST_PRIORITY &&
-      demand.waitS > PRESSING_PLAN_WAITS * this.context.settings.policy.planWaitS &&
+      demand.waitS > PRESSING_AFTER_PLAN_WAITS * this.context.settings.policy.planWaitS &&
       work.remainingTasks * 2 >= countThatFit(demand, capacity);
     if (summary.protectedPriority >= HIGHEST_PRIORITY - 1 && !pressing) return true;
     if (demand.gpus > 0) return false;
@@ -240,7 +253,7 @@
         return true;
     }
     // Ordinary machines stay for what can't use others.
-    if (demand.spot && !machine.spot && view.idle(shard) <= KEPT_FOR_OTHERS) return true;
+    if (demand.spot && !machine.spot && view.idleCount(shard) <= MIN_IDLE_ORDINARY_MACHINES) return true;
     return capacity.gpus > 0 && demand.priority < 2 && summary.tasks > 0;
   }
 
@@ -249,9 +262,9 @@
     return this.context.clusterState.shardsWithGpuWork.has(shard.shard);
   }
 
-  private score({ summary, capacity }: Movable, { demand, remainingTasks: left }: PendingDemand): number {
-    const busy = summary.tasks > 0 ? COST_OF_BUSY + COST_OF_TASK * summary.tasks : 0;
-    const accelerators = demand.gpus === 0 && capacity.gpus > 0 ? COST_OF_ACCELERATORS : 0;
-    return summary.services * COST_OF_SERVICE + busy + accelerators - Math.min(countThatFit(demand, capacity), left);
+  private score({ summary, capacity }: Movable, { demand, remainingTasks }: PendingDemand): number {
+    const busy = summary.tasks > 0 ? COST_OF_BUSY_MACHINE + COST_OF_TASK * summary.tasks : 0;
+    const unusedGpus = demand.gpus === 0 && capacity.gpus > 0 ? COST_OF_UNUSED_GPUS : 0;
+    return summary.services * COST_OF_SERVICE + busy + unusedGpus - Math.min(countThatFit(demand, capacity), remainingTasks);
   }
 }
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -71,7 +71,7 @@
   leaseAcquired(revision: number, now: Milliseconds): void {
     this.leadingSince = now;
     this.leaseRevision = revision;
-    this.shardRebalancer.reset();
+    this.shardRebalancer.leaseAcquired();
     this.autoscaler.leaseAcquired(revision, now);
   }
 
@@ -136,7 +136,13 @@
   private rebalance(shards: Map<number, ShardSummary>, now: Milliseconds): void {
     const waiting = pendingDemands(shards.values());
     this.machineAssigner.allocateRecentAssignments(waiting, now);
-    this.shardRebalancer.plan(shards, waiting, this.movesPerRound, (machine, shard) => this.orderMove(machine, shard, now), now);
+    this.shardRebalancer.planMoves(
+      shards,
+      waiting,
+      this.movesPerRound,
+      (machine, shard) => this.orderMove(machine, shard, now),
+      now,
+    );
   }
 
   private orderMove(machine: Machine, shard: number, now: Milliseconds): void {
