--- a/packages/controller/src/capacity/boot-time-estimator.ts
+++ b/packages/controller/src/capacity/boot-time-estimator.ts
@@ -1,5 +1,5 @@
 import { type Milliseconds, NEVER } from '../model/index.js';
-import { type InstanceKind, instanceKindKey } from './demand.js';
+import { type InstanceKind, instanceKindKey } from './instance-kind.js';
 
 /** PROTOCOL: boots usually take up to one and a half times what the cloud names. */
 const EXPECTED_BOOT_FACTOR = 1.6;
--- /dev/null
+++ b/packages/controller/src/capacity/demand-provisioning.ts
@@ -0,0 +1,124 @@
+/**
+ * Scaling out where price is an objective: machines are requested for work that waits, the cheapest per task. Pure functions of a
+ * snapshot. Tasks are counted into what arrives first; only the others cost anything.
+ */
+import type { MachineType, ResourceDemand } from '@archpost/protocol';
+import type { ClusterStateView } from '../context/index.js';
+import { countThatFit, HIGHEST_PRIORITY, type Machine, type Resources } from '../model/index.js';
+import { matchesDemand, subtractTasks, URGENT_PRIORITY } from './demand.js';
+import { cheapestOption, cheapestPricePerCpu } from './instance-choice.js';
+import { type InstanceKind, instanceKindKey, machineTypeNamed } from './instance-kind.js';
+import type { ScaleOutRequest, ScaleOutSnapshot } from './scale-out.js';
+
+/** Work that has waited for less may find room by itself. */
+const MIN_WAIT_S = 1;
+
+/** Machines that one demand may request in a round: this many, or one for each so many of the cluster if that is more. */
+const MIN_REQUEST_LIMIT = 40;
+const CLUSTER_MACHINES_PER_REQUESTED_MACHINE = 25;
+
+/** What is free on a machine that arrives, or that is idle and may be moved to another shard. */
+interface CapacityOffer extends Resources {
+  kind: InstanceKind;
+  type: MachineType;
+  isIdle: boolean;
+}
+
+/** The machines to request for what waits, one request for each kind, in the order in which the kinds were first needed. */
+export function requestsForDemands(snapshot: ScaleOutSnapshot, recentlyAssigned: readonly InstanceKind[]): ScaleOutRequest[] {
+  const offers = currentOffers(snapshot, recentlyAssigned);
+  const requests = new Map<string, ScaleOutRequest>();
+  const market = { lowestPricePerCpu: cheapestPricePerCpu(snapshot.options), machinesPerZone: countByZone(snapshot) };
+  const limit = requestLimit(snapshot.clusterState.machines.size);
+  for (const demand of demandsByPriority(snapshot)) {
+    let remainingTasks = allocateToOffers(demand, demand.count, offers);
+    if (demand.waitS < MIN_WAIT_S) continue;
+    for (let machines = 0; remainingTasks > 0 && machines < limit; machines++) {
+      const option = cheapestOption(demand, remainingTasks, snapshot, market);
+      if (!option) break;
+      addMachine(requests, option.kind, demand.priority >= HIGHEST_PRIORITY);
+      increment(market.machinesPerZone, option.kind.zone);
+      offers.push(offerOf(option.kind, option.type, false));
+      remainingTasks = allocateToOffers(demand, remainingTasks, offers);
+    }
+  }
+  return [...requests.values()];
+}
+
+/** A wave of losses takes a part of all machines: what one demand may request in a round grows with them. */
+function requestLimit(machineCount: number): number {
+  return Math.max(MIN_REQUEST_LIMIT, machineCount / CLUSTER_MACHINES_PER_REQUESTED_MACHINE);
+}
+
+function demandsByPriority({ shards }: ScaleOutSnapshot): ResourceDemand[] {
+  const demands = [...shards.values()].flatMap((summary) => summary.demands);
+  return demands.sort((a, b) => b.priority - a.priority || b.waitS - a.waitS);
+}
+
+/** What arrives, then what was assigned a moment ago, then what is idle: tasks are counted into them in this order. */
+function currentOffers(snapshot: ScaleOutSnapshot, recentlyAssigned: readonly InstanceKind[]): CapacityOffer[] {
+  const offers: CapacityOffer[] = [];
+  for (const kind of [...snapshot.arriving, ...recentlyAssigned]) {
+    const type = machineTypeNamed(snapshot, kind.type);
+    if (type) offers.push(offerOf(kind, type, false));
+  }
+  addIdleOffers(offers, snapshot);
+  return offers;
+}
+
+/** Idle machines of other shards are about to be moved to where work waits. */
+function addIdleOffers(offers: CapacityOffer[], { shards, clusterState }: ScaleOutSnapshot): void {
+  for (const shard of shards.values()) {
+    for (const summary of shard.machines) {
+      const machine = clusterState.machines.get(summary.name);
+      if (!machine?.capacity || machine.spot || machine.isRetired || summary.tasks > 0) continue;
+      if (summary.protectedPriority >= 0 && machine.moveToShard === null) continue;
+      offers.push(offerOf(ordinaryKindOf(machine, machine.capacity, clusterState), machine.capacity, true));
+    }
+  }
+}
+
+function ordinaryKindOf(machine: Machine, type: MachineType, clusterState: ClusterStateView['clusterState']): InstanceKind {
+  return { type: type.name, zone: clusterState.zoneNames.nameOf(machine.zoneIndex), spot: false };
+}
+
+function offerOf(kind: InstanceKind, type: MachineType, isIdle: boolean): CapacityOffer {
+  return { kind, type, isIdle, cpus: type.cpus, gpus: type.gpus, memory: type.memory };
+}
+
+/** Counts tasks of the demand into the offers, and subtracts them there. Returns how many found no room. */
+function allocateToOffers(demand: ResourceDemand, taskCount: number, offers: CapacityOffer[]): number {
+  let remainingTasks = taskCount;
+  for (const offer of offers) {
+    if (remainingTasks <= 0) break;
+    const { type, zone, spot } = offer.kind;
+    if (!matchesDemand(demand, type, zone, spot) || isKeptFromDemand(offer, demand)) continue;
+    const count = Math.min(remainingTasks, countThatFit(demand, offer));
+    remainingTasks -= count;
+    subtractTasks(offer, demand, count);
+  }
+  return remainingTasks;
+}
+
+/** Idle machines aren't moved for work of low priority, nor those with accelerators for work that needs none. */
+function isKeptFromDemand(offer: CapacityOffer, demand: ResourceDemand): boolean {
+  return offer.isIdle && demand.gpus === 0 && (demand.priority < URGENT_PRIORITY || offer.type.gpus > 0);
+}
+
+function addMachine(requests: Map<string, ScaleOutRequest>, kind: InstanceKind, urgent: boolean): void {
+  const key = instanceKindKey(kind);
+  const request = requests.get(key) ?? { ...kind, count: 0, urgent: false };
+  request.count++;
+  request.urgent ||= urgent;
+  requests.set(key, request);
+}
+
+function countByZone({ clusterState }: ClusterStateView): Map<string, number> {
+  const counts = new Map<string, number>();
+  for (const machine of clusterState.machines.values()) increment(counts, clusterState.zoneNames.nameOf(machine.zoneIndex));
+  return counts;
+}
+
+function increment(counts: Map<string, number>, key: string): void {
+  counts.set(key, (counts.get(key) ?? 0) + 1);
+}
--- a/packages/controller/src/capacity/demand.ts
+++ b/packages/controller/src/capacity/demand.ts
@@ -1,23 +1,25 @@
-/** Work that waits for room, and what kinds of machines would serve it. */
+/** Demand: work that waits for room, which machines would serve it, and how much of it is served already. Owns no state. */
 import type { MachineType, ResourceDemand, ShardSummary } from '@archpost/protocol';
-import type { ClusterStateView } from '../context/index.js';
-import { countThatFit, type Resources } from '../model/index.js';
+import { countThatFit, HIGHEST_PRIORITY, type Resources } from '../model/index.js';
+import type { InstanceKind } from './instance-kind.js';
 
-/** What the cloud sells: a type in a zone, ordinary or cheap. */
-export interface InstanceKind {
-  type: string;
-  zone: string;
-  spot: boolean;
-}
+/** The priority below the highest. */
+export const URGENT_PRIORITY = HIGHEST_PRIORITY - 1;
+
+/** The priority of best-effort work. */
+export const LOWEST_PRIORITY = 0;
 
-/** One name for each kind. */
-export const instanceKindKey = (kind: InstanceKind): string => `${kind.type}/${kind.zone}/${kind.spot}`;
+/** Work that waited for less than this may find room by itself. */
+const MIN_WAIT_S = 0.2;
 
-export function machineTypeNamed(context: ClusterStateView, name: string): MachineType | null {
-  return context.clusterState.machineTypes[context.clusterState.typeNames.indexOf(name)] ?? null;
+/** Work of a shard that waits for room, and how many of its tasks are not served yet by what is arriving. */
+export interface PendingDemand {
+  readonly shard: number;
+  readonly demand: ResourceDemand;
+  remainingTasks: number;
 }
 
-/** May work that waits go to machines of this kind? */
+/** May the tasks of the demand run on machines of this kind? Whether they fit isn't considered. */
 export function matchesDemand(demand: ResourceDemand, type: string, zone: string, spot: boolean): boolean {
   return (
     (demand.types.length === 0 || demand.types.includes(type)) &&
@@ -27,39 +29,34 @@
   );
 }
 
-/** Work of a share that waits for room, and how many of its tasks are not served yet by what is on its way. */
-export interface PendingDemand {
-  shard: number;
-  demand: ResourceDemand;
-  remainingTasks: number;
-}
-
-/** Work that waited for less than this may find room by itself. */
-const BRIEF_WAIT_S = 0.2;
-
-/** What waits for room, the most urgent first. */
+/** What waits for room in these shards: by priority, then what is within its quota, then what has waited longest. */
 export function pendingDemands(shards: Iterable<ShardSummary>): PendingDemand[] {
-  const waiting: PendingDemand[] = [];
+  const pending: PendingDemand[] = [];
   for (const { shard, demands } of shards) {
-    for (const demand of demands) if (demand.waitS > BRIEF_WAIT_S) waiting.push({ shard, demand, remainingTasks: demand.count });
+    for (const demand of demands) if (demand.waitS > MIN_WAIT_S) pending.push({ shard, demand, remainingTasks: demand.count });
   }
-  return waiting.sort(
+  return pending.sort(
     ({ demand }, { demand: other }) =>
       other.priority - demand.priority || Number(other.withinQuota) - Number(demand.withinQuota) || other.waitS - demand.waitS,
   );
 }
 
-/** Takes off what a machine of this kind will serve of a share's waiting work. */
-export function allocateToDemands(waiting: PendingDemand[], shard: number, kind: InstanceKind, capacity: MachineType): void {
+/** Counts the tasks of the shard that a machine of this kind will serve as served, in the order of `pending`. */
+export function allocateToDemands(pending: PendingDemand[], shard: number, kind: InstanceKind, capacity: MachineType): void {
   const free: Resources = { cpus: capacity.cpus, gpus: capacity.gpus, memory: capacity.memory };
-  for (const work of waiting) {
+  for (const work of pending) {
     const { demand } = work;
     if (work.shard !== shard || work.remainingTasks <= 0) continue;
     if (!matchesDemand(demand, kind.type, kind.zone, kind.spot)) continue;
     const count = Math.min(work.remainingTasks, countThatFit(demand, free));
     work.remainingTasks -= count;
-    free.cpus -= count * demand.cpus;
-    free.gpus -= count * demand.gpus;
-    free.memory -= count * demand.memory;
+    subtractTasks(free, demand, count);
   }
 }
+
+/** Subtracts the resources of so many tasks from what is free, in one step: repeated subtraction would round otherwise. */
+export function subtractTasks(free: Resources, task: Resources, count: number): void {
+  free.cpus -= count * task.cpus;
+  free.gpus -= count * task.gpus;
+  free.memory -= count * task.memory;
+}
--- /dev/null
+++ b/packages/controller/src/capacity/instance-kind.ts
@@ -0,0 +1,40 @@
+/** What the cloud sells: machine types, each by zone, ordinary or spot. Pure functions of the known machine types. */
+import type { MachineType } from '@archpost/protocol';
+import type { ClusterStateView, SettingsView } from '../context/index.js';
+
+/** A machine type in a zone, ordinary or spot. */
+export interface InstanceKind {
+  /** the machine type's name */
+  type: string;
+  zone: string;
+  spot: boolean;
+}
+
+/** A kind of machine that can be provisioned, with its type's resources and prices. */
+export interface InstanceOption {
+  kind: InstanceKind;
+  type: MachineType;
+}
+
+/** The key of a kind in maps. It begins with the type's name and a slash. */
+export const instanceKindKey = (kind: InstanceKind): string => `${kind.type}/${kind.zone}/${kind.spot}`;
+
+/** The machine type of this name; null if the cloud has not listed it. */
+export function machineTypeNamed(context: ClusterStateView, name: string): MachineType | null {
+  return context.clusterState.machineTypes[context.clusterState.typeNames.indexOf(name)] ?? null;
+}
+
+/**
+ * Every kind that can be provisioned: by type, then by zone, ordinary before spot. The order decides ties between equally good
+ * options. A type that names no zones is offered in all of them.
+ */
+export function instanceOptions(context: SettingsView & ClusterStateView): InstanceOption[] {
+  const options: InstanceOption[] = [];
+  for (const type of context.clusterState.machineTypes) {
+    if (!type) continue;
+    for (const zone of type.zones.length > 0 ? type.zones : context.settings.zones) {
+      for (const spot of [false, true]) options.push({ kind: { type: type.name, zone, spot }, type });
+    }
+  }
+  return options;
+}
--- /dev/null
+++ b/packages/controller/src/capacity/instance-pools.ts
@@ -0,0 +1,81 @@
+/**
+ * What the cloud answered to requests of each kind of machine, and when the next request may be sent. Owns the retry delays.
+ */
+import type { Milliseconds } from '../model/index.js';
+import { type InstanceKind, instanceKindKey } from './instance-kind.js';
+
+/** A pool of which a machine was released may have room again after this long. */
+const FREED_CAPACITY_RETRY_MS = 500;
+
+/** A request that was filled in part is repeated after this long. */
+const PARTIAL_RETRY_MS = 15_000;
+
+/** A refused request is repeated after this long, doubled with every refusal up to the limit. */
+const REFUSAL_RETRY_MS = 10_000;
+const MAX_DOUBLINGS = 4;
+
+/** The cloud's capacity of one kind, as far as its answers tell. */
+interface InstancePool {
+  /** no request is sent before */
+  retryAt: Milliseconds;
+  /** refusals in a row */
+  refusals: number;
+  /** the last request for ordinary machines was filled */
+  wasFilled: boolean;
+}
+
+/** The pools of all kinds that were considered, in the order in which they first were: `availableTypes` keeps it. */
+export class InstancePools {
+  private readonly pools = new Map<string, InstancePool>();
+
+  /** Has the retry delay of the kind passed? */
+  isRequestDue(kind: InstanceKind, now: Milliseconds): boolean {
+    return now >= this.pool(kind).retryAt;
+  }
+
+  /** Types of which the cloud granted all ordinary machines of the last request. */
+  availableTypes(): string[] {
+    const types = new Set<string>();
+    for (const [key, pool] of this.pools) if (pool.wasFilled) types.add(key.slice(0, key.indexOf('/')));
+    return [...types];
+  }
+
+  /** A machine of the kind is gone: the cloud may have room for another. */
+  capacityFreed(kind: InstanceKind, now: Milliseconds): void {
+    const pool = this.pool(kind);
+    pool.retryAt = Math.min(pool.retryAt, now + FREED_CAPACITY_RETRY_MS);
+    pool.refusals = 0;
+  }
+
+  /** The cloud granted `granted` of the `requested` machines. */
+  requestGranted(kind: InstanceKind, requested: number, granted: number, now: Milliseconds): void {
+    const pool = this.pool(kind);
+    const isFilled = granted >= requested;
+    pool.wasFilled = !kind.spot && isFilled;
+    pool.refusals = isFilled ? 0 : 1;
+    pool.retryAt = isFilled ? now : now + PARTIAL_RETRY_MS;
+  }
+
+  /** The cloud granted none. The delay grows with every refusal in a row, up to `maxDelayMs`. */
+  requestRefused(kind: InstanceKind, maxDelayMs: Milliseconds, now: Milliseconds): void {
+    const pool = this.pool(kind);
+    pool.refusals++;
+    pool.wasFilled = false;
+    pool.retryAt = now + Math.min(maxDelayMs, REFUSAL_RETRY_MS * 2 ** Math.min(MAX_DOUBLINGS, pool.refusals));
+  }
+
+  /** Whatever the last answer was, no request is sent for this long. */
+  delay(kind: InstanceKind, delayMs: Milliseconds, now: Milliseconds): void {
+    this.pool(kind).retryAt = now + delayMs;
+  }
+
+  private pool(kind: InstanceKind): InstancePool {
+    const key = instanceKindKey(kind);
+    let pool = this.pools.get(key);
+    if (!pool) {
+      pool = { retryAt: 0, refusals: 0, wasFilled: false };
+      this.pools.set(key, pool);
+    }
+    return pool;
+  }
+}
--- a/packages/controller/src/capacity/machine-assigner.ts
+++ b/packages/controller/src/capacity/machine-assigner.ts
@@ -4,7 +4,8 @@
 import { countThatFit, type Milliseconds } from '../model/index.js';
 import { encodeAssignment, StateKey, WritePriority } from '../state/index.js';
 import type { Autoscaler } from './autoscaler.js';
-import { allocateToDemands, machineTypeNamed, matchesDemand, type PendingDemand, pendingDemands } from './demand.js';
+import { allocateToDemands, matchesDemand, type PendingDemand, pendingDemands } from './demand.js';
+import { machineTypeNamed } from './instance-kind.js';
 import type { RecentAssignment, UnassignedMachine } from './machine-assignment.js';
 import { ShardBalance } from './shard-balance.js';
 
@@ -29,7 +30,7 @@
 
   constructor(
     private readonly context: MachineAssignerContext,
-    private readonly autoscaler: () => Autoscaler,
+    private readonly autoscaler: Autoscaler,
   ) {}
 
   machineReported(unassigned: UnassignedMachine, now: Milliseconds): void {
@@ -63,7 +64,7 @@
     this.allocateRecentAssignments(waiting, now);
     const balance = new ShardBalance(this.context, this.recentAssignments);
     for (const unassigned of all.values()) {
-      this.autoscaler().machineStarted(unassigned.machine, unassigned, now);
+      this.autoscaler.machineStarted(unassigned.machine, unassigned, now);
       const shard = this.shardInNeed(unassigned, waiting) ?? balance.worstOff(unassigned.type);
       balance.add(unassigned.type, shard);
       this.write(unassigned, shard, leaderRevision, now);
@@ -88,7 +89,7 @@
     for (const unassigned of candidates) {
       if (clusterState.machines.has(unassigned.machine) || this.pendingWrites.has(unassigned.machine)) continue;
       // Else a late report of a machine that was given back.
-      if (!this.autoscaler().isRecentlyReleased(unassigned.machine, now)) all.set(unassigned.machine, unassigned);
+      if (!this.autoscaler.isRecentlyReleased(unassigned.machine, now)) all.set(unassigned.machine, unassigned);
     }
     return all;
   }
@@ -110,7 +111,7 @@
       expiresAt: now + ASSIGNMENT_EXPIRES_MS,
       onOutcome: () => {
         this.pendingWrites.delete(machine);
-        this.autoscaler().machineAssigned(machine);
+        this.autoscaler.machineAssigned(machine);
       },
     });
   }
--- a/packages/controller/src/capacity/machine-assignment.ts
+++ b/packages/controller/src/capacity/machine-assignment.ts
@@ -1,6 +1,6 @@
 /** Machines on their way to a shard: not assigned yet, or assigned a moment ago. */
 import type { Milliseconds } from '../model/index.js';
-import type { InstanceKind } from './demand.js';
+import type { InstanceKind } from './instance-kind.js';
 
 /** A machine without a grant whose worker reported. */
 export interface UnassignedMachine extends InstanceKind {
--- a/packages/controller/src/capacity/shard-balance.ts
+++ b/packages/controller/src/capacity/shard-balance.ts
@@ -3,7 +3,7 @@
  * grants: counting for each machine made the first start cost the square of the machines.
  */
 import type { ClusterStateView, SettingsView } from '../context/index.js';
-import { machineTypeNamed } from './demand.js';
+import { machineTypeNamed } from './instance-kind.js';
 import type { RecentAssignment } from './machine-assignment.js';
 
 /** What a team without guaranteed accelerators weighs among those that have some. */
--- /dev/null
+++ b/packages/controller/src/capacity/spare-capacity.ts
@@ -0,0 +1,75 @@
+/** Scaling out where price is no objective: spare capacity of each machine type is held. Pure functions of a snapshot. */
+import type { ClusterStateView } from '../context/index.js';
+import { countThatFit } from '../model/index.js';
+import { matchesDemand } from './demand.js';
+import type { InstanceOption } from './instance-kind.js';
+import type { ScaleOutRequest, ScaleOutSnapshot } from './scale-out.js';
+
+/** No more of a type is requested while a larger part of it is free and nothing waits for it. */
+const MAX_SPARE_FRACTION = 0.4;
+
+/** Machines in one request. */
+const MACHINES_PER_REQUEST = 4;
+
+/** A demand that the option serves outweighs this many machines of the type in the zone. */
+const SCORE_PER_DEMAND = 10;
+
+/** Processor cores of a machine type in the cluster. */
+interface TypeCapacity {
+  totalCpus: number;
+  /** on machines with accelerators in proportion to the free accelerators */
+  freeCpus: number;
+}
+
+const NO_CAPACITY: Readonly<TypeCapacity> = { totalCpus: 0, freeCpus: 0 };
+
+/** At most one request: for the option that serves most demands, and among these for the zone with fewest machines of the type. */
+export function requestsToHoldSpare(snapshot: ScaleOutSnapshot): ScaleOutRequest[] {
+  const capacities = capacityByType(snapshot);
+  const demands = [...snapshot.shards.values()].flatMap((summary) => summary.demands);
+  let best: InstanceOption | null = null;
+  let bestScore = Number.NEGATIVE_INFINITY;
+  for (const option of snapshot.options) {
+    const { kind, type } = option;
+    if (!snapshot.isRequestDue(kind)) continue;
+    const servedDemands = demands.filter(
+      (demand) => countThatFit(demand, type) >= 1 && matchesDemand(demand, kind.type, kind.zone, kind.spot),
+    );
+    const spare = spareFraction(option, capacities.get(kind.type) ?? NO_CAPACITY, snapshot);
+    if (servedDemands.length === 0 && spare > MAX_SPARE_FRACTION) continue;
+    const score = servedDemands.length * SCORE_PER_DEMAND - machinesInZone(option, snapshot) - (kind.spot ? 1 : 0);
+    if (!best || score > bestScore) {
+      best = option;
+      bestScore = score;
+    }
+  }
+  return best ? [{ ...best.kind, count: MACHINES_PER_REQUEST, urgent: false }] : [];
+}
+
+function capacityByType({ shards, clusterState }: ScaleOutSnapshot): Map<string, TypeCapacity> {
+  const capacities = new Map<string, TypeCapacity>();
+  for (const shard of shards.values()) {
+    for (const summary of shard.machines) {
+      const capacity = clusterState.machines.get(summary.name)?.capacity;
+      if (!capacity) continue;
+      const sum = capacities.get(capacity.name) ?? { totalCpus: 0, freeCpus: 0 };
+      sum.totalCpus += capacity.cpus;
+      sum.freeCpus += capacity.gpus > 0 ? (capacity.cpus * summary.freeGpus) / capacity.gpus : summary.freeCpus;
+      capacities.set(capacity.name, sum);
+    }
+  }
+  return capacities;
+}
+
+/** The free part of the type's capacity, with the machines that are arriving. */
+function spareFraction({ type }: InstanceOption, { totalCpus, freeCpus }: TypeCapacity, { arriving }: ScaleOutSnapshot): number {
+  const arrivingCpus = arriving.filter((kind) => kind.type === type.name).length * type.cpus;
+  return (freeCpus + arrivingCpus) / Math.max(1, totalCpus + arrivingCpus);
+}
+
+function machinesInZone({ kind }: InstanceOption, { clusterState }: ClusterStateView): number {
+  let count = 0;
+  for (const machine of clusterState.machines.values())
+    if (machine.capacity?.name === kind.type && clusterState.zoneNames.nameOf(machine.zoneIndex) === kind.zone) count++;
+  return count;
+}
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -8,7 +8,7 @@
   StoredKey,
 } from '@archpost/protocol';
 import { TaskAllocations } from './allocation/index.js';
-import type { Autoscaler } from './capacity/index.js';
+import type { ProvisioningOutcome } from './capacity/index.js';
 import type {
   CapacityView,
   ClusterStateView,
@@ -414,11 +414,7 @@
     this.leader.autoscaler.receiveMachineList(machines, this.leader.isLeading, now);
   }
 
-  receiveProvisioningOutcome(
-    id: number,
-    outcome: Parameters<Autoscaler['handleProvisioningOutcome']>[1],
-    now: Milliseconds,
-  ): void {
+  receiveProvisioningOutcome(id: number, outcome: ProvisioningOutcome, now: Milliseconds): void {
     this.now = now;
     this.leader.autoscaler.handleProvisioningOutcome(id, outcome, now);
     this.flushWrites(now);
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -58,14 +58,13 @@
     private readonly context: LeaderContext,
     private readonly shardController: ShardController,
   ) {
-    this.machineAssigner = new MachineAssigner(context, () => this.autoscaler);
+    this.autoscaler = new Autoscaler(context, {
+      isAssignmentPending: (machine) => this.machineAssigner.isAssignmentPending(machine),
+      recentlyAssigned: (now) => this.machineAssigner.recentlyAssigned(now),
+      isZoneCut: (zone) => shardController.machineLifecycle.failureDetector.isZoneNameCut(zone),
+    });
+    this.machineAssigner = new MachineAssigner(context, this.autoscaler);
     this.shardRebalancer = new ShardRebalancer(context);
-    this.autoscaler = new Autoscaler(
-      context,
-      (machine) => this.machineAssigner.isAssignmentPending(machine),
-      (now) => this.machineAssigner.recentlyAssigned(now),
-      (zone) => shardController.machineLifecycle.failureDetector.isZoneNameCut(zone),
-    );
   }
 
   leaseAcquired(revision: number, now: Milliseconds): void {
