--- a/packages/controller/src/capacity/boot-time-estimator.ts
+++ b/packages/controller/src/capacity/boot-time-estimator.ts
@@ -1,55 +1,73 @@
+/**
+ * Estimates how long machines take to boot, by what their types took recently: boots can be late for all, for some, or never end.
+ * Owns the boots of the last minutes and the count of machines that are overdue.
+ */
 import { type Milliseconds, NEVER } from '../model/index.js';
 import { type InstanceKind, instanceKindKey } from './instance-kind.js';
 
 /** PROTOCOL: boots usually take up to one and a half times what the cloud names. */
 const EXPECTED_BOOT_FACTOR = 1.6;
 
-/** What took longer lately may take longer again, by so much. */
+/** A type whose machines took longer recently may take this many times as long again. */
 const OBSERVED_BOOT_FACTOR = 1.3;
 
-/** Boots that ended within this time say how it stands; later ones of the kind may be better again. */
+/** The limit is never more than this many times the expected one. */
+const MAX_LIMIT_FACTOR = 3;
+
+/** Boots that ended longer ago aren't counted: later ones of the type may be faster again. */
 const OBSERVATION_WINDOW_MS = 180_000;
 
-/** So many of a kind late, and none that came up, mean that the kind fails. */
+/** Boots of a type that are remembered. */
+const MAX_OBSERVATIONS = 20;
+
+/** So many machines of a kind overdue, and none that came up, mean that the kind fails to boot. */
 const MIN_OVERDUE_TO_FAIL = 2;
 
-/**
- * How long machines take to come up, by what their types took lately: boots can be late for
- * all, for some, or never end.
- */
+/** A machine that came up. */
+interface ObservedBoot {
+  at: Milliseconds;
+  durationMs: Milliseconds;
+}
+
 export class BootTimeEstimator {
-  private readonly recentBoots = new Map<string, { at: Milliseconds; durationMs: Milliseconds }[]>();
+  /** by type */
+  private readonly recentBoots = new Map<string, ObservedBoot[]>();
+  /** by kind */
   private readonly lastBootAt = new Map<string, Milliseconds>();
   private readonly overdueByKind = new Map<string, number>();
 
-  /** One came up that long after it was asked for. */
+  /** A machine of the kind came up, `durationMs` after it was requested. */
   recordBoot(kind: InstanceKind, durationMs: Milliseconds, now: Milliseconds): void {
     const boots = (this.recentBoots.get(kind.type) ?? []).filter((boot) => now - boot.at < OBSERVATION_WINDOW_MS);
     boots.push({ at: now, durationMs });
-    this.recentBoots.set(kind.type, boots.slice(-20));
+    this.recentBoots.set(kind.type, boots.slice(-MAX_OBSERVATIONS));
     this.lastBootAt.set(instanceKindKey(kind), now);
   }
 
-  /** One that isn't up after this long is late: it is counted on no more. */
+  /**
+   * A machine of the type that isn't up after this long is overdue, and isn't counted on any more. `bootS`: the boot time that the
+   * cloud names for the type, in seconds.
+   */
   limitMs(type: string, bootS: number, now: Milliseconds): Milliseconds {
-    let limit = EXPECTED_BOOT_FACTOR * bootS * 1000;
+    let limitMs = EXPECTED_BOOT_FACTOR * bootS * 1000;
     for (const boot of this.recentBoots.get(type) ?? [])
-      if (now - boot.at < OBSERVATION_WINDOW_MS) limit = Math.max(limit, OBSERVED_BOOT_FACTOR * boot.durationMs);
-    return Math.min(limit, 3 * EXPECTED_BOOT_FACTOR * bootS * 1000);
+      if (now - boot.at < OBSERVATION_WINDOW_MS) limitMs = Math.max(limitMs, OBSERVED_BOOT_FACTOR * boot.durationMs);
+    return Math.min(limitMs, MAX_LIMIT_FACTOR * EXPECTED_BOOT_FACTOR * bootS * 1000);
   }
 
-  /** The machines that are late, of the kind of each. */
+  /** Replaces what is known of overdue machines; `kinds` has the kind of each. */
   setOverdue(kinds: InstanceKind[]): void {
     this.overdueByKind.clear();
-    for (const kind of kinds)
-      this.overdueByKind.set(instanceKindKey(kind), (this.overdueByKind.get(instanceKindKey(kind)) ?? 0) + 1);
+    for (const kind of kinds) {
+      const key = instanceKindKey(kind);
+      this.overdueByKind.set(key, (this.overdueByKind.get(key) ?? 0) + 1);
+    }
   }
 
-  /** Several are late and none has come up for as long as that: others are preferred meanwhile. */
+  /** Are several machines of the kind overdue, and has none come up within `limitMs`? Then other kinds are preferred. */
   isFailing(kind: InstanceKind, limitMs: Milliseconds, now: Milliseconds): boolean {
-    return (
-      (this.overdueByKind.get(instanceKindKey(kind)) ?? 0) >= MIN_OVERDUE_TO_FAIL &&
-      now - (this.lastBootAt.get(instanceKindKey(kind)) ?? NEVER) > limitMs
-    );
+    const key = instanceKindKey(kind);
+    if ((this.overdueByKind.get(key) ?? 0) < MIN_OVERDUE_TO_FAIL) return false;
+    return now - (this.lastBootAt.get(key) ?? NEVER) > limitMs;
   }
 }
--- a/packages/controller/src/capacity/machine-assigner.ts
+++ b/packages/controller/src/capacity/machine-assigner.ts
@@ -1,4 +1,7 @@
-/** Grants machines whose workers report, and which no share has, to shares: where work waits, or else by guarantees. */
+/**
+ * Assigns machines whose workers report, and which belong to no shard, to shards: where work waits, or else by guarantees. Owns
+ * which unassigned machines have reported, and the assignments of the last moment.
+ */
 import type { ShardSummary } from '@archpost/protocol';
 import type { ClusterStateView, PeerDirectory, SettingsView, StateWriting } from '../context/index.js';
 import { countThatFit, type Milliseconds } from '../model/index.js';
@@ -9,22 +12,33 @@
 import type { RecentAssignment, UnassignedMachine } from './machine-assignment.js';
 import { ShardBalance } from './shard-balance.js';
 
-/** A granted machine is probed, planned for and told of within this time. */
+/** Within this time an assigned machine is probed, scheduled for, and in the summary of its shard. */
 const ASSIGNMENT_VISIBILITY_MS = 1500;
 
-/** A machine that was last heard longer ago isn't granted: it may be gone. */
+/** A machine whose last heartbeat is older isn't assigned: it may be gone. */
 const MAX_HEARTBEAT_AGE_MS = 4000;
 
-/** What a peer told longer ago isn't counted on. */
+/** A status of a peer that is older isn't counted on. */
 const MAX_PEER_STATUS_AGE_MS = 5000;
 
+/** The write of an assignment is given up after this long. */
 const ASSIGNMENT_EXPIRES_MS = 8000;
 
+/** The revision of a key that doesn't exist yet. */
+const NO_REVISION = 0;
+
 /** What the machine assigner needs of its controller. */
 type MachineAssignerContext = SettingsView & ClusterStateView & StateWriting & PeerDirectory;
 
+/** A heartbeat of a machine without an assignment. */
+interface UnassignedHeartbeat {
+  machine: UnassignedMachine;
+  at: Milliseconds;
+}
+
+/** Collects unassigned machines on every controller; assigns them on the leader. */
 export class MachineAssigner {
-  private readonly unassignedMachines = new Map<string, { machine: UnassignedMachine; at: Milliseconds }>();
+  private readonly unassignedHeartbeats = new Map<string, UnassignedHeartbeat>();
   private readonly pendingWrites = new Set<string>();
   private readonly recentAssignments = new Map<string, RecentAssignment>();
 
@@ -33,79 +47,80 @@
     private readonly autoscaler: Autoscaler,
   ) {}
 
+  /** A heartbeat came from a machine without an assignment. */
   machineReported(unassigned: UnassignedMachine, now: Milliseconds): void {
-    this.unassignedMachines.set(unassigned.machine, { machine: unassigned, at: now });
+    this.unassignedHeartbeats.set(unassigned.machine, { machine: unassigned, at: now });
   }
 
-  /** Machines without a grant that reported here lately. */
+  /** Machines without an assignment from which a heartbeat came here recently. */
   recentlyReported(now: Milliseconds): UnassignedMachine[] {
-    for (const [name, { at }] of this.unassignedMachines)
-      if (now - at > MAX_HEARTBEAT_AGE_MS || this.context.clusterState.machines.has(name)) this.unassignedMachines.delete(name);
-    return [...this.unassignedMachines.values()].map(({ machine: unassigned }) => unassigned);
+    for (const [name, { at }] of this.unassignedHeartbeats)
+      if (now - at > MAX_HEARTBEAT_AGE_MS || this.context.clusterState.machines.has(name)) this.unassignedHeartbeats.delete(name);
+    return [...this.unassignedHeartbeats.values()].map(({ machine }) => machine);
   }
 
-  /** A grant of this machine is being written. */
+  /** Is an assignment of this machine being written? */
   isAssignmentPending(machine: string): boolean {
     return this.pendingWrites.has(machine);
   }
 
-  /** What was granted so lately that what its share tells doesn't show it yet. */
+  /** Machines assigned so recently that the summaries of their shards may not show them. */
   recentlyAssigned(now: Milliseconds): RecentAssignment[] {
     for (const [name, assignment] of this.recentAssignments)
       if (!this.pendingWrites.has(name) && now - assignment.at > ASSIGNMENT_VISIBILITY_MS) this.recentAssignments.delete(name);
     return [...this.recentAssignments.values()];
   }
 
-  /** `leaderStamp`: the stamp under which this controller leads. */
+  /**
+   * Assigns every machine that reported here or to a peer. `shards` is called only if there is one; `leaderRevision` is the
+   * revision of the lease under which this controller leads: the writes are conditional on it.
+   */
   assignAll(shards: () => Map<number, ShardSummary>, leaderRevision: number, now: Milliseconds): void {
-    const all = this.unassigned(now);
-    if (all.size === 0) return;
-    const waiting = pendingDemands(shards().values());
-    this.allocateRecentAssignments(waiting, now);
+    const unassignedMachines = this.unassignedMachines(now);
+    if (unassignedMachines.size === 0) return;
+    const pending = pendingDemands(shards().values());
+    this.allocateRecentAssignments(pending, now);
     const balance = new ShardBalance(this.context, this.recentAssignments);
-    for (const unassigned of all.values()) {
+    for (const unassigned of unassignedMachines.values()) {
       this.autoscaler.machineStarted(unassigned.machine, unassigned, now);
-      const shard = this.shardInNeed(unassigned, waiting) ?? balance.worstOff(unassigned.type);
+      const shard = this.shardInNeed(unassigned, pending) ?? balance.worstOff(unassigned.type);
       balance.add(unassigned.type, shard);
-      this.write(unassigned, shard, leaderRevision, now);
+      this.writeAssignment(unassigned, shard, leaderRevision, now);
     }
   }
 
-  /** Takes off the waiting work what was granted a moment ago. */
-  allocateRecentAssignments(waiting: PendingDemand[], now: Milliseconds): void {
+  /** Counts tasks that machines assigned a moment ago will serve as served. */
+  allocateRecentAssignments(pending: PendingDemand[], now: Milliseconds): void {
     for (const assignment of this.recentlyAssigned(now)) {
       const capacity = machineTypeNamed(this.context, assignment.type);
-      if (capacity) allocateToDemands(waiting, assignment.shard, assignment, capacity);
+      if (capacity) allocateToDemands(pending, assignment.shard, assignment, capacity);
     }
   }
 
-  /** By name, what reported here or to another controller. */
-  private unassigned(now: Milliseconds): Map<string, UnassignedMachine> {
+  /** By name, the machines to assign: those that reported here, then those that reported to peers. */
+  private unassignedMachines(now: Milliseconds): Map<string, UnassignedMachine> {
     const { clusterState, peers } = this.context;
     const candidates = this.recentlyReported(now);
     for (const peer of peers.values())
       if (now - peer.heardAt < MAX_PEER_STATUS_AGE_MS) candidates.push(...peer.status.unassignedMachines);
-    const all = new Map<string, UnassignedMachine>();
+    const unassignedMachines = new Map<string, UnassignedMachine>();
     for (const unassigned of candidates) {
       if (clusterState.machines.has(unassigned.machine) || this.pendingWrites.has(unassigned.machine)) continue;
-      // Else a late report of a machine that was given back.
-      if (!this.autoscaler.isRecentlyReleased(unassigned.machine, now)) all.set(unassigned.machine, unassigned);
+      // A heartbeat may be out of date, of a machine that has been released.
+      if (this.autoscaler.isRecentlyReleased(unassigned.machine, now)) continue;
+      unassignedMachines.set(unassigned.machine, unassigned);
     }
-    return all;
+    return unassignedMachines;
   }
 
-  private write(
-    { machine, address, type, zone, spot }: UnassignedMachine,
-    shard: number,
-    leaderRevision: number,
-    now: Milliseconds,
-  ): void {
+  private writeAssignment(unassigned: UnassignedMachine, shard: number, leaderRevision: number, now: Milliseconds): void {
+    const { machine, address, type, zone, spot } = unassigned;
     this.pendingWrites.add(machine);
     this.recentAssignments.set(machine, { shard, type, zone, spot, at: now });
     this.context.writer.add({
       key: StateKey.assignment(machine),
       value: () => encodeAssignment({ shard, address, type, zone, spot, moveToShard: null, isRetired: false }),
-      expectedRevision: 0,
+      expectedRevision: NO_REVISION,
       conditions: [{ key: StateKey.shardLease('lead'), revision: leaderRevision }],
       priority: WritePriority.assignment,
       expiresAt: now + ASSIGNMENT_EXPIRES_MS,
@@ -116,17 +131,21 @@
     });
   }
 
-  /** The share whose waiting work the machine serves best; what needs accelerators comes first on those. */
-  private shardInNeed(unassigned: UnassignedMachine, waiting: PendingDemand[]): number | null {
+  /**
+   * The shard of the first demand that the machine serves, or null. On ordinary machines with accelerators, work that needs some
+   * comes first. The tasks that the machine will serve are counted as served.
+   */
+  private shardInNeed(unassigned: UnassignedMachine, pending: PendingDemand[]): number | null {
     const { type, zone, spot } = unassigned;
     const capacity = machineTypeNamed(this.context, type);
     if (!capacity) return null;
-    const serves = ({ remainingTasks, demand }: PendingDemand) =>
+    const isServed = ({ remainingTasks, demand }: PendingDemand) =>
       remainingTasks > 0 && countThatFit(demand, capacity) >= 1 && matchesDemand(demand, type, zone, spot);
-    const accelerated = capacity.gpus > 0 && !spot ? waiting.find((work) => work.demand.gpus > 0 && serves(work)) : undefined;
-    const work = accelerated ?? waiting.find(serves);
+    const needsGpus = (work: PendingDemand) => work.demand.gpus > 0 && isServed(work);
+    const gpuWork = capacity.gpus > 0 && !spot ? pending.find(needsGpus) : undefined;
+    const work = gpuWork ?? pending.find(isServed);
     if (!work) return null;
-    allocateToDemands(waiting, work.shard, unassigned, capacity);
+    allocateToDemands(pending, work.shard, unassigned, capacity);
     return work.shard;
   }
 }
--- a/packages/controller/src/capacity/shard-balance.ts
+++ b/packages/controller/src/capacity/shard-balance.ts
@@ -1,19 +1,23 @@
 /**
- * What machines of each type the shares have, beside what their teams are guaranteed. Counted once for a round of
- * grants: counting for each machine made the first start cost the square of the machines.
+ * How many machines of each type the shards have, relative to what their teams are guaranteed. Owns these counts for one round of
+ * assignments: counting anew for each machine made the first start cost the square of the machines.
  */
 import type { ClusterStateView, SettingsView } from '../context/index.js';
+import { UNASSIGNED_SHARD } from '../model/index.js';
 import { machineTypeNamed } from './instance-kind.js';
 import type { RecentAssignment } from './machine-assignment.js';
 
-/** What a team without guaranteed accelerators weighs among those that have some. */
+/** The weight that every team has for machines with accelerators, beside its guarantee: also a team without one gets some. */
 const MIN_GPU_WEIGHT = 0.1;
 
+/** The counts of one round. Machines assigned during the round are added one by one. */
 export class ShardBalance {
-  /** machines of each type that each share has, or is being given */
-  private readonly counts = new Map<string, number[]>();
-  private readonly weights = new Map<boolean, number[]>();
+  /** machines that each shard has, or is being assigned, by machine type */
+  private readonly machineCounts = new Map<string, number[]>();
+  /** weight of each shard, by whether machines with accelerators are asked about */
+  private readonly shardWeights = new Map<boolean, number[]>();
 
+  /** `recentAssignments`: by machine; those that the cluster state shows already aren't counted twice. */
   constructor(
     private readonly context: SettingsView & ClusterStateView,
     recentAssignments: ReadonlyMap<string, RecentAssignment>,
@@ -21,41 +25,40 @@
     const { clusterState } = context;
     for (const machine of clusterState.machines.values()) {
       const shard = machine.moveToShard ?? machine.shard;
-      if (shard >= 0) this.add(clusterState.typeNames.nameOf(machine.typeIndex), shard);
+      if (shard > UNASSIGNED_SHARD) this.add(clusterState.typeNames.nameOf(machine.typeIndex), shard);
     }
     for (const [name, assignment] of recentAssignments)
       if (!clusterState.machines.has(name)) this.add(assignment.type, assignment.shard);
   }
 
-  /** One more machine of the type is given to the share. */
+  /** One more machine of the type is assigned to the shard. */
   add(type: string, shard: number): void {
     const counts = this.countsOf(type);
     counts[shard] = (counts[shard] ?? 0) + 1;
   }
 
-  /** The share that is worst off for this type, by what its teams are guaranteed. */
+  /** The shard with the fewest machines of the type for its weight, the first of equals; 0 if no shard has a team. */
   worstOff(type: string): number {
     const counts = this.countsOf(type);
     const weights = this.weightsFor((machineTypeNamed(this.context, type)?.gpus ?? 0) > 0);
     const machinesPerWeight = (shard: number) => (counts[shard] ?? 0) / (weights[shard] ?? 1);
-    // A share without teams has no use for machines.
+    // A shard without teams has no use for machines.
     const shardsWithTeams = weights.flatMap((weight, shard) => (weight > 0 ? [shard] : []));
-    return shardsWithTeams.reduce(
-      (best, shard) => (machinesPerWeight(shard) < machinesPerWeight(best) ? shard : best),
-      shardsWithTeams[0] ?? 0,
-    );
+    const first = shardsWithTeams[0] ?? 0;
+    return shardsWithTeams.reduce((best, shard) => (machinesPerWeight(shard) < machinesPerWeight(best) ? shard : best), first);
   }
 
   private countsOf(type: string): number[] {
-    const known = this.counts.get(type);
+    const known = this.machineCounts.get(type);
     if (known) return known;
     const counts = new Array<number>(this.context.settings.shardCount).fill(0);
-    this.counts.set(type, counts);
+    this.machineCounts.set(type, counts);
     return counts;
   }
 
+  /** By guaranteed accelerators for machines that have some, else by teams. */
   private weightsFor(hasGpus: boolean): number[] {
-    const known = this.weights.get(hasGpus);
+    const known = this.shardWeights.get(hasGpus);
     if (known) return known;
     const { clusterState, settings } = this.context;
     const weights = new Array<number>(settings.shardCount).fill(0);
@@ -63,7 +66,7 @@
       const shard = clusterState.shardOfTeam[index] ?? 0;
       weights[shard] = (weights[shard] ?? 0) + (hasGpus ? team.gpus + MIN_GPU_WEIGHT : 1);
     });
-    this.weights.set(hasGpus, weights);
+    this.shardWeights.set(hasGpus, weights);
     return weights;
   }
 }
