--- a/packages/controller/src/capacity/autoscaler.ts
+++ b/packages/controller/src/capacity/autoscaler.ts
@@ -17,29 +17,16 @@
 import { InstancePools } from './instance-pools.js';
 import { MachineList } from './machine-list.js';
 import { MachineReleases } from './machine-releases.js';
-import { type PendingRequest, ProvisioningTracker } from './provisioning-tracker.js';
+import { Provisioner, type ProvisioningOutcome } from './provisioner.js';
+import { ProvisioningTracker } from './provisioning-tracker.js';
 import type { ScaleOutRequest, ScaleOutSnapshot } from './scale-out.js';
 import { requestsToHoldSpare } from './spare-capacity.js';
 
-/** Provisioning requests pending at once. */
-const MAX_PENDING_REQUESTS = 3;
-
-/** The least time between two requests, however many the cloud permits. */
-const MIN_REQUEST_INTERVAL_MS = 300;
-
 /** Machines in one request for a kind that fails to boot. */
 const MAX_MACHINES_OF_FAILING_KIND = 2;
 
 /** Time beyond the lag of lists until what was requested earlier is in one. */
 const LIST_LAG_MARGIN_MS = 2000;
-const UNCERTAIN_REQUEST_MARGIN_MS = 3000;
-
-/** Retry delays of refused requests stay within these limits. */
-const MIN_MAX_RETRY_DELAY_MS = 10_000;
-const MAX_RETRY_DELAY_MS = 90_000;
-
-/** A quarter of the permitted requests may go to kinds that are sold out: each has four times its part of a second. */
-const RETRY_MS_PER_OPTION = 4000;
 
 /** A machine that runs, and from which no heartbeat has come, is released once this leadership has lasted for so long. */
 const UNHEARD_GRACE_MS = 60_000;
@@ -47,15 +34,6 @@
 /** A machine is released that isn't up after so many times the longest that its type may take. */
 const RELEASE_AFTER_BOOT_LIMITS = 2;
 
-/** What the cloud answered to a provisioning request. */
-export type ProvisioningOutcome =
-  /** these machines were granted, perhaps fewer than requested */
-  | { kind: 'ok'; machines: string[] }
-  /** none was granted */
-  | { kind: 'full' }
-  /** there was no answer: the request may have been carried out */
-  | { kind: 'unknown' };
-
 /** What the autoscaler needs of its controller. */
 type AutoscalerContext = SettingsView & ClusterStateView & EffectSink & Logger;
 
@@ -72,21 +50,19 @@
 /** What lasts for one leadership of this controller. */
 interface LeadershipTerm {
   since: Milliseconds;
-  leaseRevision: number;
   /** machines were assigned before it began */
   isTakeover: boolean;
-  /** requests sent so far; with the revision it makes the ids of requests unique */
-  requestCount: number;
 }
 
+/** Scales the cluster out, and releases what never came up. Every controller has one; it acts while its controller leads. */
 export class Autoscaler {
-  private term: LeadershipTerm = { since: NEVER, leaseRevision: 0, isTakeover: false, requestCount: 0 };
-  private nextRequestAt: Milliseconds = 0;
+  private term: LeadershipTerm = { since: NEVER, isTakeover: false };
   private readonly machineList: MachineList;
   private readonly bootMonitor: BootMonitor;
-  private readonly provisioning = new ProvisioningTracker();
+  private readonly tracker = new ProvisioningTracker();
   private readonly pools = new InstancePools();
   private readonly releases = new MachineReleases();
+  private readonly provisioner: Provisioner;
 
   constructor(
     private readonly context: AutoscalerContext,
@@ -94,13 +70,14 @@
   ) {
     this.machineList = new MachineList(context);
     this.bootMonitor = new BootMonitor(context);
+    const { tracker, pools, machineList, bootMonitor } = this;
+    this.provisioner = new Provisioner(context, { tracker, pools, machineList, bootMonitor });
   }
 
   /** This controller leads from now on; `revision` is that of the leader's lease. */
   leaseAcquired(revision: number, now: Milliseconds): void {
-    const isTakeover = this.context.clusterState.machines.size > 0;
-    this.term = { since: now, leaseRevision: revision, isTakeover, requestCount: 0 };
-    this.provisioning.leaseAcquired();
+    this.term = { since: now, isTakeover: this.context.clusterState.machines.size > 0 };
+    this.provisioner.leaseAcquired(revision);
     this.machineList.leaseAcquired();
   }
 
@@ -116,7 +93,7 @@
   /** The outcome of a list request; `machines` is null if it failed. */
   receiveMachineList(machines: ListedMachine[] | null, isLeading: boolean, now: Milliseconds): void {
     if (!this.machineList.receive(machines, isLeading, now)) return;
-    for (const { machine } of this.machineList.values()) this.provisioning.forget(machine);
+    for (const { machine } of this.machineList.values()) this.tracker.forget(machine);
   }
 
   /** A heartbeat came from a machine without an assignment: how long its boot took says how long others may take. */
@@ -126,7 +103,7 @@
   }
 
   machineAssigned(machine: string): void {
-    this.provisioning.forget(machine);
+    this.tracker.forget(machine);
   }
 
   /** Was it released so recently that a heartbeat in its name may be out of date? */
@@ -136,7 +113,7 @@
 
   machineReleased(machine: string, now: Milliseconds): void {
     this.releases.released(machine, now);
-    this.provisioning.forget(machine);
+    this.tracker.forget(machine);
   }
 
   /** Machine types of which the cloud granted all that was last requested. */
@@ -161,19 +138,19 @@
    * meanwhile need not be provisioned.
    */
   scaleOut(shards: Map<number, ShardSummary>, now: Milliseconds): void {
-    if (this.mayMissEarlierRequests(now) || now < this.nextRequestAt) return;
+    if (this.mayMissEarlierRequests(now) || !this.provisioner.isRequestDue(now)) return;
     const { maxMachines } = this.context.settings.policy;
     const arriving = this.arrivingMachines(now);
     let machineCount = this.context.clusterState.machines.size + arriving.length;
     let isFirst = true;
     for (const request of this.scaleOutRequests(shards, arriving, now)) {
-      if (this.provisioning.pendingCount >= MAX_PENDING_REQUESTS) return;
+      if (this.provisioner.isAtLimit) return;
       if (maxMachines !== null && machineCount >= maxMachines) return;
       if (!isFirst && !request.urgent) continue;
       isFirst = false;
       const count = this.requestSize(request, machineCount, now);
       machineCount += count;
-      this.provision(request, count, now);
+      this.provisioner.request(request, count, now);
     }
   }
 
@@ -205,47 +182,9 @@
     return Math.max(1, Math.min(request.count, limit, permitted));
   }
 
-  private provision({ type, zone, spot }: InstanceKind, count: number, now: Milliseconds): void {
-    const id = this.context.nextEffectId();
-    const requestId = `r-${this.term.leaseRevision}-${++this.term.requestCount}`;
-    this.provisioning.requestSent(id, { type, zone, spot }, count, now);
-    this.context.log('info', 'provisioning machines', { request: requestId, type, zone, spot, count });
-    this.context.emit({ type: 'provision', id, request: { requestId, machineType: type, zone, spot, count } });
-    this.nextRequestAt = now + Math.max(MIN_REQUEST_INTERVAL_MS, 1000 / this.context.settings.cloud.requestsPerS);
-  }
-
   /** Takes the outcome of a provisioning request; one of an earlier leadership is ignored. */
   handleProvisioningOutcome(id: number, outcome: ProvisioningOutcome, now: Milliseconds): void {
-    const request = this.provisioning.requestEnded(id);
-    if (!request) return;
-    switch (outcome.kind) {
-      case 'ok':
-        return this.requestGranted(request, outcome.machines, now);
-      case 'full':
-        return this.pools.requestRefused(request, this.maxRetryDelayMs(), now);
-      case 'unknown':
-        // It may have been carried out: what came of it shows in the list.
-        return this.pools.delay(request, 2000 * this.context.settings.cloud.listLagS + UNCERTAIN_REQUEST_MARGIN_MS, now);
-      default:
-        return outcome satisfies never;
-    }
-  }
-
-  private requestGranted(request: PendingRequest, machines: string[], now: Milliseconds): void {
-    for (const machine of machines) if (!this.machineList.has(machine)) this.provisioning.machineGranted(machine, request, now);
-    this.pools.requestGranted(request, request.count, machines.length, now);
-    // A kind whose boots fail is requested now and then only.
-    if (this.bootMonitor.isFailing(request, now)) this.pools.delay(request, this.bootMonitor.limitMs(request.type, now) / 2, now);
-  }
-
-  /**
-   * Kinds that are sold out are requested again as often as a quarter of the cloud's limit allows: machines that others released, or
-   * that died, come back unannounced. At 90 s each, four accelerator machines stayed unprovisioned for a minute while 29 gangs
-   * waited.
-   */
-  private maxRetryDelayMs(): Milliseconds {
-    const delayMs = (this.instanceOptions().length * RETRY_MS_PER_OPTION) / this.context.settings.cloud.requestsPerS;
-    return Math.max(MIN_MAX_RETRY_DELAY_MS, Math.min(MAX_RETRY_DELAY_MS, delayMs));
+    this.provisioner.handleOutcome(id, outcome, now);
   }
 
   /**
@@ -253,7 +192,7 @@
    * the boot monitor learns of them.
    */
   private arrivingMachines(now: Milliseconds): InstanceKind[] {
-    const arriving = this.provisioning.arrivingKinds();
+    const arriving = this.tracker.arrivingKinds();
     const overdue: ListedMachine[] = [];
     for (const listed of this.machineList.values()) {
       if (listed.state === 'failed' || this.context.clusterState.machines.has(listed.machine)) continue;
@@ -271,7 +210,7 @@
     if (this.releases.hasPending) return;
     const overdue: string[] = [];
     for (const listed of this.machineList.values()) if (this.isToRelease(listed, now)) overdue.push(listed.machine);
-    this.provisioning.forgetOlderThan(this.machineList.visibilityMs, now);
+    this.tracker.forgetOlderThan(this.machineList.visibilityMs, now);
     if (overdue.length === 0) return;
     const machines = overdue.slice(0, MAX_MACHINES_PER_RELEASE);
     const id = this.context.nextEffectId();
@@ -308,7 +247,7 @@
 
   /** How long ago the machine was granted or requested, as far as is known; else null. */
   private ageMs(machine: string, now: Milliseconds): Milliseconds | null {
-    const bootingForMs = this.provisioning.bootingForMs(machine, now);
+    const bootingForMs = this.tracker.bootingForMs(machine, now);
     if (bootingForMs !== null) return bootingForMs;
     const listed = this.machineList.get(machine);
     return listed ? this.machineList.ageMs(listed, now) : null;
--- a/packages/controller/src/capacity/boot-time-estimator.ts
+++ b/packages/controller/src/capacity/boot-time-estimator.ts
@@ -29,6 +29,7 @@
   durationMs: Milliseconds;
 }
 
+/** The boot times and overdue machines of all kinds. */
 export class BootTimeEstimator {
   /** by type */
   private readonly recentBoots = new Map<string, ObservedBoot[]>();
--- a/packages/controller/src/capacity/index.ts
+++ b/packages/controller/src/capacity/index.ts
@@ -2,8 +2,9 @@
  * Capacity: demand, the autoscaler, boot times, assignment of machines to shards and rebalancing between shards. Only the leader
  * acts on it. Owns what was requested of the cloud and hasn't come up, and which assignments and moves are under way.
  */
-export { Autoscaler, type ProvisioningOutcome } from './autoscaler.js';
+export { Autoscaler } from './autoscaler.js';
 export { matchesDemand, pendingDemands } from './demand.js';
 export { MachineAssigner } from './machine-assigner.js';
 export type { UnassignedMachine } from './machine-assignment.js';
+export type { ProvisioningOutcome } from './provisioner.js';
 export { ShardRebalancer } from './shard-rebalancer.js';
--- a/packages/controller/src/capacity/shard-rebalancer.ts
+++ b/packages/controller/src/capacity/shard-rebalancer.ts
@@ -27,6 +27,7 @@
 /** Orders a machine to be moved to a shard; whether the order could be written is told to the rebalancer later. */
 type OrderMove = (machine: Machine, shard: number) => void;
 
+/** Plans the moves of each round. Whether an order is written is up to the leader. */
 export class ShardRebalancer {
   /** moves that were ordered and are not done yet, and when */
   private readonly orderedMoves = new Map<string, Milliseconds>();
