--- a/packages/controller/src/jobs/cancellations.ts
+++ b/packages/controller/src/jobs/cancellations.ts
@@ -1,13 +1,18 @@
-/** Users' cancellations: stored, then answered. What follows for other jobs is derived, not written. */
-import { encodeJobStatus, JOB_ID_PATTERN } from '@archpost/protocol';
+/**
+ * Users' cancellations: stored, then answered. What follows for jobs that await the cancelled one is derived from the record, not
+ * written. Owns no state.
+ */
+import { JOB_ID_PATTERN } from '@archpost/protocol';
 import type { ClusterStateView, ReplicaView, StateWriting } from '../context/index.js';
 import type { Milliseconds } from '../model/index.js';
 import { encodeCancelledJob, type ReplicaEntry, StateKey, WritePriority } from '../state/index.js';
-import { type ClientResponses, NO_SUCH_JOB, REQUEST_TIMEOUT_MS } from './client-responses.js';
+import { type ClientResponses, REQUEST_TIMEOUT_MS } from './client-responses.js';
+import { UnavailableReason } from './response-bodies.js';
 
-/** What the cancellations needs of its controller. */
+/** What cancellations need of the controller. */
 type CancellationsContext = ClusterStateView & ReplicaView & StateWriting;
 
+/** Answers each cancellation once. A job that is finished already is answered with its final state. */
 export class Cancellations {
   constructor(
     private readonly context: CancellationsContext,
@@ -15,42 +20,47 @@
   ) {}
 
   cancel(id: number, job: string, now: Milliseconds): void {
-    if (!JOB_ID_PATTERN.test(job)) return this.responses.respond(id, 404, NO_SUCH_JOB);
-    const unready = this.responses.unavailableReason(now);
-    if (unready) return this.responses.respondUnavailable(id, unready);
-    const until = now + REQUEST_TIMEOUT_MS;
-    if (this.tryCancel(id, job, until)) return;
+    if (!JOB_ID_PATTERN.test(job)) return this.responses.respondNoSuchJob(id);
+    const unavailable = this.responses.unavailableReason(now);
+    if (unavailable) return this.responses.respondUnavailable(id, unavailable);
+    const expiresAt = now + REQUEST_TIMEOUT_MS;
+    if (this.tryCancel(id, job, expiresAt)) return;
     // It may have been accepted elsewhere a moment ago.
-    this.responses.afterBarrier(id, now, until, () => {
-      if (!this.tryCancel(id, job, until)) this.responses.respond(id, 404, NO_SUCH_JOB);
+    this.responses.afterBarrier(id, now, expiresAt, () => {
+      if (!this.tryCancel(id, job, expiresAt)) this.responses.respondNoSuchJob(id);
     });
   }
 
-  /** False if no record of the job is known here. */
-  private tryCancel(id: number, job: string, until: Milliseconds): boolean {
-    const final = this.context.clusterState.finishedJobs.get(job);
+  /** Cancels the job, or answers with its final state. False if no record of it is known here. */
+  private tryCancel(id: number, job: string, expiresAt: Milliseconds): boolean {
+    const finalState = this.context.clusterState.finishedJobs.get(job);
+    if (finalState) {
+      this.responses.respondJobStatus(id, job, finalState);
+      return true;
+    }
     const entry = this.context.replica.get(StateKey.job(job));
-    if (final) this.responses.respond(id, 200, encodeJobStatus(job, final));
-    else if (entry) this.storeCancellation(id, job, entry, until);
-    return final !== undefined || entry !== null;
+    if (!entry) return false;
+    this.storeCancellation(id, job, entry, expiresAt);
+    return true;
   }
 
-  private storeCancellation(id: number, job: string, entry: ReplicaEntry, until: Milliseconds): void {
+  private storeCancellation(id: number, job: string, entry: ReplicaEntry, expiresAt: Milliseconds): void {
     const { clusterState, writer } = this.context;
     const key = StateKey.job(job);
-    const end = this.responses.respondOnce(id, until);
+    const respondOnce = this.responses.respondOnce(id, expiresAt);
     writer.add({
       key,
       value: () => encodeCancelledJob(key, entry.value, clusterState.sizeLimits.maxWriteBytes),
       expectedRevision: entry.revision,
       priority: WritePriority.cancellation,
-      expiresAt: until,
+      expiresAt,
       onOutcome: (outcome) => {
-        if (outcome === 'ok') return end(() => this.responses.respond(id, 200, encodeJobStatus(job, 'cancelled')));
-        // Somebody else wrote first: the replica has it by now.
-        const final = clusterState.finishedJobs.get(job);
-        if (final) end(() => this.responses.respond(id, 200, encodeJobStatus(job, final)));
-        else end(() => this.responses.respondUnavailable(id, 'try again'));
+        // Unless it is stored, somebody else wrote first: the replica has it by now.
+        const finalState = outcome === 'ok' ? 'cancelled' : clusterState.finishedJobs.get(job);
+        respondOnce(() => {
+          if (finalState) this.responses.respondJobStatus(id, job, finalState);
+          else this.responses.respondUnavailable(id, UnavailableReason.conflict);
+        });
       },
     });
   }
--- a/packages/controller/src/jobs/client-requests.ts
+++ b/packages/controller/src/jobs/client-requests.ts
@@ -1,5 +1,7 @@
-/** Users' requests, at any controller. */
-
+/**
+ * The requests of users, at any controller: each is counted, its body parsed, and handed to the module for its kind. Owns these
+ * modules.
+ */
 import type {
   ClusterStateView,
   EffectSink,
@@ -14,10 +16,12 @@
 import type { Milliseconds } from '../model/index.js';
 import { Cancellations } from './cancellations.js';
 import { ClientResponses } from './client-responses.js';
+import { HttpStatus } from './response-bodies.js';
 import { StatusQueries } from './status-queries.js';
+import { malformedSubmissionBody, readSubmissionRequest } from './submission-request.js';
 import { Submissions } from './submissions.js';
 
-/** What the client requests needs of its controller. */
+/** What requests of users need of the controller. */
 type ClientRequestsContext = SettingsView &
   InputClock &
   ClusterStateView &
@@ -28,6 +32,7 @@
   PeerDirectory &
   EffectSink;
 
+/** The edge of the room: inputs of the controller come in here. */
 export class ClientRequests {
   private readonly responses: ClientResponses;
   private readonly submissions: Submissions;
@@ -41,10 +46,12 @@
     this.statusQueries = new StatusQueries(context, this.responses);
   }
 
-  /** `wall`: the time of day. */
-  submit(id: number, body: Record<string, unknown> | null, now: Milliseconds, wallClockMs: Milliseconds): void {
+  /** `body`: null if it isn't a MessagePack map; `wallClockMs`: the time of day. */
+  submit(id: number, body: Record<string, unknown> | null, now: Milliseconds, wallClockMs: number): void {
     this.responses.requestOpened();
-    this.submissions.submit(id, body, now, wallClockMs);
+    const request = readSubmissionRequest(body);
+    if (request.kind === 'valid') this.submissions.submit(id, request.submission, now, wallClockMs);
+    else this.responses.respond(id, HttpStatus.badRequest, malformedSubmissionBody(request));
   }
 
   cancel(id: number, job: string, now: Milliseconds): void {
@@ -57,7 +64,7 @@
     this.statusQueries.query(id, job, now);
   }
 
-  /** Questions wait for a newer reading. */
+  /** Do status queries wait for a newer read? */
   get hasPendingQueries(): boolean {
     return this.statusQueries.hasPending;
   }
@@ -67,6 +74,7 @@
     this.statusQueries.answerUpTo(asOf);
   }
 
+  /** Refuses what is out of time. */
   tick(now: Milliseconds): void {
     this.responses.tick(now);
     this.statusQueries.tick(now);
--- a/packages/controller/src/jobs/client-responses.ts
+++ b/packages/controller/src/jobs/client-responses.ts
@@ -1,35 +1,33 @@
-/** Answers to users: how many requests are open, which are refused for that, and which are out of time. */
+/**
+ * Responses to users: which requests are refused because too many wait, and which because they are out of time. Owns the number of
+ * open requests and the deadlines of those that wait for the state service.
+ */
+import { encodeJobStatus, type JobState } from '@archpost/protocol';
 import type { EffectSink, ReadBarrierSource, ReplicaView, SettingsView, StateFreshness, StateWriting } from '../context/index.js';
 import type { Milliseconds } from '../model/index.js';
+import { DeadlineQueue } from './deadline-queue.js';
+import type { JobStatusBody } from './job-status.js';
+import { type ErrorBody, errorBody, HttpStatus, NO_SUCH_JOB, UnavailableReason } from './response-bodies.js';
 
 /** Users wait 5 s for an answer to a submission or a cancellation. */
 export const REQUEST_TIMEOUT_MS = 4000;
 
-export const NO_SUCH_JOB = { error: 'no such job' };
-export const NOT_READY = 'not ready';
-export const STATE_SERVICE_UNAVAILABLE = 'the state service does not answer';
-
-/** A user who is refused is to come back after so long. */
+/** A user whose request can't be served now is to repeat it after so long. */
 const RETRY_AFTER_S = 1;
 
-/** Part of the connections that may wait for answers to users: workers need the others. */
+/** One in so many connections may wait for an answer to a user: workers need the others. */
 const SOCKETS_PER_OPEN_REQUEST = 8;
 
-/** Seconds of changes that may wait before a submission is refused. */
+/** A submission is refused while the pending writes would take longer than this. */
 const OVERLOAD_BACKLOG_S = 6;
 
-interface Deadline {
-  at: Milliseconds;
-  run: () => void;
-}
-
-/** What the client responses needs of its controller. */
+/** What responses need of the controller. */
 type ClientResponsesContext = SettingsView & ReplicaView & StateWriting & StateFreshness & ReadBarrierSource & EffectSink;
 
+/** Sends the one response to each request of a user. */
 export class ClientResponses {
   private openRequests = 0;
-  /** kept in the order of their times: what waited for a reading first has less left */
-  private readonly deadlines: Deadline[] = [];
+  private readonly deadlines = new DeadlineQueue();
 
   constructor(private readonly context: ClientResponsesContext) {}
 
@@ -38,26 +36,35 @@
     this.openRequests++;
   }
 
-  respond(id: number, status: number, body: unknown, retryAfterS?: number): void {
+  respond(id: number, status: HttpStatus, body: JobStatusBody | ErrorBody, retryAfterS?: number): void {
     this.openRequests--;
-    const answer = { type: 'respond', id, status, body } as const;
-    this.context.emit(retryAfterS === undefined ? answer : { ...answer, retryAfterS });
+    const response = { type: 'respond', id, status, body } as const;
+    this.context.emit(retryAfterS === undefined ? response : { ...response, retryAfterS });
+  }
+
+  /** Responds with the state of the job, without counts of its tasks. */
+  respondJobStatus(id: number, job: string, state: JobState, status: HttpStatus = HttpStatus.ok): void {
+    this.respond(id, status, encodeJobStatus(job, state));
   }
 
-  /** What can't be taken now is answered at once, and is to be asked again. */
-  respondUnavailable(id: number, why: string): void {
-    this.respond(id, 503, { error: why }, RETRY_AFTER_S);
+  respondNoSuchJob(id: number): void {
+    this.respond(id, HttpStatus.notFound, NO_SUCH_JOB);
+  }
+
+  /** What can't be served now is answered at once, and is to be repeated. */
+  respondUnavailable(id: number, reason: UnavailableReason): void {
+    this.respond(id, HttpStatus.unavailable, errorBody(reason), RETRY_AFTER_S);
   }
 
   /** Why nothing can be answered from the replica now, or null. */
-  unavailableReason(now: Milliseconds): string | null {
-    if (!this.context.replica.loaded) return NOT_READY;
-    return this.context.stateServiceAnswers(now) ? null : STATE_SERVICE_UNAVAILABLE;
+  unavailableReason(now: Milliseconds): UnavailableReason | null {
+    if (!this.context.replica.loaded) return UnavailableReason.notReady;
+    return this.context.stateServiceAnswers(now) ? null : UnavailableReason.stateServiceSilent;
   }
 
   /**
-   * So many wait already that one more would only make all of them late, or that connections
-   * which workers need would go to users.
+   * So many wait already that one more would only make all of them late, or that connections which workers need would go to
+   * users.
    */
   get isOverloaded(): boolean {
     const { settings, writer } = this.context;
@@ -68,32 +75,27 @@
   }
 
   /**
-   * A request that has several possible ends is answered by the first. The result runs an end unless another has;
-   * at `until` the request is refused.
+   * For a request that has several possible responses: the first is sent. The result runs a response unless another ran before;
+   * at `expiresAt` the request is refused.
    */
-  respondOnce(id: number, until: Milliseconds): (end: () => void) => void {
-    let over = false;
-    const end = (answer: () => void) => {
-      if (over) return;
-      over = true;
-      answer();
+  respondOnce(id: number, expiresAt: Milliseconds): (respond: () => void) => void {
+    let isAnswered = false;
+    const once = (respond: () => void) => {
+      if (isAnswered) return;
+      isAnswered = true;
+      respond();
     };
-    this.addDeadline(until, () => end(() => this.respondUnavailable(id, STATE_SERVICE_UNAVAILABLE)));
-    return end;
-  }
-
-  /** Runs once a reading newer than `now` is in; if none is by `until`, the request is refused. */
-  afterBarrier(id: number, now: Milliseconds, until: Milliseconds, run: () => void): void {
-    this.context.afterBarrier(now, run, until, () => this.respondUnavailable(id, STATE_SERVICE_UNAVAILABLE));
+    this.deadlines.add(expiresAt, () => once(() => this.respondUnavailable(id, UnavailableReason.stateServiceSilent)));
+    return once;
   }
 
-  private addDeadline(at: Milliseconds, run: () => void): void {
-    let index = this.deadlines.length;
-    while (index > 0 && (this.deadlines[index - 1] as Deadline).at > at) index--;
-    this.deadlines.splice(index, 0, { at, run });
+  /** Runs once a read newer than `now` is in; if none is at `expiresAt`, the request is refused. */
+  afterBarrier(id: number, now: Milliseconds, expiresAt: Milliseconds, run: () => void): void {
+    this.context.afterBarrier(now, run, expiresAt, () => this.respondUnavailable(id, UnavailableReason.stateServiceSilent));
   }
 
+  /** Refuses the requests that are out of time. */
   tick(now: Milliseconds): void {
-    while (this.deadlines.length > 0 && (this.deadlines[0] as Deadline).at <= now) this.deadlines.shift()?.run();
+    this.deadlines.runDue(now);
   }
 }
--- a/packages/controller/src/jobs/index.ts
+++ b/packages/controller/src/jobs/index.ts
@@ -1,3 +1,5 @@
-/** Jobs: submissions, cancellations and status queries of users, and their responses.
- * Owns the requests that wait for a response. */
-export * from './client-requests.js';
+/**
+ * Jobs: submissions, cancellations and status queries of users, and the responses to them. Owns the requests that wait for a
+ * response.
+ */
+export { ClientRequests } from './client-requests.js';
--- a/packages/controller/src/jobs/job-status.ts
+++ b/packages/controller/src/jobs/job-status.ts
@@ -1,47 +1,49 @@
-/** What users are told of a job, by what the replica holds. */
-import { encodeJobStatus } from '@archpost/protocol';
+/** The status of a job as users are told it, by what the replica holds and what the other controllers last reported. Owns no state. */
+import { encodeJobStatus, type JobState } from '@archpost/protocol';
 import type { ClusterStateView, PeerDirectory, ReplicaView } from '../context/index.js';
 import type { Job } from '../model/index.js';
-import { readJobRecord, StateKey } from '../state/index.js';
+import { type FinalState, readJobRecord, StateKey } from '../state/index.js';
 
-export type JobStatus = 'queued' | 'running' | 'done' | 'cancelled';
+/** The body of a response that tells a job's status. */
+export type JobStatusBody = ReturnType<typeof encodeJobStatus>;
 
+/** How many tasks of a job are in each state. */
 interface TaskCounts {
   done: number;
   running: number;
+  /** failures, of a job whose tasks fail on every machine; else 0 */
   failed: number;
 }
 
-/** The job's status; null if it isn't known here. */
-export function statusOf(context: ClusterStateView & PeerDirectory, id: string): JobStatus | null {
-  const final = context.clusterState.finishedJobs.get(id);
-  if (final) return final;
+/** What the status of a job with counts of its tasks needs of the controller. */
+type JobStatusContext = ClusterStateView & ReplicaView & PeerDirectory;
+
+/** The job's state; null if it isn't known here. */
+export function statusOf(context: ClusterStateView & PeerDirectory, id: string): JobState | null {
+  const finalState = context.clusterState.finishedJobs.get(id);
+  if (finalState) return finalState;
   const job = context.clusterState.jobs.get(id);
   if (!job) return null;
   return countTasks(context, job).running > 0 ? 'running' : 'queued';
 }
 
-/** What the describe job needs of its controller. */
-type DescribeJobContext = ClusterStateView & ReplicaView & PeerDirectory;
-
-/** An answer with counts of tasks; null if the job isn't known here. */
-export function describeJob(context: DescribeJobContext, id: string): ReturnType<typeof encodeJobStatus> | null {
-  const status = statusOf(context, id);
+/** A response with counts of tasks; null if the job isn't known here. */
+export function describeJob(context: JobStatusContext, id: string): JobStatusBody | null {
+  const finalState = context.clusterState.finishedJobs.get(id);
+  if (finalState) return describeFinishedJob(context, id, finalState);
   const job = context.clusterState.jobs.get(id);
-  if (status === 'done' || status === 'cancelled') return describeFinal(context, id, status);
-  return status && job ? encodeJobStatus(id, status, countTasks(context, job)) : null;
+  if (!job) return null;
+  const counts = countTasks(context, job);
+  return encodeJobStatus(id, counts.running > 0 ? 'running' : 'queued', counts);
 }
 
-export function describeFinal(
-  context: ReplicaView,
-  id: string,
-  status: 'done' | 'cancelled',
-): ReturnType<typeof encodeJobStatus> {
+/** A response for a job that is done or cancelled. The tasks of a cancelled one aren't counted. */
+export function describeFinishedJob(context: ReplicaView, id: string, finalState: FinalState): JobStatusBody {
   const tasks = readJobRecord(context.replica.get(StateKey.job(id))?.value)?.tasks ?? 0;
-  return encodeJobStatus(id, status, { done: status === 'done' ? tasks : 0, running: 0 });
+  return encodeJobStatus(id, finalState, { done: finalState === 'done' ? tasks : 0, running: 0 });
 }
 
-/** By what runs here, or else by what the other controllers told last. */
+/** By what runs here; if nothing does, by what the other controllers reported last. */
 function countTasks(context: PeerDirectory, job: Job): TaskCounts {
   let running = 0;
   for (const allocation of job.tenure.allocations.values())
@@ -49,11 +51,11 @@
   let done = job.doneCount;
   let failed = job.crashLoopingSince !== null ? job.failureCount : 0;
   for (const peer of running === 0 ? context.peers.values() : []) {
-    const told = peer.runningJobs.get(job.spec.id);
-    if (!told) continue;
-    running = Math.max(running, told.count);
-    done = Math.max(done, told.done);
-    failed = Math.max(failed, told.failed);
+    const reported = peer.runningJobs.get(job.spec.id);
+    if (!reported) continue;
+    running = Math.max(running, reported.count);
+    done = Math.max(done, reported.done);
+    failed = Math.max(failed, reported.failed);
   }
   return { done: Math.min(done, job.spec.tasks), running, failed };
 }
--- a/packages/controller/src/jobs/status-queries.ts
+++ b/packages/controller/src/jobs/status-queries.ts
@@ -1,11 +1,15 @@
-/** Users' questions about jobs. One reading of the state service answers all that came before it. */
+/**
+ * Users' queries for the status of a job. One read of the state service answers all that came before it. Owns the queries that
+ * wait for it.
+ */
 import { JOB_ID_PATTERN } from '@archpost/protocol';
 import type { ClusterStateView, EffectSink, PeerDirectory, ReplicaView } from '../context/index.js';
 import type { Milliseconds } from '../model/index.js';
-import { type ClientResponses, NO_SUCH_JOB, STATE_SERVICE_UNAVAILABLE } from './client-responses.js';
-import { describeFinal, describeJob } from './job-status.js';
+import type { ClientResponses } from './client-responses.js';
+import { describeFinishedJob, describeJob, type JobStatusBody } from './job-status.js';
+import { HttpStatus, UnavailableReason } from './response-bodies.js';
 
-/** Users wait 2 s for an answer to a question. */
+/** Users wait 2 s for an answer to a query. */
 const QUERY_TIMEOUT_MS = 1700;
 
 interface StatusQuery {
@@ -14,12 +18,13 @@
   at: Milliseconds;
 }
 
-/** What the status queries needs of its controller. */
+/** What status queries need of the controller. */
 type StatusQueriesContext = ClusterStateView & ReplicaView & PeerDirectory & EffectSink;
 
+/** Answers queries linearizably: a job that is finished at once, others after a read that is newer than the query. */
 export class StatusQueries {
-  /** those that wait for the replica to be as new as they are, in the order they came */
-  private readonly waiting: StatusQuery[] = [];
+  /** those that wait for the replica to be as new as they are, in the order in which they came */
+  private readonly pending: StatusQuery[] = [];
 
   constructor(
     private readonly context: StatusQueriesContext,
@@ -27,38 +32,45 @@
   ) {}
 
   get hasPending(): boolean {
-    return this.waiting.length > 0;
+    return this.pending.length > 0;
   }
 
   query(id: number, job: string, now: Milliseconds): void {
-    if (!JOB_ID_PATTERN.test(job)) return this.responses.respond(id, 404, NO_SUCH_JOB);
-    const final = this.context.clusterState.finishedJobs.get(job);
-    if (final) return this.responses.respond(id, 200, describeFinal(this.context, job, final));
-    const unready = this.responses.unavailableReason(now);
-    if (unready) return this.responses.respondUnavailable(id, unready);
-    this.waiting.push({ id, job, at: now });
-    if (this.waiting.length === 1) this.context.emit({ type: 'readBarrier', urgent: false });
+    if (!JOB_ID_PATTERN.test(job)) return this.responses.respondNoSuchJob(id);
+    const finalState = this.context.clusterState.finishedJobs.get(job);
+    if (finalState) return this.responses.respond(id, HttpStatus.ok, describeFinishedJob(this.context, job, finalState));
+    const unavailable = this.responses.unavailableReason(now);
+    if (unavailable) return this.responses.respondUnavailable(id, unavailable);
+    this.pending.push({ id, job, at: now });
+    if (this.pending.length === 1) this.context.emit({ type: 'readBarrier', urgent: false });
   }
 
-  /** The replica holds everything that was so at `asOf`: what was asked by then is answered, alike for one job. */
+  /**
+   * The replica holds everything that was so at `asOf`: queries until then are answered, all for one job alike. A job is described
+   * once, however many ask for it.
+   */
   answerUpTo(asOf: Milliseconds): void {
-    const descriptions = new Map<string, ReturnType<typeof describeJob>>();
-    for (const { id, job } of this.takeWhile((question) => question.at <= asOf)) {
-      const known = descriptions.get(job);
-      const description = known === undefined ? describeJob(this.context, job) : known;
-      descriptions.set(job, description);
-      if (description) this.responses.respond(id, 200, description);
-      else this.responses.respond(id, 404, NO_SUCH_JOB);
+    const descriptions = new Map<string, JobStatusBody | null>();
+    for (const { id, job } of this.takeWhile((query) => query.at <= asOf)) {
+      let description = descriptions.get(job);
+      if (description === undefined) {
+        description = describeJob(this.context, job);
+        descriptions.set(job, description);
+      }
+      if (description) this.responses.respond(id, HttpStatus.ok, description);
+      else this.responses.respondNoSuchJob(id);
     }
   }
 
+  /** Refuses the queries that are out of time. */
   tick(now: Milliseconds): void {
-    for (const { id } of this.takeWhile((question) => now > question.at + QUERY_TIMEOUT_MS))
-      this.responses.respondUnavailable(id, STATE_SERVICE_UNAVAILABLE);
+    for (const { id } of this.takeWhile((query) => now > query.at + QUERY_TIMEOUT_MS))
+      this.responses.respondUnavailable(id, UnavailableReason.stateServiceSilent);
   }
 
-  private takeWhile(holds: (question: StatusQuery) => boolean): StatusQuery[] {
-    const end = this.waiting.findIndex((question) => !holds(question));
-    return this.waiting.splice(0, end < 0 ? this.waiting.length : end);
+  /** Removes the first queries, up to one for which the condition doesn't hold. */
+  private takeWhile(holds: (query: StatusQuery) => boolean): StatusQuery[] {
+    const end = this.pending.findIndex((query) => !holds(query));
+    return this.pending.splice(0, end < 0 ? this.pending.length : end);
   }
 }
--- /dev/null
+++ b/packages/controller/src/jobs/submission-request.ts
@@ -0,0 +1,30 @@
+/** The body of a submission, parsed: what comes after works with a typed `Submission`. Pure functions. */
+import { parseSubmission, type Submission } from '@archpost/protocol';
+import { type ErrorBody, errorBody } from './response-bodies.js';
+
+/** A submission as its user sent it, or why it can't be read. */
+export type SubmissionRequest =
+  | { kind: 'valid'; submission: Submission }
+  | { kind: 'notAMap' }
+  /** `field`: the path of the first field at fault, in the names of the wire */
+  | { kind: 'invalidField'; field: string };
+
+/** `body`: null if it isn't a MessagePack map. */
+export function readSubmissionRequest(body: Record<string, unknown> | null): SubmissionRequest {
+  if (!body) return { kind: 'notAMap' };
+  const parsed = parseSubmission(body);
+  if ('field' in parsed) return { kind: 'invalidField', field: parsed.field };
+  return { kind: 'valid', submission: parsed };
+}
+
+/** The body of the response to a submission that can't be read. */
+export function malformedSubmissionBody(request: Exclude<SubmissionRequest, { kind: 'valid' }>): ErrorBody {
+  switch (request.kind) {
+    case 'notAMap':
+      return errorBody('the body is not a MessagePack map');
+    case 'invalidField':
+      return errorBody(`field ${request.field} is missing or invalid`);
+    default:
+      return request satisfies never;
+  }
+}
