--- a/packages/controller/src/capacity/autoscaler.ts
+++ b/packages/controller/src/capacity/autoscaler.ts
@@ -116,7 +116,7 @@
     this.tracker.forget(machine);
   }
 
-  /** Machine types of which the cloud granted all that was last requested. */
+  /** Machine types of which the cloud provisioned all that was last requested. */
   availableTypes(): string[] {
     return this.pools.availableTypes();
   }
@@ -245,7 +245,7 @@
     return true;
   }
 
-  /** How long ago the machine was granted or requested, as far as is known; else null. */
+  /** How long ago the machine was provisioned or requested, as far as is known; else null. */
   private ageMs(machine: string, now: Milliseconds): Milliseconds | null {
     const bootingForMs = this.tracker.bootingForMs(machine, now);
     if (bootingForMs !== null) return bootingForMs;
--- a/packages/controller/src/capacity/instance-pools.ts
+++ b/packages/controller/src/capacity/instance-pools.ts
@@ -33,7 +33,7 @@
     return now >= this.pool(kind).retryAt;
   }
 
-  /** Types of which the cloud granted all ordinary machines of the last request. */
+  /** Types of which the cloud provisioned all ordinary machines of the last request. */
   availableTypes(): string[] {
     const types = new Set<string>();
     for (const [key, pool] of this.pools) if (pool.wasFilled) types.add(key.slice(0, key.indexOf('/')));
@@ -47,16 +47,16 @@
     pool.refusals = 0;
   }
 
-  /** The cloud granted `granted` of the `requested` machines. */
-  requestGranted(kind: InstanceKind, requested: number, granted: number, now: Milliseconds): void {
+  /** The cloud provisioned `provisionedCount` of the `requestedCount` machines. */
+  requestFulfilled(kind: InstanceKind, requestedCount: number, provisionedCount: number, now: Milliseconds): void {
     const pool = this.pool(kind);
-    const isFilled = granted >= requested;
+    const isFilled = provisionedCount >= requestedCount;
     pool.wasFilled = !kind.spot && isFilled;
     pool.refusals = isFilled ? 0 : 1;
     pool.retryAt = isFilled ? now : now + PARTIAL_RETRY_MS;
   }
 
-  /** The cloud granted none. The delay grows with every refusal in a row, up to `maxDelayMs`. */
+  /** The cloud provisioned none. The delay grows with every refusal in a row, up to `maxDelayMs`. */
   requestRefused(kind: InstanceKind, maxDelayMs: Milliseconds, now: Milliseconds): void {
     const pool = this.pool(kind);
     pool.refusals++;
--- a/packages/controller/src/capacity/provisioner.ts
+++ b/packages/controller/src/capacity/provisioner.ts
@@ -28,9 +28,9 @@
 
 /** What the cloud answered to a provisioning request. */
 export type ProvisioningOutcome =
-  /** these machines were granted, perhaps fewer than requested */
+  /** these machines were provisioned, perhaps fewer than requested */
   | { kind: 'ok'; machines: string[] }
-  /** none was granted */
+  /** none was provisioned */
   | { kind: 'full' }
   /** there was no answer: the request may have been carried out */
   | { kind: 'unknown' };
@@ -90,7 +90,7 @@
     if (!request) return;
     switch (outcome.kind) {
       case 'ok':
-        return this.requestGranted(request, outcome.machines, now);
+        return this.requestFulfilled(request, outcome.machines, now);
       case 'full':
         return this.parts.pools.requestRefused(request, this.maxRetryDelayMs(), now);
       case 'unknown':
@@ -101,10 +101,10 @@
     }
   }
 
-  private requestGranted(request: PendingRequest, machines: string[], now: Milliseconds): void {
+  private requestFulfilled(request: PendingRequest, machines: string[], now: Milliseconds): void {
     const { tracker, pools, machineList, bootMonitor } = this.parts;
-    for (const machine of machines) if (!machineList.has(machine)) tracker.machineGranted(machine, request, now);
-    pools.requestGranted(request, request.count, machines.length, now);
+    for (const machine of machines) if (!machineList.has(machine)) tracker.machineProvisioned(machine, request, now);
+    pools.requestFulfilled(request, request.count, machines.length, now);
     // A kind whose boots fail is requested now and then only.
     if (bootMonitor.isFailing(request, now)) pools.delay(request, bootMonitor.limitMs(request.type, now) / 2, now);
   }
--- a/packages/controller/src/capacity/provisioning-tracker.ts
+++ b/packages/controller/src/capacity/provisioning-tracker.ts
@@ -9,9 +9,9 @@
   at: Milliseconds;
 }
 
-/** A machine that the cloud granted, and that is neither listed nor assigned yet. */
+/** A machine that the cloud provisioned, and that is neither listed nor assigned yet. */
 interface BootingMachine extends InstanceKind {
-  /** when the cloud granted it */
+  /** when the cloud answered that it is provisioned */
   at: Milliseconds;
 }
 
@@ -43,8 +43,8 @@
     return pending;
   }
 
-  /** The cloud granted the machine. */
-  machineGranted(machine: string, { type, zone, spot }: InstanceKind, now: Milliseconds): void {
+  /** The cloud provisioned the machine. */
+  machineProvisioned(machine: string, { type, zone, spot }: InstanceKind, now: Milliseconds): void {
     this.bootingMachines.set(machine, { type, zone, spot, at: now });
   }
 
@@ -53,12 +53,12 @@
     this.bootingMachines.delete(machine);
   }
 
-  /** Forgets machines that were granted longer ago than this: they would be listed if they existed. */
+  /** Forgets machines that were provisioned longer ago than this: they would be listed if they existed. */
   forgetOlderThan(maxAgeMs: Milliseconds, now: Milliseconds): void {
     for (const [machine, { at }] of this.bootingMachines) if (now - at > maxAgeMs) this.bootingMachines.delete(machine);
   }
 
-  /** How long ago the machine was granted; null if it isn't known to boot. */
+  /** How long ago the machine was provisioned; null if it isn't known to boot. */
   bootingForMs(machine: string, now: Milliseconds): Milliseconds | null {
     const booting = this.bootingMachines.get(machine);
     return booting ? now - booting.at : null;
