--- a/packages/controller/src/capacity/autoscaler.ts
+++ b/packages/controller/src/capacity/autoscaler.ts
@@ -156,7 +156,7 @@
 
   /** A new leader doesn't know what the last one requested: the list will tell. */
   private mayMissEarlierRequests(now: Milliseconds): boolean {
-    const untilListedMs = 2000 * this.context.settings.cloud.listLagS + LIST_LAG_MARGIN_MS;
+    const untilListedMs = this.machineList.maxLagMs + LIST_LAG_MARGIN_MS;
     return this.term.isTakeover && now - this.term.since < untilListedMs;
   }
 
--- a/packages/controller/src/capacity/machine-list.ts
+++ b/packages/controller/src/capacity/machine-list.ts
@@ -14,6 +14,9 @@
 /** A provisioned machine is in a list after this long, or later where lists are slow. */
 const MIN_LIST_VISIBILITY_MS = 60_000;
 
+/** Some lists are as late as this many times the lag that the cloud names. */
+const MAX_LAG_FACTOR = 2;
+
 /** Stands for the time of receipt until the first list of a tenure: ages of the previous tenure's list count from here. */
 const BEFORE_ANY_LIST: Milliseconds = -1;
 
@@ -76,9 +79,14 @@
     return listed.ageS * 1000 + (now - (this.receivedAt ?? BEFORE_ANY_LIST));
   }
 
-  /** After this long a provisioned machine is listed if it exists: a list may be as late as twice its lag. */
+  /** A list may show the machines of this long ago: some are as late as twice the lag that the cloud names. */
+  get maxLagMs(): Milliseconds {
+    return MAX_LAG_FACTOR * 1000 * this.context.settings.cloud.listLagS;
+  }
+
+  /** After this long a provisioned machine is listed if it exists. */
   get visibilityMs(): Milliseconds {
-    return Math.max(MIN_LIST_VISIBILITY_MS, 2 * this.intervalMs + 2000 * this.context.settings.cloud.listLagS);
+    return Math.max(MIN_LIST_VISIBILITY_MS, 2 * this.intervalMs + this.maxLagMs);
   }
 
   /** A list of many machines takes many requests, and may take a part of them only: provisioning and releases need the rest. */
--- a/packages/controller/src/capacity/provisioner.ts
+++ b/packages/controller/src/capacity/provisioner.ts
@@ -95,7 +95,7 @@
         return this.parts.pools.requestRefused(request, this.maxRetryDelayMs(), now);
       case 'unknown':
         // It may have been carried out: what came of it shows in the list.
-        return this.parts.pools.delay(request, 2000 * this.context.settings.cloud.listLagS + UNCERTAIN_REQUEST_MARGIN_MS, now);
+        return this.parts.pools.delay(request, this.parts.machineList.maxLagMs + UNCERTAIN_REQUEST_MARGIN_MS, now);
       default:
         return outcome satisfies never;
     }
