--- a/packages/controller/src/capacity/autoscaler.ts
+++ b/packages/controller/src/capacity/autoscaler.ts
@@ -1,7 +1,7 @@
 /**
- * The autoscaler: provisions machines for work that waits, and releases those that never came up. It runs on the leader. Owns the
- * state of its own leadership; lists, requests, pools, releases and boot times have a module each, and the modules
- * `demand-provisioning` and `spare-capacity` decide what to request.
+ * The autoscaler: provisions machines for pending work, and releases machines that never came up. It acts on the leader only.
+ * Owns when this controller's leadership began. Machine lists, requests, pools, releases and boot times have a module each; what
+ * to request is decided by `demand-provisioning` or `spare-capacity`.
  */
 import {
   type ListedMachine,
@@ -25,13 +25,13 @@
 /** Machines in one request for a kind that fails to boot. */
 const MAX_MACHINES_OF_FAILING_KIND = 2;
 
-/** Time beyond the lag of lists until what was requested earlier is in one. */
+/** Added to the lag of lists: after both, a list shows what an earlier leader requested. */
 const LIST_LAG_MARGIN_MS = 2000;
 
-/** A machine that runs, and from which no heartbeat has come, is released once this leadership has lasted for so long. */
+/** A running machine that has sent no heartbeat is released only after the leadership has lasted this long. */
 const UNHEARD_GRACE_MS = 60_000;
 
-/** A machine is released that isn't up after so many times the longest that its type may take. */
+/** A machine is released when it isn't up after this multiple of the boot time limit of its type. */
 const RELEASE_AFTER_BOOT_LIMITS = 2;
 
 /** What the autoscaler needs of its controller. */
@@ -41,7 +41,7 @@
 export interface AutoscalerDependencies {
   /** Is an assignment of the machine being written? */
   isAssignmentPending(machine: string): boolean;
-  /** Machines assigned so recently that the demands of their shards don't show it yet. */
+  /** Machines assigned a moment ago: the demands of their shards don't reflect them yet. */
   recentlyAssigned(now: Milliseconds): InstanceKind[];
   /** Is the zone cut off from this controller? */
   isZoneCut(zone: string): boolean;
@@ -86,6 +86,7 @@
     return this.machineList.isKnown;
   }
 
+  /** Requests a list of the cloud's machines if one is due. */
   requestMachineList(now: Milliseconds): void {
     this.machineList.request(now);
   }
@@ -102,15 +103,17 @@
     if (ageMs !== null) this.bootMonitor.recordBoot(kind, ageMs, now);
   }
 
+  /** The write of the machine's assignment ended: its shard accounts for it. */
   machineAssigned(machine: string): void {
     this.tracker.forget(machine);
   }
 
-  /** Was it released so recently that a heartbeat in its name may be out of date? */
+  /** Was the machine released recently, so that a heartbeat in its name may be out of date? */
   isRecentlyReleased(machine: string, now: Milliseconds): boolean {
     return this.releases.isRecent(machine, now);
   }
 
+  /** The machine was released, by whichever part of this controller or of another. */
   machineReleased(machine: string, now: Milliseconds): void {
     this.releases.released(machine, now);
     this.tracker.forget(machine);
@@ -121,20 +124,21 @@
     return this.pools.availableTypes();
   }
 
-  /** A machine is gone: the cloud may have room for another of its kind. */
+  /** A machine is gone: the cloud may have capacity for another of its kind. */
   capacityFreed(machine: Machine, now: Milliseconds): void {
     const { typeNames, zoneNames } = this.context.clusterState;
     const kind = { type: typeNames.nameOf(machine.typeIndex), zone: zoneNames.nameOf(machine.zoneIndex), spot: machine.spot };
     this.pools.capacityFreed(kind, now);
   }
 
+  /** All kinds of machines that can be provisioned. */
   instanceOptions(): InstanceOption[] {
     return instanceOptions(this.context);
   }
 
   /**
-   * Sends the provisioning requests of a round. What a wave of losses took from services is requested at once, all kinds: a round
-   * each would add seconds to the boot time that everybody waits for. For the rest one kind a round is enough: what comes free
+   * Sends the provisioning requests of a round. Urgent requests are sent together: after a wave of losses, one kind a round would
+   * add seconds to the boot time that services wait for. Of the others only the first is sent, since capacity that comes free
    * meanwhile need not be provisioned.
    */
   scaleOut(shards: Map<number, ShardSummary>, now: Milliseconds): void {
@@ -154,7 +158,7 @@
     }
   }
 
-  /** A new leader doesn't know what the last one requested: the list will tell. */
+  /** After a takeover: requests of the previous leader aren't known until a list shows their machines. */
   private mayMissEarlierRequests(now: Milliseconds): boolean {
     const untilListedMs = this.machineList.maxLagMs + LIST_LAG_MARGIN_MS;
     return this.term.isTakeover && now - this.term.since < untilListedMs;
@@ -174,7 +178,7 @@
     return requestsForDemands(snapshot, this.dependencies.recentlyAssigned(now));
   }
 
-  /** How many machines to request at once: as many as the cloud and the policy permit, few where boots fail. */
+  /** Machines in one request: what the cloud and the policy permit, and few of a kind that fails to boot. At least one. */
   private requestSize(request: ScaleOutRequest, machineCount: number, now: Milliseconds): number {
     const { maxMachines } = this.context.settings.policy;
     const limit = this.bootMonitor.isFailing(request, now) ? MAX_MACHINES_OF_FAILING_KIND : MAX_MACHINES_PER_PROVISIONING;
@@ -188,8 +192,8 @@
   }
 
   /**
-   * The kind of each machine that is requested, boots, or is up and not assigned yet. Machines that are overdue aren't counted on;
-   * the boot monitor learns of them.
+   * The kind of each machine that is requested, boots, or is up and not assigned yet. Overdue machines are left out, since they
+   * may never come up; the boot monitor is told of them.
    */
   private arrivingMachines(now: Milliseconds): InstanceKind[] {
     const arriving = this.tracker.arrivingKinds();
@@ -226,9 +230,9 @@
   }
 
   /**
-   * Failed, or not up for twice as long as its type takes. One that the cloud says runs has a worker whose heartbeats may not have
-   * come to this leader yet: the first leader over machines that had been up for long released all that had not reported within its
-   * first second.
+   * Has the machine failed, or exceeded the boot time limit of its type twice over? A running machine has a worker whose
+   * heartbeats may not have reached this leader yet: once, a new leader released all long-running machines that had not reported
+   * within its first second.
    */
   private isOverdue(listed: ListedMachine, now: Milliseconds): boolean {
     if (listed.state === 'failed') return true;
--- a/packages/controller/src/capacity/boot-monitor.ts
+++ b/packages/controller/src/capacity/boot-monitor.ts
@@ -1,16 +1,16 @@
 /**
- * How long machines may take to boot, and which kinds fail to. Owns the estimates, and which kinds were last found to fail, so that
- * each change is logged once.
+ * Boot time limits of machine types, and the kinds of machines that fail to boot. Owns the estimator, and the kinds that were
+ * last found to fail, so that a change is logged once.
  */
 import type { ClusterStateView, Logger } from '../context/index.js';
 import type { Milliseconds } from '../model/index.js';
 import { BootTimeEstimator } from './boot-time-estimator.js';
 import { type InstanceKind, instanceKindKey, machineTypeNamed } from './instance-kind.js';
 
-/** The boot time of a type that the cloud has not listed. */
+/** The boot time assumed for a type that the cloud has not listed. */
 const DEFAULT_BOOT_S = 60;
 
-/** Applies the estimates to the machine types that are known. */
+/** Combines the estimates with the boot times that the cloud names for its machine types. */
 export class BootMonitor {
   private readonly estimator = new BootTimeEstimator();
   private readonly failingKinds = new Set<string>();
--- a/packages/controller/src/capacity/boot-time-estimator.ts
+++ b/packages/controller/src/capacity/boot-time-estimator.ts
@@ -1,6 +1,6 @@
 /**
- * Estimates how long machines take to boot, by what their types took recently: boots can be late for all, for some, or never end.
- * Owns the boots of the last minutes and the count of machines that are overdue.
+ * Estimates boot times from recent boots of the same type: all boots may be slow for a while, or some, or some may never end.
+ * Owns the boots of the last minutes and the number of overdue machines of each kind.
  */
 import { type Milliseconds, NEVER } from '../model/index.js';
 import { type InstanceKind, instanceKindKey } from './instance-kind.js';
@@ -8,19 +8,19 @@
 /** PROTOCOL: boots usually take up to one and a half times what the cloud names. */
 const EXPECTED_BOOT_FACTOR = 1.6;
 
-/** A type whose machines took longer recently may take this many times as long again. */
+/** Margin on the longest recent boot of a type. */
 const OBSERVED_BOOT_FACTOR = 1.3;
 
-/** The limit is never more than this many times the expected one. */
+/** The limit is at most this multiple of the expected boot time. */
 const MAX_LIMIT_FACTOR = 3;
 
-/** Boots that ended longer ago aren't counted: later ones of the type may be faster again. */
+/** Older boots aren't considered: the type may be faster again. */
 const OBSERVATION_WINDOW_MS = 180_000;
 
-/** Boots of a type that are remembered. */
+/** The number of boots remembered of each type. */
 const MAX_OBSERVATIONS = 20;
 
-/** So many machines of a kind overdue, and none that came up, mean that the kind fails to boot. */
+/** A kind fails to boot when at least this many of its machines are overdue and none has come up. */
 const MIN_OVERDUE_TO_FAIL = 2;
 
 /** A machine that came up. */
@@ -46,8 +46,8 @@
   }
 
   /**
-   * A machine of the type that isn't up after this long is overdue, and isn't counted on any more. `bootS`: the boot time that the
-   * cloud names for the type, in seconds.
+   * The boot time limit of the type: a machine that isn't up by then is overdue. `bootS` is the boot time that the cloud names
+   * for the type, in seconds.
    */
   limitMs(type: string, bootS: number, now: Milliseconds): Milliseconds {
     let limitMs = EXPECTED_BOOT_FACTOR * bootS * 1000;
@@ -65,7 +65,7 @@
     }
   }
 
-  /** Are several machines of the kind overdue, and has none come up within `limitMs`? Then other kinds are preferred. */
+  /** Are several machines of the kind overdue, while none has come up within `limitMs`? */
   isFailing(kind: InstanceKind, limitMs: Milliseconds, now: Milliseconds): boolean {
     const key = instanceKindKey(kind);
     if ((this.overdueByKind.get(key) ?? 0) < MIN_OVERDUE_TO_FAIL) return false;
--- a/packages/controller/src/capacity/demand-provisioning.ts
+++ b/packages/controller/src/capacity/demand-provisioning.ts
@@ -1,6 +1,6 @@
 /**
- * Scaling out where price is an objective: machines are requested for work that waits, the cheapest per task. Pure functions of a
- * snapshot. Tasks are counted into what arrives first; only the others cost anything.
+ * Scaling out where price is an objective: requests the machines that serve pending work for the lowest price per task. Pure
+ * functions of a snapshot. Tasks are first allocated, tentatively, to machines that arrive anyway or are idle.
  */
 import type { MachineType, ResourceDemand } from '@archpost/protocol';
 import type { ClusterStateView } from '../context/index.js';
@@ -10,10 +10,10 @@
 import { type InstanceKind, instanceKindKey, machineTypeNamed } from './instance-kind.js';
 import type { ScaleOutRequest, ScaleOutSnapshot } from './scale-out.js';
 
-/** Work that has waited for less may find room by itself. */
+/** Work that has waited for less may yet be scheduled on existing machines. */
 const MIN_WAIT_S = 1;
 
-/** Machines that one demand may request in a round: this many, or one for each so many of the cluster if that is more. */
+/** The machines that one demand may request in a round: the minimum limit, or a fraction of the cluster if that is larger. */
 const MIN_REQUEST_LIMIT = 40;
 const CLUSTER_MACHINES_PER_REQUESTED_MACHINE = 25;
 
@@ -45,7 +45,7 @@
   return [...requests.values()];
 }
 
-/** A wave of losses takes a part of all machines: what one demand may request in a round grows with them. */
+/** A wave of losses takes a fraction of all machines, so the limit grows with the cluster. */
 function requestLimit(machineCount: number): number {
   return Math.max(MIN_REQUEST_LIMIT, machineCount / CLUSTER_MACHINES_PER_REQUESTED_MACHINE);
 }
@@ -55,7 +55,7 @@
   return demands.sort((a, b) => b.priority - a.priority || b.waitS - a.waitS);
 }
 
-/** What arrives, then what was assigned a moment ago, then what is idle: tasks are counted into them in this order. */
+/** Arriving machines, then recently assigned ones, then idle ones: tasks are allocated in this order. */
 function currentOffers(snapshot: ScaleOutSnapshot, recentlyAssigned: readonly InstanceKind[]): CapacityOffer[] {
   const offers: CapacityOffer[] = [];
   for (const kind of [...snapshot.arriving, ...recentlyAssigned]) {
@@ -66,7 +66,7 @@
   return offers;
 }
 
-/** Idle machines of other shards are about to be moved to where work waits. */
+/** Idle machines will be moved to the shards whose work waits. */
 function addIdleOffers(offers: CapacityOffer[], { shards, clusterState }: ScaleOutSnapshot): void {
   for (const shard of shards.values()) {
     for (const summary of shard.machines) {
@@ -86,7 +86,7 @@
   return { kind, type, isIdle, cpus: type.cpus, gpus: type.gpus, memory: type.memory };
 }
 
-/** Counts tasks of the demand into the offers, and subtracts them there. Returns how many found no room. */
+/** Allocates tasks of the demand to the offers, which shrink by them. Returns how many tasks fit nowhere. */
 function allocateToOffers(demand: ResourceDemand, taskCount: number, offers: CapacityOffer[]): number {
   let remainingTasks = taskCount;
   for (const offer of offers) {
@@ -100,7 +100,7 @@
   return remainingTasks;
 }
 
-/** Idle machines aren't moved for work of low priority, nor those with accelerators for work that needs none. */
+/** Idle machines are for work that needs accelerators, and those without any for other urgent work too. */
 function isKeptFromDemand(offer: CapacityOffer, demand: ResourceDemand): boolean {
   return offer.isIdle && demand.gpus === 0 && (demand.priority < URGENT_PRIORITY || offer.type.gpus > 0);
 }
--- a/packages/controller/src/capacity/demand.ts
+++ b/packages/controller/src/capacity/demand.ts
@@ -1,4 +1,4 @@
-/** Demand: work that waits for room, which machines would serve it, and how much of it is served already. Owns no state. */
+/** Demand: tasks without a machine, the kinds of machines that could run them, and the tasks served already. Owns no state. */
 import type { MachineType, ResourceDemand, ShardSummary } from '@archpost/protocol';
 import { countThatFit, HIGHEST_PRIORITY, type Resources } from '../model/index.js';
 import type { InstanceKind } from './instance-kind.js';
@@ -9,10 +9,10 @@
 /** The priority of best-effort work. */
 export const LOWEST_PRIORITY = 0;
 
-/** Work that waited for less than this may find room by itself. */
+/** Work that has waited for less may yet be scheduled on existing machines. */
 const MIN_WAIT_S = 0.2;
 
-/** Work of a shard that waits for room, and how many of its tasks are not served yet by what is arriving. */
+/** A demand of a shard, with the number of its tasks that no arriving machine will serve. */
 export interface PendingDemand {
   readonly shard: number;
   readonly demand: ResourceDemand;
@@ -29,7 +29,7 @@
   );
 }
 
-/** What waits for room in these shards: by priority, then what is within its quota, then what has waited longest. */
+/** The demands of the shards, ordered by priority, then those within their quota, then by waiting time, longest first. */
 export function pendingDemands(shards: Iterable<ShardSummary>): PendingDemand[] {
   const pending: PendingDemand[] = [];
   for (const { shard, demands } of shards) {
@@ -41,7 +41,7 @@
   );
 }
 
-/** Counts the tasks of the shard that a machine of this kind will serve as served, in the order of `pending`. */
+/** Allocates tasks of the shard to one machine of this kind, in the order of `pending`: they count as served from then on. */
 export function allocateToDemands(pending: PendingDemand[], shard: number, kind: InstanceKind, capacity: MachineType): void {
   const free: Resources = { cpus: capacity.cpus, gpus: capacity.gpus, memory: capacity.memory };
   for (const work of pending) {
@@ -54,7 +54,7 @@
   }
 }
 
-/** Subtracts the resources of so many tasks from what is free, in one step: repeated subtraction would round otherwise. */
+/** Subtracts the resources of `count` tasks in one step: repeated subtraction would round differently. */
 export function subtractTasks(free: Resources, task: Resources, count: number): void {
   free.cpus -= count * task.cpus;
   free.gpus -= count * task.gpus;
--- a/packages/controller/src/capacity/instance-pools.ts
+++ b/packages/controller/src/capacity/instance-pools.ts
@@ -4,13 +4,13 @@
 import type { Milliseconds } from '../model/index.js';
 import { type InstanceKind, instanceKindKey } from './instance-kind.js';
 
-/** A pool of which a machine was released may have room again after this long. */
+/** The retry delay after a machine of the pool was released. */
 const FREED_CAPACITY_RETRY_MS = 500;
 
-/** A request that was filled in part is repeated after this long. */
+/** The retry delay after a request that was filled in part. */
 const PARTIAL_RETRY_MS = 15_000;
 
-/** A refused request is repeated after this long, doubled with every refusal up to the limit. */
+/** The retry delay after a refusal is this, doubled with every refusal in a row up to a limit. */
 const REFUSAL_RETRY_MS = 10_000;
 const MAX_DOUBLINGS = 4;
 
@@ -40,7 +40,7 @@
     return [...types];
   }
 
-  /** A machine of the kind is gone: the cloud may have room for another. */
+  /** A machine of the kind is gone: the cloud may have capacity for another. */
   capacityFreed(kind: InstanceKind, now: Milliseconds): void {
     const pool = this.pool(kind);
     pool.retryAt = Math.min(pool.retryAt, now + FREED_CAPACITY_RETRY_MS);
--- a/packages/controller/src/capacity/machine-assigner.ts
+++ b/packages/controller/src/capacity/machine-assigner.ts
@@ -64,7 +64,7 @@
     return this.pendingWrites.has(machine);
   }
 
-  /** Machines assigned so recently that the summaries of their shards may not show them. */
+  /** Machines assigned a moment ago: the summaries of their shards may not show them yet. */
   recentlyAssigned(now: Milliseconds): RecentAssignment[] {
     for (const [name, assignment] of this.recentAssignments)
       if (!this.pendingWrites.has(name) && now - assignment.at > ASSIGNMENT_VISIBILITY_MS) this.recentAssignments.delete(name);
@@ -89,7 +89,7 @@
     }
   }
 
-  /** Counts tasks that machines assigned a moment ago will serve as served. */
+  /** Allocates pending tasks to machines assigned a moment ago. */
   allocateRecentAssignments(pending: PendingDemand[], now: Milliseconds): void {
     for (const assignment of this.recentlyAssigned(now)) {
       const capacity = machineTypeNamed(this.context, assignment.type);
--- a/packages/controller/src/capacity/machine-list.ts
+++ b/packages/controller/src/capacity/machine-list.ts
@@ -5,10 +5,10 @@
 import type { EffectSink, SettingsView } from '../context/index.js';
 import { type Milliseconds, NEVER } from '../model/index.js';
 
-/** The list is requested this often at most. */
+/** The least time between two requests for a list. */
 const MIN_LIST_INTERVAL_MS = 2000;
 
-/** The part of the permitted requests to the cloud that lists may take. */
+/** The fraction of the permitted requests to the cloud that lists may take. */
 const LIST_FRACTION_OF_REQUESTS = 0.25;
 
 /** A provisioned machine is in a list after this long, or later where lists are slow. */
@@ -89,7 +89,7 @@
     return Math.max(MIN_LIST_VISIBILITY_MS, 2 * this.intervalMs + this.maxLagMs);
   }
 
-  /** A list of many machines takes many requests, and may take a part of them only: provisioning and releases need the rest. */
+  /** A list of many machines takes many requests; it may take a fraction only, since provisioning and releases need the rest. */
   private get intervalMs(): Milliseconds {
     const pages = Math.max(1, Math.ceil(this.machines.size / MAX_MACHINES_PER_LIST));
     return Math.max(
--- a/packages/controller/src/capacity/machine-releases.ts
+++ b/packages/controller/src/capacity/machine-releases.ts
@@ -45,13 +45,13 @@
     return this.releasedAt.has(machine);
   }
 
-  /** Was it released so recently that a heartbeat in its name may be out of date? */
+  /** Was it released recently, so that a heartbeat in its name may be out of date? */
   isRecent(machine: string, now: Milliseconds): boolean {
     const releasedAt = this.releasedAt.get(machine);
     return releasedAt !== undefined && now - releasedAt < STALE_REPORT_MS;
   }
 
-  /** Was it released so recently that the cloud may list it nevertheless? */
+  /** Was it released recently, so that the cloud may still list it? */
   mayBeListed(machine: string, now: Milliseconds): boolean {
     const releasedAt = this.releasedAt.get(machine);
     return releasedAt !== undefined && now - releasedAt < RELEASE_VISIBILITY_MS;
--- a/packages/controller/src/capacity/move-options.ts
+++ b/packages/controller/src/capacity/move-options.ts
@@ -1,25 +1,25 @@
 /**
- * Which machines may be moved to the shard of a demand, and at what cost. Decides from the summaries of one round; owns what it
- * works out once a round.
+ * The choice of machines to move to the shard of a demand, and the cost of each move. Decides from the summaries of one round;
+ * owns counts that are cached for the round.
  */
 import type { MachineSummary, MachineType, ResourceDemand, ShardSummary } from '@archpost/protocol';
 import type { CapacityView, ClusterStateView, SettingsView } from '../context/index.js';
 import { countThatFit, HIGHEST_PRIORITY, type Machine, SCARCE_MACHINE_WAIT_S } from '../model/index.js';
 import { matchesDemand, type PendingDemand, URGENT_PRIORITY } from './demand.js';
 
-/** Work of the highest priority that waited for so many plan waits gets machines that bear protected work elsewhere. */
+/** Work of the highest priority that waited for this multiple of `planWaitS` gets machines that run protected work elsewhere. */
 const PRESSING_AFTER_PLAN_WAITS = 1.5;
 
-/** Services are displaced for work that waited this long. */
+/** Services are displaced only for work that has waited this long. */
 const SERVICE_DISPLACEMENT_WAIT_S = 3;
 
-/** A shard keeps so many idle ordinary machines from work that may use spot machines. */
+/** A shard keeps this many idle ordinary machines from work that may use spot machines. */
 const MIN_IDLE_ORDINARY_MACHINES = 3;
 
-/** Work of the shard that a machine would leave counts as competing once it has waited this long. */
+/** Work of the shard that the machine would leave competes once it has waited this long. */
 const MIN_COMPETING_WAIT_S = 0.2;
 
-/** The cost of a move: for each service displaced, for a machine with tasks, for each task stopped, for accelerators not needed. */
+/** The cost of a move: of each displaced service, of a busy machine, of each stopped task, of accelerators left unused. */
 const COST_OF_SERVICE = 200;
 const COST_OF_BUSY_MACHINE = 100;
 const COST_OF_TASK = 10;
@@ -34,7 +34,7 @@
   zone: string;
 }
 
-/** A machine that may be moved for a demand; the lowest cost comes first. */
+/** A machine that may be moved for a demand, and the cost of that. */
 export interface MoveOption {
   movable: MovableMachine;
   cost: number;
@@ -71,20 +71,20 @@
   }
 
   private canServe({ summary, capacity, zone, machine }: MovableMachine, demand: ResourceDemand): boolean {
-    // A machine that bears services that would have to move stays for a while.
+    // Services are displaced rarely, and only for work that has waited.
     if (summary.services > 0 && (demand.waitS < SERVICE_DISPLACEMENT_WAIT_S || !this.mayDisplaceServices())) return false;
     if (summary.protectedPriority >= demand.priority || countThatFit(demand, capacity) < 1) return false;
     return matchesDemand(demand, capacity.name, zone, machine.spot);
   }
 
-  /** Is the machine kept for the work that it is made for? */
+  /** Is the machine reserved for other work: what runs on it, or what can use no other kind? */
   private isReserved({ machine, summary, shard, capacity }: MovableMachine, work: PendingDemand): boolean {
     const { demand } = work;
     const isPressing = this.isPressing(work, capacity);
     if (summary.protectedPriority >= URGENT_PRIORITY && !isPressing) return true;
     if (demand.gpus > 0) return false;
     if (this.isScarce(machine, shard, capacity)) {
-      // It may not be had again, unless the most urgent work has found nothing else for a while.
+      // No other of its type could be provisioned: it is left only to urgent work that has found nothing else for a while.
       if (demand.priority < HIGHEST_PRIORITY || demand.waitS < SCARCE_MACHINE_WAIT_S) return true;
       if (summary.tasks > 0 && !isPressing) return true;
     }
@@ -93,7 +93,7 @@
     return capacity.gpus > 0 && demand.priority < URGENT_PRIORITY && summary.tasks > 0;
   }
 
-  /** Protected work gives way only to what has waited for longer than its own shard needs to clear a machine. */
+  /** Protected work is displaced only for work that has waited longer than its own shard takes to clear a machine. */
   private isPressing({ demand, remainingTasks }: PendingDemand, capacity: MachineType): boolean {
     return (
       demand.priority >= HIGHEST_PRIORITY &&
--- a/packages/controller/src/capacity/provisioner.ts
+++ b/packages/controller/src/capacity/provisioner.ts
@@ -16,14 +16,14 @@
 /** The least time between two requests, however many the cloud permits. */
 const MIN_REQUEST_INTERVAL_MS = 300;
 
-/** After a request without an answer its kind isn't requested again until lists show what came of it, and this long. */
+/** Added to the lag of lists: after both, a list shows what came of a request without an answer. */
 const UNCERTAIN_REQUEST_MARGIN_MS = 3000;
 
-/** The longest retry delay of refused requests stays within these limits. */
+/** Bounds of the longest retry delay. */
 const MIN_RETRY_DELAY_LIMIT_MS = 10_000;
 const MAX_RETRY_DELAY_LIMIT_MS = 90_000;
 
-/** Kinds that are sold out may take a quarter of the permitted requests: one for each option in four times the interval. */
+/** Each option may be retried once in this time, divided by the permitted requests per second: a quarter of them in all. */
 const RETRY_MS_PER_OPTION = 4000;
 
 /** What the cloud answered to a provisioning request. */
@@ -110,9 +110,8 @@
   }
 
   /**
-   * Kinds that are sold out are requested again as often as a quarter of the cloud's limit allows: machines that others released, or
-   * that died, come back unannounced. At 90 s each, four accelerator machines stayed unprovisioned for a minute while 29 gangs
-   * waited.
+   * Kinds that are sold out are retried as often as a quarter of the cloud's request limit allows: capacity that others release
+   * comes back unannounced. At 90 s each, four accelerator machines stayed unprovisioned for a minute while 29 gangs waited.
    */
   private maxRetryDelayMs(): Milliseconds {
     const delayMs = (instanceOptions(this.context).length * RETRY_MS_PER_OPTION) / this.context.settings.cloud.requestsPerS;
--- a/packages/controller/src/capacity/scale-out.ts
+++ b/packages/controller/src/capacity/scale-out.ts
@@ -17,7 +17,7 @@
   readonly arriving: readonly InstanceKind[];
   /** all that the cloud offers, as `instanceOptions` orders it */
   readonly options: readonly InstanceOption[];
-  /** May the kind be requested now, after what the cloud answered last? The kinds are remembered in the order of the calls. */
+  /** Has the retry delay of the kind passed? The order of the first calls decides the order of the available types. */
   isRequestDue(kind: InstanceKind): boolean;
   /** Do machines of the kind fail to boot? Logs a change with the fields of `kind`. */
   isFailing(kind: InstanceKind): boolean;
--- a/packages/controller/src/capacity/shard-balance.ts
+++ b/packages/controller/src/capacity/shard-balance.ts
@@ -7,7 +7,7 @@
 import { machineTypeNamed } from './instance-kind.js';
 import type { RecentAssignment } from './machine-assignment.js';
 
-/** The weight that every team has for machines with accelerators, beside its guarantee: also a team without one gets some. */
+/** Added to the guaranteed accelerators of each team: a team without any gets some machines too. */
 const MIN_GPU_WEIGHT = 0.1;
 
 /** The counts of one round. Machines assigned during the round are added one by one. */
--- a/packages/controller/src/capacity/shard-rebalancer.ts
+++ b/packages/controller/src/capacity/shard-rebalancer.ts
@@ -1,6 +1,6 @@
 /**
- * Moves machines from shard to shard: idle ones, or such as bear work of lower priority only, go where work has no room. Owns the
- * moves that were ordered and when each machine was last moved.
+ * Rebalancing: moves machines that are idle, or run only work of lower priority, to shards with pending work. Owns the ordered
+ * moves and the time of each machine's last move.
  */
 import type { MachineSummary, ShardSummary } from '@archpost/protocol';
 import type { CapacityView, ClusterStateView, SettingsView } from '../context/index.js';
@@ -8,14 +8,14 @@
 import { allocateToDemands, type PendingDemand } from './demand.js';
 import { type MovableMachine, MoveOptions } from './move-options.js';
 
-/** An ordered move that the holder of the machine's shard hasn't taken up after this long was refused or is done. */
+/** An order that the cluster state doesn't show after this long was refused or has been carried out. */
 const ORDER_VISIBILITY_MS = 3000;
 
-/** A machine that was moved stays for so long, with and without work on it: going to and fro would serve nobody. */
+/** The least time between two moves of a machine, busy or idle, so that it isn't moved back and forth. */
 const MIN_STAY_BUSY_MS = 30_000;
 const MIN_STAY_IDLE_MS = 3000;
 
-/** Services are displaced this often at most. */
+/** The least time between two displacements of services. */
 const MIN_SERVICE_DISPLACEMENT_INTERVAL_MS = 3000;
 
 /** Below every priority: nothing waits. */
@@ -24,7 +24,7 @@
 /** What the shard rebalancer needs of its controller. */
 type ShardRebalancerContext = SettingsView & ClusterStateView & CapacityView;
 
-/** Orders a machine to be moved to a shard; whether the order could be written is told to the rebalancer later. */
+/** Orders a machine to be moved to a shard. If the order can't be written, `orderFailed` is called later. */
 type OrderMove = (machine: Machine, shard: number) => void;
 
 /** Plans the moves of each round. Whether an order is written is up to the leader. */
@@ -41,6 +41,7 @@
     this.orderedMoves.clear();
   }
 
+  /** The machine left the cluster. */
   machineRemoved(name: string): void {
     this.lastMoveAt.delete(name);
   }
@@ -50,7 +51,7 @@
     this.orderedMoves.delete(name);
   }
 
-  /** Orders the moves of a round, `limit` at most, for what is pending; counts the tasks that they serve as served. */
+  /** Orders the moves of a round, `limit` at most, for the pending demands, and allocates tasks to the moved machines. */
   planMoves(
     shards: Map<number, ShardSummary>,
     pending: PendingDemand[],
@@ -92,7 +93,7 @@
     }
   }
 
-  /** Counts the tasks that machines on their way will serve as served. Returns the names of these machines. */
+  /** Allocates pending tasks to machines that are being moved. Returns the names of these machines. */
   private allocateOrderedMoves(pending: PendingDemand[]): Set<string> {
     const { clusterState } = this.context;
     const movingMachines = new Set<string>();
@@ -106,7 +107,7 @@
     return movingMachines;
   }
 
-  /** Sorted out once a round, whatever waits: going over all machines for each demand was most of a round's cost. */
+  /** Collected once a round for all demands: going over all machines for each demand was most of a round's cost. */
   private movableMachines(
     shards: Map<number, ShardSummary>,
     movingMachines: ReadonlySet<string>,
--- a/packages/controller/src/capacity/spare-capacity.ts
+++ b/packages/controller/src/capacity/spare-capacity.ts
@@ -1,17 +1,17 @@
-/** Scaling out where price is no objective: spare capacity of each machine type is held. Pure functions of a snapshot. */
+/** Scaling out where price is no objective: holds spare capacity of each machine type. Pure functions of a snapshot. */
 import type { ClusterStateView } from '../context/index.js';
 import { countThatFit } from '../model/index.js';
 import { matchesDemand } from './demand.js';
 import type { InstanceOption } from './instance-kind.js';
 import type { ScaleOutRequest, ScaleOutSnapshot } from './scale-out.js';
 
-/** No more of a type is requested while a larger part of it is free and nothing waits for it. */
+/** No machine of a type is requested while a larger fraction of it is free and it serves no demand. */
 const MAX_SPARE_FRACTION = 0.4;
 
 /** Machines in one request. */
 const MACHINES_PER_REQUEST = 4;
 
-/** A demand that the option serves outweighs this many machines of the type in the zone. */
+/** A demand that the option serves counts as much as this many machines of the type in the zone. */
 const SCORE_PER_DEMAND = 10;
 
 /** Processor cores of a machine type in the cluster. */
@@ -23,7 +23,7 @@
 
 const NO_CAPACITY: Readonly<TypeCapacity> = { totalCpus: 0, freeCpus: 0 };
 
-/** At most one request: for the option that serves most demands, and among these for the zone with fewest machines of the type. */
+/** At most one request: for the option with the most demands served and the fewest machines of its type in the zone. */
 export function requestsToHoldSpare(snapshot: ScaleOutSnapshot): ScaleOutRequest[] {
   const capacities = capacityByType(snapshot);
   const demands = [...snapshot.shards.values()].flatMap((summary) => summary.demands);
--- a/packages/controller/src/jobs/acceptance-writer.ts
+++ b/packages/controller/src/jobs/acceptance-writer.ts
@@ -22,7 +22,7 @@
 /** What the acceptance writer needs of its controller. */
 type AcceptanceWriterContext = InputClock & ClusterStateView & ReplicaView & StateWriting;
 
-/** Writes what makes a job accepted. Other controllers read it under the same rules, so the order of the writes is part of the format. */
+/** Writes what makes a job accepted. A job is accepted as soon as its record is stored, whoever reads it. */
 export class AcceptanceWriter {
   constructor(private readonly context: AcceptanceWriterContext) {}
 
--- a/packages/controller/src/jobs/cancellations.ts
+++ b/packages/controller/src/jobs/cancellations.ts
@@ -1,6 +1,6 @@
 /**
- * Users' cancellations: stored, then answered. What follows for jobs that await the cancelled one is derived from the record, not
- * written. Owns no state.
+ * Cancellations by users: stored, then answered. What follows for jobs that await the cancelled one is derived from the record,
+ * not written. Owns no state.
  */
 import { JOB_ID_PATTERN } from '@archpost/protocol';
 import type { ClusterStateView, ReplicaView, StateWriting } from '../context/index.js';
--- a/packages/controller/src/jobs/client-requests.ts
+++ b/packages/controller/src/jobs/client-requests.ts
@@ -1,6 +1,6 @@
 /**
- * The requests of users, at any controller: each is counted, its body parsed, and handed to the module for its kind. Owns these
- * modules.
+ * The requests of users, which any controller answers: counts each, parses its body, and hands it to the module for its kind.
+ * Owns these modules.
  */
 import type {
   ClusterStateView,
@@ -32,7 +32,7 @@
   PeerDirectory &
   EffectSink;
 
-/** The edge of the room: inputs of the controller come in here. */
+/** The entry point for requests of users. */
 export class ClientRequests {
   private readonly responses: ClientResponses;
   private readonly submissions: Submissions;
@@ -54,11 +54,13 @@
     else this.responses.respond(id, HttpStatus.badRequest, malformedSubmissionBody(request));
   }
 
+  /** `job`: as the user wrote it; an id that no job can have is answered like one that isn't known. */
   cancel(id: number, job: string, now: Milliseconds): void {
     this.responses.requestOpened();
     this.cancellations.cancel(id, job, now);
   }
 
+  /** `job`: as for `cancel`. */
   queryStatus(id: number, job: string, now: Milliseconds): void {
     this.responses.requestOpened();
     this.statusQueries.query(id, job, now);
@@ -69,7 +71,7 @@
     return this.statusQueries.hasPending;
   }
 
-  /** The replica holds everything that was so at `asOf`. */
+  /** Answers the status queries up to `asOf`: the replica holds the state as of this time, or a newer one. */
   replicaFreshUpTo(asOf: Milliseconds): void {
     this.statusQueries.answerUpTo(asOf);
   }
--- a/packages/controller/src/jobs/client-responses.ts
+++ b/packages/controller/src/jobs/client-responses.ts
@@ -1,6 +1,6 @@
 /**
- * Responses to users: which requests are refused because too many wait, and which because they are out of time. Owns the number of
- * open requests and the deadlines of those that wait for the state service.
+ * Responses to users, refusals because of overload and timeouts among them. Owns the number of open requests and the deadlines of
+ * those that wait for the state service.
  */
 import { encodeJobStatus, type JobState } from '@archpost/protocol';
 import type { EffectSink, ReadBarrierSource, ReplicaView, SettingsView, StateFreshness, StateWriting } from '../context/index.js';
@@ -12,10 +12,10 @@
 /** Users wait 5 s for an answer to a submission or a cancellation. */
 export const REQUEST_TIMEOUT_MS = 4000;
 
-/** A user whose request can't be served now is to repeat it after so long. */
+/** After this long a user may repeat a request that couldn't be served. */
 const RETRY_AFTER_S = 1;
 
-/** One in so many connections may wait for an answer to a user: workers need the others. */
+/** One connection in this many may wait for a response to a user: workers need the others. */
 const SOCKETS_PER_OPEN_REQUEST = 8;
 
 /** A submission is refused while the pending writes would take longer than this. */
@@ -31,11 +31,12 @@
 
   constructor(private readonly context: ClientResponsesContext) {}
 
-  /** A request came, which will be answered once. */
+  /** A request came. `respond` is to be called for it exactly once. */
   requestOpened(): void {
     this.openRequests++;
   }
 
+  /** `id`: of the request; `retryAfterS`: when it may be repeated, if it is to be. */
   respond(id: number, status: HttpStatus, body: JobStatusBody | ErrorBody, retryAfterS?: number): void {
     this.openRequests--;
     const response = { type: 'respond', id, status, body } as const;
@@ -51,7 +52,7 @@
     this.respond(id, HttpStatus.notFound, NO_SUCH_JOB);
   }
 
-  /** What can't be served now is answered at once, and is to be repeated. */
+  /** The request can't be served now: the user is to repeat it. */
   respondUnavailable(id: number, reason: UnavailableReason): void {
     this.respond(id, HttpStatus.unavailable, errorBody(reason), RETRY_AFTER_S);
   }
@@ -63,8 +64,8 @@
   }
 
   /**
-   * So many wait already that one more would only make all of them late, or that connections which workers need would go to
-   * users.
+   * Are there too many open requests or pending writes? One more would only make all of them late, or take connections that
+   * workers need.
    */
   get isOverloaded(): boolean {
     const { settings, writer } = this.context;
@@ -75,8 +76,8 @@
   }
 
   /**
-   * For a request that has several possible responses: the first is sent. The result runs a response unless another ran before;
-   * at `expiresAt` the request is refused.
+   * For a request with several possible responses, of which the first is sent. Returns a function that runs a response unless
+   * one has been sent; at `expiresAt` the request is refused if none has.
    */
   respondOnce(id: number, expiresAt: Milliseconds): (respond: () => void) => void {
     let isAnswered = false;
--- a/packages/controller/src/jobs/deadline-queue.ts
+++ b/packages/controller/src/jobs/deadline-queue.ts
@@ -1,4 +1,4 @@
-/** What is to be done at a time, unless it was done before. Owns the deadlines that have not passed. */
+/** Actions that run at a deadline. Owns those whose deadline hasn't passed. */
 import type { Milliseconds } from '../model/index.js';
 
 interface Deadline {
@@ -6,11 +6,14 @@
   run: () => void;
 }
 
-/** Deadlines in the order of their times: of two at the same time the one added first runs first. */
+/** A queue ordered by time: of two actions with the same deadline the one added first runs first. */
 export class DeadlineQueue {
   private readonly deadlines: Deadline[] = [];
 
-  /** Most are later than all others, so the place is looked for from the end. A request that waited for a read first has less left. */
+  /**
+   * Runs `run` at the first tick from `at` on. The place is searched from the end, since most deadlines are later than all
+   * others; a request that waited for a read barrier before has an earlier one.
+   */
   add(at: Milliseconds, run: () => void): void {
     const index = this.deadlines.findLastIndex((deadline) => deadline.at <= at) + 1;
     this.deadlines.splice(index, 0, { at, run });
--- a/packages/controller/src/jobs/job-status.ts
+++ b/packages/controller/src/jobs/job-status.ts
@@ -1,4 +1,4 @@
-/** The status of a job as users are told it, by what the replica holds and what the other controllers last reported. Owns no state. */
+/** The status of a job for its user, from the replica and from the last statuses of the other controllers. Owns no state. */
 import { encodeJobStatus, type JobState } from '@archpost/protocol';
 import type { ClusterStateView, PeerDirectory, ReplicaView } from '../context/index.js';
 import type { Job } from '../model/index.js';
--- a/packages/controller/src/jobs/status-queries.ts
+++ b/packages/controller/src/jobs/status-queries.ts
@@ -46,8 +46,8 @@
   }
 
   /**
-   * The replica holds everything that was so at `asOf`: queries until then are answered, all for one job alike. A job is described
-   * once, however many ask for it.
+   * Answers the queries that came up to `asOf`, a time whose state the replica holds. A job is described once, however many
+   * queries ask for it.
    */
   answerUpTo(asOf: Milliseconds): void {
     const descriptions = new Map<string, JobStatusBody | null>();
--- a/packages/controller/src/jobs/submission-validation.ts
+++ b/packages/controller/src/jobs/submission-validation.ts
@@ -63,7 +63,7 @@
   return zones.includes(spec.zone) && (type.zones.length === 0 || type.zones.includes(spec.zone));
 }
 
-/** What has to run at once may not exceed the team's limits; 0 is no limit. Tasks of an array run one by one if need be. */
+/** Tasks that run at once may not exceed the team's limits; 0 is no limit. Those of an array may run one after another. */
 function findLimitRejection(team: Team, spec: JobSpec): SubmissionRejection | null {
   const count = spec.shape === 'array' ? 1 : spec.tasks;
   if (team.maxCpus > 0 && spec.cpus * count > team.maxCpus + RESOURCE_TOLERANCE) return { reason: 'exceedsTeamCpus' };
--- a/packages/controller/src/jobs/submissions.ts
+++ b/packages/controller/src/jobs/submissions.ts
@@ -1,4 +1,4 @@
-/** Users' submissions: validated, stored, then answered. Owns no state; what waits is kept by the responses and the writer. */
+/** Submissions of users: validated, stored, then answered. Owns no state. */
 import type { Submission } from '@archpost/protocol';
 import type { ClusterStateView, InputClock, PeerDirectory, ReplicaView, SettingsView, StateWriting } from '../context/index.js';
 import type { Milliseconds } from '../model/index.js';
@@ -8,7 +8,7 @@
 import { errorBody, HttpStatus, NAMES_TOO_LONG, UnavailableReason } from './response-bodies.js';
 import { findRejection, rejectionText } from './submission-validation.js';
 
-/** Within this time of a job's acceptance nobody can have been told of its end. */
+/** Within this time of a job's acceptance no other response can have told of its end. */
 const PROMPT_RESPONSE_MS = 150;
 
 /** What submissions need of the controller. */
