--- a/packages/controller/src/capacity/index.ts
+++ b/packages/controller/src/capacity/index.ts
@@ -6,5 +6,6 @@
 export { matchesDemand, pendingDemands } from './demand.js';
 export { MachineAssigner } from './machine-assigner.js';
 export type { UnassignedMachine } from './machine-assignment.js';
+export { MachineTypeCatalogue } from './machine-type-catalogue.js';
 export type { ProvisioningOutcome } from './provisioner.js';
 export { ShardRebalancer } from './shard-rebalancer.js';
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -1,3 +1,8 @@
+/**
+ * What a controller does for the shards whose leases it holds: it begins and ends the tenure of a shard, takes changes of
+ * machines and jobs, and at each tick has the parts act in an order that they rely on. Owns the tenures of machines and jobs,
+ * and when jobs were last checked and summaries last logged.
+ */
 import type { ShardSummary } from '@archpost/protocol';
 import type { TaskAllocations } from '../allocation/index.js';
 import type {
@@ -14,7 +19,6 @@
   StateWriting,
 } from '../context/index.js';
 import {
-  type Allocation,
   HIGHEST_PRIORITY,
   type Job,
   JobTenure,
@@ -27,17 +31,24 @@
 import { QueueOrder, Scheduler } from '../scheduling/index.js';
 import { CommandDispatcher } from './command-dispatcher.js';
 import type { HeartbeatReconciliation } from './heartbeat-reconciliation.js';
+import type { ImageCacheWriter } from './image-cache-writer.js';
+import { JobChecks } from './job-checks.js';
 import { MachineLifecycle } from './machine-lifecycle.js';
 import type { ProgressWriter } from './progress-writer.js';
+import { shardDebugSummary } from './shard-debug-summary.js';
 import { ShardSummaries } from './shard-summary.js';
 
-/** All jobs are gone over this often for what time alone brings: plans to release, completions to store. */
-const JOBS_MS = 300;
+/** All jobs of the shards held here are checked this often. */
+const JOB_CHECK_INTERVAL_MS = 300;
 
-/** What the shard controller shares with the reconciliation of heartbeats. */
+/** A debug summary of each shard held here is logged this often. */
+const SUMMARY_LOG_INTERVAL_MS = 10_000;
+
+/** What the shard controller shares with the reconciliation of heartbeats, and therefore does not make itself. */
 export interface ShardCollaborators {
   allocations: TaskAllocations;
   progressWriter: ProgressWriter;
+  imageCacheWriter: ImageCacheWriter;
   reconciler: HeartbeatReconciliation;
 }
 
@@ -54,12 +65,20 @@
   EffectSink &
   Logger;
 
-/** Decisions for the shares held here: what starts where, what stops, what is stored. */
+/** Tasks of the job that run, by their workers' last heartbeats. */
+function runningCount(job: Job): number {
+  let count = 0;
+  for (const { phase, status } of job.tenure.allocations.values()) if (phase === 'there' && status?.state === 'running') count++;
+  return count;
+}
+
+/** The decisions for the shards held here: what starts where, what stops, and what is stored. */
 export class ShardController {
   readonly allocations: TaskAllocations;
   readonly machineLifecycle: MachineLifecycle;
   readonly commandDispatcher: CommandDispatcher;
-  private readonly progressWriter: ProgressWriter;
+  private readonly imageCacheWriter: ImageCacheWriter;
+  private readonly jobChecks: JobChecks;
   private readonly queueOrder: QueueOrder;
   private readonly scheduler: Scheduler;
   private readonly shardSummaries: ShardSummaries;
@@ -68,10 +87,11 @@
 
   constructor(
     private readonly context: ShardControllerContext,
-    { allocations, progressWriter, reconciler }: ShardCollaborators,
+    { allocations, progressWriter, imageCacheWriter, reconciler }: ShardCollaborators,
   ) {
     this.allocations = allocations;
-    this.progressWriter = progressWriter;
+    this.imageCacheWriter = imageCacheWriter;
+    this.jobChecks = new JobChecks(context, allocations, progressWriter);
     this.machineLifecycle = new MachineLifecycle(context, this.allocations);
     this.commandDispatcher = new CommandDispatcher(context, this.allocations, reconciler);
     this.queueOrder = new QueueOrder(context, this.allocations);
@@ -79,15 +99,16 @@
     this.shardSummaries = new ShardSummaries(context, this.allocations, this.queueOrder, this.scheduler);
   }
 
-  /** The shares held here. */
+  /** The shards held here, with the revisions at which their leases were acquired. */
   get heldShards(): TaskAllocations['heldShards'] {
     return this.allocations.heldShards;
   }
 
+  /** Has every machine of the shard answered since the lease was acquired, and is all work of the highest priority placed? */
   isSettled(shard: number): boolean {
     for (const machine of this.context.clusterState.machines.values())
       if (machine.shard === shard && machine.tenure.isUnverifiedTakeover) return false;
-    // Not the last plan's leftovers: it left out what it could not prove yet.
+    // `unmetDemand` would not do: the scheduler leaves out of it what may run on a machine that has not answered yet.
     for (const job of this.context.clusterState.jobs.values())
       if (
         job.shard === shard &&
@@ -101,6 +122,7 @@
     return true;
   }
 
+  /** A tenure begins: nothing that an earlier holder, or an earlier tenure of this one, knew or intended counts. */
   leaseAcquired(shard: number, revision: number, now: Milliseconds): void {
     this.allocations.heldShards.set(shard, { shard, leaseRevision: revision });
     for (const machine of this.context.clusterState.machines.values()) {
@@ -112,6 +134,7 @@
     this.allocations.schedulingRequested = true;
   }
 
+  /** The tenure ends: the next holder learns of the shard's tasks from the workers. */
   leaseLost(shard: number): void {
     this.allocations.heldShards.delete(shard);
     this.shardSummaries.forget(shard);
@@ -128,33 +151,23 @@
     }
   }
 
-  private beginTenure(machine: Machine, isTakeover: boolean, now: Milliseconds): void {
-    machine.tenure = new MachineTenure(now, isTakeover);
-    machine.allocationsChanged();
-  }
-
-  machineChanged(machine: Machine, moved: boolean, now: Milliseconds): void {
+  /** The machine's stored assignment was written or removed. `hasChangedShard`: it came from another shard, or is new. */
+  machineChanged(machine: Machine, hasChangedShard: boolean, now: Milliseconds): void {
+    // Not only `UNASSIGNED_SHARD`: a stored record is not refused for a shard that there isn't.
     if (machine.shard < 0) {
-      this.machineRemoved(machine);
+      this.forgetAllocations(machine);
       return;
     }
-    if (moved) {
-      // Came to, or left, a share: what was known of it here is of no worth any more. Only
-      // machines seen empty are handed over, so it bears nothing unknown.
-      this.machineRemoved(machine);
+    if (hasChangedShard) {
+      // What was known of it here counts no more. Only machines that were seen empty are handed over, so there is nothing
+      // on it that isn't known.
+      this.forgetAllocations(machine);
       this.beginTenure(machine, false, now);
     }
     this.allocations.schedulingRequested = true;
   }
 
-  /** Left to another share, or gone from the grants: nothing of ours is on it. */
-  private machineRemoved(machine: Machine): void {
-    for (const allocation of [...machine.tenure.allocations.values()]) this.allocations.free(allocation);
-    machine.tenure.allocations.clear();
-    machine.allocationsChanged();
-    this.allocations.schedulingRequested = true;
-  }
-
+  /** The job's stored record was written or removed. */
   jobChanged(job: Job): void {
     if (!this.allocations.heldShards.has(job.shard)) {
       this.context.clusterState.forgetIfFinished(job);
@@ -168,131 +181,80 @@
     this.allocations.schedulingRequested = true;
   }
 
-  /** Time that this process itself lost says nothing about the workers. */
-  processPaused(ms: Milliseconds, now: Milliseconds): void {
+  /** This process stood still until `now`: workers that it did not hear meanwhile were not silent. */
+  processPaused(pauseMs: Milliseconds, now: Milliseconds): void {
     this.allocations.now = now;
     this.allocations.lastAnswerAt = now;
     this.allocations.unansweredMachines.clear();
     this.machineLifecycle.failureDetector.processPaused();
     for (const machine of this.context.clusterState.machines.values()) {
-      machine.tenure.lastHeartbeatAt = Math.min(now, machine.tenure.lastHeartbeatAt + ms);
-      machine.heardByPeerAt = Math.min(now, machine.heardByPeerAt + ms);
+      machine.tenure.lastHeartbeatAt = Math.min(now, machine.tenure.lastHeartbeatAt + pauseMs);
+      machine.heardByPeerAt = Math.min(now, machine.heardByPeerAt + pauseMs);
       if (machine.tenure.unansweredSince !== null)
-        machine.tenure.unansweredSince = Math.min(now, machine.tenure.unansweredSince + ms);
+        machine.tenure.unansweredSince = Math.min(now, machine.tenure.unansweredSince + pauseMs);
     }
   }
 
+  /**
+   * The order matters: jobs free what waited for too long before the scheduler plans, and the dispatcher sends what the
+   * machine lifecycle and the scheduler decided.
+   */
   tick(now: Milliseconds): void {
     this.allocations.now = now;
     this.machineLifecycle.failureDetector.probeForRecovery(now);
-    if (now - this.summaryLoggedAt > 10_000) {
+    if (now - this.summaryLoggedAt > SUMMARY_LOG_INTERVAL_MS) {
       this.summaryLoggedAt = now;
-      this.logSummary(now);
+      this.logSummaries(now);
     }
     if (this.allocations.heldShards.size === 0 || !this.context.isLeaseValid(now)) return;
-    if (now - this.jobsCheckedAt >= JOBS_MS) {
+    if (now - this.jobsCheckedAt >= JOB_CHECK_INTERVAL_MS) {
       this.jobsCheckedAt = now;
-      this.checkJobs(now);
+      this.jobChecks.checkAll(now);
     }
     if (!this.context.isCatchingUp()) this.machineLifecycle.checkMachines(now);
-    this.progressWriter.writeDueImages(now);
+    this.imageCacheWriter.writeDue(now);
     this.scheduler.tick(now);
     this.commandDispatcher.dispatchAll(now);
   }
 
-  /** What somebody reading the log wants to know first. */
-  private logSummary(now: Milliseconds): void {
-    for (const shard of this.allocations.heldShards.keys()) {
-      const summary = this.shardSummary(shard, now);
-      const types: Record<string, string> = {};
-      const by = new Map<string, { n: number; idle: number; unusable: number }>();
-      for (const machineSummary of summary.machines) {
-        const machine = this.context.clusterState.machines.get(machineSummary.name);
-        const key = `${machine?.capacity?.name ?? '?'}${machine?.spot ? '*' : ''}`;
-        const counts = by.get(key) ?? { n: 0, idle: 0, unusable: 0 };
-        counts.n++;
-        if (machineSummary.tasks === 0) counts.idle++;
-        if (machine && !this.allocations.isSchedulable(machine, now)) counts.unusable++;
-        by.set(key, counts);
-      }
-      for (const [kind, counts] of by) types[kind] = `${counts.n} (${counts.idle} idle, ${counts.unusable} not usable)`;
-      const accelerated: Record<string, string> = {};
-      for (const machine of this.context.clusterState.machines.values()) {
-        if (machine.shard !== shard || !machine.capacity || machine.capacity.gpus === 0) continue;
-        const on = new Map<string, number>();
-        for (const allocation of machine.tenure.allocations.values())
-          on.set(
-            `${allocation.job.spec.cls} ${allocation.phase}`,
-            (on.get(`${allocation.job.spec.cls} ${allocation.phase}`) ?? 0) + 1,
-          );
-        accelerated[`${machine.name}${machine.spot ? '*' : ''}`] = [...on]
-          .map(([label, count]) => `${count} ${label}`)
-          .join(', ');
-      }
-      const waiting = this.allocations.unmetDemand
-        .filter((unmet) => unmet.job.shard === shard)
-        .map((unmet) => `${unmet.job.spec.cls} ${unmet.count} for ${Math.round((now - unmet.job.arrivedAt) / 1000)} s`);
-      this.context.log('debug', 'shard summary', { shard, machines: types, accelerated, waiting });
-    }
-  }
-
-  private checkJobs(now: Milliseconds): void {
-    for (const job of this.context.clusterState.jobs.values()) {
-      if (!this.allocations.heldShards.has(job.shard)) continue;
-      if (job.state === 'live') this.progressWriter.storeProgress(job);
-      else this.context.clusterState.forgetIfFinished(job);
-      if (job.spec.shape === 'gang' && job.tenure.gangAttempt !== null && !job.tenure.gangFailed) this.checkGang(job, now);
-      for (const allocation of job.tenure.allocations.values()) {
-        if (
-          job.spec.shape !== 'gang' &&
-          allocation.phase === 'planned' &&
-          now - allocation.plannedAt > this.context.settings.policy.planWaitS * 1000
-        ) {
-          this.allocations.free(allocation);
-        }
-        // Still saving long after it should have been done: end it.
-        if (
-          allocation.stopGraceS !== null &&
-          allocation.stopGraceS > 0 &&
-          allocation.firstStopSentAt !== null &&
-          now - allocation.firstStopSentAt > (allocation.stopGraceS + 8) * 1000
-        )
-          this.allocations.stop(allocation, 0);
-      }
-    }
-  }
-
-  private checkGang(job: Job, now: Milliseconds): void {
-    const all = [...job.tenure.allocations.values()];
-    const planned = all.filter((allocation) => allocation.phase === 'planned');
-    if (planned.length > 0) {
-      if (now - (planned[0] as Allocation).plannedAt > this.context.settings.policy.planWaitS * 1000) {
-        this.context.log('info', 'held allocations released', { job: job.spec.id });
-        for (const allocation of planned) this.allocations.free(allocation);
-      }
-      return;
-    }
-    // Found partly started after a takeover, with nowhere for the rest to be.
-    if (all.length < job.spec.tasks && job.doneCount < job.spec.tasks && !this.allocations.mayRunUnseen(job))
-      this.allocations.failGang(job);
-  }
-
-  /** What is told of a share to the leader. */
+  /** The shard's summary for the leader and the status exchange; at most a moment old. */
   shardSummary(shard: number, now: Milliseconds): ShardSummary {
     return this.shardSummaries.summaryOf(shard, now);
   }
 
-  /** Tasks that run and are done, by job, and how often one failed of those that fail everywhere. */
+  /**
+   * How far the jobs of the shards held here are, by id, for the status queries of other controllers. Jobs with nothing to
+   * tell are left out.
+   */
   runningJobs(): Map<string, RunningTasks> {
     const result = new Map<string, RunningTasks>();
     for (const job of this.context.clusterState.jobs.values()) {
       if (!this.allocations.heldShards.has(job.shard)) continue;
-      let count = 0;
-      for (const allocation of job.tenure.allocations.values())
-        if (allocation.phase === 'there' && allocation.status?.state === 'running') count++;
+      const count = runningCount(job);
       const failed = this.allocations.failureAttribution.isCrashLooping(job) ? job.failureCount : 0;
       if (count > 0 || job.doneCount > 0 || failed > 0) result.set(job.spec.id, { count, done: job.doneCount, failed });
     }
     return result;
   }
+
+  private beginTenure(machine: Machine, isTakeover: boolean, now: Milliseconds): void {
+    machine.tenure = new MachineTenure(now, isTakeover);
+    machine.allocationsChanged();
+  }
+
+  /** It went to another shard, or its assignment is gone: none of our tasks is on it. */
+  private forgetAllocations(machine: Machine): void {
+    for (const allocation of [...machine.tenure.allocations.values()]) this.allocations.free(allocation);
+    machine.tenure.allocations.clear();
+    machine.allocationsChanged();
+    this.allocations.schedulingRequested = true;
+  }
+
+  private logSummaries(now: Milliseconds): void {
+    const sources = { clusterState: this.context.clusterState, allocations: this.allocations };
+    for (const shard of this.allocations.heldShards.keys()) {
+      const { machines } = this.shardSummary(shard, now);
+      this.context.log('debug', 'shard summary', { ...shardDebugSummary(sources, shard, machines, now) });
+    }
+  }
 }
--- /dev/null
+++ b/packages/protocol/src/paths.ts
@@ -0,0 +1,19 @@
+/** Paths of the HTTP interfaces: of the controllers, the workers, the cloud and the state service. */
+export const PATHS = {
+  // Controllers, asked by users and workers.
+  jobs: '/v2/runs',
+  up: '/up',
+  report: '/checkin',
+  // Workers, asked by controllers.
+  commands: '/do',
+  status: '/show',
+  // Cloud.
+  machineTypes: '/machine_types',
+  machines: '/machines',
+  machinesRelease: '/machines/return',
+  // State service.
+  keys: '/keys',
+  compareAndSwap: '/txn',
+  leases: '/leases',
+  changes: '/changes',
+} as const;
