--- a/packages/controller/src/jobs/client-requests.ts
+++ b/packages/controller/src/jobs/client-requests.ts
@@ -2,6 +2,7 @@
  * The requests of users, which any controller answers: counts each, parses its body, and hands it to the module for its kind.
  * Owns these modules.
  */
+import type { MessagePackMap } from '@archpost/protocol';
 import type {
   ClusterStateView,
   EffectSink,
@@ -47,7 +48,7 @@
   }
 
   /** `body`: null if it isn't a MessagePack map; `wallClockMs`: the time of day. */
-  submit(id: number, body: Record<string, unknown> | null, now: Milliseconds, wallClockMs: number): void {
+  submit(id: number, body: MessagePackMap | null, now: Milliseconds, wallClockMs: number): void {
     this.responses.requestOpened();
     const request = readSubmissionRequest(body);
     if (request.kind === 'valid') this.submissions.submit(id, request.submission, now, wallClockMs);
--- a/packages/controller/src/jobs/job-status.ts
+++ b/packages/controller/src/jobs/job-status.ts
@@ -1,5 +1,5 @@
 /** The status of a job for its user, from the replica and from the last statuses of the other controllers. Owns no state. */
-import { encodeJobStatus, type JobState } from '@archpost/protocol';
+import { encodeJobStatus, type JobState, type TaskCounts } from '@archpost/protocol';
 import type { ClusterStateView, PeerDirectory, ReplicaView } from '../context/index.js';
 import type { Job } from '../model/index.js';
 import { type FinalState, readJobRecord, StateKey } from '../state/index.js';
@@ -7,14 +7,6 @@
 /** The body of a response that tells a job's status. */
 export type JobStatusBody = ReturnType<typeof encodeJobStatus>;
 
-/** How many tasks of a job are in each state. */
-interface TaskCounts {
-  done: number;
-  running: number;
-  /** failures, of a job whose tasks fail on every machine; else 0 */
-  failed: number;
-}
-
 /** What the status of a job with counts of its tasks needs of the controller. */
 type JobStatusContext = ClusterStateView & ReplicaView & PeerDirectory;
 
@@ -43,7 +35,7 @@
   return encodeJobStatus(id, finalState, { done: finalState === 'done' ? tasks : 0, running: 0 });
 }
 
-/** By what runs here; if nothing does, by what the other controllers reported last. */
+/** By what runs here; if nothing does, by what the other controllers reported last. `failed` is 0 unless tasks fail everywhere. */
 function countTasks(context: PeerDirectory, job: Job): TaskCounts {
   let running = 0;
   for (const allocation of job.tenure.allocations.values())
--- a/packages/controller/src/jobs/submission-request.ts
+++ b/packages/controller/src/jobs/submission-request.ts
@@ -1,5 +1,5 @@
 /** The body of a submission, parsed: what comes after works with a typed `Submission`. Pure functions. */
-import { parseSubmission, type Submission } from '@archpost/protocol';
+import { type MessagePackMap, parseSubmission, type Submission } from '@archpost/protocol';
 import { type ErrorBody, errorBody } from './response-bodies.js';
 
 /** A submission as its user sent it, or why it can't be read. */
@@ -9,8 +9,8 @@
   /** `field`: the path of the first field at fault, in the names of the wire */
   | { kind: 'invalidField'; field: string };
 
-/** `body`: null if it isn't a MessagePack map. */
-export function readSubmissionRequest(body: Record<string, unknown> | null): SubmissionRequest {
+/** Parses the body of a submission; `body` is null if it isn't a MessagePack map. */
+export function readSubmissionRequest(body: MessagePackMap | null): SubmissionRequest {
   if (!body) return { kind: 'notAMap' };
   const parsed = parseSubmission(body);
   if ('field' in parsed) return { kind: 'invalidField', field: parsed.field };
