--- a/packages/controller/src/capacity/autoscaler.ts
+++ b/packages/controller/src/capacity/autoscaler.ts
@@ -1,511 +1,259 @@
+/**
+ * The autoscaler: provisions machines for pending work, and releases machines that never came up. It acts on the leader only.
+ * Owns when this controller's leadership began. Machine lists, requests, pools, releases and boot times have a module each; what
+ * to request is decided by `demand-provisioning` or `spare-capacity`.
+ */
 import {
   type ListedMachine,
-  MAX_MACHINES_PER_LIST,
   MAX_MACHINES_PER_PROVISIONING,
   MAX_MACHINES_PER_RELEASE,
-  type MachineType,
-  type ResourceDemand,
   type ShardSummary,
 } from '@archpost/protocol';
 import type { ClusterStateView, EffectSink, Logger, SettingsView } from '../context/index.js';
-import { countThatFit, HIGHEST_PRIORITY, type Machine, type Milliseconds, NEVER } from '../model/index.js';
-import { BootTimeEstimator } from './boot-time-estimator.js';
-import { type InstanceKind, instanceKindKey, machineTypeNamed, matchesDemand } from './demand.js';
+import { type Machine, type Milliseconds, NEVER } from '../model/index.js';
+import { BootMonitor } from './boot-monitor.js';
+import { requestsForDemands } from './demand-provisioning.js';
+import { type InstanceKind, type InstanceOption, instanceOptions } from './instance-kind.js';
+import { InstancePools } from './instance-pools.js';
+import { MachineList } from './machine-list.js';
+import { MachineReleases } from './machine-releases.js';
+import { Provisioner, type ProvisioningOutcome } from './provisioner.js';
+import { ProvisioningTracker } from './provisioning-tracker.js';
+import type { ScaleOutRequest, ScaleOutSnapshot } from './scale-out.js';
+import { requestsToHoldSpare } from './spare-capacity.js';
+
+/** Machines in one request for a kind that fails to boot. */
+const MAX_MACHINES_OF_FAILING_KIND = 2;
+
+/** Added to the lag of lists: after both, a list shows what an earlier leader requested. */
+const LIST_LAG_MARGIN_MS = 2000;
+
+/** A running machine that has sent no heartbeat is released only after the leadership has lasted this long. */
+const UNHEARD_GRACE_MS = 60_000;
+
+/** A machine is released when it isn't up after this multiple of the boot time limit of its type. */
+const RELEASE_AFTER_BOOT_LIMITS = 2;
 
-/** Machines of one kind that are to be rented. */
-interface ScaleOutRequest extends InstanceKind {
-  count: number;
-  /** for work of the highest rank */
-  urgent: boolean;
-}
-
-/** Work of the lowest rank that found no room for so long gets ordinary machines too. */
-const LOW_RANK_S = 60;
-
-/** Rentals under way at once. */
-const BOOKINGS = 3;
-
-/** How often the cloud is asked what there is, and the part of its requests that this may take. */
-const LIST_MS = 2000;
-const LIST_SHARE_OF_REQUESTS = 0.25;
-
-/** What is said of a machine that was given back may be old for this long. */
-const GONE_MS = 120_000;
-
-/** A machine that was rented is in a list after this long. */
-const SHOWN_MS = 60_000;
-
-/** A machine that runs and that no controller has heard is given back once a lead has listened for so long. */
-const UNHEARD_MS = 60_000;
-
-/** A machine that was given back may still be listed for so long. */
-const RETURN_SHOWS_MS = 60_000;
-
-/** Ages of the last leader's list count from here until the first list of this one. */
-const BEFORE_ANY_LIST: Milliseconds = -1;
-
-/** Machines that one demand may ask for in a round: so many, or one for each so many that there are. */
-const MOST_FOR_DEMAND = 40;
-const MACHINES_PER_PURCHASE = 25;
+/** What the autoscaler needs of its controller. */
+type AutoscalerContext = SettingsView & ClusterStateView & EffectSink & Logger;
 
-interface PendingProvisioning extends InstanceKind {
-  count: number;
-  at: Milliseconds;
+/** What the autoscaler asks of the parts beside it. */
+export interface AutoscalerDependencies {
+  /** Is an assignment of the machine being written? */
+  isAssignmentPending(machine: string): boolean;
+  /** Machines assigned a moment ago: the demands of their shards don't reflect them yet. */
+  recentlyAssigned(now: Milliseconds): InstanceKind[];
+  /** Is the zone cut off from this controller? */
+  isZoneCut(zone: string): boolean;
 }
 
-interface InstancePool {
-  retryAt: Milliseconds;
-  refusals: number;
-  /** the last ordinary request was filled */
-  wasFilled: boolean;
+/** What lasts for one leadership of this controller. */
+interface LeadershipTerm {
+  since: Milliseconds;
+  /** machines were assigned before it began */
+  isTakeover: boolean;
 }
 
-/** What the autoscaler needs of its controller. */
-type AutoscalerContext = SettingsView & ClusterStateView & EffectSink & Logger;
-
-/** What is rented from the cloud, what is on its way, and what never came up. */
+/** Scales the cluster out, and releases what never came up. Every controller has one; it acts while its controller leads. */
 export class Autoscaler {
-  private leadingSince: Milliseconds = -1;
-  private leaseRevision = 0;
-  /** machines were granted before this lead began */
-  private isTakeover = false;
-  private requestCounter = 0;
-  private listRequestedAt: Milliseconds = NEVER;
-  private isListPending = false;
-  private listedMachines = new Map<string, ListedMachine>();
-  private listReceivedAt: Milliseconds | null = null;
-  private readonly pendingRequests = new Map<number, PendingProvisioning>();
-  private readonly booting = new Map<string, PendingProvisioning>();
-  private readonly instancePools = new Map<string, InstancePool>();
-  private readonly releasedAt = new Map<string, Milliseconds>();
-  private readonly pendingReleases = new Map<number, string[]>();
-  private readonly bootTimes = new BootTimeEstimator();
-  private readonly failingKinds = new Set<string>();
-  private nextRequestAt: Milliseconds = 0;
+  private term: LeadershipTerm = { since: NEVER, isTakeover: false };
+  private readonly machineList: MachineList;
+  private readonly bootMonitor: BootMonitor;
+  private readonly tracker = new ProvisioningTracker();
+  private readonly pools = new InstancePools();
+  private readonly releases = new MachineReleases();
+  private readonly provisioner: Provisioner;
 
   constructor(
     private readonly context: AutoscalerContext,
-    /** is a grant for the machine under way? */
-    private readonly isBeingAssigned: (machine: string) => boolean,
-    /** what was granted so lately that wants don't show it yet */
-    private readonly recentAssignments: (now: Milliseconds) => InstanceKind[],
-    private readonly isZoneCut: (zone: string) => boolean,
-  ) {}
+    private readonly dependencies: AutoscalerDependencies,
+  ) {
+    this.machineList = new MachineList(context);
+    this.bootMonitor = new BootMonitor(context);
+    const { tracker, pools, machineList, bootMonitor } = this;
+    this.provisioner = new Provisioner(context, { tracker, pools, machineList, bootMonitor });
+  }
 
+  /** This controller leads from now on; `revision` is that of the leader's lease. */
   leaseAcquired(revision: number, now: Milliseconds): void {
-    this.leadingSince = now;
-    this.isTakeover = this.context.clusterState.machines.size > 0;
-    this.leaseRevision = revision;
-    this.requestCounter = 0;
-    this.booting.clear();
-    this.pendingRequests.clear();
-    this.isListPending = false;
-    this.listReceivedAt = null;
+    this.term = { since: now, isTakeover: this.context.clusterState.machines.size > 0 };
+    this.provisioner.leaseAcquired(revision);
+    this.machineList.leaseAcquired();
   }
 
-  /** The cloud has been asked what there is, since this lead began. */
+  /** Has a list of the cloud's machines been received since this leadership began? */
   get isListKnown(): boolean {
-    return this.listReceivedAt !== null;
+    return this.machineList.isKnown;
   }
 
+  /** Requests a list of the cloud's machines if one is due. */
   requestMachineList(now: Milliseconds): void {
-    if (this.isListPending || now - this.listRequestedAt <= this.listIntervalMs) return;
-    this.listRequestedAt = now;
-    this.isListPending = true;
-    this.context.emit({ type: 'listMachines' });
+    this.machineList.request(now);
   }
 
-  /** A list of many machines takes many requests, and may take a part of them only: rentals and returns need the rest. */
-  private get listIntervalMs(): Milliseconds {
-    const pages = Math.max(1, Math.ceil(this.listedMachines.size / MAX_MACHINES_PER_LIST));
-    return Math.max(LIST_MS, (pages * 1000) / (LIST_SHARE_OF_REQUESTS * this.context.settings.cloud.requestsPerS));
+  /** The outcome of a list request; `machines` is null if it failed. */
+  receiveMachineList(machines: ListedMachine[] | null, isLeading: boolean, now: Milliseconds): void {
+    if (!this.machineList.receive(machines, isLeading, now)) return;
+    for (const { machine } of this.machineList.values()) this.tracker.forget(machine);
   }
 
-  /** A machine is up: how long that took says how long others may take. */
+  /** A heartbeat came from a machine without an assignment: how long its boot took says how long others may take. */
   machineStarted(machine: string, kind: InstanceKind, now: Milliseconds): void {
-    const age = this.ageOf(machine, now);
-    if (age !== null) this.bootTimes.recordBoot(kind, age, now);
+    const ageMs = this.ageMs(machine, now);
+    if (ageMs !== null) this.bootMonitor.recordBoot(kind, ageMs, now);
   }
 
+  /** The write of the machine's assignment ended: its shard accounts for it. */
   machineAssigned(machine: string): void {
-    this.booting.delete(machine);
+    this.tracker.forget(machine);
   }
 
-  /** It was given back so lately that what is said of it may be old. */
+  /** Was the machine released recently, so that a heartbeat in its name may be out of date? */
   isRecentlyReleased(machine: string, now: Milliseconds): boolean {
-    const gone = this.releasedAt.get(machine);
-    return gone !== undefined && now - gone < GONE_MS;
+    return this.releases.isRecent(machine, now);
   }
 
+  /** The machine was released, by whichever part of this controller or of another. */
   machineReleased(machine: string, now: Milliseconds): void {
-    this.releasedAt.delete(machine);
-    this.releasedAt.set(machine, now);
-    this.booting.delete(machine);
-    // In the order in which they were last told of: the oldest come first.
-    for (const [name, at] of this.releasedAt) {
-      if (now - at < GONE_MS) break;
-      this.releasedAt.delete(name);
-    }
+    this.releases.released(machine, now);
+    this.tracker.forget(machine);
   }
 
-  /** Types of which the cloud gave all that was asked for, last time. */
+  /** Machine types of which the cloud provisioned all that was last requested. */
   availableTypes(): string[] {
-    const result = new Set<string>();
-    for (const [key, pool] of this.instancePools) if (pool.wasFilled) result.add(key.slice(0, key.indexOf('/')));
-    return [...result];
+    return this.pools.availableTypes();
   }
 
-  /** A machine that is gone leaves a place that the cloud can fill again. */
+  /** A machine is gone: the cloud may have capacity for another of its kind. */
   capacityFreed(machine: Machine, now: Milliseconds): void {
-    const pool = this.instancePool(
-      this.context.clusterState.typeNames.nameOf(machine.typeIndex),
-      this.context.clusterState.zoneNames.nameOf(machine.zoneIndex),
-      machine.spot,
-    );
-    pool.retryAt = Math.min(pool.retryAt, now + 500);
-    pool.refusals = 0;
+    const { typeNames, zoneNames } = this.context.clusterState;
+    const kind = { type: typeNames.nameOf(machine.typeIndex), zone: zoneNames.nameOf(machine.zoneIndex), spot: machine.spot };
+    this.pools.capacityFreed(kind, now);
   }
 
-  receiveMachineList(machines: ListedMachine[] | null, leading: boolean, now: Milliseconds): void {
-    this.isListPending = false;
-    if (!machines || !leading) return;
-    this.listedMachines = new Map(machines.map((listed) => [listed.machine, listed]));
-    this.listReceivedAt = now;
-    for (const name of this.listedMachines.keys()) this.booting.delete(name);
-  }
-
-  private instancePool(type: string, zone: string, spot: boolean): InstancePool {
-    const key = instanceKindKey({ type, zone, spot });
-    let pool = this.instancePools.get(key);
-    if (!pool) {
-      pool = { retryAt: 0, refusals: 0, wasFilled: false };
-      this.instancePools.set(key, pool);
-    }
-    return pool;
-  }
-
-  /** How long ago it was asked for, as far as is known. */
-  private ageOf(machine: string, now: Milliseconds): Milliseconds | null {
-    const pending = this.booting.get(machine);
-    if (pending) return now - pending.at;
-    const listed = this.listedMachines.get(machine);
-    return listed ? this.listedAge(listed, now) : null;
-  }
-
-  /** The list told how old it was then. */
-  private listedAge(listed: ListedMachine, now: Milliseconds): Milliseconds {
-    return listed.ageS * 1000 + (now - (this.listReceivedAt ?? BEFORE_ANY_LIST));
-  }
-
-  private bootLimitMs(type: string, now: Milliseconds): Milliseconds {
-    return this.bootTimes.limitMs(type, machineTypeNamed(this.context, type)?.bootS ?? 60, now);
-  }
-
-  /** Room that is on its way: rented machines that nobody has been granted yet. */
-  provisioningMachines(now: Milliseconds): InstanceKind[] {
-    const result: InstanceKind[] = [];
-    const late: ListedMachine[] = [];
-    for (const pending of this.booting.values()) result.push(pending);
-    for (const pending of this.pendingRequests.values()) for (let index = 0; index < pending.count; index++) result.push(pending);
-    for (const listed of this.listedMachines.values()) {
-      if (
-        listed.state === 'failed' ||
-        this.context.clusterState.machines.has(listed.machine) ||
-        this.releasedAt.has(listed.machine)
-      )
-        continue;
-      if (this.listedAge(listed, now) < this.bootLimitMs(listed.type, now)) result.push(listed);
-      else late.push(listed);
-    }
-    this.bootTimes.setOverdue(late);
-    return result;
+  /** All kinds of machines that can be provisioned. */
+  instanceOptions(): InstanceOption[] {
+    return instanceOptions(this.context);
   }
 
+  /**
+   * Sends the provisioning requests of a round. Urgent requests are sent together: after a wave of losses, one kind a round would
+   * add seconds to the boot time that services wait for. Of the others only the first is sent, since capacity that comes free
+   * meanwhile need not be provisioned.
+   */
   scaleOut(shards: Map<number, ShardSummary>, now: Milliseconds): void {
-    // A new lead doesn't know what the last one rented: the list will tell.
-    if (now - this.leadingSince < 2000 * this.context.settings.cloud.listLagS + 2000 && this.isTakeover) return;
-    if (now < this.nextRequestAt) return;
-    const { settings, clusterState } = this.context;
-    const max = settings.policy.maxMachines;
-    let held = clusterState.machines.size + this.provisioningMachines(now).length;
-    // What a wave of losses took from services is asked for at once, all kinds: a round each would
-    // add seconds to the boot time that everybody waits for. For the rest one kind a round will
-    // do: what comes free meanwhile need not be rented.
-    let first = true;
-    for (const gpuDemand of settings.policy.holdSpareCapacity
-      ? this.requestsToHoldSpare(shards, now)
-      : this.requestsByDemand(shards, now)) {
-      if (this.pendingRequests.size >= BOOKINGS || (max !== null && held >= max)) return;
-      if (!first && !gpuDemand.urgent) continue;
-      first = false;
-      const limit = this.isFailing(gpuDemand, now) ? 2 : MAX_MACHINES_PER_PROVISIONING;
-      const count = Math.max(1, Math.min(gpuDemand.count, limit, max === null ? MAX_MACHINES_PER_PROVISIONING : max - held));
-      held += count;
-      const id = this.context.nextEffectId();
-      const request = `r-${this.leaseRevision}-${++this.requestCounter}`;
-      const { type, zone, spot } = gpuDemand;
-      this.pendingRequests.set(id, { type, zone, spot, count, at: now });
-      this.context.log('info', 'provisioning machines', { request, type, zone, spot, count });
-      this.context.emit({ type: 'provision', id, request: { requestId: request, machineType: type, zone, spot, count } });
-      this.nextRequestAt = now + Math.max(300, 1000 / settings.cloud.requestsPerS);
-    }
-  }
-
-  instanceOptions(): { type: MachineType; zone: string; spot: boolean }[] {
-    const result: { type: MachineType; zone: string; spot: boolean }[] = [];
-    for (const type of this.context.clusterState.machineTypes) {
-      if (!type) continue;
-      for (const zone of type.zones.length > 0 ? type.zones : this.context.settings.zones) {
-        for (const spot of [false, true]) result.push({ type, zone, spot });
-      }
-    }
-    return result;
-  }
-
-  /** No price among the objectives: hold spare room of every kind that is used. */
-  private requestsToHoldSpare(shards: Map<number, ShardSummary>, now: Milliseconds): ScaleOutRequest[] {
-    const capacityByType = new Map<string, { all: number; free: number }>();
-    for (const summary of shards.values()) {
-      for (const machineSummary of summary.machines) {
-        const machine = this.context.clusterState.machines.get(machineSummary.name);
-        if (!machine?.capacity) continue;
-        const r = capacityByType.get(machine.capacity.name) ?? { all: 0, free: 0 };
-        r.all += machine.capacity.cpus;
-        r.free +=
-          machine.capacity.gpus > 0
-            ? (machine.capacity.cpus * machineSummary.freeGpus) / machine.capacity.gpus
-            : machineSummary.freeCpus;
-        capacityByType.set(machine.capacity.name, r);
-      }
-    }
-    const unmet = [...shards.values()].flatMap((summary) => summary.demands);
-    const coming = this.provisioningMachines(now);
-    let best: (Omit<ScaleOutRequest, 'urgent'> & { score: number }) | null = null;
-    for (const option of this.instanceOptions()) {
-      const pool = this.instancePool(option.type.name, option.zone, option.spot);
-      if (now < pool.retryAt) continue;
-      const r = capacityByType.get(option.type.name) ?? { all: 0, free: 0 };
-      const due = coming.filter((kind) => kind.type === option.type.name).length * option.type.cpus;
-      const asked = unmet.filter(
-        (demand) => countThatFit(demand, option.type) >= 1 && matchesDemand(demand, option.type.name, option.zone, option.spot),
-      );
-      const spare = (r.free + due) / Math.max(1, r.all + due);
-      if (asked.length === 0 && spare > 0.4) continue;
-      const zoneCount = [...this.context.clusterState.machines.values()].filter(
-        (machine) =>
-          machine.capacity?.name === option.type.name &&
-          this.context.clusterState.zoneNames.nameOf(machine.zoneIndex) === option.zone,
-      ).length;
-      const score = asked.length * 10 - zoneCount - (option.spot ? 1 : 0);
-      if (!best || score > best.score) best = { type: option.type.name, zone: option.zone, spot: option.spot, count: 4, score };
-    }
-    return best ? [{ type: best.type, zone: best.zone, spot: best.spot, count: best.count, urgent: false }] : [];
-  }
-
-  /** Money is an objective: rent for what waits, the cheapest kind per task. */
-  private requestsByDemand(shards: Map<number, ShardSummary>, now: Milliseconds): ScaleOutRequest[] {
-    const coming: { c: { type: string; zone: string; spot: boolean; idle?: boolean }; t: MachineType | null }[] = [
-      ...this.provisioningMachines(now),
-      ...this.recentAssignments(now),
-    ].map((kind) => ({ c: kind, t: machineTypeNamed(this.context, kind.type) }));
-    // Idle machines of other shares are about to be moved to where they are wanted.
-    for (const summary of shards.values()) {
-      for (const machineSummary of summary.machines) {
-        const machine = this.context.clusterState.machines.get(machineSummary.name);
-        if (
-          !machine?.capacity ||
-          machine.spot ||
-          machine.isRetired ||
-          machineSummary.tasks > 0 ||
-          (machineSummary.protectedPriority >= 0 && machine.moveToShard === null)
-        )
-          continue;
-        coming.push({
-          c: {
-            type: machine.capacity.name,
-            zone: this.context.clusterState.zoneNames.nameOf(machine.zoneIndex),
-            spot: false,
-            idle: true,
-          },
-          t: machine.capacity,
-        });
-      }
-    }
-    const free = coming
-      .filter((arriving) => arriving.t)
-      .map((arriving) => ({
-        ...arriving,
-        cpus: arriving.t?.cpus ?? 0,
-        gpus: arriving.t?.gpus ?? 0,
-        memory: arriving.t?.memory ?? 0,
-      }));
-    const wants = [...shards.values()]
-      .flatMap((summary) => summary.demands)
-      .sort((a, b) => b.priority - a.priority || b.waitS - a.waitS);
-    const cheapest = Math.min(
-      ...this.instanceOptions().map((option) => (option.spot ? Number.POSITIVE_INFINITY : option.type.price / option.type.cpus)),
-    );
-    // All wants are fitted, on paper, into what is coming and what would be rented for them.
-    const buy = new Map<string, ScaleOutRequest>();
-    const inZone = new Map<string, number>();
-    for (const machine of this.context.clusterState.machines.values()) {
-      const zone = this.context.clusterState.zoneNames.nameOf(machine.zoneIndex);
-      inZone.set(zone, (inZone.get(zone) ?? 0) + 1);
+    if (this.mayMissEarlierRequests(now) || !this.provisioner.isRequestDue(now)) return;
+    const { maxMachines } = this.context.settings.policy;
+    const arriving = this.arrivingMachines(now);
+    let machineCount = this.context.clusterState.machines.size + arriving.length;
+    let isFirst = true;
+    for (const request of this.scaleOutRequests(shards, arriving, now)) {
+      if (this.provisioner.isAtLimit) return;
+      if (maxMachines !== null && machineCount >= maxMachines) return;
+      if (!isFirst && !request.urgent) continue;
+      isFirst = false;
+      const count = this.requestSize(request, machineCount, now);
+      machineCount += count;
+      this.provisioner.request(request, count, now);
     }
-    for (const demand of wants) {
-      let left = demand.count;
-      const fill = () => {
-        for (const offer of free) {
-          if (left <= 0) return;
-          if (!matchesDemand(demand, offer.c.type, offer.c.zone, offer.c.spot)) continue;
-          if (offer.c.idle && demand.gpus === 0 && (demand.priority < 2 || (offer.t?.gpus ?? 0) > 0)) continue;
-          const count = Math.min(left, countThatFit(demand, offer));
-          left -= count;
-          offer.cpus -= count * demand.cpus;
-          offer.gpus -= count * demand.gpus;
-          offer.memory -= count * demand.memory;
-        }
-      };
-      fill();
-      if (demand.waitS < 1) continue;
-      for (let more = 0; left > 0 && more < this.maxMachinesPerDemand; more++) {
-        const option = this.cheapestFor(demand, left, cheapest, inZone, now);
-        if (!option) break;
-        const kind = { type: option.type.name, zone: option.zone, spot: option.spot };
-        const key = instanceKindKey(kind);
-        const request = buy.get(key) ?? { ...kind, count: 0, urgent: false };
-        request.count++;
-        request.urgent ||= demand.priority >= HIGHEST_PRIORITY;
-        buy.set(key, request);
-        inZone.set(kind.zone, (inZone.get(kind.zone) ?? 0) + 1);
-        free.push({ c: kind, t: option.type, cpus: option.type.cpus, gpus: option.type.gpus, memory: option.type.memory });
-        fill();
-      }
-    }
-    return [...buy.values()];
   }
 
-  /** A wave of losses takes a part of all machines: what one demand may ask for in a round grows with them. */
-  private get maxMachinesPerDemand(): number {
-    return Math.max(MOST_FOR_DEMAND, this.context.clusterState.machines.size / MACHINES_PER_PURCHASE);
+  /** After a takeover: requests of the previous leader aren't known until a list shows their machines. */
+  private mayMissEarlierRequests(now: Milliseconds): boolean {
+    const untilListedMs = this.machineList.maxLagMs + LIST_LAG_MARGIN_MS;
+    return this.term.isTakeover && now - this.term.since < untilListedMs;
   }
 
-  /** By then a rented machine is in a list, if it is there: some lists are as late as twice the lag. */
-  private get listVisibilityMs(): Milliseconds {
-    return Math.max(SHOWN_MS, 2 * this.listIntervalMs + 2000 * this.context.settings.cloud.listLagS);
+  private scaleOutRequests(shards: Map<number, ShardSummary>, arriving: InstanceKind[], now: Milliseconds): ScaleOutRequest[] {
+    const snapshot: ScaleOutSnapshot = {
+      clusterState: this.context.clusterState,
+      shards,
+      arriving,
+      options: this.instanceOptions(),
+      isRequestDue: (kind) => this.pools.isRequestDue(kind, now),
+      isFailing: (kind) => this.bootMonitor.isFailing(kind, now),
+      isZoneCut: (zone) => this.dependencies.isZoneCut(zone),
+    };
+    if (this.context.settings.policy.holdSpareCapacity) return requestsToHoldSpare(snapshot);
+    return requestsForDemands(snapshot, this.dependencies.recentlyAssigned(now));
   }
 
-  private isFailing(kind: InstanceKind, now: Milliseconds): boolean {
-    const fails = this.bootTimes.isFailing(kind, this.bootLimitMs(kind.type, now), now);
-    const name = instanceKindKey(kind);
-    if (fails === this.failingKinds.has(name)) return fails;
-    if (fails) this.failingKinds.add(name);
-    else this.failingKinds.delete(name);
-    this.context.log('info', fails ? 'instance kind fails to boot' : 'instance kind boots again', { ...kind });
-    return fails;
+  /** Machines in one request: what the cloud and the policy permit, and few of a kind that fails to boot. At least one. */
+  private requestSize(request: ScaleOutRequest, machineCount: number, now: Milliseconds): number {
+    const { maxMachines } = this.context.settings.policy;
+    const limit = this.bootMonitor.isFailing(request, now) ? MAX_MACHINES_OF_FAILING_KIND : MAX_MACHINES_PER_PROVISIONING;
+    const permitted = maxMachines === null ? MAX_MACHINES_PER_PROVISIONING : maxMachines - machineCount;
+    return Math.max(1, Math.min(request.count, limit, permitted));
   }
 
-  /** The kind of machine that serves most of these tasks for the money, if any is worth it. */
-  private cheapestFor(demand: ResourceDemand, left: number, cheapest: number, inZone: Map<string, number>, now: Milliseconds) {
-    let best: { type: MachineType; zone: string; spot: boolean; score: number } | null = null;
-    for (const option of this.instanceOptions()) {
-      const count = countThatFit(demand, option.type);
-      if (count < 1 || !matchesDemand(demand, option.type.name, option.zone, option.spot)) continue;
-      if (now < this.instancePool(option.type.name, option.zone, option.spot).retryAt) continue;
-      const hourlyPrice = option.spot ? option.type.spotPrice : option.type.price;
-      // Work that can wait doesn't take a dear machine: a cheap one may come free in time.
-      if (
-        demand.gpus === 0 &&
-        demand.priority < 2 &&
-        hourlyPrice / option.type.cpus > 3 * cheapest &&
-        demand.slackS > option.type.bootS + 25
-      )
-        continue;
-      // The lowest rank lives on what is idle and what is cheap; an ordinary machine only so that it
-      // begins at all, and none with accelerators.
-      const dear = hourlyPrice / option.type.cpus > (option.type.gpus > 0 ? 1 : 3) * cheapest;
-      if (demand.priority === 0 && demand.gpus === 0 && (dear || (!option.spot && demand.waitS < LOW_RANK_S))) continue;
-      // What boots in a zone that is cut off is of no use until the cut is over.
-      const late = this.isZoneCut(option.zone) ? 10 : 1;
-      // Where boots fail, what boots well is worth more, while there is any.
-      const fails = this.isFailing({ type: option.type.name, zone: option.zone, spot: option.spot }, now) ? 2 : 1;
-      const score = (hourlyPrice / Math.min(count, left)) * (1 + 0.001 * (inZone.get(option.zone) ?? 0)) * late * fails;
-      if (!best || score < best.score) best = { ...option, score };
-    }
-    return best;
-  }
-
-  handleProvisioningOutcome(
-    id: number,
-    outcome: { kind: 'ok'; machines: string[] } | { kind: 'full' | 'unknown' },
-    now: Milliseconds,
-  ): void {
-    const pending = this.pendingRequests.get(id);
-    if (!pending) return;
-    this.pendingRequests.delete(id);
-    const pool = this.instancePool(pending.type, pending.zone, pending.spot);
-    if (outcome.kind === 'ok') {
-      for (const name of outcome.machines)
-        if (!this.listedMachines.has(name)) this.booting.set(name, { ...pending, count: 1, at: now });
-      pool.wasFilled = !pending.spot && outcome.machines.length >= pending.count;
-      pool.refusals = outcome.machines.length < pending.count ? 1 : 0;
-      pool.retryAt = outcome.machines.length < pending.count ? now + 15_000 : now;
-      // A kind whose boots fail is asked for again now and then only.
-      if (this.isFailing(pending, now)) pool.retryAt = now + this.bootLimitMs(pending.type, now) / 2;
-    } else if (outcome.kind === 'full') {
-      pool.refusals++;
-      pool.wasFilled = false;
-      pool.retryAt = now + Math.min(this.maxRetryDelayMs(), 10_000 * 2 ** Math.min(4, pool.refusals));
-    } else {
-      // It may have been carried out: what came of it shows in the list.
-      pool.retryAt = now + 2000 * this.context.settings.cloud.listLagS + 3000;
-    }
+  /** Takes the outcome of a provisioning request; one of an earlier leadership is ignored. */
+  handleProvisioningOutcome(id: number, outcome: ProvisioningOutcome, now: Milliseconds): void {
+    this.provisioner.handleOutcome(id, outcome, now);
   }
 
   /**
-   * Kinds that are sold out are asked for again as often as a quarter of the cloud's limit
-   * allows: machines that others gave up, or that died, come back unannounced. At 90 s each,
-   * four accelerator machines stayed unrented for a minute while 29 gangs waited.
+   * The kind of each machine that is requested, boots, or is up and not assigned yet. Overdue machines are left out, since they
+   * may never come up; the boot monitor is told of them.
    */
-  private maxRetryDelayMs(): Milliseconds {
-    return Math.max(10_000, Math.min(90_000, (this.instanceOptions().length * 4000) / this.context.settings.cloud.requestsPerS));
+  private arrivingMachines(now: Milliseconds): InstanceKind[] {
+    const arriving = this.tracker.arrivingKinds();
+    const overdue: ListedMachine[] = [];
+    for (const listed of this.machineList.values()) {
+      if (listed.state === 'failed' || this.context.clusterState.machines.has(listed.machine)) continue;
+      if (this.releases.isRemembered(listed.machine)) continue;
+      const isDue = this.machineList.ageMs(listed, now) < this.bootMonitor.limitMs(listed.type, now);
+      if (isDue) arriving.push(listed);
+      else overdue.push(listed);
+    }
+    this.bootMonitor.setOverdue(overdue);
+    return arriving;
   }
 
-  /** Machines that never come up, or that failed and nobody has been granted, go back. */
+  /** Releases machines that never came up, or that failed before they were assigned. One request at a time. */
   releaseOverdue(now: Milliseconds): void {
-    if (this.pendingReleases.size > 0) return;
-    const back: string[] = [];
-    for (const listed of this.listedMachines.values()) {
-      if (this.context.clusterState.machines.has(listed.machine) || this.isBeingAssigned(listed.machine)) continue;
-      const gone = this.releasedAt.get(listed.machine);
-      if (gone !== undefined && now - gone < RETURN_SHOWS_MS) continue;
-      if (this.isOverdue(listed, now)) back.push(listed.machine);
-    }
-    for (const [name, pending] of this.booting) if (now - pending.at > this.listVisibilityMs) this.booting.delete(name);
-    if (back.length === 0) return;
-    const some = back.slice(0, MAX_MACHINES_PER_RELEASE);
+    if (this.releases.hasPending) return;
+    const overdue: string[] = [];
+    for (const listed of this.machineList.values()) if (this.isToRelease(listed, now)) overdue.push(listed.machine);
+    this.tracker.forgetOlderThan(this.machineList.visibilityMs, now);
+    if (overdue.length === 0) return;
+    const machines = overdue.slice(0, MAX_MACHINES_PER_RELEASE);
     const id = this.context.nextEffectId();
-    this.pendingReleases.set(id, some);
-    this.context.log('info', 'releasing machines that never booted', { machines: some });
-    this.context.emit({ type: 'release', id, machines: some });
+    this.releases.requestSent(id, machines);
+    this.context.log('info', 'releasing machines that never booted', { machines });
+    this.context.emit({ type: 'release', id, machines });
+  }
+
+  private isToRelease(listed: ListedMachine, now: Milliseconds): boolean {
+    const { machine } = listed;
+    if (this.context.clusterState.machines.has(machine) || this.dependencies.isAssignmentPending(machine)) return false;
+    return !this.releases.mayBeListed(machine, now) && this.isOverdue(listed, now);
   }
 
   /**
-   * Failed, or not up for twice as long as its type takes. One that the cloud says runs has a worker that may not have
-   * come to this lead yet: the first lead over machines that had been up for long gave back all that had not reported
+   * Has the machine failed, or exceeded the boot time limit of its type twice over? A running machine has a worker whose
+   * heartbeats may not have reached this leader yet: once, a new leader released all long-running machines that had not reported
    * within its first second.
    */
   private isOverdue(listed: ListedMachine, now: Milliseconds): boolean {
     if (listed.state === 'failed') return true;
-    if (this.listedAge(listed, now) <= 2 * this.bootLimitMs(listed.type, now)) return false;
-    return listed.state !== 'running' || now - this.leadingSince > UNHEARD_MS;
+    const limitMs = RELEASE_AFTER_BOOT_LIMITS * this.bootMonitor.limitMs(listed.type, now);
+    if (this.machineList.ageMs(listed, now) <= limitMs) return false;
+    return listed.state !== 'running' || now - this.term.since > UNHEARD_GRACE_MS;
   }
 
+  /** Takes the outcome of a release. Returns false if the release isn't one of the autoscaler's. */
   handleReleaseOutcome(id: number, isReleased: boolean, now: Milliseconds): boolean {
-    const names = this.pendingReleases.get(id);
-    if (!names) return false;
-    this.pendingReleases.delete(id);
-    if (isReleased) for (const name of names) this.machineReleased(name, now);
+    const machines = this.releases.requestEnded(id);
+    if (!machines) return false;
+    if (isReleased) for (const machine of machines) this.machineReleased(machine, now);
     return true;
   }
+
+  /** How long ago the machine was provisioned or requested, as far as is known; else null. */
+  private ageMs(machine: string, now: Milliseconds): Milliseconds | null {
+    const bootingForMs = this.tracker.bootingForMs(machine, now);
+    if (bootingForMs !== null) return bootingForMs;
+    const listed = this.machineList.get(machine);
+    return listed ? this.machineList.ageMs(listed, now) : null;
+  }
 }
--- a/packages/controller/src/capacity/boot-time-estimator.ts
+++ b/packages/controller/src/capacity/boot-time-estimator.ts
@@ -1,55 +1,74 @@
+/**
+ * Estimates boot times from recent boots of the same type: all boots may be slow for a while, or some, or some may never end.
+ * Owns the boots of the last minutes and the number of overdue machines of each kind.
+ */
 import { type Milliseconds, NEVER } from '../model/index.js';
-import { type InstanceKind, instanceKindKey } from './demand.js';
+import { type InstanceKind, instanceKindKey } from './instance-kind.js';
 
 /** PROTOCOL: boots usually take up to one and a half times what the cloud names. */
-const USUAL = 1.6;
+const EXPECTED_BOOT_FACTOR = 1.6;
 
-/** What took longer lately may take longer again, by so much. */
-const SPARE = 1.3;
+/** Margin on the longest recent boot of a type. */
+const OBSERVED_BOOT_FACTOR = 1.3;
 
-/** Boots that ended within this time say how it stands; later ones of the kind may be better again. */
-const RECENT_MS = 180_000;
+/** The limit is at most this multiple of the expected boot time. */
+const MAX_LIMIT_FACTOR = 3;
 
-/** So many of a kind late, and none that came up, mean that the kind fails. */
-const FAILING = 2;
+/** Older boots aren't considered: the type may be faster again. */
+const OBSERVATION_WINDOW_MS = 180_000;
 
-/**
- * How long machines take to come up, by what their types took lately: boots can be late for
- * all, for some, or never end.
- */
+/** The number of boots remembered of each type. */
+const MAX_OBSERVATIONS = 20;
+
+/** A kind fails to boot when at least this many of its machines are overdue and none has come up. */
+const MIN_OVERDUE_TO_FAIL = 2;
+
+/** A machine that came up. */
+interface ObservedBoot {
+  at: Milliseconds;
+  durationMs: Milliseconds;
+}
+
+/** The boot times and overdue machines of all kinds. */
 export class BootTimeEstimator {
-  private readonly recent = new Map<string, { at: Milliseconds; ms: Milliseconds }[]>();
+  /** by type */
+  private readonly recentBoots = new Map<string, ObservedBoot[]>();
+  /** by kind */
   private readonly lastBootAt = new Map<string, Milliseconds>();
   private readonly overdueByKind = new Map<string, number>();
 
-  /** One came up that long after it was asked for. */
-  recordBoot(kind: InstanceKind, ms: Milliseconds, now: Milliseconds): void {
-    const list = (this.recent.get(kind.type) ?? []).filter((incarnation) => now - incarnation.at < RECENT_MS);
-    list.push({ at: now, ms });
-    this.recent.set(kind.type, list.slice(-20));
+  /** A machine of the kind came up, `durationMs` after it was requested. */
+  recordBoot(kind: InstanceKind, durationMs: Milliseconds, now: Milliseconds): void {
+    const boots = (this.recentBoots.get(kind.type) ?? []).filter((boot) => now - boot.at < OBSERVATION_WINDOW_MS);
+    boots.push({ at: now, durationMs });
+    this.recentBoots.set(kind.type, boots.slice(-MAX_OBSERVATIONS));
     this.lastBootAt.set(instanceKindKey(kind), now);
   }
 
-  /** One that isn't up after this long is late: it is counted on no more. */
+  /**
+   * The boot time limit of the type: a machine that isn't up by then is overdue. `bootS` is the boot time that the cloud names
+   * for the type, in seconds.
+   */
   limitMs(type: string, bootS: number, now: Milliseconds): Milliseconds {
-    let limit = USUAL * bootS * 1000;
-    for (const incarnation of this.recent.get(type) ?? [])
-      if (now - incarnation.at < RECENT_MS) limit = Math.max(limit, SPARE * incarnation.ms);
-    return Math.min(limit, 3 * USUAL * bootS * 1000);
+    let limitMs = EXPECTED_BOOT_FACTOR * bootS * 1000;
+    for (const boot of this.recentBoots.get(type) ?? [])
+      if (now - boot.at < OBSERVATION_WINDOW_MS) limitMs = Math.max(limitMs, OBSERVED_BOOT_FACTOR * boot.durationMs);
+    return Math.min(limitMs, MAX_LIMIT_FACTOR * EXPECTED_BOOT_FACTOR * bootS * 1000);
   }
 
-  /** The machines that are late, of the kind of each. */
+  /** Replaces what is known of overdue machines; `kinds` has the kind of each. */
   setOverdue(kinds: InstanceKind[]): void {
     this.overdueByKind.clear();
-    for (const kind of kinds)
-      this.overdueByKind.set(instanceKindKey(kind), (this.overdueByKind.get(instanceKindKey(kind)) ?? 0) + 1);
+    for (const kind of kinds) {
+      const key = instanceKindKey(kind);
+      this.overdueByKind.set(key, (this.overdueByKind.get(key) ?? 0) + 1);
+    }
   }
 
-  /** Several are late and none has come up for as long as that: others are preferred meanwhile. */
+  /** Are several machines of the kind overdue, while none has come up within `limitMs`? */
   isFailing(kind: InstanceKind, limitMs: Milliseconds, now: Milliseconds): boolean {
-    return (
-      (this.overdueByKind.get(instanceKindKey(kind)) ?? 0) >= FAILING &&
-      now - (this.lastBootAt.get(instanceKindKey(kind)) ?? NEVER) > limitMs
-    );
+    const key = instanceKindKey(kind);
+    if ((this.overdueByKind.get(key) ?? 0) < MIN_OVERDUE_TO_FAIL) return false;
+    return now - (this.lastBootAt.get(key) ?? NEVER) > limitMs;
   }
 }
--- a/packages/controller/src/capacity/demand.ts
+++ b/packages/controller/src/capacity/demand.ts
@@ -1,23 +1,25 @@
-/** Work that waits for room, and what kinds of machines would serve it. */
+/** Demand: tasks without a machine, the kinds of machines that could run them, and the tasks served already. Owns no state. */
 import type { MachineType, ResourceDemand, ShardSummary } from '@archpost/protocol';
-import type { ClusterStateView } from '../context/index.js';
-import { countThatFit, type Resources } from '../model/index.js';
+import { countThatFit, HIGHEST_PRIORITY, type Resources } from '../model/index.js';
+import type { InstanceKind } from './instance-kind.js';
 
-/** What the cloud sells: a type in a zone, ordinary or cheap. */
-export interface InstanceKind {
-  type: string;
-  zone: string;
-  spot: boolean;
-}
+/** The priority below the highest. */
+export const URGENT_PRIORITY = HIGHEST_PRIORITY - 1;
+
+/** The priority of best-effort work. */
+export const LOWEST_PRIORITY = 0;
 
-/** One name for each kind. */
-export const instanceKindKey = (kind: InstanceKind): string => `${kind.type}/${kind.zone}/${kind.spot}`;
+/** Work that has waited for less may yet be scheduled on existing machines. */
+const MIN_WAIT_S = 0.2;
 
-export function machineTypeNamed(context: ClusterStateView, name: string): MachineType | null {
-  return context.clusterState.machineTypes[context.clusterState.typeNames.indexOf(name)] ?? null;
+/** A demand of a shard, with the number of its tasks that no arriving machine will serve. */
+export interface PendingDemand {
+  readonly shard: number;
+  readonly demand: ResourceDemand;
+  remainingTasks: number;
 }
 
-/** May work that waits go to machines of this kind? */
+/** May the tasks of the demand run on machines of this kind? Whether they fit isn't considered. */
 export function matchesDemand(demand: ResourceDemand, type: string, zone: string, spot: boolean): boolean {
   return (
     (demand.types.length === 0 || demand.types.includes(type)) &&
@@ -27,39 +29,34 @@
   );
 }
 
-/** Work of a share that waits for room, and how many of its tasks are not served yet by what is on its way. */
-export interface PendingDemand {
-  shard: number;
-  demand: ResourceDemand;
-  remainingTasks: number;
-}
-
-/** Work that waited for less than this may find room by itself. */
-const BRIEF_WAIT_S = 0.2;
-
-/** What waits for room, the most urgent first. */
+/** The demands of the shards, ordered by priority, then those within their quota, then by waiting time, longest first. */
 export function pendingDemands(shards: Iterable<ShardSummary>): PendingDemand[] {
-  const waiting: PendingDemand[] = [];
+  const pending: PendingDemand[] = [];
   for (const { shard, demands } of shards) {
-    for (const demand of demands) if (demand.waitS > BRIEF_WAIT_S) waiting.push({ shard, demand, remainingTasks: demand.count });
+    for (const demand of demands) if (demand.waitS > MIN_WAIT_S) pending.push({ shard, demand, remainingTasks: demand.count });
   }
-  return waiting.sort(
+  return pending.sort(
     ({ demand }, { demand: other }) =>
       other.priority - demand.priority || Number(other.withinQuota) - Number(demand.withinQuota) || other.waitS - demand.waitS,
   );
 }
 
-/** Takes off what a machine of this kind will serve of a share's waiting work. */
-export function allocateToDemands(waiting: PendingDemand[], shard: number, kind: InstanceKind, capacity: MachineType): void {
+/** Allocates tasks of the shard to one machine of this kind, in the order of `pending`: they count as served from then on. */
+export function allocateToDemands(pending: PendingDemand[], shard: number, kind: InstanceKind, capacity: MachineType): void {
   const free: Resources = { cpus: capacity.cpus, gpus: capacity.gpus, memory: capacity.memory };
-  for (const work of waiting) {
+  for (const work of pending) {
     const { demand } = work;
     if (work.shard !== shard || work.remainingTasks <= 0) continue;
     if (!matchesDemand(demand, kind.type, kind.zone, kind.spot)) continue;
     const count = Math.min(work.remainingTasks, countThatFit(demand, free));
     work.remainingTasks -= count;
-    free.cpus -= count * demand.cpus;
-    free.gpus -= count * demand.gpus;
-    free.memory -= count * demand.memory;
+    subtractTasks(free, demand, count);
   }
 }
+
+/** Subtracts the resources of `count` tasks in one step: repeated subtraction would round differently. */
+export function subtractTasks(free: Resources, task: Resources, count: number): void {
+  free.cpus -= count * task.cpus;
+  free.gpus -= count * task.gpus;
+  free.memory -= count * task.memory;
+}
--- a/packages/controller/src/capacity/shard-rebalancer.ts
+++ b/packages/controller/src/capacity/shard-rebalancer.ts
@@ -1,77 +1,33 @@
 /**
- * Which machines the leader moves from share to share: free ones, or such as bear lesser work only, go where work has
- * no room.
+ * Rebalancing: moves machines that are idle, or run only work of lower priority, to shards with pending work. Owns the ordered
+ * moves and the time of each machine's last move.
  */
-import type { MachineSummary, ResourceDemand, ShardSummary } from '@archpost/protocol';
+import type { MachineSummary, ShardSummary } from '@archpost/protocol';
 import type { CapacityView, ClusterStateView, SettingsView } from '../context/index.js';
-import { countThatFit, HIGHEST_PRIORITY, type Machine, type Milliseconds, NEVER, SCARCE_MACHINE_WAIT_S } from '../model/index.js';
-import { allocateToDemands, matchesDemand, type PendingDemand } from './demand.js';
+import { countThatFit, type Machine, type Milliseconds, NEVER } from '../model/index.js';
+import { allocateToDemands, type PendingDemand } from './demand.js';
+import { type MovableMachine, MoveOptions } from './move-options.js';
 
-/** Work of the highest rank that waited for so many plan waits gets machines that bear firm work elsewhere. */
-const PRESSING_PLAN_WAITS = 1.5;
+/** An order that the cluster state doesn't show after this long was refused or has been carried out. */
+const ORDER_VISIBILITY_MS = 3000;
 
-/** An ordered move that its owner hasn't taken up after this long was refused or is done. */
-const ORDER_SHOWS_MS = 3000;
+/** The least time between two moves of a machine, busy or idle, so that it isn't moved back and forth. */
+const MIN_STAY_BUSY_MS = 30_000;
+const MIN_STAY_IDLE_MS = 3000;
 
-/**
- * A machine that was moved stays for so long, with and without work on it: going to and fro would serve nobody.
- */
-const STAYS_WITH_WORK_MS = 30_000;
-const STAYS_EMPTY_MS = 3000;
-
-/** Services are displaced this often at most, for work that waited this long. */
-const DISPLACE_EACH_MS = 3000;
-const DISPLACE_AFTER_S = 3;
-
-/** A share keeps so many idle ordinary machines from work that may use cheap ones. */
-const KEPT_FOR_OTHERS = 3;
-
-/** A rival's work counts once it has waited this long. */
-const RIVAL_WAIT_S = 0.2;
-
-/** Scores: what is displaced, what is stopped, and accelerators that are not needed cost this much each. */
-const COST_OF_SERVICE = 200;
-const COST_OF_BUSY = 100;
-const COST_OF_TASK = 10;
-const COST_OF_ACCELERATORS = 50;
-
-/** A machine that may be moved, as its owner tells of it. */
-interface Movable {
-  machine: Machine;
-  summary: MachineSummary;
-  shard: ShardSummary;
-  capacity: NonNullable<Machine['capacity']>;
-  zone: string;
-}
-
-interface MoveOption {
-  movable: Movable;
-  score: number;
-}
+/** The least time between two displacements of services. */
+const MIN_SERVICE_DISPLACEMENT_INTERVAL_MS = 3000;
 
-/** What a round knows of the shares beside what they told, worked out when first asked for. */
-class RoundView {
-  private readonly idleCounts = new Map<number, number>();
-
-  constructor(private readonly context: ClusterStateView) {}
-
-  /** Idle ordinary machines of the share, without accelerators. */
-  idle(shard: ShardSummary): number {
-    const known = this.idleCounts.get(shard.shard);
-    if (known !== undefined) return known;
-    const { machines } = this.context.clusterState;
-    const count = shard.machines.filter((summary) => {
-      const machine = machines.get(summary.name);
-      return summary.tasks === 0 && machine?.spot === false && machine.capacity?.gpus === 0;
-    }).length;
-    this.idleCounts.set(shard.shard, count);
-    return count;
-  }
-}
+/** Below every priority: nothing waits. */
+const NO_PRIORITY = -1;
 
 /** What the shard rebalancer needs of its controller. */
 type ShardRebalancerContext = SettingsView & ClusterStateView & CapacityView;
 
+/** Orders a machine to be moved to a shard. If the order can't be written, `orderFailed` is called later. */
+type OrderMove = (machine: Machine, shard: number) => void;
+
+/** Plans the moves of each round. Whether an order is written is up to the leader. */
 export class ShardRebalancer {
   /** moves that were ordered and are not done yet, and when */
   private readonly orderedMoves = new Map<string, Milliseconds>();
@@ -80,11 +36,12 @@
 
   constructor(private readonly context: ShardRebalancerContext) {}
 
-  /** A new lead knows of no orders. */
-  reset(): void {
+  /** The leadership begins: orders of an earlier one don't count. */
+  leaseAcquired(): void {
     this.orderedMoves.clear();
   }
 
+  /** The machine left the cluster. */
   machineRemoved(name: string): void {
     this.lastMoveAt.delete(name);
   }
@@ -94,30 +51,30 @@
     this.orderedMoves.delete(name);
   }
 
-  /** The moves of a round: at most so many, for what is waiting. Calls `order` for each. */
-  plan(
+  /** Orders the moves of a round, `limit` at most, for the pending demands, and allocates tasks to the moved machines. */
+  planMoves(
     shards: Map<number, ShardSummary>,
-    waiting: PendingDemand[],
+    pending: PendingDemand[],
     limit: number,
-    order: (machine: Machine, shard: number) => void,
+    orderMove: OrderMove,
     now: Milliseconds,
   ): void {
     this.forgetCompletedMoves(now);
-    const taken = this.allocateOrderedMoves(waiting);
-    const movables = this.movables(shards, taken, this.highestRank(waiting), now);
-    const view = new RoundView(this.context);
-    let left = limit;
-    for (const work of waiting) {
-      if (left <= 0) return;
-      for (const { movable } of this.moveOptions(movables, work, taken, view, now)) {
-        if (work.remainingTasks <= 0 || left <= 0) break;
+    const movingMachines = this.allocateOrderedMoves(pending);
+    const movables = this.movableMachines(shards, movingMachines, highestPriority(pending), now);
+    const moveOptions = new MoveOptions(this.context, movables, () => this.mayDisplaceServices(now));
+    let remainingMoves = limit;
+    for (const work of pending) {
+      if (remainingMoves <= 0) return;
+      for (const { movable } of moveOptions.optionsFor(work, movingMachines)) {
+        if (work.remainingTasks <= 0 || remainingMoves <= 0) break;
         const { machine, summary, capacity } = movable;
-        taken.add(machine.name);
-        left--;
+        movingMachines.add(machine.name);
+        remainingMoves--;
         work.remainingTasks -= countThatFit(work.demand, capacity);
         this.lastMoveAt.set(machine.name, now);
         this.orderedMoves.set(machine.name, now);
-        order(machine, work.shard);
+        orderMove(machine, work.shard);
         if (summary.services === 0) continue;
         this.servicesDisplacedAt = now;
         break;
@@ -125,133 +82,59 @@
     }
   }
 
+  private mayDisplaceServices(now: Milliseconds): boolean {
+    return now - this.servicesDisplacedAt >= MIN_SERVICE_DISPLACEMENT_INTERVAL_MS;
+  }
+
   private forgetCompletedMoves(now: Milliseconds): void {
     for (const [name, at] of this.orderedMoves) {
       const machine = this.context.clusterState.machines.get(name);
-      if (!machine || (machine.moveToShard === null && now - at > ORDER_SHOWS_MS)) this.orderedMoves.delete(name);
+      if (!machine || (machine.moveToShard === null && now - at > ORDER_VISIBILITY_MS)) this.orderedMoves.delete(name);
     }
   }
 
-  /** What is on its way already serves the first who want it. Returns its names. */
-  private allocateOrderedMoves(waiting: PendingDemand[]): Set<string> {
+  /** Allocates pending tasks to machines that are being moved. Returns the names of these machines. */
+  private allocateOrderedMoves(pending: PendingDemand[]): Set<string> {
     const { clusterState } = this.context;
-    const taken = new Set<string>();
+    const movingMachines = new Set<string>();
     for (const name of this.orderedMoves.keys()) {
       const machine = clusterState.machines.get(name);
       if (!machine || machine.moveToShard === null || !machine.capacity) continue;
       const kind = { type: machine.capacity.name, zone: clusterState.zoneNames.nameOf(machine.zoneIndex), spot: machine.spot };
-      allocateToDemands(waiting, machine.moveToShard, kind, machine.capacity);
-      taken.add(name);
+      allocateToDemands(pending, machine.moveToShard, kind, machine.capacity);
+      movingMachines.add(name);
     }
-    return taken;
+    return movingMachines;
   }
 
-  private highestRank(waiting: PendingDemand[]): number {
-    return waiting.reduce((highest, { demand }) => Math.max(highest, demand.priority), -1);
-  }
-
-  /** Sorted out once a round, whatever waits: going over all machines for each demand was most of a round's cost. */
-  private movables(shards: Map<number, ShardSummary>, taken: Set<string>, highestRank: number, now: Milliseconds): Movable[] {
-    const { clusterState } = this.context;
-    const movables: Movable[] = [];
+  /** Collected once a round for all demands: going over all machines for each demand was most of a round's cost. */
+  private movableMachines(
+    shards: Map<number, ShardSummary>,
+    movingMachines: ReadonlySet<string>,
+    maxPriority: number,
+    now: Milliseconds,
+  ): MovableMachine[] {
+    const { machines, zoneNames } = this.context.clusterState;
+    const movables: MovableMachine[] = [];
     for (const shard of shards.values()) {
       for (const summary of shard.machines) {
-        const machine = clusterState.machines.get(summary.name);
+        const machine = machines.get(summary.name);
         if (!machine?.capacity || machine.shard !== shard.shard || machine.moveToShard !== null || machine.isRetired) continue;
-        if (taken.has(summary.name) || summary.protectedPriority >= highestRank || this.isRecentlyMoved(summary, now)) continue;
-        movables.push({
-          machine,
-          summary,
-          shard,
-          capacity: machine.capacity,
-          zone: clusterState.zoneNames.nameOf(machine.zoneIndex),
-        });
+        if (movingMachines.has(summary.name) || summary.protectedPriority >= maxPriority) continue;
+        if (this.isRecentlyMoved(summary, now)) continue;
+        const zone = zoneNames.nameOf(machine.zoneIndex);
+        movables.push({ machine, summary, shard, capacity: machine.capacity, zone });
       }
     }
     return movables;
   }
 
   private isRecentlyMoved(summary: MachineSummary, now: Milliseconds): boolean {
-    const since = now - (this.lastMoveAt.get(summary.name) ?? NEVER);
-    return since < (summary.tasks > 0 ? STAYS_WITH_WORK_MS : STAYS_EMPTY_MS);
-  }
-
-  /** The machines that may be moved for the work, the one that costs least first. */
-  private moveOptions(
-    movables: Movable[],
-    work: PendingDemand,
-    taken: Set<string>,
-    view: RoundView,
-    now: Milliseconds,
-  ): MoveOption[] {
-    const rivals = new Map<ShardSummary, boolean>();
-    const options: MoveOption[] = [];
-    for (const movable of movables) {
-      const { shard, machine } = movable;
-      if (shard.shard === work.shard || taken.has(machine.name)) continue;
-      if (!this.canServe(movable, work.demand, now) || this.isReserved(movable, work, view)) continue;
-      const rival = rivals.get(shard) ?? this.hasCompetingDemand(shard, work.demand);
-      rivals.set(shard, rival);
-      if (rival && this.servesOwnDemand(movable, work.demand)) continue;
-      options.push({ movable, score: this.score(movable, work) });
-    }
-    return options.sort((a, b) => a.score - b.score);
-  }
-
-  private canServe({ summary, capacity, zone, machine }: Movable, demand: ResourceDemand, now: Milliseconds): boolean {
-    // A machine that bears services that would have to move stays for a while.
-    if (summary.services > 0 && (demand.waitS < DISPLACE_AFTER_S || now - this.servicesDisplacedAt < DISPLACE_EACH_MS))
-      return false;
-    if (summary.protectedPriority >= demand.priority || countThatFit(demand, capacity) < 1) return false;
-    return matchesDemand(demand, capacity.name, zone, machine.spot);
-  }
-
-  /** A share in the same need keeps what it has. */
-  private hasCompetingDemand(shard: ShardSummary, demand: ResourceDemand): boolean {
-    return shard.demands.some(
-      (own) =>
-        own.priority > demand.priority ||
-        (own.priority === demand.priority && (own.withinQuota || !demand.withinQuota) && own.waitS > RIVAL_WAIT_S),
-    );
-  }
-
-  private servesOwnDemand({ shard, capacity, zone, machine }: Movable, demand: ResourceDemand): boolean {
-    return shard.demands.some(
-      (own) =>
-        own.priority >= demand.priority &&
-        matchesDemand(own, capacity.name, zone, machine.spot) &&
-        countThatFit(own, capacity) >= 1,
-    );
-  }
-
-  /** Is the machine kept for the work that it is made for? */
-  private isReserved({ machine, summary, shard, capacity }: Movable, work: PendingDemand, view: RoundView): boolean {
-    const { demand } = work;
-    // Work on it gives way only to what has pressed for longer than its own share needs to clear one.
-    const pressing =
-      demand.priority >= HIGHEST_PRIORITY &&
-      demand.waitS > PRESSING_PLAN_WAITS * this.context.settings.policy.planWaitS &&
-      work.remainingTasks * 2 >= countThatFit(demand, capacity);
-    if (summary.protectedPriority >= HIGHEST_PRIORITY - 1 && !pressing) return true;
-    if (demand.gpus > 0) return false;
-    if (this.isScarce(machine, shard, capacity)) {
-      // These may not be had again, unless the most urgent work has found nothing else for a while.
-      if (demand.priority < HIGHEST_PRIORITY || demand.waitS < SCARCE_MACHINE_WAIT_S || (summary.tasks > 0 && !pressing))
-        return true;
-    }
-    // Ordinary machines stay for what can't use others.
-    if (demand.spot && !machine.spot && view.idle(shard) <= KEPT_FOR_OTHERS) return true;
-    return capacity.gpus > 0 && demand.priority < 2 && summary.tasks > 0;
-  }
-
-  private isScarce(machine: Machine, shard: ShardSummary, capacity: Movable['capacity']): boolean {
-    if (capacity.gpus === 0 || machine.spot || this.context.isTypeAvailable(capacity.name)) return false;
-    return this.context.clusterState.shardsWithGpuWork.has(shard.shard);
+    const sinceMs = now - (this.lastMoveAt.get(summary.name) ?? NEVER);
+    return sinceMs < (summary.tasks > 0 ? MIN_STAY_BUSY_MS : MIN_STAY_IDLE_MS);
   }
+}
 
-  private score({ summary, capacity }: Movable, { demand, remainingTasks: left }: PendingDemand): number {
-    const busy = summary.tasks > 0 ? COST_OF_BUSY + COST_OF_TASK * summary.tasks : 0;
-    const accelerators = demand.gpus === 0 && capacity.gpus > 0 ? COST_OF_ACCELERATORS : 0;
-    return summary.services * COST_OF_SERVICE + busy + accelerators - Math.min(countThatFit(demand, capacity), left);
-  }
+function highestPriority(pending: PendingDemand[]): number {
+  return pending.reduce((highest, { demand }) => Math.max(highest, demand.priority), NO_PRIORITY);
 }
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -13,7 +13,7 @@
   PeerStatus,
   StoredKey,
 } from '@archpost/protocol';
-import type { Autoscaler } from './capacity/index.js';
+import type { ProvisioningOutcome } from './capacity/index.js';
 import type { PeerDirectory } from './context/index.js';
 import { ControllerParts } from './controller-parts.js';
 import { isReadyForClients, type Leader, ownWritesPerS, type ShardLeases } from './leadership/index.js';
@@ -21,9 +21,6 @@
 import type { CommandOutcome, ShardController } from './shards/index.js';
 import type { ClusterState, Replica, StateWriter } from './state/index.js';
 
-/** What became of a request for machines. */
-type ProvisioningOutcome = Parameters<Autoscaler['handleProvisioningOutcome']>[1];
-
 /**
  * A controller's decisions. It never waits, and reads no clock: `now` is the time of an input by a steady clock in
  * milliseconds, which must not go back from one input to the next. An `id` in an input is that of the effect whose outcome it
--- a/packages/controller/src/jobs/client-requests.ts
+++ b/packages/controller/src/jobs/client-requests.ts
@@ -1,5 +1,8 @@
-/** Users' requests, at any controller. */
-
+/**
+ * The requests of users, which any controller answers: counts each, parses its body, and hands it to the module for its kind.
+ * Owns these modules.
+ */
+import type { MessagePackMap } from '@archpost/protocol';
 import type {
   ClusterStateView,
   EffectSink,
@@ -14,10 +17,12 @@
 import type { Milliseconds } from '../model/index.js';
 import { Cancellations } from './cancellations.js';
 import { ClientResponses } from './client-responses.js';
+import { HttpStatus } from './response-bodies.js';
 import { StatusQueries } from './status-queries.js';
+import { malformedSubmissionBody, readSubmissionRequest } from './submission-request.js';
 import { Submissions } from './submissions.js';
 
-/** What the client requests needs of its controller. */
+/** What requests of users need of the controller. */
 type ClientRequestsContext = SettingsView &
   InputClock &
   ClusterStateView &
@@ -28,6 +33,7 @@
   PeerDirectory &
   EffectSink;
 
+/** The entry point for requests of users. */
 export class ClientRequests {
   private readonly responses: ClientResponses;
   private readonly submissions: Submissions;
@@ -41,32 +47,37 @@
     this.statusQueries = new StatusQueries(context, this.responses);
   }
 
-  /** `wall`: the time of day. */
-  submit(id: number, body: Record<string, unknown> | null, now: Milliseconds, wallClockMs: Milliseconds): void {
+  /** `body`: null if it isn't a MessagePack map; `wallClockMs`: the time of day. */
+  submit(id: number, body: MessagePackMap | null, now: Milliseconds, wallClockMs: number): void {
     this.responses.requestOpened();
-    this.submissions.submit(id, body, now, wallClockMs);
+    const request = readSubmissionRequest(body);
+    if (request.kind === 'valid') this.submissions.submit(id, request.submission, now, wallClockMs);
+    else this.responses.respond(id, HttpStatus.badRequest, malformedSubmissionBody(request));
   }
 
+  /** `job`: as the user wrote it; an id that no job can have is answered like one that isn't known. */
   cancel(id: number, job: string, now: Milliseconds): void {
     this.responses.requestOpened();
     this.cancellations.cancel(id, job, now);
   }
 
+  /** `job`: as for `cancel`. */
   queryStatus(id: number, job: string, now: Milliseconds): void {
     this.responses.requestOpened();
     this.statusQueries.query(id, job, now);
   }
 
-  /** Questions wait for a newer reading. */
+  /** Do status queries wait for a newer read? */
   get hasPendingQueries(): boolean {
     return this.statusQueries.hasPending;
   }
 
-  /** The replica holds everything that was so at `asOf`. */
+  /** Answers the status queries up to `asOf`: the replica holds the state as of this time, or a newer one. */
   replicaFreshUpTo(asOf: Milliseconds): void {
     this.statusQueries.answerUpTo(asOf);
   }
 
+  /** Refuses what is out of time. */
   tick(now: Milliseconds): void {
     this.responses.tick(now);
     this.statusQueries.tick(now);
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -65,15 +65,14 @@
     private readonly context: LeaderContext,
     private readonly shardController: ShardController,
   ) {
-    this.machineAssigner = new MachineAssigner(context, () => this.autoscaler);
+    this.autoscaler = new Autoscaler(context, {
+      isAssignmentPending: (machine) => this.machineAssigner.isAssignmentPending(machine),
+      recentlyAssigned: (now) => this.machineAssigner.recentlyAssigned(now),
+      isZoneCut: (zone) => shardController.machineLifecycle.failureDetector.isZoneNameCut(zone),
+    });
+    this.machineAssigner = new MachineAssigner(context, this.autoscaler);
     this.shardRebalancer = new ShardRebalancer(context);
     this.idleMachineScaleIn = new IdleMachineScaleIn(context);
-    this.autoscaler = new Autoscaler(
-      context,
-      (machine) => this.machineAssigner.isAssignmentPending(machine),
-      (now) => this.machineAssigner.recentlyAssigned(now),
-      (zone) => shardController.machineLifecycle.failureDetector.isZoneNameCut(zone),
-    );
   }
 
   /** Does this controller hold the leader's lease? Whether it may act under it also depends on the state lease. */
@@ -84,7 +83,7 @@
   /** A tenure begins: what was planned in an earlier one doesn't count. `revision`: the fencing token of the tenure. */
   leaseAcquired(revision: number, now: Milliseconds): void {
     this.leaseRevision = revision;
-    this.shardRebalancer.reset();
+    this.shardRebalancer.leaseAcquired();
     this.autoscaler.leaseAcquired(revision, now);
   }
 
@@ -165,7 +164,7 @@
     const demands = pendingDemands(shards.values());
     this.machineAssigner.allocateRecentAssignments(demands, now);
     const orderMove = (machine: Machine, shard: number) => this.orderMove(machine, shard, leaseRevision, now);
-    this.shardRebalancer.plan(shards, demands, this.movesPerRound, orderMove, now);
+    this.shardRebalancer.planMoves(shards, demands, this.movesPerRound, orderMove, now);
   }
 
   private orderMove(machine: Machine, shard: number, leaseRevision: number, now: Milliseconds): void {
--- a/packages/controller/src/leadership/lease-claims.ts
+++ b/packages/controller/src/leadership/lease-claims.ts
@@ -14,7 +14,7 @@
   StateWriting,
 } from '../context/index.js';
 import type { Milliseconds } from '../model/index.js';
-import { encodeHolder, encodePresence, isPresenceOf, StateKey, WritePriority } from '../state/index.js';
+import { encodeHolder, encodePresence, isPresenceOf, NO_REVISION, StateKey, WritePriority } from '../state/index.js';
 import type { HolderSelection } from './holder-selection.js';
 import { type PauseListener, shiftTimes } from './process-pause.js';
 
@@ -36,9 +36,6 @@
 /** A claim, or a sign of presence, that waited for longer is dropped, and written anew if it still applies. */
 const WRITE_EXPIRY_MS = 5000;
 
-/** Any revision: the key must not exist. */
-const ABSENT_REVISION = 0;
-
 type LeaseClaimsContext = SettingsView & ClusterStateView & ReplicaView & StateWriting & StateFreshness & IncarnationView;
 
 /** Claims leases for this controller. What came of a claim shows in the cluster state. */
@@ -68,7 +65,7 @@
   claimWhenDue(lease: LeaseName, heldCount: number, now: Milliseconds): void {
     const since = this.absentSince.get(lease) ?? now;
     this.absentSince.set(lease, since);
-    if (now - since >= this.waitBeforeClaim(lease, heldCount, now)) this.claim(lease, ABSENT_REVISION, now);
+    if (now - since >= this.waitBeforeClaim(lease, heldCount, now)) this.claim(lease, NO_REVISION, now);
   }
 
   /** Claims the lease. `expectedRevision`: which its key must have; 0: it must not exist. */
@@ -76,7 +73,7 @@
     const { context } = this;
     if (this.pendingClaims.has(lease) || now - context.replicaFreshAt > MAX_VIEW_AGE_MS) return;
     this.pendingClaims.add(lease);
-    if (expectedRevision === ABSENT_REVISION) this.pendingTakeovers.add(lease);
+    if (expectedRevision === NO_REVISION) this.pendingTakeovers.add(lease);
     context.writer.add({
       key: StateKey.shardLease(lease),
       value: () => encodeHolder({ controller: context.settings.name, incarnation: context.incarnation }),
@@ -100,7 +97,7 @@
     this.context.writer.add({
       key,
       value: () => encodePresence(this.context.incarnation),
-      expectedRevision: current?.revision ?? ABSENT_REVISION,
+      expectedRevision: current?.revision ?? NO_REVISION,
       attachedToLease: true,
       priority: WritePriority.release,
       expiresAt: now + WRITE_EXPIRY_MS,
--- a/packages/controller/src/state/index.ts
+++ b/packages/controller/src/state/index.ts
@@ -12,6 +12,7 @@
   encodeAcceptedJob,
   encodeCancelledJob,
   encodeDoneJob,
+  type FinalState,
   parseJobPart,
   parseJobRecord,
   readJobRecord,
