--- a/packages/cloud-client/src/cloud-client.ts
+++ b/packages/cloud-client/src/cloud-client.ts
@@ -1,5 +1,5 @@
 /** Machine types, the list of machines, and the renting and releasing of machines. */
-import { Budget, Client, steady } from '@archpost/http-client';
+import { HttpClient, monotonicMs, RequestBudget } from '@archpost/http-client';
 import {
   decodeServiceResponse,
   encodeProvisioningRequest,
@@ -44,16 +44,16 @@
 export class CloudClient {
   /** What could not be parsed though the cloud answered with status 200. */
   readonly unreadable$ = new Subject<string>();
-  private readonly client: Client;
-  private readonly budget: Budget;
-  private readonly listBudget: Budget;
+  private readonly client: HttpClient;
+  private readonly budget: RequestBudget;
+  private readonly listBudget: RequestBudget;
   private isClosed = false;
 
   /** `requestsPerS`: this controller's part of the cloud's request limit. */
   constructor(address: string, requestsPerS: number) {
-    this.client = new Client(address, CLOUD_SOCKETS);
-    this.budget = new Budget(requestsPerS, steady);
-    this.listBudget = new Budget(requestsPerS * LIST_SHARE, steady);
+    this.client = new HttpClient(address, CLOUD_SOCKETS);
+    this.budget = new RequestBudget(requestsPerS, monotonicMs);
+    this.listBudget = new RequestBudget(requestsPerS * LIST_SHARE, monotonicMs);
   }
 
   /** Null if the cloud did not answer, refused, or its answer can not be parsed. */
--- a/packages/state-client/src/lease-keeper.ts
+++ b/packages/state-client/src/lease-keeper.ts
@@ -1,5 +1,5 @@
 /** The lease of this controller at the state service, to which it attaches its keys. */
-import { type Outcome, steady } from '@archpost/http-client';
+import { type CallOutcome, monotonicMs } from '@archpost/http-client';
 import { encodeLeaseRequest, leaseRenewalPath, PATHS, pack, parseLease, unpackMap } from '@archpost/protocol';
 import { Subject } from 'rxjs';
 import { Delay } from './delay.js';
@@ -58,7 +58,7 @@
   private async renew(): Promise<number> {
     // A renewal does not wait for the budget: without a lease this controller may do nothing else either.
     this.connection.budget.force();
-    const sentAt = steady();
+    const sentAt = monotonicMs();
     const outcome = await this.call();
     if (outcome.kind !== 'answer') return RETRY_MS;
     if (outcome.status === 200) return this.accept(outcome.body, sentAt);
@@ -66,7 +66,7 @@
     return RETRY_MS;
   }
 
-  private call(): Promise<Outcome> {
+  private call(): Promise<CallOutcome> {
     if (this.leaseId === null) return this.connection.post(PATHS.leases, pack(encodeLeaseRequest(this.ttlMs)), CALL_TIMEOUT_MS);
     return this.connection.post(leaseRenewalPath(this.leaseId), pack({}), CALL_TIMEOUT_MS);
   }
--- a/packages/state-client/src/read-barrier.ts
+++ b/packages/state-client/src/read-barrier.ts
@@ -1,5 +1,5 @@
 /** Reads that are newer than the moment at which they were asked for. */
-import { steady } from '@archpost/http-client';
+import { monotonicMs } from '@archpost/http-client';
 import { Delay } from './delay.js';
 
 /** A request that is not urgent waits this long for the watch, of the two seconds that users give an answer. */
@@ -35,7 +35,7 @@
 
   /** Notes a request; reads for it begin with the first request at which they are possible. */
   request(isUrgent: boolean, canRead: boolean): void {
-    this.requestedAt = steady();
+    this.requestedAt = monotonicMs();
     this.dueAt = Math.min(this.dueAt, this.requestedAt + (isUrgent ? 0 : MAX_DELAY_MS));
     if (this.isRunning || !canRead) return;
     this.isRunning = true;
@@ -48,7 +48,7 @@
 
   private async run(): Promise<void> {
     while (!this.delay.isClosed && this.requestedAt > this.reads.newestReadAt()) {
-      const waitMs = Math.max(this.lastReadAt + this.intervalMs, this.dueAt) - steady();
+      const waitMs = Math.max(this.lastReadAt + this.intervalMs, this.dueAt) - monotonicMs();
       // No longer than an interval: an urgent request may come meanwhile, or the watch may serve all.
       if (waitMs > 0) await this.delay.wait(Math.min(waitMs, this.intervalMs));
       else await this.readNow();
@@ -59,7 +59,7 @@
 
   private async readNow(): Promise<void> {
     this.dueAt = Number.POSITIVE_INFINITY;
-    this.lastReadAt = steady();
+    this.lastReadAt = monotonicMs();
     if (!(await this.reads.read())) await this.delay.wait(RETRY_MS);
   }
 }
--- a/packages/state-client/src/replica-reader.ts
+++ b/packages/state-client/src/replica-reader.ts
@@ -1,5 +1,5 @@
 /** Reads what a replica of this controller's keys needs: all keys once, and then their changes. */
-import { steady } from '@archpost/http-client';
+import { monotonicMs } from '@archpost/http-client';
 import {
   changesPath,
   type KeyChange,
@@ -147,7 +147,7 @@
 
   private async readChanges(waitMs: number, timeoutMs: number): Promise<ReadResult> {
     await this.connection.budget.take();
-    const asOf = steady();
+    const asOf = monotonicMs();
     const response = await this.connection.get(changesPath(this.prefix, this.revision, waitMs), timeoutMs);
     if (response?.status === 410) return 'compacted';
     const page = this.connection.parse(response, 'changes', parseChanges);
--- a/packages/state-client/src/state-service-connection.ts
+++ b/packages/state-client/src/state-service-connection.ts
@@ -1,5 +1,5 @@
 /** Requests to the state service, on connections and a request budget that all parts of the client share. */
-import { Budget, Client, type Outcome, steady } from '@archpost/http-client';
+import { type CallOutcome, HttpClient, monotonicMs, RequestBudget } from '@archpost/http-client';
 import { decodeServiceResponse, type MessagePackMap, readResponse, type ServiceResponse } from '@archpost/protocol';
 import { Subject } from 'rxjs';
 
@@ -11,13 +11,13 @@
   /** What could not be parsed though the service answered with status 200. */
   readonly unreadable$ = new Subject<string>();
   /** Callers take from it before each request. */
-  readonly budget: Budget;
-  private readonly client: Client;
+  readonly budget: RequestBudget;
+  private readonly client: HttpClient;
   private isClosed = false;
 
   constructor(address: string, requestsPerS: number) {
-    this.client = new Client(address, STATE_SOCKETS);
-    this.budget = new Budget(requestsPerS, steady);
+    this.client = new HttpClient(address, STATE_SOCKETS);
+    this.budget = new RequestBudget(requestsPerS, monotonicMs);
   }
 
   /** Null if there is no response. */
@@ -26,7 +26,7 @@
     return decodeServiceResponse(await this.client.call({ method: 'GET', path, timeoutMs }));
   }
 
-  async post(path: string, body: Buffer, timeoutMs: number): Promise<Outcome> {
+  async post(path: string, body: Buffer, timeoutMs: number): Promise<CallOutcome> {
     if (this.isClosed) return { kind: 'refused' };
     return this.client.call({ method: 'POST', path, body, timeoutMs });
   }
--- a/packages/worker-client/src/worker-connection-pool.ts
+++ b/packages/worker-client/src/worker-connection-pool.ts
@@ -1,8 +1,8 @@
 /** Connections to workers: one for each, and no more than this process has sockets for. */
-import { Client } from '@archpost/http-client';
+import { HttpClient } from '@archpost/http-client';
 
 interface WorkerConnection {
-  client: Client;
+  client: HttpClient;
   /** in milliseconds of the time of day */
   usedAt: number;
 }
@@ -13,14 +13,14 @@
 
   constructor(private readonly maxConnections: number) {}
 
-  get(address: string): Client {
+  get(address: string): HttpClient {
     const known = this.connections.get(address);
     if (known) {
       known.usedAt = Date.now();
       return known.client;
     }
     if (this.connections.size >= this.maxConnections) this.closeLeastRecentlyUsed();
-    const client = new Client(address, 1);
+    const client = new HttpClient(address, 1);
     this.connections.set(address, { client, usedAt: Date.now() });
     return client;
   }
