--- a/packages/server/src/service-log.ts
+++ b/packages/server/src/service-log.ts
@@ -1,6 +1,6 @@
 /**
- * The log events of the service, with their levels, messages and fields. Operators' alerts match messages and fields, so
- * these don't follow the names in the code.
+ * The log events of the service, with their levels, messages and fields. Operators' alerts match messages and fields: one that
+ * is renamed goes into docs/operations/renamed-log-messages.json.
  */
 import type { Effect } from '@archpost/controller';
 import type { LinkProblem } from '@archpost/peer-transport';
@@ -27,7 +27,7 @@
   constructor(private readonly logger: Logger) {}
 
   started(node: string, address: string): void {
-    this.logger.info({ node, addr: address }, 'started');
+    this.logger.info({ node, address }, 'started');
   }
 
   /** An error that nothing caught; the process goes on. */
@@ -40,35 +40,35 @@
   }
 
   settingsShort(shortage: Shortage): void {
-    this.logger.warn(shortage, 'settings are short');
+    this.logger.warn(shortage, 'settings insufficient for max_machines');
   }
 
   inputFailed(error: unknown): void {
-    this.logger.error({ err: error }, 'an input could not be taken');
+    this.logger.error({ err: error }, 'failed to process an input');
   }
 
   heartbeatMalformed(from: string): void {
-    this.logger.warn({ from }, 'a report can not be read');
+    this.logger.warn({ from }, 'unreadable heartbeat');
   }
 
   peerMessageUnreadable(problem: LinkProblem): void {
-    this.logger.warn(problem, 'a peer message can not be read');
+    this.logger.warn(problem, 'unreadable peer message');
   }
 
   peerMessageNotSent(problem: LinkProblem): void {
-    this.logger.error(problem, 'a peer message can not be sent');
+    this.logger.error(problem, 'peer message too large to send');
   }
 
   cloudResponseUnreadable(what: string): void {
-    this.logger.error({ what }, "the cloud's answer can not be read");
+    this.logger.error({ what }, 'unreadable cloud response');
   }
 
   stateResponseUnreadable(what: string): void {
-    this.logger.error({ what }, "the state service's answer can not be read");
+    this.logger.error({ what }, 'unreadable state service response');
   }
 
   clientRequestsRejected(rejected: { statusQueries: number; mutations: number }): void {
-    this.logger.info({ questions: rejected.statusQueries, requests: rejected.mutations }, 'users refused');
+    this.logger.info(rejected, 'user requests shed');
   }
 
   connectionsRejected(connections: number): void {
@@ -76,9 +76,7 @@
   }
 
   processFigures(figures: ProcessFigures, processed: ProcessedCounts): void {
-    const { heartbeats, controlEvents, mutations, statusQueries, rejected } = processed;
-    const taken = { reports: heartbeats, decisions: controlEvents, requests: mutations, questions: statusQueries };
-    this.logger.debug({ ...figures, ...taken, refused: rejected }, 'process');
+    this.logger.debug({ ...figures, ...processed }, 'process');
   }
 
   controllerEvent({ level, message, fields }: ControllerLogEffect): void {
--- a/test/loopback.test.ts
+++ b/test/loopback.test.ts
@@ -70,7 +70,7 @@
     assert.deepEqual([heap?.kind, heap?.heapMb], ['thread', threadHeapMb({ memoryMb: MEMORY_MB, sockets: SOCKETS })]);
     assert.ok(mostMb > 0 && mostMb <= MEMORY_MB, `${mostMb} MB of ${MEMORY_MB}`);
     assert.ok(mostSockets <= SOCKETS, `${mostSockets} sockets of ${SOCKETS}`);
-    const short = controller.log.filter(({ msg: message }) => message === 'settings are short');
+    const short = controller.log.filter(({ msg: message }) => message === 'settings insufficient for max_machines');
     assert.deepEqual(
       short.map(({ what }) => what),
       ['machine_limits.max_sockets'],
