--- a/packages/controller/src/scheduling/queue-order.ts
+++ b/packages/controller/src/scheduling/queue-order.ts
@@ -4,20 +4,20 @@
 import { expectedDurationMs } from '../state/index.js';
 
 /** A gang that has waited for this many plan waits is aged. */
-const AGED_PLAN_WAITS = 6;
+const AGED_GANG_PLAN_WAITS = 6;
 
 /** An array of which nothing has begun for this long comes before others: users wait four minutes at most. */
-const LONGEST_WAIT_MS = 180_000;
+const MAX_ARRAY_WAIT_MS = 180_000;
 
 /** Whether jobs are within their team's guarantee, and whether they are protected by it. */
 export type QuotaStatuses = Map<Job, { withinQuota: boolean; isProtected: boolean }>;
 
 /** A job that waits for room, where it stands in the queue. */
 interface QueuedJob {
-  j: Job;
-  g: { withinQuota: boolean; isProtected: boolean };
-  due: Milliseconds;
-  aged: boolean;
+  job: Job;
+  quota: { withinQuota: boolean; isProtected: boolean };
+  startDeadline: Milliseconds;
+  isAged: boolean;
 }
 
 /** Who comes first: ranks, guarantees, and the objectives that can still be kept. */
@@ -69,13 +69,13 @@
       const left = job.spec.tasks - (job.spec.shape === 'array' ? job.doneCount : 0);
       used.cpus += job.spec.cpus * left;
       used.gpus += job.spec.gpus * left;
-      const promised = team.cpus > 0 || team.gpus > 0;
+      const hasGuarantee = team.cpus > 0 || team.gpus > 0;
       const cpusOk = team.cpus <= 0 || used.cpus <= team.cpus + 1e-6;
       const gpusOk = team.gpus <= 0 || used.gpus <= team.gpus + 1e-6;
       // A team without any guarantee has none to be within: a guest's work gives way to all others'.
-      const withinQuota = promised && cpusOk && gpusOk;
-      const guarded = (team.cpus > 0 && job.spec.cpus > 0) || (team.gpus > 0 && job.spec.gpus > 0);
-      result.set(job, { withinQuota, isProtected: withinQuota && guarded });
+      const withinQuota = hasGuarantee && cpusOk && gpusOk;
+      const usesGuaranteedResources = (team.cpus > 0 && job.spec.cpus > 0) || (team.gpus > 0 && job.spec.gpus > 0);
+      result.set(job, { withinQuota, isProtected: withinQuota && usesGuaranteedResources });
     }
     return result;
   }
@@ -90,11 +90,11 @@
 
   /** By when the job's last task should start, for each objective that can still be kept, soonest first. */
   private startDeadlines(job: Job, now: Milliseconds): Milliseconds[] {
-    const fetch = job.spec.imageGb * 1000;
-    const run = job.expectedRunMs;
+    const imageFetchMs = job.spec.imageGb * 1000;
+    const runMs = job.expectedRunMs;
     const result: Milliseconds[] = [];
     for (const objective of this.objectives.get(job.spec.cls) ?? []) {
-      const at = job.arrivedAt + objective.withinMs - (objective.wait ? fetch : run + fetch);
+      const at = job.arrivedAt + objective.withinMs - (objective.wait ? imageFetchMs : runMs + imageFetchMs);
       if (at > now - 1000) result.push(at);
     }
     for (const at of this.latestStarts(job)) if (at > now - 1000) result.push(at);
@@ -120,7 +120,9 @@
 
   /** A gang that has waited for so long goes before all others of its rank. */
   private isAged(job: Job, now: Milliseconds): boolean {
-    return job.spec.shape === 'gang' && now - job.arrivedAt > AGED_PLAN_WAITS * this.context.settings.policy.planWaitS * 1000;
+    return (
+      job.spec.shape === 'gang' && now - job.arrivedAt > AGED_GANG_PLAN_WAITS * this.context.settings.policy.planWaitS * 1000
+    );
   }
 
   /** All jobs held here that have tasks without a place, in the order they are planned for. */
@@ -130,21 +132,21 @@
       if (job.isBlocked || !this.allocations.heldShards.has(job.shard) || job.state !== 'live' || job.pendingCount() === 0)
         continue;
       result.push({
-        j: job,
-        g: quotaStatuses.get(job) ?? { withinQuota: false, isProtected: false },
-        due: this.startDeadlineOf(job, now),
-        aged: this.isAged(job, now),
+        job,
+        quota: quotaStatuses.get(job) ?? { withinQuota: false, isProtected: false },
+        startDeadline: this.startDeadlineOf(job, now),
+        isAged: this.isAged(job, now),
       });
     }
     this.postponeLargest(result, now);
     return result.sort(
       (a, b) =>
-        b.j.priority - a.j.priority ||
-        Number(b.aged) - Number(a.aged) ||
-        (a.aged ? a.j.modRevision - b.j.modRevision : 0) ||
-        Number(b.g.withinQuota) - Number(a.g.withinQuota) ||
-        a.due - b.due ||
-        a.j.modRevision - b.j.modRevision,
+        b.job.priority - a.job.priority ||
+        Number(b.isAged) - Number(a.isAged) ||
+        (a.isAged ? a.job.modRevision - b.job.modRevision : 0) ||
+        Number(b.quota.withinQuota) - Number(a.quota.withinQuota) ||
+        a.startDeadline - b.startDeadline ||
+        a.job.modRevision - b.job.modRevision,
     );
   }
 
@@ -160,43 +162,43 @@
     for (const queued of queue) {
       // Of the lowest rank there may be hundreds, and others' room to wait for: they go as they came.
       if (
-        queued.j.priority === 0 ||
-        queued.j.spec.shape !== 'array' ||
-        queued.j.spec.gpus > 0 ||
-        this.allocations.failureAttribution.isCrashLooping(queued.j)
+        queued.job.priority === 0 ||
+        queued.job.spec.shape !== 'array' ||
+        queued.job.spec.gpus > 0 ||
+        this.allocations.failureAttribution.isCrashLooping(queued.job)
       )
         continue;
-      const key = `${queued.j.shard}/${queued.j.priority}/${queued.g.withinQuota}`;
+      const key = `${queued.job.shard}/${queued.job.priority}/${queued.quota.withinQuota}`;
       const list = shards.get(key);
       if (list) list.push(queued);
       else shards.set(key, [queued]);
     }
     for (const list of shards.values()) {
       if (list.length < 2) continue;
-      const pace = this.cpusInUseByPeers((list[0] as QueuedJob).j);
-      if (pace <= 0) continue;
+      const cpusInUse = this.cpusInUseByPeers((list[0] as QueuedJob).job);
+      if (cpusInUse <= 0) continue;
       const open = list.map((queued) => ({
-        w: queued,
-        dues: this.startDeadlines(queued.j, now),
-        ms: (queued.j.pendingCount() * queued.j.expectedRunMs * queued.j.spec.cpus) / pace,
+        queued,
+        deadlines: this.startDeadlines(queued.job, now),
+        durationMs: (queued.job.pendingCount() * queued.job.expectedRunMs * queued.job.spec.cpus) / cpusInUse,
       }));
       for (let again = true; again; ) {
         again = false;
         const timed = open
-          .filter((entry) => entry.dues.length > 0)
-          .sort((a, b) => (a.dues[0] as Milliseconds) - (b.dues[0] as Milliseconds));
+          .filter((entry) => entry.deadlines.length > 0)
+          .sort((a, b) => (a.deadlines[0] as Milliseconds) - (b.deadlines[0] as Milliseconds));
         const kept: typeof open = [];
         let end = now;
         for (const entry of timed) {
           kept.push(entry);
-          end += entry.ms;
-          if (end <= (entry.dues[0] as Milliseconds)) continue;
+          end += entry.durationMs;
+          if (end <= (entry.deadlines[0] as Milliseconds)) continue;
           let largest = 0;
           for (let index = 1; index < kept.length; index++)
-            if ((kept[index] as typeof entry).ms > (kept[largest] as typeof entry).ms) largest = index;
-          const off = kept.splice(largest, 1)[0] as typeof entry;
-          off.dues.shift();
-          end -= off.ms;
+            if ((kept[index] as typeof entry).durationMs > (kept[largest] as typeof entry).durationMs) largest = index;
+          const postponed = kept.splice(largest, 1)[0] as typeof entry;
+          postponed.deadlines.shift();
+          end -= postponed.durationMs;
           again = true;
         }
       }
@@ -204,8 +206,10 @@
       // begun for too long comes before all: being last must not mean never.
       for (const entry of open) {
         const late =
-          entry.w.j.doneCount === 0 && entry.w.j.tenure.allocations.size === 0 && now - entry.w.j.arrivedAt > LONGEST_WAIT_MS;
-        entry.w.due = late ? entry.w.j.arrivedAt : (entry.dues[0] ?? now + 1e7 + entry.ms);
+          entry.queued.job.doneCount === 0 &&
+          entry.queued.job.tenure.allocations.size === 0 &&
+          now - entry.queued.job.arrivedAt > MAX_ARRAY_WAIT_MS;
+        entry.queued.startDeadline = late ? entry.queued.job.arrivedAt : (entry.deadlines[0] ?? now + 1e7 + entry.durationMs);
       }
     }
   }
--- a/packages/controller/src/scheduling/scheduler.ts
+++ b/packages/controller/src/scheduling/scheduler.ts
@@ -20,17 +20,17 @@
 import { ServiceEviction } from './service-eviction.js';
 
 /** What has no room is planned for again after this long, if nothing else happens. */
-const REPLAN_MS = 600;
+const RESCHEDULE_INTERVAL_MS = 600;
 
-/** Places weighed by a plan for which planning pauses a millisecond. */
-const WEIGHED_PER_MS = 25;
+/** Machines scored in a run for which scheduling then pauses a millisecond. */
+const MACHINES_SCORED_PER_PAUSE_MS = 25;
 
-/** Places that a whole core weighs in a millisecond (docs/results.md), and the part of the processor left to plans. */
-const WEIGHED_PER_MS_OF_CORE = 2000;
-const PLAN_SHARE_OF_PROCESSOR = 0.25;
+/** Machines that a whole core scores in a millisecond (docs/results.md), and the part of the processor left to scheduling. */
+const MACHINES_SCORED_PER_CORE_MS = 2000;
+const SCHEDULING_CPU_SHARE = 0.25;
 
 /** A service whose best place is worth less than this, in seconds of waiting, may have a better one cleared for it. */
-const WORTH_STOPPING_FOR = -1;
+const MIN_SERVICE_SCORE = -1;
 
 /** What the scheduler needs of its controller. */
 type SchedulerContext = SettingsView & ClusterStateView & CapacityView & ShardOwnership & Logger;
@@ -64,7 +64,7 @@
    * that weighs many places is followed by a longer pause, so that reports never wait long.
    */
   tick(now: Milliseconds): void {
-    const again = this.hasUnfinishedWork && now - this.scheduledAt >= REPLAN_MS;
+    const again = this.hasUnfinishedWork && now - this.scheduledAt >= RESCHEDULE_INTERVAL_MS;
     if (!(this.allocations.schedulingRequested || again) || now < this.nextRunAt || !this.allocations.mayStart(now)) return;
     this.allocations.schedulingRequested = false;
     this.scheduledAt = now;
@@ -102,53 +102,53 @@
         candidates.push(this.allocations.freeResourcesOf(machine));
     const usage = this.teamUsage();
     const quotaStatuses = this.queueOrder.quotaStatuses();
-    let weighed = 0;
+    let machinesScored = 0;
     const queue = this.queueOrder.queue(quotaStatuses, now);
     this.preemption.beginRun();
-    this.exhaustedKinds.clear();
-    for (const { j: job } of queue)
+    this.unschedulableKinds.clear();
+    for (const { job } of queue)
       if (this.preemption.hasExhaustedWait(job) && !this.allocations.failureAttribution.isCrashLooping(job))
         this.preemption.pressingTasks.set(job.shard, (this.preemption.pressingTasks.get(job.shard) ?? 0) + job.pendingCount());
     this.allocations.unmetDemand = [];
-    const suspects = this.allocations.shardsAwaitingVerification();
+    const unverifiedShards = this.allocations.shardsAwaitingVerification();
     let later = false;
-    const broken: Job[] = [];
+    const crashLooping: Job[] = [];
     let open = candidates;
-    for (const { j: job, g: quota, aged } of queue) {
+    for (const { job, quota, isAged } of queue) {
       if (now < job.retryAt) {
         later = true;
         continue;
       }
-      if (suspects.has(job.shard) && this.allocations.mayRunUnseen(job)) continue;
+      if (unverifiedShards.has(job.shard) && this.allocations.mayRunUnseen(job)) continue;
       if (this.allocations.isStateUnconfirmed(job)) {
         later = true;
         continue;
       }
       if (this.allocations.failureAttribution.isCrashLooping(job)) {
-        broken.push(job);
+        crashLooping.push(job);
         continue;
       }
       if (this.isKnownNotToFit(job, quota.withinQuota)) {
         this.allocations.unmetDemand.push({ job, count: job.pendingCount(), withinQuota: quota.withinQuota });
         continue;
       }
-      weighed += candidates.length;
-      const mine = open.filter(
+      machinesScored += candidates.length;
+      const allowed = open.filter(
         (free) => free.machine.shard === job.shard && isAllowedOn(job, free.machine) && !job.failedOn.has(free.machine.name),
       );
       const left =
         job.spec.shape === 'gang'
-          ? this.placeGangJob(job, quota.withinQuota, mine, usage, quotaStatuses, now)
-          : this.placeTasks(job, quota.withinQuota, mine, usage, quotaStatuses, now);
+          ? this.placeGangJob(job, quota.withinQuota, allowed, usage, quotaStatuses, now)
+          : this.placeTasks(job, quota.withinQuota, allowed, usage, quotaStatuses, now);
       if (left > 0) {
         this.allocations.unmetDemand.push({ job, count: left, withinQuota: quota.withinQuota });
         this.rememberNoFit(job, quota.withinQuota);
       }
-      if (aged && job.tenure.allocations.size === 0) open = this.reserveForAgedGang(job, open, usage);
+      if (isAged && job.tenure.allocations.size === 0) open = this.reserveForAgedGang(job, open, usage);
     }
-    for (const job of broken) this.retryCrashLooping(job, open, usage, now);
-    later ||= broken.length > 0;
-    this.nextRunAt = now + this.pauseAfter(weighed);
+    for (const job of crashLooping) this.retryCrashLooping(job, open, usage, now);
+    later ||= crashLooping.length > 0;
+    this.nextRunAt = now + this.pauseAfter(machinesScored);
     this.hasUnfinishedWork = later || this.allocations.unmetDemand.length > 0;
     this.machineScoring.shardsWithWaitingGangs.clear();
     for (const unmet of this.allocations.unmetDemand)
@@ -157,11 +157,11 @@
     this.serviceEviction.consolidate(now);
   }
 
-  /** In proportion to what was weighed; with thousands of machines and a long queue that may be longer than a replan. */
-  private pauseAfter(weighed: number): Milliseconds {
-    const planMs = weighed / WEIGHED_PER_MS_OF_CORE;
-    const least = planMs / (PLAN_SHARE_OF_PROCESSOR * this.context.settings.cpuShare);
-    return Math.max(Math.min(REPLAN_MS, weighed / WEIGHED_PER_MS), least);
+  /** In proportion to the machines scored; with thousands of them and a long queue it may exceed the rescheduling interval. */
+  private pauseAfter(machinesScored: number): Milliseconds {
+    const planMs = machinesScored / MACHINES_SCORED_PER_CORE_MS;
+    const least = planMs / (SCHEDULING_CPU_SHARE * this.context.settings.cpuShare);
+    return Math.max(Math.min(RESCHEDULE_INTERVAL_MS, machinesScored / MACHINES_SCORED_PER_PAUSE_MS), least);
   }
 
   /**
@@ -174,25 +174,25 @@
     // Its part of the team's limit is kept too.
     for (let index = 0; index < job.spec.tasks; index++) this.addUsage(usage, job);
     if (!allowedNow) return candidates;
-    let lacks = job.spec.tasks;
-    const kept = new Set<FreeResources>();
+    let missing = job.spec.tasks;
+    const reserved = new Set<FreeResources>();
     for (const free of candidates) {
-      if (lacks <= 0) break;
+      if (missing <= 0) break;
       if (free.machine.shard !== job.shard || !isAllowedOn(job, free.machine) || job.failedOn.has(free.machine.name)) continue;
       const count = countThatFit(job.resources, free);
       if (count === 0) continue;
-      kept.add(free);
-      lacks -= count;
+      reserved.add(free);
+      missing -= count;
     }
-    return kept.size === 0 ? candidates : candidates.filter((free) => !kept.has(free));
+    return reserved.size === 0 ? candidates : candidates.filter((free) => !reserved.has(free));
   }
 
   /**
    * What found no room in this plan, smallest first found: of a swarm of small jobs that are all
-   * alike, one is weighed, not each. Only what may go anywhere and stops nothing is left out so:
+   * alike, one is scored, not each. Only what may go anywhere and stops nothing is left out so:
    * work of the lowest rank beyond any guarantee.
    */
-  private readonly exhaustedKinds = new Map<string, Resources[]>();
+  private readonly unschedulableKinds = new Map<string, Resources[]>();
 
   private interchangeableKind(job: Job, withinQuota: boolean): string | null {
     const spec = job.spec;
@@ -213,7 +213,7 @@
     const kind = this.interchangeableKind(job, withinQuota);
     if (kind === null) return false;
     return (
-      this.exhaustedKinds
+      this.unschedulableKinds
         .get(kind)
         ?.some((resources) => resources.cpus <= job.spec.cpus && resources.memory <= job.spec.memory) ?? false
     );
@@ -222,9 +222,9 @@
   private rememberNoFit(job: Job, withinQuota: boolean): void {
     const kind = this.interchangeableKind(job, withinQuota);
     if (kind === null) return;
-    const list = this.exhaustedKinds.get(kind);
+    const list = this.unschedulableKinds.get(kind);
     if (list) list.push(job.resources);
-    else this.exhaustedKinds.set(kind, [job.resources]);
+    else this.unschedulableKinds.set(kind, [job.resources]);
   }
 
   private quotaLeft(job: Job, use: { cpus: number; gpus: number }[]): number {
@@ -264,7 +264,7 @@
       const best = candidates.best(counts);
       let candidate: FreeResources | null = best?.free ?? null;
       // A better place (the image at hand) may be had from lesser work.
-      const mayGain = !best || (job.spec.shape === 'service' && best.score < WORTH_STOPPING_FOR);
+      const mayGain = !best || (job.spec.shape === 'service' && best.score < MIN_SERVICE_SCORE);
       if (mayGain && this.preemption.hasVictims(job, withinQuota)) {
         const other = candidates.withHigherScore(best ? best.score + 1 : Number.NEGATIVE_INFINITY, counts);
         const open = best ? other.filter((free) => !this.preemption.hasProtectedWork(free.machine, quotaStatuses)) : other;
@@ -321,15 +321,15 @@
       for (const layer of [0, 1, 2] as const) {
         if (layer === 2 && job.spec.oneZone) continue;
         for (const domain of topologyDomains(candidates, layer)) {
-          const widened = domain.map((free) => {
-            const widened = { ...free };
+          const afterEviction = domain.map((free) => {
+            const afterEviction = { ...free };
             for (const allocation of free.machine.tenure.allocations.values()) {
               if (!this.preemption.isVictim(allocation, job, withinQuota, quotaStatuses)) continue;
-              widened.cpus += allocation.job.spec.cpus;
-              widened.gpus += allocation.job.spec.gpus;
-              widened.memory += allocation.job.spec.memory;
+              afterEviction.cpus += allocation.job.spec.cpus;
+              afterEviction.gpus += allocation.job.spec.gpus;
+              afterEviction.memory += allocation.job.spec.memory;
             }
-            return widened;
+            return afterEviction;
           });
           const costs = new Map(
             domain.map((free) => [
@@ -339,7 +339,7 @@
                 ?.reduce((a, allocation) => a + this.preemption.stopCost(allocation, now), 0) ?? 1e9,
             ]),
           );
-          machines = placeGang(job, count, widened, (free) => -(costs.get(free.machine) ?? 0));
+          machines = placeGang(job, count, afterEviction, (free) => -(costs.get(free.machine) ?? 0));
           if (machines) break;
         }
         if (machines) break;
@@ -388,7 +388,7 @@
     usage: { cpus: number; gpus: number }[],
     now: Milliseconds,
   ): void {
-    const mine = candidates.filter(
+    const allowed = candidates.filter(
       (free) =>
         free.machine.shard === job.shard &&
         isAllowedOn(job, free.machine) &&
@@ -397,14 +397,14 @@
     const count = Math.min(this.allocations.failureAttribution.nextRetryCount(job, now), this.quotaLeft(job, usage));
     if (job.spec.shape === 'gang') {
       if (job.tenure.gangAttempt !== null || job.tenure.allocations.size > 0 || count < job.spec.tasks) return;
-      const machines = placeGang(job, count, mine, (free) => this.machineScoring.score(job, free));
-      if (machines) this.allocateGang(job, machines, mine, usage, now);
+      const machines = placeGang(job, count, allowed, (free) => this.machineScoring.score(job, free));
+      if (machines) this.allocateGang(job, machines, allowed, usage, now);
       return;
     }
     const counts = tasksPerZone(job);
-    mine.sort((a, b) => Number(b.machine.images.has(job.imageIndex)) - Number(a.machine.images.has(job.imageIndex)));
+    allowed.sort((a, b) => Number(b.machine.images.has(job.imageIndex)) - Number(a.machine.images.has(job.imageIndex)));
     for (let attempt = 0; attempt < count; attempt++) {
-      const candidate = mine.find((free) => fits(job.resources, free) && zoneAllowsTask(job, counts, free.machine.zoneIndex));
+      const candidate = allowed.find((free) => fits(job.resources, free) && zoneAllowsTask(job, counts, free.machine.zoneIndex));
       const index = candidate ? job.nextUntriedTaskFirst() : -1;
       if (!candidate || index < 0) return;
       this.allocateTask(job, index, candidate, usage, counts, now);
