--- a/packages/controller/src/allocation/task-allocations.ts
+++ b/packages/controller/src/allocation/task-allocations.ts
@@ -190,6 +190,12 @@
     for (const allocation of [...job.tenure.allocations.values()]) this.stop(allocation, this.stopGraceS(job));
   }
 
+  /** Stops the allocation, and with one task of a gang the whole gang. */
+  stopWithGang(allocation: Allocation): void {
+    if (allocation.job.spec.shape === 'gang') this.stopJob(allocation.job);
+    else this.stop(allocation, this.stopGraceS(allocation.job));
+  }
+
   /** Its reports come, here or to another controller. */
   isHeardRecently(machine: Machine, now: Milliseconds): boolean {
     return now - machine.tenure.lastHeartbeatAt < 4000 || now - machine.heardByPeerAt < 5000;
@@ -276,8 +282,7 @@
         allocation.phase !== 'planned'
       )
         continue;
-      if (allocation.job.spec.shape === 'gang') this.stopJob(allocation.job);
-      else this.stop(allocation, this.stopGraceS(allocation.job));
+      this.stopWithGang(allocation);
     }
   }
 
--- /dev/null
+++ b/packages/controller/src/scheduling/binding.ts
@@ -0,0 +1,32 @@
+/** Binding: carries out what was chosen, by planned allocations. The command dispatcher sends the starts later. */
+import type { TaskAllocations } from '../allocation/index.js';
+import { type FreeResources, type Job, type Machine, subtract } from '../model/index.js';
+import { countTaskInZone } from './placement-constraints.js';
+import type { SchedulingRun } from './scheduling-run.js';
+
+/** Turns choices into allocations, and counts them in the run and on the machines' free resources. */
+export class Binder {
+  constructor(private readonly allocations: TaskAllocations) {}
+
+  /** Gives the machine to one task of an array or service; `tasksInZones` is brought up to date. */
+  bindTask(job: Job, taskIndex: number, free: FreeResources, tasksInZones: Map<number, number>, run: SchedulingRun): void {
+    subtract(free, job.resources);
+    this.allocations.allocate(job, taskIndex, this.allocations.nextAttempt(job.shard), free.machine, 'planned', run.now);
+    run.usage.add(job);
+    countTaskInZone(tasksInZones, free.machine.zoneIndex);
+  }
+
+  /** Gives one machine each to the gang's tasks, in one attempt. None of them may have a machine yet. */
+  bindGang(job: Job, machines: readonly Machine[], candidates: readonly FreeResources[], run: SchedulingRun): void {
+    const attempt = this.allocations.nextAttempt(job.shard);
+    job.tenure.gangAttempt = attempt;
+    job.tenure.gangFailed = false;
+    const pendingTasks = job.pendingTasks();
+    machines.forEach((machine, index) => {
+      const free = candidates.find((candidate) => candidate.machine === machine);
+      if (free) subtract(free, job.resources);
+      this.allocations.allocate(job, pendingTasks[index] as number, attempt, machine, 'planned', run.now);
+      run.usage.add(job);
+    });
+  }
+}
--- a/packages/controller/src/scheduling/candidate-machines.ts
+++ b/packages/controller/src/scheduling/candidate-machines.ts
@@ -30,7 +30,7 @@
   }
 
   /** The best one with room for a task, given how many tasks there are in each zone. */
-  best(tasksInZones: Map<number, number>): { free: FreeResources; score: number } | null {
+  best(tasksInZones: ReadonlyMap<number, number>): { free: FreeResources; score: number } | null {
     for (const candidate of this.sorted)
       if (fits(this.job.resources, candidate.free) && zoneAllowsTask(this.job, tasksInZones, candidate.free.machine.zoneIndex))
         return candidate;
@@ -38,7 +38,7 @@
   }
 
   /** All that are worth more than this, whether or not they have room, the best first. */
-  withHigherScore(than: number, tasksInZones: Map<number, number>): FreeResources[] {
+  withHigherScore(than: number, tasksInZones: ReadonlyMap<number, number>): FreeResources[] {
     const better = this.allSorted().filter(
       ({ free, score: worth }) => worth > than && zoneAllowsTask(this.job, tasksInZones, free.machine.zoneIndex),
     );
--- a/packages/controller/src/scheduling/gang-placement.ts
+++ b/packages/controller/src/scheduling/gang-placement.ts
@@ -1,56 +1,87 @@
-/** Bin packing of a gang: all its tasks in the finest, smallest topology domain that holds them, or none. */
+/**
+ * Bin packing of a gang: all its tasks in the finest, smallest topology domain that holds them, or none. Pure functions; what
+ * they are given is not changed.
+ */
 import { type FreeResources, fits, type Job, type Machine, subtract } from '../model/index.js';
-import { zoneAllowsTask } from './placement-constraints.js';
+import { countTaskInZone, zoneAllowsTask } from './placement-constraints.js';
+
+/** How a cluster is divided into domains, from the finest to the coarsest. */
+type TopologyLayer = 'machine type within zone' | 'zone' | 'cluster';
+
+const LAYERS: readonly TopologyLayer[] = ['machine type within zone', 'zone', 'cluster'];
+
+/** Type indices are smaller than this, so that zone and type make one number. */
+const MAX_MACHINE_TYPES = 4096;
+
+/** The machines of one domain with what is free on them. */
+type TopologyDomain = FreeResources[];
 
 /**
- * The domains of a layer, in the order they are tried. DESIGN: the layers are one machine
- * type within one zone, one zone, all zones; domains go by rising machine count.
+ * The domains that may hold the gang, in the order in which they are tried: the finest layer first (DESIGN: one machine type
+ * within one zone, one zone, all zones), in a layer by rising machine count, then by key. A layer is divided only once it is
+ * reached.
  */
-export function topologyDomains(candidates: FreeResources[], layer: 0 | 1 | 2): FreeResources[][] {
-  const by = new Map<number, FreeResources[]>();
+export function* domainsFor(job: Job, candidates: readonly FreeResources[]): Generator<TopologyDomain> {
+  for (const layer of LAYERS) if (layer !== 'cluster' || !job.spec.oneZone) yield* domainsOfLayer(candidates, layer);
+}
+
+function domainsOfLayer(candidates: readonly FreeResources[], layer: TopologyLayer): TopologyDomain[] {
+  const domains = new Map<number, TopologyDomain>();
   for (const free of candidates) {
-    const key = layer === 0 ? free.machine.zoneIndex * 4096 + free.machine.typeIndex : layer === 1 ? free.machine.zoneIndex : 0;
-    const list = by.get(key);
-    if (list) list.push(free);
-    else by.set(key, [free]);
+    const key = domainKey(free.machine, layer);
+    const domain = domains.get(key);
+    if (domain) domain.push(free);
+    else domains.set(key, [free]);
   }
-  return [...by.entries()].sort((a, b) => a[1].length - b[1].length || a[0] - b[0]).map((entry) => entry[1]);
+  const byMachineCount = [...domains].sort(([keyA, a], [keyB, b]) => a.length - b.length || keyA - keyB);
+  return byMachineCount.map(([, domain]) => domain);
 }
 
-/** Puts `count` tasks into one domain, fullest machines first, or fails whole. */
-function fillDomain(
-  job: Job,
-  count: number,
-  domain: FreeResources[],
-  prefer: (free: FreeResources) => number,
-): FreeResources[] | null {
-  const rooms = domain.map((free) => ({ ...free })).sort((a, b) => prefer(b) - prefer(a) || a.gpus - b.gpus || a.cpus - b.cpus);
-  const result: FreeResources[] = [];
-  const zones = new Map<number, number>();
-  for (const free of rooms) {
-    while (result.length < count && fits(job.resources, free) && zoneAllowsTask(job, zones, free.machine.zoneIndex)) {
+function domainKey(machine: Machine, layer: TopologyLayer): number {
+  switch (layer) {
+    case 'machine type within zone':
+      return machine.zoneIndex * MAX_MACHINE_TYPES + machine.typeIndex;
+    case 'zone':
+      return machine.zoneIndex;
+    case 'cluster':
+      return 0;
+    default:
+      return layer satisfies never;
+  }
+}
+
+/** Puts `count` tasks into one domain, the machines with the highest score and then the fullest first; null: they don't fit. */
+function fillDomain(job: Job, count: number, domain: TopologyDomain, scoreOf: (free: FreeResources) => number): Machine[] | null {
+  const machines = domain
+    .map((free) => ({ ...free }))
+    .sort((a, b) => scoreOf(b) - scoreOf(a) || a.gpus - b.gpus || a.cpus - b.cpus);
+  const result: Machine[] = [];
+  const tasksInZones = new Map<number, number>();
+  for (const free of machines) {
+    const { machine } = free;
+    while (result.length < count && fits(job.resources, free) && zoneAllowsTask(job, tasksInZones, machine.zoneIndex)) {
       subtract(free, job.resources);
-      zones.set(free.machine.zoneIndex, (zones.get(free.machine.zoneIndex) ?? 0) + 1);
-      result.push(free);
+      countTaskInZone(tasksInZones, machine.zoneIndex);
+      result.push(machine);
     }
     if (result.length === count) return result;
   }
   return null;
 }
 
-/** A gang's machines in the finest layer's smallest domain that holds all its tasks. */
+/**
+ * The machine of each of the gang's tasks, in the finest layer's smallest domain that holds all `count` of them; null: none
+ * does. `scoreOf`: the machine with the larger score is filled first.
+ */
 export function placeGang(
   job: Job,
   count: number,
-  candidates: FreeResources[],
-  prefer: (free: FreeResources) => number,
+  candidates: readonly FreeResources[],
+  scoreOf: (free: FreeResources) => number,
 ): Machine[] | null {
-  for (const layer of [0, 1, 2] as const) {
-    if (layer === 2 && job.spec.oneZone) continue;
-    for (const domain of topologyDomains(candidates, layer)) {
-      const found = fillDomain(job, count, domain, prefer);
-      if (found) return found.map((free) => free.machine);
-    }
+  for (const domain of domainsFor(job, candidates)) {
+    const machines = fillDomain(job, count, domain, scoreOf);
+    if (machines) return machines;
   }
   return null;
 }
--- /dev/null
+++ b/packages/controller/src/scheduling/gang-preemption.ts
@@ -0,0 +1,74 @@
+/**
+ * Preemption for gangs: the finest, smallest topology domain that would hold the gang if all that may be stopped there were
+ * gone; in it, the machines on which least has to be stopped.
+ */
+import type { FreeResources, Machine } from '../model/index.js';
+import { domainsFor, placeGang } from './gang-placement.js';
+import { type Preemption, releaseResources, stopCostS } from './preemption.js';
+import type { QueuedJob } from './queue-order.js';
+import type { SchedulingRun } from './scheduling-run.js';
+
+/** Costs more than any choice of victims: on this machine not even one task fits. */
+const COST_WITHOUT_ROOM_S = 1e9;
+
+/** Makes room for whole gangs. */
+export class GangPreemption {
+  constructor(private readonly preemption: Preemption) {}
+
+  /**
+   * Stops what is in the way of the gang, counts it as free on the candidates, and returns the machine of each task; null:
+   * there is no room for the whole gang.
+   */
+  evictFor(queued: QueuedJob, candidates: readonly FreeResources[], run: SchedulingRun): Machine[] | null {
+    const machines = this.chooseMachines(queued, candidates, run);
+    if (!machines) return null;
+    const isCleared = this.clear(machines, queued, candidates, run);
+    return isCleared ? machines : null;
+  }
+
+  private chooseMachines(queued: QueuedJob, candidates: readonly FreeResources[], run: SchedulingRun): Machine[] | null {
+    const { job } = queued;
+    for (const domain of domainsFor(job, candidates)) {
+      const afterEviction = domain.map((free) => this.withVictimsGone(free, queued, run));
+      const costs = this.costsOf(domain, queued, run);
+      const machines = placeGang(job, job.spec.tasks, afterEviction, ({ machine }) => -(costs.get(machine) ?? 0));
+      if (machines) return machines;
+    }
+    return null;
+  }
+
+  private withVictimsGone(free: FreeResources, queued: QueuedJob, run: SchedulingRun): FreeResources {
+    const result = { ...free };
+    for (const allocation of free.machine.tenure.allocations.values())
+      if (this.preemption.isVictim(allocation, queued, run.quotaStatuses)) releaseResources(result, allocation);
+    return result;
+  }
+
+  /** What it costs to make room for one of the gang's tasks on each machine. */
+  private costsOf(domain: readonly FreeResources[], queued: QueuedJob, run: SchedulingRun): Map<Machine, number> {
+    const costs = new Map<Machine, number>();
+    for (const free of domain) {
+      const victims = this.preemption.victimsOn(free, queued, run);
+      costs.set(free.machine, victims ? stopCostS(victims, run.now) : COST_WITHOUT_ROOM_S);
+    }
+    return costs;
+  }
+
+  /** Stops what is in the way of the tasks on each machine; false: on one of them they don't fit even so. */
+  private clear(
+    machines: readonly Machine[],
+    queued: QueuedJob,
+    candidates: readonly FreeResources[],
+    run: SchedulingRun,
+  ): boolean {
+    const tasksByMachine = new Map<Machine, number>();
+    for (const machine of machines) tasksByMachine.set(machine, (tasksByMachine.get(machine) ?? 0) + 1);
+    for (const [machine, count] of tasksByMachine) {
+      const free = candidates.find((candidate) => candidate.machine === machine);
+      const victims = free ? this.preemption.victimsOn(free, queued, run, count) : null;
+      if (!free || !victims) return false;
+      this.preemption.evict(victims, free);
+    }
+    return true;
+  }
+}
--- a/packages/controller/src/scheduling/index.ts
+++ b/packages/controller/src/scheduling/index.ts
@@ -1,5 +1,8 @@
-/** Scheduling: the order of the queue, quota, bin packing by topology domain, scoring of machines, preemption and the eviction of services.
- * Owns no stored state: what it decides are planned allocations. */
-export * from './placement-constraints.js';
-export * from './queue-order.js';
-export * from './scheduler.js';
+/**
+ * Scheduling: the order of the queue, quota, bin packing by topology domain, scoring of machines, preemption and the eviction
+ * of services. Owns no stored state: what it decides are planned allocations.
+ */
+export { tasksPerZone, zoneAllowsTask } from './placement-constraints.js';
+export { QueueOrder } from './queue-order.js';
+export type { QuotaStatuses } from './quota-status.js';
+export { Scheduler } from './scheduler.js';
--- a/packages/controller/src/scheduling/machine-scoring.ts
+++ b/packages/controller/src/scheduling/machine-scoring.ts
@@ -1,4 +1,4 @@
-import type { TaskAllocations } from '../allocation/index.js';
+import type { TaskAllocations, UnmetDemand } from '../allocation/index.js';
 import type { CapacityView, ClusterStateView } from '../context/index.js';
 import {
   type FreeResources,
@@ -17,8 +17,8 @@
 
 /** How good a place is for a task, and which machines are left to the work they are made for. */
 export class MachineScoring {
-  /** shares with work for accelerators that has no room */
-  readonly shardsWithWaitingGangs = new Set<number>();
+  /** shards with accelerator work that found no room in the last run */
+  private readonly shardsWithWaitingGangs = new Set<number>();
   private dedicatedMachinesCache: { job: Job; machines: Machine[] } | null = null;
 
   constructor(
@@ -68,6 +68,12 @@
     return waitedMs > SCARCE_MACHINE_WAIT_S * 1000;
   }
 
+  /** What the run that ends has found no room for. */
+  recordUnmetDemand(unmetDemand: readonly UnmetDemand[]): void {
+    this.shardsWithWaitingGangs.clear();
+    for (const { job } of unmetDemand) if (job.spec.gpus > 0) this.shardsWithWaitingGangs.add(job.shard);
+  }
+
   /** Forgets what was worked out for the job that was planned for before. */
   beginJob(): void {
     this.dedicatedMachinesCache = null;
--- a/packages/controller/src/scheduling/queue-order.ts
+++ b/packages/controller/src/scheduling/queue-order.ts
@@ -2,6 +2,7 @@
 import type { ClusterStateView, SettingsView } from '../context/index.js';
 import type { Job, Milliseconds } from '../model/index.js';
 import { expectedDurationMs } from '../state/index.js';
+import { type QuotaStatus, type QuotaStatuses, quotaStatusesOf, WITHOUT_QUOTA } from './quota-status.js';
 
 /** A gang that has waited for this many plan waits is aged. */
 const AGED_GANG_PLAN_WAITS = 6;
@@ -9,13 +10,10 @@
 /** An array of which nothing has begun for this long comes before others: users wait four minutes at most. */
 const MAX_ARRAY_WAIT_MS = 180_000;
 
-/** Whether jobs are within their team's guarantee, and whether they are protected by it. */
-export type QuotaStatuses = Map<Job, { withinQuota: boolean; isProtected: boolean }>;
-
 /** A job that waits for room, where it stands in the queue. */
-interface QueuedJob {
-  job: Job;
-  quota: { withinQuota: boolean; isProtected: boolean };
+export interface QueuedJob {
+  readonly job: Job;
+  readonly quota: QuotaStatus;
   startDeadline: Milliseconds;
   isAged: boolean;
 }
@@ -52,32 +50,9 @@
     this.inheritedTimes = times.size > 0 ? [...times] : [1];
   }
 
-  /**
-   * Which jobs are within their team's guarantee, and which are protected by it: a team
-   * without a guarantee in what a job uses has nothing to protect it with.
-   */
+  /** Which jobs are within their team's guarantee, and which are protected by it. */
   quotaStatuses(): QuotaStatuses {
-    const result: QuotaStatuses = new Map();
-    const sums = this.context.settings.teams.map(() => ({ cpus: 0, gpus: 0 }));
-    const jobs = [...this.context.clusterState.jobs.values()]
-      .filter((job) => job.state === 'live' && !job.isBlocked && this.allocations.heldShards.has(job.shard))
-      .sort((a, b) => a.modRevision - b.modRevision);
-    for (const job of jobs) {
-      const team = this.context.settings.teams[job.teamIndex];
-      const used = sums[job.teamIndex];
-      if (!team || !used) continue;
-      const left = job.spec.tasks - (job.spec.shape === 'array' ? job.doneCount : 0);
-      used.cpus += job.spec.cpus * left;
-      used.gpus += job.spec.gpus * left;
-      const hasGuarantee = team.cpus > 0 || team.gpus > 0;
-      const cpusOk = team.cpus <= 0 || used.cpus <= team.cpus + 1e-6;
-      const gpusOk = team.gpus <= 0 || used.gpus <= team.gpus + 1e-6;
-      // A team without any guarantee has none to be within: a guest's work gives way to all others'.
-      const withinQuota = hasGuarantee && cpusOk && gpusOk;
-      const usesGuaranteedResources = (team.cpus > 0 && job.spec.cpus > 0) || (team.gpus > 0 && job.spec.gpus > 0);
-      result.set(job, { withinQuota, isProtected: withinQuota && usesGuaranteedResources });
-    }
-    return result;
+    return quotaStatusesOf(this.context, this.allocations.heldShards);
   }
 
   /**
@@ -133,7 +108,7 @@
         continue;
       result.push({
         job,
-        quota: quotaStatuses.get(job) ?? { withinQuota: false, isProtected: false },
+        quota: quotaStatuses.get(job) ?? WITHOUT_QUOTA,
         startDeadline: this.startDeadlineOf(job, now),
         isAged: this.isAged(job, now),
       });
--- /dev/null
+++ b/packages/controller/src/scheduling/task-placement.ts
@@ -0,0 +1,73 @@
+/** Placement of arrays and services: each task by itself, on the machine with the highest score. */
+import type { FreeResources, Job } from '../model/index.js';
+import type { Binder } from './binding.js';
+import { CandidateMachines } from './candidate-machines.js';
+import type { MachineScoring } from './machine-scoring.js';
+import { tasksPerZone } from './placement-constraints.js';
+import { hasProtectedWork, type Preemption } from './preemption.js';
+import type { QueuedJob } from './queue-order.js';
+import type { SchedulingRun } from './scheduling-run.js';
+
+/** Where no machine scores as much, in seconds, work of lower priority may be stopped to give a service a better one. */
+const MIN_SERVICE_SCORE = -1;
+
+/** A better machine has to gain a service this much, in seconds, for other work to be stopped. */
+const MIN_SCORE_GAIN = 1;
+
+/** Places independent tasks, with preemption where that is allowed. */
+export class TaskPlacement {
+  constructor(
+    private readonly machineScoring: MachineScoring,
+    private readonly preemption: Preemption,
+    private readonly binder: Binder,
+  ) {}
+
+  /** Places as many tasks as there is room for; returns how many are left that the team's quota allows. */
+  place(queued: QueuedJob, freeResources: readonly FreeResources[], run: SchedulingRun): number {
+    const { job } = queued;
+    const pending = job.pendingCount();
+    const allowed = Math.min(pending, run.usage.remainingTasks(job));
+    job.waitingSince ??= run.now;
+    const candidates = this.candidatesFor(job, freeResources, run.now - job.waitingSince);
+    const placed = this.placeOnCandidates(queued, allowed, candidates, run);
+    if (placed === pending) job.waitingSince = null;
+    return allowed - placed;
+  }
+
+  private candidatesFor(job: Job, freeResources: readonly FreeResources[], waitedMs: number): CandidateMachines {
+    this.machineScoring.beginJob();
+    const usable = freeResources.filter((free) => this.machineScoring.mayUseMachine(job, free, waitedMs));
+    return new CandidateMachines(job, usable, (free) => this.machineScoring.score(job, free));
+  }
+
+  /** Returns how many of the `count` tasks were placed. */
+  private placeOnCandidates(queued: QueuedJob, count: number, candidates: CandidateMachines, run: SchedulingRun): number {
+    const { job } = queued;
+    const tasksInZones = tasksPerZone(job);
+    for (let placed = 0; placed < count; placed++) {
+      const free = this.chooseMachine(queued, candidates, tasksInZones, run);
+      const taskIndex = free ? job.nextPendingTask() : -1;
+      if (!free || taskIndex < 0) return placed;
+      this.binder.bindTask(job, taskIndex, free, tasksInZones, run);
+      this.preemption.taskPlaced(job);
+    }
+    return Math.max(0, count);
+  }
+
+  /** The best machine with room for one more task; what has to be stopped there is stopped. */
+  private chooseMachine(
+    queued: QueuedJob,
+    candidates: CandidateMachines,
+    tasksInZones: ReadonlyMap<number, number>,
+    run: SchedulingRun,
+  ): FreeResources | null {
+    const best = candidates.best(tasksInZones);
+    const mayGainByPreemption = !best || (queued.job.spec.shape === 'service' && best.score < MIN_SERVICE_SCORE);
+    if (!mayGainByPreemption || !this.preemption.hasVictims(queued)) return best?.free ?? null;
+    const minScore = best ? best.score + MIN_SCORE_GAIN : Number.NEGATIVE_INFINITY;
+    const better = candidates.withHigherScore(minScore, tasksInZones);
+    // A service that has a machine gets a better one only where nothing protected stands.
+    const preemptible = best ? better.filter(({ machine }) => !hasProtectedWork(machine, run.quotaStatuses)) : better;
+    return this.preemption.evictFor(queued, preemptible, run) ?? best?.free ?? null;
+  }
+}
