--- /dev/null
+++ b/packages/controller/src/scheduling/start-deadlines.ts
@@ -0,0 +1,88 @@
+/**
+ * Start deadlines: by when a job should start, so that the service-level objectives of its class, its own deadline and those
+ * of the jobs that need it can still be met. Owns the objectives of the settings, sorted by job class.
+ */
+import type { ClusterStateView, SettingsView } from '../context/index.js';
+import type { Job, Milliseconds, Objective } from '../model/index.js';
+import { expectedDurationMs } from '../state/index.js';
+
+/** An objective still counts as attainable for so long after its start deadline. */
+const ATTAINABLE_GRACE_MS = 1000;
+
+/** Jobs of a class with objectives that have missed them all are due so long after they arrived: after all others. */
+const MISSED_ALL_OBJECTIVES_MS = 1e7;
+
+/** The deadline, in seconds, of a job that has neither objectives nor a deadline of its own. */
+const DEFAULT_DEADLINE_S = 600;
+
+/** An objective about the time from a job's arrival. */
+interface TimeObjective {
+  /** `wait`: the job's tasks run by then; `finished`: they are done by then */
+  readonly kind: 'wait' | 'finished';
+  readonly withinMs: Milliseconds;
+}
+
+/** Computes start deadlines by the objectives in the settings. */
+export class StartDeadlines {
+  private readonly timeObjectives = new Map<string, TimeObjective[]>();
+  /** for each objective about deadlines, how many times its deadline's time a job may take, by job class */
+  private readonly deadlineMultiples = new Map<string, number[]>();
+  /** those of all classes: which class a deadline was inherited from isn't known */
+  private readonly inheritedMultiples: readonly number[];
+
+  constructor(private readonly context: SettingsView & ClusterStateView) {
+    for (const objective of context.settings.objectives) this.addObjective(objective);
+    const multiples = new Set([...this.deadlineMultiples.values()].flat());
+    this.inheritedMultiples = multiples.size > 0 ? [...multiples] : [1];
+  }
+
+  private addObjective({ jobClass, kind, withinS, deadlineMultiple }: Objective): void {
+    if (jobClass === null) return;
+    if (kind === 'deadline') appendTo(this.deadlineMultiples, jobClass, deadlineMultiple ?? 1);
+    if (withinS !== null && (kind === 'wait' || kind === 'finished'))
+      appendTo(this.timeObjectives, jobClass, { kind, withinMs: withinS * 1000 });
+  }
+
+  /** The first of the job's start deadlines that can still be met. A job that has missed them all is due after the others. */
+  startDeadlineOf(job: Job, now: Milliseconds): Milliseconds {
+    return this.attainableStartDeadlines(job, now)[0] ?? this.fallbackDeadline(job);
+  }
+
+  /** By when the job's last task should start, for each objective that can still be met, soonest first. */
+  attainableStartDeadlines(job: Job, now: Milliseconds): Milliseconds[] {
+    const imageFetchMs = job.spec.imageGb * 1000;
+    const runMs = job.expectedRunMs;
+    const result: Milliseconds[] = [];
+    const addIfAttainable = (at: Milliseconds) => {
+      if (at > now - ATTAINABLE_GRACE_MS) result.push(at);
+    };
+    for (const { kind, withinMs } of this.timeObjectives.get(job.spec.cls) ?? [])
+      addIfAttainable(job.arrivedAt + withinMs - (kind === 'wait' ? imageFetchMs : runMs + imageFetchMs));
+    for (const at of this.startsForDeadlines(job)) addIfAttainable(at);
+    return result.sort((a, b) => a - b);
+  }
+
+  /**
+   * By when the job should start for its own deadline, if its class has objectives about deadlines, or for those of the jobs
+   * that need it. Stored deadlines are times of day; the result is on the clock of the inputs.
+   */
+  private startsForDeadlines(job: Job): Milliseconds[] {
+    const ownMultiples = this.deadlineMultiples.get(job.spec.cls);
+    const isInherited = job.effectiveDeadlineAt < job.deadlineAt;
+    if (ownMultiples === undefined && !isInherited) return [];
+    const startBy = job.effectiveDeadlineAt - this.context.clusterState.wallClockOffsetMs - expectedDurationMs(job);
+    const multiples = isInherited ? this.inheritedMultiples : (ownMultiples ?? [1]);
+    return multiples.map((multiple) => startBy + (multiple - 1) * job.effectiveDeadlineSpanMs);
+  }
+
+  private fallbackDeadline(job: Job): Milliseconds {
+    if (this.timeObjectives.has(job.spec.cls)) return job.arrivedAt + MISSED_ALL_OBJECTIVES_MS;
+    return job.arrivedAt + (job.spec.deadlineS ?? DEFAULT_DEADLINE_S) * 1000;
+  }
+}
+
+function appendTo<Value>(lists: Map<string, Value[]>, key: string, value: Value): void {
+  const list = lists.get(key);
+  if (list) list.push(value);
+  else lists.set(key, [value]);
+}
