--- /dev/null
+++ b/packages/controller/src/scheduling/gang-service-eviction.ts
@@ -0,0 +1,93 @@
+/**
+ * Eviction of services for gangs: clears machines with accelerators of their services when a gang has no other room, as many
+ * machines as it lacks or none. Owns when that was last done.
+ */
+import type { TaskAllocations, UnmetDemand } from '../allocation/index.js';
+import type { ClusterStateView, Logger, SettingsView } from '../context/index.js';
+import { countThatFit, fits, type Job, type Machine, type Milliseconds, NEVER, type Resources } from '../model/index.js';
+import { hasGpuWork } from './gpu-machines.js';
+import { isAllowedOn } from './placement-constraints.js';
+import type { ServiceEvacuation } from './service-evacuation.js';
+
+/** Machines are cleared for one gang at a time, and the next gang waits this long. */
+const EVICTION_INTERVAL_MS = 5000;
+
+/** A machine that was cleared takes no work without accelerators for so many plan waits. */
+const RESERVED_PLAN_WAITS = 2;
+
+/** What a gang finds in its shard. */
+interface GangCandidates {
+  /** how many of its tasks have room as it is */
+  tasksThatFit: number;
+  /** machines without room for it where only services are in its way, and these have room elsewhere */
+  readonly clearable: Machine[];
+}
+
+/** Clears machines for gangs that found no room in a run. */
+export class GangServiceEviction {
+  private evictedAt: Milliseconds = NEVER;
+
+  constructor(
+    private readonly context: SettingsView & ClusterStateView & Logger,
+    private readonly allocations: TaskAllocations,
+    private readonly evacuation: ServiceEvacuation,
+  ) {}
+
+  /** Clears machines for the first gang of the unmet demand that this gives room, unless that was done lately. */
+  evictFor(unmetDemand: readonly UnmetDemand[], now: Milliseconds): void {
+    if (now - this.evictedAt < EVICTION_INTERVAL_MS) return;
+    for (const { job } of unmetDemand) {
+      if (job.spec.gpus === 0 || job.spec.shape !== 'gang') continue;
+      const machines = this.chooseMachines(job, this.candidatesFor(job, now));
+      if (!machines) continue;
+      this.evictedAt = now;
+      for (const machine of machines) this.evictFrom(machine, now);
+      return;
+    }
+  }
+
+  private candidatesFor(gang: Job, now: Milliseconds): GangCandidates {
+    const evacuable = this.evacuation.evacuableMachines(gang.shard, now);
+    const result: GangCandidates = { tasksThatFit: 0, clearable: [] };
+    for (const machine of this.context.clusterState.machines.values()) {
+      if (machine.shard !== gang.shard || !machine.capacity || !isAllowedOn(gang, machine)) continue;
+      if (!this.allocations.isSchedulable(machine, now)) continue;
+      const count = countThatFit(gang.resources, this.allocations.freeResourcesOf(machine));
+      result.tasksThatFit += count;
+      if (count === 0 && evacuable.has(machine) && this.isBlockedByServices(gang, machine, machine.capacity))
+        result.clearable.push(machine);
+    }
+    return result;
+  }
+
+  private isBlockedByServices(gang: Job, machine: Machine, capacity: Resources): boolean {
+    if (hasGpuWork(machine)) return false;
+    const usage = this.allocations.serviceUsage(machine);
+    const besideServices: Resources = {
+      cpus: capacity.cpus - usage.cpus,
+      gpus: capacity.gpus,
+      memory: capacity.memory - usage.memory,
+    };
+    return usage.cpus > 0 && !fits(gang.resources, besideServices);
+  }
+
+  /** Those with the least services first, as many as the gang lacks; null: it lacks none, or they are not enough. */
+  private chooseMachines(gang: Job, { tasksThatFit, clearable }: GangCandidates): Machine[] | null {
+    let missing = gang.spec.tasks - tasksThatFit;
+    if (missing <= 0) return null;
+    clearable.sort((a, b) => this.allocations.serviceUsage(a).cpus - this.allocations.serviceUsage(b).cpus);
+    const chosen: Machine[] = [];
+    for (const machine of clearable) {
+      if (missing <= 0) break;
+      chosen.push(machine);
+      missing -= countThatFit(gang.resources, machine.capacity as Resources);
+    }
+    return missing > 0 ? null : chosen;
+  }
+
+  private evictFrom(machine: Machine, now: Milliseconds): void {
+    this.context.log('info', 'evicting services from a GPU machine', { machine: machine.name });
+    machine.reservedUntil = now + RESERVED_PLAN_WAITS * this.context.settings.policy.planWaitS * 1000;
+    for (const allocation of this.allocations.servicesOn(machine)) this.allocations.stop(allocation, 0);
+  }
+}
--- /dev/null
+++ b/packages/controller/src/scheduling/machine-eligibility.ts
@@ -0,0 +1,154 @@
+/**
+ * Eligibility: which machines a job may use at all for now, beyond what its own constraints say. Machines with accelerators
+ * are kept for the work that needs them, for a while or as long as it waits. Owns which shards have accelerator work that
+ * found no room, and what was worked out for the job whose turn it is.
+ */
+import type { TaskAllocations, UnmetDemand } from '../allocation/index.js';
+import type { CapacityView, ClusterStateView } from '../context/index.js';
+import {
+  type FreeResources,
+  fits,
+  type Job,
+  type Machine,
+  type Milliseconds,
+  RESOURCE_TOLERANCE,
+  SCARCE_MACHINE_WAIT_S,
+} from '../model/index.js';
+import type { GpuMachines } from './gpu-machines.js';
+import { isAllowedOn } from './placement-constraints.js';
+import type { QueueOrder } from './queue-order.js';
+
+/** How long a service waits for other room before it takes a machine with accelerators of a type that can't be had. */
+const SERVICE_WAIT_MS = {
+  /** the machine is given to services whole */
+  dedicatedMachine: 800,
+  /** accelerator work still fits beside the service */
+  spareRoom: 1500,
+  /** another machine that is given to services has room: it would have to come free for starts first */
+  whileDedicatedMachineHasRoom: 30_000,
+  /** none of these */
+  scarceMachine: SCARCE_MACHINE_WAIT_S * 1000,
+} as const;
+
+/** More than one candidate is enough: the machine that is looked at may be one of them. */
+const MAX_DEDICATED_MACHINES = 2;
+
+/** An array may take an empty machine with accelerators once a new machine, with so much of its boot time, comes too late. */
+const BOOT_TIME_MARGIN = 1.5;
+
+/** Estimates of runs are often wrong by as much as half of the run. */
+const RUN_TIME_MARGIN = 0.5;
+
+/** A start deadline so far off says that the job has missed all that it had. */
+const MISSED_ALL_DEADLINES_MS = 1e6;
+
+/** Says which machines a job may use for now. */
+export class MachineEligibility {
+  private readonly shardsWithWaitingGpuWork = new Set<number>();
+  private dedicatedMachinesCache: { job: Job; machines: Machine[] } | null = null;
+
+  constructor(
+    private readonly context: ClusterStateView & CapacityView,
+    private readonly allocations: TaskAllocations,
+    private readonly queueOrder: QueueOrder,
+    private readonly gpuMachines: GpuMachines,
+  ) {}
+
+  /** What a run found no room for; it holds for the next run. */
+  recordUnmetDemand(unmetDemand: readonly UnmetDemand[]): void {
+    this.shardsWithWaitingGpuWork.clear();
+    for (const { job } of unmetDemand) if (job.spec.gpus > 0) this.shardsWithWaitingGpuWork.add(job.shard);
+  }
+
+  /** Another job's turn comes: forgets what was worked out for the last. */
+  beginJob(): void {
+    this.dedicatedMachinesCache = null;
+  }
+
+  /** `waitedMs`: for how long some of the job's tasks have had no machine. */
+  mayUseMachine(job: Job, { machine }: FreeResources, waitedMs: Milliseconds): boolean {
+    if (job.spec.gpus > 0) return true;
+    if (this.allocations.now < machine.reservedUntil) return false;
+    // Fetches share a machine's rate: a small image would hold up a gang's large one.
+    if (!machine.images.has(job.imageIndex) && isFetchingForGpuWork(machine)) return false;
+    if (!machine.capacity || machine.capacity.gpus === 0 || machine.spot) return true;
+    if (job.spec.shape !== 'service') return this.arrayMayUseGpuMachine(job, machine);
+    if (this.context.isTypeAvailable(machine.capacity.name)) return true;
+    return waitedMs > this.serviceWaitMs(job, machine);
+  }
+
+  /**
+   * Where no more of them can be had, services keep off machines with accelerators until nothing else has come free for a
+   * while: there they would be in the way for hours. One machine given to services whole leaves the others to the work that
+   * they are made for.
+   */
+  private serviceWaitMs(job: Job, machine: Machine): Milliseconds {
+    if (this.gpuMachines.isDedicatedToServices(machine)) return SERVICE_WAIT_MS.dedicatedMachine;
+    if (this.gpuMachines.leavesRoomForGpuWork(machine, job.resources)) return SERVICE_WAIT_MS.spareRoom;
+    if (this.dedicatedMachinesWithRoom(job).some((other) => other !== machine))
+      return SERVICE_WAIT_MS.whileDedicatedMachineHasRoom;
+    return SERVICE_WAIT_MS.scarceMachine;
+  }
+
+  /**
+   * Machines that are given to services and have room for the job's next task, a few at most. They are the same for all
+   * machines that are looked at for the job.
+   */
+  private dedicatedMachinesWithRoom(job: Job): Machine[] {
+    if (this.dedicatedMachinesCache?.job === job) return this.dedicatedMachinesCache.machines;
+    const machines: Machine[] = [];
+    for (const machine of this.context.clusterState.machines.values()) {
+      if (machines.length === MAX_DEDICATED_MACHINES) break;
+      if (this.isDedicatedMachineWithRoom(machine, job)) machines.push(machine);
+    }
+    this.dedicatedMachinesCache = { job, machines };
+    return machines;
+  }
+
+  private isDedicatedMachineWithRoom(machine: Machine, job: Job): boolean {
+    return (
+      machine.shard === job.shard &&
+      this.gpuMachines.isDedicatedToServices(machine) &&
+      this.allocations.isSchedulable(machine, this.allocations.now) &&
+      isAllowedOn(job, machine) &&
+      fits(job.resources, this.allocations.freeResourcesOf(machine))
+    );
+  }
+
+  /** Independent tasks take an expensive machine whole only when their time runs out. */
+  private arrayMayUseGpuMachine(job: Job, machine: Machine): boolean {
+    const { capacity } = machine;
+    const gpuDemand = this.context.clusterState.gpuDemandByType.get(machine.typeIndex);
+    if (!capacity || !gpuDemand) return true;
+    // Where no more can be had and what needs them has a higher priority, which may stop it, it does no harm there.
+    if (gpuDemand.rank > job.priority && !this.context.isTypeAvailable(capacity.name)) return true;
+    // Beside what keeps the machine here anyway, it costs nothing; alone it would keep it.
+    const cpusWithTask = this.cpusWithoutGpus(machine, job.spec.cpus);
+    if (cpusWithTask <= capacity.cpus - gpuDemand.cpus + RESOURCE_TOLERANCE && this.gpuMachines.isKeptBusy(machine)) return true;
+    return !this.shardsWithWaitingGpuWork.has(job.shard) && this.isTooLateForNewMachine(job);
+  }
+
+  /** Adds to `cpus` what work without accelerators takes on the machine. */
+  private cpusWithoutGpus(machine: Machine, cpus: number): number {
+    let sum = cpus;
+    for (const allocation of machine.tenure.allocations.values())
+      if (allocation.phase !== 'exited' && allocation.job.spec.gpus === 0) sum += allocation.job.spec.cpus;
+    return sum;
+  }
+
+  private isTooLateForNewMachine(job: Job): boolean {
+    const { now } = this.allocations;
+    const slackMs = this.queueOrder.startDeadlineOf(job, now) - now;
+    const newMachineMs = this.context.clusterState.bootTimeFor(job) * BOOT_TIME_MARGIN + job.expectedRunMs * RUN_TIME_MARGIN;
+    return slackMs < newMachineMs || slackMs > MISSED_ALL_DEADLINES_MS;
+  }
+}
+
+/** Is an image on its way to the machine that accelerator work there waits for? */
+function isFetchingForGpuWork(machine: Machine): boolean {
+  for (const { job, phase, stopGraceS, status } of machine.tenure.allocations.values()) {
+    if (job.spec.gpus === 0 || phase === 'exited' || stopGraceS !== null || machine.images.has(job.imageIndex)) continue;
+    if (phase !== 'there' || status?.state === 'fetching') return true;
+  }
+  return false;
+}
--- a/packages/controller/src/scheduling/scheduler.ts
+++ b/packages/controller/src/scheduling/scheduler.ts
@@ -10,12 +10,16 @@
 import { CrashLoopRetries } from './crash-loop-retries.js';
 import { placeGang } from './gang-placement.js';
 import { GangPreemption } from './gang-preemption.js';
+import { GangServiceEviction } from './gang-service-eviction.js';
+import { GpuMachines } from './gpu-machines.js';
+import { MachineEligibility } from './machine-eligibility.js';
 import { MachineScoring } from './machine-scoring.js';
 import { isCandidateFor } from './placement-constraints.js';
 import { Preemption } from './preemption.js';
 import type { QueuedJob, QueueOrder } from './queue-order.js';
 import type { SchedulingRun } from './scheduling-run.js';
-import { ServiceEviction } from './service-eviction.js';
+import { ServiceConsolidation } from './service-consolidation.js';
+import { ServiceEvacuation } from './service-evacuation.js';
 import { TaskPlacement } from './task-placement.js';
 import { measureTeamUsage } from './team-usage.js';
 import { UnschedulableKinds } from './unschedulable-kinds.js';
@@ -61,12 +65,15 @@
   private lastRunAt: Milliseconds = NEVER;
   private nextRunAt: Milliseconds = NEVER;
   private readonly machineScoring: MachineScoring;
-  private readonly serviceEviction: ServiceEviction;
+  private readonly machineEligibility: MachineEligibility;
   private readonly preemption: Preemption;
   private readonly gangPreemption: GangPreemption;
   private readonly binder: Binder;
   private readonly taskPlacement: TaskPlacement;
   private readonly crashLoopRetries: CrashLoopRetries;
+  private readonly serviceEvacuation: ServiceEvacuation;
+  private readonly gangServiceEviction: GangServiceEviction;
+  private readonly serviceConsolidation: ServiceConsolidation;
   private readonly unschedulableKinds = new UnschedulableKinds();
 
   constructor(
@@ -74,18 +81,22 @@
     private readonly allocations: TaskAllocations,
     private readonly queueOrder: QueueOrder,
   ) {
-    this.machineScoring = new MachineScoring(context, allocations, queueOrder);
-    this.serviceEviction = new ServiceEviction(context, allocations, this.machineScoring);
+    const gpuMachines = new GpuMachines(context, allocations);
+    this.machineScoring = new MachineScoring(context, allocations, gpuMachines);
+    this.machineEligibility = new MachineEligibility(context, allocations, queueOrder, gpuMachines);
     this.preemption = new Preemption(context, allocations, this.machineScoring);
     this.gangPreemption = new GangPreemption(this.preemption);
     this.binder = new Binder(allocations);
-    this.taskPlacement = new TaskPlacement(this.machineScoring, this.preemption, this.binder);
+    this.taskPlacement = new TaskPlacement(this.machineEligibility, this.machineScoring, this.preemption, this.binder);
     this.crashLoopRetries = new CrashLoopRetries(allocations, this.machineScoring, this.binder);
+    this.serviceEvacuation = new ServiceEvacuation(context, allocations, gpuMachines);
+    this.gangServiceEviction = new GangServiceEviction(context, allocations, this.serviceEvacuation);
+    this.serviceConsolidation = new ServiceConsolidation(context, allocations, gpuMachines);
   }
 
   /** Machines of the shard whose services have room on others. */
   evacuableMachines(shard: number, now: Milliseconds): Set<Machine> {
-    return this.serviceEviction.evacuableMachines(shard, now);
+    return this.serviceEvacuation.evacuableMachines(shard, now);
   }
 
   /**
@@ -109,9 +120,9 @@
     this.nextRunAt = now + this.pauseAfter(outcome.machinesConsidered);
     this.hasUnfinishedWork = outcome.hasPostponedJobs || outcome.crashLoopingJobs.length > 0 || outcome.unmetDemand.length > 0;
     this.allocations.unmetDemand = outcome.unmetDemand;
-    this.machineScoring.recordUnmetDemand(outcome.unmetDemand);
-    this.serviceEviction.evictForGangs(now);
-    this.serviceEviction.consolidate(now);
+    this.machineEligibility.recordUnmetDemand(outcome.unmetDemand);
+    this.gangServiceEviction.evictFor(outcome.unmetDemand, now);
+    this.serviceConsolidation.consolidate(now);
   }
 
   private takeSnapshot(now: Milliseconds): SchedulingRun {
--- /dev/null
+++ b/packages/controller/src/scheduling/service-consolidation.ts
@@ -0,0 +1,123 @@
+/**
+ * Consolidation of services: a few services keep a machine with accelerators from being released. Where other machines have
+ * room for them, with their images at hand, they move there, one machine of a shard at a time. Owns when that was last tried.
+ */
+import type { TaskAllocations } from '../allocation/index.js';
+import type { ClusterStateView, Logger, SettingsView } from '../context/index.js';
+import { type Allocation, type FreeResources, fits, type Machine, type Milliseconds, NEVER, subtract } from '../model/index.js';
+import { type GpuMachines, hasGpuWork } from './gpu-machines.js';
+import { isAllowedOn, tasksPerZone, zoneAllowsTask } from './placement-constraints.js';
+
+/** How often it is tried. */
+const CONSOLIDATION_INTERVAL_MS = 4000;
+
+/** A service that has run for this long may be moved; a machine that was cleared takes none for as long. */
+const SETTLED_MS = 40_000;
+
+/** A machine whose services use a larger part of its processor cores is left as it is. */
+const MAX_CPU_FRACTION = 0.5;
+
+/** A machine that may be cleared, with its services. */
+interface ConsolidationSource {
+  readonly machine: Machine;
+  readonly services: readonly Allocation[];
+}
+
+/** Moves services together where no spare capacity is to be held. */
+export class ServiceConsolidation {
+  private consolidatedAt: Milliseconds = NEVER;
+
+  constructor(
+    private readonly context: SettingsView & ClusterStateView & Logger,
+    private readonly allocations: TaskAllocations,
+    private readonly gpuMachines: GpuMachines,
+  ) {}
+
+  /** Stops the services of at most one machine of each shard; the scheduler then places them anew. */
+  consolidate(now: Milliseconds): void {
+    if (this.context.settings.policy.holdSpareCapacity || now - this.consolidatedAt < CONSOLIDATION_INTERVAL_MS) return;
+    this.consolidatedAt = now;
+    for (const shard of this.allocations.heldShards.keys()) {
+      const machines = this.usableMachines(shard, now);
+      const source = this.chooseSource(machines, now);
+      if (source && this.haveRoomElsewhere(source, machines)) this.clear(source, now);
+    }
+  }
+
+  private usableMachines(shard: number, now: Milliseconds): Machine[] {
+    const result: Machine[] = [];
+    for (const machine of this.context.clusterState.machines.values()) {
+      if (machine.shard !== shard || !machine.capacity || machine.spot) continue;
+      if (this.allocations.isSchedulable(machine, now) && now >= machine.reservedUntil) result.push(machine);
+    }
+    return result;
+  }
+
+  /** The machine with the fewest services, of equal ones the first; null: there is none, or it is used too much. */
+  private chooseSource(machines: readonly Machine[], now: Milliseconds): ConsolidationSource | null {
+    let best: ConsolidationSource | null = null;
+    for (const machine of machines) {
+      if (machine.capacity?.gpus === 0) continue;
+      const services = this.allocations.servicesOn(machine);
+      if (services.length === 0 || (best && services.length >= best.services.length)) continue;
+      if (services.every((service) => isSettled(service, now)) && !hasGpuWork(machine) && !hasPlannedWork(machine))
+        best = { machine, services };
+    }
+    if (!best) return null;
+    const cpus = best.machine.capacity?.cpus ?? 0;
+    return this.allocations.serviceUsage(best.machine).cpus > cpus * MAX_CPU_FRACTION ? null : best;
+  }
+
+  /** Could all services move at once to machines that have their images? */
+  private haveRoomElsewhere({ machine, services }: ConsolidationSource, machines: readonly Machine[]): boolean {
+    const targets = this.targetsFor(machine, machines);
+    return services.every(({ job }) => {
+      const tasksInZones = tasksPerZone(job);
+      tasksInZones.set(machine.zoneIndex, (tasksInZones.get(machine.zoneIndex) ?? 1) - 1);
+      const target = targets.find(
+        (free) =>
+          free.machine.images.has(job.imageIndex) &&
+          fits(job.resources, free) &&
+          isAllowedOn(job, free.machine) &&
+          zoneAllowsTask(job, tasksInZones, free.machine.zoneIndex),
+      );
+      if (target) subtract(target, job.resources);
+      return target !== undefined;
+    });
+  }
+
+  /** Machines that are kept anyway or have more services than the one to be cleared, the fullest first. */
+  private targetsFor(source: Machine, machines: readonly Machine[]): FreeResources[] {
+    const sourceCpus = this.allocations.serviceUsage(source).cpus;
+    const mayTakeServices = (machine: Machine) =>
+      machine.capacity?.gpus === 0 ||
+      (this.hasWork(machine) &&
+        (this.gpuMachines.isKeptBusy(machine) || this.allocations.serviceUsage(machine).cpus > sourceCpus));
+    return machines
+      .filter((machine) => machine !== source && mayTakeServices(machine))
+      .map((machine) => this.allocations.freeResourcesOf(machine))
+      .sort((a, b) => a.cpus - b.cpus);
+  }
+
+  private hasWork(machine: Machine): boolean {
+    return this.allocations.servicesOn(machine).length > 0 || hasGpuWork(machine);
+  }
+
+  private clear({ machine, services }: ConsolidationSource, now: Milliseconds): void {
+    this.context.log('debug', 'consolidating services on other machines', {
+      machine: machine.name,
+      services: services.length,
+    });
+    machine.reservedUntil = now + SETTLED_MS;
+    for (const allocation of services) this.allocations.stop(allocation, 0);
+  }
+}
+
+function isSettled({ stopGraceS, runningSince }: Allocation, now: Milliseconds): boolean {
+  return stopGraceS === null && runningSince !== null && now - runningSince >= SETTLED_MS;
+}
+
+function hasPlannedWork(machine: Machine): boolean {
+  for (const allocation of machine.tenure.allocations.values()) if (allocation.phase === 'planned') return true;
+  return false;
+}
--- a/packages/controller/src/scheduling/task-placement.ts
+++ b/packages/controller/src/scheduling/task-placement.ts
@@ -2,6 +2,7 @@
 import type { FreeResources, Job } from '../model/index.js';
 import type { Binder } from './binding.js';
 import { CandidateMachines } from './candidate-machines.js';
+import type { MachineEligibility } from './machine-eligibility.js';
 import type { MachineScoring } from './machine-scoring.js';
 import { tasksPerZone } from './placement-constraints.js';
 import { hasProtectedWork, type Preemption } from './preemption.js';
@@ -17,6 +18,7 @@
 /** Places independent tasks, with preemption where that is allowed. */
 export class TaskPlacement {
   constructor(
+    private readonly machineEligibility: MachineEligibility,
     private readonly machineScoring: MachineScoring,
     private readonly preemption: Preemption,
     private readonly binder: Binder,
@@ -35,8 +37,8 @@
   }
 
   private candidatesFor(job: Job, freeResources: readonly FreeResources[], waitedMs: number): CandidateMachines {
-    this.machineScoring.beginJob();
-    const usable = freeResources.filter((free) => this.machineScoring.mayUseMachine(job, free, waitedMs));
+    this.machineEligibility.beginJob();
+    const usable = freeResources.filter((free) => this.machineEligibility.mayUseMachine(job, free, waitedMs));
     return new CandidateMachines(job, usable, (free) => this.machineScoring.score(job, free));
   }
 
