--- a/packages/controller/src/scheduling/candidate-machines.ts
+++ b/packages/controller/src/scheduling/candidate-machines.ts
@@ -1,23 +1,27 @@
 /**
- * The rooms that a job's tasks may take, the best first. Sorting all of them for each waiting job was most of a plan's
- * cost on a full fleet, where hardly any has room: those are sorted only once something may be stopped for the job.
+ * The machines that a job's tasks may use, the best first. Sorting all of them for each waiting job was most of a run's cost
+ * on a full fleet, where hardly any has room: those without are scored and sorted only once something may be stopped for the
+ * job.
  */
 import { type FreeResources, fits, type Job } from '../model/index.js';
 import { zoneAllowsTask } from './placement-constraints.js';
 
-/** A room with what it was worth when the job's turn came. */
+/** A machine with its score and free cores of when it was first looked at for the job. */
 interface Candidate {
-  free: FreeResources;
-  score: number;
-  cpus: number;
+  readonly free: FreeResources;
+  readonly score: number;
+  readonly cpus: number;
 }
 
-function byScore(a: Candidate, b: Candidate): number {
+/** Of equal scores the fuller machine comes first. */
+function compareCandidates(a: Candidate, b: Candidate): number {
   return b.score - a.score || a.cpus - b.cpus;
 }
 
+/** Candidates of one job, during its turn in one scheduling run. What is free on them may change meanwhile. */
 export class CandidateMachines {
   private sorted: Candidate[];
+  /** whether `sorted` has all machines, or those alone that had room at first */
   private isComplete = false;
 
   constructor(
@@ -26,30 +30,30 @@
     private readonly scoreOf: (free: FreeResources) => number,
   ) {
     this.sorted = freeResources.filter((free) => fits(job.resources, free)).map((free) => this.candidate(free));
-    this.sorted.sort(byScore);
+    this.sorted.sort(compareCandidates);
   }
 
   /** The best one with room for a task, given how many tasks there are in each zone. */
-  best(tasksInZones: ReadonlyMap<number, number>): { free: FreeResources; score: number } | null {
-    for (const candidate of this.sorted)
-      if (fits(this.job.resources, candidate.free) && zoneAllowsTask(this.job, tasksInZones, candidate.free.machine.zoneIndex))
-        return candidate;
+  best(tasksInZones: ReadonlyMap<number, number>): { readonly free: FreeResources; readonly score: number } | null {
+    for (const candidate of this.sorted) {
+      const { free } = candidate;
+      if (fits(this.job.resources, free) && zoneAllowsTask(this.job, tasksInZones, free.machine.zoneIndex)) return candidate;
+    }
     return null;
   }
 
-  /** All that are worth more than this, whether or not they have room, the best first. */
-  withHigherScore(than: number, tasksInZones: ReadonlyMap<number, number>): FreeResources[] {
-    const better = this.allSorted().filter(
-      ({ free, score: worth }) => worth > than && zoneAllowsTask(this.job, tasksInZones, free.machine.zoneIndex),
-    );
-    return better.map(({ free }) => free);
+  /** All with a higher score, whether or not they have room, the best first. */
+  withHigherScore(minScore: number, tasksInZones: ReadonlyMap<number, number>): FreeResources[] {
+    return this.allSorted()
+      .filter(({ free, score }) => score > minScore && zoneAllowsTask(this.job, tasksInZones, free.machine.zoneIndex))
+      .map(({ free }) => free);
   }
 
-  /** Where something was stopped there may be room for one more: from now on all are looked at. */
+  /** Where something was stopped there may be room for one more task: from now on all machines are looked at. */
   private allSorted(): Candidate[] {
     if (this.isComplete) return this.sorted;
     const known = new Map(this.sorted.map((candidate) => [candidate.free, candidate]));
-    this.sorted = this.freeResources.map((free) => known.get(free) ?? this.candidate(free)).sort(byScore);
+    this.sorted = this.freeResources.map((free) => known.get(free) ?? this.candidate(free)).sort(compareCandidates);
     this.isComplete = true;
     return this.sorted;
   }
--- a/packages/controller/src/scheduling/relocation-targets.ts
+++ b/packages/controller/src/scheduling/relocation-targets.ts
@@ -1,62 +1,77 @@
 /**
- * Where services of a machine could move to within their share. Asked for each machine of a share in one round: going
- * over all rooms for each of them cost the square of the machines (eleven of each thirty milliseconds of a tick at 1,333
- * machines a share), so rooms are sorted out once for each kind of service.
+ * Where the services of a machine could move to within their shard. This is asked for each machine of a shard in one round:
+ * going over all targets for each of them cost the square of the machines (eleven of each thirty milliseconds of a tick at
+ * 1,333 machines a shard), so the targets are sorted out once for each kind of service.
  */
 import { type Allocation, type FreeResources, fits, type Job, type Machine, subtract } from '../model/index.js';
 import { isAllowedOn } from './placement-constraints.js';
 
+/** The machines of one shard that services may move to. Made for one round; nothing may change meanwhile. */
 export class RelocationTargets {
-  /** by kind of service, the rooms that hold one and are on a machine that it may use */
-  private readonly candidatesByKind = new Map<string, FreeResources[]>();
+  /** the targets with room for one service of the kind that the service may use, by kind */
+  private readonly targetsByKind = new Map<string, FreeResources[]>();
   private readonly serviceCpus = new Map<Machine, number>();
 
+  /**
+   * `freeResources`: the targets, in the order in which they are tried; `measureServiceCpus`: the processor cores that services
+   * use on a machine, asked once for each.
+   */
   constructor(
-    /** room on the machines that services may move to, in the order in which they are tried */
     private readonly freeResources: readonly FreeResources[],
-    private readonly serviceCpusOn: (machine: Machine) => number,
+    private readonly measureServiceCpus: (machine: Machine) => number,
   ) {}
 
-  /** Is there room elsewhere for all these services of the machine at once? */
-  canHost(from: Machine, services: readonly Allocation[]): boolean {
-    const taken = new Map<FreeResources, FreeResources>();
+  /** Is there room on other machines for all these services of the machine at once? The first target with room is taken. */
+  canHost(source: Machine, services: readonly Allocation[]): boolean {
+    const remaining = new Map<FreeResources, FreeResources>();
     for (const { job } of services) {
-      const found = this.candidatesFor(job).find((free) => this.canTake(free, from, job, taken));
-      if (!found) return false;
-      const rest = taken.get(found) ?? { ...found };
+      const target = this.targetsFor(job).find((free) => this.canTake(free, source, job, remaining));
+      if (!target) return false;
+      const rest = remaining.get(target) ?? { ...target };
       subtract(rest, job.resources);
-      taken.set(found, rest);
+      remaining.set(target, rest);
     }
     return true;
   }
 
-  private canTake(free: FreeResources, from: Machine, job: Job, taken: Map<FreeResources, FreeResources>): boolean {
-    if (free.machine === from || !this.isMoveAllowed(from, free.machine)) return false;
-    const rest = taken.get(free);
+  /** `remaining`: what the services before this one have left of the targets that they took. */
+  private canTake(
+    target: FreeResources,
+    source: Machine,
+    job: Job,
+    remaining: ReadonlyMap<FreeResources, FreeResources>,
+  ): boolean {
+    if (target.machine === source || !this.isMoveAllowed(source, target.machine)) return false;
+    const rest = remaining.get(target);
     return rest === undefined || fits(job.resources, rest);
   }
 
-  /** From one machine with accelerators services move only to one that bears more of them. */
-  private isMoveAllowed(from: Machine, to: Machine): boolean {
-    if (from.capacity?.gpus === 0 || to.capacity?.gpus === 0) return true;
-    return this.serviceCpusOf(to) > this.serviceCpusOf(from);
+  /** From one machine with accelerators services move only to one that has more of them: else they could move back. */
+  private isMoveAllowed(source: Machine, target: Machine): boolean {
+    if (source.capacity?.gpus === 0 || target.capacity?.gpus === 0) return true;
+    return this.serviceCpusOf(target) > this.serviceCpusOf(source);
   }
 
   private serviceCpusOf(machine: Machine): number {
     const known = this.serviceCpus.get(machine);
     if (known !== undefined) return known;
-    const cpus = this.serviceCpusOn(machine);
+    const cpus = this.measureServiceCpus(machine);
     this.serviceCpus.set(machine, cpus);
     return cpus;
   }
 
-  private candidatesFor(job: Job): readonly FreeResources[] {
-    const { cpus, gpus, memory } = job.resources;
-    const name = [cpus, gpus, memory, job.zoneIndex, job.spec.spot, job.typeIndices?.join(',') ?? ''].join('/');
-    const known = this.candidatesByKind.get(name);
+  private targetsFor(job: Job): readonly FreeResources[] {
+    const kind = kindOf(job);
+    const known = this.targetsByKind.get(kind);
     if (known) return known;
-    const candidates = this.freeResources.filter((free) => fits(job.resources, free) && isAllowedOn(job, free.machine));
-    this.candidatesByKind.set(name, candidates);
-    return candidates;
+    const targets = this.freeResources.filter((free) => fits(job.resources, free) && isAllowedOn(job, free.machine));
+    this.targetsByKind.set(kind, targets);
+    return targets;
   }
 }
+
+/** Services of one kind fit the same machines. */
+function kindOf(job: Job): string {
+  const { cpus, gpus, memory } = job.resources;
+  return [cpus, gpus, memory, job.zoneIndex, job.spec.spot, job.typeIndices?.join(',') ?? ''].join('/');
+}
