--- a/packages/controller/src/allocation/index.ts
+++ b/packages/controller/src/allocation/index.ts
@@ -1,3 +1,5 @@
-/** Allocation: which task has which place on which machine of the shards held here, and whose fault its failures are.
- * Owns the allocations of jobs and machines. */
-export * from './task-allocations.js';
+/**
+ * Allocation: which task has which machine in the shards held here, whether machines take starts, and whose fault failures
+ * are. Owns the allocations of jobs and machines.
+ */
+export { TaskAllocations, taskKey, type UnmetDemand } from './task-allocations.js';
--- a/packages/controller/src/allocation/task-allocations.ts
+++ b/packages/controller/src/allocation/task-allocations.ts
@@ -1,3 +1,9 @@
+/**
+ * Which task has which machine, in the shards held here: the allocations of jobs and machines with their phases, their stops,
+ * and what happens to a gang that loses one of them. Owns the allocations, the set of shards held here, and what a scheduling
+ * run left without room.
+ */
+import type { RevisionCondition } from '@archpost/protocol';
 import type {
   ClusterStateView,
   LeaseView,
@@ -19,30 +25,41 @@
 } from '../model/index.js';
 import { StateKey } from '../state/index.js';
 import { FailureAttribution } from './failure-attribution.js';
+import { isHeardRecently, MachineSchedulability } from './machine-schedulability.js';
+import { StartFreshness } from './start-freshness.js';
+import { mayRunUnseen, shardsAwaitingVerification } from './unverified-takeovers.js';
 
-/** A share that this controller holds. */
+/** A shard that this controller holds. */
 interface HeldShard {
-  shard: number;
-  leaseRevision: number;
+  readonly shard: number;
+  /** at which its lease was acquired: the fencing token of what is written for the shard */
+  readonly leaseRevision: number;
 }
 
-/** Tasks of a job that found no room. */
+/** Tasks of a job that found no machine in the last scheduling run. */
 export interface UnmetDemand {
-  job: Job;
-  count: number;
-  /** within its team's guarantee */
-  withinQuota: boolean;
+  readonly job: Job;
+  readonly count: number;
+  /** whether the job is within its team's guarantee */
+  readonly withinQuota: boolean;
 }
 
-/** The watch brings something, if only that nothing changed, more often than this. */
-const WATCH_LATE_MS = 4000;
-
-/** Attempts carry the holding's stamp, so no two holders ever use the same one. */
+/** Attempt numbers begin with the lease's revision, so no two holders ever use the same one. */
 const ATTEMPTS_PER_LEASE = 1_000_000;
 
-export const taskKey = (job: string, index: number, attempt: number) => `${job}/${index}/${attempt}`;
+/** No key has this revision: a condition on it is never met. */
+const IMPOSSIBLE_REVISION = -1;
+
+/** Names one attempt of one task among all that a machine may have. */
+export function taskKey(job: string, taskIndex: number, attempt: number): string {
+  return `${job}/${taskIndex}/${attempt}`;
+}
 
-/** What the task allocations needs of its controller. */
+function taskKeyOf({ job, taskIndex, attempt }: Allocation): string {
+  return taskKey(job.spec.id, taskIndex, attempt);
+}
+
+/** What the allocations need of their controller. */
 type TaskAllocationsContext = SettingsView &
   ClusterStateView &
   StateFreshness &
@@ -51,43 +68,52 @@
   PeerDirectory &
   Logger;
 
-/** What is known of the tasks and machines of the shares held here, and the steps that change it. */
+/** The allocations of the shards held here, and the steps that change them. */
 export class TaskAllocations {
+  /** by shard */
   readonly heldShards = new Map<number, HeldShard>();
-  private attemptCounter = 1;
+  /** something happened that a scheduling run may make use of */
   schedulingRequested = true;
+  /** the time of the input that is being taken */
   now: Milliseconds = 0;
-  /** when a worker last answered a question or command, and who didn't since though it is heard */
+  /** when a worker last answered a command or probe */
   lastAnswerAt: Milliseconds = 0;
+  /** workers that have not answered since, though their heartbeats come */
   readonly unansweredMachines = new Set<string>();
-  /** what is left without room after the last plan */
-  unmetDemand: UnmetDemand[] = [];
-
+  /** what the last scheduling run found no machine for */
+  unmetDemand: readonly UnmetDemand[] = [];
   readonly failureAttribution: FailureAttribution;
+  readonly startFreshness: StartFreshness;
+  private readonly machineSchedulability: MachineSchedulability;
+  private attemptCounter = 1;
 
   constructor(private readonly context: TaskAllocationsContext) {
     this.failureAttribution = new FailureAttribution(context);
+    this.startFreshness = new StartFreshness(context);
+    this.machineSchedulability = new MachineSchedulability(context, this.failureAttribution);
   }
 
-  /** Its workers' reports are this controller's to take. */
+  /** Are the heartbeats of the shard's workers this controller's to take? */
   holdsShard(shard: number, now: Milliseconds): boolean {
     return this.heldShards.has(shard) && this.context.isLeaseValid(now);
   }
 
-  /** The shares held here that commands, plans and returns may leave for. */
+  /** The shards held here for which commands, allocations and releases may leave. */
   actingShards(): ReadonlySet<number> {
     const shards = new Set<number>();
     for (const shard of this.heldShards.keys()) if (this.context.mayActFor(shard)) shards.add(shard);
     return shards;
   }
 
+  /** An attempt number that was never used for the shard, by whichever holder. */
   nextAttempt(shard: number): number {
     return (this.heldShards.get(shard)?.leaseRevision ?? 0) * ATTEMPTS_PER_LEASE + this.attemptCounter++;
   }
 
+  /** Gives the machine to the task. The task may have no other allocation. */
   allocate(
     job: Job,
-    index: number,
+    taskIndex: number,
     attempt: number,
     machine: Machine,
     phase: Allocation['phase'],
@@ -95,7 +121,7 @@
   ): Allocation {
     const allocation: Allocation = {
       job,
-      taskIndex: index,
+      taskIndex,
       attempt,
       machine,
       phase,
@@ -106,36 +132,48 @@
       firstStopSentAt: null,
       runningSince: null,
     };
-    job.tenure.allocations.set(index, allocation);
-    machine.tenure.allocations.set(taskKey(job.spec.id, index, attempt), allocation);
+    job.tenure.allocations.set(taskIndex, allocation);
+    machine.tenure.allocations.set(taskKeyOf(allocation), allocation);
     machine.allocationsChanged();
     return allocation;
   }
 
-  /** The task is surely no longer on the machine. */
+  /** The task is surely no longer on the machine, or was never sent there. */
   free(allocation: Allocation): void {
-    allocation.machine.tenure.allocations.delete(taskKey(allocation.job.spec.id, allocation.taskIndex, allocation.attempt));
-    allocation.machine.allocationsChanged();
-    if (allocation.job.tenure.allocations.get(allocation.taskIndex) === allocation) {
-      allocation.job.tenure.allocations.delete(allocation.taskIndex);
-      if (!allocation.job.done[allocation.taskIndex]) allocation.job.tenure.releasedTasks.push(allocation.taskIndex);
-    }
-    if (allocation.machine.tenure.allocations.size === 0) allocation.machine.idleSince = this.now;
-    const job = allocation.job;
-    if (job.spec.shape === 'gang' && job.tenure.gangAttempt !== null) {
-      if (job.state === 'live' && job.doneCount < job.spec.tasks) this.failGang(job);
-      if (job.tenure.allocations.size === 0) {
-        job.tenure.gangAttempt = null;
-        job.tenure.gangFailed = false;
-      }
-    }
+    const { job, machine } = allocation;
+    this.removeFromMachine(allocation);
+    this.removeFromJob(allocation);
+    if (machine.tenure.allocations.size === 0) machine.idleSince = this.now;
+    if (job.spec.shape === 'gang' && job.tenure.gangAttempt !== null) this.gangLostTask(job);
     this.context.clusterState.forgetIfFinished(job);
     this.schedulingRequested = true;
   }
 
+  private removeFromMachine(allocation: Allocation): void {
+    const { machine } = allocation;
+    machine.tenure.allocations.delete(taskKeyOf(allocation));
+    machine.allocationsChanged();
+  }
+
+  /** Another attempt of the same task may have taken its place. */
+  private removeFromJob(allocation: Allocation): void {
+    const { job, taskIndex } = allocation;
+    if (job.tenure.allocations.get(taskIndex) !== allocation) return;
+    job.tenure.allocations.delete(taskIndex);
+    if (!job.done[taskIndex]) job.tenure.releasedTasks.push(taskIndex);
+  }
+
+  /** The gang fails, unless it is over; with its last task its attempt ends. */
+  private gangLostTask(gang: Job): void {
+    if (gang.state === 'live' && gang.doneCount < gang.spec.tasks) this.failGang(gang);
+    if (gang.tenure.allocations.size > 0) return;
+    gang.tenure.gangAttempt = null;
+    gang.tenure.gangFailed = false;
+  }
+
   /**
-   * A start that surely was not carried out: its room is held on, unless the task was told to stop meanwhile or its job
-   * is over. Such a start was sent again after the job's cancellation, and a gang that had failed kept its room for ever.
+   * A start that surely was not carried out: its machine is held on, unless the task is to stop meanwhile or its job is over.
+   * Such a start was sent again after the job's cancellation, and a gang that had failed kept its machines for ever.
    */
   startNotSent(allocation: Allocation): void {
     if (!this.isStartPending(allocation)) return;
@@ -144,16 +182,12 @@
     if (allocation.stopGraceS !== null || allocation.job.state !== 'live') this.free(allocation);
   }
 
-  /** Its start is under way, or was not heard of since. */
+  /** Is its start under way, or was it not heard of since? */
   isStartPending(allocation: Allocation): boolean {
-    return (
-      allocation.phase === 'sent' &&
-      allocation.machine.tenure.allocations.get(taskKey(allocation.job.spec.id, allocation.taskIndex, allocation.attempt)) ===
-        allocation
-    );
+    return allocation.phase === 'sent' && allocation.machine.tenure.allocations.get(taskKeyOf(allocation)) === allocation;
   }
 
-  /** Something on it belongs to a cancelled job: it is attended to first. */
+  /** Does something on it belong to a cancelled job? Such machines are attended to first. */
   hasCancelledWork(machine: Machine): boolean {
     for (const allocation of machine.tenure.allocations.values())
       if (allocation.job.state === 'cancelled' && allocation.phase !== 'exited') return true;
@@ -167,18 +201,21 @@
     for (const allocation of [...job.tenure.allocations.values()]) if (allocation.phase !== 'exited') this.stop(allocation, 0);
   }
 
+  /**
+   * Wants the task stopped within the grace, in seconds; a stop that is wanted already is only ever made sooner. What was not
+   * sent yet is freed at once.
+   */
   stop(allocation: Allocation, graceS: number): void {
     if (allocation.phase === 'planned') {
       this.free(allocation);
       return;
     }
     if (allocation.phase === 'exited') return;
-    if (allocation.stopGraceS === null || graceS < allocation.stopGraceS) {
-      allocation.stopGraceS = graceS;
-      allocation.machine.allocationsChanged();
-      allocation.stopSentAt = NEVER;
-      allocation.job.lastStopAt = this.now;
-    }
+    if (allocation.stopGraceS !== null && graceS >= allocation.stopGraceS) return;
+    allocation.stopGraceS = graceS;
+    allocation.machine.allocationsChanged();
+    allocation.stopSentAt = NEVER;
+    allocation.job.lastStopAt = this.now;
   }
 
   /** A checkpointing task gets time to save; others lose nothing by going at once. */
@@ -186,6 +223,7 @@
     return job.spec.checkpointS > 0 ? job.spec.saveS + this.context.settings.workers.gangPeerS : 0;
   }
 
+  /** Stops all of the job's tasks, with time to save. */
   stopJob(job: Job): void {
     for (const allocation of [...job.tenure.allocations.values()]) this.stop(allocation, this.stopGraceS(job));
   }
@@ -196,74 +234,49 @@
     else this.stop(allocation, this.stopGraceS(allocation.job));
   }
 
-  /** Its reports come, here or to another controller. */
+  /** Stops what is on a machine that is to be cleared. */
+  drain(machine: Machine): void {
+    const isPreemptionNoticed = machine.tenure.preemptionNoticeUntil !== null;
+    for (const allocation of [...machine.tenure.allocations.values()]) {
+      if (allocation.phase === 'exited' || allocation.stopGraceS !== null) continue;
+      // Independent tasks may finish in the time of a notice; what has to move, moves now.
+      const mayFinish = isPreemptionNoticed && allocation.job.spec.shape === 'array' && allocation.phase !== 'planned';
+      if (!mayFinish) this.stopWithGang(allocation);
+    }
+  }
+
+  /** Do its heartbeats come, here or to another controller? */
   isHeardRecently(machine: Machine, now: Milliseconds): boolean {
-    return now - machine.tenure.lastHeartbeatAt < 4000 || now - machine.heardByPeerAt < 5000;
+    return isHeardRecently(machine, now);
   }
 
+  /** Does it take starts? */
   isSchedulable(machine: Machine, now: Milliseconds): boolean {
-    return (
-      machine.tenure.isVerified &&
-      !machine.tenure.hasUncertainCommand &&
-      machine.capacity !== null &&
-      machine.moveToShard === null &&
-      !machine.isRetired &&
-      machine.tenure.releaseReason === null &&
-      machine.tenure.preemptionNoticeUntil === null &&
-      !this.failureAttribution.isFaulty(machine, now) &&
-      !this.failureAttribution.isDoubtful(machine, now) &&
-      machine.tenure.unansweredCommands === 0 &&
-      // What runs there without a place here takes room that isn't known.
-      !machine.tenure.orphanedTasks.some((task) => task.state !== 'exited') &&
-      now - machine.tenure.lastHeartbeatAt < this.context.settings.workers.heartbeatIntervalS * 2500
-    );
+    return this.machineSchedulability.isSchedulable(machine, now);
   }
 
+  /** What is free on the machine, in a copy that the caller may subtract from. */
   freeResourcesOf(machine: Machine): FreeResources {
     return { machine, ...machineLoadOf(machine).free };
   }
 
-  /** Shares with machines that may bear what nobody has reported. */
+  /** Shards with machines that may have tasks that nobody has reported. */
   shardsAwaitingVerification(): Set<number> {
-    const shards = new Set<number>();
-    for (const machine of this.context.clusterState.machines.values())
-      if (machine.tenure.isUnverifiedTakeover) shards.add(machine.shard);
-    return shards;
+    return shardsAwaitingVerification(this.context.clusterState.machines);
   }
 
-  /** Where could a task of this job be, of those that nobody has reported? */
+  /** Could a task of this job be among those that nobody has reported? */
   mayRunUnseen(job: Job): boolean {
-    const held = this.heldShards.get(job.shard);
-    if (!held || job.modRevision > held.leaseRevision) return false;
-    for (const machine of this.context.clusterState.machines.values())
-      if (machine.shard === job.shard && machine.tenure.isUnverifiedTakeover) return true;
-    return false;
-  }
-
-  /**
-   * No starts of jobs whose state wasn't confirmed lately: their users may have called them off. In an
-   * outage of all nobody can confirm that, so a while more is allowed; while another controller is
-   * answered by the state service and this one isn't, no longer than the watch takes.
-   */
-  mayStart(now: Milliseconds): boolean {
-    if (this.context.isCatchingUp()) return false;
-    const age = now - this.context.replicaFreshAt;
-    if (age < WATCH_LATE_MS) return true;
-    if (age >= this.context.settings.workers.cancelS * 1000 * 0.25) return false;
-    for (const [controller, peer] of this.context.peers)
-      if (peer.status.stateServiceAnswers && this.context.isPeerAlive(controller, now)) return false;
-    return true;
+    const leaseRevision = this.heldShards.get(job.shard)?.leaseRevision ?? null;
+    return mayRunUnseen(job, leaseRevision, this.context.clusterState.machines);
   }
 
-  /** Somebody else stopped one of its tasks: called off perhaps, which only a newer reading can tell. */
-  isStateUnconfirmed(job: Job): boolean {
-    return this.context.replicaFreshAt < job.stoppedByOthersAt;
-  }
-
-  leaseConditions(shard: number) {
-    return [{ key: StateKey.shardLease(shard), revision: this.heldShards.get(shard)?.leaseRevision ?? -1 }];
+  /** Conditions of a write for the shard: its lease is still the one that was acquired here. */
+  leaseConditions(shard: number): RevisionCondition[] {
+    return [{ key: StateKey.shardLease(shard), revision: this.heldShards.get(shard)?.leaseRevision ?? IMPOSSIBLE_REVISION }];
   }
 
+  /** Has it no task, known or orphaned, and no command under way? */
   isEmpty(machine: Machine): boolean {
     return (
       machine.tenure.allocations.size === 0 &&
@@ -272,25 +285,12 @@
     );
   }
 
-  drain(machine: Machine): void {
-    for (const allocation of [...machine.tenure.allocations.values()]) {
-      if (allocation.phase === 'exited' || allocation.stopGraceS !== null) continue;
-      // Independent tasks may finish in the time of a notice; what has to move, moves now.
-      if (
-        machine.tenure.preemptionNoticeUntil !== null &&
-        allocation.job.spec.shape === 'array' &&
-        allocation.phase !== 'planned'
-      )
-        continue;
-      this.stopWithGang(allocation);
-    }
-  }
-
+  /** Services on the machine that have not ended. */
   servicesOn(machine: Machine): readonly Allocation[] {
     return machineLoadOf(machine).services;
   }
 
-  /** What services without accelerators take on the machine. */
+  /** What services without accelerators use of the machine. */
   serviceUsage(machine: Machine): MachineLoad['serviceUsage'] {
     return machineLoadOf(machine).serviceUsage;
   }
--- a/packages/controller/src/scheduling/crash-loop-retries.ts
+++ b/packages/controller/src/scheduling/crash-loop-retries.ts
@@ -24,7 +24,7 @@
       const hasGpus = (machine.capacity?.gpus ?? 0) > 0;
       return machine.shard === job.shard && isAllowedOn(job, machine) && job.spec.gpus > 0 === hasGpus;
     });
-    const retries = this.allocations.failureAttribution.nextRetryCount(job, run.now);
+    const retries = this.allocations.failureAttribution.beginRetry(job, run.now);
     const count = Math.min(retries, run.usage.remainingTasks(job));
     if (job.spec.shape === 'gang') this.retryGang(job, count, candidates, run);
     else this.retryTasks(job, count, candidates, run);
--- a/packages/controller/src/scheduling/scheduler.ts
+++ b/packages/controller/src/scheduling/scheduler.ts
@@ -106,7 +106,7 @@
   tick(now: Milliseconds): void {
     const isRetryDue = this.hasUnfinishedWork && now - this.lastRunAt >= RESCHEDULE_INTERVAL_MS;
     const isDue = (this.allocations.schedulingRequested || isRetryDue) && now >= this.nextRunAt;
-    if (!isDue || !this.allocations.mayStart(now)) return;
+    if (!isDue || !this.allocations.startFreshness.mayStart(now)) return;
     this.allocations.schedulingRequested = false;
     this.lastRunAt = now;
     this.run(now);
@@ -169,7 +169,7 @@
   private readinessOf(job: Job, unverifiedShards: ReadonlySet<number>, now: Milliseconds): Readiness {
     if (now < job.retryAt) return 'postponed';
     if (unverifiedShards.has(job.shard) && this.allocations.mayRunUnseen(job)) return 'unverified';
-    if (this.allocations.isStateUnconfirmed(job)) return 'postponed';
+    if (this.allocations.startFreshness.isStateUnconfirmed(job)) return 'postponed';
     if (this.allocations.failureAttribution.isCrashLooping(job)) return 'crash-looping';
     return 'ready';
   }
--- a/packages/controller/src/shards/command-dispatcher.ts
+++ b/packages/controller/src/shards/command-dispatcher.ts
@@ -158,7 +158,7 @@
     const free = capacityOf(machine);
     const commands = machine.tenure.orphanedTasks.slice(0, MAX_COMMANDS_PER_BODY).map(clearOrphanedTask);
     commands.push(...this.stopAndForgetCommands(machine, free, MAX_COMMANDS_PER_BODY - commands.length, now));
-    const started = this.allocations.mayStart(now)
+    const started = this.allocations.startFreshness.mayStart(now)
       ? this.startableTasks(machine, free, MAX_COMMANDS_WITH_STARTS - commands.length)
       : [];
     commands.push(...started.map(({ command }) => command));
@@ -209,7 +209,8 @@
     const result: { placement: Allocation; command: Command }[] = [];
     for (const allocation of machine.tenure.allocations.values()) {
       const { job } = allocation;
-      if (allocation.phase !== 'planned' || result.length > limit || this.allocations.isStateUnconfirmed(job)) continue;
+      if (allocation.phase !== 'planned' || result.length > limit || this.allocations.startFreshness.isStateUnconfirmed(job))
+        continue;
       if (job.spec.shape === 'gang' ? !this.isGangReady(job) : !fits(job.resources, free)) continue;
       const command = startCommand(allocation);
       if (command === null) continue;
