--- a/packages/controller/src/allocation/index.ts
+++ b/packages/controller/src/allocation/index.ts
@@ -2,4 +2,5 @@
  * Allocation: which task has which machine in the shards held here, whether machines take starts, and whose fault failures
  * are. Owns the allocations of jobs and machines.
  */
+export { freeResourcesOf } from './free-resources.js';
 export { TaskAllocations, taskKey, type UnmetDemand } from './task-allocations.js';
--- a/packages/controller/src/allocation/task-allocations.ts
+++ b/packages/controller/src/allocation/task-allocations.ts
@@ -13,16 +13,7 @@
   ShardOwnership,
   StateFreshness,
 } from '../context/index.js';
-import {
-  type Allocation,
-  type FreeResources,
-  type Job,
-  type Machine,
-  type MachineLoad,
-  type Milliseconds,
-  machineLoadOf,
-  NEVER,
-} from '../model/index.js';
+import { type Allocation, type Job, type Machine, type Milliseconds, NEVER } from '../model/index.js';
 import { StateKey } from '../state/index.js';
 import { FailureAttribution } from './failure-attribution.js';
 import { isHeardRecently, MachineSchedulability } from './machine-schedulability.js';
@@ -255,11 +246,6 @@
     return this.machineSchedulability.isSchedulable(machine, now);
   }
 
-  /** What is free on the machine, in a copy that the caller may subtract from. */
-  freeResourcesOf(machine: Machine): FreeResources {
-    return { machine, ...machineLoadOf(machine).free };
-  }
-
   /** Shards with machines that may have tasks that nobody has reported. */
   shardsAwaitingVerification(): Set<number> {
     return shardsAwaitingVerification(this.context.clusterState.machines);
@@ -284,14 +270,4 @@
       machine.tenure.pendingCommandId === null
     );
   }
-
-  /** Services on the machine that have not ended. */
-  servicesOn(machine: Machine): readonly Allocation[] {
-    return machineLoadOf(machine).services;
-  }
-
-  /** What services without accelerators use of the machine. */
-  serviceUsage(machine: Machine): MachineLoad['serviceUsage'] {
-    return machineLoadOf(machine).serviceUsage;
-  }
 }
--- a/packages/controller/src/scheduling/gang-service-eviction.ts
+++ b/packages/controller/src/scheduling/gang-service-eviction.ts
@@ -2,9 +2,18 @@
  * Eviction of services for gangs: clears machines with accelerators of their services when a gang has no other room, as many
  * machines as it lacks or none. Owns when that was last done.
  */
-import type { TaskAllocations, UnmetDemand } from '../allocation/index.js';
+import { freeResourcesOf, type TaskAllocations, type UnmetDemand } from '../allocation/index.js';
 import type { ClusterStateView, Logger, SettingsView } from '../context/index.js';
-import { countThatFit, fits, type Job, type Machine, type Milliseconds, NEVER, type Resources } from '../model/index.js';
+import {
+  countThatFit,
+  fits,
+  type Job,
+  type Machine,
+  type Milliseconds,
+  machineLoadOf,
+  NEVER,
+  type Resources,
+} from '../model/index.js';
 import { hasGpuWork } from './gpu-machines.js';
 import { isAllowedOn } from './placement-constraints.js';
 import type { ServiceEvacuation } from './service-evacuation.js';
@@ -52,7 +61,7 @@
     for (const machine of this.context.clusterState.machines.values()) {
       if (machine.shard !== gang.shard || !machine.capacity || !isAllowedOn(gang, machine)) continue;
       if (!this.allocations.isSchedulable(machine, now)) continue;
-      const count = countThatFit(gang.resources, this.allocations.freeResourcesOf(machine));
+      const count = countThatFit(gang.resources, freeResourcesOf(machine));
       result.tasksThatFit += count;
       if (count === 0 && evacuable.has(machine) && this.isBlockedByServices(gang, machine, machine.capacity))
         result.clearable.push(machine);
@@ -62,7 +71,7 @@
 
   private isBlockedByServices(gang: Job, machine: Machine, capacity: Resources): boolean {
     if (hasGpuWork(machine)) return false;
-    const usage = this.allocations.serviceUsage(machine);
+    const usage = machineLoadOf(machine).serviceUsage;
     const besideServices: Resources = {
       cpus: capacity.cpus - usage.cpus,
       gpus: capacity.gpus,
@@ -75,7 +84,7 @@
   private chooseMachines(gang: Job, { tasksThatFit, clearable }: GangCandidates): Machine[] | null {
     let missing = gang.spec.tasks - tasksThatFit;
     if (missing <= 0) return null;
-    clearable.sort((a, b) => this.allocations.serviceUsage(a).cpus - this.allocations.serviceUsage(b).cpus);
+    clearable.sort((a, b) => machineLoadOf(a).serviceUsage.cpus - machineLoadOf(b).serviceUsage.cpus);
     const chosen: Machine[] = [];
     for (const machine of clearable) {
       if (missing <= 0) break;
@@ -88,6 +97,6 @@
   private evictFrom(machine: Machine, now: Milliseconds): void {
     this.context.log('info', 'evicting services from a GPU machine', { machine: machine.name });
     machine.reservedUntil = now + RESERVED_PLAN_WAITS * this.context.settings.policy.planWaitS * 1000;
-    for (const allocation of this.allocations.servicesOn(machine)) this.allocations.stop(allocation, 0);
+    for (const allocation of machineLoadOf(machine).services) this.allocations.stop(allocation, 0);
   }
 }
--- a/packages/controller/src/scheduling/gpu-machines.ts
+++ b/packages/controller/src/scheduling/gpu-machines.ts
@@ -2,9 +2,8 @@
  * Which machines with accelerators are left to the work that needs accelerators, and which are given to services whole. Reads
  * the cluster state; owns nothing.
  */
-import type { TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView } from '../context/index.js';
-import { type Machine, RESOURCE_TOLERANCE, type Resources } from '../model/index.js';
+import { type Machine, machineLoadOf, RESOURCE_TOLERANCE, type Resources } from '../model/index.js';
 
 const NO_RESOURCES: Resources = { cpus: 0, gpus: 0, memory: 0 };
 
@@ -17,10 +16,7 @@
 
 /** What services leave of the machines with accelerators. */
 export class GpuMachines {
-  constructor(
-    private readonly context: ClusterStateView,
-    private readonly allocations: TaskAllocations,
-  ) {}
+  constructor(private readonly context: ClusterStateView) {}
 
   /** Has it more services than accelerator work leaves room for, or is it in a shard without such work? Never a spot machine. */
   isDedicatedToServices(machine: Machine): boolean {
@@ -38,7 +34,7 @@
   leavesRoomForGpuWork(machine: Machine, more: Resources = NO_RESOURCES): boolean {
     const gpuDemand = this.context.clusterState.gpuDemandByType.get(machine.typeIndex);
     if (!gpuDemand || !machine.capacity) return true;
-    const used = this.allocations.serviceUsage(machine);
+    const used = machineLoadOf(machine).serviceUsage;
     return (
       used.cpus + more.cpus <= machine.capacity.cpus - gpuDemand.cpus + RESOURCE_TOLERANCE &&
       used.memory + more.memory <= machine.capacity.memory - gpuDemand.memory + RESOURCE_TOLERANCE
--- a/packages/controller/src/scheduling/machine-eligibility.ts
+++ b/packages/controller/src/scheduling/machine-eligibility.ts
@@ -3,7 +3,7 @@
  * are kept for the work that needs them, for a while or as long as it waits. Owns which shards have accelerator work that
  * found no room, and what was worked out for the job whose turn it is.
  */
-import type { TaskAllocations, UnmetDemand } from '../allocation/index.js';
+import { freeResourcesOf, type TaskAllocations, type UnmetDemand } from '../allocation/index.js';
 import type { CapacityView, ClusterStateView } from '../context/index.js';
 import {
   type FreeResources,
@@ -111,7 +111,7 @@
       this.gpuMachines.isDedicatedToServices(machine) &&
       this.allocations.isSchedulable(machine, this.allocations.now) &&
       isAllowedOn(job, machine) &&
-      fits(job.resources, this.allocations.freeResourcesOf(machine))
+      fits(job.resources, freeResourcesOf(machine))
     );
   }
 
--- a/packages/controller/src/scheduling/machine-scoring.ts
+++ b/packages/controller/src/scheduling/machine-scoring.ts
@@ -2,9 +2,8 @@
  * Scoring: how good a machine is for a task. A score is about in seconds of the task's waiting: what the fetch of the image
  * takes counts as it is, everything else as what it is worth to wait for. Owns the score's inputs that last for one job.
  */
-import type { TaskAllocations } from '../allocation/index.js';
 import type { CapacityView, ClusterStateView } from '../context/index.js';
-import type { FreeResources, Job, Machine } from '../model/index.js';
+import { type FreeResources, type Job, type Machine, machineLoadOf } from '../model/index.js';
 import type { GpuMachines } from './gpu-machines.js';
 
 /** A machine of unknown capacity comes after all others. */
@@ -45,7 +44,6 @@
 export class MachineScoring {
   constructor(
     private readonly context: ClusterStateView & CapacityView,
-    private readonly allocations: TaskAllocations,
     private readonly gpuMachines: GpuMachines,
   ) {}
 
@@ -57,7 +55,7 @@
     if (!machine.images.has(job.imageIndex)) score -= fetchTimeS(job, machine, machine.capacity.fetchGbPerS);
     if (job.spec.gpus === 0 && machine.capacity.gpus > 0) score -= this.gpuMachinePenalty(job, machine);
     if (machine.spot && job.spec.shape === 'array') score += SPOT_ARRAY_BONUS;
-    if (job.spec.shape === 'service' && this.allocations.serviceUsage(machine).cpus > 0) score += COLOCATED_SERVICE_BONUS;
+    if (job.spec.shape === 'service' && machineLoadOf(machine).serviceUsage.cpus > 0) score += COLOCATED_SERVICE_BONUS;
     return score;
   }
 
--- a/packages/controller/src/scheduling/scheduler.ts
+++ b/packages/controller/src/scheduling/scheduler.ts
@@ -2,7 +2,7 @@
  * The scheduler: decides when a scheduling run is due, takes the snapshot that it decides on, and goes through the queue.
  * Owns the times of the runs; what it decides are planned allocations and the unmet demand in `TaskAllocations`.
  */
-import type { TaskAllocations, UnmetDemand } from '../allocation/index.js';
+import { freeResourcesOf, type TaskAllocations, type UnmetDemand } from '../allocation/index.js';
 import type { CapacityView, ClusterStateView, Logger, SettingsView, ShardOwnership } from '../context/index.js';
 import { type FreeResources, type Job, type Machine, type Milliseconds, NEVER } from '../model/index.js';
 import { reserveForAgedGang } from './aged-gang-reservation.js';
@@ -81,8 +81,8 @@
     private readonly allocations: TaskAllocations,
     private readonly queueOrder: QueueOrder,
   ) {
-    const gpuMachines = new GpuMachines(context, allocations);
-    this.machineScoring = new MachineScoring(context, allocations, gpuMachines);
+    const gpuMachines = new GpuMachines(context);
+    this.machineScoring = new MachineScoring(context, gpuMachines);
     this.machineEligibility = new MachineEligibility(context, allocations, queueOrder, gpuMachines);
     this.preemption = new Preemption(context, allocations, this.machineScoring);
     this.gangPreemption = new GangPreemption(this.preemption);
@@ -129,7 +129,7 @@
     const freeResources: FreeResources[] = [];
     for (const machine of this.context.clusterState.machines.values())
       if (this.context.mayActFor(machine.shard) && this.allocations.isSchedulable(machine, now))
-        freeResources.push(this.allocations.freeResourcesOf(machine));
+        freeResources.push(freeResourcesOf(machine));
     return {
       now,
       usage: measureTeamUsage(this.context, this.allocations.heldShards),
--- a/packages/controller/src/scheduling/service-consolidation.ts
+++ b/packages/controller/src/scheduling/service-consolidation.ts
@@ -2,9 +2,18 @@
  * Consolidation of services: a few services keep a machine with accelerators from being released. Where other machines have
  * room for them, with their images at hand, they move there, one machine of a shard at a time. Owns when that was last tried.
  */
-import type { TaskAllocations } from '../allocation/index.js';
+import { freeResourcesOf, type TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, Logger, SettingsView } from '../context/index.js';
-import { type Allocation, type FreeResources, fits, type Machine, type Milliseconds, NEVER, subtract } from '../model/index.js';
+import {
+  type Allocation,
+  type FreeResources,
+  fits,
+  type Machine,
+  type Milliseconds,
+  machineLoadOf,
+  NEVER,
+  subtract,
+} from '../model/index.js';
 import { type GpuMachines, hasGpuWork } from './gpu-machines.js';
 import { isAllowedOn, tasksPerZone, zoneAllowsTask } from './placement-constraints.js';
 
@@ -58,14 +67,14 @@
     let best: ConsolidationSource | null = null;
     for (const machine of machines) {
       if (machine.capacity?.gpus === 0) continue;
-      const services = this.allocations.servicesOn(machine);
+      const services = machineLoadOf(machine).services;
       if (services.length === 0 || (best && services.length >= best.services.length)) continue;
       if (services.every((service) => isSettled(service, now)) && !hasGpuWork(machine) && !hasPlannedWork(machine))
         best = { machine, services };
     }
     if (!best) return null;
     const cpus = best.machine.capacity?.cpus ?? 0;
-    return this.allocations.serviceUsage(best.machine).cpus > cpus * MAX_CPU_FRACTION ? null : best;
+    return machineLoadOf(best.machine).serviceUsage.cpus > cpus * MAX_CPU_FRACTION ? null : best;
   }
 
   /** Could all services move at once to machines that have their images? */
@@ -88,19 +97,18 @@
 
   /** Machines that are kept anyway or have more services than the one to be cleared, the fullest first. */
   private targetsFor(source: Machine, machines: readonly Machine[]): FreeResources[] {
-    const sourceCpus = this.allocations.serviceUsage(source).cpus;
+    const sourceCpus = machineLoadOf(source).serviceUsage.cpus;
     const mayTakeServices = (machine: Machine) =>
       machine.capacity?.gpus === 0 ||
-      (this.hasWork(machine) &&
-        (this.gpuMachines.isKeptBusy(machine) || this.allocations.serviceUsage(machine).cpus > sourceCpus));
+      (this.hasWork(machine) && (this.gpuMachines.isKeptBusy(machine) || machineLoadOf(machine).serviceUsage.cpus > sourceCpus));
     return machines
       .filter((machine) => machine !== source && mayTakeServices(machine))
-      .map((machine) => this.allocations.freeResourcesOf(machine))
+      .map(freeResourcesOf)
       .sort((a, b) => a.cpus - b.cpus);
   }
 
   private hasWork(machine: Machine): boolean {
-    return this.allocations.servicesOn(machine).length > 0 || hasGpuWork(machine);
+    return machineLoadOf(machine).services.length > 0 || hasGpuWork(machine);
   }
 
   private clear({ machine, services }: ConsolidationSource, now: Milliseconds): void {
--- a/packages/controller/src/scheduling/service-evacuation.ts
+++ b/packages/controller/src/scheduling/service-evacuation.ts
@@ -2,9 +2,9 @@
  * Evacuation of services: on which machines of a shard all services have room elsewhere in the shard, so that the machine can
  * be cleared for accelerator work or for another shard. Decides only; owns nothing.
  */
-import type { TaskAllocations } from '../allocation/index.js';
+import { freeResourcesOf, type TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView } from '../context/index.js';
-import type { FreeResources, Machine, Milliseconds } from '../model/index.js';
+import { type FreeResources, type Machine, type Milliseconds, machineLoadOf } from '../model/index.js';
 import type { GpuMachines } from './gpu-machines.js';
 import { RelocationTargets } from './relocation-targets.js';
 
@@ -24,7 +24,7 @@
 
   /** Machines of the shard whose services have room on others. It holds for each of them by itself, not for all at once. */
   evacuableMachines(shard: number, now: Milliseconds): Set<Machine> {
-    const targets = new RelocationTargets(this.targetsIn(shard, now), (machine) => this.allocations.serviceUsage(machine).cpus);
+    const targets = new RelocationTargets(this.targetsIn(shard, now), (machine) => machineLoadOf(machine).serviceUsage.cpus);
     const result = new Set<Machine>();
     for (const machine of this.context.clusterState.machines.values())
       if (machine.shard === shard && this.isEvacuable(machine, targets, now)) result.add(machine);
@@ -43,7 +43,7 @@
   }
 
   private freeWithoutArrays(machine: Machine): FreeResources {
-    const free = this.allocations.freeResourcesOf(machine);
+    const free = freeResourcesOf(machine);
     for (const { job, phase } of machine.tenure.allocations.values()) {
       if (phase === 'exited' || job.spec.shape !== 'array') continue;
       free.cpus += job.spec.cpus;
@@ -54,7 +54,7 @@
 
   private isEvacuable(machine: Machine, targets: RelocationTargets, now: Milliseconds): boolean {
     if (!machine.capacity || machine.spot) return false;
-    const services = this.allocations.servicesOn(machine);
+    const services = machineLoadOf(machine).services;
     if (services.some(({ job }) => now - job.lastStopAt < RECENT_MOVE_MS)) return false;
     if (services.length === 0) return false;
     if (machine.capacity.gpus === 0 && services.length > MAX_SERVICES_ON_CPU_MACHINE) return false;
--- a/packages/controller/src/shards/shard-summary.ts
+++ b/packages/controller/src/shards/shard-summary.ts
@@ -1,8 +1,8 @@
 /** What an owner tells the leader of a share: its machines, and its work that has no room. */
 import type { MachineSummary, ResourceDemand, ShardSummary } from '@archpost/protocol';
-import type { TaskAllocations, UnmetDemand } from '../allocation/index.js';
+import { freeResourcesOf, type TaskAllocations, type UnmetDemand } from '../allocation/index.js';
 import type { ClusterStateView, SettingsView } from '../context/index.js';
-import { HIGHEST_PRIORITY, type Machine, type Milliseconds } from '../model/index.js';
+import { HIGHEST_PRIORITY, type Machine, type Milliseconds, machineLoadOf } from '../model/index.js';
 import { type QueueOrder, type QuotaStatuses, type Scheduler, tasksPerZone, zoneAllowsTask } from '../scheduling/index.js';
 
 /** What is told of a share is worked out anew after this long. */
@@ -51,7 +51,7 @@
     const told: MachineSummary[] = [];
     for (const machine of this.context.clusterState.machines.values()) {
       if (machine.shard !== shard) continue;
-      const free = this.allocations.freeResourcesOf(machine);
+      const free = freeResourcesOf(machine);
       told.push({
         name: machine.name,
         freeCpus: Math.max(0, free.cpus),
@@ -62,7 +62,7 @@
           ? this.protectedPriority(machine, quotaStatuses, clearable)
           : UNMOVABLE_RANK,
         idleS: machine.tenure.allocations.size === 0 ? (now - machine.idleSince) / 1000 : 0,
-        services: this.allocations.servicesOn(machine).length,
+        services: machineLoadOf(machine).services.length,
       });
     }
     return told;
