--- a/packages/controller/src/scheduling/gang-preemption.ts
+++ b/packages/controller/src/scheduling/gang-preemption.ts
@@ -40,7 +40,7 @@
   private withVictimsGone(free: FreeResources, queued: QueuedJob, run: SchedulingRun): FreeResources {
     const result = { ...free };
     for (const allocation of free.machine.tenure.allocations.values())
-      if (this.preemption.isVictim(allocation, queued, run.quotaStatuses)) releaseResources(result, allocation);
+      if (this.preemption.isVictim(allocation, queued, run)) releaseResources(result, allocation);
     return result;
   }
 
--- a/packages/controller/src/scheduling/machine-eligibility.ts
+++ b/packages/controller/src/scheduling/machine-eligibility.ts
@@ -5,15 +5,7 @@
  */
 import { freeResourcesOf, type TaskAllocations, type UnmetDemand } from '../allocation/index.js';
 import type { CapacityView, ClusterStateView } from '../context/index.js';
-import {
-  type FreeResources,
-  fits,
-  type Job,
-  type Machine,
-  type Milliseconds,
-  RESOURCE_TOLERANCE,
-  SCARCE_MACHINE_WAIT_S,
-} from '../model/index.js';
+import { fits, type Job, type Machine, type Milliseconds, RESOURCE_TOLERANCE, SCARCE_MACHINE_WAIT_S } from '../model/index.js';
 import type { GpuMachines } from './gpu-machines.js';
 import { isAllowedOn } from './placement-constraints.js';
 import type { QueueOrder } from './queue-order.js';
@@ -66,15 +58,15 @@
   }
 
   /** `waitedMs`: for how long some of the job's tasks have had no machine. */
-  mayUseMachine(job: Job, { machine }: FreeResources, waitedMs: Milliseconds): boolean {
+  mayUseMachine(job: Job, machine: Machine, waitedMs: Milliseconds, now: Milliseconds): boolean {
     if (job.spec.gpus > 0) return true;
-    if (this.allocations.now < machine.reservedUntil) return false;
+    if (now < machine.reservedUntil) return false;
     // Fetches share a machine's rate: a small image would hold up a gang's large one.
     if (!machine.images.has(job.imageIndex) && isFetchingForGpuWork(machine)) return false;
     if (!machine.capacity || machine.capacity.gpus === 0 || machine.spot) return true;
-    if (job.spec.shape !== 'service') return this.arrayMayUseGpuMachine(job, machine);
+    if (job.spec.shape !== 'service') return this.arrayMayUseGpuMachine(job, machine, now);
     if (this.context.isTypeAvailable(machine.capacity.name)) return true;
-    return waitedMs > this.serviceWaitMs(job, machine);
+    return waitedMs > this.serviceWaitMs(job, machine, now);
   }
 
   /**
@@ -82,10 +74,10 @@
    * while: there they would be in the way for hours. One machine given to services whole leaves the others to the work that
    * they are made for.
    */
-  private serviceWaitMs(job: Job, machine: Machine): Milliseconds {
+  private serviceWaitMs(job: Job, machine: Machine, now: Milliseconds): Milliseconds {
     if (this.gpuMachines.isDedicatedToServices(machine)) return SERVICE_WAIT_MS.dedicatedMachine;
     if (this.gpuMachines.leavesRoomForGpuWork(machine, job.resources)) return SERVICE_WAIT_MS.spareRoom;
-    if (this.dedicatedMachinesWithRoom(job).some((other) => other !== machine))
+    if (this.dedicatedMachinesWithRoom(job, now).some((other) => other !== machine))
       return SERVICE_WAIT_MS.whileDedicatedMachineHasRoom;
     return SERVICE_WAIT_MS.scarceMachine;
   }
@@ -94,29 +86,29 @@
    * Machines that are given to services and have room for the job's next task, a few at most. They are the same for all
    * machines that are looked at for the job.
    */
-  private dedicatedMachinesWithRoom(job: Job): Machine[] {
+  private dedicatedMachinesWithRoom(job: Job, now: Milliseconds): Machine[] {
     if (this.dedicatedMachinesCache?.job === job) return this.dedicatedMachinesCache.machines;
     const machines: Machine[] = [];
     for (const machine of this.context.clusterState.machines.values()) {
       if (machines.length === MAX_DEDICATED_MACHINES) break;
-      if (this.isDedicatedMachineWithRoom(machine, job)) machines.push(machine);
+      if (this.isDedicatedMachineWithRoom(machine, job, now)) machines.push(machine);
     }
     this.dedicatedMachinesCache = { job, machines };
     return machines;
   }
 
-  private isDedicatedMachineWithRoom(machine: Machine, job: Job): boolean {
+  private isDedicatedMachineWithRoom(machine: Machine, job: Job, now: Milliseconds): boolean {
     return (
       machine.shard === job.shard &&
       this.gpuMachines.isDedicatedToServices(machine) &&
-      this.allocations.isSchedulable(machine, this.allocations.now) &&
+      this.allocations.isSchedulable(machine, now) &&
       isAllowedOn(job, machine) &&
       fits(job.resources, freeResourcesOf(machine))
     );
   }
 
   /** Independent tasks take an expensive machine whole only when their time runs out. */
-  private arrayMayUseGpuMachine(job: Job, machine: Machine): boolean {
+  private arrayMayUseGpuMachine(job: Job, machine: Machine, now: Milliseconds): boolean {
     const { capacity } = machine;
     const gpuDemand = this.context.clusterState.gpuDemandByType.get(machine.typeIndex);
     if (!capacity || !gpuDemand) return true;
@@ -125,7 +117,7 @@
     // Beside what keeps the machine here anyway, it costs nothing; alone it would keep it.
     const cpusWithTask = this.cpusWithoutGpus(machine, job.spec.cpus);
     if (cpusWithTask <= capacity.cpus - gpuDemand.cpus + RESOURCE_TOLERANCE && this.gpuMachines.isKeptBusy(machine)) return true;
-    return !this.shardsWithWaitingGpuWork.has(job.shard) && this.isTooLateForNewMachine(job);
+    return !this.shardsWithWaitingGpuWork.has(job.shard) && this.isTooLateForNewMachine(job, now);
   }
 
   /** Adds to `cpus` what work without accelerators takes on the machine. */
@@ -136,8 +128,7 @@
     return sum;
   }
 
-  private isTooLateForNewMachine(job: Job): boolean {
-    const { now } = this.allocations;
+  private isTooLateForNewMachine(job: Job, now: Milliseconds): boolean {
     const slackMs = this.queueOrder.startDeadlineOf(job, now) - now;
     const newMachineMs = this.context.clusterState.bootTimeFor(job) * BOOT_TIME_MARGIN + job.expectedRunMs * RUN_TIME_MARGIN;
     return slackMs < newMachineMs || slackMs > MISSED_ALL_DEADLINES_MS;
--- a/packages/controller/src/scheduling/preemption.ts
+++ b/packages/controller/src/scheduling/preemption.ts
@@ -82,7 +82,7 @@
   ) {}
 
   /** Forgets what the last run found, and looks at the queue of this one. */
-  beginRun(queue: readonly QueuedJob[]): void {
+  beginRun(queue: readonly QueuedJob[], now: Milliseconds): void {
     this.lowestPriority.clear();
     for (const job of this.context.clusterState.jobs.values()) {
       if (job.tenure.allocations.size === 0) continue;
@@ -90,13 +90,13 @@
     }
     this.overdueServiceTasks.clear();
     for (const { job } of queue)
-      if (this.isOverdueService(job) && !this.allocations.failureAttribution.isCrashLooping(job))
+      if (this.isOverdueService(job, now) && !this.allocations.failureAttribution.isCrashLooping(job))
         this.addOverdueTasks(job, job.pendingCount());
   }
 
   /** One of the job's waiting tasks was given a machine. */
-  taskPlaced(job: Job): void {
-    if (this.isOverdueService(job)) this.addOverdueTasks(job, -1);
+  taskPlaced(job: Job, now: Milliseconds): void {
+    if (this.isOverdueService(job, now)) this.addOverdueTasks(job, -1);
   }
 
   private addOverdueTasks(job: Job, count: number): void {
@@ -117,10 +117,10 @@
    * guarantee may stop other teams' work that is above theirs (DESIGN). Protected work is stopped for a pressing service
    * alone.
    */
-  isVictim(allocation: Allocation, { job, quota }: QueuedJob, quotaStatuses: QuotaStatuses): boolean {
+  isVictim(allocation: Allocation, { job, quota }: QueuedJob, run: SchedulingRun): boolean {
     if (allocation.stopGraceS !== null || allocation.phase === 'exited' || allocation.job === job) return false;
-    const victimQuota = quotaStatuses.get(allocation.job);
-    if (victimQuota?.isProtected && !this.isPressing(job, allocation.machine)) return false;
+    const victimQuota = run.quotaStatuses.get(allocation.job);
+    if (victimQuota?.isProtected && !this.isPressing(job, allocation.machine, run.now)) return false;
     if (allocation.job.priority < job.priority) return true;
     if (!quota.withinQuota || allocation.job.teamIndex === job.teamIndex || victimQuota === undefined || job.spec.gpus === 0)
       return false;
@@ -132,21 +132,21 @@
    * gangs that stand within a guarantee: where so many tasks wait that they fill half of the machine at least. Without this,
    * 176 replicas waited out a cut of 90 s while 24 machines trained on; for a few replicas, gangs that were stopped cost more.
    */
-  private isPressing(job: Job, machine: Machine): boolean {
+  private isPressing(job: Job, machine: Machine, now: Milliseconds): boolean {
     return (
       machine.capacity !== null &&
-      this.isOverdueService(job) &&
+      this.isOverdueService(job, now) &&
       (this.overdueServiceTasks.get(job.shard) ?? 0) * 2 >= countThatFit(job.resources, machine.capacity)
     );
   }
 
   /** A service of the highest priority that has waited for longer than the plan wait. */
-  private isOverdueService(job: Job): boolean {
+  private isOverdueService(job: Job, now: Milliseconds): boolean {
     return (
       job.priority === HIGHEST_PRIORITY &&
       job.spec.shape === 'service' &&
       job.waitingSince !== null &&
-      this.allocations.now - job.waitingSince > this.context.settings.policy.planWaitS * 1000
+      now - job.waitingSince > this.context.settings.policy.planWaitS * 1000
     );
   }
 
@@ -159,7 +159,7 @@
     const request: Resources = { cpus: cpus * count, gpus: gpus * count, memory: memory * count };
     const free: Resources = { cpus: candidate.cpus, gpus: candidate.gpus, memory: candidate.memory };
     const cheapestFirst = [...candidate.machine.tenure.allocations.values()]
-      .filter((allocation) => this.isVictim(allocation, queued, run.quotaStatuses))
+      .filter((allocation) => this.isVictim(allocation, queued, run))
       .sort((a, b) => stopCostOfTaskS(a, run.now) - stopCostOfTaskS(b, run.now));
     const victims: Allocation[] = [];
     for (const allocation of cheapestFirst) {
--- a/packages/controller/src/scheduling/scheduler.ts
+++ b/packages/controller/src/scheduling/scheduler.ts
@@ -142,7 +142,7 @@
   /** Places what has room, in the queue's order. */
   private placeQueue(queue: readonly QueuedJob[], run: SchedulingRun): RunOutcome {
     const outcome: RunOutcome = { unmetDemand: [], crashLoopingJobs: [], hasPostponedJobs: false, machinesConsidered: 0 };
-    this.preemption.beginRun(queue);
+    this.preemption.beginRun(queue, run.now);
     this.unschedulableKinds.clear();
     const unverifiedShards = this.allocations.shardsAwaitingVerification();
     for (const queued of queue) {
--- a/packages/controller/src/scheduling/task-placement.ts
+++ b/packages/controller/src/scheduling/task-placement.ts
@@ -1,5 +1,5 @@
 /** Placement of arrays and services: each task by itself, on the machine with the highest score. */
-import type { FreeResources, Job } from '../model/index.js';
+import type { FreeResources, Job, Milliseconds } from '../model/index.js';
 import type { Binder } from './binding.js';
 import { CandidateMachines } from './candidate-machines.js';
 import type { MachineEligibility } from './machine-eligibility.js';
@@ -30,15 +30,16 @@
     const pending = job.pendingCount();
     const allowed = Math.min(pending, run.usage.remainingTasks(job));
     job.waitingSince ??= run.now;
-    const candidates = this.candidatesFor(job, freeResources, run.now - job.waitingSince);
+    const candidates = this.candidatesFor(job, freeResources, run.now);
     const placed = this.placeOnCandidates(queued, allowed, candidates, run);
     if (placed === pending) job.waitingSince = null;
     return allowed - placed;
   }
 
-  private candidatesFor(job: Job, freeResources: readonly FreeResources[], waitedMs: number): CandidateMachines {
+  private candidatesFor(job: Job, freeResources: readonly FreeResources[], now: Milliseconds): CandidateMachines {
+    const waitedMs = now - (job.waitingSince ?? now);
     this.machineEligibility.beginJob();
-    const usable = freeResources.filter((free) => this.machineEligibility.mayUseMachine(job, free, waitedMs));
+    const usable = freeResources.filter((free) => this.machineEligibility.mayUseMachine(job, free.machine, waitedMs, now));
     return new CandidateMachines(job, usable, (free) => this.machineScoring.score(job, free));
   }
 
@@ -51,7 +52,7 @@
       const taskIndex = free ? job.nextPendingTask() : -1;
       if (!free || taskIndex < 0) return placed;
       this.binder.bindTask(job, taskIndex, free, tasksInZones, run);
-      this.preemption.taskPlaced(job);
+      this.preemption.taskPlaced(job, run.now);
     }
     return Math.max(0, count);
   }
