--- a/packages/controller/src/allocation/machine-schedulability.ts
+++ b/packages/controller/src/allocation/machine-schedulability.ts
@@ -27,6 +27,7 @@
     private readonly failureAttribution: FailureAttribution,
   ) {}
 
+  /** Does the machine take starts now? It may do so again without any input, once a suspicion has run out. */
   isSchedulable(machine: Machine, now: Milliseconds): boolean {
     const { tenure } = machine;
     const maxHeartbeatAgeMs = this.context.settings.workers.heartbeatIntervalS * MAX_HEARTBEAT_AGE_MS_PER_INTERVAL_S;
--- a/packages/controller/src/allocation/task-allocations.ts
+++ b/packages/controller/src/allocation/task-allocations.ts
@@ -101,7 +101,10 @@
     return (this.heldShards.get(shard)?.leaseRevision ?? 0) * ATTEMPTS_PER_LEASE + this.attemptCounter++;
   }
 
-  /** Gives the machine to the task. The task may have no other allocation. */
+  /**
+   * Gives the machine to the task. An earlier allocation of the task stays on its machine until it is freed, but is no longer
+   * the job's.
+   */
   allocate(
     job: Job,
     taskIndex: number,
--- a/packages/controller/src/index.ts
+++ b/packages/controller/src/index.ts
@@ -2,7 +2,7 @@
 export * from './leadership/running-task-deltas.js';
 export * from './leadership/stored-status.js';
 export * from './model/index.js';
-export * from './scheduling/gang-placement.js';
+export { placeGang } from './scheduling/index.js';
 export * from './state/job-record.js';
 export * from './state/limits.js';
 export * from './state/progress-layout.js';
--- a/packages/controller/src/scheduling/gang-service-eviction.ts
+++ b/packages/controller/src/scheduling/gang-service-eviction.ts
@@ -29,7 +29,15 @@
   /** how many of its tasks have room as it is */
   tasksThatFit: number;
   /** machines without room for it where only services are in its way, and these have room elsewhere */
-  readonly clearable: Machine[];
+  readonly clearable: ClearableMachine[];
+}
+
+interface ClearableMachine {
+  readonly machine: Machine;
+  /** processor cores that its services use */
+  readonly serviceCpus: number;
+  /** how many of the gang's tasks have room once it is cleared */
+  readonly tasksOnceCleared: number;
 }
 
 /** Clears machines for gangs that found no room in a run. */
@@ -47,7 +55,7 @@
     if (now - this.evictedAt < EVICTION_INTERVAL_MS) return;
     for (const { job } of unmetDemand) {
       if (job.spec.gpus === 0 || job.spec.shape !== 'gang') continue;
-      const machines = this.chooseMachines(job, this.candidatesFor(job, now));
+      const machines = chooseMachines(job, this.candidatesFor(job, now));
       if (!machines) continue;
       this.evictedAt = now;
       for (const machine of machines) this.evictFrom(machine, now);
@@ -63,40 +71,45 @@
       if (!this.allocations.isSchedulable(machine, now)) continue;
       const count = countThatFit(gang.resources, freeResourcesOf(machine));
       result.tasksThatFit += count;
-      if (count === 0 && evacuable.has(machine) && this.isBlockedByServices(gang, machine, machine.capacity))
-        result.clearable.push(machine);
+      if (count > 0 || !evacuable.has(machine) || !isBlockedByServices(gang, machine, machine.capacity)) continue;
+      result.clearable.push({
+        machine,
+        serviceCpus: machineLoadOf(machine).serviceUsage.cpus,
+        tasksOnceCleared: countThatFit(gang.resources, machine.capacity),
+      });
     }
     return result;
   }
 
-  private isBlockedByServices(gang: Job, machine: Machine, capacity: Resources): boolean {
-    if (hasGpuWork(machine)) return false;
-    const usage = machineLoadOf(machine).serviceUsage;
-    const besideServices: Resources = {
-      cpus: capacity.cpus - usage.cpus,
-      gpus: capacity.gpus,
-      memory: capacity.memory - usage.memory,
-    };
-    return usage.cpus > 0 && !fits(gang.resources, besideServices);
-  }
-
-  /** Those with the least services first, as many as the gang lacks; null: it lacks none, or they are not enough. */
-  private chooseMachines(gang: Job, { tasksThatFit, clearable }: GangCandidates): Machine[] | null {
-    let missing = gang.spec.tasks - tasksThatFit;
-    if (missing <= 0) return null;
-    clearable.sort((a, b) => machineLoadOf(a).serviceUsage.cpus - machineLoadOf(b).serviceUsage.cpus);
-    const chosen: Machine[] = [];
-    for (const machine of clearable) {
-      if (missing <= 0) break;
-      chosen.push(machine);
-      missing -= countThatFit(gang.resources, machine.capacity as Resources);
-    }
-    return missing > 0 ? null : chosen;
-  }
-
   private evictFrom(machine: Machine, now: Milliseconds): void {
     this.context.log('info', 'evicting services from a GPU machine', { machine: machine.name });
     machine.reservedUntil = now + RESERVED_PLAN_WAITS * this.context.settings.policy.planWaitS * 1000;
     for (const allocation of machineLoadOf(machine).services) this.allocations.stop(allocation, 0);
   }
 }
+
+/** Is it services alone that leave no room for one of the gang's tasks? */
+function isBlockedByServices(gang: Job, machine: Machine, capacity: Resources): boolean {
+  if (hasGpuWork(machine)) return false;
+  const usage = machineLoadOf(machine).serviceUsage;
+  const besideServices: Resources = {
+    cpus: capacity.cpus - usage.cpus,
+    gpus: capacity.gpus,
+    memory: capacity.memory - usage.memory,
+  };
+  return usage.cpus > 0 && !fits(gang.resources, besideServices);
+}
+
+/** Those with the least services first, as many as the gang lacks; null: it lacks none, or they are not enough. */
+function chooseMachines(gang: Job, { tasksThatFit, clearable }: GangCandidates): Machine[] | null {
+  let missing = gang.spec.tasks - tasksThatFit;
+  if (missing <= 0) return null;
+  clearable.sort((a, b) => a.serviceCpus - b.serviceCpus);
+  const chosen: Machine[] = [];
+  for (const { machine, tasksOnceCleared } of clearable) {
+    if (missing <= 0) break;
+    chosen.push(machine);
+    missing -= tasksOnceCleared;
+  }
+  return missing > 0 ? null : chosen;
+}
--- a/packages/controller/src/scheduling/index.ts
+++ b/packages/controller/src/scheduling/index.ts
@@ -2,6 +2,7 @@
  * Scheduling: the order of the queue, quota, bin packing by topology domain, scoring of machines, preemption and the eviction
  * of services. Owns no stored state: what it decides are planned allocations.
  */
+export { placeGang } from './gang-placement.js';
 export { tasksPerZone, zoneAllowsTask } from './placement-constraints.js';
 export { QueueOrder } from './queue-order.js';
 export type { QuotaStatuses } from './quota-status.js';
--- a/packages/controller/src/scheduling/machine-eligibility.ts
+++ b/packages/controller/src/scheduling/machine-eligibility.ts
@@ -16,22 +16,22 @@
   dedicatedMachine: 800,
   /** accelerator work still fits beside the service */
   spareRoom: 1500,
-  /** another machine that is given to services has room: it would have to come free for starts first */
+  /** another machine that is given to services has room, which the service should take instead */
   whileDedicatedMachineHasRoom: 30_000,
   /** none of these */
   scarceMachine: SCARCE_MACHINE_WAIT_S * 1000,
 } as const;
 
-/** More than one candidate is enough: the machine that is looked at may be one of them. */
+/** Two are enough to find one other than the machine that is looked at. */
 const MAX_DEDICATED_MACHINES = 2;
 
-/** An array may take an empty machine with accelerators once a new machine, with so much of its boot time, comes too late. */
+/** A new machine is expected within so many times the boot time of its type. */
 const BOOT_TIME_MARGIN = 1.5;
 
-/** Estimates of runs are often wrong by as much as half of the run. */
+/** Estimates of runs are often wrong by as much as half of the run, which is allowed on top. */
 const RUN_TIME_MARGIN = 0.5;
 
-/** A start deadline so far off says that the job has missed all that it had. */
+/** A start deadline farther off than this is that of a job that has missed all that it had. */
 const MISSED_ALL_DEADLINES_MS = 1e6;
 
 /** Says which machines a job may use for now. */
@@ -115,19 +115,11 @@
     // Where no more can be had and what needs them has a higher priority, which may stop it, it does no harm there.
     if (gpuDemand.rank > job.priority && !this.context.isTypeAvailable(capacity.name)) return true;
     // Beside what keeps the machine here anyway, it costs nothing; alone it would keep it.
-    const cpusWithTask = this.cpusWithoutGpus(machine, job.spec.cpus);
+    const cpusWithTask = cpusWithoutGpus(machine, job.spec.cpus);
     if (cpusWithTask <= capacity.cpus - gpuDemand.cpus + RESOURCE_TOLERANCE && this.gpuMachines.isKeptBusy(machine)) return true;
     return !this.shardsWithWaitingGpuWork.has(job.shard) && this.isTooLateForNewMachine(job, now);
   }
 
-  /** Adds to `cpus` what work without accelerators takes on the machine. */
-  private cpusWithoutGpus(machine: Machine, cpus: number): number {
-    let sum = cpus;
-    for (const allocation of machine.tenure.allocations.values())
-      if (allocation.phase !== 'exited' && allocation.job.spec.gpus === 0) sum += allocation.job.spec.cpus;
-    return sum;
-  }
-
   private isTooLateForNewMachine(job: Job, now: Milliseconds): boolean {
     const slackMs = this.queueOrder.startDeadlineOf(job, now) - now;
     const newMachineMs = this.context.clusterState.bootTimeFor(job) * BOOT_TIME_MARGIN + job.expectedRunMs * RUN_TIME_MARGIN;
@@ -143,3 +135,11 @@
   }
   return false;
 }
+
+/** Adds to `cpus` what work without accelerators takes on the machine. */
+function cpusWithoutGpus(machine: Machine, cpus: number): number {
+  let sum = cpus;
+  for (const allocation of machine.tenure.allocations.values())
+    if (allocation.phase !== 'exited' && allocation.job.spec.gpus === 0) sum += allocation.job.spec.cpus;
+  return sum;
+}
--- a/packages/controller/src/scheduling/queue-order.ts
+++ b/packages/controller/src/scheduling/queue-order.ts
@@ -1,6 +1,6 @@
 /**
  * The queue: which jobs wait for machines, and in which order they get them. Priority comes first, then aged gangs, then work
- * within its team's quota, then the start deadline. Owns nothing but the objectives of the settings.
+ * within its team's quota, then the start deadline. Owns no state; the objectives are those of the settings.
  */
 import type { TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, SettingsView } from '../context/index.js';
--- a/packages/controller/src/scheduling/task-placement.ts
+++ b/packages/controller/src/scheduling/task-placement.ts
@@ -9,7 +9,7 @@
 import type { QueuedJob } from './queue-order.js';
 import type { SchedulingRun } from './scheduling-run.js';
 
-/** Where no machine scores as much, in seconds, work of lower priority may be stopped to give a service a better one. */
+/** A service whose best machine has a lower score than this, in seconds, may get a better one by preemption. */
 const MIN_SERVICE_SCORE = -1;
 
 /** A better machine has to gain a service this much, in seconds, for other work to be stopped. */
@@ -69,7 +69,7 @@
     if (!mayGainByPreemption || !this.preemption.hasVictims(queued)) return best?.free ?? null;
     const minScore = best ? best.score + MIN_SCORE_GAIN : Number.NEGATIVE_INFINITY;
     const better = candidates.withHigherScore(minScore, tasksInZones);
-    // A service that has a machine gets a better one only where nothing protected stands.
+    // Protected work is not stopped for a better machine, only for any machine at all.
     const preemptible = best ? better.filter(({ machine }) => !hasProtectedWork(machine, run.quotaStatuses)) : better;
     return this.preemption.evictFor(queued, preemptible, run) ?? best?.free ?? null;
   }
