--- a/packages/controller/src/scheduling/machine-eligibility.ts
+++ b/packages/controller/src/scheduling/machine-eligibility.ts
@@ -1,8 +1,9 @@
 /**
  * Eligibility: which machines a job may use at all for now, beyond what its own constraints say. Machines with accelerators
  * are kept for the work that needs them, for a while or as long as it waits. Owns which shards have accelerator work that
- * found no room, and what was worked out for the job whose turn it is.
+ * found no room.
  */
+import type { MachineType } from '@archpost/protocol';
 import { freeResourcesOf, type TaskAllocations, type UnmetDemand } from '../allocation/index.js';
 import type { CapacityView, ClusterStateView } from '../context/index.js';
 import { fits, type Job, type Machine, type Milliseconds, RESOURCE_TOLERANCE, SCARCE_MACHINE_WAIT_S } from '../model/index.js';
@@ -34,17 +35,19 @@
 /** A start deadline farther off than this is that of a job that has missed all that it had. */
 const MISSED_ALL_DEADLINES_MS = 1e6;
 
+/** What eligibility asks. */
+interface EligibilityParts {
+  readonly context: ClusterStateView & CapacityView;
+  readonly allocations: TaskAllocations;
+  readonly queueOrder: QueueOrder;
+  readonly gpuMachines: GpuMachines;
+}
+
 /** Says which machines a job may use for now. */
 export class MachineEligibility {
   private readonly shardsWithWaitingGpuWork = new Set<number>();
-  private dedicatedMachinesCache: { job: Job; machines: Machine[] } | null = null;
 
-  constructor(
-    private readonly context: ClusterStateView & CapacityView,
-    private readonly allocations: TaskAllocations,
-    private readonly queueOrder: QueueOrder,
-    private readonly gpuMachines: GpuMachines,
-  ) {}
+  constructor(private readonly parts: EligibilityParts) {}
 
   /** What a run found no room for; it holds for the next run. */
   recordUnmetDemand(unmetDemand: readonly UnmetDemand[]): void {
@@ -52,21 +55,43 @@
     for (const { job } of unmetDemand) if (job.spec.gpus > 0) this.shardsWithWaitingGpuWork.add(job.shard);
   }
 
-  /** Another job's turn comes: forgets what was worked out for the last. */
-  beginJob(): void {
-    this.dedicatedMachinesCache = null;
+  /** `waitedMs`: for how long some of the job's tasks have had no machine. */
+  forJob(job: Job, waitedMs: Milliseconds, now: Milliseconds): JobEligibility {
+    const hasWaitingGpuWork = this.shardsWithWaitingGpuWork.has(job.shard);
+    return new JobEligibility(this.parts, { job, waitedMs, now, hasWaitingGpuWork });
   }
+}
 
-  /** `waitedMs`: for how long some of the job's tasks have had no machine. */
-  mayUseMachine(job: Job, machine: Machine, waitedMs: Milliseconds, now: Milliseconds): boolean {
+/** The job that asks, and when. */
+interface EligibilityRequest {
+  readonly job: Job;
+  /** for how long some of its tasks have had no machine */
+  readonly waitedMs: Milliseconds;
+  readonly now: Milliseconds;
+  /** whether accelerator work of its shard found no room in the last run */
+  readonly hasWaitingGpuWork: boolean;
+}
+
+/** Which machines one job may use. Made when the job's turn comes; no machine may change while it is asked. */
+export class JobEligibility {
+  private dedicatedMachines: readonly Machine[] | null = null;
+
+  constructor(
+    private readonly parts: EligibilityParts,
+    private readonly request: EligibilityRequest,
+  ) {}
+
+  /** May the job use the machine, if its constraints allow it and there is room? */
+  mayUse(machine: Machine): boolean {
+    const { job, waitedMs, now } = this.request;
     if (job.spec.gpus > 0) return true;
     if (now < machine.reservedUntil) return false;
     // Fetches share a machine's rate: a small image would hold up a gang's large one.
     if (!machine.images.has(job.imageIndex) && isFetchingForGpuWork(machine)) return false;
     if (!machine.capacity || machine.capacity.gpus === 0 || machine.spot) return true;
-    if (job.spec.shape !== 'service') return this.arrayMayUseGpuMachine(job, machine, now);
-    if (this.context.isTypeAvailable(machine.capacity.name)) return true;
-    return waitedMs > this.serviceWaitMs(job, machine, now);
+    if (job.spec.shape !== 'service') return this.arrayMayUseGpuMachine(machine, machine.capacity);
+    if (this.parts.context.isTypeAvailable(machine.capacity.name)) return true;
+    return waitedMs > this.serviceWaitMs(machine);
   }
 
   /**
@@ -74,55 +99,55 @@
    * while: there they would be in the way for hours. One machine given to services whole leaves the others to the work that
    * they are made for.
    */
-  private serviceWaitMs(job: Job, machine: Machine, now: Milliseconds): Milliseconds {
-    if (this.gpuMachines.isDedicatedToServices(machine)) return SERVICE_WAIT_MS.dedicatedMachine;
-    if (this.gpuMachines.leavesRoomForGpuWork(machine, job.resources)) return SERVICE_WAIT_MS.spareRoom;
-    if (this.dedicatedMachinesWithRoom(job, now).some((other) => other !== machine))
-      return SERVICE_WAIT_MS.whileDedicatedMachineHasRoom;
-    return SERVICE_WAIT_MS.scarceMachine;
+  private serviceWaitMs(machine: Machine): Milliseconds {
+    const { gpuMachines } = this.parts;
+    if (gpuMachines.isDedicatedToServices(machine)) return SERVICE_WAIT_MS.dedicatedMachine;
+    if (gpuMachines.leavesRoomForGpuWork(machine, this.request.job.resources)) return SERVICE_WAIT_MS.spareRoom;
+    this.dedicatedMachines ??= this.findDedicatedMachines();
+    const isOtherDedicated = this.dedicatedMachines.some((other) => other !== machine);
+    return isOtherDedicated ? SERVICE_WAIT_MS.whileDedicatedMachineHasRoom : SERVICE_WAIT_MS.scarceMachine;
   }
 
-  /**
-   * Machines that are given to services and have room for the job's next task, a few at most. They are the same for all
-   * machines that are looked at for the job.
-   */
-  private dedicatedMachinesWithRoom(job: Job, now: Milliseconds): Machine[] {
-    if (this.dedicatedMachinesCache?.job === job) return this.dedicatedMachinesCache.machines;
-    const machines: Machine[] = [];
-    for (const machine of this.context.clusterState.machines.values()) {
-      if (machines.length === MAX_DEDICATED_MACHINES) break;
-      if (this.isDedicatedMachineWithRoom(machine, job, now)) machines.push(machine);
+  /** Machines that are given to services and have room for the job's next task, a few at most. */
+  private findDedicatedMachines(): Machine[] {
+    const result: Machine[] = [];
+    for (const machine of this.parts.context.clusterState.machines.values()) {
+      if (result.length === MAX_DEDICATED_MACHINES) break;
+      if (this.isDedicatedWithRoom(machine)) result.push(machine);
     }
-    this.dedicatedMachinesCache = { job, machines };
-    return machines;
+    return result;
   }
 
-  private isDedicatedMachineWithRoom(machine: Machine, job: Job, now: Milliseconds): boolean {
+  private isDedicatedWithRoom(machine: Machine): boolean {
+    const { job, now } = this.request;
     return (
       machine.shard === job.shard &&
-      this.gpuMachines.isDedicatedToServices(machine) &&
-      this.allocations.isSchedulable(machine, now) &&
+      this.parts.gpuMachines.isDedicatedToServices(machine) &&
+      this.parts.allocations.isSchedulable(machine, now) &&
       isAllowedOn(job, machine) &&
       fits(job.resources, freeResourcesOf(machine))
     );
   }
 
   /** Independent tasks take an expensive machine whole only when their time runs out. */
-  private arrayMayUseGpuMachine(job: Job, machine: Machine, now: Milliseconds): boolean {
-    const { capacity } = machine;
-    const gpuDemand = this.context.clusterState.gpuDemandByType.get(machine.typeIndex);
-    if (!capacity || !gpuDemand) return true;
+  private arrayMayUseGpuMachine(machine: Machine, capacity: MachineType): boolean {
+    const { context, gpuMachines } = this.parts;
+    const { job, hasWaitingGpuWork } = this.request;
+    const gpuDemand = context.clusterState.gpuDemandByType.get(machine.typeIndex);
+    if (!gpuDemand) return true;
     // Where no more can be had and what needs them has a higher priority, which may stop it, it does no harm there.
-    if (gpuDemand.rank > job.priority && !this.context.isTypeAvailable(capacity.name)) return true;
+    if (gpuDemand.rank > job.priority && !context.isTypeAvailable(capacity.name)) return true;
     // Beside what keeps the machine here anyway, it costs nothing; alone it would keep it.
     const cpusWithTask = cpusWithoutGpus(machine, job.spec.cpus);
-    if (cpusWithTask <= capacity.cpus - gpuDemand.cpus + RESOURCE_TOLERANCE && this.gpuMachines.isKeptBusy(machine)) return true;
-    return !this.shardsWithWaitingGpuWork.has(job.shard) && this.isTooLateForNewMachine(job, now);
+    if (cpusWithTask <= capacity.cpus - gpuDemand.cpus + RESOURCE_TOLERANCE && gpuMachines.isKeptBusy(machine)) return true;
+    return !hasWaitingGpuWork && this.isTooLateForNewMachine();
   }
 
-  private isTooLateForNewMachine(job: Job, now: Milliseconds): boolean {
-    const slackMs = this.queueOrder.startDeadlineOf(job, now) - now;
-    const newMachineMs = this.context.clusterState.bootTimeFor(job) * BOOT_TIME_MARGIN + job.expectedRunMs * RUN_TIME_MARGIN;
+  private isTooLateForNewMachine(): boolean {
+    const { context, queueOrder } = this.parts;
+    const { job, now } = this.request;
+    const slackMs = queueOrder.startDeadlineOf(job, now) - now;
+    const newMachineMs = context.clusterState.bootTimeFor(job) * BOOT_TIME_MARGIN + job.expectedRunMs * RUN_TIME_MARGIN;
     return slackMs < newMachineMs || slackMs > MISSED_ALL_DEADLINES_MS;
   }
 }
--- a/packages/controller/src/scheduling/scheduler.ts
+++ b/packages/controller/src/scheduling/scheduler.ts
@@ -83,7 +83,7 @@
   ) {
     const gpuMachines = new GpuMachines(context);
     this.machineScoring = new MachineScoring(context, gpuMachines);
-    this.machineEligibility = new MachineEligibility(context, allocations, queueOrder, gpuMachines);
+    this.machineEligibility = new MachineEligibility({ context, allocations, queueOrder, gpuMachines });
     this.preemption = new Preemption(context, allocations, this.machineScoring);
     this.gangPreemption = new GangPreemption(this.preemption);
     this.binder = new Binder(allocations);
--- a/packages/controller/src/scheduling/task-placement.ts
+++ b/packages/controller/src/scheduling/task-placement.ts
@@ -38,8 +38,8 @@
 
   private candidatesFor(job: Job, freeResources: readonly FreeResources[], now: Milliseconds): CandidateMachines {
     const waitedMs = now - (job.waitingSince ?? now);
-    this.machineEligibility.beginJob();
-    const usable = freeResources.filter((free) => this.machineEligibility.mayUseMachine(job, free.machine, waitedMs, now));
+    const eligibility = this.machineEligibility.forJob(job, waitedMs, now);
+    const usable = freeResources.filter((free) => eligibility.mayUse(free.machine));
     return new CandidateMachines(job, usable, (free) => this.machineScoring.score(job, free));
   }
 
