--- a/packages/controller/src/allocation/index.ts
+++ b/packages/controller/src/allocation/index.ts
@@ -3,4 +3,5 @@
  * are. Owns the allocations of jobs and machines.
  */
 export { freeResourcesOf } from './free-resources.js';
+export type { HeldShards } from './held-shards.js';
 export { TaskAllocations, taskKey, type UnmetDemand } from './task-allocations.js';
--- a/packages/controller/src/allocation/task-allocations.ts
+++ b/packages/controller/src/allocation/task-allocations.ts
@@ -3,7 +3,6 @@
  * and what happens to a gang that loses one of them. Owns the allocations, the set of shards held here, and what a scheduling
  * run left without room.
  */
-import type { RevisionCondition } from '@archpost/protocol';
 import type {
   ClusterStateView,
   LeaseView,
@@ -14,19 +13,12 @@
   StateFreshness,
 } from '../context/index.js';
 import { type Allocation, type Job, type Machine, type Milliseconds, NEVER } from '../model/index.js';
-import { StateKey } from '../state/index.js';
 import { FailureAttribution } from './failure-attribution.js';
+import { HeldShards } from './held-shards.js';
 import { isHeardRecently, MachineSchedulability } from './machine-schedulability.js';
 import { StartFreshness } from './start-freshness.js';
 import { mayRunUnseen, shardsAwaitingVerification } from './unverified-takeovers.js';
 
-/** A shard that this controller holds. */
-interface HeldShard {
-  readonly shard: number;
-  /** at which its lease was acquired: the fencing token of what is written for the shard */
-  readonly leaseRevision: number;
-}
-
 /** Tasks of a job that found no machine in the last scheduling run. */
 export interface UnmetDemand {
   readonly job: Job;
@@ -35,12 +27,6 @@
   readonly withinQuota: boolean;
 }
 
-/** Attempt numbers begin with the lease's revision, so no two holders ever use the same one. */
-const ATTEMPTS_PER_LEASE = 1_000_000;
-
-/** No key has this revision: a condition on it is never met. */
-const IMPOSSIBLE_REVISION = -1;
-
 /** Names one attempt of one task among all that a machine may have. */
 export function taskKey(job: string, taskIndex: number, attempt: number): string {
   return `${job}/${taskIndex}/${attempt}`;
@@ -61,8 +47,7 @@
 
 /** The allocations of the shards held here, and the steps that change them. */
 export class TaskAllocations {
-  /** by shard */
-  readonly heldShards = new Map<number, HeldShard>();
+  readonly heldShards = new HeldShards();
   /** something happened that a scheduling run may make use of */
   schedulingRequested = true;
   /** the time of the input that is being taken */
@@ -76,7 +61,6 @@
   readonly failureAttribution: FailureAttribution;
   readonly startFreshness: StartFreshness;
   private readonly machineSchedulability: MachineSchedulability;
-  private attemptCounter = 1;
 
   constructor(private readonly context: TaskAllocationsContext) {
     this.failureAttribution = new FailureAttribution(context);
@@ -96,11 +80,6 @@
     return shards;
   }
 
-  /** An attempt number that was never used for the shard, by whichever holder. */
-  nextAttempt(shard: number): number {
-    return (this.heldShards.get(shard)?.leaseRevision ?? 0) * ATTEMPTS_PER_LEASE + this.attemptCounter++;
-  }
-
   /**
    * Gives the machine to the task. An earlier allocation of the task stays on its machine until it is freed, but is no longer
    * the job's.
@@ -256,13 +235,7 @@
 
   /** Could a task of this job be among those that nobody has reported? */
   mayRunUnseen(job: Job): boolean {
-    const leaseRevision = this.heldShards.get(job.shard)?.leaseRevision ?? null;
-    return mayRunUnseen(job, leaseRevision, this.context.clusterState.machines);
-  }
-
-  /** Conditions of a write for the shard: its lease is still the one that was acquired here. */
-  leaseConditions(shard: number): RevisionCondition[] {
-    return [{ key: StateKey.shardLease(shard), revision: this.heldShards.get(shard)?.leaseRevision ?? IMPOSSIBLE_REVISION }];
+    return mayRunUnseen(job, this.heldShards.leaseRevisionOf(job.shard), this.context.clusterState.machines);
   }
 
   /** Has it no task, known or orphaned, and no command under way? */
--- a/packages/controller/src/scheduling/binding.ts
+++ b/packages/controller/src/scheduling/binding.ts
@@ -11,14 +11,21 @@
   /** Gives the machine to one task of an array or service; `tasksInZones` is brought up to date. */
   bindTask(job: Job, taskIndex: number, free: FreeResources, tasksInZones: Map<number, number>, run: SchedulingRun): void {
     subtract(free, job.resources);
-    this.allocations.allocate(job, taskIndex, this.allocations.nextAttempt(job.shard), free.machine, 'planned', run.now);
+    this.allocations.allocate(
+      job,
+      taskIndex,
+      this.allocations.heldShards.nextAttempt(job.shard),
+      free.machine,
+      'planned',
+      run.now,
+    );
     run.usage.add(job);
     countTaskInZone(tasksInZones, free.machine.zoneIndex);
   }
 
   /** Gives one machine each to the gang's tasks, in one attempt. None of them may have a machine yet. */
   bindGang(job: Job, machines: readonly Machine[], candidates: readonly FreeResources[], run: SchedulingRun): void {
-    const attempt = this.allocations.nextAttempt(job.shard);
+    const attempt = this.allocations.heldShards.nextAttempt(job.shard);
     job.tenure.gangAttempt = attempt;
     job.tenure.gangFailed = false;
     const pendingTasks = job.pendingTasks();
--- a/packages/controller/src/scheduling/quota-status.ts
+++ b/packages/controller/src/scheduling/quota-status.ts
@@ -1,4 +1,5 @@
 /** Guarantees: which jobs are within their team's quota, and which are protected by it. */
+import type { HeldShards } from '../allocation/index.js';
 import type { ClusterStateView, SettingsView } from '../context/index.js';
 import { type Job, RESOURCE_TOLERANCE, type Team } from '../model/index.js';
 
@@ -19,7 +20,7 @@
 /** Sums up each team's jobs of the shards held here, in the order in which they were stored. */
 export function quotaStatusesOf(
   { settings, clusterState }: SettingsView & ClusterStateView,
-  heldShards: ReadonlyMap<number, unknown>,
+  heldShards: HeldShards,
 ): QuotaStatuses {
   const result = new Map<Job, QuotaStatus>();
   const demands = settings.teams.map(() => ({ cpus: 0, gpus: 0 }));
--- a/packages/controller/src/scheduling/team-usage.ts
+++ b/packages/controller/src/scheduling/team-usage.ts
@@ -2,6 +2,7 @@
  * Quota accounting of one scheduling run: what each team uses, and how much more its limits allow. A new `TeamUsage` is
  * measured for each run, and the run adds to it whatever it places or reserves.
  */
+import type { HeldShards } from '../allocation/index.js';
 import type { ClusterStateView, SettingsView } from '../context/index.js';
 import { type Job, type Machine, RESOURCE_TOLERANCE, type Team } from '../model/index.js';
 
@@ -52,10 +53,7 @@
 }
 
 /** Measures what is, or may be, on a machine of the shards held here. */
-export function measureTeamUsage(
-  { settings, clusterState }: SettingsView & ClusterStateView,
-  heldShards: ReadonlyMap<number, unknown>,
-): TeamUsage {
+export function measureTeamUsage({ settings, clusterState }: SettingsView & ClusterStateView, heldShards: HeldShards): TeamUsage {
   const usage = new TeamUsage(settings.teams);
   for (const job of clusterState.jobs.values()) {
     if (!heldShards.has(job.shard)) continue;
--- a/packages/controller/src/shards/assignment-updates.ts
+++ b/packages/controller/src/shards/assignment-updates.ts
@@ -26,7 +26,7 @@
       key: StateKey.assignment(machine.name),
       value: () => encodeAssignment({ ...this.context.clusterState.assignmentOf(machine), shard: to }),
       expectedRevision: machine.assignmentRevision,
-      conditions: this.allocations.leaseConditions(machine.shard),
+      conditions: this.allocations.heldShards.leaseConditions(machine.shard),
       priority: WritePriority.assignment,
       onOutcome: (outcome) => {
         machine.assignmentWriteQueued = false;
@@ -54,7 +54,7 @@
         );
       },
       expectedRevision: machine.assignmentRevision,
-      conditions: this.allocations.leaseConditions(machine.shard),
+      conditions: this.allocations.heldShards.leaseConditions(machine.shard),
       priority: WritePriority.release,
       // No command to the machine leaves before this is stored, and so no stop.
       isUrgent: () => this.allocations.hasCancelledWork(machine),
@@ -87,7 +87,7 @@
       key: StateKey.assignment(machine.name),
       value: () => undefined,
       expectedRevision: machine.assignmentRevision,
-      conditions: this.allocations.leaseConditions(machine.shard),
+      conditions: this.allocations.heldShards.leaseConditions(machine.shard),
       priority: WritePriority.release,
       onOutcome: (outcome) => {
         if (
--- a/packages/controller/src/shards/progress-writer.ts
+++ b/packages/controller/src/shards/progress-writer.ts
@@ -62,8 +62,7 @@
   }
 
   storeProgress(job: Job): void {
-    const held = this.allocations.heldShards.get(job.shard);
-    if (!held || job.state !== 'live') return;
+    if (!this.allocations.heldShards.has(job.shard) || job.state !== 'live') return;
     if (job.doneCount === job.spec.tasks && job.spec.shape !== 'service') {
       if (job.tenure.completionWriteQueued) return;
       job.tenure.completionWriteQueued = true;
@@ -71,7 +70,7 @@
         key: StateKey.job(job.spec.id),
         value: (at) => encodeDoneJob(job.submittedAt, job.spec.tasks, at + this.context.clusterState.wallClockOffsetMs),
         expectedRevision: job.modRevision,
-        conditions: this.allocations.leaseConditions(job.shard),
+        conditions: this.allocations.heldShards.leaseConditions(job.shard),
         priority: WritePriority.assignment,
         onOutcome: (outcome) => {
           job.tenure.completionWriteQueued = false;
@@ -122,7 +121,7 @@
         return packBits(job.done, part.from, part.to);
       },
       expectedRevision: this.context.replica.get(key)?.revision ?? 0,
-      conditions: this.allocations.leaseConditions(job.shard),
+      conditions: this.allocations.heldShards.leaseConditions(job.shard),
       priority: WritePriority.progress,
       onOutcome: (outcome) => {
         job.tenure.progressWriteQueued = false;
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -102,7 +102,7 @@
   }
 
   leaseAcquired(shard: number, revision: number, now: Milliseconds): void {
-    this.allocations.heldShards.set(shard, { shard, leaseRevision: revision });
+    this.allocations.heldShards.add(shard, revision);
     for (const machine of this.context.clusterState.machines.values()) {
       if (machine.shard !== shard) continue;
       this.beginTenure(machine, true, now);
