--- a/packages/controller/src/scheduling/array-postponement.ts
+++ b/packages/controller/src/scheduling/array-postponement.ts
@@ -7,7 +7,7 @@
 import type { ClusterStateView } from '../context/index.js';
 import type { Job, Milliseconds } from '../model/index.js';
 import { attainableDeadlines, type DeadlineJob } from './moore-hodgson.js';
-import type { QueuedJob } from './queue-order.js';
+import type { QueuedJob } from './queued-job.js';
 import type { StartDeadlines } from './start-deadlines.js';
 
 /** An array of which nothing has begun for this long comes before others: users wait four minutes at most. */
--- a/packages/controller/src/scheduling/gang-preemption.ts
+++ b/packages/controller/src/scheduling/gang-preemption.ts
@@ -5,7 +5,7 @@
 import type { FreeResources, Machine } from '../model/index.js';
 import { domainsFor, placeGang } from './gang-placement.js';
 import { type Preemption, releaseResources, stopCostS } from './preemption.js';
-import type { QueuedJob } from './queue-order.js';
+import type { QueuedJob } from './queued-job.js';
 import type { SchedulingRun } from './scheduling-run.js';
 
 /** Costs more than any choice of victims: on this machine not even one task fits. */
--- a/packages/controller/src/scheduling/machine-eligibility.ts
+++ b/packages/controller/src/scheduling/machine-eligibility.ts
@@ -36,7 +36,7 @@
 const MISSED_ALL_DEADLINES_MS = 1e6;
 
 /** What eligibility asks. */
-interface EligibilityParts {
+interface EligibilityDependencies {
   readonly context: ClusterStateView & CapacityView;
   readonly allocations: TaskAllocations;
   readonly queueOrder: QueueOrder;
@@ -47,7 +47,7 @@
 export class MachineEligibility {
   private readonly shardsWithWaitingGpuWork = new Set<number>();
 
-  constructor(private readonly parts: EligibilityParts) {}
+  constructor(private readonly dependencies: EligibilityDependencies) {}
 
   /** What a run found no room for; it holds for the next run. */
   recordUnmetDemand(unmetDemand: readonly UnmetDemand[]): void {
@@ -58,7 +58,7 @@
   /** `waitedMs`: for how long some of the job's tasks have had no machine. */
   forJob(job: Job, waitedMs: Milliseconds, now: Milliseconds): JobEligibility {
     const hasWaitingGpuWork = this.shardsWithWaitingGpuWork.has(job.shard);
-    return new JobEligibility(this.parts, { job, waitedMs, now, hasWaitingGpuWork });
+    return new JobEligibility(this.dependencies, { job, waitedMs, now, hasWaitingGpuWork });
   }
 }
 
@@ -77,7 +77,7 @@
   private dedicatedMachines: readonly Machine[] | null = null;
 
   constructor(
-    private readonly parts: EligibilityParts,
+    private readonly dependencies: EligibilityDependencies,
     private readonly request: EligibilityRequest,
   ) {}
 
@@ -90,7 +90,7 @@
     if (!machine.images.has(job.imageIndex) && isFetchingForGpuWork(machine)) return false;
     if (!machine.capacity || machine.capacity.gpus === 0 || machine.spot) return true;
     if (job.spec.shape !== 'service') return this.arrayMayUseGpuMachine(machine, machine.capacity);
-    if (this.parts.context.isTypeAvailable(machine.capacity.name)) return true;
+    if (this.dependencies.context.isTypeAvailable(machine.capacity.name)) return true;
     return waitedMs > this.serviceWaitMs(machine);
   }
 
@@ -100,7 +100,7 @@
    * they are made for.
    */
   private serviceWaitMs(machine: Machine): Milliseconds {
-    const { gpuMachines } = this.parts;
+    const { gpuMachines } = this.dependencies;
     if (gpuMachines.isDedicatedToServices(machine)) return SERVICE_WAIT_MS.dedicatedMachine;
     if (gpuMachines.leavesRoomForGpuWork(machine, this.request.job.resources)) return SERVICE_WAIT_MS.spareRoom;
     this.dedicatedMachines ??= this.findDedicatedMachines();
@@ -111,7 +111,7 @@
   /** Machines that are given to services and have room for the job's next task, a few at most. */
   private findDedicatedMachines(): Machine[] {
     const result: Machine[] = [];
-    for (const machine of this.parts.context.clusterState.machines.values()) {
+    for (const machine of this.dependencies.context.clusterState.machines.values()) {
       if (result.length === MAX_DEDICATED_MACHINES) break;
       if (this.isDedicatedWithRoom(machine)) result.push(machine);
     }
@@ -122,8 +122,8 @@
     const { job, now } = this.request;
     return (
       machine.shard === job.shard &&
-      this.parts.gpuMachines.isDedicatedToServices(machine) &&
-      this.parts.allocations.isSchedulable(machine, now) &&
+      this.dependencies.gpuMachines.isDedicatedToServices(machine) &&
+      this.dependencies.allocations.isSchedulable(machine, now) &&
       isAllowedOn(job, machine) &&
       fits(job.resources, freeResourcesOf(machine))
     );
@@ -131,7 +131,7 @@
 
   /** Independent tasks take an expensive machine whole only when their time runs out. */
   private arrayMayUseGpuMachine(machine: Machine, capacity: MachineType): boolean {
-    const { context, gpuMachines } = this.parts;
+    const { context, gpuMachines } = this.dependencies;
     const { job, hasWaitingGpuWork } = this.request;
     const gpuDemand = context.clusterState.gpuDemandByType.get(machine.typeIndex);
     if (!gpuDemand) return true;
@@ -144,7 +144,7 @@
   }
 
   private isTooLateForNewMachine(): boolean {
-    const { context, queueOrder } = this.parts;
+    const { context, queueOrder } = this.dependencies;
     const { job, now } = this.request;
     const slackMs = queueOrder.startDeadlineOf(job, now) - now;
     const newMachineMs = context.clusterState.bootTimeFor(job) * BOOT_TIME_MARGIN + job.expectedRunMs * RUN_TIME_MARGIN;
--- a/packages/controller/src/scheduling/preemption.ts
+++ b/packages/controller/src/scheduling/preemption.ts
@@ -16,7 +16,7 @@
   type Resources,
 } from '../model/index.js';
 import type { MachineScoring } from './machine-scoring.js';
-import type { QueuedJob } from './queue-order.js';
+import type { QueuedJob } from './queued-job.js';
 import type { QuotaStatuses } from './quota-status.js';
 import type { SchedulingRun } from './scheduling-run.js';
 
--- a/packages/controller/src/scheduling/queue-order.ts
+++ b/packages/controller/src/scheduling/queue-order.ts
@@ -6,22 +6,13 @@
 import type { ClusterStateView, SettingsView } from '../context/index.js';
 import type { Job, Milliseconds } from '../model/index.js';
 import { ArrayPostponement } from './array-postponement.js';
-import { type QuotaStatus, type QuotaStatuses, quotaStatusesOf, WITHOUT_QUOTA } from './quota-status.js';
+import type { QueuedJob } from './queued-job.js';
+import { type QuotaStatuses, quotaStatusesOf, WITHOUT_QUOTA } from './quota-status.js';
 import { StartDeadlines } from './start-deadlines.js';
 
 /** A gang that has waited for so many plan waits is aged. */
 const AGED_GANG_PLAN_WAITS = 6;
 
-/** A job with tasks that wait for a machine, where it stands in the queue. */
-export interface QueuedJob {
-  readonly job: Job;
-  readonly quota: QuotaStatus;
-  /** by when it should start; of otherwise equal jobs the soonest comes first */
-  startDeadline: Milliseconds;
-  /** a gang that has waited for long: it goes before all others of its priority */
-  readonly isAged: boolean;
-}
-
 /** Orders the waiting jobs of the shards held here. */
 export class QueueOrder {
   private readonly startDeadlines: StartDeadlines;
--- a/packages/controller/src/scheduling/task-placement.ts
+++ b/packages/controller/src/scheduling/task-placement.ts
@@ -6,7 +6,7 @@
 import type { MachineScoring } from './machine-scoring.js';
 import { tasksPerZone } from './placement-constraints.js';
 import { hasProtectedWork, type Preemption } from './preemption.js';
-import type { QueuedJob } from './queue-order.js';
+import type { QueuedJob } from './queued-job.js';
 import type { SchedulingRun } from './scheduling-run.js';
 
 /** A service whose best machine has a lower score than this, in seconds, may get a better one by preemption. */
