--- /dev/null
+++ b/packages/controller/src/scheduling/append-to.ts
@@ -0,0 +1,8 @@
+/** Lists by key, which the scheduler groups machines, jobs and objectives in. */
+
+/** Adds the value to the end of the key's list, which is made if there is none. Keys keep the order of their first values. */
+export function appendTo<Key, Value>(lists: Map<Key, Value[]>, key: Key, value: Value): void {
+  const list = lists.get(key);
+  if (list) list.push(value);
+  else lists.set(key, [value]);
+}
--- a/packages/controller/src/scheduling/array-postponement.ts
+++ b/packages/controller/src/scheduling/array-postponement.ts
@@ -6,6 +6,7 @@
 import type { TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView } from '../context/index.js';
 import type { Job, Milliseconds } from '../model/index.js';
+import { appendTo } from './append-to.js';
 import { attainableDeadlines, type DeadlineJob } from './moore-hodgson.js';
 import type { QueuedJob } from './queued-job.js';
 import type { StartDeadlines } from './start-deadlines.js';
@@ -39,10 +40,7 @@
     const groups = new Map<string, QueuedJob[]>();
     for (const queued of queue) {
       if (!this.mayBePostponed(queued.job)) continue;
-      const key = `${queued.job.shard}/${queued.job.priority}/${queued.quota.withinQuota}`;
-      const group = groups.get(key);
-      if (group) group.push(queued);
-      else groups.set(key, [queued]);
+      appendTo(groups, `${queued.job.shard}/${queued.job.priority}/${queued.quota.withinQuota}`, queued);
     }
     return groups.values();
   }
--- a/packages/controller/src/scheduling/gang-placement.ts
+++ b/packages/controller/src/scheduling/gang-placement.ts
@@ -3,6 +3,7 @@
  * they are given is not changed.
  */
 import { type FreeResources, fits, type Job, type Machine, subtract } from '../model/index.js';
+import { appendTo } from './append-to.js';
 import { countTaskInZone, zoneAllowsTask } from './placement-constraints.js';
 
 /** How a cluster is divided into domains, from the finest to the coarsest. */
@@ -27,12 +28,7 @@
 
 function domainsOfLayer(candidates: readonly FreeResources[], layer: TopologyLayer): TopologyDomain[] {
   const domains = new Map<number, TopologyDomain>();
-  for (const free of candidates) {
-    const key = domainKey(free.machine, layer);
-    const domain = domains.get(key);
-    if (domain) domain.push(free);
-    else domains.set(key, [free]);
-  }
+  for (const free of candidates) appendTo(domains, domainKey(free.machine, layer), free);
   const byMachineCount = [...domains].sort(([keyA, a], [keyB, b]) => a.length - b.length || keyA - keyB);
   return byMachineCount.map(([, domain]) => domain);
 }
--- a/packages/controller/src/scheduling/start-deadlines.ts
+++ b/packages/controller/src/scheduling/start-deadlines.ts
@@ -5,6 +5,7 @@
 import type { ClusterStateView, SettingsView } from '../context/index.js';
 import type { Job, Milliseconds, Objective } from '../model/index.js';
 import { expectedDurationMs } from '../state/index.js';
+import { appendTo } from './append-to.js';
 
 /** An objective still counts as attainable for so long after its start deadline. */
 const ATTAINABLE_GRACE_MS = 1000;
@@ -80,9 +81,3 @@
     return job.arrivedAt + (job.spec.deadlineS ?? DEFAULT_DEADLINE_S) * 1000;
   }
 }
-
-function appendTo<Value>(lists: Map<string, Value[]>, key: string, value: Value): void {
-  const list = lists.get(key);
-  if (list) list.push(value);
-  else lists.set(key, [value]);
-}
--- a/packages/controller/src/scheduling/unschedulable-kinds.ts
+++ b/packages/controller/src/scheduling/unschedulable-kinds.ts
@@ -3,6 +3,7 @@
  * that asks for at least as much as one of its kind that did not fit is passed over. Cleared when a run begins.
  */
 import type { Job, Resources } from '../model/index.js';
+import { appendTo } from './append-to.js';
 
 /** The smallest requests that found no machine, by kind of job. */
 export class UnschedulableKinds {
@@ -23,10 +24,7 @@
   /** Remembers that the job found no machine. */
   add(job: Job, withinQuota: boolean): void {
     const kind = interchangeableKind(job, withinQuota);
-    if (kind === null) return;
-    const requests = this.requestsByKind.get(kind);
-    if (requests) requests.push(job.resources);
-    else this.requestsByKind.set(kind, [job.resources]);
+    if (kind !== null) appendTo(this.requestsByKind, kind, job.resources);
   }
 }
 
--- a/test/moore-hodgson.test.ts
+++ b/test/moore-hodgson.test.ts
@@ -30,9 +30,9 @@
   return most;
 }
 
-function randomJobs(random: Random, mostDeadlines: number): DeadlineJob[] {
+function randomJobs(random: Random, maxDeadlines: number): DeadlineJob[] {
   return Array.from({ length: 1 + random.below(7) }, () => ({
-    deadlines: Array.from({ length: 1 + random.below(mostDeadlines) }, () => NOW + random.below(400)).sort((a, b) => a - b),
+    deadlines: Array.from({ length: 1 + random.below(maxDeadlines) }, () => NOW + random.below(400)).sort((a, b) => a - b),
     durationMs: 1 + random.below(150),
   }));
 }
