--- a/packages/controller/src/allocation/task-allocations.ts
+++ b/packages/controller/src/allocation/task-allocations.ts
@@ -80,10 +80,7 @@
     return shards;
   }
 
-  /**
-   * Gives the machine to the task. An earlier allocation of the task stays on its machine until it is freed, but is no longer
-   * the job's.
-   */
+  /** Gives the machine to the task, which must have no other allocation: an earlier one is freed first. */
   allocate(
     job: Job,
     taskIndex: number,
@@ -128,7 +125,7 @@
     machine.allocationsChanged();
   }
 
-  /** Another attempt of the same task may have taken its place. */
+  /** Leaves the job alone if another allocation has taken the place of this one. */
   private removeFromJob(allocation: Allocation): void {
     const { job, taskIndex } = allocation;
     if (job.tenure.allocations.get(taskIndex) !== allocation) return;
