--- a/packages/controller/src/index.ts
+++ b/packages/controller/src/index.ts
@@ -6,5 +6,5 @@
 export { Controller } from './controller.js';
 export { fitStoredStatus, RunningTaskDeltas } from './leadership/index.js';
 export * from './model/index.js';
-export * from './scheduling/gang-placement.js';
+export { placeGang } from './scheduling/index.js';
 export * from './state/index.js';
--- a/packages/controller/src/shards/assignment-updates.ts
+++ b/packages/controller/src/shards/assignment-updates.ts
@@ -29,7 +29,7 @@
       key: StateKey.assignment(machine.name),
       value: () => encodeAssignment({ ...this.context.clusterState.assignmentOf(machine), shard: targetShard }),
       expectedRevision: machine.assignmentRevision,
-      conditions: this.allocations.leaseConditions(machine.shard),
+      conditions: this.allocations.heldShards.leaseConditions(machine.shard),
       priority: WritePriority.assignment,
       onOutcome: (outcome) => {
         machine.assignmentWriteQueued = false;
@@ -55,7 +55,7 @@
         return encodeAssignment({ ...this.context.clusterState.assignmentOf(machine), moveToShard, isRetired }, previousRevision);
       },
       expectedRevision: machine.assignmentRevision,
-      conditions: this.allocations.leaseConditions(machine.shard),
+      conditions: this.allocations.heldShards.leaseConditions(machine.shard),
       priority: WritePriority.release,
       // No command to the machine leaves before this is stored, and so no stop.
       isUrgent: () => this.allocations.hasCancelledWork(machine),
@@ -75,7 +75,7 @@
       key: StateKey.assignment(machine.name),
       value: () => undefined,
       expectedRevision: machine.assignmentRevision,
-      conditions: this.allocations.leaseConditions(machine.shard),
+      conditions: this.allocations.heldShards.leaseConditions(machine.shard),
       priority: WritePriority.release,
       onOutcome: (outcome) => {
         if (outcome !== 'ok' && this.isStillOurs(machine)) this.removeAssignment(machine);
--- a/packages/controller/src/shards/job-completion-writer.ts
+++ b/packages/controller/src/shards/job-completion-writer.ts
@@ -26,7 +26,7 @@
       key: StateKey.job(job.spec.id),
       value: (now) => encodeDoneJob(job.submittedAt, job.spec.tasks, now + this.context.clusterState.wallClockOffsetMs),
       expectedRevision: job.modRevision,
-      conditions: this.allocations.leaseConditions(job.shard),
+      conditions: this.allocations.heldShards.leaseConditions(job.shard),
       priority: WritePriority.assignment,
       onOutcome: (outcome) => this.handleOutcome(job, outcome),
     });
--- a/packages/controller/src/shards/machine-commands.ts
+++ b/packages/controller/src/shards/machine-commands.ts
@@ -40,7 +40,7 @@
   const free = capacityOf(machine);
   const commands = machine.tenure.orphanedTasks.slice(0, MAX_COMMANDS_PER_BODY).map(clearOrphanedTask);
   addStopsAndForgets(commands, machine, free, now);
-  const starts = allocations.mayStart(now) ? addStarts(commands, allocations, machine, free) : [];
+  const starts = allocations.startFreshness.mayStart(now) ? addStarts(commands, allocations, machine, free) : [];
   if (commands.length === 0 || canWait(machine, commands, starts, now)) return null;
   return { commands, starts };
 }
@@ -90,7 +90,7 @@
   const starts: Allocation[] = [];
   for (const allocation of machine.tenure.allocations.values()) {
     const { job } = allocation;
-    if (allocation.phase !== 'planned' || starts.length > limit || allocations.isStateUnconfirmed(job)) continue;
+    if (allocation.phase !== 'planned' || starts.length > limit || allocations.startFreshness.isStateUnconfirmed(job)) continue;
     if (job.spec.shape === 'gang' ? !isGangReady(job) : !fits(job.resources, free)) continue;
     const command = startCommand(allocation);
     if (command === null) continue;
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -124,7 +124,7 @@
 
   /** A tenure begins: nothing that an earlier holder, or an earlier tenure of this one, knew or intended counts. */
   leaseAcquired(shard: number, revision: number, now: Milliseconds): void {
-    this.allocations.heldShards.set(shard, { shard, leaseRevision: revision });
+    this.allocations.heldShards.add(shard, revision);
     for (const machine of this.context.clusterState.machines.values()) {
       if (machine.shard !== shard) continue;
       this.beginTenure(machine, true, now);
--- a/packages/controller/src/shards/task-checkpoint-writer.ts
+++ b/packages/controller/src/shards/task-checkpoint-writer.ts
@@ -53,7 +53,7 @@
         return packBits(job.done, part.from, part.to);
       },
       expectedRevision: this.context.replica.get(key)?.revision ?? 0,
-      conditions: this.allocations.leaseConditions(job.shard),
+      conditions: this.allocations.heldShards.leaseConditions(job.shard),
       priority: WritePriority.progress,
       onOutcome: (outcome) => {
         job.tenure.progressWriteQueued = false;
