--- a/packages/controller/src/state/index.ts
+++ b/packages/controller/src/state/index.ts
@@ -18,6 +18,7 @@
   readJobRecord,
 } from './job-record.js';
 export type { JobsChange } from './job-registry.js';
+export { encodeJobSpec } from './job-spec-record.js';
 export { LEADER_LEASE, type LeaseName, StateKey } from './keys.js';
 export { encodeHolder, encodePresence, isPresenceOf } from './lease-record.js';
 export { encodedBytes, stateSizeLimits } from './limits.js';
--- a/packages/controller/src/state/job-record.ts
+++ b/packages/controller/src/state/job-record.ts
@@ -26,6 +26,7 @@
 import { createHash } from 'node:crypto';
 import type { JobSpec } from '@archpost/protocol';
 import { z } from 'zod';
+import { encodeJobSpec, isStoredJobSpec, parseJobSpec, withoutMachineTypes } from './job-spec-record.js';
 import { encodedBytes } from './limits.js';
 import { UnreadableRecordError } from './unreadable-record-error.js';
 
@@ -78,9 +79,7 @@
 const recordSchema = z.object({
   s: z.union([z.literal(ACCEPTED), z.literal(DONE), z.literal(CANCELLED), z.literal(ACCEPTED_WITH_AWAITS)]),
   t: z.number().nullish(),
-  sp: z
-    .custom<JobSpec>((spec) => typeof spec === 'object' && spec !== null && typeof (spec as JobSpec).id === 'string')
-    .nullish(),
+  sp: z.custom<object>(isStoredJobSpec).nullish(),
   n: z.number().nullish(),
   e: z.number().nullish(),
   aw: z.unknown().optional(),
@@ -101,15 +100,16 @@
 export function parseJobRecord(value: unknown): StoredJob {
   const parsed = recordSchema.safeParse(value);
   if (!parsed.success) throw new UnreadableRecordError('job', parsed.error);
-  const { s, t: submittedAt, sp: spec, n: taskCount, e: endedAt, aw, x } = parsed.data;
+  const { s, t: submittedAt, sp, n: taskCount, e: endedAt, aw, x } = parsed.data;
   const state = STATES[s];
-  if (state === 'live' && !spec) throw new UnreadableRecordError('job');
+  const spec = sp ? parseJobSpec(sp) : null;
+  if (state === 'live' && spec === null) throw new UnreadableRecordError('job');
   const awaits = aw === undefined ? NO_AWAITS : awaitedIdsSchema.safeParse(aw);
   const parts = x === undefined ? NO_PARTS : partsReferenceSchema.safeParse(x);
   return {
     state,
     submittedAt: submittedAt ?? 0,
-    spec: spec ?? null,
+    spec,
     tasks: spec?.tasks ?? taskCount ?? 0,
     endedAt: endedAt ?? null,
     awaits: awaits.success && parts.success ? awaits.data : null,
@@ -173,8 +173,8 @@
 /** The record of an accepted job; the field for awaited jobs is there only if the job has any. */
 function acceptedRecord(spec: JobSpec, awaits: readonly string[], hasAwaits: boolean, submittedAt: number): object {
   return hasAwaits
-    ? { s: ACCEPTED_WITH_AWAITS, t: submittedAt, sp: spec, aw: awaits }
-    : { s: ACCEPTED, t: submittedAt, sp: spec };
+    ? { s: ACCEPTED_WITH_AWAITS, t: submittedAt, sp: encodeJobSpec(spec), aw: awaits }
+    : { s: ACCEPTED, t: submittedAt, sp: encodeJobSpec(spec) };
 }
 
 /** How many names of each list the record itself holds. */
@@ -247,5 +247,5 @@
   if (encodedBytes(key, whole) <= maxWriteBytes) return whole;
   const { submittedAt, spec, tasks } = parseJobRecord(stored);
   const short = { s: CANCELLED, t: submittedAt, n: tasks };
-  return spec === null ? short : { ...short, sp: { ...spec, types: null } };
+  return spec === null ? short : { ...short, sp: withoutMachineTypes((stored as { sp: object }).sp) };
 }
--- a/packages/controller/src/state/status-record.ts
+++ b/packages/controller/src/state/status-record.ts
@@ -4,8 +4,7 @@
  * under which it is stored; their order is the order of the stored fields.
  */
 import type { MachineSummary, PeerStatus, ResourceDemand, ShardSummary } from '@archpost/protocol';
-
-type FieldTable<Model> = Readonly<Record<keyof Model, string>>;
+import { type FieldTable, fromStoredFields, toStoredFields } from './field-table.js';
 
 type UnassignedMachine = PeerStatus['unassignedMachines'][number];
 
@@ -67,56 +66,39 @@
   echo: 'echo',
 };
 
-/** A record with the fields of the model under their stored names, in the order of the table. */
-function toStored<Model extends object>(model: Model, fields: FieldTable<Model>): Record<string, unknown> {
-  const stored: Record<string, unknown> = {};
-  for (const field of Object.keys(fields) as (keyof Model)[]) stored[fields[field]] = model[field];
-  return stored;
-}
-
-/**
- * The model of a stored record. What isn't a record is returned as it is, and a field that the record lacks stays undefined:
- * other versions write fewer fields, and the leader takes such a status as far as it goes.
- */
-function fromStored<Model extends object>(stored: unknown, fields: FieldTable<Model>): Model {
-  if (typeof stored !== 'object' || stored === null) return stored as unknown as Model;
-  const model: Partial<Model> = {};
-  const record = stored as Record<string, unknown>;
-  for (const field of Object.keys(fields) as (keyof Model)[]) model[field] = record[fields[field]] as Model[keyof Model];
-  return model as Model;
-}
-
 function toStoredShard(shard: ShardSummary): Record<string, unknown> {
   return {
-    ...toStored(shard, SHARD_FIELDS),
-    [SHARD_FIELDS.machines]: shard.machines.map((machine) => toStored(machine, MACHINE_FIELDS)),
-    [SHARD_FIELDS.demands]: shard.demands.map((demand) => toStored(demand, DEMAND_FIELDS)),
+    ...toStoredFields(shard, SHARD_FIELDS),
+    [SHARD_FIELDS.machines]: shard.machines.map((machine) => toStoredFields(machine, MACHINE_FIELDS)),
+    [SHARD_FIELDS.demands]: shard.demands.map((demand) => toStoredFields(demand, DEMAND_FIELDS)),
   };
 }
 
 function fromStoredShard(stored: unknown): ShardSummary {
-  const shard = fromStored<ShardSummary>(stored, SHARD_FIELDS);
-  shard.machines = shard.machines.map((machine) => fromStored<MachineSummary>(machine, MACHINE_FIELDS));
-  shard.demands = shard.demands.map((demand) => fromStored<ResourceDemand>(demand, DEMAND_FIELDS));
+  const shard = fromStoredFields<ShardSummary>(stored, SHARD_FIELDS);
+  shard.machines = shard.machines.map((machine) => fromStoredFields<MachineSummary>(machine, MACHINE_FIELDS));
+  shard.demands = shard.demands.map((demand) => fromStoredFields<ResourceDemand>(demand, DEMAND_FIELDS));
   return shard;
 }
 
 /** The record of a status, to be stored under `a/s/`. */
 export function encodeStatus(status: PeerStatus): unknown {
   return {
-    ...toStored(status, STATUS_FIELDS),
+    ...toStoredFields(status, STATUS_FIELDS),
     [STATUS_FIELDS.shards]: status.shards.map(toStoredShard),
-    [STATUS_FIELDS.unassignedMachines]: status.unassignedMachines.map((machine) => toStored(machine, UNASSIGNED_MACHINE_FIELDS)),
+    [STATUS_FIELDS.unassignedMachines]: status.unassignedMachines.map((machine) =>
+      toStoredFields(machine, UNASSIGNED_MACHINE_FIELDS),
+    ),
   };
 }
 
 /** The status that another controller stored; null if the value is no status. */
 export function parseStatus(value: unknown): PeerStatus | null {
   if (!isStoredStatus(value)) return null;
-  const status = fromStored<PeerStatus>(value, STATUS_FIELDS);
+  const status = fromStoredFields<PeerStatus>(value, STATUS_FIELDS);
   status.shards = status.shards.map(fromStoredShard);
   status.unassignedMachines = status.unassignedMachines.map((machine) =>
-    fromStored<UnassignedMachine>(machine, UNASSIGNED_MACHINE_FIELDS),
+    fromStoredFields<UnassignedMachine>(machine, UNASSIGNED_MACHINE_FIELDS),
   );
   return status;
 }
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -7,6 +7,7 @@
   encodeAcceptedJob,
   encodeCancelledJob,
   encodedBytes,
+  encodeJobSpec,
   encodeStatus,
   fitStoredStatus,
   ProgressLayout,
@@ -256,7 +257,7 @@
   assert.ok((head.spec?.types?.length ?? 0) > 0);
   const again = encodeAcceptedJob('a/j/run-long', spec, awaits, 99, limit);
   assert.equal(again?.group, encoded.group, 'a repeated submission finds its parts');
-  const old = { s: 0, t: 5, sp: spec };
+  const old = { s: 0, t: 5, sp: encodeJobSpec(spec) };
   const cancelled = encodeCancelledJob('a/j/run-long', old, limit);
   assert.ok(encodedBytes('a/j/run-long', cancelled) <= limit);
   assert.equal(parseJobRecord(cancelled).state, 'cancelled');
@@ -300,7 +301,7 @@
     c.state.txn({ type: 'compareAndSwap', id: 0, conditions: [], writes: [{ put: key, value }] }, c.now);
   const spec = job('run-parts', { types: ['small'], estimateS: 2 });
   c.specs.set(spec.id, spec);
-  put('a/j/run-parts', { s: 0, t: 0, sp: spec, x: { k: 'group', n: 2 } });
+  put('a/j/run-parts', { s: 0, t: 0, sp: encodeJobSpec(spec), x: { k: 'group', n: 2 } });
   for (const part of [0, 1]) {
     c.run(3);
     assert.equal(c.ask('run-parts'), 'queued');
@@ -318,7 +319,7 @@
   const spec = job('run-parts', { types: ['none'], gpus: 1 });
   c.specs.set(spec.id, spec);
   put('a/x/run-parts/group/0', { ty: ['big'] });
-  put('a/j/run-parts', { s: 0, t: 0, sp: spec, x: { k: 'group', n: 1 } });
+  put('a/j/run-parts', { s: 0, t: 0, sp: encodeJobSpec(spec), x: { k: 'group', n: 1 } });
   c.run(2);
   const owner = c.node(holderOf(c, 0)).core;
   assert.deepEqual(owner.shardController.shardSummary(0, c.now).demands[0]?.types, ['none', 'big']);
@@ -333,7 +334,12 @@
     const spec = job(id, { types, estimateS: 10 });
     c.specs.set(id, spec);
     c.state.txn(
-      { type: 'compareAndSwap', id: 0, conditions: [], writes: [{ put: `a/j/${id}`, value: { s: 0, t: 0, sp: spec } }] },
+      {
+        type: 'compareAndSwap',
+        id: 0,
+        conditions: [],
+        writes: [{ put: `a/j/${id}`, value: { s: 0, t: 0, sp: encodeJobSpec(spec) } }],
+      },
       c.now,
     );
   };
@@ -361,7 +367,7 @@
     c.state.txn({ type: 'compareAndSwap', id: 0, conditions: [], writes: [{ put: key, value }] }, c.now);
   put('a/p/run-many/0', whole);
   put('a/p/run-many/0.25', packBits(new Uint8Array(9000).fill(1), 8192, 9000));
-  put('a/j/run-many', { s: 0, t: 0, sp: spec });
+  put('a/j/run-many', { s: 0, t: 0, sp: encodeJobSpec(spec) });
   for (let index = 0; index < 9000; index++) if (done[index] || index >= 8192) c.finished.add(`run-many/${index}`);
   fall(c);
   c.until('the rest is done', () => c.allDone('run-many'), 120);
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -1,7 +1,8 @@
 // Jobs that await others: when they start, how a cancellation reaches them, and what they inherit.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { parseSubmission } from '@archpost/protocol';
+import { encodeJobSpec } from '@archpost/controller';
+import { type JobSpec, parseSubmission } from '@archpost/protocol';
 import { type Cluster, holderOf, job, kept, type Node, shareOf, smallCluster } from './stand-ins.js';
 import { Walk } from './walk.js';
 
@@ -209,7 +210,7 @@
   const conditions = { type: 'compareAndSwap' as const, id: 0, conditions: [] };
   const sp = (id: string) => {
     cluster.specs.set(id, job(id));
-    return job(id);
+    return encodeJobSpec(job(id));
   };
   const records: [string, unknown][] = [
     ['a/j/run-odd', { s: 3, t: 0, sp: sp('run-odd'), aw: 'run-a' }],
@@ -239,14 +240,19 @@
   const writes = Array.from({ length: 3000 }, (_, index) => {
     const id = `run-w${index}`;
     cluster.specs.set(id, job(id, { rank: index === 2999 ? 2 : 0 }));
-    return { put: `a/j/${id}`, value: { s: 3, t: 0, sp: cluster.specs.get(id), aw: ['run-root'] } };
+    return { put: `a/j/${id}`, value: { s: 3, t: 0, sp: encodeJobSpec(cluster.specs.get(id) as JobSpec), aw: ['run-root'] } };
   });
   const links = Array.from({ length: 500 }, (_, index) => {
     const id = `run-c${index}`;
     cluster.specs.set(id, job(id));
     return {
       put: `a/j/${id}`,
-      value: { s: 3, t: 0, sp: cluster.specs.get(id), aw: [index === 0 ? 'run-w0' : `run-c${index - 1}`] },
+      value: {
+        s: 3,
+        t: 0,
+        sp: encodeJobSpec(cluster.specs.get(id) as JobSpec),
+        aw: [index === 0 ? 'run-w0' : `run-c${index - 1}`],
+      },
     };
   });
   cluster.state.txn({ ...conditions, writes: [...links, ...writes] }, cluster.now);
--- a/test/recorded-formats.test.ts
+++ b/test/recorded-formats.test.ts
@@ -14,6 +14,7 @@
   encodeAcceptedJob,
   encodeCancelledJob,
   encodeDoneJob,
+  encodeJobSpec,
   ProgressLayout,
   packBits,
   parseJobPart,
@@ -311,7 +312,7 @@
   cluster.specs.set(spec.id, spec);
   for (let index = 0; index < 8500; index++) cluster.finished.add(`run-large/${index}`);
   putRow(cluster, 'a/p/run-large/0', 'f'.repeat(8500 / 4));
-  putRow(cluster, 'a/j/run-large', { s: 0, t: 0, sp: spec });
+  putRow(cluster, 'a/j/run-large', { s: 0, t: 0, sp: encodeJobSpec(spec) });
   cluster.until('the rest is done', () => cluster.allDone('run-large'), 200);
   cluster.run(5);
 }
@@ -620,7 +621,7 @@
 
 // ---- What can't be read
 
-const SPEC = job('run-bad', { tasks: 9, types: ['small'] });
+const SPEC = encodeJobSpec(job('run-bad', { tasks: 9, types: ['small'] }));
 const GRANT = { s: 0, a: 'bad', t: 'small', z: 'east', sp: false };
 const PARTS = { s: 0, t: 5, sp: SPEC, x: { k: 'group', n: 1 } };
 const STATUS_ROW = (played['work and trouble of each kind'] as RecordedDay).rows.find((row) => row.key.startsWith('a/s/'));
@@ -729,7 +730,7 @@
 /** What is loaded with each malformed value, and must be read all the same. */
 const GOOD_ROWS: Row[] = [
   { key: 'a/g/good', value: { ...GRANT, a: 'good' }, stamp: 2 },
-  { key: 'a/j/run-good', value: { s: 0, t: 5, sp: job('run-good', { tasks: 40_000 }) }, stamp: 3 },
+  { key: 'a/j/run-good', value: { s: 0, t: 5, sp: encodeJobSpec(job('run-good', { tasks: 40_000 })) }, stamp: 3 },
   { key: 'a/j/run-parts', value: { ...PARTS, sp: { ...SPEC, id: 'run-parts' } }, stamp: 4 },
 ];
 
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -1,7 +1,7 @@
 // What broke a rule at production size, or could have: docs/meetings.md, "Rules that broke".
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Controller, type Job, Replica } from '@archpost/controller';
+import { Controller, encodeJobSpec, type Job, Replica } from '@archpost/controller';
 import type { JobSpec } from '@archpost/protocol';
 import { Inbox } from '../packages/server/src/inbox.js';
 import { Cluster, holderOf, job, type Node, settings, shareOf, smallCluster, type WorkerStandIn } from './stand-ins.js';
@@ -99,10 +99,10 @@
 
 const accepted = (id: string, aw: string[] = []): Stored => [
   `a/j/${id}`,
-  aw.length > 0 ? { s: 3, t: 0, sp: job(id), aw } : { s: 0, t: 0, sp: job(id) },
+  aw.length > 0 ? { s: 3, t: 0, sp: encodeJobSpec(job(id)), aw } : { s: 0, t: 0, sp: encodeJobSpec(job(id)) },
 ];
 const done = (id: string): Stored => [`a/j/${id}`, { s: 1, t: 0, n: 1, e: 0 }];
-const cancelled = (id: string): Stored => [`a/j/${id}`, { s: 2, t: 0, sp: job(id) }];
+const cancelled = (id: string): Stored => [`a/j/${id}`, { s: 2, t: 0, sp: encodeJobSpec(job(id)) }];
 
 /** Two chains that share a job: one loses its first job, the other goes on; one job is done before it is named. */
 const HISTORY: Stored[] = [
@@ -153,7 +153,7 @@
 });
 
 test('a list of awaited jobs in parts is known once all parts are, whatever comes first', () => {
-  const inParts: Stored = ['a/j/run-p', { s: 3, t: 0, sp: job('run-p'), aw: ['run-d'], x: { k: 'group', n: 2 } }];
+  const inParts: Stored = ['a/j/run-p', { s: 3, t: 0, sp: encodeJobSpec(job('run-p')), aw: ['run-d'], x: { k: 'group', n: 2 } }];
   const part = (index: number, id: string): Stored => [`a/x/run-p/group/${index}`, { aw: [id] }];
   const common = [accepted('run-d'), done('run-d'), inParts, part(0, 'run-d')];
   inEveryOrder(common, { 'run-p': 'waits' });
@@ -371,11 +371,11 @@
     const core = new Controller(settings('n0'), 'boot');
     const order = [...specs.keys()].sort(() => random.next() - 0.5);
     order.forEach((id, index) => {
-      core.replica.set(`a/j/${id}`, { s: 3, t: 0, sp: specs.get(id), aw: awaits.get(id) }, index + 1);
+      core.replica.set(`a/j/${id}`, { s: 3, t: 0, sp: encodeJobSpec(specs.get(id) as JobSpec), aw: awaits.get(id) }, index + 1);
     });
     // One that others may need, and one that nobody does.
     for (const [index, gone] of [`run-${random.below(14)}`, 'run-13'].entries())
-      core.replica.set(`a/j/${gone}`, { s: 2, t: 0, sp: specs.get(gone) }, 100 + index);
+      core.replica.set(`a/j/${gone}`, { s: 2, t: 0, sp: encodeJobSpec(specs.get(gone) as JobSpec) }, 100 + index);
     for (const [id, state] of core.clusterState.finishedJobs) if (state === 'cancelled') awaits.delete(id);
     for (const id of awaits.keys()) {
       const { priority, effectiveDeadlineAt: endBy } = core.clusterState.jobs.get(id) as Job;
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -3,7 +3,7 @@
 import assert from 'node:assert/strict';
 import { readFileSync, writeFileSync } from 'node:fs';
 import { test } from 'node:test';
-import { Controller } from '@archpost/controller';
+import { Controller, encodeJobSpec } from '@archpost/controller';
 import { decodePeerMessage, encodePeerMessage, type JobSpec, type StoredKey } from '@archpost/protocol';
 import { Cluster, holderOf, job, kept, type Node, settings, shareOf, type Version } from './stand-ins.js';
 import { PRODUCTION } from './upgrade/production-version.js';
@@ -152,7 +152,7 @@
   const put = (key: string, value: unknown) =>
     cluster.state.txn({ type: 'compareAndSwap', id: 0, conditions: [], writes: [{ put: key, value }] }, cluster.now);
   put('a/p/run-large/0', 'f'.repeat(8500 / 4));
-  put('a/j/run-large', { s: 0, t: 0, sp: spec });
+  put('a/j/run-large', { s: 0, t: 0, sp: encodeJobSpec(spec) });
   const owner = cluster.node(holderOf(cluster, 0));
   cluster.until(
     'some is stored by the old one',
