--- a/packages/controller/src/allocation/task-allocations.ts
+++ b/packages/controller/src/allocation/task-allocations.ts
@@ -190,7 +190,7 @@
 
   /** A checkpointing task gets time to save; others lose nothing by going at once. */
   stopGraceS(job: Job): number {
-    return job.spec.checkpointS > 0 ? job.spec.saveS + this.context.settings.workers.gangPeerS : 0;
+    return job.spec.checkpointIntervalS > 0 ? job.spec.checkpointSaveS + this.context.settings.workers.gangPeerS : 0;
   }
 
   /** Stops all of the job's tasks, with time to save. */
--- a/packages/controller/src/heartbeats/task-reconciler.ts
+++ b/packages/controller/src/heartbeats/task-reconciler.ts
@@ -74,15 +74,15 @@
     allocation.runningSince = now;
     this.context.log('debug', 'task running', {
       task: `${job.spec.id}/${allocation.taskIndex}`,
-      jobClass: job.spec.cls,
+      jobClass: job.spec.jobClass,
       machine: machine.name,
       type: machine.capacity?.name,
       sinceSubmit: toLoggedSeconds(now - job.arrivedAt),
       sincePlan: toLoggedSeconds(now - allocation.plannedAt),
-      gb: job.spec.imageGb,
+      gb: job.spec.imageSizeGb,
       cached: machine.images.has(job.imageIndex),
     });
-    if (recordImageUse(machine, job.imageIndex, job.spec.imageGb)) this.imageCacheWriter.schedule(machine);
+    if (recordImageUse(machine, job.imageIndex, job.spec.imageSizeGb)) this.imageCacheWriter.schedule(machine);
   }
 
   private recordExited(allocation: Allocation, task: TaskStatus, now: Milliseconds): void {
--- a/packages/controller/src/jobs/acceptance-writer.ts
+++ b/packages/controller/src/jobs/acceptance-writer.ts
@@ -27,7 +27,7 @@
   encode({ spec, awaits }: Submission, wallClockMs: number): EncodedJob | null {
     const { finishedJobs, sizeLimits } = this.context.clusterState;
     const key = StateKey.job(spec.id);
-    const ordered = spec.types === null ? spec : { ...spec, types: this.knownTypesFirst(spec.types) };
+    const ordered = spec.machineTypes === null ? spec : { ...spec, machineTypes: this.knownTypesFirst(spec.machineTypes) };
     // What is stored as done needs no edge.
     const openAwaits = awaits.filter((job) => finishedJobs.get(job) !== 'done');
     const encoded = encodeAcceptedJob(key, ordered, openAwaits, wallClockMs, sizeLimits.maxWriteBytes);
--- a/packages/controller/src/jobs/submission-validation.ts
+++ b/packages/controller/src/jobs/submission-validation.ts
@@ -57,7 +57,7 @@
 
 /** Does a task fit a machine of this type, where the job may run? */
 function mayRunOn(spec: JobSpec, type: MachineType, zones: readonly string[]): boolean {
-  if (spec.types !== null && !spec.types.includes(type.name)) return false;
+  if (spec.machineTypes !== null && !spec.machineTypes.includes(type.name)) return false;
   if (countThatFit(spec, type) < 1) return false;
   if (spec.zone === null) return true;
   return zones.includes(spec.zone) && (type.zones.length === 0 || type.zones.includes(spec.zone));
--- a/packages/controller/src/model/job.ts
+++ b/packages/controller/src/model/job.ts
@@ -137,7 +137,7 @@
     readonly zoneIndex: number,
     readonly imageIndex: number,
   ) {
-    this.priority = spec.rank;
+    this.priority = spec.priority;
     this.done = new Uint8Array(spec.tasks);
     this.storedDone = new Uint8Array(spec.tasks);
   }
@@ -149,7 +149,7 @@
 
   /** How long one of its tasks runs: the longest so far, or else its user's estimate. */
   get expectedRunMs(): Milliseconds {
-    return (this.longestRunS > 0 ? this.longestRunS : this.spec.estimateS) * 1000;
+    return (this.longestRunS > 0 ? this.longestRunS : this.spec.estimatedRunS) * 1000;
   }
 
   /** It awaits others, or what it awaits isn't known yet: none of its tasks may start. */
--- a/packages/controller/src/scheduling/machine-scoring.ts
+++ b/packages/controller/src/scheduling/machine-scoring.ts
@@ -80,5 +80,5 @@
   let isUnderWay = false;
   for (const allocation of machine.tenure.allocations.values())
     if (allocation.job.imageIndex === job.imageIndex && allocation.phase !== 'exited') isUnderWay = true;
-  return (job.spec.imageGb / fetchGbPerS) * (isUnderWay ? FETCH_UNDER_WAY_FACTOR : 1);
+  return (job.spec.imageSizeGb / fetchGbPerS) * (isUnderWay ? FETCH_UNDER_WAY_FACTOR : 1);
 }
--- a/packages/controller/src/scheduling/placement-constraints.ts
+++ b/packages/controller/src/scheduling/placement-constraints.ts
@@ -4,7 +4,7 @@
 /** Do the job's types, its zone and its consent to spot machines allow the machine, whatever is free there? */
 export function isAllowedOn(job: Job, machine: Machine): boolean {
   return (
-    (!machine.spot || job.spec.spot) &&
+    (!machine.spot || job.spec.allowsSpot) &&
     (job.typeIndices === null || job.typeIndices.includes(machine.typeIndex)) &&
     (job.zoneIndex < 0 || job.zoneIndex === machine.zoneIndex)
   );
--- a/packages/controller/src/scheduling/relocation-targets.ts
+++ b/packages/controller/src/scheduling/relocation-targets.ts
@@ -73,5 +73,5 @@
 /** Services of one kind fit the same machines. */
 function kindOf(job: Job): string {
   const { cpus, gpus, memory } = job.resources;
-  return [cpus, gpus, memory, job.zoneIndex, job.spec.spot, job.typeIndices?.join(',') ?? ''].join('/');
+  return [cpus, gpus, memory, job.zoneIndex, job.spec.allowsSpot, job.typeIndices?.join(',') ?? ''].join('/');
 }
--- a/packages/controller/src/scheduling/start-deadlines.ts
+++ b/packages/controller/src/scheduling/start-deadlines.ts
@@ -51,13 +51,13 @@
 
   /** By when the job's last task should start, for each objective that can still be met, soonest first. */
   attainableStartDeadlines(job: Job, now: Milliseconds): Milliseconds[] {
-    const imageFetchMs = job.spec.imageGb * 1000;
+    const imageFetchMs = job.spec.imageSizeGb * 1000;
     const runMs = job.expectedRunMs;
     const result: Milliseconds[] = [];
     const addIfAttainable = (at: Milliseconds) => {
       if (at > now - ATTAINABLE_GRACE_MS) result.push(at);
     };
-    for (const { kind, withinMs } of this.timeObjectives.get(job.spec.cls) ?? [])
+    for (const { kind, withinMs } of this.timeObjectives.get(job.spec.jobClass) ?? [])
       addIfAttainable(job.arrivedAt + withinMs - (kind === 'wait' ? imageFetchMs : runMs + imageFetchMs));
     for (const at of this.startsForDeadlines(job)) addIfAttainable(at);
     return result.sort((a, b) => a - b);
@@ -68,7 +68,7 @@
    * that need it. Stored deadlines are times of day; the result is on the clock of the inputs.
    */
   private startsForDeadlines(job: Job): Milliseconds[] {
-    const ownMultiples = this.deadlineMultiples.get(job.spec.cls);
+    const ownMultiples = this.deadlineMultiples.get(job.spec.jobClass);
     const isInherited = job.effectiveDeadlineAt < job.deadlineAt;
     if (ownMultiples === undefined && !isInherited) return [];
     const startBy = job.effectiveDeadlineAt - this.context.clusterState.wallClockOffsetMs - expectedDurationMs(job);
@@ -77,7 +77,7 @@
   }
 
   private fallbackDeadline(job: Job): Milliseconds {
-    if (this.timeObjectives.has(job.spec.cls)) return job.arrivedAt + MISSED_ALL_OBJECTIVES_MS;
+    if (this.timeObjectives.has(job.spec.jobClass)) return job.arrivedAt + MISSED_ALL_OBJECTIVES_MS;
     return job.arrivedAt + (job.spec.deadlineS ?? DEFAULT_DEADLINE_S) * 1000;
   }
 }
--- a/packages/controller/src/scheduling/unschedulable-kinds.ts
+++ b/packages/controller/src/scheduling/unschedulable-kinds.ts
@@ -33,7 +33,7 @@
  * of the lowest priority beyond their quota have a kind.
  */
 function interchangeableKind(job: Job, withinQuota: boolean): string | null {
-  const { shape, gpus, oneZone, spread, spot } = job.spec;
+  const { shape, gpus, oneZone, spread, allowsSpot: spot } = job.spec;
   const hasConstraints = gpus > 0 || oneZone || spread || job.failedOn.size > 0;
   if (job.priority > 0 || withinQuota || shape !== 'array' || hasConstraints) return null;
   return `${job.shard}/${job.teamIndex}/${job.zoneIndex}/${spot}/${job.typeIndices?.join(',') ?? ''}`;
--- a/packages/controller/src/shards/job-completion-writer.ts
+++ b/packages/controller/src/shards/job-completion-writer.ts
@@ -42,12 +42,12 @@
     const { wallClockOffsetMs } = this.context.clusterState;
     this.context.log('debug', 'job done', {
       job: job.spec.id,
-      jobClass: job.spec.cls,
+      jobClass: job.spec.jobClass,
       sinceReady: toLoggedSeconds(now - job.arrivedAt),
       sinceSubmit: toLoggedSeconds(now + wallClockOffsetMs - job.submittedAt),
       // Against its own deadline, or the earlier one that it has from the jobs that depend on it.
       spare: Number.isFinite(job.effectiveDeadlineAt) ? toLoggedSeconds(job.effectiveDeadlineAt - wallClockOffsetMs - now) : null,
-      guess: job.spec.estimateS,
+      guess: job.spec.estimatedRunS,
       longestRun: toLoggedSeconds(job.longestRunS * 1000),
     });
   }
--- a/packages/controller/src/shards/shard-debug-summary.ts
+++ b/packages/controller/src/shards/shard-debug-summary.ts
@@ -84,7 +84,7 @@
 function describeTasks(machine: Machine): string {
   const countsByLabel = new Map<string, number>();
   for (const { job, phase } of machine.tenure.allocations.values()) {
-    const label = `${job.spec.cls} ${phase}`;
+    const label = `${job.spec.jobClass} ${phase}`;
     countsByLabel.set(label, (countsByLabel.get(label) ?? 0) + 1);
   }
   return [...countsByLabel].map(([label, count]) => `${count} ${label}`).join(', ');
@@ -93,5 +93,5 @@
 function waitingTasks({ allocations }: ShardDebugSources, shard: number, now: Milliseconds): string[] {
   return allocations.unmetDemand
     .filter((unmet) => unmet.job.shard === shard)
-    .map(({ job, count }) => `${job.spec.cls} ${count} for ${Math.round((now - job.arrivedAt) / 1000)} s`);
+    .map(({ job, count }) => `${job.spec.jobClass} ${count} for ${Math.round((now - job.arrivedAt) / 1000)} s`);
 }
--- a/packages/controller/src/shards/shard-summary.ts
+++ b/packages/controller/src/shards/shard-summary.ts
@@ -116,7 +116,7 @@
   }
 
   private demandOf({ job, count, withinQuota }: UnmetDemand, now: Milliseconds): ResourceDemand {
-    const { cpus, gpus, memory, zone, spot, shape } = job.spec;
+    const { cpus, gpus, memory, zone, allowsSpot: spot, shape } = job.spec;
     const { typeNames } = this.context.clusterState;
     const slackS = (this.queueOrder.startDeadlineOf(job, now) - now) / 1000;
     return {
--- a/packages/controller/src/state/cluster-state.ts
+++ b/packages/controller/src/state/cluster-state.ts
@@ -203,7 +203,7 @@
       spec,
       team,
       this.shardOfTeam[team] ?? 0,
-      spec.types === null ? null : spec.types.map((name) => this.typeNames.intern(name)),
+      spec.machineTypes === null ? null : spec.machineTypes.map((name) => this.typeNames.intern(name)),
       spec.zone === null ? ANY_ZONE : this.zoneNames.intern(spec.zone),
       this.imageNames.intern(spec.image),
     );
--- a/packages/controller/src/state/gpu-demand-history.ts
+++ b/packages/controller/src/state/gpu-demand-history.ts
@@ -36,6 +36,6 @@
     cpus: Math.max(known?.cpus ?? 0, spec.cpus),
     gpus: Math.max(known?.gpus ?? 0, spec.gpus),
     memory: Math.max(known?.memory ?? 0, spec.memory),
-    priority: Math.max(known?.priority ?? 0, spec.rank),
+    priority: Math.max(known?.priority ?? 0, spec.priority),
   };
 }
--- a/packages/controller/src/state/job-dependencies.ts
+++ b/packages/controller/src/state/job-dependencies.ts
@@ -28,7 +28,7 @@
 
 /** Time that a job takes once it may start: one of its tasks' run, and the fetching of its image. */
 export function expectedDurationMs(job: Job): Milliseconds {
-  return job.expectedRunMs + job.spec.imageGb * IMAGE_FETCH_MS_PER_GB;
+  return job.expectedRunMs + job.spec.imageSizeGb * IMAGE_FETCH_MS_PER_GB;
 }
 
 /** Time of day by which the job has to start to meet its effective deadline. */
@@ -192,7 +192,7 @@
 
   /** The highest priority and the earliest deadline among the job's own and its dependents'. Returns whether one changed. */
   private recomputeOwnRequirements(job: Job): boolean {
-    let priority = job.spec.rank;
+    let priority = job.spec.priority;
     let deadlineAt = job.deadlineAt;
     let deadlineSpanMs = job.deadlineSpanMs;
     for (const dependent of this.dependents.get(job.spec.id) ?? []) {
--- a/packages/controller/src/state/job-record.ts
+++ b/packages/controller/src/state/job-record.ts
@@ -191,11 +191,11 @@
   submittedAt: number,
   maxWriteBytes: number,
 ): NamesInRecord | null {
-  const emptySpec = { ...spec, types: spec.types && [] };
+  const emptySpec = { ...spec, machineTypes: spec.machineTypes && [] };
   const placeholder = { k: 'x'.repeat(GROUP_LENGTH), n: PART_COUNT_PLACEHOLDER };
   const emptyRecord = { ...acceptedRecord(emptySpec, [], false, submittedAt), x: placeholder };
   const remainingBytes = maxWriteBytes - encodedBytes(key, emptyRecord);
-  const types = spec.types ?? [];
+  const types = spec.machineTypes ?? [];
   const typeCount = countNamesThatFit(types, remainingBytes);
   // An empty list of types allows none, for a version that knows no parts; null would allow all.
   if (remainingBytes < 0 || (types.length > 0 && typeCount === 0)) return null;
@@ -221,12 +221,12 @@
   if (encodedBytes(key, record) <= maxWriteBytes) return { record, parts: [], group: '' };
   const inRecord = countNamesInRecord(key, spec, awaits, submittedAt, maxWriteBytes);
   if (inRecord === null) return null;
-  const types = spec.types ?? [];
+  const types = spec.machineTypes ?? [];
   const parts = [
     ...encodeParts(types.slice(inRecord.types), maxWriteBytes, (ty) => ({ ty })),
     ...encodeParts(awaits.slice(inRecord.awaits), maxWriteBytes, (aw) => ({ aw })),
   ];
-  const shortSpec = { ...spec, types: spec.types && types.slice(0, inRecord.types) };
+  const shortSpec = { ...spec, machineTypes: spec.machineTypes && types.slice(0, inRecord.types) };
   const shortRecord = acceptedRecord(shortSpec, awaits.slice(0, inRecord.awaits), hasAwaits, submittedAt);
   const group = groupOf(parts);
   return { record: { ...shortRecord, x: { k: group, n: parts.length } }, parts, group };
--- a/packages/controller/src/state/job-spec-record.ts
+++ b/packages/controller/src/state/job-spec-record.ts
@@ -8,24 +8,24 @@
 
 const JOB_SPEC_FIELDS: FieldTable<JobSpec> = {
   id: 'id',
-  cls: 'cls',
+  jobClass: 'cls',
   team: 'team',
   shape: 'shape',
-  rank: 'rank',
+  priority: 'rank',
   tasks: 'tasks',
   cpus: 'cpus',
   gpus: 'gpus',
   memory: 'memory',
   image: 'image',
-  imageGb: 'imageGb',
-  types: 'types',
+  imageSizeGb: 'imageGb',
+  machineTypes: 'types',
   zone: 'zone',
   oneZone: 'oneZone',
   spread: 'spread',
-  spot: 'spot',
-  estimateS: 'estimateS',
-  checkpointS: 'checkpointS',
-  saveS: 'saveS',
+  allowsSpot: 'spot',
+  estimatedRunS: 'estimateS',
+  checkpointIntervalS: 'checkpointS',
+  checkpointSaveS: 'saveS',
   deadlineS: 'deadlineS',
 };
 
@@ -46,5 +46,5 @@
 
 /** The same stored form with any machine type allowed, for a job that starts nothing any more. */
 export function withoutMachineTypes(stored: object): object {
-  return { ...stored, [JOB_SPEC_FIELDS.types]: null };
+  return { ...stored, [JOB_SPEC_FIELDS.machineTypes]: null };
 }
--- a/packages/protocol/src/jobs/job-spec.ts
+++ b/packages/protocol/src/jobs/job-spec.ts
@@ -10,11 +10,11 @@
 export interface JobSpec {
   id: string;
   /** class of jobs, by which objectives are set */
-  cls: string;
+  jobClass: string;
   team: string;
   shape: Shape;
   /** priority: 0 (best effort) to 3 (critical) */
-  rank: number;
+  priority: number;
   /** number of tasks, which are numbered from 0 */
   tasks: number;
   /** what each task takes of its machine */
@@ -24,9 +24,9 @@
   memory: number;
   /** the image that a machine must have before a task starts */
   image: string;
-  imageGb: number;
+  imageSizeGb: number;
   /** allowed machine types; null: any */
-  types: string[] | null;
+  machineTypes: string[] | null;
   /** the only allowed zone; null: any */
   zone: string | null;
   /** all tasks must be in the same zone */
@@ -34,13 +34,13 @@
   /** at most half of the tasks, rounded up, may be in one zone */
   spread: boolean;
   /** spot machines are allowed */
-  spot: boolean;
+  allowsSpot: boolean;
   /** the user's estimate of a task's run time in seconds; 0 for services */
-  estimateS: number;
+  estimatedRunS: number;
   /** interval of checkpoints in seconds of progress; 0: the task never saves */
-  checkpointS: number;
+  checkpointIntervalS: number;
   /** seconds that a task needs to save when it is stopped */
-  saveS: number;
+  checkpointSaveS: number;
   /** seconds from submission until the job should be complete; null: no deadline */
   deadlineS: number | null;
 }
--- a/test/answers.test.ts
+++ b/test/answers.test.ts
@@ -37,7 +37,7 @@
   };
   for (let index = 0; index < 6; index++) {
     const id = `run-q${index}`;
-    const spec = job(id, { estimateS: 2, team: ['red', 'blue', 'green'][index % 3] as string });
+    const spec = job(id, { estimatedRunS: 2, team: ['red', 'blue', 'green'][index % 3] as string });
     cluster.specs.set(id, spec);
     const at = (i: number) => cluster.nodes[(index + i) % 3] as Node;
     const first = said(cluster, (then) => at(0).submit(spec, then));
@@ -59,7 +59,7 @@
 
 test('a cancellation, a question and a repeated submission meet the end of the last task, at a controller that is behind', () => {
   const cluster = smallCluster(4);
-  for (const id of ['run-d', 'run-c']) cluster.submit(job(id, { estimateS: id === 'run-d' ? 6 : 500 }));
+  for (const id of ['run-d', 'run-c']) cluster.submit(job(id, { estimatedRunS: id === 'run-d' ? 6 : 500 }));
   const behind = cluster.nodes.find((node) => node.name !== holderOf(cluster, shareOf(cluster, 'run-d')));
   const told = cluster.nodes.find((node) => node !== behind);
   assert.ok(behind && told);
@@ -86,7 +86,7 @@
   const cancelled = new Set<string>();
   for (let index = 0; index < 240; index++) {
     const id = `run-s${index}`;
-    const spec = job(id, { estimateS: 2, team: ['red', 'blue', 'green'][index % 3] as string, imageGb: 0 });
+    const spec = job(id, { estimatedRunS: 2, team: ['red', 'blue', 'green'][index % 3] as string, imageSizeGb: 0 });
     cluster.specs.set(id, spec);
     const told = said(cluster, (then) => (cluster.nodes[index % 3] as Node).submit(spec, then));
     cluster.run(0.2);
@@ -133,14 +133,14 @@
     assert.equal(cluster.ask('run-x3', node), '404');
   }
   // A cancellation of a job that is done answers so, and its repeats too.
-  cluster.submit(job('run-d', { estimateS: 1 }));
+  cluster.submit(job('run-d', { estimatedRunS: 1 }));
   cluster.until('done', () => cluster.ask('run-d') === 'done', 20);
   for (const node of cluster.nodes) assert.equal(said(cluster, (then) => node.cancel('run-d', then))(), '200 done');
 });
 
 test('records that can not be read are passed over, and nothing else suffers, also at a restart', () => {
   const cluster = smallCluster(4);
-  cluster.submit(job('run-a', { tasks: 2, estimateS: 30 }));
+  cluster.submit(job('run-a', { tasks: 2, estimatedRunS: 30 }));
   cluster.until('running', () => cluster.running('run-a') === 2);
   const conditions = { type: 'compareAndSwap' as const, id: 0, conditions: [] };
   const odd: [string, unknown][] = [
@@ -159,6 +159,6 @@
   cluster.run(0.2);
   owner.restart();
   cluster.until('done', () => cluster.ask('run-a', owner) === 'done', 60);
-  cluster.submit(job('run-b', { estimateS: 2 }), owner);
+  cluster.submit(job('run-b', { estimatedRunS: 2 }), owner);
   cluster.until('done', () => cluster.ask('run-b', owner) === 'done', 30);
 });
--- a/test/apart.test.ts
+++ b/test/apart.test.ts
@@ -17,7 +17,7 @@
 
 test('a machine whose reports come but that nothing reaches is given back, and its work goes on elsewhere', () => {
   const c = cluster();
-  c.submit(job('run-w', { shape: 'service', rank: 3, cls: 'serve' }));
+  c.submit(job('run-w', { shape: 'service', priority: 3, jobClass: 'serve' }));
   c.until('running', () => c.running('run-w') === 1);
   const w = machineOf(c, 'run-w');
   c.deaf = (_node, machine) => machine === w.name;
@@ -32,14 +32,14 @@
 
 test('a controller that can reach no worker hands its shares over, throws no machine away, and they come home once', () => {
   const c = cluster(9);
-  c.submit(job('run-v', { shape: 'service', tasks: 2, rank: 3, cls: 'serve' }));
+  c.submit(job('run-v', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
   c.until('running', () => c.running('run-v') === 2);
   const shard = shareOf(c, 'run-v');
   const apart = holderOf(c, shard);
   const tokens = () => c.nodes.map((node) => node.core.clusterState.leaseOf(shard)?.revision ?? 0);
   c.deaf = (controller) => controller === apart;
   c.until('taken over', () => holderOf(c, shard) !== apart && holderOf(c, shard) !== '', 30);
-  c.submit(job('run-u', { team: c.specs.get('run-v')?.team ?? '', estimateS: 3 }));
+  c.submit(job('run-u', { team: c.specs.get('run-v')?.team ?? '', estimatedRunS: 3 }));
   c.until('the new holder starts work', () => c.finished.has('run-u/0'), 30);
   c.run(20);
   const during = tokens();
@@ -58,7 +58,7 @@
 
 test('in a zone cut off from the state service too, work ends by its leases and goes on elsewhere once its machines are given back', () => {
   const c = cluster();
-  c.submit(job('run-z', { shape: 'service', tasks: 6, rank: 3, cls: 'serve' }));
+  c.submit(job('run-z', { shape: 'service', tasks: 6, priority: 3, jobClass: 'serve' }));
   c.until('running', () => c.running('run-z') === 6);
   const west = (x: string) => x === 'n1' || c.workers.find((w) => w.name === x)?.zone === 'west';
   assert.ok(c.on('run-z').some(west));
@@ -78,7 +78,7 @@
 
 test('late copies of reports make no dead machine seem alive, at its owner, at a keeper or after a takeover', () => {
   const c = cluster();
-  c.submit(job('run-d', { shape: 'service', rank: 3, cls: 'serve' }));
+  c.submit(job('run-d', { shape: 'service', priority: 3, jobClass: 'serve' }));
   c.until('running', () => c.running('run-d') === 1);
   c.run(4);
   const w = machineOf(c, 'run-d');
@@ -129,7 +129,7 @@
 
 test('a late report neither frees, finishes nor moves anything that is newer', () => {
   const c = cluster();
-  c.submit(job('run-e', { tasks: 2, estimateS: 30 }));
+  c.submit(job('run-e', { tasks: 2, estimatedRunS: 30 }));
   c.until('running', () => c.running('run-e') === 2);
   const w = machineOf(c, 'run-e');
   const owner = c.node(holderOf(c, shareOf(c, 'run-e')));
@@ -162,7 +162,7 @@
 
 test('a keeper passes on what changes, and says of the rest that nothing did', () => {
   const c = cluster();
-  c.submit(job('run-p', { shape: 'service', tasks: 8, spread: true, rank: 3, cls: 'serve' }));
+  c.submit(job('run-p', { shape: 'service', tasks: 8, spread: true, priority: 3, jobClass: 'serve' }));
   c.until('running', () => c.running('run-p') === 8);
   c.run(6);
   const before = c.relays;
@@ -189,7 +189,7 @@
   w.session = 5;
   w.seq = 900;
   c.run(10);
-  c.submit(job('run-k', { shape: 'service', tasks: 12, rank: 3, cls: 'serve' }));
+  c.submit(job('run-k', { shape: 'service', tasks: 12, priority: 3, jobClass: 'serve' }));
   c.until('running', () => c.running('run-k') === 12);
   const had = w.tasks.size;
   assert.ok(had > 0);
@@ -268,7 +268,7 @@
   const c = cluster();
   for (let index = 0; index < 9; index++) {
     const team = ['red', 'blue', 'green'][index % 3] as string;
-    c.submit(job(`run-${index}`, { team, estimateS: index < 3 ? 3 : 400 }), c.nodes[index % 3]);
+    c.submit(job(`run-${index}`, { team, estimatedRunS: index < 3 ? 3 : 400 }), c.nodes[index % 3]);
   }
   c.until('some done', () => c.finished.size >= 3, 40);
   c.cancel('run-4');
@@ -304,8 +304,8 @@
 
 test('repeats of submissions and cancellations that come late change nothing', () => {
   const c = cluster();
-  c.submit(job('run-once', { estimateS: 3 }));
-  c.submit(job('run-gone', { estimateS: 400 }));
+  c.submit(job('run-once', { estimatedRunS: 3 }));
+  c.submit(job('run-gone', { estimatedRunS: 400 }));
   c.until('running', () => c.running('run-gone') === 1);
   c.cancel('run-gone');
   c.until('done', () => c.ask('run-once') === 'done', 40);
@@ -326,7 +326,7 @@
 
 test('after a cut a share goes home only once its services run again: a change of holder stops starts', () => {
   const c = cluster(12);
-  c.submit(job('run-q', { team: 'blue', shape: 'service', tasks: 10, rank: 3, cls: 'serve' }));
+  c.submit(job('run-q', { team: 'blue', shape: 'service', tasks: 10, priority: 3, jobClass: 'serve' }));
   c.until('running', () => c.running('run-q') === 10);
   const shard = shareOf(c, 'run-q');
   const home = holderOf(c, shard);
@@ -360,7 +360,7 @@
   const cluster = new Cluster(['n0', 'n1', 'n2'], (settings) => ({ ...settings, teams: settings.teams.slice(0, 1) }));
   for (let index = 0; index < 40; index++) cluster.machine(`m${100 + index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.settle();
-  cluster.submit(job('run-k', { shape: 'service', tasks: 60, rank: 3, cls: 'serve' }));
+  cluster.submit(job('run-k', { shape: 'service', tasks: 60, priority: 3, jobClass: 'serve' }));
   cluster.until('running', () => cluster.running('run-k') === 60);
   cluster.run(10);
   cluster.trace = [];
@@ -380,7 +380,7 @@
 
 test('a worker whose controller has lost its workers is answered by another before it is sent back', () => {
   const c = cluster(8);
-  c.submit(job('run-p', { shape: 'service', tasks: 16, rank: 3, cls: 'serve' }));
+  c.submit(job('run-p', { shape: 'service', tasks: 16, priority: 3, jobClass: 'serve' }));
   c.until('running', () => c.running('run-p') === 16);
   c.run(6);
   c.trace = [];
--- a/test/cluster/rules.ts
+++ b/test/cluster/rules.ts
@@ -45,8 +45,9 @@
     }
     if (spec.spread && inZone >= Math.ceil(spec.tasks / 2)) cluster.broken(`wrong_place: ${spec.id} not spread`);
     if (spec.zone !== null && spec.zone !== worker.zone) cluster.broken(`wrong_place: ${spec.id} in ${worker.zone}`);
-    if (spec.types !== null && !spec.types.includes(worker.type)) cluster.broken(`wrong_place: ${spec.id} on a ${worker.type}`);
-    if (worker.spot && !spec.spot) cluster.broken(`wrong_place: ${spec.id} on a spot machine`);
+    if (spec.machineTypes !== null && !spec.machineTypes.includes(worker.type))
+      cluster.broken(`wrong_place: ${spec.id} on a ${worker.type}`);
+    if (worker.spot && !spec.allowsSpot) cluster.broken(`wrong_place: ${spec.id} on a spot machine`);
   }
 
   /** A worker began this task in this step. */
--- a/test/cluster/worker.ts
+++ b/test/cluster/worker.ts
@@ -146,7 +146,7 @@
       const over =
         this.fails || this.cluster.mistaken.has(t.job)
           ? 'error'
-          : spec.shape !== 'service' && now - t.startedAt >= spec.estimateS * 1000
+          : spec.shape !== 'service' && now - t.startedAt >= spec.estimatedRunS * 1000
             ? 'done'
             : null;
       if (!over) continue;
--- a/test/commands.test.ts
+++ b/test/commands.test.ts
@@ -8,7 +8,7 @@
   const cluster = smallCluster(4);
   cluster.commandsLost = () => true;
   cluster.lateMs = () => 9000;
-  cluster.submit(job('run-a', { estimateS: 60 }));
+  cluster.submit(job('run-a', { estimatedRunS: 60 }));
   const owner = cluster.node(holderOf(cluster, 0));
   cluster.until(
     'sent',
@@ -30,7 +30,7 @@
 test('a start is lost for good: the token rises, and the task is started anew', () => {
   const cluster = smallCluster(4);
   cluster.commandsLost = () => true;
-  cluster.submit(job('run-a', { estimateS: 60 }));
+  cluster.submit(job('run-a', { estimatedRunS: 60 }));
   const token = () => Math.max(...cluster.workers.map((w) => w.token));
   const before = token();
   cluster.run(1);
@@ -41,7 +41,7 @@
 
 test('direct commands to a machine are lost while the cloud is down: the answers to its reports stop what is cancelled', () => {
   const cluster = smallCluster(4);
-  cluster.submit(job('run-c', { zone: 'east', estimateS: 500 }));
+  cluster.submit(job('run-c', { zone: 'east', estimatedRunS: 500 }));
   cluster.until('running', () => cluster.running('run-c') === 1);
   const machine = cluster.on('run-c')[0];
   cluster.cloudDown = true;
@@ -53,7 +53,7 @@
 test('a machine executes its starts and its answer can not be read: nothing is started elsewhere', () => {
   const cluster = smallCluster(4);
   cluster.garbled = () => true;
-  cluster.submit(job('run-a', { tasks: 3, estimateS: 60 }));
+  cluster.submit(job('run-a', { tasks: 3, estimatedRunS: 60 }));
   cluster.run(5);
   cluster.garbled = () => false;
   cluster.until('running, once', () => cluster.running('run-a') === 3, 30);
@@ -63,7 +63,7 @@
 
 test('a machine begins again, and a copy of an older report follows: what runs on it now stays where it is', () => {
   const cluster = smallCluster(4);
-  for (const id of ['run-f0', 'run-f1', 'run-a']) cluster.submit(job(id, { zone: 'east', estimateS: 500 }));
+  for (const id of ['run-f0', 'run-f1', 'run-a']) cluster.submit(job(id, { zone: 'east', estimatedRunS: 500 }));
   cluster.until('running', () => cluster.running('run-a') === 1);
   const w = cluster.worker(cluster.on('run-a')[0] as string);
   assert.ok(w && !cluster.on('run-f0').includes(w.name));
@@ -95,7 +95,7 @@
 
 test('workers that reach no controller, while direct commands reach them: their work is asked for, and goes on', () => {
   const cluster = smallCluster(6);
-  cluster.submit(job('run-v', { shape: 'service', tasks: 2, rank: 3, cls: 'serve' }));
+  cluster.submit(job('run-v', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
   cluster.until('running', () => cluster.running('run-v') === 2);
   const muted = cluster.on('run-v')[0];
   cluster.mute = (m) => m === muted;
--- a/test/fleet/large-fleet.ts
+++ b/test/fleet/large-fleet.ts
@@ -98,7 +98,14 @@
       const id = `run-s${index}`;
       this.services.push(id);
       this.submit(
-        job(id, { team: TEAMS[index % TEAMS.length], shape: 'service', tasks: REPLICAS, rank: 3, cls: 'serve', spread: true }),
+        job(id, {
+          team: TEAMS[index % TEAMS.length],
+          shape: 'service',
+          tasks: REPLICAS,
+          priority: 3,
+          jobClass: 'serve',
+          spread: true,
+        }),
         index,
       );
       if (index % SUBMISSIONS_PER_STEP === SUBMISSIONS_PER_STEP - 1) cluster.run(0.1);
@@ -174,7 +181,7 @@
     const { cluster } = this;
     const ids = Array.from({ length: arrays }, (_, index) => `run-c${index}`);
     ids.forEach((id, index) => {
-      this.submit(job(id, { team: TEAMS[index % TEAMS.length], tasks: 4, cpus: 0.5, memory: 0.5, estimateS: 10_000 }), index);
+      this.submit(job(id, { team: TEAMS[index % TEAMS.length], tasks: 4, cpus: 0.5, memory: 0.5, estimatedRunS: 10_000 }), index);
     });
     const runs = () =>
       this.alive.reduce((count, worker) => count + [...worker.tasks.values()].filter(isCancelledArray).length, 0);
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -241,7 +241,7 @@
 test('long lists are stored in parts, which together say what the user did; a cancelled record is short', () => {
   const awaits = Array.from({ length: 900 }, (_, index) => `run-${String(index).padStart(6, '0')}`);
   const types = Array.from({ length: 64 }, (_, index) => `type-${index}-${'é'.repeat(40)}`);
-  const spec = job('run-long', { types });
+  const spec = job('run-long', { machineTypes: types });
   const limit = 2 * 1024 - 64;
   const encoded = encodeAcceptedJob('a/j/run-long', spec, awaits, 5, limit);
   assert.ok(encoded);
@@ -251,10 +251,10 @@
   const head = parseJobRecord(encoded.record);
   const parts = encoded.parts.map(parseJobPart);
   assert.equal(head.parts?.count, parts.length);
-  assert.deepEqual([...(head.spec?.types ?? []), ...parts.flatMap((part) => part.types)], types);
+  assert.deepEqual([...(head.spec?.machineTypes ?? []), ...parts.flatMap((part) => part.types)], types);
   assert.deepEqual([...(head.awaits ?? []), ...parts.flatMap((part) => part.awaits)], awaits);
   // A version that knows no parts allows less, never more: the list is never empty, which it would take for none.
-  assert.ok((head.spec?.types?.length ?? 0) > 0);
+  assert.ok((head.spec?.machineTypes?.length ?? 0) > 0);
   const again = encodeAcceptedJob('a/j/run-long', spec, awaits, 99, limit);
   assert.equal(again?.group, encoded.group, 'a repeated submission finds its parts');
   const old = { s: 0, t: 5, sp: encodeJobSpec(spec) };
@@ -268,9 +268,9 @@
   const c = cluster(6);
   fall(c);
   const before = Array.from({ length: 200 }, (_, index) => `run-${String(index).padStart(20, '0')}`);
-  for (const id of before) c.submit(job(id, { estimateS: 1, cpus: 0.1, memory: 0.1 }));
+  for (const id of before) c.submit(job(id, { estimatedRunS: 1, cpus: 0.1, memory: 0.1 }));
   const types = Array.from({ length: 64 }, (_, index) => `none-${index}-${'x'.repeat(60)}`);
-  const spec = job('run-long', { types: [...types.slice(1), 'small'], estimateS: 5 });
+  const spec = job('run-long', { machineTypes: [...types.slice(1), 'small'], estimatedRunS: 5 });
   // An acceptance that fails after its parts were stored costs no second copy of them.
   c.loseTxn = (e) => e.writes.some((write) => 'put' in write && write.put === 'a/j/run-long');
   c.specs.set(spec.id, spec);
@@ -299,7 +299,7 @@
   const c = cluster(4);
   const put = (key: string, value: unknown) =>
     c.state.txn({ type: 'compareAndSwap', id: 0, conditions: [], writes: [{ put: key, value }] }, c.now);
-  const spec = job('run-parts', { types: ['small'], estimateS: 2 });
+  const spec = job('run-parts', { machineTypes: ['small'], estimatedRunS: 2 });
   c.specs.set(spec.id, spec);
   put('a/j/run-parts', { s: 0, t: 0, sp: encodeJobSpec(spec), x: { k: 'group', n: 2 } });
   for (const part of [0, 1]) {
@@ -316,7 +316,7 @@
   const c = cluster(0);
   const put = (key: string, value: unknown) =>
     c.state.txn({ type: 'compareAndSwap', id: 0, conditions: [], writes: [{ put: key, value }] }, c.now);
-  const spec = job('run-parts', { types: ['none'], gpus: 1 });
+  const spec = job('run-parts', { machineTypes: ['none'], gpus: 1 });
   c.specs.set(spec.id, spec);
   put('a/x/run-parts/group/0', { ty: ['big'] });
   put('a/j/run-parts', { s: 0, t: 0, sp: encodeJobSpec(spec), x: { k: 'group', n: 1 } });
@@ -331,7 +331,7 @@
   const c = cluster(6);
   const types = ['small', ...Array.from({ length: 63 }, (_, index) => `none-${index}-${'x'.repeat(60)}`)];
   const large = (id: string) => {
-    const spec = job(id, { types, estimateS: 10 });
+    const spec = job(id, { machineTypes: types, estimatedRunS: 10 });
     c.specs.set(id, spec);
     c.state.txn(
       {
@@ -359,7 +359,7 @@
 
 test('progress stored in whole chunks and in parts is united, and what is done does not run again', () => {
   const c = cluster(6);
-  const spec = job('run-many', { tasks: 9000, cpus: 0.01, memory: 0.001, estimateS: 5 });
+  const spec = job('run-many', { tasks: 9000, cpus: 0.01, memory: 0.001, estimatedRunS: 5 });
   const done = new Uint8Array(9000).fill(1, 0, 8000);
   const whole = packBits(done, 0, 9000);
   c.specs.set(spec.id, spec);
@@ -384,7 +384,7 @@
   const before = c.nodes.map((node) => node.core.clusterState.leaseOf(0)?.revision);
   const ids = Array.from({ length: 400 }, (_, index) => `run-${index}`);
   ids.forEach((id, index) => {
-    c.specs.set(id, job(id, { cpus: 0.2, memory: 0.2, estimateS: 3 }));
+    c.specs.set(id, job(id, { cpus: 0.2, memory: 0.2, estimatedRunS: 3 }));
     const ask = () =>
       c.nodes[index % 3]?.submit(c.specs.get(id) as JobSpec, (status) => {
         if (status === 503) c.at(c.now + 1000, ask);
--- a/test/measure/core-load.ts
+++ b/test/measure/core-load.ts
@@ -62,9 +62,9 @@
     tasks: ARRAY_TASKS,
     cpus: 1.9,
     memory: 3.7,
-    estimateS: ARRAY_TASK_S,
-    spot: true,
-    rank: 1,
+    estimatedRunS: ARRAY_TASK_S,
+    allowsSpot: true,
+    priority: 1,
     image: `a${submitted % 16}`,
   });
 
@@ -73,7 +73,7 @@
   submit(`run-s${index}`, {
     shape: 'service',
     tasks: REPLICAS,
-    rank: 3,
+    priority: 3,
     cpus: 2,
     memory: 7.2,
     spread: true,
@@ -91,9 +91,9 @@
       cpus: 43,
       gpus: 8,
       memory: 310,
-      rank: 2,
-      estimateS: 200,
-      checkpointS: 30,
+      priority: 2,
+      estimatedRunS: 200,
+      checkpointIntervalS: 30,
     });
   cluster.run(1);
   cluster.trace = [];
--- a/test/measure/ledger.ts
+++ b/test/measure/ledger.ts
@@ -128,12 +128,12 @@
 await phase('machines without work', () => sleep(phaseS * 1000));
 await phase('services submitted', async () => {
   for (let index = 0; index < machines / MACHINES_PER_SERVICE; index++)
-    await submit(`run-s${index}`, { shape: 'service', tasks: REPLICAS, rank: 3, cpus: 1, memory: 1 });
+    await submit(`run-s${index}`, { shape: 'service', tasks: REPLICAS, priority: 3, cpus: 1, memory: 1 });
   await sleep(SETTLE_MS);
 });
 await phase('services run, users ask', () => ask(phaseS, () => submitted));
 const burst = setInterval(
-  () => void submit(`run-a${arrays++}`, { tasks: ARRAY_TASKS, cpus: 0.5, memory: 0.5, rank: 1 }),
+  () => void submit(`run-a${arrays++}`, { tasks: ARRAY_TASKS, cpus: 0.5, memory: 0.5, priority: 1 }),
   ARRAY_EACH_MS,
 );
 await sleep(SETTLE_MS);
--- a/test/measure/loopback.ts
+++ b/test/measure/loopback.ts
@@ -46,7 +46,7 @@
 console.log(`${granted()} granted after ${Date.now() - from} ms`);
 await watch('no work');
 for (let index = 0; index < machines / MACHINES_PER_SERVICE; index++) {
-  const service = job(`run-s${index}`, { shape: 'service', tasks: REPLICAS, rank: 3, cpus: 1, memory: 1 });
+  const service = job(`run-s${index}`, { shape: 'service', tasks: REPLICAS, priority: 3, cpus: 1, memory: 1 });
   await fleet.post(publicAddress, '/v2/runs', submission(service));
 }
 await watch('services');
--- a/test/ops.test.ts
+++ b/test/ops.test.ts
@@ -12,17 +12,17 @@
 for (const seconds of [0.9, 6, 16, 19, 25, 45]) {
   test(`the owner stands still for ${seconds} s: nothing runs twice or after its cancellation, no machine is thrown away`, () => {
     const cluster = smallCluster(8);
-    cluster.submit(job('run-v', { shape: 'service', tasks: 2, rank: 3, cls: 'serve' }));
-    cluster.submit(job('run-c', { tasks: 3, estimateS: 500 }));
+    cluster.submit(job('run-v', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
+    cluster.submit(job('run-c', { tasks: 3, estimatedRunS: 500 }));
     cluster.until('running', () => cluster.running('run-v') === 2 && cluster.running('run-c') === 3);
     const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-v')));
     const other = cluster.nodes.find((node) => node !== owner);
     assert.ok(other);
     // Decided just before: starts and a write are under way when it stops.
-    cluster.submit(job('run-w', { tasks: 4, estimateS: 4 }));
+    cluster.submit(job('run-w', { tasks: 4, estimatedRunS: 4 }));
     owner.freeze();
     cluster.cancel('run-c', other);
-    cluster.submit(job('run-x', { tasks: 4, estimateS: 4 }), other);
+    cluster.submit(job('run-x', { tasks: 4, estimatedRunS: 4 }), other);
     cluster.run(seconds);
     owner.thaw();
     cluster.until('the cancelled job is gone', () => cluster.on('run-c').length === 0, 36);
@@ -38,7 +38,7 @@
 
 test('what came while the owner stood still is lost: it asks its machines, and throws none away', () => {
   const cluster = smallCluster(8);
-  cluster.submit(job('run-v', { shape: 'service', tasks: 2, rank: 3, cls: 'serve' }));
+  cluster.submit(job('run-v', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
   cluster.until('running', () => cluster.running('run-v') === 2);
   const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-v')));
   owner.freeze();
@@ -51,7 +51,7 @@
 
 test('a machine that was silent for a moment, and then while its owner stood still, is not given up', () => {
   const cluster = smallCluster(12);
-  cluster.submit(job('run-v', { shape: 'service', tasks: 2, rank: 3, cls: 'serve' }));
+  cluster.submit(job('run-v', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
   cluster.until('running', () => cluster.running('run-v') === 2);
   const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-v')));
   const mine = [...owner.core.clusterState.machines.values()].filter((machine) => machine.shard === shareOf(cluster, 'run-v'));
@@ -59,7 +59,7 @@
   assert.ok(w);
   w.hung = true;
   cluster.run(3);
-  cluster.submit(job('run-k', { tasks: 2, estimateS: 60 }));
+  cluster.submit(job('run-k', { tasks: 2, estimatedRunS: 60 }));
   cluster.until(
     'a command is under way',
     () => mine.some((machine) => machine.name !== w.name && machine.tenure.pendingCommandId !== null),
@@ -76,9 +76,9 @@
 
 test('nothing is started after a pause before what is new has been read', () => {
   const cluster = smallCluster(2);
-  cluster.submit(job('run-a', { tasks: 4, estimateS: 4 }));
+  cluster.submit(job('run-a', { tasks: 4, estimatedRunS: 4 }));
   cluster.until('full', () => cluster.running('run-a') === 4);
-  cluster.submit(job('run-z', { tasks: 4, estimateS: 4 }));
+  cluster.submit(job('run-z', { tasks: 4, estimatedRunS: 4 }));
   cluster.run(0.5);
   const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-z')));
   const other = cluster.nodes.find((node) => node !== owner);
@@ -119,13 +119,13 @@
 
 test('all controllers stand still for longer than a cancellation has: what was cancelled before is not started after', () => {
   const cluster = smallCluster(6);
-  cluster.submit(job('run-s', { shape: 'service', tasks: 2, rank: 3, cls: 'serve' }));
+  cluster.submit(job('run-s', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
   cluster.until('running', () => cluster.running('run-s') === 2);
   const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-s')));
   const other = cluster.nodes.find((node) => node !== owner);
   assert.ok(other);
   owner.freeze();
-  cluster.submit(job('run-l', { tasks: 4, estimateS: 5 }), other);
+  cluster.submit(job('run-l', { tasks: 4, estimatedRunS: 5 }), other);
   cluster.cancel('run-l', other);
   for (const node of cluster.nodes) if (!node.frozen) node.freeze();
   cluster.run(45);
@@ -140,7 +140,7 @@
   const ids = ['run-b0', 'run-b1', 'run-b2', 'run-b3', 'run-b4', 'run-b5'];
   for (const id of ids) {
     cluster.mistaken.add(id);
-    cluster.submit(job(id, { tasks: id === 'run-b0' ? 30 : 1, estimateS: 5 }));
+    cluster.submit(job(id, { tasks: id === 'run-b0' ? 30 : 1, estimatedRunS: 5 }));
   }
   cluster.run(30);
   assert.deepEqual(dead(cluster), [], 'no healthy machine is put aside');
@@ -159,14 +159,14 @@
     assert.ok(Number(said[0]?.failed) >= 3 && String(said[0]?.note).includes('every machine'));
   }
   const before = cluster.trace.length;
-  cluster.submit(job('run-ok', { tasks: 18, estimateS: 3 }));
+  cluster.submit(job('run-ok', { tasks: 18, estimatedRunS: 3 }));
   cluster.until('healthy work is not held up', () => cluster.finished.size === 18, 20);
   cluster.run(10);
   assert.ok(cluster.trace.slice(before).filter((l) => l.includes('starts run-b')).length < 20, 'they are tried now and then');
   const bad = cluster.workers[0];
   assert.ok(bad);
   bad.fails = true;
-  for (let index = 0; index < 4; index++) cluster.submit(job(`run-h${index}`, { tasks: 8, estimateS: 3 }));
+  for (let index = 0; index < 4; index++) cluster.submit(job(`run-h${index}`, { tasks: 8, estimatedRunS: 3 }));
   cluster.until('all done', () => cluster.finished.size === 18 + 32, 90);
   assert.deepEqual(dead(cluster), [bad.name]);
   for (const id of ids) cluster.cancel(id);
@@ -177,9 +177,9 @@
 test('what a job that fails everywhere cast on machines is taken back', () => {
   const cluster = smallCluster(3);
   cluster.mistaken.add('run-b');
-  cluster.submit(job('run-b', { tasks: 6, estimateS: 3 }));
+  cluster.submit(job('run-b', { tasks: 6, estimatedRunS: 3 }));
   cluster.run(8);
-  cluster.submit(job('run-good', { tasks: 12, estimateS: 3 }));
+  cluster.submit(job('run-good', { tasks: 12, estimatedRunS: 3 }));
   cluster.until('some done', () => cluster.finished.size >= 4, 30);
   cluster.run(1);
   const w = cluster.workers.find((x) => [...x.tasks.values()].some((t) => t.job === 'run-good' && t.state === 'running'));
@@ -194,7 +194,7 @@
 test('a job that failed on faulty machines only recovers', () => {
   const cluster = smallCluster(8);
   for (const w of cluster.workers.slice(0, 4)) w.fails = true;
-  cluster.submit(job('run-r', { tasks: 8, estimateS: 3 }));
+  cluster.submit(job('run-r', { tasks: 8, estimatedRunS: 3 }));
   cluster.run(8);
   for (const w of cluster.workers) w.fails = false;
   cluster.until('done', () => cluster.ask('run-r') === 'done', 90);
@@ -212,8 +212,8 @@
   const changes = () => [...cluster.changes.values()].reduce((a, count) => a + count, 0);
   const before = changes();
   const guests = Array.from({ length: 60 }, (_, index) => `run-g${index}`);
-  for (const id of guests) cluster.submit(job(id, { team: 'guest', rank: 0, cpus: 1, memory: 2, estimateS: 8 }));
-  cluster.submit(job('run-first', { team: 'red', shape: 'service', tasks: 4, rank: 3, cls: 'serve' }));
+  for (const id of guests) cluster.submit(job(id, { team: 'guest', priority: 0, cpus: 1, memory: 2, estimatedRunS: 8 }));
+  cluster.submit(job('run-first', { team: 'red', shape: 'service', tasks: 4, priority: 3, jobClass: 'serve' }));
   cluster.until('others do not wait', () => cluster.running('run-first') === 4, 8);
   cluster.until('the guests are served', () => guests.every((id) => cluster.finished.has(`${id}/0`)), 120);
   cluster.run(5);
@@ -226,7 +226,7 @@
   cluster.machine('g0', 'big', 'east');
   cluster.machine('g1', 'big', 'east');
   cluster.settle();
-  const train = { shape: 'gang' as const, gpus: 8, cpus: 40, memory: 100, estimateS: 200, rank: 1 };
+  const train = { shape: 'gang' as const, gpus: 8, cpus: 40, memory: 100, estimatedRunS: 200, priority: 1 };
   cluster.submit(job('run-0', { ...train, team: 'red' }));
   cluster.submit(job('run-1', { ...train, team: 'red' }));
   cluster.until('both run', () => cluster.running('run-0') + cluster.running('run-1') === 2, 40);
@@ -244,7 +244,9 @@
   cluster.settle();
   cluster.rents.length = 0;
   const start = cluster.now;
-  cluster.submit(job('run-low', { team: 'guest', rank: 0, tasks: 200, cpus: 1, memory: 2, estimateS: 400, spot: true }));
+  cluster.submit(
+    job('run-low', { team: 'guest', priority: 0, tasks: 200, cpus: 1, memory: 2, estimatedRunS: 400, allowsSpot: true }),
+  );
   cluster.run(150);
   const soon = cluster.rents.filter((r) => r.at - start < 55_000);
   assert.ok(soon.length > 0 && soon.every((r) => r.spot), 'cheap ones at first');
@@ -277,7 +279,7 @@
   const cluster = new Cluster(['n0', 'n1', 'n2'], withGuest);
   for (let index = 0; index < 6; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.settle();
-  cluster.submit(job('run-tiles', { team: 'guest', rank: 0, tasks: 2000, cpus: 0.5, memory: 1, estimateS: 0.7 }));
+  cluster.submit(job('run-tiles', { team: 'guest', priority: 0, tasks: 2000, cpus: 0.5, memory: 1, estimatedRunS: 0.7 }));
   cluster.run(10);
   const before = cluster.commands;
   const done = cluster.finished.size;
@@ -288,7 +290,7 @@
 
 test('a storm of questions costs one reading, and everybody is answered', () => {
   const cluster = smallCluster(4);
-  for (let index = 0; index < 10; index++) cluster.submit(job(`run-${index}`, { tasks: 1, estimateS: 600 }));
+  for (let index = 0; index < 10; index++) cluster.submit(job(`run-${index}`, { tasks: 1, estimatedRunS: 600 }));
   cluster.run(5);
   const node = cluster.nodes[1];
   assert.ok(node);
--- a/test/order.test.ts
+++ b/test/order.test.ts
@@ -12,14 +12,14 @@
   }));
   for (let index = 0; index < 3; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.settle();
-  for (let index = 0; index < 2; index++) cluster.submit(job(`run-first${index}`, { tasks: 6, estimateS: 8 }));
+  for (let index = 0; index < 2; index++) cluster.submit(job(`run-first${index}`, { tasks: 6, estimatedRunS: 8 }));
   cluster.run(2);
   const began = cluster.now;
-  cluster.submit(job('run-large', { tasks: 80, estimateS: 8 }));
+  cluster.submit(job('run-large', { tasks: 80, estimatedRunS: 8 }));
   const late: string[] = [];
   for (let count = 0; cluster.now - began < 240_000; count++) {
     const id = `run-small${count}`;
-    cluster.submit(job(id, { tasks, estimateS: 8 }));
+    cluster.submit(job(id, { tasks, estimatedRunS: 8 }));
     cluster.at(cluster.now + withinS * 1000, () => {
       for (let index = 0; index < tasks; index++) if (!cluster.finished.has(`${id}/${index}`)) late.push(`${id}/${index}`);
     });
@@ -46,14 +46,16 @@
   const cluster = new Cluster();
   cluster.machine('m0', 'big', 'east');
   cluster.settle();
-  cluster.submit(job('run-train', { shape: 'gang', rank: 2, cls: 'train', cpus: 43, gpus: 8, memory: 310, estimateS: 300 }));
+  cluster.submit(
+    job('run-train', { shape: 'gang', priority: 2, jobClass: 'train', cpus: 43, gpus: 8, memory: 310, estimatedRunS: 300 }),
+  );
   cluster.until('trains', () => cluster.running('run-train') === 1);
   return cluster;
 }
 
 test('services of the highest rank that find no room for a plan wait take the place of a gang within its guarantee', () => {
   const cluster = oneTakenMachine();
-  cluster.submit(job('run-serve', { shape: 'service', rank: 3, cls: 'serve', tasks: 16, memory: 7 }));
+  cluster.submit(job('run-serve', { shape: 'service', priority: 3, jobClass: 'serve', tasks: 16, memory: 7 }));
   cluster.run(8);
   assert.equal(cluster.running('run-train'), 1, 'not before other room had time to come free');
   cluster.until('all replicas run', () => cluster.running('run-serve') === 16, 30);
@@ -65,7 +67,7 @@
 
 test('a machine that bears a gang within its guarantee goes to the share whose services press', () => {
   const cluster = oneTakenMachine();
-  cluster.submit(job('run-serve', { team: 'blue', shape: 'service', rank: 3, cls: 'serve', tasks: 12, memory: 7 }));
+  cluster.submit(job('run-serve', { team: 'blue', shape: 'service', priority: 3, jobClass: 'serve', tasks: 12, memory: 7 }));
   cluster.run(10);
   assert.equal(cluster.running('run-train'), 1);
   cluster.until('replicas run', () => cluster.running('run-serve') === 12, 60);
@@ -74,8 +76,8 @@
 
 test('a few replicas without room stop no gang within its guarantee', () => {
   const cluster = oneTakenMachine();
-  cluster.submit(job('run-serve', { shape: 'service', rank: 3, cls: 'serve', tasks: 6, memory: 7 }));
-  cluster.submit(job('run-other', { team: 'blue', shape: 'service', rank: 3, cls: 'serve', tasks: 6, memory: 7 }));
+  cluster.submit(job('run-serve', { shape: 'service', priority: 3, jobClass: 'serve', tasks: 6, memory: 7 }));
+  cluster.submit(job('run-other', { team: 'blue', shape: 'service', priority: 3, jobClass: 'serve', tasks: 6, memory: 7 }));
   cluster.run(60);
   assert.equal(cluster.running('run-train'), 1);
   assert.equal(cluster.running('run-serve'), 2, 'beside it there is room for two');
--- a/test/outages.test.ts
+++ b/test/outages.test.ts
@@ -22,7 +22,7 @@
       const cluster = smallCluster(8);
       const ids = ['run-gap0', 'run-gap1', 'run-gap2', 'run-gap3'];
       for (const [index, id] of ids.entries())
-        cluster.submit(job(id, { team: ['red', 'blue', 'green', 'red'][index] as string, tasks: 3, estimateS: 500 }));
+        cluster.submit(job(id, { team: ['red', 'blue', 'green', 'red'][index] as string, tasks: 3, estimatedRunS: 500 }));
       cluster.until('running', () => ids.every((id) => cluster.running(id) === 3));
       const lead = holderOf(cluster, 'lead');
       const holder = holderOf(cluster, shareOf(cluster, 'run-gap0'));
@@ -58,8 +58,8 @@
  */
 test('an outage far longer than a lease kills nothing while all controllers hear one another', () => {
   const cluster = smallCluster(8);
-  cluster.submit(job('run-v', { shape: 'service', tasks: 2, rank: 3, cls: 'serve' }));
-  cluster.submit(job('run-a', { tasks: 4, estimateS: 100 }));
+  cluster.submit(job('run-v', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
+  cluster.submit(job('run-a', { tasks: 4, estimatedRunS: 100 }));
   cluster.until('running', () => cluster.running('run-v') === 2 && cluster.running('run-a') === 4);
   cluster.run(2);
   cluster.stateDown = true;
@@ -101,7 +101,7 @@
       const cluster = smallCluster(8);
       const ids = ['run-v0', 'run-v1', 'run-v2'];
       for (const [index, id] of ids.entries())
-        cluster.submit(job(id, { team: ['red', 'blue', 'green'][index] as string, tasks: 3, estimateS: 500 }));
+        cluster.submit(job(id, { team: ['red', 'blue', 'green'][index] as string, tasks: 3, estimatedRunS: 500 }));
       cluster.until('running', () => ids.every((id) => cluster.running(id) === 3));
       cluster.run(3);
       const old = cluster.node(holderOf(cluster, 0));
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -43,7 +43,7 @@
 function chain(cluster: Cluster, ids: string[], over: Parameters<typeof job>[1] = {}): void {
   ids.forEach((id, index) => {
     cluster.submit(
-      job(id, { estimateS: 3, ...over }),
+      job(id, { estimatedRunS: 3, ...over }),
       cluster.nodes[index % cluster.nodes.length],
       index === 0 ? [] : [ids[index - 1] as string],
     );
@@ -107,7 +107,7 @@
   chain(
     cluster,
     Array.from({ length: 40 }, (_, index) => `run-${index}`),
-    { estimateS: 300 },
+    { estimatedRunS: 300 },
   );
   cluster.run(2);
   const before = cluster.changes.get('j') ?? 0;
@@ -137,8 +137,8 @@
 // A cancellation that meets the end of the last task: one record decides, and everything follows it.
 test('a cancellation answered with done lets the jobs after it go on; one that comes first stops them', () => {
   const cluster = smallCluster(6);
-  cluster.submit(job('run-a', { estimateS: 2 }));
-  cluster.submit(job('run-b', { estimateS: 2 }), cluster.nodes[1], ['run-a']);
+  cluster.submit(job('run-a', { estimatedRunS: 2 }));
+  cluster.submit(job('run-b', { estimatedRunS: 2 }), cluster.nodes[1], ['run-a']);
   cluster.until('done', () => cluster.allDone('run-a'), 40);
   cluster.until('stored', () => cluster.ask('run-a') === 'done', 10);
   cluster.cancel('run-a');
@@ -151,9 +151,9 @@
   const answers = new Set<string>();
   for (let offset = 0; offset <= 2000; offset += 100) {
     const cluster = smallCluster(4);
-    cluster.submit(job('run-a', { estimateS: 2 }));
-    cluster.submit(job('run-b', { estimateS: 1, team: 'blue' }), cluster.nodes[1], ['run-a']);
-    cluster.submit(job('run-c', { estimateS: 1, team: 'green' }), cluster.nodes[2], ['run-b']);
+    cluster.submit(job('run-a', { estimatedRunS: 2 }));
+    cluster.submit(job('run-b', { estimatedRunS: 1, team: 'blue' }), cluster.nodes[1], ['run-a']);
+    cluster.submit(job('run-c', { estimatedRunS: 1, team: 'green' }), cluster.nodes[2], ['run-b']);
     cluster.until('running', () => cluster.running('run-a') === 1, 10);
     cluster.run(1.2 + offset / 1000);
     let answer = '';
@@ -172,8 +172,8 @@
 // Nobody can read the cancellation meanwhile; nobody may start, or call queued, what it stops.
 test('a cancellation just before an outage longer than a cancellation may take reaches all jobs after it', () => {
   const cluster = smallCluster(4);
-  cluster.submit(job('run-a', { estimateS: 2 }));
-  cluster.submit(job('run-b', { estimateS: 1, team: 'blue' }), undefined, ['run-a']);
+  cluster.submit(job('run-a', { estimatedRunS: 2 }));
+  cluster.submit(job('run-b', { estimatedRunS: 1, team: 'blue' }), undefined, ['run-a']);
   const [first, second] = cluster.nodes as [Node, Node];
   second.lagging = true;
   cluster.cancel('run-a', first);
@@ -189,10 +189,10 @@
 test('a diamond: the last job starts after both sides, and is cancelled with either', () => {
   const cluster = smallCluster(8);
   const diamond = (p: string) => {
-    cluster.submit(job(`run-${p}0`, { estimateS: 2 }));
-    cluster.submit(job(`run-${p}1`, { team: 'blue', estimateS: 3 }), cluster.nodes[1], [`run-${p}0`]);
-    cluster.submit(job(`run-${p}2`, { team: 'green', estimateS: 9 }), cluster.nodes[2], [`run-${p}0`]);
-    cluster.submit(job(`run-${p}3`, { estimateS: 2 }), cluster.nodes[0], [`run-${p}1`, `run-${p}2`]);
+    cluster.submit(job(`run-${p}0`, { estimatedRunS: 2 }));
+    cluster.submit(job(`run-${p}1`, { team: 'blue', estimatedRunS: 3 }), cluster.nodes[1], [`run-${p}0`]);
+    cluster.submit(job(`run-${p}2`, { team: 'green', estimatedRunS: 9 }), cluster.nodes[2], [`run-${p}0`]);
+    cluster.submit(job(`run-${p}3`, { estimatedRunS: 2 }), cluster.nodes[0], [`run-${p}1`, `run-${p}2`]);
   };
   diamond('a');
   cluster.until('the last is done', () => cluster.allDone('run-a3'), 60);
@@ -235,11 +235,11 @@
 test('a job awaited by thousands, and a chain of hundreds, are released one after another', () => {
   const cluster = smallCluster(4);
   const first = cluster.nodes[0] as Node;
-  cluster.submit(job('run-root', { estimateS: 60 }));
+  cluster.submit(job('run-root', { estimatedRunS: 60 }));
   const conditions = { type: 'compareAndSwap' as const, id: 0, conditions: [] };
   const writes = Array.from({ length: 3000 }, (_, index) => {
     const id = `run-w${index}`;
-    cluster.specs.set(id, job(id, { rank: index === 2999 ? 2 : 0 }));
+    cluster.specs.set(id, job(id, { priority: index === 2999 ? 2 : 0 }));
     return { put: `a/j/${id}`, value: { s: 3, t: 0, sp: encodeJobSpec(cluster.specs.get(id) as JobSpec), aw: ['run-root'] } };
   });
   const links = Array.from({ length: 500 }, (_, index) => {
--- a/test/recorded-formats.test.ts
+++ b/test/recorded-formats.test.ts
@@ -249,19 +249,25 @@
 
 function submitEachShape(cluster: Cluster): void {
   for (const team of ['red', 'blue', 'green']) {
-    cluster.submit(job(`run-${team}-array`, { team, tasks: 6, cpus: 0.5, memory: 1, estimateS: 6 }));
-    cluster.submit(job(`run-${team}-gang`, { team, shape: 'gang', tasks: 2, cpus: 0.5, memory: 1, oneZone: true, estimateS: 8 }));
+    cluster.submit(job(`run-${team}-array`, { team, tasks: 6, cpus: 0.5, memory: 1, estimatedRunS: 6 }));
+    cluster.submit(
+      job(`run-${team}-gang`, { team, shape: 'gang', tasks: 2, cpus: 0.5, memory: 1, oneZone: true, estimatedRunS: 8 }),
+    );
   }
-  cluster.submit(job('run-service', { shape: 'service', rank: 3, cls: 'serve', tasks: 2, cpus: 0.5, memory: 1, spread: true }));
+  cluster.submit(
+    job('run-service', { shape: 'service', priority: 3, jobClass: 'serve', tasks: 2, cpus: 0.5, memory: 1, spread: true }),
+  );
 }
 
 function workAndTrouble(cluster: Cluster): void {
   addMachines(cluster, 6);
   cluster.run(15);
   submitEachShape(cluster);
-  cluster.submit(job('run-called-off', { tasks: 3, estimateS: 300, types: ['small'], zone: 'east', deadlineS: 900.5 }));
-  cluster.submit(job('run-partly', { tasks: 9, cpus: 4, memory: 1, estimateS: 5, spot: true }));
-  cluster.submit(job('run-next', { estimateS: 3, checkpointS: 1, saveS: 0.5 }), cluster.nodes[1], [
+  cluster.submit(
+    job('run-called-off', { tasks: 3, estimatedRunS: 300, machineTypes: ['small'], zone: 'east', deadlineS: 900.5 }),
+  );
+  cluster.submit(job('run-partly', { tasks: 9, cpus: 4, memory: 1, estimatedRunS: 5, allowsSpot: true }));
+  cluster.submit(job('run-next', { estimatedRunS: 3, checkpointIntervalS: 1, checkpointSaveS: 0.5 }), cluster.nodes[1], [
     'run-red-array',
     'run-partly',
   ]);
@@ -276,7 +282,7 @@
   cluster.run(3);
   // Commands that are lost raise the token of their machine.
   cluster.commandsLost = (_node, machine) => machine === 'm1';
-  cluster.submit(job('run-lost', { team: 'blue', tasks: 12, cpus: 1, estimateS: 4 }));
+  cluster.submit(job('run-lost', { team: 'blue', tasks: 12, cpus: 1, estimatedRunS: 4 }));
   cluster.run(8);
   cluster.commandsLost = () => false;
   const noticed = cluster.worker('m5');
@@ -298,7 +304,7 @@
   addMachines(cluster, 6);
   cluster.run(15);
   for (const team of ['red', 'blue', 'green']) {
-    cluster.submit(job(`run-${team}`, { team, tasks: 12, cpus: 2, memory: 1, estimateS: 4 }));
+    cluster.submit(job(`run-${team}`, { team, tasks: 12, cpus: 2, memory: 1, estimatedRunS: 4 }));
     cluster.until('all is done, on machines of other shares too', () => cluster.allDone(`run-${team}`), 90);
   }
   cluster.run(90);
@@ -308,7 +314,7 @@
   addMachines(cluster, 6);
   cluster.settle();
   // All but the last 500 tasks are done, and stored as one whole chunk.
-  const spec = job('run-large', { tasks: 9000, cpus: 0.5, memory: 0.1, estimateS: 4 });
+  const spec = job('run-large', { tasks: 9000, cpus: 0.5, memory: 0.1, estimatedRunS: 4 });
   cluster.specs.set(spec.id, spec);
   for (let index = 0; index < 8500; index++) cluster.finished.add(`run-large/${index}`);
   putRow(cluster, 'a/p/run-large/0', 'f'.repeat(8500 / 4));
@@ -326,10 +332,10 @@
   cluster.settle();
   const types = [...Array.from({ length: 63 }, (_, index) => `none-${index}-${'x'.repeat(60)}`), 'small'];
   const first = Array.from({ length: 90 }, (_, index) => `run-${String(index).padStart(20, '0')}`);
-  for (const id of first) cluster.submit(job(id, { estimateS: 1, cpus: 0.1, memory: 0.1 }));
-  cluster.submit(job('run-types', { types, estimateS: 3 }));
-  cluster.submit(job('run-chain', { types, estimateS: 300 }), cluster.nodes[1], first);
-  cluster.submit(job('run-off', { types, estimateS: 300 }), cluster.nodes[2], first);
+  for (const id of first) cluster.submit(job(id, { estimatedRunS: 1, cpus: 0.1, memory: 0.1 }));
+  cluster.submit(job('run-types', { machineTypes: types, estimatedRunS: 3 }));
+  cluster.submit(job('run-chain', { machineTypes: types, estimatedRunS: 300 }), cluster.nodes[1], first);
+  cluster.submit(job('run-off', { machineTypes: types, estimatedRunS: 300 }), cluster.nodes[2], first);
   cluster.cancel('run-off');
   cluster.until('it runs', () => cluster.running('run-chain') === 1, 120);
   assert.ok(shareOf(cluster, 'run-chain') >= 0);
@@ -345,9 +351,9 @@
   cluster.bootMs = () => 3000;
   addMachines(cluster, 3);
   cluster.run(20);
-  cluster.submit(job('run-rented', { tasks: 12, cpus: 4, memory: 4, estimateS: 20, rank: 2 }));
+  cluster.submit(job('run-rented', { tasks: 12, cpus: 4, memory: 4, estimatedRunS: 20, priority: 2 }));
   cluster.run(40);
-  cluster.submit(job('run-gang', { shape: 'gang', tasks: 3, cpus: 4, memory: 1, estimateS: 10, rank: 2 }));
+  cluster.submit(job('run-gang', { shape: 'gang', tasks: 3, cpus: 4, memory: 1, estimatedRunS: 10, priority: 2 }));
   cluster.run(60);
 }
 
@@ -577,9 +583,9 @@
       (_, index) => rows.find((row) => row.key === `a/x/${spec.id}/${group}/${index}`)?.value,
     );
     const parts = stored.map(parseJobPart);
-    const types = [...(spec.types ?? []), ...parts.flatMap((part) => part.types)];
+    const types = [...(spec.machineTypes ?? []), ...parts.flatMap((part) => part.types)];
     const awaits = [...(decoded.awaits ?? []), ...parts.flatMap((part) => part.awaits)];
-    const encoded = encodeAcceptedJob(key, { ...spec, types }, awaits, decoded.submittedAt, maxWriteBytes);
+    const encoded = encodeAcceptedJob(key, { ...spec, machineTypes: types }, awaits, decoded.submittedAt, maxWriteBytes);
     assert.equal(JSON.stringify(encoded), JSON.stringify({ record: value, parts: stored, group }));
     compared++;
   }
@@ -621,7 +627,7 @@
 
 // ---- What can't be read
 
-const SPEC = encodeJobSpec(job('run-bad', { tasks: 9, types: ['small'] }));
+const SPEC = encodeJobSpec(job('run-bad', { tasks: 9, machineTypes: ['small'] }));
 const GRANT = { s: 0, a: 'bad', t: 'small', z: 'east', sp: false };
 const PARTS = { s: 0, t: 5, sp: SPEC, x: { k: 'group', n: 1 } };
 const STATUS_ROW = (played['work and trouble of each kind'] as RecordedDay).rows.find((row) => row.key.startsWith('a/s/'));
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -65,7 +65,7 @@
 /** A job is cancelled while its start is on its way; then the start comes back, not carried out. */
 function cancelledWhileItsStartIsSent(cluster: Cluster, fail: () => void, mend: () => void): void {
   fail();
-  cluster.submit(job('run-a', { tasks: 2, estimateS: 300 }));
+  cluster.submit(job('run-a', { tasks: 2, estimatedRunS: 300 }));
   const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-a')));
   const allocations = () => [...(owner.core.clusterState.jobs.get('run-a')?.tenure.allocations.values() ?? [])];
   cluster.until('sent', () => allocations().some((allocation) => allocation.phase === 'sent'), 5);
@@ -231,12 +231,12 @@
   for (let index = 0; index < 240; index++) cluster.machine(`m${1000 + index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.settle();
   const ids = Array.from({ length: 6 }, (_, index) => `run-${index}`);
-  for (const id of ids) cluster.submit(job(id, { tasks: 40, cpus: 3, estimateS: 500 }));
+  for (const id of ids) cluster.submit(job(id, { tasks: 40, cpus: 3, estimatedRunS: 500 }));
   cluster.until('all run', () => ids.every((id) => cluster.running(id) === 40), 60);
   cluster.run(20);
   // A second task for each machine: its start is lost, and nothing is answered meanwhile that could stop anything.
   cluster.commandsLost = () => true;
-  cluster.submit(job('run-more', { tasks: 240, cpus: 1, estimateS: 500 }));
+  cluster.submit(job('run-more', { tasks: 240, cpus: 1, estimatedRunS: 500 }));
   const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-0')));
   const machines = () => [...owner.core.clusterState.machines.values()];
   const sent = () =>
@@ -259,7 +259,7 @@
 // A task that its owner knows nothing of ran on for as long as direct commands didn't get through to its machine.
 test('a second attempt of a job that is done is stopped by the answers to reports, and takes no new work meanwhile', () => {
   const cluster = smallCluster(2);
-  cluster.submit(job('run-a', { estimateS: 2 }));
+  cluster.submit(job('run-a', { estimatedRunS: 2 }));
   cluster.until('done', () => cluster.ask('run-a') === 'done', 30);
   const w = cluster.worker('m0') as WorkerStandIn;
   cluster.commandsLost = (_n, m) => m === 'm0';
@@ -277,7 +277,7 @@
 
 test('a report that names what can not be: it is stopped, and nothing else is harmed', () => {
   const cluster = smallCluster(2);
-  cluster.submit(job('run-a', { tasks: 2, cpus: 1, estimateS: 300 }));
+  cluster.submit(job('run-a', { tasks: 2, cpus: 1, estimatedRunS: 300 }));
   cluster.until('running', () => cluster.running('run-a') === 2);
   const w = cluster.worker(cluster.on('run-a')[0] as string) as WorkerStandIn;
   const odd = { index: 0, attempt: 99, state: 'running' as const, exitReason: null, saved: false, startedAt: cluster.now + 1e6 };
@@ -322,13 +322,13 @@
   for (const isLate of [false, true]) {
     const cluster = smallCluster(4);
     const [first, second] = cluster.nodes as [Node, Node];
-    cluster.submit(job('run-a', { estimateS: 3 }), second);
+    cluster.submit(job('run-a', { estimatedRunS: 3 }), second);
     cluster.loseTxn = (e, apply) => {
       if (!e.writes.some((write) => 'put' in write && write.put === 'a/j/run-b')) return false;
       cluster.at(cluster.now + (isLate ? 9000 : 0), apply);
       return true;
     };
-    cluster.specs.set('run-b', job('run-b', { tasks: 2, estimateS: 3 }));
+    cluster.specs.set('run-b', job('run-b', { tasks: 2, estimatedRunS: 3 }));
     cluster.awaits.set('run-b', ['run-a']);
     first.submit(cluster.specs.get('run-b') as JobSpec, () => {});
     cluster.run(0.3);
@@ -343,12 +343,12 @@
 /** What the jobs that need it give to a job, worked out by the definition alone. */
 function inherited(id: string, specs: Map<string, JobSpec>, awaits: Map<string, string[]>): { rank: number; endBy: number } {
   const spec = specs.get(id) as JobSpec;
-  let priority = spec.rank;
+  let priority = spec.priority;
   let endBy = spec.deadlineS === null ? Number.POSITIVE_INFINITY : spec.deadlineS * 1000;
   for (const [other, names] of awaits) {
     if (!names.includes(id)) continue;
     const from = inherited(other, specs, awaits);
-    const { estimateS, imageGb } = specs.get(other) as JobSpec;
+    const { estimatedRunS: estimateS, imageSizeGb: imageGb } = specs.get(other) as JobSpec;
     priority = Math.max(priority, from.rank);
     endBy = Math.min(endBy, from.endBy - (estimateS + imageGb) * 1000);
   }
@@ -364,7 +364,7 @@
     for (let index = 0; index < 14; index++) {
       const id = `run-${index}`;
       const deadlineS = random.isUnder(0.4) ? 100 + random.below(900) : null;
-      specs.set(id, job(id, { rank: random.below(4), estimateS: 1 + random.below(60), deadlineS }));
+      specs.set(id, job(id, { priority: random.below(4), estimatedRunS: 1 + random.below(60), deadlineS }));
       const names = Array.from({ length: Math.min(index, random.below(4)) }, () => `run-${random.below(index)}`);
       awaits.set(id, [...new Set(names)]);
     }
--- a/test/size-limits.test.ts
+++ b/test/size-limits.test.ts
@@ -331,7 +331,7 @@
   cluster.machine('big', 'big');
   cluster.settle();
   const tasks = 2 * MAX_COMMANDS_PER_BODY;
-  cluster.submit(job('run-many', { tasks, cpus: 0.01, memory: 0.01, estimateS: 10_000 }));
+  cluster.submit(job('run-many', { tasks, cpus: 0.01, memory: 0.01, estimatedRunS: 10_000 }));
   cluster.until('all run', () => cluster.running('run-many') === tasks, 60);
   let limit = 0;
   cluster.commanded = (commands) => {
@@ -364,7 +364,7 @@
   const cluster = new Cluster(['n0']);
   for (let index = 0; index < 16; index++) cluster.machine(`m${index}`);
   cluster.settle();
-  cluster.submit(job('run-x', { shape: 'service', tasks: 16, rank: 3 }));
+  cluster.submit(job('run-x', { shape: 'service', tasks: 16, priority: 3 }));
   cluster.until('running', () => cluster.running('run-x') === 16, 30);
   cluster.deaf = () => true;
   const node = cluster.nodes[0] as Node;
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -18,7 +18,7 @@
 
 test('after a takeover during a cut, machines that were not asked yet are not thrown away', () => {
   const cluster = oneShare(240, 40);
-  cluster.submit(job('run-x', { shape: 'service', tasks: 60, rank: 3, cls: 'serve' }));
+  cluster.submit(job('run-x', { shape: 'service', tasks: 60, priority: 3, jobClass: 'serve' }));
   cluster.until('running', () => cluster.running('run-x') === 60, 30);
   const west = (x: string) => x === 'n1' || x.startsWith('m1');
   cluster.cut = (a, b) => west(a) !== west(b);
@@ -63,7 +63,7 @@
   for (let index = 0; index < 300; index++) {
     const id = `run-s${index}`;
     cluster.submit(
-      job(id, { team: teams[index % 7] as string, shape: 'service', tasks: 4, rank: 3, cls: 'serve', spread: true }),
+      job(id, { team: teams[index % 7] as string, shape: 'service', tasks: 4, priority: 3, jobClass: 'serve', spread: true }),
     );
   }
   const up = () => Array.from({ length: 300 }, (_, index) => cluster.running(`run-s${index}`)).reduce((a, b) => a + b, 0);
--- a/test/takeovers.test.ts
+++ b/test/takeovers.test.ts
@@ -34,7 +34,7 @@
   // Each of them reaches one machine alone: what both start is started twice.
   const last = mine.at(-1);
   cluster.cut = (a, b) => (a === home.name && b !== last && mine.includes(b)) || (a === old.name && b === last);
-  cluster.submit(job('run-twice', { team: 'blue', estimateS: 60 }), old);
+  cluster.submit(job('run-twice', { team: 'blue', estimatedRunS: 60 }), old);
   cluster.run(4);
   old.lagging = false;
   cluster.loseTxn = null;
@@ -45,9 +45,9 @@
 
 test('a controller that the state service alone refuses starts nothing that others may have called off meanwhile', () => {
   const cluster = smallCluster(2);
-  cluster.submit(job('run-a', { tasks: 4, estimateS: 9 }));
+  cluster.submit(job('run-a', { tasks: 4, estimatedRunS: 9 }));
   cluster.until('full', () => cluster.running('run-a') === 4);
-  cluster.submit(job('run-z', { tasks: 2, estimateS: 9 }));
+  cluster.submit(job('run-z', { tasks: 2, estimatedRunS: 9 }));
   cluster.run(1);
   const owner = cluster.node(holderOf(cluster, 0));
   owner.refused = true;
@@ -66,7 +66,7 @@
     const cluster = new Cluster();
     for (let index = 0; index < 6; index++) cluster.machine(`g${index}`, 'big', index % 2 === 0 ? 'east' : 'west');
     cluster.settle();
-    const gang = { shape: 'gang' as const, gpus: 8, cpus: 40, estimateS: 200, rank: 2 };
+    const gang = { shape: 'gang' as const, gpus: 8, cpus: 40, estimatedRunS: 200, priority: 2 };
     for (const team of ['red', 'blue', 'green'])
       for (let index = 0; index < (team === 'green' ? 1 : 2); index++)
         cluster.submit(job(`run-${team}${index}`, { ...gang, team }));
@@ -75,7 +75,7 @@
       () => ['red0', 'red1', 'blue0', 'blue1', 'green0'].every((x) => cluster.running(`run-${x}`) === 1),
       90,
     );
-    for (const team of ['red', 'blue', 'green']) cluster.submit(job(`run-${team}9`, { ...gang, team, estimateS: 5 }));
+    for (const team of ['red', 'blue', 'green']) cluster.submit(job(`run-${team}9`, { ...gang, team, estimatedRunS: 5 }));
     const machine = cluster.worker(cluster.on('run-green0')[0] as string);
     assert.ok(machine);
     machine.hung = true;
@@ -88,7 +88,7 @@
     cluster.run(1.5);
     // Newer than the new holding: it can be nowhere yet, and needs no proof but its team's part of the limit.
     cluster.cloudDown = true;
-    cluster.submit(job('run-green8', { ...gang, team: 'green', estimateS: 5 }), other);
+    cluster.submit(job('run-green8', { ...gang, team: 'green', estimatedRunS: 5 }), other);
     cluster.run(hangs);
     machine.hung = false;
     cluster.cloudDown = false;
@@ -100,7 +100,7 @@
 
 test('after a takeover a silent machine that may bear cancelled work is given back in time, though nothing is known of it', () => {
   const cluster = smallCluster(6);
-  cluster.submit(job('run-c', { tasks: 1, estimateS: 500 }));
+  cluster.submit(job('run-c', { tasks: 1, estimatedRunS: 500 }));
   cluster.until('running', () => cluster.running('run-c') === 1);
   const w = cluster.worker(cluster.on('run-c')[0] as string);
   const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-c')));
@@ -115,7 +115,7 @@
 test('jobs are cancelled in the seconds in which a share changes hands: none starts after, all are gone in time', () => {
   const cluster = smallCluster(8);
   const { home } = away(cluster);
-  for (let index = 0; index < 4; index++) cluster.submit(job(`run-b${index}`, { team: 'blue', tasks: 2, estimateS: 500 }));
+  for (let index = 0; index < 4; index++) cluster.submit(job(`run-b${index}`, { team: 'blue', tasks: 2, estimatedRunS: 500 }));
   cluster.until('running', () => cluster.running('run-b0') === 2);
   let count = 0;
   cluster.until(
@@ -153,7 +153,7 @@
     late.push(cluster.now);
     return true;
   };
-  for (const team of ['red', 'blue', 'green']) cluster.submit(job(`run-${team}`, { team, tasks: 4, estimateS: 20 }));
+  for (const team of ['red', 'blue', 'green']) cluster.submit(job(`run-${team}`, { team, tasks: 4, estimatedRunS: 20 }));
   cluster.until('machines are up', () => cluster.workers.length > 2, 30);
   const lead = cluster.node(holderOf(cluster, 'lead'));
   lead.crash();
@@ -168,7 +168,7 @@
 
 test('an array that must be in one zone loses machines: the rest of it stays in that zone', () => {
   const cluster = smallCluster(8);
-  cluster.submit(job('run-z', { tasks: 8, oneZone: true, estimateS: 20 }));
+  cluster.submit(job('run-z', { tasks: 8, oneZone: true, estimatedRunS: 20 }));
   cluster.until('running', () => cluster.running('run-z') >= 4);
   const zone = cluster.worker(cluster.on('run-z')[0] as string)?.zone;
   for (const name of cluster.on('run-z').slice(0, 2)) {
@@ -186,8 +186,8 @@
 test('the lead and the owners change ten times in two minutes, twice inside an outage: work runs once and to its end', () => {
   const cluster = smallCluster(8);
   for (let index = 0; index < 6; index++)
-    cluster.submit(job(`run-t${index}`, { team: ['red', 'blue', 'green'][index % 3] as string, tasks: 3, estimateS: 25 }));
-  cluster.submit(job('run-v', { shape: 'service', tasks: 2, rank: 3, cls: 'serve' }));
+    cluster.submit(job(`run-t${index}`, { team: ['red', 'blue', 'green'][index % 3] as string, tasks: 3, estimatedRunS: 25 }));
+  cluster.submit(job('run-v', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
   for (let index = 0; index < 10; index++) {
     cluster.stateDown = index === 3 || index === 4;
     const ends = cluster.node(index % 2 === 0 ? holderOf(cluster, 'lead') || 'n2' : holderOf(cluster, index % 3) || 'n0');
@@ -203,7 +203,7 @@
 test('tasks of one array end far apart, and the owner ends in between: what is done is not run again', () => {
   const cluster = smallCluster(1);
   // One machine, room for one: they run one after the other.
-  cluster.submit(job('run-f', { tasks: 3, cpus: 4, estimateS: 8 }));
+  cluster.submit(job('run-f', { tasks: 3, cpus: 4, estimatedRunS: 8 }));
   for (let index = 1; index <= 3; index++) {
     cluster.until('one more ended', () => cluster.finished.size === index, 60);
     const owner = cluster.node(holderOf(cluster, 0));
@@ -224,8 +224,8 @@
 
 test('all controllers end and one is back within a second, the others later; then a share goes to and fro', () => {
   const cluster = smallCluster(8);
-  cluster.submit(job('run-v', { shape: 'service', tasks: 3, rank: 3, cls: 'serve' }));
-  cluster.submit(job('run-a', { team: 'blue', tasks: 4, estimateS: 40 }));
+  cluster.submit(job('run-v', { shape: 'service', tasks: 3, priority: 3, jobClass: 'serve' }));
+  cluster.submit(job('run-a', { team: 'blue', tasks: 4, estimatedRunS: 40 }));
   cluster.until('running', () => cluster.running('run-v') === 3 && cluster.running('run-a') === 4);
   for (let round = 0; round < 3; round++) {
     for (const node of cluster.nodes) node.crash();
@@ -241,8 +241,8 @@
 
 test('all controllers are away for longer than a lease: what died with it runs again, once', () => {
   const cluster = smallCluster(6);
-  cluster.submit(job('run-v', { shape: 'service', tasks: 2, rank: 3, cls: 'serve' }));
-  cluster.submit(job('run-a', { team: 'blue', tasks: 3, estimateS: 30 }));
+  cluster.submit(job('run-v', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
+  cluster.submit(job('run-a', { team: 'blue', tasks: 3, estimatedRunS: 30 }));
   cluster.until('running', () => cluster.running('run-v') === 2 && cluster.running('run-a') === 3);
   for (const node of cluster.nodes) node.crash();
   cluster.run(20);
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -35,14 +35,14 @@
 /** Work of each kind, of a team of each share. */
 function submitAll(cluster: Cluster, p: string): string[] {
   const ids = ['red', 'blue', 'green'].flatMap((team) => {
-    cluster.submit(job(`run-${p}-${team}-array`, { team, tasks: 6, cpus: 0.5, memory: 1, estimateS: 6 }));
+    cluster.submit(job(`run-${p}-${team}-array`, { team, tasks: 6, cpus: 0.5, memory: 1, estimatedRunS: 6 }));
     cluster.submit(
-      job(`run-${p}-${team}-gang`, { team, shape: 'gang', tasks: 2, cpus: 0.5, memory: 1, oneZone: true, estimateS: 8 }),
+      job(`run-${p}-${team}-gang`, { team, shape: 'gang', tasks: 2, cpus: 0.5, memory: 1, oneZone: true, estimatedRunS: 8 }),
     );
     return [`run-${p}-${team}-array`, `run-${p}-${team}-gang`];
   });
   cluster.submit(
-    job(`run-${p}-service`, { shape: 'service', rank: 3, cls: 'serve', tasks: 2, cpus: 0.5, memory: 1, spread: true }),
+    job(`run-${p}-service`, { shape: 'service', priority: 3, jobClass: 'serve', tasks: 2, cpus: 0.5, memory: 1, spread: true }),
   );
   return ids;
 }
@@ -66,7 +66,7 @@
     cluster.run(5);
     for (const node of cluster.nodes) for (const id of ids) assert.equal(cluster.ask(id, node), 'done', `${id} at ${node.name}`);
     // And what is new is served, on top of what the old version accepted.
-    cluster.submit(job('run-after', { estimateS: 2 }), cluster.nodes[1], ids.slice(0, 3));
+    cluster.submit(job('run-after', { estimatedRunS: 2 }), cluster.nodes[1], ids.slice(0, 3));
     cluster.until('the first that awaits others', () => cluster.allDone('run-after'), 60);
     if (order[0] === 'n0') kept(cluster, 'roll-from-production');
   });
@@ -85,7 +85,7 @@
     assert.equal(cluster.node(holderOf(cluster, 'lead')).running === present, leader === 'new');
     for (let index = 0; index < 6; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
     for (const team of ['red', 'blue', 'green']) {
-      cluster.submit(job(`run-${team}`, { team, tasks: 12, cpus: 2, memory: 1, estimateS: 4 }));
+      cluster.submit(job(`run-${team}`, { team, tasks: 12, cpus: 2, memory: 1, estimatedRunS: 4 }));
       cluster.until(`all of ${team} done, on machines of other shares too`, () => cluster.allDone(`run-${team}`), 90);
     }
   });
@@ -93,7 +93,7 @@
 
 test('takeovers in both directions, and an old process that comes back old', () => {
   const { c: cluster, present } = oldCluster();
-  cluster.submit(job('run-s', { shape: 'service', rank: 3, cls: 'serve' }));
+  cluster.submit(job('run-s', { shape: 'service', priority: 3, jobClass: 'serve' }));
   cluster.until('running', () => cluster.running('run-s') === 1);
   const first = holderOf(cluster, shareOf(cluster, 'run-s'));
   const others = NAMES.filter((name) => name !== first);
@@ -107,7 +107,7 @@
   // It comes back old, is handed its share again, and takes over the rest when the others are gone.
   cluster.node(first).restart();
   cluster.until('home with the old one', () => holderOf(cluster, shareOf(cluster, 'run-s')) === first, 90);
-  cluster.submit(job('run-t', { team: 'blue', tasks: 4, estimateS: 40 }), cluster.node(others[0] as string));
+  cluster.submit(job('run-t', { team: 'blue', tasks: 4, estimatedRunS: 40 }), cluster.node(others[0] as string));
   cluster.until('running', () => cluster.running('run-t') === 4, 30);
   for (const name of others) cluster.node(name).crash();
   cluster.until('all is done by the old one', () => cluster.allDone('run-t'), 120);
@@ -120,7 +120,7 @@
 ] as const) {
   test(`a cancellation confirmed by the ${teller} version is enforced by the ${enforcer} one, and stays`, () => {
     const { c: cluster, present } = oldCluster();
-    cluster.submit(job('run-c', { tasks: 3, estimateS: 300 }));
+    cluster.submit(job('run-c', { tasks: 3, estimatedRunS: 300 }));
     cluster.until('running', () => cluster.running('run-c') === 3);
     const holder = holderOf(cluster, shareOf(cluster, 'run-c'));
     const other = NAMES.find((name) => name !== holder) as string;
@@ -146,7 +146,7 @@
     state: { ...settings.state, valueKib: 16, next },
   }));
   // All but the last 500 tasks are done, by the old version's records.
-  const spec = job('run-large', { tasks: 9000, cpus: 0.5, memory: 0.1, estimateS: 4 });
+  const spec = job('run-large', { tasks: 9000, cpus: 0.5, memory: 0.1, estimatedRunS: 4 });
   cluster.specs.set(spec.id, spec);
   for (let index = 0; index < 8500; index++) cluster.finished.add(`run-large/${index}`);
   const put = (key: string, value: unknown) =>
@@ -189,7 +189,7 @@
     const shard = cluster.node('n0').core.clusterState.shardOfTeam[['red', 'blue', 'green'].indexOf(name)];
     return holderOf(cluster, shard ?? 0) !== 'n1';
   }) as string;
-  cluster.submit(job('run-types', { team, types, estimateS: 3 }), cluster.node('n1'));
+  cluster.submit(job('run-types', { team, machineTypes: types, estimatedRunS: 3 }), cluster.node('n1'));
   cluster.until('done', () => cluster.allDone('run-types'), 40);
 });
 
@@ -212,8 +212,8 @@
     messages.set(kind, Buffer.from(bytes).toString('hex'));
   };
   submitAll(cluster, 'kept');
-  cluster.submit(job('run-called-off', { tasks: 3, estimateS: 300, types: ['small'], zone: 'east' }));
-  cluster.submit(job('run-partly', { tasks: 9, cpus: 4, memory: 1, estimateS: 5 }));
+  cluster.submit(job('run-called-off', { tasks: 3, estimatedRunS: 300, machineTypes: ['small'], zone: 'east' }));
+  cluster.submit(job('run-partly', { tasks: 9, cpus: 4, memory: 1, estimatedRunS: 5 }));
   // The leader alone is not heard by the others, so that they tell it by way of the state service.
   const lead = holderOf(cluster, 'lead');
   cluster.cut = (a, b) => NAMES.includes(a) && NAMES.includes(b) && (a === lead) !== (b === lead);
@@ -267,7 +267,7 @@
   for (const node of cluster.nodes) if (node !== owner) upgrade(node, present);
   cluster.run(25);
   const other = cluster.nodes.find((node) => node !== owner) as Node;
-  cluster.submit(job('run-first', { estimateS: 300 }), other);
+  cluster.submit(job('run-first', { estimatedRunS: 300 }), other);
   cluster.submit(job('run-next'), other, ['run-first']);
   cluster.run(10);
   assert.equal(cluster.on('run-next').length, 0);
@@ -313,7 +313,7 @@
   test(`a roll with ${name} in its middle breaks nothing and loses nothing`, () => {
     const { c: cluster, present } = oldCluster();
     const ids = submitAll(cluster, 'a');
-    cluster.submit(job('run-called-off', { tasks: 3, estimateS: 300 }));
+    cluster.submit(job('run-called-off', { tasks: 3, estimatedRunS: 300 }));
     cluster.run(3);
     upgrade(cluster.node('n0'), present);
     cluster.run(3);
@@ -355,8 +355,8 @@
   const { c: cluster, present } = oldCluster();
   upgrade(cluster.node('n0'), present);
   cluster.run(10);
-  cluster.submit(job('run-a', { team: 'blue', estimateS: 30 }), cluster.node('n0'));
-  cluster.specs.set('run-b', job('run-b', { estimateS: 300 }));
+  cluster.submit(job('run-a', { team: 'blue', estimatedRunS: 30 }), cluster.node('n0'));
+  cluster.specs.set('run-b', job('run-b', { estimatedRunS: 300 }));
   cluster.awaits.set('run-b', ['run-a']);
   return cluster;
 }
--- a/test/waiting-jobs.test.ts
+++ b/test/waiting-jobs.test.ts
@@ -5,10 +5,10 @@
 
 test('a job takes the highest priority and the earliest latest start of those that need it, and gives them back', () => {
   const cluster = smallCluster(4);
-  cluster.submit(job('run-long', { rank: 0, estimateS: 500, tasks: 9 }));
-  cluster.submit(job('run-1', { rank: 0, estimateS: 100 }), cluster.nodes[0], ['run-long']);
-  cluster.submit(job('run-2', { rank: 1, estimateS: 50, team: 'blue' }), cluster.nodes[1], ['run-1']);
-  cluster.submit(job('run-3', { rank: 2, estimateS: 10, deadlineS: 400 }), cluster.nodes[2], ['run-2', 'run-1']);
+  cluster.submit(job('run-long', { priority: 0, estimatedRunS: 500, tasks: 9 }));
+  cluster.submit(job('run-1', { priority: 0, estimatedRunS: 100 }), cluster.nodes[0], ['run-long']);
+  cluster.submit(job('run-2', { priority: 1, estimatedRunS: 50, team: 'blue' }), cluster.nodes[1], ['run-1']);
+  cluster.submit(job('run-3', { priority: 2, estimatedRunS: 10, deadlineS: 400 }), cluster.nodes[2], ['run-2', 'run-1']);
   const submitted = cluster.now;
   cluster.run(1);
   for (const node of cluster.nodes) {
@@ -31,9 +31,9 @@
 // Objectives, the wait of the oldest gangs and what is put off count from then, not from the submission.
 test('the times of a job count from the end of the last one that it needs, also at a controller that begins again', () => {
   const cluster = smallCluster(4);
-  cluster.submit(job('run-first', { estimateS: 40 }));
-  cluster.submit(job('run-busy', { team: 'blue', tasks: 7, cpus: 3, memory: 14, estimateS: 300 }));
-  cluster.submit(job('run-next', { types: ['big'] }), undefined, ['run-first']);
+  cluster.submit(job('run-first', { estimatedRunS: 40 }));
+  cluster.submit(job('run-busy', { team: 'blue', tasks: 7, cpus: 3, memory: 14, estimatedRunS: 300 }));
+  cluster.submit(job('run-next', { machineTypes: ['big'] }), undefined, ['run-first']);
   cluster.until('the first is done', () => cluster.ask('run-first') === 'done', 80);
   const ended = cluster.now;
   cluster.run(1);
@@ -51,10 +51,10 @@
   const cluster = new Cluster();
   for (let index = 0; index < 2; index++) cluster.machine(`g${index}`, 'big', 'east');
   cluster.settle();
-  cluster.submit(job('run-first', { estimateS: 20 }));
+  cluster.submit(job('run-first', { estimatedRunS: 20 }));
   // Eight accelerators are guaranteed to the team: were this job counted, the next would be beyond them.
   cluster.submit(job('run-waits', { gpus: 8, shape: 'gang' }), cluster.nodes[0], ['run-first']);
-  cluster.submit(job('run-now', { gpus: 8, shape: 'gang', estimateS: 300 }));
+  cluster.submit(job('run-now', { gpus: 8, shape: 'gang', estimatedRunS: 300 }));
   cluster.run(3);
   const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-now')));
   const wanted = owner.core.shardController.shardSummary(shareOf(cluster, 'run-now'), cluster.now).demands;
@@ -69,15 +69,15 @@
   cluster.machine('m0', 'small', 'east');
   cluster.settle();
   const whole = { cpus: 4, memory: 16 };
-  cluster.submit(job('run-busy', { ...whole, rank: 1, estimateS: 500 }));
+  cluster.submit(job('run-busy', { ...whole, priority: 1, estimatedRunS: 500 }));
   cluster.until('running', () => cluster.running('run-busy') === 1, 10);
   // Both are of the lowest rank by themselves, and both are needed by urgent work; the later one sooner.
   for (const [name, deadlineS] of [
     ['relaxed', 300],
     ['pressed', 100],
   ] as const) {
-    cluster.submit(job(`run-${name}`, { ...whole, rank: 0, estimateS: 8 }));
-    cluster.submit(job(`run-${name}-last`, { ...whole, rank: 2, deadlineS }), undefined, [`run-${name}`]);
+    cluster.submit(job(`run-${name}`, { ...whole, priority: 0, estimatedRunS: 8 }));
+    cluster.submit(job(`run-${name}-last`, { ...whole, priority: 2, deadlineS }), undefined, [`run-${name}`]);
   }
   cluster.until('all is done', () => cluster.allDone('run-relaxed-last') && cluster.allDone('run-pressed-last'), 60);
   const started = (id: string) => cluster.trace.findIndex((line) => line.includes(`starts ${id}/`));
@@ -89,15 +89,15 @@
   const cluster = new Cluster(['n0']);
   cluster.machine('m0', 'small', 'east');
   cluster.settle();
-  const whole = { cpus: 4, memory: 16, estimateS: 8 };
-  cluster.submit(job('run-busy', { ...whole, rank: 2 }));
+  const whole = { cpus: 4, memory: 16, estimatedRunS: 8 };
+  cluster.submit(job('run-busy', { ...whole, priority: 2 }));
   cluster.until('running', () => cluster.running('run-busy') === 1, 10);
   for (const [name, deadlineS] of [
     ['relaxed', 300],
     ['pressed', 100],
   ] as const) {
-    cluster.submit(job(`run-${name}`, { ...whole, rank: 0 }));
-    cluster.submit(job(`run-${name}-last`, { ...whole, rank: 2, deadlineS }), undefined, [`run-${name}`]);
+    cluster.submit(job(`run-${name}`, { ...whole, priority: 0 }));
+    cluster.submit(job(`run-${name}-last`, { ...whole, priority: 2, deadlineS }), undefined, [`run-${name}`]);
   }
   cluster.until('one of them starts', () => cluster.on('run-relaxed').length + cluster.on('run-pressed').length > 0, 30);
   assert.equal(cluster.on('run-pressed').length, 1);
@@ -107,8 +107,8 @@
   const cluster = smallCluster(4);
   cluster.machine('g0', 'big', 'east');
   cluster.settle();
-  cluster.submit(job('run-first', { estimateS: 300 }));
-  cluster.submit(job('run-serve', { shape: 'service', rank: 3, gpus: 8, cls: 'serve' }), undefined, ['run-first']);
+  cluster.submit(job('run-first', { estimatedRunS: 300 }));
+  cluster.submit(job('run-serve', { shape: 'service', priority: 3, gpus: 8, jobClass: 'serve' }), undefined, ['run-first']);
   cluster.run(2);
   const shard = shareOf(cluster, 'run-serve');
   assert.ok(cluster.node(holderOf(cluster, shard)).core.shardController.isSettled(shard));
@@ -120,8 +120,8 @@
   const cluster = new Cluster(['n0']);
   for (let index = 0; index < 2; index++) cluster.machine(`g${index}`, 'big', 'east');
   cluster.settle();
-  const training = { shape: 'gang' as const, gpus: 8, cpus: 20, memory: 60, estimateS: 300 };
-  cluster.submit(job('run-first', { estimateS: 200 }));
+  const training = { shape: 'gang' as const, gpus: 8, cpus: 20, memory: 60, estimatedRunS: 300 };
+  cluster.submit(job('run-first', { estimatedRunS: 200 }));
   cluster.submit(job('run-waits', training), undefined, ['run-first']);
   for (const id of ['run-blue0', 'run-blue1']) cluster.submit(job(id, { ...training, team: 'blue' }));
   cluster.until('both machines are taken', () => cluster.running('run-blue0') + cluster.running('run-blue1') === 2, 20);
@@ -131,9 +131,9 @@
 
 test('a job cancelled with one that it needs gives nothing to the others that it needed', () => {
   const cluster = smallCluster(4);
-  cluster.submit(job('run-x', { rank: 0, estimateS: 300 }));
-  cluster.submit(job('run-y', { rank: 0, estimateS: 300 }));
-  cluster.submit(job('run-z', { rank: 2, deadlineS: 500 }), undefined, ['run-x', 'run-y']);
+  cluster.submit(job('run-x', { priority: 0, estimatedRunS: 300 }));
+  cluster.submit(job('run-y', { priority: 0, estimatedRunS: 300 }));
+  cluster.submit(job('run-z', { priority: 2, deadlineS: 500 }), undefined, ['run-x', 'run-y']);
   cluster.run(1);
   assert.equal(cluster.nodes[0]?.core.clusterState.jobs.get('run-x')?.priority, 2);
   cluster.cancel('run-y');
--- a/test/walk/users.ts
+++ b/test/walk/users.ts
@@ -120,15 +120,23 @@
     const kind = this.random.next();
     const common = {
       team,
-      rank: this.random.below(4),
+      priority: this.random.below(4),
       zone: this.random.next() < 0.1 ? this.random.pick(['east', 'west']) : null,
     };
     if (kind < 0.4)
-      this.cluster.specs.set(id, job(id, { ...common, tasks: 1 + this.random.below(4), estimateS: 1 + this.random.below(15) }));
+      this.cluster.specs.set(
+        id,
+        job(id, { ...common, tasks: 1 + this.random.below(4), estimatedRunS: 1 + this.random.below(15) }),
+      );
     else if (kind < 0.55)
       this.cluster.specs.set(
         id,
-        job(id, { ...common, tasks: 1 + this.random.below(3), estimateS: 60 + this.random.below(60), types: ['small'] }),
+        job(id, {
+          ...common,
+          tasks: 1 + this.random.below(3),
+          estimatedRunS: 60 + this.random.below(60),
+          machineTypes: ['small'],
+        }),
       );
     else if (kind < 0.7)
       this.cluster.specs.set(
@@ -136,8 +144,8 @@
         job(id, {
           ...common,
           zone: null,
-          rank: 3,
-          cls: 'serve',
+          priority: 3,
+          jobClass: 'serve',
           shape: 'service',
           tasks: 1 + this.random.below(2),
           spread: this.random.next() < 0.5,
@@ -146,7 +154,7 @@
     else if (kind < 0.85)
       this.cluster.specs.set(
         id,
-        job(id, { ...common, shape: 'gang', gpus: 8, cpus: 20, memory: 60, estimateS: 5 + this.random.below(30) }),
+        job(id, { ...common, shape: 'gang', gpus: 8, cpus: 20, memory: 60, estimatedRunS: 5 + this.random.below(30) }),
       );
     else
       this.cluster.specs.set(
@@ -156,7 +164,7 @@
           shape: 'gang',
           tasks: 2 + this.random.below(2),
           cpus: 2,
-          estimateS: 8,
+          estimatedRunS: 8,
           oneZone: this.random.next() < 0.5,
         }),
       );
@@ -171,10 +179,10 @@
     if (perStep(singlesPerS)) {
       const id = this.submitNew({
         tasks: 1,
-        estimateS: 2 + this.random.below(20),
+        estimatedRunS: 2 + this.random.below(20),
         cpus: 1,
         memory: 1,
-        rank: this.random.below(3),
+        priority: this.random.below(3),
       });
       if (this.random.next() < cancelled) this.cancelLater([id]);
     }
@@ -202,10 +210,10 @@
           team,
           shape,
           tasks: 1 + this.random.below(3),
-          estimateS: 1 + this.random.below(8),
+          estimatedRunS: 1 + this.random.below(8),
           cpus: 1,
           memory: 1,
-          rank: this.random.below(2),
+          priority: this.random.below(2),
         },
         awaits,
       ),
