--- a/test/cluster/controller.ts
+++ b/test/cluster/controller.ts
@@ -9,64 +9,64 @@
   type PeerStatus,
   type StoredKey,
 } from '@archpost/protocol';
-import type { Cluster } from './cluster.js';
+import type { SimulatedCluster } from './cluster.js';
 import { settings, submission, TYPES } from './fixtures.js';
 
 /** One version of what runs in a controller. */
-export interface Version {
+export interface ControllerVersion {
   Controller: typeof Controller;
   encodePeerMessage: typeof encodePeerMessage;
   decodePeerMessage: typeof decodePeerMessage;
 }
 
-const PRESENT: Version = { Controller, encodePeerMessage, decodePeerMessage };
+const PRESENT: ControllerVersion = { Controller, encodePeerMessage, decodePeerMessage };
 
 /** A controller: a core with its edges simulated. */
-export class Node {
-  core: Controller;
+export class SimulatedController {
+  controller: Controller;
   /** what it runs from its next start on */
-  version: Version = PRESENT;
+  version: ControllerVersion = PRESENT;
   /** what it runs now */
-  running: Version = PRESENT;
+  running: ControllerVersion = PRESENT;
   up = true;
   /** it stands still: nothing is read or sent, and its clock goes on */
-  frozen = false;
-  private frozenAt = 0;
+  isPaused = false;
+  private pausedAt = 0;
   private backlog: { run: () => void; lost: () => void }[] = [];
   /** the state service refuses this node alone */
-  refused = false;
+  isRefusedByStateService = false;
   /** inputs that it has processor time for in a tenth of a second: the rest waits, reports first */
   inputsPerTick = Number.POSITIVE_INFINITY;
   private readonly waiting: { reports: (() => void)[]; others: (() => void)[] } = { reports: [], others: [] };
   /** its watch brings nothing for now, while all else at the state service goes on */
-  lagging = false;
-  private permit: number | null = null;
+  isWatchLagging = false;
+  private leaseId: number | null = null;
   private renewAt = 0;
   private loadedAt = -1;
   /** pages read so far of a reading of all keys, and the revision of the first */
   private loading: { rows: StoredKey[]; revision: number; pages: number } | null = null;
-  private boots = 0;
+  private incarnations = 0;
   private answers = new Map<number, (status: number, body: Record<string, unknown>) => void>();
   private nextAnswer = 1;
   private asked = 0;
 
   constructor(
-    readonly cluster: Cluster,
+    readonly cluster: SimulatedCluster,
     readonly name: string,
   ) {
-    this.core = this.fresh();
+    this.controller = this.fresh();
   }
 
   private fresh(): Controller {
     this.running = this.version;
     return new this.running.Controller(
       this.cluster.tune(settings(this.name, this.cluster.names)),
-      `${this.name}-${this.boots++}`,
+      `${this.name}-${this.incarnations++}`,
     );
   }
 
   crash(): void {
-    this.frozen = false;
+    this.isPaused = false;
     this.backlog = [];
     this.waiting.reports.length = 0;
     this.waiting.others.length = 0;
@@ -75,8 +75,8 @@
   }
 
   restart(): void {
-    this.core = this.fresh();
-    this.permit = null;
+    this.controller = this.fresh();
+    this.leaseId = null;
     this.renewAt = 0;
     this.loadedAt = -1;
     this.loading = null;
@@ -86,24 +86,24 @@
     this.cluster.note(`${this.name} restarts`);
   }
 
-  freeze(): void {
-    this.frozen = true;
-    this.frozenAt = this.cluster.now;
+  pause(): void {
+    this.isPaused = true;
+    this.pausedAt = this.cluster.now;
     this.cluster.note(`${this.name} stands still`);
   }
 
   /** Goes on: what came meanwhile is read, oldest first, before anything new is known; or it is lost. */
-  thaw(lost = false): void {
-    this.frozen = false;
+  resume(lost = false): void {
+    this.isPaused = false;
     this.cluster.note(`${this.name} goes on`);
-    this.core.processPaused(this.cluster.now - this.frozenAt, this.cluster.now);
+    this.controller.processPaused(this.cluster.now - this.pausedAt, this.cluster.now);
     // What was lost is missed by this process' own timers.
     for (const input of this.backlog.splice(0)) lost ? input.lost() : input.run();
     this.run();
   }
 
   private input(run: () => void, lost: () => void = () => {}, kind: 'reports' | 'others' = 'others'): void {
-    if (this.frozen) {
+    if (this.isPaused) {
       this.backlog.push({ run, lost });
       return;
     }
@@ -130,10 +130,10 @@
     return id;
   }
 
-  report(heartbeat: Heartbeat, then: (status: number, body: Record<string, unknown>) => void): void {
+  receiveHeartbeat(heartbeat: Heartbeat, then: (status: number, body: Record<string, unknown>) => void): void {
     const id = this.wait(then);
     this.input(
-      () => this.core.receiveHeartbeat(id, heartbeat, this.cluster.now),
+      () => this.controller.receiveHeartbeat(id, heartbeat, this.cluster.now),
       () => {},
       'reports',
     );
@@ -144,41 +144,42 @@
     delete body[without];
     const awaits = this.cluster.awaits.get(spec.id);
     if (awaits) body.awaits = awaits;
-    this.input(() => this.core.submitJob(this.wait(then), body, this.cluster.now, this.cluster.now));
+    this.input(() => this.controller.submitJob(this.wait(then), body, this.cluster.now, this.cluster.now));
   }
 
-  poll(id: string, then: (status: number, body: Record<string, unknown>) => void): void {
-    this.input(() => this.core.queryJobStatus(this.wait(then), id, this.cluster.now));
+  queryStatus(id: string, then: (status: number, body: Record<string, unknown>) => void): void {
+    this.input(() => this.controller.queryJobStatus(this.wait(then), id, this.cluster.now));
   }
 
   cancel(id: string, then: (status: number, body: Record<string, unknown>) => void): void {
-    this.input(() => this.core.cancelJob(this.wait(then), id, this.cluster.now));
+    this.input(() => this.controller.cancelJob(this.wait(then), id, this.cluster.now));
   }
 
   tick(): void {
-    if (!this.up || this.frozen) return;
+    if (!this.up || this.isPaused) return;
     this.takeWaiting();
-    const { now, state } = this.cluster;
-    if (!this.cluster.stateDown && !this.refused) {
+    const { now, stateService: state } = this.cluster;
+    if (!this.cluster.isStateServiceDown && !this.isRefusedByStateService) {
       if (now >= this.renewAt) {
         this.renewAt = now + 3000;
-        if (this.permit === null || !state.extend(this.permit, now)) {
-          if (this.permit !== null) this.core.receiveLeaseState(null, 0, now);
-          this.permit = state.lease(18_000, now);
+        if (this.leaseId === null || !state.extend(this.leaseId, now)) {
+          if (this.leaseId !== null) this.controller.receiveLeaseState(null, 0, now);
+          this.leaseId = state.lease(18_000, now);
         }
-        this.core.receiveLeaseState(this.permit, now + 17_900, now);
+        this.controller.receiveLeaseState(this.leaseId, now + 17_900, now);
       }
-      const isBehind = this.loadedAt >= 0 && !this.lagging && state.hasForgotten(this.core.replica.revision);
+      const isBehind = this.loadedAt >= 0 && !this.isWatchLagging && state.hasForgotten(this.controller.replica.revision);
       if (this.loadedAt < 0 || isBehind) this.loadPage(now);
-      else if (!this.lagging) this.core.receiveChanges(state.since(this.core.replica.revision), state.revision, now, now);
+      else if (!this.isWatchLagging)
+        this.controller.receiveChanges(state.since(this.controller.replica.revision), state.revision, now, now);
     }
-    this.core.tick(now);
+    this.controller.tick(now);
     this.run();
   }
 
   /** Reads a page of all keys; with the last one the core gets them all. */
   private loadPage(now: number): void {
-    const { state } = this.cluster;
+    const { stateService: state } = this.cluster;
     if (this.loading === null) this.loading = { rows: [], revision: state.revision, pages: 0 };
     const { rows, revision } = this.loading;
     this.loading.pages++;
@@ -186,28 +187,28 @@
     rows.push(...(state.pages === 1 ? state.rows() : state.page(rows.at(-1)?.key ?? '', isLast)));
     if (!isLast) return;
     this.loading = null;
-    if (this.loadedAt < 0) this.core.receiveMachineTypes(TYPES, now);
+    if (this.loadedAt < 0) this.controller.receiveMachineTypes(TYPES, now);
     this.loadedAt = now;
-    this.core.receiveSnapshot(rows, revision, now);
-    if (!this.lagging) this.core.receiveChanges(state.since(revision), state.revision, now, now);
+    this.controller.receiveSnapshot(rows, revision, now);
+    if (!this.isWatchLagging) this.controller.receiveChanges(state.since(revision), state.revision, now, now);
   }
 
   run(): void {
-    for (const effect of this.core.takeEffects()) this.effect(effect);
+    for (const effect of this.controller.takeEffects()) this.effect(effect);
   }
 
   /** A message as the other controller reads it: by way of its bytes where the two run different versions. */
-  private sent(to: Node, message: PeerMessage): PeerMessage {
-    this.cluster.peerBytes?.(this.running.encodePeerMessage(message));
+  private sent(to: SimulatedController, message: PeerMessage): PeerMessage {
+    this.cluster.onPeerMessage?.(this.running.encodePeerMessage(message));
     if (to.running === this.running) return structuredClone(message);
     return to.running.decodePeerMessage(this.running.encodePeerMessage(message));
   }
 
   private effect(effect: Effect): void {
-    const { cluster, core } = this;
+    const { cluster, controller: core } = this;
     const later = (ms: number, f: () => void, lost: () => void = f) =>
       cluster.at(cluster.now + ms, () => {
-        if (this.up && this.core === core) this.input(f, lost);
+        if (this.up && this.controller === core) this.input(f, lost);
       });
     if (effect.type === 'respond') {
       const then = this.answers.get(effect.id);
@@ -218,36 +219,36 @@
         const kind = ('put' in write ? write.put : write.del).slice(2, 3);
         cluster.changes.set(kind, (cluster.changes.get(kind) ?? 0) + 1);
       }
-      if (cluster.stateDown || this.refused)
+      if (cluster.isStateServiceDown || this.isRefusedByStateService)
         return later(20, () => core.receiveCompareAndSwapOutcome(effect.id, { kind: 'refused' }, cluster.now));
-      const apply = () => cluster.state.txn(effect, cluster.now);
-      if (cluster.loseTxn?.(effect, apply))
+      const apply = () => cluster.stateService.compareAndSwap(effect, cluster.now);
+      if (cluster.losesTransactionAnswer?.(effect, apply))
         return later(1500, () => core.receiveCompareAndSwapOutcome(effect.id, { kind: 'unknown' }, cluster.now));
       const outcome = apply();
       later(
-        cluster.answerMs(this.name),
+        cluster.transactionAnswerMs(this.name),
         () => core.receiveCompareAndSwapOutcome(effect.id, outcome, cluster.now),
         () => core.receiveCompareAndSwapOutcome(effect.id, { kind: 'unknown' }, cluster.now),
       );
     } else if (effect.type === 'command') {
       const question = effect.commands.length === 0 ? 1 : 0;
       cluster.commands += 1 - question;
-      cluster.commanded?.(effect.commands);
+      cluster.onCommands?.(effect.commands);
       this.asked += question;
-      cluster.mostAsked = Math.max(cluster.mostAsked, this.asked);
-      if (cluster.commandsRefused(this.name, effect.machine)) {
+      cluster.maxPendingProbes = Math.max(cluster.maxPendingProbes, this.asked);
+      if (cluster.refusesCommands(this.name, effect.machine)) {
         return later(2500, () => {
           this.asked -= question;
           core.receiveCommandOutcome(effect.id, { kind: 'refused' }, cluster.now);
         });
       }
       const w = cluster.worker(effect.machine);
-      const astray = cluster.deaf(this.name, effect.machine) || cluster.commandsLost(this.name, effect.machine);
-      if (!w || w.dead || w.hung || cluster.cut(this.name, effect.machine) || astray) {
+      const astray = cluster.isDeaf(this.name, effect.machine) || cluster.losesCommands(this.name, effect.machine);
+      if (!w || w.dead || w.hung || cluster.isPartitioned(this.name, effect.machine) || astray) {
         if (w?.hung) w.held.push(() => void w.command(effect.fencingToken, effect.agentEpoch, effect.commands));
         // The network may deliver what was given up, long after.
-        else if (w && cluster.lateMs) {
-          cluster.at(cluster.now + cluster.lateMs(), () => {
+        else if (w && cluster.lateCommandDelayMs) {
+          cluster.at(cluster.now + cluster.lateCommandDelayMs(), () => {
             const arrives = () => void w.command(effect.fencingToken, effect.agentEpoch, effect.commands);
             if (w.hung) w.held.push(arrives);
             else if (!w.dead) arrives();
@@ -263,42 +264,48 @@
         core.receiveCommandOutcome(effect.id, outcome, cluster.now);
       };
       const outcome = w.command(effect.fencingToken, effect.agentEpoch, effect.commands);
-      const unreadable = outcome.kind === 'ok' && cluster.garbled(this.name, effect.machine);
+      const unreadable = outcome.kind === 'ok' && cluster.garblesAnswers(this.name, effect.machine);
       later(10, answered(unreadable ? { ...outcome, report: null } : outcome), answered({ kind: 'lost' }));
     } else if (effect.type === 'probe') {
       const w = cluster.worker(effect.address);
-      const ok = w !== undefined && !w.dead && !w.hung && !cluster.cut(this.name, w.name) && !cluster.deaf(this.name, w.name);
+      const ok =
+        w !== undefined && !w.dead && !w.hung && !cluster.isPartitioned(this.name, w.name) && !cluster.isDeaf(this.name, w.name);
       later(ok ? 10 : 1500, () => core.receiveProbeOutcome(effect.id, ok, cluster.now));
     } else if (effect.type === 'sendStatus') {
       cluster.statuses++;
       cluster.statusBytes += encodePeerMessage({ node: this.name, status: effect.status, heartbeat: null }).length;
-      const node = cluster.node(effect.to);
+      const node = cluster.controller(effect.to);
       const copy = this.sent(node, { node: this.name, status: effect.status, heartbeat: null }).status as PeerStatus;
-      if (node.up && !cluster.cut(this.name, node.name) && !cluster.unheard(this.name, node.name)) {
-        const arrives = () => node.up && node.input(() => node.core.receivePeerStatus(copy, cluster.now));
-        if (cluster.held(this.name, node.name)) cluster.at(cluster.now + 15_000, arrives);
+      if (node.up && !cluster.isPartitioned(this.name, node.name) && !cluster.losesPeerMessages(this.name, node.name)) {
+        const arrives = () => node.up && node.input(() => node.controller.receivePeerStatus(copy, cluster.now));
+        if (cluster.delaysPeerMessages(this.name, node.name)) cluster.at(cluster.now + 15_000, arrives);
         else arrives();
       }
     } else if (effect.type === 'forwardHeartbeat') {
-      cluster.relays++;
-      const node = cluster.node(effect.to);
-      if (node.up && !cluster.cut(this.name, node.name)) {
+      cluster.forwardedHeartbeats++;
+      const node = cluster.controller(effect.to);
+      if (node.up && !cluster.isPartitioned(this.name, node.name)) {
         const heartbeat = this.sent(node, { node: this.name, status: null, heartbeat: effect.heartbeat }).heartbeat as Heartbeat;
-        node.input(() => node.core.receiveForwardedHeartbeat(heartbeat, cluster.now));
+        node.input(() => node.controller.receiveForwardedHeartbeat(heartbeat, cluster.now));
       }
     } else if (effect.type === 'readBarrier') {
-      cluster.barriers++;
+      cluster.readBarriers++;
     } else if (effect.type === 'release') {
-      if (cluster.cloudDown) return later(100, () => core.receiveReleaseOutcome(effect.id, false, cluster.now));
+      if (cluster.isCloudDown) return later(100, () => core.receiveReleaseOutcome(effect.id, false, cluster.now));
       for (const name of effect.machines) cluster.remove(name);
       later(100, () => core.receiveReleaseOutcome(effect.id, true, cluster.now));
     } else if (effect.type === 'listMachines') {
-      cluster.lists++;
-      const list = cluster.cloudDown ? null : cluster.listing();
+      cluster.listRequests++;
+      const list = cluster.isCloudDown ? null : cluster.machineList();
       later(100, () => core.receiveMachineList(list, cluster.now));
     } else if (effect.type === 'provision') {
-      cluster.rents.push({ type: effect.request.machineType, spot: effect.request.spot, at: cluster.now });
-      const machines = cluster.rent(effect.request.machineType, effect.request.zone, effect.request.spot, effect.request.count);
+      cluster.provisioningRequests.push({ type: effect.request.machineType, spot: effect.request.spot, at: cluster.now });
+      const machines = cluster.provision(
+        effect.request.machineType,
+        effect.request.zone,
+        effect.request.spot,
+        effect.request.count,
+      );
       later(100, () =>
         core.receiveProvisioningOutcome(effect.id, machines ? { kind: 'ok', machines } : { kind: 'full' }, cluster.now),
       );
--- a/test/cluster/rules.ts
+++ b/test/cluster/rules.ts
@@ -1,40 +1,40 @@
 // The rules, judged from outside: by what workers run and what users were told, never by the core's own tables.
 import type { JobSpec, TaskStatus } from '@archpost/protocol';
-import type { Cluster } from './cluster.js';
+import type { SimulatedCluster } from './cluster.js';
 import { settings } from './fixtures.js';
-import type { WorkerStandIn } from './worker.js';
+import type { SimulatedWorker } from './worker.js';
 
 /** Time that a cancellation has, as in the settings of the stand-ins. */
 const CANCEL_MS = settings('n0').workers.cancelS * 1000;
 
 /** A task that a worker had at some moment of this step. */
 interface TaskOnWorker {
-  worker: WorkerStandIn;
+  worker: SimulatedWorker;
   key: string;
   task: TaskStatus;
 }
 
 /** PROTOCOL's rules, and those that LATER.md adds for jobs that await others. */
-export class Rules {
+export class RuleChecker {
   /** when a user was first told that the job is done */
   private readonly doneAt = new Map<string, number>();
   /** the workers' tasks by job, and the step that they are of */
   private readonly byJob = new Map<string, TaskOnWorker[]>();
   private byJobAt = -1;
 
-  constructor(private readonly cluster: Cluster) {}
+  constructor(private readonly cluster: SimulatedCluster) {}
 
   /** `ran_twice`, `wrong_place`, `too_early` and `ran_cancelled`, at the moment of each start. */
-  checkStart(worker: WorkerStandIn, id: string, index: number): void {
+  checkStart(worker: SimulatedWorker, id: string, index: number): void {
     const { cluster } = this;
     const spec = cluster.specs.get(id) as JobSpec;
     for (const other of cluster.awaits.get(id) ?? [])
-      if (!cluster.allDone(other)) cluster.broken(`too_early: ${id}/${index} starts before ${other} is done`);
+      if (!cluster.allTasksDone(other)) cluster.broken(`too_early: ${id}/${index} starts before ${other} is done`);
     this.checkPlace(worker, spec, index);
     if (this.isOverdue(this.cancelledAt(id))) cluster.broken(`ran_cancelled: ${id} starts`);
   }
 
-  private checkPlace(worker: WorkerStandIn, spec: JobSpec, index: number): void {
+  private checkPlace(worker: SimulatedWorker, spec: JobSpec, index: number): void {
     const { cluster } = this;
     let inZone = 0;
     for (const { worker: other, key, task } of this.tasksOf(spec.id)) {
@@ -51,7 +51,7 @@
   }
 
   /** A worker began this task in this step. */
-  started(worker: WorkerStandIn, key: string, task: TaskStatus): void {
+  started(worker: SimulatedWorker, key: string, task: TaskStatus): void {
     const known = this.byJob.get(task.job);
     if (known) known.push({ worker, key, task });
     else this.byJob.set(task.job, [{ worker, key, task }]);
--- a/test/cluster/state-service.ts
+++ b/test/cluster/state-service.ts
@@ -9,16 +9,16 @@
 }
 
 /** What the state service takes. Tests lower it, as the service may without notice. */
-export interface StandInLimits {
+export interface StateServiceLimits {
   valueBytes: number;
   writesPerTransaction: number;
   writesPerS: number;
 }
 
 /** Strongly consistent keys with leases, as PROTOCOL describes them. */
-export class StateStandIn {
+export class SimulatedStateService {
   revision = 1;
-  limits: StandInLimits | null = null;
+  limits: StateServiceLimits | null = null;
   /** changes that may be made now, of those that the rate allows */
   private allowance = 0;
   private allowedAt = 0;
@@ -79,7 +79,10 @@
     return null;
   }
 
-  txn(e: Extract<Effect, { type: 'compareAndSwap' }>, now: number): Parameters<Controller['receiveCompareAndSwapOutcome']>[1] {
+  compareAndSwap(
+    e: Extract<Effect, { type: 'compareAndSwap' }>,
+    now: number,
+  ): Parameters<Controller['receiveCompareAndSwapOutcome']>[1] {
     const refusal = this.exceeds(e, now);
     if (refusal) return refusal;
     const failed = e.conditions
--- a/test/cluster/worker.ts
+++ b/test/cluster/worker.ts
@@ -1,8 +1,8 @@
 // A machine and its worker, as PROTOCOL describes them.
 import type { Controller } from '@archpost/controller';
 import type { Command, Heartbeat, JobSpec, MachineType, TaskStatus } from '@archpost/protocol';
-import type { Cluster } from './cluster.js';
-import type { Node } from './controller.js';
+import type { SimulatedCluster } from './cluster.js';
+import type { SimulatedController } from './controller.js';
 import { TYPES } from './fixtures.js';
 
 interface WorkerTask extends TaskStatus {
@@ -10,16 +10,16 @@
 }
 
 /** One worker: its lease, its session, the token it obeys, and the tasks it runs. */
-export class WorkerStandIn {
-  session = 1;
-  seq = 0;
-  token = 0;
+export class SimulatedWorker {
+  agentEpoch = 1;
+  sequence = 0;
+  fencingToken = 0;
   tasks = new Map<string, WorkerTask>();
   renewedAt: number;
   readonly bornAt: number;
   nextReport = 0;
   target = 0;
-  noticeS: number | null = null;
+  preemptionNoticeS: number | null = null;
   /** no power, or given back */
   dead = false;
   /** executes nothing and answers nothing, and may go on later */
@@ -29,7 +29,7 @@
   fails = false;
 
   constructor(
-    readonly cluster: Cluster,
+    readonly cluster: SimulatedCluster,
     readonly name: string,
     readonly type: string,
     readonly zone: string,
@@ -42,25 +42,25 @@
   /** Loses power and is back at once: its numbers start over and nothing is on it. */
   reboot(): void {
     this.cluster.note(`${this.name} begins again`);
-    this.session = 1;
-    this.seq = 0;
-    this.token = 0;
+    this.agentEpoch = 1;
+    this.sequence = 0;
+    this.fencingToken = 0;
     this.tasks.clear();
     this.renewedAt = this.cluster.now;
   }
 
-  report(): Heartbeat {
-    this.seq++;
+  heartbeat(): Heartbeat {
+    this.sequence++;
     return {
       machine: this.name,
       address: this.name,
       type: this.type,
       zone: this.zone,
       spot: this.spot,
-      agentEpoch: this.session,
-      sequence: this.seq,
-      fencingToken: this.token,
-      preemptionNoticeS: this.noticeS,
+      agentEpoch: this.agentEpoch,
+      sequence: this.sequence,
+      fencingToken: this.fencingToken,
+      preemptionNoticeS: this.preemptionNoticeS,
       tasks: [...this.tasks.values()].map(({ job, index, attempt, state, exitReason, saved }) => ({
         job,
         index,
@@ -118,11 +118,11 @@
   }
 
   command(token: number, session: number, commands: Command[]): Parameters<Controller['receiveCommandOutcome']>[1] {
-    if (token < this.token || session !== this.session) return { kind: 'stale', report: this.report() };
-    this.token = token;
+    if (token < this.fencingToken || session !== this.agentEpoch) return { kind: 'stale', report: this.heartbeat() };
+    this.fencingToken = token;
     this.obey(commands);
     this.nextReport = Math.min(this.nextReport, this.cluster.now + 500);
-    return { kind: 'ok', report: this.report() };
+    return { kind: 'ok', report: this.heartbeat() };
   }
 
   tick(): void {
@@ -132,7 +132,7 @@
     if (now - this.renewedAt > leaseMs) {
       if (this.tasks.size > 0) this.cluster.note(`${this.name} kills its tasks: lease over`);
       this.tasks.clear();
-      this.session++;
+      this.agentEpoch++;
       this.renewedAt = now;
     }
     for (const t of this.tasks.values()) {
@@ -161,31 +161,31 @@
   private send(): void {
     const { cluster } = this;
     this.nextReport = cluster.now + 2000;
-    const node = cluster.nodes[this.target % cluster.nodes.length] as Node;
+    const node = cluster.controllers[this.target % cluster.controllers.length] as SimulatedController;
     const sentAt = cluster.now;
-    const session = this.session;
+    const session = this.agentEpoch;
     const next = () => {
       this.target++;
       this.nextReport = cluster.now + 1000;
     };
-    if (!node.up || cluster.mute(this.name) || cluster.cut(node.name, this.name)) return next();
-    if (node.frozen) {
+    if (!node.up || cluster.isMute(this.name) || cluster.isPartitioned(node.name, this.name)) return next();
+    if (node.isPaused) {
       // Nobody answers for 4 s; the report is read when the controller goes on.
       this.target++;
       this.nextReport = cluster.now + 5000;
     }
-    const heartbeat = this.report();
-    cluster.reported?.(heartbeat);
-    node.report(heartbeat, (status, body) => {
-      if (this.dead || this.hung || session !== this.session || cluster.now - sentAt > 4000) return;
-      if (cluster.deaf(node.name, this.name)) return next();
+    const heartbeat = this.heartbeat();
+    cluster.onHeartbeat?.(heartbeat);
+    node.receiveHeartbeat(heartbeat, (status, body) => {
+      if (this.dead || this.hung || session !== this.agentEpoch || cluster.now - sentAt > 4000) return;
+      if (cluster.isDeaf(node.name, this.name)) return next();
       if (status === 421 && typeof body.home === 'string') {
-        this.target = cluster.nodes.findIndex((node) => node.name === body.home);
+        this.target = cluster.controllers.findIndex((node) => node.name === body.home);
         this.nextReport = cluster.now + 100;
       } else if (status !== 200) next();
-      else if (typeof body.baton === 'number' && body.baton >= this.token) {
-        if (body.baton > this.token) this.nextReport = cluster.now + 500;
-        this.token = body.baton;
+      else if (typeof body.baton === 'number' && body.baton >= this.fencingToken) {
+        if (body.baton > this.fencingToken) this.nextReport = cluster.now + 500;
+        this.fencingToken = body.baton;
         this.renewedAt = Math.max(this.renewedAt, sentAt);
         const orders = body.orders as { verb: string; piece: string; try: number }[];
         this.obey(
--- a/test/fleet/large-fleet.ts
+++ b/test/fleet/large-fleet.ts
@@ -3,7 +3,7 @@
 import assert from 'node:assert/strict';
 import type { ControllerSettings } from '@archpost/controller';
 import type { JobSpec } from '@archpost/protocol';
-import { Cluster, job, type Node, type Version, type WorkerStandIn } from '../stand-ins.js';
+import { type ControllerVersion, job, SimulatedCluster, type SimulatedController, type SimulatedWorker } from '../stand-ins.js';
 
 const TEAMS = ['red', 'blue', 'green', 'pink', 'gold', 'grey', 'teal'];
 
@@ -28,21 +28,21 @@
 export interface LargeFleetOptions {
   machines: number;
   controllers: number;
-  version?: Version;
+  version?: ControllerVersion;
 }
 
 /** The cluster, its services, and what may be done to it. */
 export class LargeFleet {
-  readonly cluster: Cluster;
+  readonly cluster: SimulatedCluster;
   private readonly services: string[] = [];
   /** workers that were killed or cut for good: they may be given back */
   private readonly lost = new Set<string>();
 
   constructor(private readonly options: LargeFleetOptions) {
     const names = Array.from({ length: options.controllers }, (_, index) => `n${index}`);
-    this.cluster = new Cluster(names, (settings) => this.tune(settings));
-    if (options.version) for (const node of this.cluster.nodes) node.version = options.version;
-    if (options.version) for (const node of this.cluster.nodes) node.restart();
+    this.cluster = new SimulatedCluster(names, (settings) => this.tune(settings));
+    if (options.version) for (const node of this.cluster.controllers) node.version = options.version;
+    if (options.version) for (const node of this.cluster.controllers) node.restart();
     for (let index = 0; index < options.machines; index++)
       this.cluster.machine(
         `m${100_000 + index}`,
@@ -68,13 +68,13 @@
     };
   }
 
-  private get alive(): WorkerStandIn[] {
+  private get alive(): SimulatedWorker[] {
     return this.cluster.workers.filter((worker) => !worker.dead);
   }
 
   /** Machines that have answered whoever holds their share. */
   answering(): number {
-    return this.alive.filter((worker) => this.cluster.nodes.some((node) => answers(node, worker))).length;
+    return this.alive.filter((worker) => this.cluster.controllers.some((node) => answers(node, worker))).length;
   }
 
   /** Nothing is granted at first. Returns the seconds until all machines are, and have answered. */
@@ -85,7 +85,7 @@
   private untilAllAnswer(what: string, seconds: number): number {
     const { cluster } = this;
     const from = cluster.now;
-    cluster.until(`${what}: all machines answer`, () => this.answering() === this.alive.length, seconds);
+    cluster.runUntil(`${what}: all machines answer`, () => this.answering() === this.alive.length, seconds);
     return (cluster.now - from) / 1000;
   }
 
@@ -116,9 +116,9 @@
 
   private submit(spec: JobSpec, at: number): void {
     const { cluster } = this;
-    const up = cluster.nodes.filter((node) => node.up);
+    const up = cluster.controllers.filter((node) => node.up);
     cluster.specs.set(spec.id, spec);
-    (up[at % up.length] as Node).submit(spec, (status) => {
+    (up[at % up.length] as SimulatedController).submit(spec, (status) => {
       if (status !== 201 && status !== 200) cluster.at(cluster.now + 1000, () => this.submit(spec, at + 1));
     });
   }
@@ -132,13 +132,13 @@
   }
 
   untilServicesRun(what: string, seconds: number): void {
-    this.cluster.until(what, () => this.replicas() === this.services.length * REPLICAS, seconds);
+    this.cluster.runUntil(what, () => this.replicas() === this.services.length * REPLICAS, seconds);
   }
 
   /** One controller ends and is back. Returns the seconds until the last machine has answered. */
   crashOne(index: number): number {
     const { cluster } = this;
-    const node = cluster.nodes[index] as Node;
+    const node = cluster.controllers[index] as SimulatedController;
     const from = cluster.now;
     node.crash();
     cluster.run(CONTROLLER_DOWN_S);
@@ -151,9 +151,9 @@
   /** All end at once and are back. Returns the seconds from their return until the last machine has answered. */
   crashAll(): number {
     const { cluster } = this;
-    for (const node of cluster.nodes) node.crash();
+    for (const node of cluster.controllers) node.crash();
     cluster.run(CONTROLLER_DOWN_S);
-    for (const node of cluster.nodes) node.restart();
+    for (const node of cluster.controllers) node.restart();
     cluster.run(0.1);
     return this.untilAllAnswer('a crash of all', 120);
   }
@@ -168,8 +168,9 @@
       worker.dead = true;
       worker.tasks.clear();
     }
-    const granted = () => cluster.nodes.some((node) => hit.some((worker) => node.core.clusterState.machines.has(worker.name)));
-    cluster.until('what was lost is granted no more', () => !granted(), 120);
+    const granted = () =>
+      cluster.controllers.some((node) => hit.some((worker) => node.controller.clusterState.machines.has(worker.name)));
+    cluster.runUntil('what was lost is granted no more', () => !granted(), 120);
     return (cluster.now - from) / 1000;
   }
 
@@ -185,25 +186,25 @@
     });
     const runs = () =>
       this.alive.reduce((count, worker) => count + [...worker.tasks.values()].filter(isCancelledArray).length, 0);
-    cluster.until('the arrays run', () => runs() >= 2 * arrays, 90);
+    cluster.runUntil('the arrays run', () => runs() >= 2 * arrays, 90);
     const from = cluster.now;
     const told = new Set<string>();
     ids.forEach((id, index) => {
       cluster.at(cluster.now + 100 + 5 * index, () => this.cancel(id, index, told));
     });
     cluster.run(1);
-    const leader = cluster.nodes.find((node) => node.core.leader.isLeading) as Node;
+    const leader = cluster.controllers.find((node) => node.controller.leader.isLeading) as SimulatedController;
     leader.crash();
     cluster.at(cluster.now + CONTROLLER_DOWN_S * 1000, () => leader.restart());
-    cluster.until('all users are told', () => told.size === arrays, 90);
-    cluster.until('no cancelled task is left', () => runs() === 0, 60);
+    cluster.runUntil('all users are told', () => told.size === arrays, 90);
+    cluster.runUntil('no cancelled task is left', () => runs() === 0, 60);
     return (cluster.now - from) / 1000;
   }
 
   /** As a user does: asks again, elsewhere, until it is answered. */
   private cancel(id: string, at: number, told: Set<string>): void {
     const { cluster } = this;
-    const up = cluster.nodes.filter((node) => node.up);
+    const up = cluster.controllers.filter((node) => node.up);
     const node = up[at % up.length];
     let answered = false;
     node?.cancel(id, (status, body) => {
@@ -221,11 +222,11 @@
   roll(): number {
     const { cluster } = this;
     const from = cluster.now;
-    for (const node of cluster.nodes) {
+    for (const node of cluster.controllers) {
       node.crash();
       cluster.run(CONTROLLER_DOWN_S);
       node.restart();
-      cluster.until(`${node.name} is ready`, () => node.core.isReady, 30);
+      cluster.runUntil(`${node.name} is ready`, () => node.controller.isReady, 30);
     }
     const seconds = (cluster.now - from) / 1000;
     this.untilAllAnswer('a roll', 90);
@@ -243,13 +244,14 @@
     // What others run is told anew every few seconds, to who began again too.
     this.cluster.run(DISPLAY_LAG_S);
     const sample = this.services.filter((_, index) => index % Math.ceil(this.services.length / 10) === 0);
-    for (const node of this.cluster.nodes) for (const id of sample) assert.equal(this.cluster.ask(id, node), 'running');
+    for (const node of this.cluster.controllers)
+      for (const id of sample) assert.equal(this.cluster.queryStatus(id, node), 'running');
   }
 }
 
-function answers(node: Node, worker: WorkerStandIn): boolean {
-  const machine = node.core.clusterState.machines.get(worker.name);
-  return node.up && machine?.tenure.isVerified === true && node.core.shardController.heldShards.has(machine.shard);
+function answers(node: SimulatedController, worker: SimulatedWorker): boolean {
+  const machine = node.controller.clusterState.machines.get(worker.name);
+  return node.up && machine?.tenure.isVerified === true && node.controller.shardController.heldShards.has(machine.shard);
 }
 
 function isCancelledArray(task: { job: string; state: string }): boolean {
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -22,7 +22,7 @@
   WriteRateLimit,
 } from '@archpost/controller';
 import type { JobSpec, MachineType, PeerStatus, StoredKey } from '@archpost/protocol';
-import { Cluster, holderOf, job, type Node, STATUS, settings, shareOf, TYPES } from './stand-ins.js';
+import { holderOf, job, SimulatedCluster, type SimulatedController, STATUS, settings, shardOf, TYPES } from './stand-ins.js';
 
 const NEXT = { valueKib: 2, writesPerTransaction: 4, writesPerS: 45 };
 
@@ -32,15 +32,15 @@
   policy: { ...settings.policy, holdSpareCapacity: false },
 });
 
-function cluster(machines: number): Cluster {
-  const cluster = new Cluster(undefined, announced);
+function clusterWithAnnouncedLimits(machines: number): SimulatedCluster {
+  const cluster = new SimulatedCluster(undefined, announced);
   for (let index = 0; index < machines; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
-  cluster.settle();
+  cluster.runUntilSettled();
   return cluster;
 }
 
-const fall = (cluster: Cluster) => {
-  cluster.state.limits = {
+const fall = (cluster: SimulatedCluster) => {
+  cluster.stateService.limits = {
     valueBytes: NEXT.valueKib * 1024,
     writesPerTransaction: NEXT.writesPerTransaction,
     writesPerS: NEXT.writesPerS,
@@ -166,8 +166,8 @@
   assert.ok((status.shards[0]?.demands.length ?? 0) > 0, 'waiting work is told above all');
   assert.deepEqual(parseStatus(encodeStatus(status)), status);
 
-  const c = cluster(2);
-  const { clusterState } = (c.nodes[0] as Node).core;
+  const c = clusterWithAnnouncedLimits(2);
+  const { clusterState } = (c.controllers[0] as SimulatedController).controller;
   const machine = clusterState.machines.get('m0');
   assert.ok(machine);
   for (let index = 0; index < 30; index++)
@@ -265,75 +265,75 @@
 });
 
 test('after the fall a job with long lists is accepted and runs, over a change of its holder', () => {
-  const c = cluster(6);
+  const c = clusterWithAnnouncedLimits(6);
   fall(c);
   const before = Array.from({ length: 200 }, (_, index) => `run-${String(index).padStart(20, '0')}`);
   for (const id of before) c.submit(job(id, { estimatedRunS: 1, cpus: 0.1, memory: 0.1 }));
   const types = Array.from({ length: 64 }, (_, index) => `none-${index}-${'x'.repeat(60)}`);
   const spec = job('run-long', { machineTypes: [...types.slice(1), 'small'], estimatedRunS: 5 });
   // An acceptance that fails after its parts were stored costs no second copy of them.
-  c.loseTxn = (e) => e.writes.some((write) => 'put' in write && write.put === 'a/j/run-long');
+  c.losesTransactionAnswer = (e) => e.writes.some((write) => 'put' in write && write.put === 'a/j/run-long');
   c.specs.set(spec.id, spec);
   c.awaits.set(spec.id, before);
   let status = 0;
-  (c.nodes[0] as Node).submit(spec, (code) => {
+  (c.controllers[0] as SimulatedController).submit(spec, (code) => {
     status = code;
   });
-  c.until('answered', () => status !== 0, 6);
+  c.runUntil('answered', () => status !== 0, 6);
   assert.equal(status, 503);
-  const parts = () => [...c.state.keys.keys()].filter((key) => key.startsWith('a/x/run-long/')).length;
+  const parts = () => [...c.stateService.keys.keys()].filter((key) => key.startsWith('a/x/run-long/')).length;
   const stored = parts();
   assert.ok(stored > 0);
-  c.loseTxn = null;
+  c.losesTransactionAnswer = null;
   const written = c.changes.get('x');
-  c.submit(spec, c.nodes[1], before);
+  c.submit(spec, c.controllers[1], before);
   assert.equal(parts(), stored);
   assert.equal(c.changes.get('x'), written);
-  c.node(holderOf(c, shareOf(c, 'run-long'))).crash();
-  c.until('it runs', () => c.allDone('run-long'), 120);
-  assert.equal(c.state.tooLarge, 0);
+  c.controller(holderOf(c, shardOf(c, 'run-long'))).crash();
+  c.runUntil('it runs', () => c.allTasksDone('run-long'), 120);
+  assert.equal(c.stateService.tooLarge, 0);
 });
 
 // Too early would be a start by a list that is not whole yet.
 test('a job starts only once all parts of its record are read', () => {
-  const c = cluster(4);
+  const c = clusterWithAnnouncedLimits(4);
   const put = (key: string, value: unknown) =>
-    c.state.txn({ type: 'compareAndSwap', id: 0, conditions: [], writes: [{ put: key, value }] }, c.now);
+    c.stateService.compareAndSwap({ type: 'compareAndSwap', id: 0, conditions: [], writes: [{ put: key, value }] }, c.now);
   const spec = job('run-parts', { machineTypes: ['small'], estimatedRunS: 2 });
   c.specs.set(spec.id, spec);
   put('a/j/run-parts', { s: 0, t: 0, sp: encodeJobSpec(spec), x: { k: 'group', n: 2 } });
   for (const part of [0, 1]) {
     c.run(3);
-    assert.equal(c.ask('run-parts'), 'queued');
-    assert.equal(c.on('run-parts').length, 0);
+    assert.equal(c.queryStatus('run-parts'), 'queued');
+    assert.equal(c.machinesRunning('run-parts').length, 0);
     put(`a/x/run-parts/group/${part}`, { ty: [], aw: [] });
   }
-  c.until('it runs', () => c.allDone('run-parts'), 20);
+  c.runUntil('it runs', () => c.allTasksDone('run-parts'), 20);
 });
 
 // The leader rents by what is told: told half a list, it would rent nothing, or the wrong thing.
 test('what is told of waiting work names all machine types that its parts hold', () => {
-  const c = cluster(0);
+  const c = clusterWithAnnouncedLimits(0);
   const put = (key: string, value: unknown) =>
-    c.state.txn({ type: 'compareAndSwap', id: 0, conditions: [], writes: [{ put: key, value }] }, c.now);
+    c.stateService.compareAndSwap({ type: 'compareAndSwap', id: 0, conditions: [], writes: [{ put: key, value }] }, c.now);
   const spec = job('run-parts', { machineTypes: ['none'], gpus: 1 });
   c.specs.set(spec.id, spec);
   put('a/x/run-parts/group/0', { ty: ['big'] });
   put('a/j/run-parts', { s: 0, t: 0, sp: encodeJobSpec(spec), x: { k: 'group', n: 1 } });
   c.run(2);
-  const owner = c.node(holderOf(c, 0)).core;
+  const owner = c.controller(holderOf(c, 0)).controller;
   assert.deepEqual(owner.shardController.shardSummary(0, c.now).demands[0]?.types, ['none', 'big']);
   assert.equal(owner.clusterState.gpuDemandByType.size, 1);
 });
 
 // Larger records of before stay as they are: completed, cancelled and handed over without being written again.
 test('after the fall large records of before can still be completed and cancelled', () => {
-  const c = cluster(6);
+  const c = clusterWithAnnouncedLimits(6);
   const types = ['small', ...Array.from({ length: 63 }, (_, index) => `none-${index}-${'x'.repeat(60)}`)];
   const large = (id: string) => {
     const spec = job(id, { machineTypes: types, estimatedRunS: 10 });
     c.specs.set(id, spec);
-    c.state.txn(
+    c.stateService.compareAndSwap(
       {
         type: 'compareAndSwap',
         id: 0,
@@ -346,56 +346,56 @@
   large('run-a');
   large('run-b');
   fall(c);
-  c.until('both run', () => c.running('run-a') + c.running('run-b') === 2, 20);
-  c.cancel('run-b', c.nodes[2]);
-  c.until('done', () => c.allDone('run-a') && c.on('run-b').length === 0, 40);
+  c.runUntil('both run', () => c.runningTasks('run-a') + c.runningTasks('run-b') === 2, 20);
+  c.cancel('run-b', c.controllers[2]);
+  c.runUntil('done', () => c.allTasksDone('run-a') && c.machinesRunning('run-b').length === 0, 40);
   c.run(3);
-  for (const node of c.nodes) {
-    assert.equal(c.ask('run-a', node), 'done');
-    assert.equal(c.ask('run-b', node), 'aborted');
+  for (const node of c.controllers) {
+    assert.equal(c.queryStatus('run-a', node), 'done');
+    assert.equal(c.queryStatus('run-b', node), 'aborted');
   }
-  assert.equal(c.state.tooLarge, 0);
+  assert.equal(c.stateService.tooLarge, 0);
 });
 
 test('progress stored in whole chunks and in parts is united, and what is done does not run again', () => {
-  const c = cluster(6);
+  const c = clusterWithAnnouncedLimits(6);
   const spec = job('run-many', { tasks: 9000, cpus: 0.01, memory: 0.001, estimatedRunS: 5 });
   const done = new Uint8Array(9000).fill(1, 0, 8000);
   const whole = packBits(done, 0, 9000);
   c.specs.set(spec.id, spec);
   const put = (key: string, value: unknown) =>
-    c.state.txn({ type: 'compareAndSwap', id: 0, conditions: [], writes: [{ put: key, value }] }, c.now);
+    c.stateService.compareAndSwap({ type: 'compareAndSwap', id: 0, conditions: [], writes: [{ put: key, value }] }, c.now);
   put('a/p/run-many/0', whole);
   put('a/p/run-many/0.25', packBits(new Uint8Array(9000).fill(1), 8192, 9000));
   put('a/j/run-many', { s: 0, t: 0, sp: encodeJobSpec(spec) });
   for (let index = 0; index < 9000; index++) if (done[index] || index >= 8192) c.finished.add(`run-many/${index}`);
   fall(c);
-  c.until('the rest is done', () => c.allDone('run-many'), 120);
+  c.runUntil('the rest is done', () => c.allTasksDone('run-many'), 120);
   assert.equal(c.trace.filter((line) => line.includes('starts run-many/')).length, 192);
-  assert.equal(c.state.tooLarge, 0);
+  assert.equal(c.stateService.tooLarge, 0);
   c.run(5);
-  assert.equal(c.ask('run-many'), 'done');
+  assert.equal(c.queryStatus('run-many'), 'done');
 });
 
 // A 429 costs neither a lease nor a share nor an acceptance, and no storm of repeats follows it.
 test('while changes are refused for their rate, shares stay, submissions are accepted and repeats stay few', () => {
-  const c = cluster(8);
-  c.state.limits = { valueBytes: 2048, writesPerTransaction: 4, writesPerS: NEXT.writesPerS };
-  const before = c.nodes.map((node) => node.core.clusterState.leaseOf(0)?.revision);
+  const c = clusterWithAnnouncedLimits(8);
+  c.stateService.limits = { valueBytes: 2048, writesPerTransaction: 4, writesPerS: NEXT.writesPerS };
+  const before = c.controllers.map((node) => node.controller.clusterState.leaseOf(0)?.revision);
   const ids = Array.from({ length: 400 }, (_, index) => `run-${index}`);
   ids.forEach((id, index) => {
     c.specs.set(id, job(id, { cpus: 0.2, memory: 0.2, estimatedRunS: 3 }));
     const ask = () =>
-      c.nodes[index % 3]?.submit(c.specs.get(id) as JobSpec, (status) => {
+      c.controllers[index % 3]?.submit(c.specs.get(id) as JobSpec, (status) => {
         if (status === 503) c.at(c.now + 1000, ask);
       });
     c.at(c.now + index * 20, ask);
   });
-  c.until('all done', () => ids.every((id) => c.allDone(id)), 120);
+  c.runUntil('all done', () => ids.every((id) => c.allTasksDone(id)), 120);
   assert.deepEqual(
-    c.nodes.map((node) => node.core.clusterState.leaseOf(0)?.revision),
+    c.controllers.map((node) => node.controller.clusterState.leaseOf(0)?.revision),
     before,
   );
-  assert.ok(c.state.limited < 30, `${c.state.limited} refusals`);
-  assert.equal(c.state.tooLarge, 0);
+  assert.ok(c.stateService.limited < 30, `${c.stateService.limited} refusals`);
+  assert.equal(c.stateService.tooLarge, 0);
 });
--- a/test/loopback/state-server.ts
+++ b/test/loopback/state-server.ts
@@ -1,6 +1,6 @@
 // The state service on loopback: the stand-in of the simulated clusters behind PROTOCOL's HTTP interface.
 import type { KeyWrite, RevisionCondition } from '@archpost/protocol';
-import { StateStandIn } from '../cluster/state-service.js';
+import { SimulatedStateService } from '../cluster/state-service.js';
 import { type LoopbackAnswer, type LoopbackRequest, listen, serverFor } from './http.js';
 
 const MOST_ROWS = 1000;
@@ -19,7 +19,7 @@
 }
 
 export class StateServer {
-  readonly state = new StateStandIn();
+  readonly state = new SimulatedStateService();
   private readonly server = serverFor((request) => this.handle(request));
   private readonly waiting = new Set<() => void>();
   private readonly expiry = setInterval(() => this.change(() => this.state.expire(Date.now())), EXPIRE_EACH_MS);
@@ -57,7 +57,9 @@
       ({ k, stamp: revision }): RevisionCondition => ({ key: k, revision }),
     );
     const writes = ((body.writes ?? []) as WireWrite[]).map(writeOf);
-    const outcome = this.change(() => this.state.txn({ type: 'compareAndSwap', id: 0, conditions, writes }, Date.now()));
+    const outcome = this.change(() =>
+      this.state.compareAndSwap({ type: 'compareAndSwap', id: 0, conditions, writes }, Date.now()),
+    );
     if (outcome.kind === 'ok') return { status: 200, body: { ledger: outcome.revision } };
     if (outcome.kind === 'failed') return { status: 409, body: { failed: outcome.keys, ledger: this.state.revision } };
     return { status: 400, body: { error: outcome.kind === 'noLease' ? 'no such lease' : outcome.kind } };
--- a/test/malformed-input.test.ts
+++ b/test/malformed-input.test.ts
@@ -31,7 +31,7 @@
 import { stringify } from 'smol-toml';
 import { loadSettings } from '../packages/server/src/settings/load-settings.js';
 import { SettingsError } from '../packages/server/src/settings/settings-error.js';
-import { type Cluster, STATUS, smallCluster } from './stand-ins.js';
+import { type SimulatedCluster, STATUS, smallCluster } from './stand-ins.js';
 
 // ---- The code under test: all uses of internal interfaces but the functions that decode single bodies.
 
@@ -42,22 +42,22 @@
 const ANSWER_WITHIN_S = 10;
 
 /** Hands a request to a controller of a simulated cluster and lets time pass there until it is answered. */
-function handOver(cluster: Cluster, request: ApiRequest, isAnswered: () => boolean): void {
-  const { core } = cluster.node('n0');
+function handOver(cluster: SimulatedCluster, request: ApiRequest, isAnswered: () => boolean): void {
+  const { controller: core } = cluster.controller('n0');
   const id = FIRST_REQUEST_ID + request.id;
   const { now } = cluster;
   if (request.kind === 'heartbeat') core.receiveHeartbeat(id, request.heartbeat, now);
   else if (request.kind === 'submit') core.submitJob(id, request.body, now, now);
   else if (request.kind === 'statusQuery') core.queryJobStatus(id, request.job, now);
   else core.cancelJob(id, request.job, now);
-  cluster.node('n0').run();
-  cluster.until(`an answer to ${request.kind}`, isAnswered, ANSWER_WITHIN_S);
+  cluster.controller('n0').run();
+  cluster.runUntil(`an answer to ${request.kind}`, isAnswered, ANSWER_WITHIN_S);
 }
 
 /** Opens the HTTP interface of a controller with four machines in a simulated cluster; returns its port. */
 async function openController(context: TestContext): Promise<number> {
   const cluster = smallCluster(4);
-  const { core } = cluster.node('n0');
+  const { controller: core } = cluster.controller('n0');
   const takeEffects = core.takeEffects.bind(core);
   const answered = new Set<number>();
   const api: HttpApi = new HttpApi(
--- a/test/measure/core-load.ts
+++ b/test/measure/core-load.ts
@@ -3,7 +3,7 @@
 // this machine's; `NODE_OPTIONS=--cpu-prof` tells the functions.
 import type { ControllerSettings } from '@archpost/controller';
 import { decodePeerMessage, encodePeerMessage } from '../../packages/protocol/src/index.js';
-import { Cluster, job } from '../stand-ins.js';
+import { job, SimulatedCluster } from '../stand-ins.js';
 import { type InputName, meteredCore } from './metered-core.js';
 
 const TEAMS = ['kiosk', 'maps', 'vision', 'desk'];
@@ -44,8 +44,8 @@
   sums.set(name, { count: sum.count + 1, ms: sum.ms + ms });
 };
 
-const cluster = new Cluster(NODES, tune);
-for (const node of cluster.nodes) {
+const cluster = new SimulatedCluster(NODES, tune);
+for (const node of cluster.controllers) {
   node.version = { Controller: meteredCore(meter), encodePeerMessage, decodePeerMessage };
   node.restart();
 }
@@ -98,7 +98,7 @@
   cluster.run(1);
   cluster.trace = [];
 }
-const leader = cluster.nodes.find((node) => node.core.leader.isLeading)?.name;
+const leader = cluster.controllers.find((node) => node.controller.leader.isLeading)?.name;
 console.log(`leader ${leader}; milliseconds of processor a second, and count a second`);
 for (const [name, { count, ms }] of [...sums].sort((a, b) => b[1].ms - a[1].ms).slice(0, 24))
   console.log(`${(ms / seconds).toFixed(2).padStart(7)} ${(count / seconds).toFixed(1).padStart(7)} ${name}`);
--- a/test/ops.test.ts
+++ b/test/ops.test.ts
@@ -4,70 +4,74 @@
 import type { ControllerSettings } from '@archpost/controller';
 import { BootTimeEstimator } from '../packages/controller/src/capacity/boot-time-estimator.js';
 import { LoadShedder } from '../packages/http-api/src/load-shedder.js';
-import { Cluster, holderOf, job, kept, shareOf, smallCluster } from './stand-ins.js';
+import { assertGoldenTrace, holderOf, job, SimulatedCluster, shardOf, smallCluster } from './stand-ins.js';
 
-const dead = (cluster: Cluster) => cluster.workers.filter((w) => w.dead).map((w) => w.name);
-const killed = (cluster: Cluster) => cluster.trace.filter((l) => l.includes('kills'));
+const dead = (cluster: SimulatedCluster) => cluster.workers.filter((w) => w.dead).map((w) => w.name);
+const killed = (cluster: SimulatedCluster) => cluster.trace.filter((l) => l.includes('kills'));
 
 for (const seconds of [0.9, 6, 16, 19, 25, 45]) {
   test(`the owner stands still for ${seconds} s: nothing runs twice or after its cancellation, no machine is thrown away`, () => {
     const cluster = smallCluster(8);
     cluster.submit(job('run-v', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
     cluster.submit(job('run-c', { tasks: 3, estimatedRunS: 500 }));
-    cluster.until('running', () => cluster.running('run-v') === 2 && cluster.running('run-c') === 3);
-    const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-v')));
-    const other = cluster.nodes.find((node) => node !== owner);
+    cluster.runUntil('running', () => cluster.runningTasks('run-v') === 2 && cluster.runningTasks('run-c') === 3);
+    const owner = cluster.controller(holderOf(cluster, shardOf(cluster, 'run-v')));
+    const other = cluster.controllers.find((node) => node !== owner);
     assert.ok(other);
     // Decided just before: starts and a write are under way when it stops.
     cluster.submit(job('run-w', { tasks: 4, estimatedRunS: 4 }));
-    owner.freeze();
+    owner.pause();
     cluster.cancel('run-c', other);
     cluster.submit(job('run-x', { tasks: 4, estimatedRunS: 4 }), other);
     cluster.run(seconds);
-    owner.thaw();
-    cluster.until('the cancelled job is gone', () => cluster.on('run-c').length === 0, 36);
-    cluster.until('the rest is done', () => cluster.finished.size === 8, 60);
+    owner.resume();
+    cluster.runUntil('the cancelled job is gone', () => cluster.machinesRunning('run-c').length === 0, 36);
+    cluster.runUntil('the rest is done', () => cluster.finished.size === 8, 60);
     cluster.run(20);
-    assert.equal(cluster.running('run-v'), 2);
+    assert.equal(cluster.runningTasks('run-v'), 2);
     assert.deepEqual(dead(cluster), [], 'it did not hold its own sleep against the machines');
     assert.deepEqual(killed(cluster), [], 'the others answered the workers');
-    assert.equal(cluster.ask('run-c'), 'aborted');
-    if (seconds === 25) kept(cluster, 'owner-stands-still');
+    assert.equal(cluster.queryStatus('run-c'), 'aborted');
+    if (seconds === 25) assertGoldenTrace(cluster, 'owner-stands-still');
   });
 }
 
 test('what came while the owner stood still is lost: it asks its machines, and throws none away', () => {
   const cluster = smallCluster(8);
   cluster.submit(job('run-v', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
-  cluster.until('running', () => cluster.running('run-v') === 2);
-  const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-v')));
-  owner.freeze();
+  cluster.runUntil('running', () => cluster.runningTasks('run-v') === 2);
+  const owner = cluster.controller(holderOf(cluster, shardOf(cluster, 'run-v')));
+  owner.pause();
   cluster.run(16);
-  owner.thaw(true);
+  owner.resume(true);
   cluster.run(20);
   assert.deepEqual(dead(cluster), []);
-  assert.equal(cluster.running('run-v'), 2);
+  assert.equal(cluster.runningTasks('run-v'), 2);
 });
 
 test('a machine that was silent for a moment, and then while its owner stood still, is not given up', () => {
   const cluster = smallCluster(12);
   cluster.submit(job('run-v', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
-  cluster.until('running', () => cluster.running('run-v') === 2);
-  const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-v')));
-  const mine = [...owner.core.clusterState.machines.values()].filter((machine) => machine.shard === shareOf(cluster, 'run-v'));
-  const w = cluster.workers.find((x) => mine.some((machine) => machine.name === x.name) && !cluster.on('run-v').includes(x.name));
+  cluster.runUntil('running', () => cluster.runningTasks('run-v') === 2);
+  const owner = cluster.controller(holderOf(cluster, shardOf(cluster, 'run-v')));
+  const mine = [...owner.controller.clusterState.machines.values()].filter(
+    (machine) => machine.shard === shardOf(cluster, 'run-v'),
+  );
+  const w = cluster.workers.find(
+    (x) => mine.some((machine) => machine.name === x.name) && !cluster.machinesRunning('run-v').includes(x.name),
+  );
   assert.ok(w);
   w.hung = true;
   cluster.run(3);
   cluster.submit(job('run-k', { tasks: 2, estimatedRunS: 60 }));
-  cluster.until(
+  cluster.runUntil(
     'a command is under way',
     () => mine.some((machine) => machine.name !== w.name && machine.tenure.pendingCommandId !== null),
     5,
   );
-  owner.freeze();
+  owner.pause();
   cluster.run(6.5);
-  owner.thaw();
+  owner.resume();
   cluster.run(1);
   w.hung = false;
   cluster.run(10);
@@ -77,20 +81,20 @@
 test('nothing is started after a pause before what is new has been read', () => {
   const cluster = smallCluster(2);
   cluster.submit(job('run-a', { tasks: 4, estimatedRunS: 4 }));
-  cluster.until('full', () => cluster.running('run-a') === 4);
+  cluster.runUntil('full', () => cluster.runningTasks('run-a') === 4);
   cluster.submit(job('run-z', { tasks: 4, estimatedRunS: 4 }));
   cluster.run(0.5);
-  const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-z')));
-  const other = cluster.nodes.find((node) => node !== owner);
+  const owner = cluster.controller(holderOf(cluster, shardOf(cluster, 'run-z')));
+  const other = cluster.controllers.find((node) => node !== owner);
   assert.ok(other);
-  owner.freeze();
+  owner.pause();
   cluster.cancel('run-z', other);
   cluster.run(6);
   // It goes on with room for the cancelled job and old news of it; the state service is slow.
-  owner.refused = true;
-  owner.thaw();
+  owner.isRefusedByStateService = true;
+  owner.resume();
   cluster.run(6);
-  owner.refused = false;
+  owner.isRefusedByStateService = false;
   cluster.run(10);
   assert.equal(cluster.finished.size, 4);
   assert.ok(!cluster.trace.some((l) => l.includes('starts run-z')));
@@ -98,19 +102,19 @@
 
 test('after standing still, the lead and owner takes no share back by force, and gets its own once at rest', () => {
   const cluster = smallCluster(8);
-  const lead = cluster.node(holderOf(cluster, 2));
-  const revision = () => cluster.nodes[0]?.core.clusterState.leaseOf(2)?.revision;
-  lead.freeze();
-  cluster.until(
+  const lead = cluster.controller(holderOf(cluster, 2));
+  const revision = () => cluster.controllers[0]?.controller.clusterState.leaseOf(2)?.revision;
+  lead.pause();
+  cluster.runUntil(
     'taken over',
-    () => !['', lead.name].includes(cluster.nodes[0]?.core.clusterState.leaseOf(2)?.holder.controller ?? ''),
+    () => !['', lead.name].includes(cluster.controllers[0]?.controller.clusterState.leaseOf(2)?.holder.controller ?? ''),
     40,
   );
   const during = revision();
-  lead.thaw();
+  lead.resume();
   cluster.run(1);
   assert.equal(revision(), during, 'no fight for it');
-  cluster.until('home again', () => holderOf(cluster, 2) === lead.name, 40);
+  cluster.runUntil('home again', () => holderOf(cluster, 2) === lead.name, 40);
   const home = revision();
   cluster.run(20);
   assert.equal(revision(), home);
@@ -120,19 +124,19 @@
 test('all controllers stand still for longer than a cancellation has: what was cancelled before is not started after', () => {
   const cluster = smallCluster(6);
   cluster.submit(job('run-s', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
-  cluster.until('running', () => cluster.running('run-s') === 2);
-  const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-s')));
-  const other = cluster.nodes.find((node) => node !== owner);
+  cluster.runUntil('running', () => cluster.runningTasks('run-s') === 2);
+  const owner = cluster.controller(holderOf(cluster, shardOf(cluster, 'run-s')));
+  const other = cluster.controllers.find((node) => node !== owner);
   assert.ok(other);
-  owner.freeze();
+  owner.pause();
   cluster.submit(job('run-l', { tasks: 4, estimatedRunS: 5 }), other);
   cluster.cancel('run-l', other);
-  for (const node of cluster.nodes) if (!node.frozen) node.freeze();
+  for (const node of cluster.controllers) if (!node.isPaused) node.pause();
   cluster.run(45);
-  for (const node of cluster.nodes) node.thaw();
+  for (const node of cluster.controllers) node.resume();
   cluster.run(40);
   assert.ok(!cluster.trace.some((l) => l.includes('starts run-l')));
-  cluster.until('the service runs again', () => cluster.running('run-s') === 2, 60);
+  cluster.runUntil('the service runs again', () => cluster.runningTasks('run-s') === 2, 60);
 });
 
 test('jobs that fail everywhere cost no machine, no room and no rental; they stay known, and a faulty machine is still found', () => {
@@ -144,34 +148,34 @@
   }
   cluster.run(30);
   assert.deepEqual(dead(cluster), [], 'no healthy machine is put aside');
-  for (const node of cluster.nodes)
-    for (const machine of node.core.clusterState.machines.values()) assert.equal(machine.failedJobs.size, 0, 'nor blamed');
+  for (const node of cluster.controllers)
+    for (const machine of node.controller.clusterState.machines.values()) assert.equal(machine.failedJobs.size, 0, 'nor blamed');
   const tried = new Set(cluster.trace.filter((l) => l.includes('starts run-b0/')).map((l) => l.split('/')[1]));
   assert.equal(tried.size, 30, 'each of its tasks was tried');
-  const shard = shareOf(cluster, 'run-b0');
-  const told = cluster.node(holderOf(cluster, shard)).core.shardController.shardSummary(shard, cluster.now + 1000);
+  const shard = shardOf(cluster, 'run-b0');
+  const told = cluster.controller(holderOf(cluster, shard)).controller.shardController.shardSummary(shard, cluster.now + 1000);
   assert.deepEqual(told.demands, [], 'nothing is rented or moved for them');
   for (const id of ids) {
     const said: Record<string, unknown>[] = [];
-    cluster.nodes[0]?.poll(id, (_status, body) => said.push(body));
-    cluster.until('answered', () => said.length === 1, 6);
+    cluster.controllers[0]?.queryStatus(id, (_status, body) => said.push(body));
+    cluster.runUntil('answered', () => said.length === 1, 6);
     assert.ok(said[0]?.status === 'queued' || said[0]?.status === 'running');
     assert.ok(Number(said[0]?.failed) >= 3 && String(said[0]?.note).includes('every machine'));
   }
   const before = cluster.trace.length;
   cluster.submit(job('run-ok', { tasks: 18, estimatedRunS: 3 }));
-  cluster.until('healthy work is not held up', () => cluster.finished.size === 18, 20);
+  cluster.runUntil('healthy work is not held up', () => cluster.finished.size === 18, 20);
   cluster.run(10);
   assert.ok(cluster.trace.slice(before).filter((l) => l.includes('starts run-b')).length < 20, 'they are tried now and then');
   const bad = cluster.workers[0];
   assert.ok(bad);
   bad.fails = true;
   for (let index = 0; index < 4; index++) cluster.submit(job(`run-h${index}`, { tasks: 8, estimatedRunS: 3 }));
-  cluster.until('all done', () => cluster.finished.size === 18 + 32, 90);
+  cluster.runUntil('all done', () => cluster.finished.size === 18 + 32, 90);
   assert.deepEqual(dead(cluster), [bad.name]);
   for (const id of ids) cluster.cancel(id);
   cluster.run(5);
-  for (const id of ids) assert.equal(cluster.ask(id), 'aborted');
+  for (const id of ids) assert.equal(cluster.queryStatus(id), 'aborted');
 });
 
 test('what a job that fails everywhere cast on machines is taken back', () => {
@@ -180,14 +184,14 @@
   cluster.submit(job('run-b', { tasks: 6, estimatedRunS: 3 }));
   cluster.run(8);
   cluster.submit(job('run-good', { tasks: 12, estimatedRunS: 3 }));
-  cluster.until('some done', () => cluster.finished.size >= 4, 30);
+  cluster.runUntil('some done', () => cluster.finished.size >= 4, 30);
   cluster.run(1);
   const w = cluster.workers.find((x) => [...x.tasks.values()].some((t) => t.job === 'run-good' && t.state === 'running'));
   assert.ok(w);
   w.fails = true;
   cluster.run(0.1);
   w.fails = false;
-  cluster.until('done', () => cluster.finished.size === 12, 60);
+  cluster.runUntil('done', () => cluster.finished.size === 12, 60);
   assert.deepEqual(dead(cluster), [], 'one failure of a good job is no proof');
 });
 
@@ -197,7 +201,7 @@
   cluster.submit(job('run-r', { tasks: 8, estimatedRunS: 3 }));
   cluster.run(8);
   for (const w of cluster.workers) w.fails = false;
-  cluster.until('done', () => cluster.ask('run-r') === 'done', 90);
+  cluster.runUntil('done', () => cluster.queryStatus('run-r') === 'done', 90);
 });
 
 const withGuest = (settings: ControllerSettings): ControllerSettings => ({
@@ -206,56 +210,56 @@
 });
 
 test('a swarm of a guest team uses what is idle and gives way at once; its changes are few', () => {
-  const cluster = new Cluster(['n0', 'n1', 'n2'], withGuest);
+  const cluster = new SimulatedCluster(['n0', 'n1', 'n2'], withGuest);
   for (let index = 0; index < 12; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
-  cluster.settle();
+  cluster.runUntilSettled();
   const changes = () => [...cluster.changes.values()].reduce((a, count) => a + count, 0);
   const before = changes();
   const guests = Array.from({ length: 60 }, (_, index) => `run-g${index}`);
   for (const id of guests) cluster.submit(job(id, { team: 'guest', priority: 0, cpus: 1, memory: 2, estimatedRunS: 8 }));
   cluster.submit(job('run-first', { team: 'red', shape: 'service', tasks: 4, priority: 3, jobClass: 'serve' }));
-  cluster.until('others do not wait', () => cluster.running('run-first') === 4, 8);
-  cluster.until('the guests are served', () => guests.every((id) => cluster.finished.has(`${id}/0`)), 120);
+  cluster.runUntil('others do not wait', () => cluster.runningTasks('run-first') === 4, 8);
+  cluster.runUntil('the guests are served', () => guests.every((id) => cluster.finished.has(`${id}/0`)), 120);
   cluster.run(5);
-  for (const id of guests) assert.equal(cluster.ask(id), 'done');
+  for (const id of guests) assert.equal(cluster.queryStatus(id), 'done');
   assert.ok(changes() - before < guests.length * 2.5 + 150, `${changes() - before} changes for ${guests.length} jobs`);
 });
 
 test('a guest is within no guarantee: its gangs stop none of equal rank, not even above their guarantee', () => {
-  const cluster = new Cluster(['n0', 'n1', 'n2'], withGuest);
+  const cluster = new SimulatedCluster(['n0', 'n1', 'n2'], withGuest);
   cluster.machine('g0', 'big', 'east');
   cluster.machine('g1', 'big', 'east');
-  cluster.settle();
+  cluster.runUntilSettled();
   const train = { shape: 'gang' as const, gpus: 8, cpus: 40, memory: 100, estimatedRunS: 200, priority: 1 };
   cluster.submit(job('run-0', { ...train, team: 'red' }));
   cluster.submit(job('run-1', { ...train, team: 'red' }));
-  cluster.until('both run', () => cluster.running('run-0') + cluster.running('run-1') === 2, 40);
+  cluster.runUntil('both run', () => cluster.runningTasks('run-0') + cluster.runningTasks('run-1') === 2, 40);
   cluster.submit(job('run-guest', { ...train, team: 'guest' }));
   cluster.run(60);
-  assert.equal(cluster.running('run-0') + cluster.running('run-1'), 2);
+  assert.equal(cluster.runningTasks('run-0') + cluster.runningTasks('run-1'), 2);
 });
 
 test('for work of the lowest rank only what is cheap is rented, and nothing dear ever', () => {
-  const cluster = new Cluster(['n0', 'n1', 'n2'], (settings) => ({
+  const cluster = new SimulatedCluster(['n0', 'n1', 'n2'], (settings) => ({
     ...withGuest(settings),
     policy: { ...settings.policy, holdSpareCapacity: false, maxMachines: null },
   }));
   for (let index = 0; index < 3; index++) cluster.machine(`m${index}`, 'small', 'east');
-  cluster.settle();
-  cluster.rents.length = 0;
+  cluster.runUntilSettled();
+  cluster.provisioningRequests.length = 0;
   const start = cluster.now;
   cluster.submit(
     job('run-low', { team: 'guest', priority: 0, tasks: 200, cpus: 1, memory: 2, estimatedRunS: 400, allowsSpot: true }),
   );
   cluster.run(150);
-  const soon = cluster.rents.filter((r) => r.at - start < 55_000);
+  const soon = cluster.provisioningRequests.filter((r) => r.at - start < 55_000);
   assert.ok(soon.length > 0 && soon.every((r) => r.spot), 'cheap ones at first');
   assert.ok(
-    cluster.rents.some((r) => !r.spot && r.type === 'small'),
+    cluster.provisioningRequests.some((r) => !r.spot && r.type === 'small'),
     'ordinary ones so that it begins',
   );
   assert.ok(
-    cluster.rents.every((r) => r.spot || r.type === 'small'),
+    cluster.provisioningRequests.every((r) => r.spot || r.type === 'small'),
     'no dear one',
   );
 });
@@ -276,9 +280,9 @@
 });
 
 test('machines with short tasks of the lowest rank are told of several at once', () => {
-  const cluster = new Cluster(['n0', 'n1', 'n2'], withGuest);
+  const cluster = new SimulatedCluster(['n0', 'n1', 'n2'], withGuest);
   for (let index = 0; index < 6; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
-  cluster.settle();
+  cluster.runUntilSettled();
   cluster.submit(job('run-tiles', { team: 'guest', priority: 0, tasks: 2000, cpus: 0.5, memory: 1, estimatedRunS: 0.7 }));
   cluster.run(10);
   const before = cluster.commands;
@@ -292,12 +296,12 @@
   const cluster = smallCluster(4);
   for (let index = 0; index < 10; index++) cluster.submit(job(`run-${index}`, { tasks: 1, estimatedRunS: 600 }));
   cluster.run(5);
-  const node = cluster.nodes[1];
+  const node = cluster.controllers[1];
   assert.ok(node);
   const said = new Map<string, number>();
   for (let index = 0; index < 1000; index++) {
     const id = index < 990 ? `run-${index % 10}` : `run-none-${index}`;
-    node.poll(id, (status) => said.set(`${id} ${status}`, (said.get(`${id} ${status}`) ?? 0) + 1));
+    node.queryStatus(id, (status) => said.set(`${id} ${status}`, (said.get(`${id} ${status}`) ?? 0) + 1));
   }
   cluster.run(1);
   for (let index = 0; index < 10; index++) assert.equal(said.get(`run-${index} 200`), 99);
--- a/test/outages.test.ts
+++ b/test/outages.test.ts
@@ -1,7 +1,7 @@
 // Outages of the state service while users cancel: what lives on, and for how long (docs/meetings.md).
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type Cluster, holderOf, job, kept, shareOf, smallCluster } from './stand-ins.js';
+import { assertGoldenTrace, holderOf, job, type SimulatedCluster, shardOf, smallCluster } from './stand-ins.js';
 
 /**
  * The gap: the state service refuses the leading controller alone, another one confirms cancellations,
@@ -23,31 +23,31 @@
       const ids = ['run-gap0', 'run-gap1', 'run-gap2', 'run-gap3'];
       for (const [index, id] of ids.entries())
         cluster.submit(job(id, { team: ['red', 'blue', 'green', 'red'][index] as string, tasks: 3, estimatedRunS: 500 }));
-      cluster.until('running', () => ids.every((id) => cluster.running(id) === 3));
+      cluster.runUntil('running', () => ids.every((id) => cluster.runningTasks(id) === 3));
       const lead = holderOf(cluster, 'lead');
-      const holder = holderOf(cluster, shareOf(cluster, 'run-gap0'));
+      const holder = holderOf(cluster, shardOf(cluster, 'run-gap0'));
       assert.notEqual(lead, holder);
       const third = cluster.names.find((n) => n !== lead && n !== holder) as string;
       const refused = { 'the owner': [holder], 'the lead': [lead], 'owner and lead': [holder, lead], neither: [third] }[
         refusedIs
       ];
-      const confirming = cluster.nodes.find((node) => !refused.includes(node.name));
+      const confirming = cluster.controllers.find((node) => !refused.includes(node.name));
       assert.ok(confirming);
-      for (const name of refused) cluster.node(name).refused = true;
+      for (const name of refused) cluster.controller(name).isRefusedByStateService = true;
       cluster.run(before / 2);
       for (const id of ids) cluster.cancel(id, confirming);
       cluster.run(before / 2);
-      cluster.stateDown = true;
+      cluster.isStateServiceDown = true;
       cluster.run(outage / 2);
       // Repeats and questions are refused, or answered as before.
-      for (const node of cluster.nodes) assert.ok(['aborted', '503'].includes(cluster.ask('run-gap0', node)));
+      for (const node of cluster.controllers) assert.ok(['aborted', '503'].includes(cluster.queryStatus('run-gap0', node)));
       cluster.run(outage / 2);
-      cluster.stateDown = false;
-      for (const name of refused) cluster.node(name).refused = false;
-      cluster.until('all gone', () => ids.every((id) => cluster.on(id).length === 0), 20);
+      cluster.isStateServiceDown = false;
+      for (const name of refused) cluster.controller(name).isRefusedByStateService = false;
+      cluster.runUntil('all gone', () => ids.every((id) => cluster.machinesRunning(id).length === 0), 20);
       cluster.run(3);
-      for (const node of cluster.nodes) assert.equal(cluster.ask('run-gap1', node), 'aborted');
-      if (refusedIs === 'the owner' && before === 0.4) kept(cluster, 'the-gap');
+      for (const node of cluster.controllers) assert.equal(cluster.queryStatus('run-gap1', node), 'aborted');
+      if (refusedIs === 'the owner' && before === 0.4) assertGoldenTrace(cluster, 'the-gap');
     }
   });
 }
@@ -60,37 +60,40 @@
   const cluster = smallCluster(8);
   cluster.submit(job('run-v', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
   cluster.submit(job('run-a', { tasks: 4, estimatedRunS: 100 }));
-  cluster.until('running', () => cluster.running('run-v') === 2 && cluster.running('run-a') === 4);
+  cluster.runUntil('running', () => cluster.runningTasks('run-v') === 2 && cluster.runningTasks('run-a') === 4);
   cluster.run(2);
-  cluster.stateDown = true;
+  cluster.isStateServiceDown = true;
   cluster.run(90);
-  assert.equal(cluster.running('run-v') + cluster.running('run-a'), 6);
-  cluster.stateDown = false;
+  assert.equal(cluster.runningTasks('run-v') + cluster.runningTasks('run-a'), 6);
+  cluster.isStateServiceDown = false;
   cluster.run(2);
   cluster.cancel('run-v');
-  cluster.until('done', () => cluster.ask('run-a') === 'done', 60);
+  cluster.runUntil('done', () => cluster.queryStatus('run-a') === 'done', 60);
   assert.ok(!cluster.trace.some((l) => l.includes('kills')));
-  kept(cluster, 'outage-that-all-ride-out');
+  assertGoldenTrace(cluster, 'outage-that-all-ride-out');
 });
 
 const UNTOLD: Record<
   string,
-  { before?: (cluster: Cluster, from: string, to: string) => void; after?: (cluster: Cluster, from: string) => void }
+  {
+    before?: (cluster: SimulatedCluster, from: string, to: string) => void;
+    after?: (cluster: SimulatedCluster, from: string) => void;
+  }
 > = {
   'is cut off, one way, from the one that confirmed it': {
     after: (cluster, from) => {
-      cluster.unheard = (a) => a === from;
+      cluster.losesPeerMessages = (a) => a === from;
     },
   },
   'hears that one again after its restart': {
     after: (cluster, from) => {
-      cluster.node(from).crash();
-      cluster.at(cluster.now + 300, () => cluster.node(from).restart());
+      cluster.controller(from).crash();
+      cluster.at(cluster.now + 300, () => cluster.controller(from).restart());
     },
   },
   'hears late what that one said before': {
     before: (cluster, from, to) => {
-      cluster.held = (a, b) => a === from && b === to;
+      cluster.delaysPeerMessages = (a, b) => a === from && b === to;
     },
   },
   'hears that there is something that it can not read': {},
@@ -102,24 +105,24 @@
       const ids = ['run-v0', 'run-v1', 'run-v2'];
       for (const [index, id] of ids.entries())
         cluster.submit(job(id, { team: ['red', 'blue', 'green'][index] as string, tasks: 3, estimatedRunS: 500 }));
-      cluster.until('running', () => ids.every((id) => cluster.running(id) === 3));
+      cluster.runUntil('running', () => ids.every((id) => cluster.runningTasks(id) === 3));
       cluster.run(3);
-      const old = cluster.node(holderOf(cluster, 0));
-      const confirming = cluster.nodes.filter((node) => node !== old)[which];
+      const old = cluster.controller(holderOf(cluster, 0));
+      const confirming = cluster.controllers.filter((node) => node !== old)[which];
       assert.ok(confirming);
       trouble.before?.(cluster, confirming.name, old.name);
       cluster.run(14);
       // Its workers stay with it alone, and it hears the other two.
-      for (const w of cluster.workers) w.target = cluster.nodes.indexOf(old);
-      cluster.cut = (a, b) => a !== old.name && a.startsWith('n') && !b.startsWith('n');
-      old.refused = true;
+      for (const w of cluster.workers) w.target = cluster.controllers.indexOf(old);
+      cluster.isPartitioned = (a, b) => a !== old.name && a.startsWith('n') && !b.startsWith('n');
+      old.isRefusedByStateService = true;
       // The third knows no more than the old one: all depends on what the one that confirmed says.
-      for (const node of cluster.nodes) if (node !== confirming) node.lagging = true;
+      for (const node of cluster.controllers) if (node !== confirming) node.isWatchLagging = true;
       cluster.run(0.2);
       for (const id of ids) cluster.cancel(id, confirming);
       trouble.after?.(cluster, confirming.name);
-      cluster.stateDown = true;
-      cluster.until('all gone', () => ids.every((id) => cluster.on(id).length === 0), 37);
+      cluster.isStateServiceDown = true;
+      cluster.runUntil('all gone', () => ids.every((id) => cluster.machinesRunning(id).length === 0), 37);
     }
   });
 }
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -3,8 +3,16 @@
 import { test } from 'node:test';
 import { encodeJobSpec } from '@archpost/controller';
 import { type JobSpec, parseSubmission } from '@archpost/protocol';
-import { type Cluster, holderOf, job, kept, type Node, shareOf, smallCluster } from './stand-ins.js';
-import { Walk } from './walk.js';
+import {
+  assertGoldenTrace,
+  holderOf,
+  job,
+  type SimulatedCluster,
+  type SimulatedController,
+  shardOf,
+  smallCluster,
+} from './stand-ins.js';
+import { RandomizedSimulation } from './walk.js';
 
 const submission = (awaits: unknown) => ({
   ref: 'run-last',
@@ -28,7 +36,12 @@
 });
 
 /** Submits at one controller and says how that was answered. */
-function told(cluster: Cluster, id: string, awaits: string[], node = cluster.nodes[0] as Node): number {
+function told(
+  cluster: SimulatedCluster,
+  id: string,
+  awaits: string[],
+  node = cluster.controllers[0] as SimulatedController,
+): number {
   const spec = job(id);
   cluster.specs.set(id, spec);
   cluster.awaits.set(id, awaits);
@@ -36,15 +49,15 @@
   node.submit(spec, (code) => {
     status = code;
   });
-  cluster.until(`${id} answered`, () => status !== 0, 6);
+  cluster.runUntil(`${id} answered`, () => status !== 0, 6);
   return status;
 }
 
-function chain(cluster: Cluster, ids: string[], over: Parameters<typeof job>[1] = {}): void {
+function chain(cluster: SimulatedCluster, ids: string[], over: Parameters<typeof job>[1] = {}): void {
   ids.forEach((id, index) => {
     cluster.submit(
       job(id, { estimatedRunS: 3, ...over }),
-      cluster.nodes[index % cluster.nodes.length],
+      cluster.controllers[index % cluster.controllers.length],
       index === 0 ? [] : [ids[index - 1] as string],
     );
   });
@@ -68,14 +81,15 @@
 test('a chain runs in its order, over a takeover of each share', () => {
   const cluster = smallCluster(6);
   chain(cluster, ['run-1', 'run-2', 'run-3'], { tasks: 3 });
-  cluster.until('the first is done', () => cluster.allDone('run-1'), 40);
-  const holder = holderOf(cluster, shareOf(cluster, 'run-2'));
-  cluster.node(holder).crash();
-  cluster.until('the last is done', () => cluster.allDone('run-3'), 120);
-  cluster.node(holder).restart();
+  cluster.runUntil('the first is done', () => cluster.allTasksDone('run-1'), 40);
+  const holder = holderOf(cluster, shardOf(cluster, 'run-2'));
+  cluster.controller(holder).crash();
+  cluster.runUntil('the last is done', () => cluster.allTasksDone('run-3'), 120);
+  cluster.controller(holder).restart();
   cluster.run(15);
-  for (const id of ['run-1', 'run-2', 'run-3']) for (const node of cluster.nodes) assert.equal(cluster.ask(id, node), 'done');
-  kept(cluster, 'chain-over-a-takeover');
+  for (const id of ['run-1', 'run-2', 'run-3'])
+    for (const node of cluster.controllers) assert.equal(cluster.queryStatus(id, node), 'done');
+  assertGoldenTrace(cluster, 'chain-over-a-takeover');
 });
 
 test('a job that names itself or one never accepted is refused, after a reading newer than the request', () => {
@@ -83,8 +97,8 @@
   assert.equal(told(cluster, 'run-self', ['run-self']), 422);
   assert.equal(told(cluster, 'run-x', ['run-never']), 422);
   // Accepted elsewhere a moment ago, and not read here yet: the reading is waited for.
-  const [first, second] = cluster.nodes as [Node, Node];
-  first.lagging = true;
+  const [first, second] = cluster.controllers as [SimulatedController, SimulatedController];
+  first.isWatchLagging = true;
   cluster.submit(job('run-new'), second);
   let status = 0;
   cluster.specs.set('run-y', job('run-y'));
@@ -94,11 +108,11 @@
   });
   cluster.run(0.5);
   assert.equal(status, 0, 'not decided by what is known here');
-  first.lagging = false;
+  first.isWatchLagging = false;
   cluster.run(0.5);
   assert.equal(status, 201);
   // Without a reading nothing is refused: the user is to ask again.
-  first.lagging = true;
+  first.isWatchLagging = true;
   assert.equal(told(cluster, 'run-z', ['run-unread'], first), 503);
 });
 
@@ -114,37 +128,37 @@
   cluster.cancel('run-0');
   cluster.run(1);
   assert.equal((cluster.changes.get('j') ?? 0) - before, 1);
-  for (const node of cluster.nodes)
-    for (const id of ['run-1', 'run-20', 'run-39']) assert.equal(cluster.ask(id, node), 'aborted');
+  for (const node of cluster.controllers)
+    for (const id of ['run-1', 'run-20', 'run-39']) assert.equal(cluster.queryStatus(id, node), 'aborted');
   // A controller that begins again derives the same, and nothing goes back.
-  cluster.node('n1').crash();
-  cluster.node('n1').restart();
+  cluster.controller('n1').crash();
+  cluster.controller('n1').restart();
   cluster.run(20);
-  assert.equal(cluster.ask('run-39', cluster.node('n1')), 'aborted');
-  cluster.cancel('run-39', cluster.node('n1'));
-  assert.equal(cluster.on('run-39').length, 0);
+  assert.equal(cluster.queryStatus('run-39', cluster.controller('n1')), 'aborted');
+  cluster.cancel('run-39', cluster.controller('n1'));
+  assert.equal(cluster.machinesRunning('run-39').length, 0);
 });
 
 test('a job submitted after the cancellation of one that it needs is accepted, and cancelled', () => {
   const cluster = smallCluster(4);
   cluster.submit(job('run-a'));
   cluster.cancel('run-a');
-  assert.equal(told(cluster, 'run-b', ['run-a'], cluster.nodes[2]), 201);
+  assert.equal(told(cluster, 'run-b', ['run-a'], cluster.controllers[2]), 201);
   cluster.run(1);
-  assert.equal(cluster.ask('run-b'), 'aborted');
+  assert.equal(cluster.queryStatus('run-b'), 'aborted');
 });
 
 // A cancellation that meets the end of the last task: one record decides, and everything follows it.
 test('a cancellation answered with done lets the jobs after it go on; one that comes first stops them', () => {
   const cluster = smallCluster(6);
   cluster.submit(job('run-a', { estimatedRunS: 2 }));
-  cluster.submit(job('run-b', { estimatedRunS: 2 }), cluster.nodes[1], ['run-a']);
-  cluster.until('done', () => cluster.allDone('run-a'), 40);
-  cluster.until('stored', () => cluster.ask('run-a') === 'done', 10);
+  cluster.submit(job('run-b', { estimatedRunS: 2 }), cluster.controllers[1], ['run-a']);
+  cluster.runUntil('done', () => cluster.allTasksDone('run-a'), 40);
+  cluster.runUntil('stored', () => cluster.queryStatus('run-a') === 'done', 10);
   cluster.cancel('run-a');
-  cluster.until('the next runs', () => cluster.allDone('run-b'), 40);
+  cluster.runUntil('the next runs', () => cluster.allTasksDone('run-b'), 40);
   cluster.run(2);
-  assert.equal(cluster.ask('run-b'), 'done');
+  assert.equal(cluster.queryStatus('run-b'), 'done');
 });
 
 test('a cancellation meets the end of the last task at any moment: all that follows agrees with its answer', () => {
@@ -152,19 +166,20 @@
   for (let offset = 0; offset <= 2000; offset += 100) {
     const cluster = smallCluster(4);
     cluster.submit(job('run-a', { estimatedRunS: 2 }));
-    cluster.submit(job('run-b', { estimatedRunS: 1, team: 'blue' }), cluster.nodes[1], ['run-a']);
-    cluster.submit(job('run-c', { estimatedRunS: 1, team: 'green' }), cluster.nodes[2], ['run-b']);
-    cluster.until('running', () => cluster.running('run-a') === 1, 10);
+    cluster.submit(job('run-b', { estimatedRunS: 1, team: 'blue' }), cluster.controllers[1], ['run-a']);
+    cluster.submit(job('run-c', { estimatedRunS: 1, team: 'green' }), cluster.controllers[2], ['run-b']);
+    cluster.runUntil('running', () => cluster.runningTasks('run-a') === 1, 10);
     cluster.run(1.2 + offset / 1000);
     let answer = '';
-    cluster.nodes[2]?.cancel('run-a', (_status, body) => {
+    cluster.controllers[2]?.cancel('run-a', (_status, body) => {
       answer = String(body.status);
     });
-    cluster.until('answered', () => answer !== '', 6);
+    cluster.runUntil('answered', () => answer !== '', 6);
     answers.add(answer);
     cluster.run(12);
-    for (const node of cluster.nodes) for (const id of ['run-a', 'run-b', 'run-c']) assert.equal(cluster.ask(id, node), answer);
-    assert.equal(cluster.allDone('run-c'), answer === 'done');
+    for (const node of cluster.controllers)
+      for (const id of ['run-a', 'run-b', 'run-c']) assert.equal(cluster.queryStatus(id, node), answer);
+    assert.equal(cluster.allTasksDone('run-c'), answer === 'done');
   }
   assert.deepEqual([...answers].sort(), ['aborted', 'done']);
 });
@@ -174,35 +189,35 @@
   const cluster = smallCluster(4);
   cluster.submit(job('run-a', { estimatedRunS: 2 }));
   cluster.submit(job('run-b', { estimatedRunS: 1, team: 'blue' }), undefined, ['run-a']);
-  const [first, second] = cluster.nodes as [Node, Node];
-  second.lagging = true;
+  const [first, second] = cluster.controllers as [SimulatedController, SimulatedController];
+  second.isWatchLagging = true;
   cluster.cancel('run-a', first);
-  cluster.stateDown = true;
+  cluster.isStateServiceDown = true;
   cluster.run(50);
-  assert.equal(cluster.on('run-b').length, 0);
-  cluster.stateDown = false;
-  second.lagging = false;
+  assert.equal(cluster.machinesRunning('run-b').length, 0);
+  cluster.isStateServiceDown = false;
+  second.isWatchLagging = false;
   cluster.run(3);
-  for (const node of cluster.nodes) assert.equal(cluster.ask('run-b', node), 'aborted');
+  for (const node of cluster.controllers) assert.equal(cluster.queryStatus('run-b', node), 'aborted');
 });
 
 test('a diamond: the last job starts after both sides, and is cancelled with either', () => {
   const cluster = smallCluster(8);
   const diamond = (p: string) => {
     cluster.submit(job(`run-${p}0`, { estimatedRunS: 2 }));
-    cluster.submit(job(`run-${p}1`, { team: 'blue', estimatedRunS: 3 }), cluster.nodes[1], [`run-${p}0`]);
-    cluster.submit(job(`run-${p}2`, { team: 'green', estimatedRunS: 9 }), cluster.nodes[2], [`run-${p}0`]);
-    cluster.submit(job(`run-${p}3`, { estimatedRunS: 2 }), cluster.nodes[0], [`run-${p}1`, `run-${p}2`]);
+    cluster.submit(job(`run-${p}1`, { team: 'blue', estimatedRunS: 3 }), cluster.controllers[1], [`run-${p}0`]);
+    cluster.submit(job(`run-${p}2`, { team: 'green', estimatedRunS: 9 }), cluster.controllers[2], [`run-${p}0`]);
+    cluster.submit(job(`run-${p}3`, { estimatedRunS: 2 }), cluster.controllers[0], [`run-${p}1`, `run-${p}2`]);
   };
   diamond('a');
-  cluster.until('the last is done', () => cluster.allDone('run-a3'), 60);
+  cluster.runUntil('the last is done', () => cluster.allTasksDone('run-a3'), 60);
   diamond('b');
-  cluster.until('one side is done', () => cluster.allDone('run-b1'), 40);
+  cluster.runUntil('one side is done', () => cluster.allTasksDone('run-b1'), 40);
   cluster.run(2);
   cluster.cancel('run-b2');
   cluster.run(2);
-  assert.equal(cluster.ask('run-b3'), 'aborted');
-  assert.equal(cluster.ask('run-b1'), 'done');
+  assert.equal(cluster.queryStatus('run-b3'), 'aborted');
+  assert.equal(cluster.queryStatus('run-b1'), 'done');
 });
 
 test('a stored list of awaited jobs that can not be read keeps that one job waiting, and harms nothing else', () => {
@@ -221,20 +236,21 @@
     // Of a version that knows more.
     ['a/j/run-new', { s: 0, t: 0, sp: { ...sp('run-new'), colour: 'red' }, future: true }],
   ];
-  for (const [put, value] of records) cluster.state.txn({ ...conditions, writes: [{ put, value }] }, cluster.now);
-  cluster.until('others run', () => cluster.allDone('run-new'), 40);
-  for (const id of ['run-odd', 'run-odder', 'run-p', 'run-q']) assert.equal(cluster.ask(id), 'queued');
+  for (const [put, value] of records)
+    cluster.stateService.compareAndSwap({ ...conditions, writes: [{ put, value }] }, cluster.now);
+  cluster.runUntil('others run', () => cluster.allTasksDone('run-new'), 40);
+  for (const id of ['run-odd', 'run-odder', 'run-p', 'run-q']) assert.equal(cluster.queryStatus(id), 'queued');
   cluster.cancel('run-q');
   cluster.cancel('run-odd');
   cluster.run(1);
-  for (const id of ['run-odd', 'run-p', 'run-q']) assert.equal(cluster.ask(id), 'aborted');
+  for (const id of ['run-odd', 'run-p', 'run-q']) assert.equal(cluster.queryStatus(id), 'aborted');
 });
 
 // Each end and each submission may cost in proportion to its edges, not to all jobs: the time is not bounded
 // here, but a cost that grew with their product would not end.
 test('a job awaited by thousands, and a chain of hundreds, are released one after another', () => {
   const cluster = smallCluster(4);
-  const first = cluster.nodes[0] as Node;
+  const first = cluster.controllers[0] as SimulatedController;
   cluster.submit(job('run-root', { estimatedRunS: 60 }));
   const conditions = { type: 'compareAndSwap' as const, id: 0, conditions: [] };
   const writes = Array.from({ length: 3000 }, (_, index) => {
@@ -255,21 +271,21 @@
       },
     };
   });
-  cluster.state.txn({ ...conditions, writes: [...links, ...writes] }, cluster.now);
+  cluster.stateService.compareAndSwap({ ...conditions, writes: [...links, ...writes] }, cluster.now);
   cluster.run(1);
-  assert.equal(first.core.clusterState.jobs.get('run-root')?.priority, 2);
-  assert.equal(first.core.clusterState.jobs.get('run-c499')?.isBlocked, true);
+  assert.equal(first.controller.clusterState.jobs.get('run-root')?.priority, 2);
+  assert.equal(first.controller.clusterState.jobs.get('run-c499')?.isBlocked, true);
   cluster.cancel('run-root');
   cluster.run(1);
-  assert.equal(cluster.ask('run-c499'), 'aborted');
-  assert.equal(first.core.clusterState.jobs.size, 0);
+  assert.equal(cluster.queryStatus('run-c499'), 'aborted');
+  assert.equal(first.controller.clusterState.jobs.size, 0);
 });
 
 /** For long by hand: WALKS=500 npm test. */
 test('seeded random walks with chains of jobs: none starts too early, none is left of what was cancelled', () => {
   for (let seed = 1; seed <= Number(process.env.WALKS ?? 8); seed++) {
     try {
-      new Walk(seed, { pipelines: true }).run(120);
+      new RandomizedSimulation(seed, { pipelines: true }).run(120);
     } catch (e) {
       assert.fail(`seed ${seed}: ${e instanceof Error ? e.message : e}`);
     }
--- a/test/recorded-formats.test.ts
+++ b/test/recorded-formats.test.ts
@@ -29,7 +29,7 @@
   type PeerMessage,
   type StoredKey,
 } from '@archpost/protocol';
-import { Cluster, holderOf, job, settings, shareOf, TYPES } from './stand-ins.js';
+import { holderOf, job, SimulatedCluster, settings, shardOf, TYPES } from './stand-ins.js';
 
 type Tune = (settings: ControllerSettings) => ControllerSettings;
 
@@ -232,12 +232,12 @@
 
 interface Day {
   tune?: Tune;
-  run(cluster: Cluster): void;
+  run(cluster: SimulatedCluster): void;
 }
 
 const NAMES = ['n0', 'n1', 'n2'];
 
-function addMachines(cluster: Cluster, count: number, type = 'small'): void {
+function addMachines(cluster: SimulatedCluster, count: number, type = 'small'): void {
   for (let index = 0; index < count; index++)
     cluster.machine(`m${index}`, type, index % 2 === 0 ? 'east' : 'west', index === count - 1);
 }
@@ -247,7 +247,7 @@
   (valueKib: number): Tune =>
   (settings) => ({ ...settings, state: { ...settings.state, valueKib: 16, next: { valueKib, writesPerTransaction: 4 } } });
 
-function submitEachShape(cluster: Cluster): void {
+function submitEachShape(cluster: SimulatedCluster): void {
   for (const team of ['red', 'blue', 'green']) {
     cluster.submit(job(`run-${team}-array`, { team, tasks: 6, cpus: 0.5, memory: 1, estimatedRunS: 6 }));
     cluster.submit(
@@ -259,7 +259,7 @@
   );
 }
 
-function workAndTrouble(cluster: Cluster): void {
+function workAndTrouble(cluster: SimulatedCluster): void {
   addMachines(cluster, 6);
   cluster.run(15);
   submitEachShape(cluster);
@@ -267,88 +267,91 @@
     job('run-called-off', { tasks: 3, estimatedRunS: 300, machineTypes: ['small'], zone: 'east', deadlineS: 900.5 }),
   );
   cluster.submit(job('run-partly', { tasks: 9, cpus: 4, memory: 1, estimatedRunS: 5, allowsSpot: true }));
-  cluster.submit(job('run-next', { estimatedRunS: 3, checkpointIntervalS: 1, checkpointSaveS: 0.5 }), cluster.nodes[1], [
+  cluster.submit(job('run-next', { estimatedRunS: 3, checkpointIntervalS: 1, checkpointSaveS: 0.5 }), cluster.controllers[1], [
     'run-red-array',
     'run-partly',
   ]);
   // The leader alone is not heard by the others, so that they tell it by way of the state service.
   const leader = holderOf(cluster, 'lead');
-  cluster.cut = (a, b) => NAMES.includes(a) && NAMES.includes(b) && (a === leader) !== (b === leader);
+  cluster.isPartitioned = (a, b) => NAMES.includes(a) && NAMES.includes(b) && (a === leader) !== (b === leader);
   cluster.run(8);
   cluster.cancel('run-called-off');
   cluster.run(14);
-  cluster.cut = () => false;
+  cluster.isPartitioned = () => false;
   cluster.machine('late', 'small', 'west');
   cluster.run(3);
   // Commands that are lost raise the token of their machine.
-  cluster.commandsLost = (_node, machine) => machine === 'm1';
+  cluster.losesCommands = (_node, machine) => machine === 'm1';
   cluster.submit(job('run-lost', { team: 'blue', tasks: 12, cpus: 1, estimatedRunS: 4 }));
   cluster.run(8);
-  cluster.commandsLost = () => false;
+  cluster.losesCommands = () => false;
   const noticed = cluster.worker('m5');
   assert.ok(noticed);
-  noticed.noticeS = 10;
+  noticed.preemptionNoticeS = 10;
   cluster.run(15);
   // A machine that hangs goes back, and with it what is stored of it.
   const hung = cluster.worker('m2');
   assert.ok(hung);
   hung.hung = true;
   cluster.run(20);
-  cluster.node(holderOf(cluster, 0)).crash();
+  cluster.controller(holderOf(cluster, 0)).crash();
   cluster.run(25);
-  for (const node of cluster.nodes) if (!node.up) node.restart();
+  for (const node of cluster.controllers) if (!node.up) node.restart();
   cluster.run(30);
 }
 
-function machinesThatMove(cluster: Cluster): void {
+function machinesThatMove(cluster: SimulatedCluster): void {
   addMachines(cluster, 6);
   cluster.run(15);
   for (const team of ['red', 'blue', 'green']) {
     cluster.submit(job(`run-${team}`, { team, tasks: 12, cpus: 2, memory: 1, estimatedRunS: 4 }));
-    cluster.until('all is done, on machines of other shares too', () => cluster.allDone(`run-${team}`), 90);
+    cluster.runUntil('all is done, on machines of other shares too', () => cluster.allTasksDone(`run-${team}`), 90);
   }
   cluster.run(90);
 }
 
-function progressInParts(cluster: Cluster): void {
+function progressInParts(cluster: SimulatedCluster): void {
   addMachines(cluster, 6);
-  cluster.settle();
+  cluster.runUntilSettled();
   // All but the last 500 tasks are done, and stored as one whole chunk.
   const spec = job('run-large', { tasks: 9000, cpus: 0.5, memory: 0.1, estimatedRunS: 4 });
   cluster.specs.set(spec.id, spec);
   for (let index = 0; index < 8500; index++) cluster.finished.add(`run-large/${index}`);
   putRow(cluster, 'a/p/run-large/0', 'f'.repeat(8500 / 4));
   putRow(cluster, 'a/j/run-large', { s: 0, t: 0, sp: encodeJobSpec(spec) });
-  cluster.until('the rest is done', () => cluster.allDone('run-large'), 200);
+  cluster.runUntil('the rest is done', () => cluster.allTasksDone('run-large'), 200);
   cluster.run(5);
 }
 
-function putRow(cluster: Cluster, key: string, value: unknown): void {
-  cluster.state.txn({ type: 'compareAndSwap', id: 0, conditions: [], writes: [{ put: key, value }] }, cluster.now);
+function putRow(cluster: SimulatedCluster, key: string, value: unknown): void {
+  cluster.stateService.compareAndSwap(
+    { type: 'compareAndSwap', id: 0, conditions: [], writes: [{ put: key, value }] },
+    cluster.now,
+  );
 }
 
-function listsInParts(cluster: Cluster): void {
+function listsInParts(cluster: SimulatedCluster): void {
   addMachines(cluster, 4);
-  cluster.settle();
+  cluster.runUntilSettled();
   const types = [...Array.from({ length: 63 }, (_, index) => `none-${index}-${'x'.repeat(60)}`), 'small'];
   const first = Array.from({ length: 90 }, (_, index) => `run-${String(index).padStart(20, '0')}`);
   for (const id of first) cluster.submit(job(id, { estimatedRunS: 1, cpus: 0.1, memory: 0.1 }));
   cluster.submit(job('run-types', { machineTypes: types, estimatedRunS: 3 }));
-  cluster.submit(job('run-chain', { machineTypes: types, estimatedRunS: 300 }), cluster.nodes[1], first);
-  cluster.submit(job('run-off', { machineTypes: types, estimatedRunS: 300 }), cluster.nodes[2], first);
+  cluster.submit(job('run-chain', { machineTypes: types, estimatedRunS: 300 }), cluster.controllers[1], first);
+  cluster.submit(job('run-off', { machineTypes: types, estimatedRunS: 300 }), cluster.controllers[2], first);
   cluster.cancel('run-off');
-  cluster.until('it runs', () => cluster.running('run-chain') === 1, 120);
-  assert.ok(shareOf(cluster, 'run-chain') >= 0);
+  cluster.runUntil('it runs', () => cluster.runningTasks('run-chain') === 1, 120);
+  assert.ok(shardOf(cluster, 'run-chain') >= 0);
 }
 
-function machineTypesInParts(cluster: Cluster): void {
+function machineTypesInParts(cluster: SimulatedCluster): void {
   addMachines(cluster, 3);
   cluster.run(20);
 }
 
 /** The cloud rents machines out, and the leader tells which types it still has. */
-function rentedMachines(cluster: Cluster): void {
-  cluster.bootMs = () => 3000;
+function rentedMachines(cluster: SimulatedCluster): void {
+  cluster.bootTimeMs = () => 3000;
   addMachines(cluster, 3);
   cluster.run(20);
   cluster.submit(job('run-rented', { tasks: 12, cpus: 4, memory: 4, estimatedRunS: 20, priority: 2 }));
@@ -380,16 +383,16 @@
 }
 
 function play({ tune, run }: Day): RecordedDay {
-  const cluster = new Cluster(NAMES, tune);
+  const cluster = new SimulatedCluster(NAMES, tune);
   const changes = new Recording();
   const messages = new Recording();
-  const { state } = cluster;
-  const carryOut = state.txn.bind(state);
-  state.txn = (transaction, now) => {
+  const { stateService: state } = cluster;
+  const carryOut = state.compareAndSwap.bind(state);
+  state.compareAndSwap = (transaction, now) => {
     for (const write of transaction.writes) changes.add(kindOfChange(write), JSON.stringify(write));
     return carryOut(transaction, now);
   };
-  cluster.peerBytes = (bytes) => messages.add(kindOfMessage(decodePeerMessage(bytes)), Buffer.from(bytes).toString('hex'));
+  cluster.onPeerMessage = (bytes) => messages.add(kindOfMessage(decodePeerMessage(bytes)), Buffer.from(bytes).toString('hex'));
   run(cluster);
   const rows = state
     .rows()
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -4,11 +4,20 @@
 import { Controller, encodeJobSpec, type Job, Replica } from '@archpost/controller';
 import type { JobSpec } from '@archpost/protocol';
 import { Inbox } from '../packages/server/src/inbox.js';
-import { Cluster, holderOf, job, type Node, settings, shareOf, smallCluster, type WorkerStandIn } from './stand-ins.js';
+import {
+  holderOf,
+  job,
+  SimulatedCluster,
+  type SimulatedController,
+  type SimulatedWorker,
+  settings,
+  shardOf,
+  smallCluster,
+} from './stand-ins.js';
 import { Random } from './walk/random.js';
 
 /** Each of these breaks a rule on purpose: the judge of the stand-ins must see it. */
-const PLANTED: { rule: RegExp; plant: (cluster: Cluster, w: WorkerStandIn) => void }[] = [
+const PLANTED: { rule: RegExp; plant: (cluster: SimulatedCluster, w: SimulatedWorker) => void }[] = [
   {
     rule: /too_early: run-b\/0 starts before run-a is done/,
     plant: (_cluster, w) => w.obey([{ type: 'start', job: 'run-b', index: 0, attempt: 1 }]),
@@ -54,21 +63,21 @@
 test('the judge of the stand-ins sees each of the rules broken', () => {
   for (const { rule, plant } of PLANTED) {
     const cluster = smallCluster(1);
-    for (const node of cluster.nodes) node.crash();
+    for (const node of cluster.controllers) node.crash();
     cluster.specs.set('run-a', job('run-a'));
     cluster.specs.set('run-b', job('run-b'));
     cluster.awaits.set('run-b', ['run-a']);
-    assert.throws(() => plant(cluster, cluster.worker('m0') as WorkerStandIn), rule);
+    assert.throws(() => plant(cluster, cluster.worker('m0') as SimulatedWorker), rule);
   }
 });
 
 /** A job is cancelled while its start is on its way; then the start comes back, not carried out. */
-function cancelledWhileItsStartIsSent(cluster: Cluster, fail: () => void, mend: () => void): void {
+function cancelledWhileItsStartIsSent(cluster: SimulatedCluster, fail: () => void, mend: () => void): void {
   fail();
   cluster.submit(job('run-a', { tasks: 2, estimatedRunS: 300 }));
-  const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-a')));
-  const allocations = () => [...(owner.core.clusterState.jobs.get('run-a')?.tenure.allocations.values() ?? [])];
-  cluster.until('sent', () => allocations().some((allocation) => allocation.phase === 'sent'), 5);
+  const owner = cluster.controller(holderOf(cluster, shardOf(cluster, 'run-a')));
+  const allocations = () => [...(owner.controller.clusterState.jobs.get('run-a')?.tenure.allocations.values() ?? [])];
+  cluster.runUntil('sent', () => allocations().some((allocation) => allocation.phase === 'sent'), 5);
   cluster.cancel('run-a');
   mend();
   cluster.trace = [];
@@ -77,7 +86,7 @@
     cluster.trace.filter((line) => line.includes('starts run-a')),
     [],
   );
-  assert.equal(owner.core.clusterState.jobs.has('run-a'), false, 'nothing is kept of it');
+  assert.equal(owner.controller.clusterState.jobs.has('run-a'), false, 'nothing is kept of it');
 }
 
 // A start that came back unsent was sent again, whatever had become of its job meanwhile.
@@ -86,10 +95,10 @@
   cancelledWhileItsStartIsSent(
     cluster,
     () => {
-      cluster.commandsRefused = () => true;
+      cluster.refusesCommands = () => true;
     },
     () => {
-      cluster.commandsRefused = () => false;
+      cluster.refusesCommands = () => false;
     },
   );
 });
@@ -223,36 +232,36 @@
 
 // At the slowest rate of changes 240 tokens take a quarter of a minute to raise, and no stop leaves before its machine's is.
 test('hundreds of machines lost their commands: those with cancelled work get their tokens, and their stops, first', () => {
-  const cluster = new Cluster(undefined, (settings) => ({
+  const cluster = new SimulatedCluster(undefined, (settings) => ({
     ...settings,
     state: { ...settings.state, writesPerS: 15, writesPerTransaction: 4 },
     teams: settings.teams.slice(0, 1),
   }));
   for (let index = 0; index < 240; index++) cluster.machine(`m${1000 + index}`, 'small', index % 2 === 0 ? 'east' : 'west');
-  cluster.settle();
+  cluster.runUntilSettled();
   const ids = Array.from({ length: 6 }, (_, index) => `run-${index}`);
   for (const id of ids) cluster.submit(job(id, { tasks: 40, cpus: 3, estimatedRunS: 500 }));
-  cluster.until('all run', () => ids.every((id) => cluster.running(id) === 40), 60);
+  cluster.runUntil('all run', () => ids.every((id) => cluster.runningTasks(id) === 40), 60);
   cluster.run(20);
   // A second task for each machine: its start is lost, and nothing is answered meanwhile that could stop anything.
-  cluster.commandsLost = () => true;
+  cluster.losesCommands = () => true;
   cluster.submit(job('run-more', { tasks: 240, cpus: 1, estimatedRunS: 500 }));
-  const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-0')));
-  const machines = () => [...owner.core.clusterState.machines.values()];
+  const owner = cluster.controller(holderOf(cluster, shardOf(cluster, 'run-0')));
+  const machines = () => [...owner.controller.clusterState.machines.values()];
   const sent = () =>
-    [...(owner.core.clusterState.jobs.get('run-more')?.tenure.allocations.values() ?? [])].filter(
+    [...(owner.controller.clusterState.jobs.get('run-more')?.tenure.allocations.values() ?? [])].filter(
       (allocation) => allocation.phase === 'sent',
     );
-  cluster.until('the starts are under way', () => sent().length > 200, 20);
-  cluster.stateDown = true;
+  cluster.runUntil('the starts are under way', () => sent().length > 200, 20);
+  cluster.isStateServiceDown = true;
   const waiting = () => machines().filter((machine) => machine.tenure.hasUncertainCommand).length;
-  cluster.until('they are lost', () => waiting() > 200, 20);
-  cluster.stateDown = false;
-  cluster.mute = () => true;
+  cluster.runUntil('they are lost', () => waiting() > 200, 20);
+  cluster.isStateServiceDown = false;
+  cluster.isMute = () => true;
   cluster.cancel('run-5');
-  cluster.commandsLost = () => false;
+  cluster.losesCommands = () => false;
   // Sooner than by their leases, which run out after twelve seconds.
-  cluster.until('what is cancelled is gone', () => cluster.on('run-5').length === 0, 6);
+  cluster.runUntil('what is cancelled is gone', () => cluster.machinesRunning('run-5').length === 0, 6);
   assert.ok(waiting() > 20, `${waiting()} machines still wait for their tokens`);
 });
 
@@ -260,9 +269,9 @@
 test('a second attempt of a job that is done is stopped by the answers to reports, and takes no new work meanwhile', () => {
   const cluster = smallCluster(2);
   cluster.submit(job('run-a', { estimatedRunS: 2 }));
-  cluster.until('done', () => cluster.ask('run-a') === 'done', 30);
-  const w = cluster.worker('m0') as WorkerStandIn;
-  cluster.commandsLost = (_n, m) => m === 'm0';
+  cluster.runUntil('done', () => cluster.queryStatus('run-a') === 'done', 30);
+  const w = cluster.worker('m0') as SimulatedWorker;
+  cluster.losesCommands = (_n, m) => m === 'm0';
   w.tasks.set('run-a/0/7', {
     job: 'run-a',
     index: 0,
@@ -272,14 +281,14 @@
     saved: false,
     startedAt: cluster.now + 1e6,
   });
-  cluster.until('stopped', () => cluster.on('run-a').length === 0, 10);
+  cluster.runUntil('stopped', () => cluster.machinesRunning('run-a').length === 0, 10);
 });
 
 test('a report that names what can not be: it is stopped, and nothing else is harmed', () => {
   const cluster = smallCluster(2);
   cluster.submit(job('run-a', { tasks: 2, cpus: 1, estimatedRunS: 300 }));
-  cluster.until('running', () => cluster.running('run-a') === 2);
-  const w = cluster.worker(cluster.on('run-a')[0] as string) as WorkerStandIn;
+  cluster.runUntil('running', () => cluster.runningTasks('run-a') === 2);
+  const w = cluster.worker(cluster.machinesRunning('run-a')[0] as string) as SimulatedWorker;
   const odd = { index: 0, attempt: 99, state: 'running' as const, exitReason: null, saved: false, startedAt: cluster.now + 1e6 };
   cluster.specs.set('run-never', job('run-never', { cpus: 1 }));
   w.tasks.set('run-never/0/99', { ...odd, job: 'run-never' });
@@ -289,7 +298,7 @@
     [...w.tasks.keys()].filter((key) => key.endsWith('/99')),
     [],
   );
-  assert.equal(cluster.running('run-a'), 2);
+  assert.equal(cluster.runningTasks('run-a'), 2);
 });
 
 // A rename by tool had left the two sides of the move's flag with different names: what was known from the old shard stayed.
@@ -321,9 +330,9 @@
 test('an acceptance without an answer is repeated elsewhere, where what it awaits is done meanwhile', () => {
   for (const isLate of [false, true]) {
     const cluster = smallCluster(4);
-    const [first, second] = cluster.nodes as [Node, Node];
+    const [first, second] = cluster.controllers as [SimulatedController, SimulatedController];
     cluster.submit(job('run-a', { estimatedRunS: 3 }), second);
-    cluster.loseTxn = (e, apply) => {
+    cluster.losesTransactionAnswer = (e, apply) => {
       if (!e.writes.some((write) => 'put' in write && write.put === 'a/j/run-b')) return false;
       cluster.at(cluster.now + (isLate ? 9000 : 0), apply);
       return true;
@@ -332,11 +341,11 @@
     cluster.awaits.set('run-b', ['run-a']);
     first.submit(cluster.specs.get('run-b') as JobSpec, () => {});
     cluster.run(0.3);
-    cluster.loseTxn = null;
-    cluster.until('the first is done', () => cluster.ask('run-a', second) === 'done', 30);
+    cluster.losesTransactionAnswer = null;
+    cluster.runUntil('the first is done', () => cluster.queryStatus('run-a', second) === 'done', 30);
     cluster.submit(cluster.specs.get('run-b') as JobSpec, second, ['run-a']);
-    cluster.until('the second is done', () => cluster.allDone('run-b'), 40);
-    for (const node of cluster.nodes) cluster.until('told', () => cluster.ask('run-b', node) === 'done', 10);
+    cluster.runUntil('the second is done', () => cluster.allTasksDone('run-b'), 40);
+    for (const node of cluster.controllers) cluster.runUntil('told', () => cluster.queryStatus('run-b', node) === 'done', 10);
   }
 });
 
--- a/test/size-limits.test.ts
+++ b/test/size-limits.test.ts
@@ -20,7 +20,7 @@
 import { heapMb, planHeap, threadHeapMb } from '../packages/server/src/heap-plan.js';
 import { LargeFleet } from './fleet/large-fleet.js';
 import { listen, serverFor } from './loopback/http.js';
-import { Cluster, holderOf, job, type Node, STATUS, shareOf } from './stand-ins.js';
+import { holderOf, job, SimulatedCluster, type SimulatedController, STATUS, shardOf } from './stand-ins.js';
 
 const ungranted = (count: number) =>
   Array.from({ length: count }, (_, index) => ({ machine: `m${index}`, address: 'x', type: 'small', zone: 'east', spot: false }));
@@ -108,18 +108,18 @@
 });
 
 test('machines of a zone whose controllers the leader can not reach are all granted while the cut lasts', () => {
-  const cluster = new Cluster();
+  const cluster = new SimulatedCluster();
   for (let index = 0; index < 6; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
-  cluster.settle();
+  cluster.runUntilSettled();
   const west = (name: string) => name === 'n1' || name.startsWith('w') || ['m1', 'm3', 'm5'].includes(name);
-  cluster.cut = (a, b) => west(a) !== west(b);
+  cluster.isPartitioned = (a, b) => west(a) !== west(b);
   cluster.run(8);
   for (let index = 0; index < 120; index++) cluster.machine(`w${index}`, 'small', 'west');
-  const leader = cluster.node(holderOf(cluster, 'lead'));
+  const leader = cluster.controller(holderOf(cluster, 'lead'));
   assert.ok(!west(leader.name));
-  cluster.until(
+  cluster.runUntil(
     'all of them are granted',
-    () => Array.from({ length: 120 }, (_, index) => leader.core.clusterState.machines.has(`w${index}`)).every(Boolean),
+    () => Array.from({ length: 120 }, (_, index) => leader.controller.clusterState.machines.has(`w${index}`)).every(Boolean),
     40,
   );
 });
@@ -158,9 +158,9 @@
 });
 
 test('a machine that was given back is remembered for as long as reports of it may be late, however many are', () => {
-  const cluster = new Cluster();
+  const cluster = new SimulatedCluster();
   cluster.run(3);
-  const { autoscaler: rentals } = cluster.node(holderOf(cluster, 'lead')).core.leader;
+  const { autoscaler: rentals } = cluster.controller(holderOf(cluster, 'lead')).controller.leader;
   for (let index = 0; index < 4000; index++) rentals.machineReleased(`gone${index}`, 1000);
   assert.ok(rentals.isRecentlyReleased('gone0', 2000));
   rentals.machineReleased('later', 200_000);
@@ -168,32 +168,32 @@
 });
 
 test('a list of thousands takes a quarter of the requests to the cloud', () => {
-  const cluster = new Cluster(['n0'], (settings) => ({ ...settings, cloud: { requestsPerS: 3, listLagS: 8 } }));
-  cluster.bootMs = () => 1000;
+  const cluster = new SimulatedCluster(['n0'], (settings) => ({ ...settings, cloud: { requestsPerS: 3, listLagS: 8 } }));
+  cluster.bootTimeMs = () => 1000;
   for (let index = 0; index < 4000; index++) cluster.machine(`m${index}`);
   cluster.run(30);
   assert.equal(cluster.workers.filter((worker) => worker.dead).length, 0);
-  cluster.lists = 0;
+  cluster.listRequests = 0;
   cluster.run(60);
   const pages = Math.ceil(4000 / 500);
   assert.ok(
-    cluster.lists > 0 && cluster.lists * pages <= 60 * 3 * 0.25 + pages,
-    `${cluster.lists} lists of ${pages} pages in a minute`,
+    cluster.listRequests > 0 && cluster.listRequests * pages <= 60 * 3 * 0.25 + pages,
+    `${cluster.listRequests} lists of ${pages} pages in a minute`,
   );
 });
 
 // Each is in another session by then, which its first answer tells; while it waited for the second question it counted
 // as silent, though its reports came.
 test('a first start that outlasts the leases gives no machine back', () => {
-  const cluster = new Cluster(['n0'], (settings) => ({
+  const cluster = new SimulatedCluster(['n0'], (settings) => ({
     ...settings,
     cpuShare: 0.02,
     state: { ...settings.state, writesPerS: 20 },
   }));
   for (let index = 0; index < 500; index++) cluster.machine(`m${index}`);
-  cluster.until(
+  cluster.runUntil(
     'all have answered',
-    () => cluster.workers.every((w) => cluster.nodes[0]?.core.clusterState.machines.get(w.name)?.tenure.isVerified),
+    () => cluster.workers.every((w) => cluster.controllers[0]?.controller.clusterState.machines.get(w.name)?.tenure.isVerified),
     120,
   );
   assert.equal(cluster.workers.filter((worker) => worker.dead).length, 0);
@@ -201,14 +201,14 @@
 
 // Its workers had not come to the lead yet: within a second 71 of 100 machines were given back.
 test('a first lead over machines that have been up for long gives none of them back', () => {
-  const cluster = new Cluster();
-  cluster.bootMs = () => 1000;
-  for (const node of cluster.nodes) node.crash();
+  const cluster = new SimulatedCluster();
+  cluster.bootTimeMs = () => 1000;
+  for (const node of cluster.controllers) node.crash();
   for (let index = 0; index < 60; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.run(300);
-  for (const node of cluster.nodes) node.restart();
+  for (const node of cluster.controllers) node.restart();
   for (const worker of cluster.workers) worker.nextReport = cluster.now + 4000;
-  cluster.settle();
+  cluster.runUntilSettled();
   cluster.run(20);
   assert.deepEqual(
     cluster.workers.filter((worker) => worker.dead),
@@ -324,21 +324,21 @@
 });
 
 test('a machine with more tasks to stop than a message holds is told of all of them', () => {
-  const cluster = new Cluster(['n0'], (settings) => ({
+  const cluster = new SimulatedCluster(['n0'], (settings) => ({
     ...settings,
     teams: [{ name: 'red', cpus: 0, maxCpus: 0, gpus: 0, maxGpus: 0 }],
   }));
   cluster.machine('big', 'big');
-  cluster.settle();
+  cluster.runUntilSettled();
   const tasks = 2 * MAX_COMMANDS_PER_BODY;
   cluster.submit(job('run-many', { tasks, cpus: 0.01, memory: 0.01, estimatedRunS: 10_000 }));
-  cluster.until('all run', () => cluster.running('run-many') === tasks, 60);
+  cluster.runUntil('all run', () => cluster.runningTasks('run-many') === tasks, 60);
   let limit = 0;
-  cluster.commanded = (commands) => {
+  cluster.onCommands = (commands) => {
     limit = Math.max(limit, commands.length);
   };
   cluster.cancel('run-many');
-  cluster.until('none is left', () => cluster.running('run-many') === 0, 10);
+  cluster.runUntil('none is left', () => cluster.runningTasks('run-many') === 0, 10);
   assert.ok(limit > 0 && limit <= MAX_COMMANDS_PER_BODY, `${limit} commands in a message`);
 });
 
@@ -361,21 +361,21 @@
 });
 
 test('a controller that has lost its workers finds them again though every fourth has died meanwhile', () => {
-  const cluster = new Cluster(['n0']);
+  const cluster = new SimulatedCluster(['n0']);
   for (let index = 0; index < 16; index++) cluster.machine(`m${index}`);
-  cluster.settle();
+  cluster.runUntilSettled();
   cluster.submit(job('run-x', { shape: 'service', tasks: 16, priority: 3 }));
-  cluster.until('running', () => cluster.running('run-x') === 16, 30);
-  cluster.deaf = () => true;
-  const node = cluster.nodes[0] as Node;
+  cluster.runUntil('running', () => cluster.runningTasks('run-x') === 16, 30);
+  cluster.isDeaf = () => true;
+  const node = cluster.controllers[0] as SimulatedController;
   cluster.submit(job('run-y', { tasks: 16 }));
-  cluster.until('its workers are lost', () => !node.core.reachesWorkers(), 30);
+  cluster.runUntil('its workers are lost', () => !node.controller.reachesWorkers(), 30);
   // Those that are asked first.
   for (const index of [0, 4, 8, 12]) {
     const worker = cluster.workers[index];
     if (worker) worker.dead = true;
   }
-  cluster.deaf = () => false;
-  cluster.until('they are found', () => node.core.reachesWorkers(), 30);
-  assert.ok(shareOf(cluster, 'run-x') >= 0);
+  cluster.isDeaf = () => false;
+  cluster.runUntil('they are found', () => node.controller.reachesWorkers(), 30);
+  assert.ok(shardOf(cluster, 'run-x') >= 0);
 });
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -1,33 +1,33 @@
 // What many machines at once must not break. Counts are asserted, never times of this machine.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Cluster, holderOf, job, shareOf } from './stand-ins.js';
+import { holderOf, job, SimulatedCluster, shardOf } from './stand-ins.js';
 
 /** All machines in one share, asked six at a time; those of the cut zone come first by name. */
-function oneShare(west: number, east: number): Cluster {
-  const cluster = new Cluster(['n0', 'n1', 'n2'], (settings) => ({
+function oneShare(west: number, east: number): SimulatedCluster {
+  const cluster = new SimulatedCluster(['n0', 'n1', 'n2'], (settings) => ({
     ...settings,
     teams: settings.teams.slice(0, 1),
     cpuShare: 0.19,
   }));
   for (let index = 0; index < west; index++) cluster.machine(`m${1000 + index}`, 'small', 'west');
   for (let index = 0; index < east; index++) cluster.machine(`m${2000 + index}`, 'small', 'east');
-  cluster.settle();
+  cluster.runUntilSettled();
   return cluster;
 }
 
 test('after a takeover during a cut, machines that were not asked yet are not thrown away', () => {
   const cluster = oneShare(240, 40);
   cluster.submit(job('run-x', { shape: 'service', tasks: 60, priority: 3, jobClass: 'serve' }));
-  cluster.until('running', () => cluster.running('run-x') === 60, 30);
+  cluster.runUntil('running', () => cluster.runningTasks('run-x') === 60, 30);
   const west = (x: string) => x === 'n1' || x.startsWith('m1');
-  cluster.cut = (a, b) => west(a) !== west(b);
-  cluster.node('n1').refused = true;
-  const shard = shareOf(cluster, 'run-x');
+  cluster.isPartitioned = (a, b) => west(a) !== west(b);
+  cluster.controller('n1').isRefusedByStateService = true;
+  const shard = shardOf(cluster, 'run-x');
   assert.equal(holderOf(cluster, shard), 'n0');
-  cluster.node('n0').crash();
-  const { clusterState } = cluster.node('n2').core;
-  cluster.until('taken over', () => clusterState.leaseOf(shard)?.holder.controller === 'n2', 40);
+  cluster.controller('n0').crash();
+  const { clusterState } = cluster.controller('n2').controller;
+  cluster.runUntil('taken over', () => clusterState.leaseOf(shard)?.holder.controller === 'n2', 40);
   cluster.run(15);
   assert.deepEqual(
     cluster.workers.filter((w) => w.dead && !west(w.name)).map((w) => w.name),
@@ -41,7 +41,7 @@
 /** Some 900 machines, a service of two replicas on most of them, and everything that can go wrong. */
 function roughDay(controllerCount: number): void {
   const names = Array.from({ length: controllerCount }, (_, index) => `n${index}`);
-  const cluster = new Cluster(names, (settings) => ({
+  const cluster = new SimulatedCluster(names, (settings) => ({
     ...settings,
     teams: ['red', 'blue', 'green', 'pink', 'gold', 'grey', 'teal'].map((name) => ({
       name,
@@ -56,7 +56,7 @@
   const machines = 900;
   for (let index = 0; index < machines; index++)
     cluster.machine(`m${1000 + index}`, 'small', index % 2 === 0 ? 'east' : 'west', index % 10 === 9);
-  cluster.settle();
+  cluster.runUntilSettled();
   const granted = cluster.changes.get('g') ?? 0;
   assert.ok(granted < 1.1 * machines, `${granted} changes to grant ${machines} machines`);
   const teams = ['red', 'blue', 'green', 'pink', 'gold', 'grey', 'teal'];
@@ -66,8 +66,8 @@
       job(id, { team: teams[index % 7] as string, shape: 'service', tasks: 4, priority: 3, jobClass: 'serve', spread: true }),
     );
   }
-  const up = () => Array.from({ length: 300 }, (_, index) => cluster.running(`run-s${index}`)).reduce((a, b) => a + b, 0);
-  cluster.until('all replicas run', () => up() === 1200, 60);
+  const up = () => Array.from({ length: 300 }, (_, index) => cluster.runningTasks(`run-s${index}`)).reduce((a, b) => a + b, 0);
+  cluster.runUntil('all replicas run', () => up() === 1200, 60);
   cluster.trace = [];
   const lost = () => cluster.workers.filter((w) => w.dead && !w.spot && !gone.has(w.name)).map((w) => w.name);
   const gone = new Set<string>();
@@ -75,12 +75,12 @@
   // All controllers crash, and once more while they start: work goes on, no machine is thrown away.
   cluster.changes.clear();
   for (const wait of [3, 2]) {
-    for (const node of cluster.nodes) node.crash();
+    for (const node of cluster.controllers) node.crash();
     cluster.run(wait);
-    for (const node of cluster.nodes) node.restart();
+    for (const node of cluster.controllers) node.restart();
     cluster.run(wait);
   }
-  cluster.until(
+  cluster.runUntil(
     'all machines answer their new holders',
     () => answering(cluster) === cluster.workers.filter((w) => !w.dead).length,
     30,
@@ -91,17 +91,17 @@
   assert.ok((cluster.changes.get('h') ?? 0) <= 4 * (controllerCount + 1), `${cluster.changes.get('h')} changes of holdings`);
 
   // A controller is refused by the state service, and comes back.
-  const alone = cluster.nodes[controllerCount - 1] as (typeof cluster.nodes)[number];
-  alone.refused = true;
+  const alone = cluster.controllers[controllerCount - 1] as (typeof cluster.controllers)[number];
+  alone.isRefusedByStateService = true;
   cluster.run(30);
-  alone.refused = false;
+  alone.isRefusedByStateService = false;
   cluster.run(10);
   assert.equal(up(), 1200);
   assert.deepEqual(lost(), []);
 
   // A zone is cut off for less than its leases last, while machines of the other die and hang.
   const west = (x: string) => (x.startsWith('n') ? x === 'n1' : (Number(x.slice(1)) - 1000) % 2 === 1);
-  cluster.cut = (a, b) => west(a) !== west(b);
+  cluster.isPartitioned = (a, b) => west(a) !== west(b);
   const hit = cluster.workers.filter((w) => !w.spot && !w.dead && !west(w.name)).slice(0, 40);
   hit.forEach((w, index) => {
     gone.add(w.name);
@@ -111,59 +111,63 @@
     } else w.hung = true;
   });
   cluster.run(15);
-  cluster.cut = () => false;
+  cluster.isPartitioned = () => false;
   cluster.run(2);
   for (const w of hit) w.hung = false;
-  cluster.until('what stood there runs elsewhere', () => up() === 1200, 90);
+  cluster.runUntil('what stood there runs elsewhere', () => up() === 1200, 90);
   assert.deepEqual(lost(), []);
 
   // All cheap machines are taken, some without a word; every controller is restarted in turn.
   for (const w of cluster.workers.filter((x) => x.spot && !x.dead)) {
-    if (Number(w.name.slice(1)) % 20 === 9) w.noticeS = 10;
+    if (Number(w.name.slice(1)) % 20 === 9) w.preemptionNoticeS = 10;
     else {
       w.dead = true;
       w.tasks.clear();
     }
   }
-  for (const node of cluster.nodes) {
+  for (const node of cluster.controllers) {
     node.crash();
     cluster.run(3);
     node.restart();
     cluster.run(6);
   }
-  cluster.until('all settled', () => up() === 1200 && answering(cluster) === cluster.workers.filter((w) => !w.dead).length, 60);
+  cluster.runUntil(
+    'all settled',
+    () => up() === 1200 && answering(cluster) === cluster.workers.filter((w) => !w.dead).length,
+    60,
+  );
   assert.deepEqual(lost(), []);
 
   // What is said and asked doesn't grow with what hasn't changed, once images are stored too.
   cluster.run(30);
   cluster.changes.clear();
-  cluster.relays = 0;
+  cluster.forwardedHeartbeats = 0;
   cluster.statuses = 0;
   cluster.statusBytes = 0;
   cluster.run(20);
   const live = cluster.workers.filter((w) => !w.dead).length;
   assert.deepEqual([...cluster.changes], [], 'nothing changed, nothing is written');
   // A report in five is passed on whole, of machines whose owner sits elsewhere.
-  assert.ok(cluster.relays < (live * 20) / 2 / 3, `${cluster.relays} reports passed on`);
+  assert.ok(cluster.forwardedHeartbeats < (live * 20) / 2 / 3, `${cluster.forwardedHeartbeats} reports passed on`);
   assert.ok(
     cluster.statusBytes / cluster.statuses < 25_000,
     `${Math.round(cluster.statusBytes / cluster.statuses)} bytes a status`,
   );
   // Over the whole day: no more than leaves connections for commands.
-  assert.ok(cluster.mostAsked <= 1000 / 8, `${cluster.mostAsked} questions at once`);
-  for (const node of cluster.nodes) assert.equal(node.core.writer.length, 0);
+  assert.ok(cluster.maxPendingProbes <= 1000 / 8, `${cluster.maxPendingProbes} questions at once`);
+  for (const node of cluster.controllers) assert.equal(node.controller.writer.length, 0);
 }
 
 /** Machines that answered whoever holds their share. */
-function answering(cluster: Cluster): number {
+function answering(cluster: SimulatedCluster): number {
   let count = 0;
   for (const w of cluster.workers) {
     if (w.dead) continue;
     if (
-      cluster.nodes.some(
+      cluster.controllers.some(
         (node) =>
-          node.core.shardController.heldShards.has(node.core.clusterState.machines.get(w.name)?.shard ?? -1) &&
-          node.core.clusterState.machines.get(w.name)?.tenure.isVerified,
+          node.controller.shardController.heldShards.has(node.controller.clusterState.machines.get(w.name)?.shard ?? -1) &&
+          node.controller.clusterState.machines.get(w.name)?.tenure.isVerified,
       )
     )
       count++;
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -5,26 +5,38 @@
 import { test } from 'node:test';
 import { Controller, encodeJobSpec } from '@archpost/controller';
 import { decodePeerMessage, encodePeerMessage, type JobSpec, type StoredKey } from '@archpost/protocol';
-import { Cluster, holderOf, job, kept, type Node, settings, shareOf, type Version } from './stand-ins.js';
+import {
+  assertGoldenTrace,
+  type ControllerVersion,
+  holderOf,
+  job,
+  SimulatedCluster,
+  type SimulatedController,
+  settings,
+  shardOf,
+} from './stand-ins.js';
 import { PRODUCTION } from './upgrade/production-version.js';
-import { Walk } from './walk.js';
+import { RandomizedSimulation } from './walk.js';
 
-const OLD: Version = PRODUCTION;
+const OLD: ControllerVersion = PRODUCTION;
 
 /** A cluster whose controllers all run the version in production. */
-function oldCluster(machines = 6, tune?: ConstructorParameters<typeof Cluster>[1]): { c: Cluster; present: Version } {
-  const cluster = new Cluster(undefined, tune);
-  const present = (cluster.nodes[0] as Node).version;
-  for (const node of cluster.nodes) {
+function oldCluster(
+  machines = 6,
+  tune?: ConstructorParameters<typeof SimulatedCluster>[1],
+): { c: SimulatedCluster; present: ControllerVersion } {
+  const cluster = new SimulatedCluster(undefined, tune);
+  const present = (cluster.controllers[0] as SimulatedController).version;
+  for (const node of cluster.controllers) {
     node.version = OLD;
     node.restart();
   }
   for (let index = 0; index < machines; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
-  cluster.settle();
+  cluster.runUntilSettled();
   return { c: cluster, present };
 }
 
-function upgrade(node: Node, to: Version): void {
+function upgrade(node: SimulatedController, to: ControllerVersion): void {
   node.version = to;
   node.crash();
   node.restart();
@@ -33,7 +45,7 @@
 const NAMES = ['n0', 'n1', 'n2'];
 
 /** Work of each kind, of a team of each share. */
-function submitAll(cluster: Cluster, p: string): string[] {
+function submitAll(cluster: SimulatedCluster, p: string): string[] {
   const ids = ['red', 'blue', 'green'].flatMap((team) => {
     cluster.submit(job(`run-${p}-${team}-array`, { team, tasks: 6, cpus: 0.5, memory: 1, estimatedRunS: 6 }));
     cluster.submit(
@@ -47,7 +59,7 @@
   return ids;
 }
 
-const allDone = (cluster: Cluster, ids: string[]) => ids.every((id) => cluster.allDone(id));
+const allDone = (cluster: SimulatedCluster, ids: string[]) => ids.every((id) => cluster.allTasksDone(id));
 
 for (const order of [
   ['n0', 'n1', 'n2'],
@@ -57,18 +69,19 @@
     const { c: cluster, present } = oldCluster();
     const ids = submitAll(cluster, 'before');
     for (const name of order) {
-      upgrade(cluster.node(name), present);
+      upgrade(cluster.controller(name), present);
       cluster.run(4);
       ids.push(...submitAll(cluster, name));
       cluster.run(6);
     }
-    cluster.until('all is done', () => allDone(cluster, ids), 200);
+    cluster.runUntil('all is done', () => allDone(cluster, ids), 200);
     cluster.run(5);
-    for (const node of cluster.nodes) for (const id of ids) assert.equal(cluster.ask(id, node), 'done', `${id} at ${node.name}`);
+    for (const node of cluster.controllers)
+      for (const id of ids) assert.equal(cluster.queryStatus(id, node), 'done', `${id} at ${node.name}`);
     // And what is new is served, on top of what the old version accepted.
-    cluster.submit(job('run-after', { estimatedRunS: 2 }), cluster.nodes[1], ids.slice(0, 3));
-    cluster.until('the first that awaits others', () => cluster.allDone('run-after'), 60);
-    if (order[0] === 'n0') kept(cluster, 'roll-from-production');
+    cluster.submit(job('run-after', { estimatedRunS: 2 }), cluster.controllers[1], ids.slice(0, 3));
+    cluster.runUntil('the first that awaits others', () => cluster.allTasksDone('run-after'), 60);
+    if (order[0] === 'n0') assertGoldenTrace(cluster, 'roll-from-production');
   });
 }
 
@@ -80,13 +93,13 @@
   test(`leader of the ${leader} version, owners of the ${owner} one: machines go where work waits`, () => {
     const { c: cluster, present } = oldCluster(0);
     const lead = holderOf(cluster, 'lead');
-    for (const name of NAMES) if ((name === lead) === (leader === 'new')) upgrade(cluster.node(name), present);
+    for (const name of NAMES) if ((name === lead) === (leader === 'new')) upgrade(cluster.controller(name), present);
     cluster.run(25);
-    assert.equal(cluster.node(holderOf(cluster, 'lead')).running === present, leader === 'new');
+    assert.equal(cluster.controller(holderOf(cluster, 'lead')).running === present, leader === 'new');
     for (let index = 0; index < 6; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
     for (const team of ['red', 'blue', 'green']) {
       cluster.submit(job(`run-${team}`, { team, tasks: 12, cpus: 2, memory: 1, estimatedRunS: 4 }));
-      cluster.until(`all of ${team} done, on machines of other shares too`, () => cluster.allDone(`run-${team}`), 90);
+      cluster.runUntil(`all of ${team} done, on machines of other shares too`, () => cluster.allTasksDone(`run-${team}`), 90);
     }
   });
 }
@@ -94,24 +107,24 @@
 test('takeovers in both directions, and an old process that comes back old', () => {
   const { c: cluster, present } = oldCluster();
   cluster.submit(job('run-s', { shape: 'service', priority: 3, jobClass: 'serve' }));
-  cluster.until('running', () => cluster.running('run-s') === 1);
-  const first = holderOf(cluster, shareOf(cluster, 'run-s'));
+  cluster.runUntil('running', () => cluster.runningTasks('run-s') === 1);
+  const first = holderOf(cluster, shardOf(cluster, 'run-s'));
   const others = NAMES.filter((name) => name !== first);
   // Both others are new: one of them takes the share over from an old holder that is gone.
   for (const name of others) {
-    upgrade(cluster.node(name), present);
+    upgrade(cluster.controller(name), present);
     cluster.run(25);
   }
-  cluster.node(first).crash();
-  cluster.until('a new holder', () => others.includes(holderOf(cluster, shareOf(cluster, 'run-s'))), 60);
+  cluster.controller(first).crash();
+  cluster.runUntil('a new holder', () => others.includes(holderOf(cluster, shardOf(cluster, 'run-s'))), 60);
   // It comes back old, is handed its share again, and takes over the rest when the others are gone.
-  cluster.node(first).restart();
-  cluster.until('home with the old one', () => holderOf(cluster, shareOf(cluster, 'run-s')) === first, 90);
-  cluster.submit(job('run-t', { team: 'blue', tasks: 4, estimatedRunS: 40 }), cluster.node(others[0] as string));
-  cluster.until('running', () => cluster.running('run-t') === 4, 30);
-  for (const name of others) cluster.node(name).crash();
-  cluster.until('all is done by the old one', () => cluster.allDone('run-t'), 120);
-  assert.equal(cluster.running('run-s'), 1);
+  cluster.controller(first).restart();
+  cluster.runUntil('home with the old one', () => holderOf(cluster, shardOf(cluster, 'run-s')) === first, 90);
+  cluster.submit(job('run-t', { team: 'blue', tasks: 4, estimatedRunS: 40 }), cluster.controller(others[0] as string));
+  cluster.runUntil('running', () => cluster.runningTasks('run-t') === 4, 30);
+  for (const name of others) cluster.controller(name).crash();
+  cluster.runUntil('all is done by the old one', () => cluster.allTasksDone('run-t'), 120);
+  assert.equal(cluster.runningTasks('run-s'), 1);
 });
 
 for (const [teller, enforcer] of [
@@ -121,19 +134,19 @@
   test(`a cancellation confirmed by the ${teller} version is enforced by the ${enforcer} one, and stays`, () => {
     const { c: cluster, present } = oldCluster();
     cluster.submit(job('run-c', { tasks: 3, estimatedRunS: 300 }));
-    cluster.until('running', () => cluster.running('run-c') === 3);
-    const holder = holderOf(cluster, shareOf(cluster, 'run-c'));
+    cluster.runUntil('running', () => cluster.runningTasks('run-c') === 3);
+    const holder = holderOf(cluster, shardOf(cluster, 'run-c'));
     const other = NAMES.find((name) => name !== holder) as string;
-    upgrade(cluster.node(enforcer === 'new' ? holder : other), present);
+    upgrade(cluster.controller(enforcer === 'new' ? holder : other), present);
     cluster.run(25);
-    cluster.cancel('run-c', cluster.node(other));
-    cluster.until('gone', () => cluster.on('run-c').length === 0, 30);
-    for (const node of cluster.nodes) assert.equal(cluster.ask('run-c', node), 'aborted');
+    cluster.cancel('run-c', cluster.controller(other));
+    cluster.runUntil('gone', () => cluster.machinesRunning('run-c').length === 0, 30);
+    for (const node of cluster.controllers) assert.equal(cluster.queryStatus('run-c', node), 'aborted');
     for (const name of NAMES) {
-      upgrade(cluster.node(name), present);
+      upgrade(cluster.controller(name), present);
       cluster.run(10);
     }
-    for (const node of cluster.nodes) assert.equal(cluster.ask('run-c', node), 'aborted');
+    for (const node of cluster.controllers) assert.equal(cluster.queryStatus('run-c', node), 'aborted');
   });
 }
 
@@ -150,21 +163,24 @@
   cluster.specs.set(spec.id, spec);
   for (let index = 0; index < 8500; index++) cluster.finished.add(`run-large/${index}`);
   const put = (key: string, value: unknown) =>
-    cluster.state.txn({ type: 'compareAndSwap', id: 0, conditions: [], writes: [{ put: key, value }] }, cluster.now);
+    cluster.stateService.compareAndSwap(
+      { type: 'compareAndSwap', id: 0, conditions: [], writes: [{ put: key, value }] },
+      cluster.now,
+    );
   put('a/p/run-large/0', 'f'.repeat(8500 / 4));
   put('a/j/run-large', { s: 0, t: 0, sp: encodeJobSpec(spec) });
-  const owner = cluster.node(holderOf(cluster, 0));
-  cluster.until(
+  const owner = cluster.controller(holderOf(cluster, 0));
+  cluster.runUntil(
     'some is stored by the old one',
-    () => cluster.state.keys.get('a/p/run-large/0')?.value !== 'f'.repeat(8500 / 4),
+    () => cluster.stateService.keys.get('a/p/run-large/0')?.value !== 'f'.repeat(8500 / 4),
     30,
   );
-  const doneCount = () => owner.core.clusterState.jobs.get('run-large')?.doneCount ?? 0;
+  const doneCount = () => owner.controller.clusterState.jobs.get('run-large')?.doneCount ?? 0;
   const byOld = doneCount();
   upgrade(owner, present);
-  cluster.until('some is stored by the new one', () => cluster.state.keys.has('a/p/run-large/0.25'), 60);
+  cluster.runUntil('some is stored by the new one', () => cluster.stateService.keys.has('a/p/run-large/0.25'), 60);
   cluster.run(4);
-  const stored = String(cluster.state.keys.get('a/p/run-large/0.25')?.value);
+  const stored = String(cluster.stateService.keys.get('a/p/run-large/0.25')?.value);
   const byNew = [...stored].reduce(
     (count, digit) => count + Number.parseInt(digit, 16).toString(2).replaceAll('0', '').length,
     0,
@@ -173,7 +189,7 @@
   cluster.run(1);
   assert.ok(doneCount() > byOld, 'what the new one stored is known to the old one');
   assert.ok(doneCount() >= 8192 + byNew);
-  cluster.until('the rest is done', () => cluster.allDone('run-large'), 300);
+  cluster.runUntil('the rest is done', () => cluster.allTasksDone('run-large'), 300);
 });
 
 test('a job whose list of machine types outgrows a value: an old owner starts it where the user allowed', () => {
@@ -182,15 +198,15 @@
     ...settings,
     state: { ...settings.state, valueKib: 16, next },
   }));
-  upgrade(cluster.node('n1'), present);
+  upgrade(cluster.controller('n1'), present);
   cluster.run(20);
   const types = [...Array.from({ length: 63 }, (_, index) => `none-${index}-${'x'.repeat(60)}`), 'small'];
   const team = ['red', 'blue', 'green'].find((name) => {
-    const shard = cluster.node('n0').core.clusterState.shardOfTeam[['red', 'blue', 'green'].indexOf(name)];
+    const shard = cluster.controller('n0').controller.clusterState.shardOfTeam[['red', 'blue', 'green'].indexOf(name)];
     return holderOf(cluster, shard ?? 0) !== 'n1';
   }) as string;
-  cluster.submit(job('run-types', { team, machineTypes: types, estimatedRunS: 3 }), cluster.node('n1'));
-  cluster.until('done', () => cluster.allDone('run-types'), 40);
+  cluster.submit(job('run-types', { team, machineTypes: types, estimatedRunS: 3 }), cluster.controller('n1'));
+  cluster.runUntil('done', () => cluster.allTasksDone('run-types'), 40);
 });
 
 /** A key as it is recorded. */
@@ -204,7 +220,7 @@
 function recordProduction(): { rows: RecordedRow[]; messages: string[] } {
   const { c: cluster } = oldCluster();
   const messages = new Map<string, string>();
-  cluster.peerBytes = (bytes) => {
+  cluster.onPeerMessage = (bytes) => {
     const message = OLD.decodePeerMessage(bytes);
     const kind = message.heartbeat
       ? `report of ${message.heartbeat.tasks.length}`
@@ -216,11 +232,11 @@
   cluster.submit(job('run-partly', { tasks: 9, cpus: 4, memory: 1, estimatedRunS: 5 }));
   // The leader alone is not heard by the others, so that they tell it by way of the state service.
   const lead = holderOf(cluster, 'lead');
-  cluster.cut = (a, b) => NAMES.includes(a) && NAMES.includes(b) && (a === lead) !== (b === lead);
+  cluster.isPartitioned = (a, b) => NAMES.includes(a) && NAMES.includes(b) && (a === lead) !== (b === lead);
   cluster.run(8);
   cluster.cancel('run-called-off');
   cluster.run(14);
-  const rows = cluster.state
+  const rows = cluster.stateService
     .rows()
     .map(({ key, value, revision }) => ({ key, value, stamp: revision }))
     .sort((a, b) => (a.key < b.key ? -1 : 1));
@@ -263,49 +279,49 @@
 // LATER.md promises that no such job meets an old controller. Should one all the same, it must not run too early.
 test('a job that awaits others is passed over by an old controller, which can still cancel it', () => {
   const { c: cluster, present } = oldCluster(4);
-  const owner = cluster.node(holderOf(cluster, 0));
-  for (const node of cluster.nodes) if (node !== owner) upgrade(node, present);
+  const owner = cluster.controller(holderOf(cluster, 0));
+  for (const node of cluster.controllers) if (node !== owner) upgrade(node, present);
   cluster.run(25);
-  const other = cluster.nodes.find((node) => node !== owner) as Node;
+  const other = cluster.controllers.find((node) => node !== owner) as SimulatedController;
   cluster.submit(job('run-first', { estimatedRunS: 300 }), other);
   cluster.submit(job('run-next'), other, ['run-first']);
   cluster.run(10);
-  assert.equal(cluster.on('run-next').length, 0);
-  assert.equal(cluster.ask('run-next', other), 'queued');
+  assert.equal(cluster.machinesRunning('run-next').length, 0);
+  assert.equal(cluster.queryStatus('run-next', other), 'queued');
   cluster.cancel('run-next', owner);
   cluster.run(1);
-  assert.equal(cluster.ask('run-next', other), 'aborted');
+  assert.equal(cluster.queryStatus('run-next', other), 'aborted');
 });
 
 /** Troubles in the middle of a roll; each leaves the cluster as it would be without it. */
-const MIDDLE: Record<string, (cluster: Cluster) => void> = {
+const MIDDLE: Record<string, (cluster: SimulatedCluster) => void> = {
   'a crash of all': (cluster) => {
-    for (const node of cluster.nodes) node.crash();
+    for (const node of cluster.controllers) node.crash();
     cluster.run(1);
-    for (const node of cluster.nodes) node.restart();
+    for (const node of cluster.controllers) node.restart();
   },
   'a controller that stands still': (cluster) => {
-    const node = cluster.nodes[1] as Node;
-    node.freeze();
+    const node = cluster.controllers[1] as SimulatedController;
+    node.pause();
     cluster.run(25);
-    node.thaw();
+    node.resume();
   },
   'a cut between old and new': (cluster) => {
     const cut = new Set(['n0', 'n1']);
-    cluster.cut = (a, b) => NAMES.includes(a) && NAMES.includes(b) && cut.has(a) !== cut.has(b);
+    cluster.isPartitioned = (a, b) => NAMES.includes(a) && NAMES.includes(b) && cut.has(a) !== cut.has(b);
     cluster.run(25);
-    cluster.cut = () => false;
+    cluster.isPartitioned = () => false;
   },
   'a state outage': (cluster) => {
-    cluster.stateDown = true;
+    cluster.isStateServiceDown = true;
     cluster.run(25);
-    cluster.stateDown = false;
+    cluster.isStateServiceDown = false;
   },
   'one that loses the state service alone': (cluster) => {
-    const node = cluster.nodes[0] as Node;
-    node.refused = true;
+    const node = cluster.controllers[0] as SimulatedController;
+    node.isRefusedByStateService = true;
     cluster.run(25);
-    node.refused = false;
+    node.isRefusedByStateService = false;
   },
 };
 
@@ -315,27 +331,27 @@
     const ids = submitAll(cluster, 'a');
     cluster.submit(job('run-called-off', { tasks: 3, estimatedRunS: 300 }));
     cluster.run(3);
-    upgrade(cluster.node('n0'), present);
+    upgrade(cluster.controller('n0'), present);
     cluster.run(3);
     trouble(cluster);
     cluster.run(1);
-    cluster.until('answers again', () => cluster.nodes.some((node) => node.up && node.core.isReady), 60);
-    const teller = cluster.nodes.find((node) => node.core.isReady) as Node;
+    cluster.runUntil('answers again', () => cluster.controllers.some((node) => node.up && node.controller.isReady), 60);
+    const teller = cluster.controllers.find((node) => node.controller.isReady) as SimulatedController;
     cluster.cancel('run-called-off', teller);
-    upgrade(cluster.node('n1'), present);
+    upgrade(cluster.controller('n1'), present);
     cluster.run(4);
     trouble(cluster);
     cluster.run(2);
-    upgrade(cluster.node('n2'), present);
+    upgrade(cluster.controller('n2'), present);
     cluster.run(20);
     ids.push(...submitAll(cluster, 'b'));
-    cluster.until('all is done', () => allDone(cluster, ids), 240);
+    cluster.runUntil('all is done', () => allDone(cluster, ids), 240);
     cluster.run(4);
-    for (const node of cluster.nodes) {
-      for (const id of ids) assert.equal(cluster.ask(id, node), 'done');
-      assert.equal(cluster.ask('run-called-off', node), 'aborted');
+    for (const node of cluster.controllers) {
+      for (const id of ids) assert.equal(cluster.queryStatus(id, node), 'done');
+      assert.equal(cluster.queryStatus('run-called-off', node), 'aborted');
     }
-    assert.equal(cluster.running('run-a-service'), 2);
+    assert.equal(cluster.runningTasks('run-a-service'), 2);
   });
 }
 
@@ -343,7 +359,11 @@
 test('seeded random walks over a roll, chains of jobs after it and limits that fall break no rule', () => {
   for (let seed = 1; seed <= Number(process.env.WALKS ?? 8); seed++) {
     try {
-      new Walk(seed, { from: OLD, pipelines: true, next: { valueKib: 2, writesPerTransaction: 4, writesPerS: 45 } }).run(120);
+      new RandomizedSimulation(seed, {
+        from: OLD,
+        pipelines: true,
+        next: { valueKib: 2, writesPerTransaction: 4, writesPerS: 45 },
+      }).run(120);
     } catch (e) {
       assert.fail(`seed ${seed}: ${e instanceof Error ? e.message : e}`);
     }
@@ -351,11 +371,11 @@
 });
 
 /** One controller has the present version; a chain is asked for all the same, its second job at an old one. */
-function chainAskedTooSoon(): Cluster {
+function chainAskedTooSoon(): SimulatedCluster {
   const { c: cluster, present } = oldCluster();
-  upgrade(cluster.node('n0'), present);
+  upgrade(cluster.controller('n0'), present);
   cluster.run(10);
-  cluster.submit(job('run-a', { team: 'blue', estimatedRunS: 30 }), cluster.node('n0'));
+  cluster.submit(job('run-a', { team: 'blue', estimatedRunS: 30 }), cluster.controller('n0'));
   cluster.specs.set('run-b', job('run-b', { estimatedRunS: 300 }));
   cluster.awaits.set('run-b', ['run-a']);
   return cluster;
@@ -364,21 +384,22 @@
 // LATER.md promises that nothing new is asked before all controllers are new. Where a roll outlasts that promise, these
 // are the rules that break: what the old version accepts has lost its `awaits` before it is stored.
 test('a chain that is asked of an old controller breaks too_early, orphaned and ran_cancelled; asked of a new one, none', () => {
-  const submitB = (cluster: Cluster, to: string) => cluster.node(to).submit(cluster.specs.get('run-b') as JobSpec, () => {});
+  const submitB = (cluster: SimulatedCluster, to: string) =>
+    cluster.controller(to).submit(cluster.specs.get('run-b') as JobSpec, () => {});
   const early = chainAskedTooSoon();
   submitB(early, 'n1');
   assert.throws(() => early.run(20), /too_early: run-b\/0 starts before run-a is done/);
-  const stored = early.state.keys.get('a/j/run-b')?.value as object | undefined;
+  const stored = early.stateService.keys.get('a/j/run-b')?.value as object | undefined;
   assert.ok(stored !== undefined && !('aw' in stored), 'nothing tells what it awaits');
 
   const late = chainAskedTooSoon();
   submitB(late, 'n1');
   // The judge learns only later what it awaits: it would end the test at the start.
   late.awaits.delete('run-b');
-  late.until('it runs', () => late.running('run-b') === 1, 20);
-  late.cancel('run-a', late.node('n0'));
+  late.runUntil('it runs', () => late.runningTasks('run-b') === 1, 20);
+  late.cancel('run-a', late.controller('n0'));
   late.run(35);
-  const said = late.ask('run-b', late.node('n1'));
+  const said = late.queryStatus('run-b', late.controller('n1'));
   late.awaits.set('run-b', ['run-a']);
   late.now += 2000;
   assert.throws(() => late.rules.told('run-b', said), /orphaned: run-b is called running/);
@@ -387,8 +408,8 @@
   const right = chainAskedTooSoon();
   submitB(right, 'n0');
   right.run(1);
-  right.cancel('run-a', right.node('n0'));
+  right.cancel('run-a', right.controller('n0'));
   right.run(40);
-  assert.equal(right.ask('run-b', right.node('n0')), 'aborted');
-  assert.deepEqual(right.on('run-b'), []);
+  assert.equal(right.queryStatus('run-b', right.controller('n0')), 'aborted');
+  assert.deepEqual(right.machinesRunning('run-b'), []);
 });
--- a/test/upgrade/production-version.ts
+++ b/test/upgrade/production-version.ts
@@ -2,7 +2,7 @@
 // settings and tables. Its bundle is never edited.
 import type { Controller, ControllerSettings, Effect } from '@archpost/controller';
 import type { Heartbeat, PeerMessage, PeerStatus } from '@archpost/protocol';
-import type { Version } from '../cluster/controller.js';
+import type { ControllerVersion } from '../cluster/controller.js';
 import * as production from './production-core.mjs';
 
 type Fields = Record<string, unknown>;
@@ -213,7 +213,7 @@
 }
 
 /** The version in production, to be run by a simulated cluster. */
-export const PRODUCTION: Version = {
+export const PRODUCTION: ControllerVersion = {
   Controller: ProductionController as unknown as typeof Controller,
   encodePeerMessage: (message) => production.encodePeer(renamed(message, TO_THEN)),
   decodePeerMessage: (bytes) => renamed(production.decodePeer(bytes), TO_TODAY) as PeerMessage,
--- a/test/waiting-jobs.test.ts
+++ b/test/waiting-jobs.test.ts
@@ -1,18 +1,18 @@
 // What a waiting job takes, and what it has from the jobs that need it: priority, deadline, and the times that count.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Cluster, holderOf, job, shareOf, smallCluster } from './stand-ins.js';
+import { holderOf, job, SimulatedCluster, shardOf, smallCluster } from './stand-ins.js';
 
 test('a job takes the highest priority and the earliest latest start of those that need it, and gives them back', () => {
   const cluster = smallCluster(4);
   cluster.submit(job('run-long', { priority: 0, estimatedRunS: 500, tasks: 9 }));
-  cluster.submit(job('run-1', { priority: 0, estimatedRunS: 100 }), cluster.nodes[0], ['run-long']);
-  cluster.submit(job('run-2', { priority: 1, estimatedRunS: 50, team: 'blue' }), cluster.nodes[1], ['run-1']);
-  cluster.submit(job('run-3', { priority: 2, estimatedRunS: 10, deadlineS: 400 }), cluster.nodes[2], ['run-2', 'run-1']);
+  cluster.submit(job('run-1', { priority: 0, estimatedRunS: 100 }), cluster.controllers[0], ['run-long']);
+  cluster.submit(job('run-2', { priority: 1, estimatedRunS: 50, team: 'blue' }), cluster.controllers[1], ['run-1']);
+  cluster.submit(job('run-3', { priority: 2, estimatedRunS: 10, deadlineS: 400 }), cluster.controllers[2], ['run-2', 'run-1']);
   const submitted = cluster.now;
   cluster.run(1);
-  for (const node of cluster.nodes) {
-    const first = node.core.clusterState.jobs.get('run-1');
+  for (const node of cluster.controllers) {
+    const first = node.controller.clusterState.jobs.get('run-1');
     assert.equal(first?.priority, 2);
     // 400 s, less 10 and 1 of the last and 50 and 1 of the one before, each with its image.
     assert.ok(
@@ -22,9 +22,9 @@
   }
   cluster.cancel('run-3');
   cluster.run(1);
-  for (const node of cluster.nodes) {
-    assert.equal(node.core.clusterState.jobs.get('run-1')?.priority, 1);
-    assert.equal(node.core.clusterState.jobs.get('run-1')?.effectiveDeadlineAt, Number.POSITIVE_INFINITY);
+  for (const node of cluster.controllers) {
+    assert.equal(node.controller.clusterState.jobs.get('run-1')?.priority, 1);
+    assert.equal(node.controller.clusterState.jobs.get('run-1')?.effectiveDeadlineAt, Number.POSITIVE_INFINITY);
   }
 });
 
@@ -34,43 +34,43 @@
   cluster.submit(job('run-first', { estimatedRunS: 40 }));
   cluster.submit(job('run-busy', { team: 'blue', tasks: 7, cpus: 3, memory: 14, estimatedRunS: 300 }));
   cluster.submit(job('run-next', { machineTypes: ['big'] }), undefined, ['run-first']);
-  cluster.until('the first is done', () => cluster.ask('run-first') === 'done', 80);
+  cluster.runUntil('the first is done', () => cluster.queryStatus('run-first') === 'done', 80);
   const ended = cluster.now;
   cluster.run(1);
-  cluster.node('n1').crash();
+  cluster.controller('n1').crash();
   cluster.run(20);
-  cluster.node('n1').restart();
+  cluster.controller('n1').restart();
   cluster.run(5);
-  for (const node of cluster.nodes) {
-    const at = node.core.clusterState.jobs.get('run-next')?.arrivedAt ?? 0;
+  for (const node of cluster.controllers) {
+    const at = node.controller.clusterState.jobs.get('run-next')?.arrivedAt ?? 0;
     assert.ok(Math.abs(at - ended) < 2500, `${node.name}: ${at - ended} ms apart`);
   }
 });
 
 test('a waiting job takes no part of a guarantee, asks for no machine and is started when its time comes', () => {
-  const cluster = new Cluster();
+  const cluster = new SimulatedCluster();
   for (let index = 0; index < 2; index++) cluster.machine(`g${index}`, 'big', 'east');
-  cluster.settle();
+  cluster.runUntilSettled();
   cluster.submit(job('run-first', { estimatedRunS: 20 }));
   // Eight accelerators are guaranteed to the team: were this job counted, the next would be beyond them.
-  cluster.submit(job('run-waits', { gpus: 8, shape: 'gang' }), cluster.nodes[0], ['run-first']);
+  cluster.submit(job('run-waits', { gpus: 8, shape: 'gang' }), cluster.controllers[0], ['run-first']);
   cluster.submit(job('run-now', { gpus: 8, shape: 'gang', estimatedRunS: 300 }));
   cluster.run(3);
-  const owner = cluster.node(holderOf(cluster, shareOf(cluster, 'run-now')));
-  const wanted = owner.core.shardController.shardSummary(shareOf(cluster, 'run-now'), cluster.now).demands;
+  const owner = cluster.controller(holderOf(cluster, shardOf(cluster, 'run-now')));
+  const wanted = owner.controller.shardController.shardSummary(shardOf(cluster, 'run-now'), cluster.now).demands;
   assert.deepEqual(wanted, []);
-  assert.equal(cluster.running('run-now'), 1);
-  assert.equal(cluster.ask('run-waits'), 'queued');
-  cluster.until('started', () => cluster.running('run-waits') === 1, 60);
+  assert.equal(cluster.runningTasks('run-now'), 1);
+  assert.equal(cluster.queryStatus('run-waits'), 'queued');
+  cluster.runUntil('started', () => cluster.runningTasks('run-waits') === 1, 60);
 });
 
 test('work goes by the inherited priority and the inherited latest start', () => {
-  const cluster = new Cluster(['n0']);
+  const cluster = new SimulatedCluster(['n0']);
   cluster.machine('m0', 'small', 'east');
-  cluster.settle();
+  cluster.runUntilSettled();
   const whole = { cpus: 4, memory: 16 };
   cluster.submit(job('run-busy', { ...whole, priority: 1, estimatedRunS: 500 }));
-  cluster.until('running', () => cluster.running('run-busy') === 1, 10);
+  cluster.runUntil('running', () => cluster.runningTasks('run-busy') === 1, 10);
   // Both are of the lowest rank by themselves, and both are needed by urgent work; the later one sooner.
   for (const [name, deadlineS] of [
     ['relaxed', 300],
@@ -79,19 +79,19 @@
     cluster.submit(job(`run-${name}`, { ...whole, priority: 0, estimatedRunS: 8 }));
     cluster.submit(job(`run-${name}-last`, { ...whole, priority: 2, deadlineS }), undefined, [`run-${name}`]);
   }
-  cluster.until('all is done', () => cluster.allDone('run-relaxed-last') && cluster.allDone('run-pressed-last'), 60);
+  cluster.runUntil('all is done', () => cluster.allTasksDone('run-relaxed-last') && cluster.allTasksDone('run-pressed-last'), 60);
   const started = (id: string) => cluster.trace.findIndex((line) => line.includes(`starts ${id}/`));
   assert.ok(started('run-pressed') < started('run-relaxed-last'));
-  assert.ok(!cluster.allDone('run-busy'), 'standard work gave way to what urgent work needs');
+  assert.ok(!cluster.allTasksDone('run-busy'), 'standard work gave way to what urgent work needs');
 });
 
 test('of two jobs that urgent work needs, the one whose dependent is due first comes first', () => {
-  const cluster = new Cluster(['n0']);
+  const cluster = new SimulatedCluster(['n0']);
   cluster.machine('m0', 'small', 'east');
-  cluster.settle();
+  cluster.runUntilSettled();
   const whole = { cpus: 4, memory: 16, estimatedRunS: 8 };
   cluster.submit(job('run-busy', { ...whole, priority: 2 }));
-  cluster.until('running', () => cluster.running('run-busy') === 1, 10);
+  cluster.runUntil('running', () => cluster.runningTasks('run-busy') === 1, 10);
   for (const [name, deadlineS] of [
     ['relaxed', 300],
     ['pressed', 100],
@@ -99,34 +99,42 @@
     cluster.submit(job(`run-${name}`, { ...whole, priority: 0 }));
     cluster.submit(job(`run-${name}-last`, { ...whole, priority: 2, deadlineS }), undefined, [`run-${name}`]);
   }
-  cluster.until('one of them starts', () => cluster.on('run-relaxed').length + cluster.on('run-pressed').length > 0, 30);
-  assert.equal(cluster.on('run-pressed').length, 1);
+  cluster.runUntil(
+    'one of them starts',
+    () => cluster.machinesRunning('run-relaxed').length + cluster.machinesRunning('run-pressed').length > 0,
+    30,
+  );
+  assert.equal(cluster.machinesRunning('run-pressed').length, 1);
 });
 
 test('a waiting job of the highest rank keeps no share from going home, and no machine for its kind', () => {
   const cluster = smallCluster(4);
   cluster.machine('g0', 'big', 'east');
-  cluster.settle();
+  cluster.runUntilSettled();
   cluster.submit(job('run-first', { estimatedRunS: 300 }));
   cluster.submit(job('run-serve', { shape: 'service', priority: 3, gpus: 8, jobClass: 'serve' }), undefined, ['run-first']);
   cluster.run(2);
-  const shard = shareOf(cluster, 'run-serve');
-  assert.ok(cluster.node(holderOf(cluster, shard)).core.shardController.isSettled(shard));
-  for (const node of cluster.nodes) assert.equal(node.core.clusterState.gpuDemandByType.size, 0);
+  const shard = shardOf(cluster, 'run-serve');
+  assert.ok(cluster.controller(holderOf(cluster, shard)).controller.shardController.isSettled(shard));
+  for (const node of cluster.controllers) assert.equal(node.controller.clusterState.gpuDemandByType.size, 0);
 });
 
 // Counted, it would put the team beyond its guarantee, and what comes after it could not preempt.
 test('a waiting job takes nothing of its team s guarantee from work that can run', () => {
-  const cluster = new Cluster(['n0']);
+  const cluster = new SimulatedCluster(['n0']);
   for (let index = 0; index < 2; index++) cluster.machine(`g${index}`, 'big', 'east');
-  cluster.settle();
+  cluster.runUntilSettled();
   const training = { shape: 'gang' as const, gpus: 8, cpus: 20, memory: 60, estimatedRunS: 300 };
   cluster.submit(job('run-first', { estimatedRunS: 200 }));
   cluster.submit(job('run-waits', training), undefined, ['run-first']);
   for (const id of ['run-blue0', 'run-blue1']) cluster.submit(job(id, { ...training, team: 'blue' }));
-  cluster.until('both machines are taken', () => cluster.running('run-blue0') + cluster.running('run-blue1') === 2, 20);
+  cluster.runUntil(
+    'both machines are taken',
+    () => cluster.runningTasks('run-blue0') + cluster.runningTasks('run-blue1') === 2,
+    20,
+  );
   cluster.submit(job('run-now', training));
-  cluster.until('the job beyond its guarantee gave way', () => cluster.running('run-now') === 1, 30);
+  cluster.runUntil('the job beyond its guarantee gave way', () => cluster.runningTasks('run-now') === 1, 30);
 });
 
 test('a job cancelled with one that it needs gives nothing to the others that it needed', () => {
@@ -135,11 +143,11 @@
   cluster.submit(job('run-y', { priority: 0, estimatedRunS: 300 }));
   cluster.submit(job('run-z', { priority: 2, deadlineS: 500 }), undefined, ['run-x', 'run-y']);
   cluster.run(1);
-  assert.equal(cluster.nodes[0]?.core.clusterState.jobs.get('run-x')?.priority, 2);
+  assert.equal(cluster.controllers[0]?.controller.clusterState.jobs.get('run-x')?.priority, 2);
   cluster.cancel('run-y');
   cluster.run(1);
-  for (const node of cluster.nodes) {
-    assert.equal(node.core.clusterState.jobs.get('run-x')?.priority, 0);
-    assert.equal(node.core.clusterState.jobs.get('run-x')?.effectiveDeadlineAt, Number.POSITIVE_INFINITY);
+  for (const node of cluster.controllers) {
+    assert.equal(node.controller.clusterState.jobs.get('run-x')?.priority, 0);
+    assert.equal(node.controller.clusterState.jobs.get('run-x')?.effectiveDeadlineAt, Number.POSITIVE_INFINITY);
   }
 });
--- a/test/walk.ts
+++ b/test/walk.ts
@@ -1,18 +1,18 @@
 // A seeded random walk: users go on submitting, asking and calling off while troubles meet in pairs, and
 // every rule of PROTOCOL that can be seen from workers and users is checked after each step.
 import type { ControllerSettings } from '@archpost/controller';
-import { Cluster, type Node, type Version } from './stand-ins.js';
-import { checkDerived } from './walk/invariants.js';
+import { type ControllerVersion, SimulatedCluster, type SimulatedController } from './stand-ins.js';
+import { checkDerivedState } from './walk/invariants.js';
 import { Random } from './walk/random.js';
-import { TROUBLES, type Trouble, Troubles } from './walk/troubles.js';
-import { type UserOptions, Users } from './walk/users.js';
+import { FAULTS, type Fault, FaultInjector } from './walk/troubles.js';
+import { SimulatedUsers, type UserOptions } from './walk/users.js';
 
 /** What a walk has beside troubles. */
-export interface WalkOptions extends UserOptions {
+export interface RandomizedSimulationOptions extends UserOptions {
   /** troubles that may come */
-  only?: readonly Trouble[];
+  only?: readonly Fault[];
   /** the version that all controllers run at first; one after another they get the present one */
-  from?: Version;
+  from?: ControllerVersion;
   /** limits that the state service has once all controllers are new */
   next?: { valueKib: number; writesPerTransaction: number; writesPerS: number };
   /** machines at the start, instead of a handful */
@@ -36,32 +36,32 @@
 const LIMITS_FALL_MS = UPGRADE_AT_MS + 4 * UPGRADE_EACH_MS;
 
 /** One walk: its cluster, its users and its troubles. */
-export class Walk {
-  readonly c: Cluster;
-  readonly users: Users;
+export class RandomizedSimulation {
+  readonly c: SimulatedCluster;
+  readonly users: SimulatedUsers;
   private readonly random: Random;
-  private readonly troubles: Troubles;
-  private readonly only: readonly Trouble[];
+  private readonly troubles: FaultInjector;
+  private readonly only: readonly Fault[];
 
   constructor(
     seed: number,
-    private readonly options: WalkOptions = {},
+    private readonly options: RandomizedSimulationOptions = {},
   ) {
-    this.only = options.only ?? TROUBLES;
+    this.only = options.only ?? FAULTS;
     this.random = new Random(seed);
     this.c = this.makeCluster();
     if (options.from) this.startWith(options.from);
     this.addMachines();
-    this.c.settle();
-    this.users = new Users(this.c, this.random, options, () => this.upgraded);
-    this.troubles = new Troubles(this.c, this.random, () => this.users.cancelLately());
+    this.c.runUntilSettled();
+    this.users = new SimulatedUsers(this.c, this.random, options, () => this.upgraded);
+    this.troubles = new FaultInjector(this.c, this.random, () => this.users.cancelLately());
   }
 
   private get machines(): { small: number; big: number } {
     return this.options.machines ?? { small: 8, big: 3 };
   }
 
-  private makeCluster(): Cluster {
+  private makeCluster(): SimulatedCluster {
     const { next, tune, state, inputsPerTick } = this.options;
     const { small, big } = this.machines;
     const settings = (settings: ControllerSettings): ControllerSettings => ({
@@ -69,10 +69,10 @@
       state: { ...settings.state, next: next ?? null },
       policy: { ...settings.policy, holdSpareCapacity: false, idleS: 60, maxMachines: small + big + 7 },
     });
-    const cluster = new Cluster(undefined, (s) => (tune ? tune(settings(s)) : settings(s)));
-    if (state) Object.assign(cluster.state, state);
-    for (const node of cluster.nodes) node.inputsPerTick = inputsPerTick ?? Number.POSITIVE_INFINITY;
-    cluster.bootMs = () => 1000 + 5000 * this.random.next();
+    const cluster = new SimulatedCluster(undefined, (s) => (tune ? tune(settings(s)) : settings(s)));
+    if (state) Object.assign(cluster.stateService, state);
+    for (const node of cluster.controllers) node.inputsPerTick = inputsPerTick ?? Number.POSITIVE_INFINITY;
+    cluster.bootTimeMs = () => 1000 + 5000 * this.random.next();
     return cluster;
   }
 
@@ -82,8 +82,8 @@
     for (let index = 0; index < big; index++) this.c.machine(`g${index}`, 'big', index % 2 === 0 ? 'east' : 'west');
   }
 
-  private startWith(old: Version): void {
-    this.c.nodes.forEach((node, index) => {
+  private startWith(old: ControllerVersion): void {
+    this.c.controllers.forEach((node, index) => {
       const present = node.version;
       node.version = old;
       node.restart();
@@ -97,22 +97,22 @@
 
   /** Nothing new is asked, and no limit falls, before all controllers have the present version. */
   private get upgraded(): boolean {
-    return !this.options.from || this.c.nodes.every((node) => node.running !== this.options.from);
+    return !this.options.from || this.c.controllers.every((node) => node.running !== this.options.from);
   }
 
   private step(): void {
     this.troubles.step();
     const { next } = this.options;
-    if (next && this.upgraded && !this.c.state.limits && this.c.now > LIMITS_FALL_MS) {
+    if (next && this.upgraded && !this.c.stateService.limits && this.c.now > LIMITS_FALL_MS) {
       this.c.note('the state service lowers its limits');
-      this.c.state.limits = {
+      this.c.stateService.limits = {
         valueBytes: next.valueKib * 1024,
         writesPerTransaction: next.writesPerTransaction,
         writesPerS: next.writesPerS,
       };
     }
     this.c.run(0.1);
-    checkDerived(this.c, this.options.from);
+    checkDerivedState(this.c, this.options.from);
   }
 
   /** Troubles by twos and threes for so long, then peace. */
@@ -144,22 +144,23 @@
     const odd = (): string[] => {
       const result: string[] = [];
       for (const share of [0, 1, 2, 'lead'] as const)
-        if (!cluster.nodes.some((node) => node.core.shardLeases.mayActUnder(share, cluster.now)))
+        if (!cluster.controllers.some((node) => node.controller.shardLeases.mayActUnder(share, cluster.now)))
           result.push(`nobody holds ${share}`);
       for (const w of cluster.workers) {
         if (w.dead) continue;
-        const used = cluster.nodes.some((node) => {
-          const machine = node.core.clusterState.machines.get(w.name);
+        const used = cluster.controllers.some((node) => {
+          const machine = node.controller.clusterState.machines.get(w.name);
           return (
             machine &&
-            node.core.shardController.heldShards.has(machine.shard) &&
-            (machine.tenure.releaseReason !== null || node.core.shardController.allocations.isSchedulable(machine, cluster.now))
+            node.controller.shardController.heldShards.has(machine.shard) &&
+            (machine.tenure.releaseReason !== null ||
+              node.controller.shardController.allocations.isSchedulable(machine, cluster.now))
           );
         });
         if (!used) result.push(`${w.name} is out of use`);
       }
-      for (const node of cluster.nodes)
-        if (node.core.writer.length > 0) result.push(`${node.name} has ${node.core.writer.length} writes waiting`);
+      for (const node of cluster.controllers)
+        if (node.controller.writer.length > 0) result.push(`${node.name} has ${node.controller.writer.length} writes waiting`);
       return result;
     };
     // A share may be on its way home, and a machine between two shares.
@@ -189,12 +190,12 @@
     const left = rest().map(([id]) => `${id} ${JSON.stringify(cluster.specs.get(id))}`);
     if (left.length > 0) this.c.broken(`still waiting long after the troubles:\n${left.join('\n')}`);
     this.atRest();
-    if (cluster.state.tooLarge > 0) cluster.broken(`${cluster.state.tooLarge} changes were too large`);
-    for (const node of cluster.nodes) this.allAnswered(node);
+    if (cluster.stateService.tooLarge > 0) cluster.broken(`${cluster.stateService.tooLarge} changes were too large`);
+    for (const node of cluster.controllers) this.allAnswered(node);
   }
 
   /** Every accepted job is answered by the controller, a few at a time, and what was cancelled before it is, too. */
-  private allAnswered(node: Node): void {
+  private allAnswered(node: SimulatedController): void {
     const { c: cluster, users } = this;
     const accepted = [...users.told].filter(([, t]) => t.accepted);
     for (let at = 0; at < accepted.length; at += ASKED_AT_ONCE) {
--- a/test/walk/troubles.ts
+++ b/test/walk/troubles.ts
@@ -1,8 +1,8 @@
 // Troubles that meet in a walk, and what undoes each of them.
-import type { Cluster } from '../stand-ins.js';
+import type { SimulatedCluster } from '../stand-ins.js';
 import type { Random } from './random.js';
 
-export const TROUBLES = [
+export const FAULTS = [
   'outage',
   'refused',
   'crash',
@@ -27,12 +27,12 @@
   'machines begin again',
   'cancel now',
 ] as const;
-export type Trouble = (typeof TROUBLES)[number];
+export type Fault = (typeof FAULTS)[number];
 
 /** Most copies of reports that are kept for the next holder. */
 const COPIES_KEPT = 200;
 
-export class Troubles {
+export class FaultInjector {
   /** what undoes each trouble under way */
   private readonly undo: { at: number; run: () => void }[] = [];
   private copies: 'none' | 'late' | 'for the next leader' = 'none';
@@ -40,16 +40,16 @@
   private holders = '';
 
   constructor(
-    private readonly cluster: Cluster,
+    private readonly cluster: SimulatedCluster,
     private readonly random: Random,
     /** users call off what they submitted lately */
     private readonly cancelNow: () => void,
   ) {
-    this.cluster.reported = (heartbeat) => {
+    this.cluster.onHeartbeat = (heartbeat) => {
       if (this.copies === 'none' || this.random.next() > 0.2) return;
       const copy = structuredClone(heartbeat);
       const send = () => {
-        for (const node of this.cluster.nodes) if (node.up) node.report(copy, () => {});
+        for (const node of this.cluster.controllers) if (node.up) node.receiveHeartbeat(copy, () => {});
       };
       if (this.copies === 'late') this.cluster.at(this.cluster.now + 2000 + 20_000 * this.random.next(), send);
       else if (this.kept.length < COPIES_KEPT) this.kept.push(send);
@@ -64,7 +64,7 @@
       u.run();
     }
     if (this.kept.length === 0) return;
-    const holders = JSON.stringify(this.cluster.nodes.map((node) => [...node.core.shardLeases.heldLeases]));
+    const holders = JSON.stringify(this.cluster.controllers.map((node) => [...node.controller.shardLeases.heldLeases]));
     if (holders !== this.holders) for (const send of this.kept.splice(0)) send();
     this.holders = holders;
   }
@@ -72,9 +72,9 @@
   /** All troubles are over. */
   end(): void {
     for (const u of this.undo.splice(0)) u.run();
-    for (const node of this.cluster.nodes) {
+    for (const node of this.cluster.controllers) {
       if (!node.up) node.restart();
-      if (node.frozen) node.thaw();
+      if (node.isPaused) node.resume();
     }
     for (const w of this.cluster.workers) w.hung = false;
     this.cluster.note('the troubles are over');
@@ -85,23 +85,23 @@
   }
 
   /** One of them begins, for so many seconds. */
-  begin(kind: Trouble, s: number): void {
+  begin(kind: Fault, s: number): void {
     const { cluster } = this;
-    const node = this.random.pick(cluster.nodes);
+    const node = this.random.pick(cluster.controllers);
     const live = cluster.workers.filter((w) => !w.dead);
     const some = new Set(live.filter(() => this.random.next() < 0.3).map((w) => w.name));
     cluster.note(`${kind} for ${s.toFixed(1)} s (${node.name})`);
     const isNode = (x: string) => x.startsWith('n');
     switch (kind) {
       case 'outage':
-        cluster.stateDown = true;
+        cluster.isStateServiceDown = true;
         return this.after(s, () => {
-          cluster.stateDown = false;
+          cluster.isStateServiceDown = false;
         });
       case 'refused':
-        node.refused = true;
+        node.isRefusedByStateService = true;
         return this.after(s, () => {
-          node.refused = false;
+          node.isRefusedByStateService = false;
         });
       case 'crash':
       case 'bounce':
@@ -111,14 +111,15 @@
           if (!node.up) node.restart();
         });
       case 'crash all':
-        for (const node of cluster.nodes) if (node.up) node.crash();
-        for (const node of cluster.nodes) this.after(0.2 + 4 * this.random.next(), () => (node.up ? undefined : node.restart()));
+        for (const node of cluster.controllers) if (node.up) node.crash();
+        for (const node of cluster.controllers)
+          this.after(0.2 + 4 * this.random.next(), () => (node.up ? undefined : node.restart()));
         return;
       case 'freeze':
-        if (!node.up || node.frozen) return;
-        node.freeze();
+        if (!node.up || node.isPaused) return;
+        node.pause();
         return this.after(s, () => {
-          if (node.up && node.frozen) node.thaw(this.random.next() < 0.3);
+          if (node.up && node.isPaused) node.resume(this.random.next() < 0.3);
         });
       case 'hang': {
         const w = this.random.pick(live);
@@ -128,58 +129,58 @@
         });
       }
       case 'deaf':
-        cluster.deaf = (_n, m) => some.has(m);
+        cluster.isDeaf = (_n, m) => some.has(m);
         return this.after(s, () => {
-          cluster.deaf = () => false;
+          cluster.isDeaf = () => false;
         });
       case 'mute':
-        cluster.mute = (m) => some.has(m);
+        cluster.isMute = (m) => some.has(m);
         return this.after(s, () => {
-          cluster.mute = () => false;
+          cluster.isMute = () => false;
         });
       case 'commands lost':
       case 'commands late':
-        cluster.commandsLost = (_n, m) => some.has(m);
-        if (kind === 'commands late') cluster.lateMs = () => 1000 + 30_000 * this.random.next();
+        cluster.losesCommands = (_n, m) => some.has(m);
+        if (kind === 'commands late') cluster.lateCommandDelayMs = () => 1000 + 30_000 * this.random.next();
         return this.after(s, () => {
-          cluster.commandsLost = () => false;
-          cluster.lateMs = null;
+          cluster.losesCommands = () => false;
+          cluster.lateCommandDelayMs = null;
         });
       case 'zone cut': {
         const west = (x: string) => x === 'n1' || cluster.worker(x)?.zone === 'west';
-        cluster.cut = (a, b) => west(a) !== west(b);
+        cluster.isPartitioned = (a, b) => west(a) !== west(b);
         return this.after(s, () => {
-          cluster.cut = () => false;
+          cluster.isPartitioned = () => false;
         });
       }
       case 'peers cut':
       case 'alone with its workers':
-        cluster.cut = (a, b) => isNode(a) && isNode(b) && (a === node.name || b === node.name);
-        if (kind === 'alone with its workers') node.refused = true;
+        cluster.isPartitioned = (a, b) => isNode(a) && isNode(b) && (a === node.name || b === node.name);
+        if (kind === 'alone with its workers') node.isRefusedByStateService = true;
         return this.after(s, () => {
-          cluster.cut = () => false;
-          if (kind === 'alone with its workers') node.refused = false;
+          cluster.isPartitioned = () => false;
+          if (kind === 'alone with its workers') node.isRefusedByStateService = false;
         });
       case 'lost answers':
       case 'late writes':
-        cluster.loseTxn = (_e, apply) => {
+        cluster.losesTransactionAnswer = (_e, apply) => {
           if (this.random.next() > 0.3) return false;
           if (kind === 'lost answers') apply();
           else cluster.at(cluster.now + 2000 + 10_000 * this.random.next(), apply);
           return true;
         };
         return this.after(s, () => {
-          cluster.loseTxn = null;
+          cluster.losesTransactionAnswer = null;
         });
       case 'slow answers':
-        cluster.answerMs = () => 10 + 1300 * this.random.next();
+        cluster.transactionAnswerMs = () => 10 + 1300 * this.random.next();
         return this.after(s, () => {
-          cluster.answerMs = () => 10;
+          cluster.transactionAnswerMs = () => 10;
         });
       case 'watch lags':
-        node.lagging = true;
+        node.isWatchLagging = true;
         return this.after(Math.min(s, 6), () => {
-          node.lagging = false;
+          node.isWatchLagging = false;
         });
       case 'late reports':
         this.copies = this.random.next() < 0.5 ? 'late' : 'for the next leader';
@@ -187,9 +188,9 @@
           this.copies = 'none';
         });
       case 'cloud down':
-        cluster.cloudDown = true;
+        cluster.isCloudDown = true;
         return this.after(s, () => {
-          cluster.cloudDown = false;
+          cluster.isCloudDown = false;
         });
       case 'machine dies': {
         const w = this.random.pick(live);
--- a/test/walk/users.ts
+++ b/test/walk/users.ts
@@ -1,6 +1,6 @@
 // The users of a walk: what they submit, ask and call off, and what they were told.
 import type { JobSpec } from '@archpost/protocol';
-import { type Cluster, job, type Node } from '../stand-ins.js';
+import { job, type SimulatedCluster, type SimulatedController } from '../stand-ins.js';
 import type { Random } from './random.js';
 
 /** What users were told of a job, by whichever controller. */
@@ -15,7 +15,7 @@
 const TEAMS = ['red', 'blue', 'green'] as const;
 
 /** Work that comes at full rate. */
-export interface WalkLoad {
+export interface UserLoad {
   /** chains of four to seven jobs, submitted one after another */
   chainsPerS: number;
   /** jobs of one task */
@@ -28,7 +28,7 @@
   /** jobs that await others */
   pipelines?: boolean;
   /** work at full rate, beside what users do anyway */
-  load?: WalkLoad;
+  load?: UserLoad;
 }
 
 /** Jobs that await one another, submitted one by one. */
@@ -40,22 +40,22 @@
 }
 
 /** Several users, who come to any controller. */
-export class Users {
+export class SimulatedUsers {
   readonly told = new Map<string, Told>();
   private jobs = 0;
   private chains: Chain[] = [];
   private readonly toCancel = new Set<string>();
 
   constructor(
-    private readonly cluster: Cluster,
+    private readonly cluster: SimulatedCluster,
     private readonly random: Random,
     private readonly options: UserOptions,
     /** nothing new is asked before all controllers have the present version */
     private readonly mayAskNewThings: () => boolean,
   ) {}
 
-  private node(): Node | undefined {
-    const up = this.cluster.nodes.filter((node) => node.up);
+  private node(): SimulatedController | undefined {
+    const up = this.cluster.controllers.filter((node) => node.up);
     return up.length > 0 ? this.random.pick(up) : undefined;
   }
 
@@ -71,7 +71,7 @@
     if (status !== 200 && status !== 201) return;
     if (before.final && said !== before.final) this.cluster.broken(`went_back: ${id} was ${before.final}, is called ${said}`);
     if (said === 'aborted' && !this.mayBeCancelled(id)) this.cluster.broken(`went_back: ${id} called cancelled, its user didn't`);
-    if (said === 'done' && !this.cluster.allDone(id)) this.cluster.broken(`not_done: ${id} is called done`);
+    if (said === 'done' && !this.cluster.allTasksDone(id)) this.cluster.broken(`not_done: ${id} is called done`);
     if (said === 'done' || said === 'aborted') t.final = said;
     t.accepted = true;
     this.cluster.rules.told(id, said);
@@ -110,7 +110,7 @@
     if (kind === 'cancel') t.cancelAsked = true;
     const then = (status: number, body: Record<string, unknown>) => this.hears(id, before, status, String(body.status));
     if (kind === 'submit') node.submit(spec, then);
-    else if (kind === 'poll') node.poll(id, then);
+    else if (kind === 'poll') node.queryStatus(id, then);
     else node.cancel(id, then);
   }
 
@@ -174,7 +174,7 @@
   }
 
   /** Work at full rate: chains whose jobs are submitted as soon as those before are accepted, and jobs of one task. */
-  private fullLoad({ chainsPerS, singlesPerS, cancelled }: WalkLoad): void {
+  private fullLoad({ chainsPerS, singlesPerS, cancelled }: UserLoad): void {
     const perStep = (rate: number) => this.random.next() < rate / 10;
     if (perStep(singlesPerS)) {
       const id = this.submitNew({
@@ -262,7 +262,7 @@
     // Close looks: at all controllers at once.
     if (this.random.next() < 0.1) {
       const id = this.random.pick(late);
-      for (const node of this.cluster.nodes) if (node.up) this.asks(this.random.next() < 0.3 ? 'submit' : 'poll', id, node);
+      for (const node of this.cluster.controllers) if (node.up) this.asks(this.random.next() < 0.3 ? 'submit' : 'poll', id, node);
     }
     if (this.random.next() < 0.05) this.asks('submit', this.random.pick(ids));
     if (this.random.next() < 0.025) this.asks('cancel', this.random.pick(late));
--- a/test/walks.test.ts
+++ b/test/walks.test.ts
@@ -2,12 +2,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { PRODUCTION } from './upgrade/production-version.js';
-import { Walk, type WalkOptions } from './walk.js';
+import { RandomizedSimulation, type RandomizedSimulationOptions } from './walk.js';
 
 /** Troubles in pairs and threes, every rule checked after each step; for long by hand: WALKS=500 npm test. */
 test('seeded random walks through pairs of troubles break no rule, and leave nothing waiting or forgotten', () => {
   for (let seed = 1; seed <= Number(process.env.WALKS ?? 16); seed++) {
-    const walk = new Walk(seed);
+    const walk = new RandomizedSimulation(seed);
     try {
       walk.run(120);
     } catch (e) {
@@ -17,7 +17,7 @@
 });
 
 /** The ratios of the users' larger sites: changes a second, sizes after the fall, processor time, sockets. */
-const AT_SIZE: WalkOptions = {
+const AT_SIZE: RandomizedSimulationOptions = {
   pipelines: true,
   machines: { small: 240, big: 24 },
   next: { valueKib: 2, writesPerTransaction: 4, writesPerS: 15 },
@@ -38,7 +38,7 @@
   for (let seed = 1; seed <= Number(process.env.SIZE_WALKS ?? 1); seed++) {
     for (const from of [undefined, PRODUCTION]) {
       try {
-        new Walk(seed, { ...AT_SIZE, ...(from && { from }) }).run(90);
+        new RandomizedSimulation(seed, { ...AT_SIZE, ...(from && { from }) }).run(90);
       } catch (e) {
         assert.fail(`seed ${seed}${from ? ', over a roll' : ''}: ${e instanceof Error ? e.message : e}`);
       }
