--- a/test/answers.test.ts
+++ b/test/answers.test.ts
@@ -1,7 +1,7 @@
 // What users are told while answers, readings and records are slow, lost or unreadable (docs/meetings.md).
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { holderOf, job, type SimulatedCluster, type SimulatedController, shardOf, smallCluster } from './stand-ins.js';
+import { holderOf, job, type SimulatedCluster, type SimulatedController, shardOf, smallCluster } from './simulation/index.js';
 
 /** What a controller answers to one request, once it does. */
 function said(
--- a/test/apart.test.ts
+++ b/test/apart.test.ts
@@ -11,7 +11,7 @@
   type SimulatedWorker,
   shardOf,
   smallCluster,
-} from './stand-ins.js';
+} from './simulation/index.js';
 
 const clusterOfEight = (machines = 8) => smallCluster(machines);
 const machineOf = (cluster: SimulatedCluster, id: string) =>
--- a/test/commands.test.ts
+++ b/test/commands.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Heartbeat } from '@archpost/protocol';
-import { assertGoldenTrace, holderOf, job, smallCluster } from './stand-ins.js';
+import { assertGoldenTrace, holderOf, job, smallCluster } from './simulation/index.js';
 
 test('a start is held up on its way, its sender ends and is back at once: it finds a higher token', () => {
   const cluster = smallCluster(4);
--- a/test/edges.test.ts
+++ b/test/edges.test.ts
@@ -10,7 +10,7 @@
 import { Inbox, TIME_SLICE_MS } from '../packages/server/src/inbox.js';
 import { loadSettings } from '../packages/server/src/settings/load-settings.js';
 import { SettingsError } from '../packages/server/src/settings/settings-error.js';
-import { job, TYPES } from './stand-ins.js';
+import { job, TYPES } from './simulation/index.js';
 
 const SETTINGS = `
 host_name = "a"
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -1,7 +1,7 @@
 // 4,000 machines, as large as the users run the service. Counts and rules are asserted, never times of this machine.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { LargeFleet } from './fleet/large-fleet.js';
+import { LargeFleet } from './simulation/large-fleet.js';
 
 const MACHINES = 4000;
 
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -22,7 +22,16 @@
   WriteRateLimit,
 } from '@archpost/controller';
 import type { JobSpec, MachineType, PeerStatus, StoredKey } from '@archpost/protocol';
-import { holderOf, job, SimulatedCluster, type SimulatedController, STATUS, settings, shardOf, TYPES } from './stand-ins.js';
+import {
+  holderOf,
+  job,
+  SimulatedCluster,
+  type SimulatedController,
+  STATUS,
+  settings,
+  shardOf,
+  TYPES,
+} from './simulation/index.js';
 
 const NEXT = { valueKib: 2, writesPerTransaction: 4, writesPerS: 45 };
 
--- a/test/loopback/cloud-server.ts
+++ b/test/loopback/cloud-server.ts
@@ -1,6 +1,6 @@
 // The cloud on loopback: machine types, a list in pages, returns; it has no further machines to rent out.
 import type { MachineType } from '@archpost/protocol';
-import { TYPES } from '../cluster/fixtures.js';
+import { TYPES } from '../simulation/fixtures.js';
 import { type LoopbackAnswer, type LoopbackRequest, listen, serverFor } from './http.js';
 
 /** All machines have been up for an hour. */
--- a/test/loopback/state-server.ts
+++ b/test/loopback/state-server.ts
@@ -1,6 +1,6 @@
 // The state service on loopback: the stand-in of the simulated clusters behind PROTOCOL's HTTP interface.
 import type { KeyWrite, RevisionCondition } from '@archpost/protocol';
-import { SimulatedStateService } from '../cluster/state-service.js';
+import { SimulatedStateService } from '../simulation/state-service.js';
 import { type LoopbackAnswer, type LoopbackRequest, listen, serverFor } from './http.js';
 
 const MOST_ROWS = 1000;
--- a/test/malformed-input.test.ts
+++ b/test/malformed-input.test.ts
@@ -31,7 +31,7 @@
 import { stringify } from 'smol-toml';
 import { loadSettings } from '../packages/server/src/settings/load-settings.js';
 import { SettingsError } from '../packages/server/src/settings/settings-error.js';
-import { type SimulatedCluster, STATUS, smallCluster } from './stand-ins.js';
+import { type SimulatedCluster, STATUS, smallCluster } from './simulation/index.js';
 
 // ---- The code under test: all uses of internal interfaces but the functions that decode single bodies.
 
--- a/test/measure/core-load.ts
+++ b/test/measure/core-load.ts
@@ -3,7 +3,7 @@
 // this machine's; `NODE_OPTIONS=--cpu-prof` tells the functions.
 import type { ControllerSettings } from '@archpost/controller';
 import { decodePeerMessage, encodePeerMessage } from '../../packages/protocol/src/index.js';
-import { job, SimulatedCluster } from '../stand-ins.js';
+import { job, SimulatedCluster } from '../simulation/index.js';
 import { type InputName, meteredCore } from './metered-core.js';
 
 const TEAMS = ['kiosk', 'maps', 'vision', 'desk'];
--- a/test/measure/costs.ts
+++ b/test/measure/costs.ts
@@ -2,7 +2,7 @@
 // docs/results.md. Times of day are simulated, processor time is this machine's.
 import { DDSketch } from '@datadog/sketches-js';
 import { decodePeerMessage, encodePeerMessage } from '../../packages/protocol/src/index.js';
-import { LargeFleet } from '../fleet/large-fleet.js';
+import { LargeFleet } from '../simulation/large-fleet.js';
 import { meteredCore } from './metered-core.js';
 
 const SIZES = [300, 600, 1200, 2400, 4000];
--- a/test/measure/ledger.ts
+++ b/test/measure/ledger.ts
@@ -3,12 +3,12 @@
 import { mkdtempSync, readdirSync, readFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join, resolve } from 'node:path';
-import { submission } from '../cluster/fixtures.js';
 import { CloudServer } from '../loopback/cloud-server.js';
 import { ControllerProcess, freeAddress } from '../loopback/controller-process.js';
 import { StateServer } from '../loopback/state-server.js';
 import { WorkerFleet } from '../loopback/worker-fleet.js';
-import { job } from '../stand-ins.js';
+import { submission } from '../simulation/fixtures.js';
+import { job } from '../simulation/index.js';
 import { type CpuProfile, shares } from './profile.js';
 
 const NAMES = ['n0', 'n1', 'n2'];
--- a/test/measure/loopback.ts
+++ b/test/measure/loopback.ts
@@ -1,7 +1,8 @@
 // What one real controller takes with so many workers on loopback: `node tools/measure.mjs loopback MACHINES MEMORY_MB [SOCKETS]`.
-import { submission } from '../cluster/fixtures.js';
+
 import { singleController } from '../loopback/single-controller.js';
-import { job } from '../stand-ins.js';
+import { submission } from '../simulation/fixtures.js';
+import { job } from '../simulation/index.js';
 
 const WINDOWS = 4;
 const WINDOW_MS = 5000;
--- a/test/moore-hodgson.test.ts
+++ b/test/moore-hodgson.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { attainableDeadlines, type DeadlineJob } from '../packages/controller/src/scheduling/moore-hodgson.js';
-import { Random } from './walk/random.js';
+import { Random } from './randomized/random.js';
 
 const NOW = 1000;
 
--- a/test/ops.test.ts
+++ b/test/ops.test.ts
@@ -4,7 +4,7 @@
 import type { ControllerSettings } from '@archpost/controller';
 import { BootTimeEstimator } from '../packages/controller/src/capacity/boot-time-estimator.js';
 import { LoadShedder } from '../packages/http-api/src/load-shedder.js';
-import { assertGoldenTrace, holderOf, job, SimulatedCluster, shardOf, smallCluster } from './stand-ins.js';
+import { assertGoldenTrace, holderOf, job, SimulatedCluster, shardOf, smallCluster } from './simulation/index.js';
 
 const dead = (cluster: SimulatedCluster) => cluster.workers.filter((w) => w.dead).map((w) => w.name);
 const killed = (cluster: SimulatedCluster) => cluster.trace.filter((l) => l.includes('kills'));
--- a/test/order.test.ts
+++ b/test/order.test.ts
@@ -1,7 +1,7 @@
 // Who comes first when there is not room for all.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { assertGoldenTrace, job, SimulatedCluster } from './stand-ins.js';
+import { assertGoldenTrace, job, SimulatedCluster } from './simulation/index.js';
 
 /** Six places for tasks of 8 s, a large array, and for 200 s a small one of `tasks` every 8 s. */
 function largeAndSmall(tasks: number): { c: SimulatedCluster; late: string[]; largeBegan: () => number } {
--- a/test/outages.test.ts
+++ b/test/outages.test.ts
@@ -1,7 +1,7 @@
 // Outages of the state service while users cancel: what lives on, and for how long (docs/meetings.md).
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { assertGoldenTrace, holderOf, job, type SimulatedCluster, shardOf, smallCluster } from './stand-ins.js';
+import { assertGoldenTrace, holderOf, job, type SimulatedCluster, shardOf, smallCluster } from './simulation/index.js';
 
 /**
  * The gap: the state service refuses the leading controller alone, another one confirms cancellations,
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -3,6 +3,7 @@
 import { test } from 'node:test';
 import { encodeJobSpec } from '@archpost/controller';
 import { type JobSpec, parseSubmission } from '@archpost/protocol';
+import { RandomizedSimulation } from './randomized/randomized-simulation.js';
 import {
   assertGoldenTrace,
   holderOf,
@@ -11,8 +12,7 @@
   type SimulatedController,
   shardOf,
   smallCluster,
-} from './stand-ins.js';
-import { RandomizedSimulation } from './walk.js';
+} from './simulation/index.js';
 
 const submission = (awaits: unknown) => ({
   ref: 'run-last',
--- a/test/walk/troubles.ts
+++ b/test/randomized/faults.ts
@@ -1,5 +1,5 @@
 // Troubles that meet in a walk, and what undoes each of them.
-import type { SimulatedCluster } from '../stand-ins.js';
+import type { SimulatedCluster } from '../simulation/index.js';
 import type { Random } from './random.js';
 
 export const FAULTS = [
--- a/test/walk/invariants.ts
+++ b/test/randomized/invariants.ts
@@ -1,5 +1,5 @@
 // What must hold inside a controller at every step, beside the rules that are judged from outside.
-import type { ControllerVersion, SimulatedCluster, SimulatedController } from '../stand-ins.js';
+import type { ControllerVersion, SimulatedCluster, SimulatedController } from '../simulation/index.js';
 
 /**
  * Cancellation through a chain is derived, not stored, which is safe only if it never meets a job that has a task
--- a/test/walk.ts
+++ b/test/randomized/randomized-simulation.ts
@@ -1,11 +1,11 @@
 // A seeded random walk: users go on submitting, asking and calling off while troubles meet in pairs, and
 // every rule of PROTOCOL that can be seen from workers and users is checked after each step.
 import type { ControllerSettings } from '@archpost/controller';
-import { type ControllerVersion, SimulatedCluster, type SimulatedController } from './stand-ins.js';
-import { checkDerivedState } from './walk/invariants.js';
-import { Random } from './walk/random.js';
-import { FAULTS, type Fault, FaultInjector } from './walk/troubles.js';
-import { SimulatedUsers, type UserOptions } from './walk/users.js';
+import { type ControllerVersion, SimulatedCluster, type SimulatedController } from '../simulation/index.js';
+import { FAULTS, type Fault, FaultInjector } from './faults.js';
+import { checkDerivedState } from './invariants.js';
+import { Random } from './random.js';
+import { SimulatedUsers, type UserOptions } from './users.js';
 
 /** What a walk has beside troubles. */
 export interface RandomizedSimulationOptions extends UserOptions {
--- a/test/walk/users.ts
+++ b/test/randomized/users.ts
@@ -1,6 +1,6 @@
 // The users of a walk: what they submit, ask and call off, and what they were told.
 import type { JobSpec } from '@archpost/protocol';
-import { job, type SimulatedCluster, type SimulatedController } from '../stand-ins.js';
+import { job, type SimulatedCluster, type SimulatedController } from '../simulation/index.js';
 import type { Random } from './random.js';
 
 /** What users were told of a job, by whichever controller. */
--- a/test/recorded-formats.test.ts
+++ b/test/recorded-formats.test.ts
@@ -29,7 +29,7 @@
   type PeerMessage,
   type StoredKey,
 } from '@archpost/protocol';
-import { holderOf, job, SimulatedCluster, settings, shardOf, TYPES } from './stand-ins.js';
+import { holderOf, job, SimulatedCluster, settings, shardOf, TYPES } from './simulation/index.js';
 
 type Tune = (settings: ControllerSettings) => ControllerSettings;
 
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -4,6 +4,7 @@
 import { Controller, encodeJobSpec, type Job, Replica } from '@archpost/controller';
 import type { JobSpec } from '@archpost/protocol';
 import { Inbox } from '../packages/server/src/inbox.js';
+import { Random } from './randomized/random.js';
 import {
   holderOf,
   job,
@@ -13,8 +14,7 @@
   settings,
   shardOf,
   smallCluster,
-} from './stand-ins.js';
-import { Random } from './walk/random.js';
+} from './simulation/index.js';
 
 /** Each of these breaks a rule on purpose: the judge of the stand-ins must see it. */
 const PLANTED: { rule: RegExp; plant: (cluster: SimulatedCluster, w: SimulatedWorker) => void }[] = [
--- a/test/safety.test.ts
+++ b/test/safety.test.ts
@@ -1,6 +1,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { assertGoldenTrace, holderOf, job, SimulatedCluster, type SimulatedWorker, shardOf, smallCluster } from './stand-ins.js';
+import {
+  assertGoldenTrace,
+  holderOf,
+  job,
+  SimulatedCluster,
+  type SimulatedWorker,
+  shardOf,
+  smallCluster,
+} from './simulation/index.js';
 
 const newCluster = (machines = 6) => smallCluster(machines);
 const holderOfJob = (cluster: SimulatedCluster, id: string) => holderOf(cluster, shardOf(cluster, id));
--- a/test/fleet/large-fleet.ts
+++ b/test/simulation/large-fleet.ts
@@ -3,7 +3,7 @@
 import assert from 'node:assert/strict';
 import type { ControllerSettings } from '@archpost/controller';
 import type { JobSpec } from '@archpost/protocol';
-import { type ControllerVersion, job, SimulatedCluster, type SimulatedController, type SimulatedWorker } from '../stand-ins.js';
+import { type ControllerVersion, job, SimulatedCluster, type SimulatedController, type SimulatedWorker } from './index.js';
 
 const TEAMS = ['red', 'blue', 'green', 'pink', 'gold', 'grey', 'teal'];
 
--- a/test/size-limits.test.ts
+++ b/test/size-limits.test.ts
@@ -18,9 +18,9 @@
 import { StateServiceClient } from '@archpost/state-client';
 import { CollectionTrigger } from '../packages/server/src/garbage-collection.js';
 import { heapMb, planHeap, threadHeapMb } from '../packages/server/src/heap-plan.js';
-import { LargeFleet } from './fleet/large-fleet.js';
 import { listen, serverFor } from './loopback/http.js';
-import { holderOf, job, SimulatedCluster, type SimulatedController, STATUS, shardOf } from './stand-ins.js';
+import { holderOf, job, SimulatedCluster, type SimulatedController, STATUS, shardOf } from './simulation/index.js';
+import { LargeFleet } from './simulation/large-fleet.js';
 
 const ungranted = (count: number) =>
   Array.from({ length: count }, (_, index) => ({ machine: `m${index}`, address: 'x', type: 'small', zone: 'east', spot: false }));
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -1,7 +1,7 @@
 // What many machines at once must not break. Counts are asserted, never times of this machine.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { holderOf, job, SimulatedCluster, shardOf } from './stand-ins.js';
+import { holderOf, job, SimulatedCluster, shardOf } from './simulation/index.js';
 
 /** All machines in one share, asked six at a time; those of the cut zone come first by name. */
 function oneShare(west: number, east: number): SimulatedCluster {
--- a/test/takeovers.test.ts
+++ b/test/takeovers.test.ts
@@ -9,7 +9,7 @@
   type SimulatedController,
   shardOf,
   smallCluster,
-} from './stand-ins.js';
+} from './simulation/index.js';
 
 const stateHolder = (cluster: SimulatedCluster, shard: number) =>
   (cluster.stateService.keys.get(`a/h/${shard}`)?.value as { node: string } | undefined)?.node;
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -5,6 +5,7 @@
 import { test } from 'node:test';
 import { Controller, encodeJobSpec } from '@archpost/controller';
 import { decodePeerMessage, encodePeerMessage, type JobSpec, type StoredKey } from '@archpost/protocol';
+import { RandomizedSimulation } from './randomized/randomized-simulation.js';
 import {
   assertGoldenTrace,
   type ControllerVersion,
@@ -14,9 +15,8 @@
   type SimulatedController,
   settings,
   shardOf,
-} from './stand-ins.js';
+} from './simulation/index.js';
 import { PRODUCTION } from './upgrade/production-version.js';
-import { RandomizedSimulation } from './walk.js';
 
 const OLD: ControllerVersion = PRODUCTION;
 
--- a/test/upgrade/production-version.ts
+++ b/test/upgrade/production-version.ts
@@ -2,7 +2,7 @@
 // settings and tables. Its bundle is never edited.
 import type { Controller, ControllerSettings, Effect } from '@archpost/controller';
 import type { Heartbeat, PeerMessage, PeerStatus } from '@archpost/protocol';
-import type { ControllerVersion } from '../cluster/controller.js';
+import type { ControllerVersion } from '../simulation/controller.js';
 import * as production from './production-core.mjs';
 
 type Fields = Record<string, unknown>;
--- a/test/waiting-jobs.test.ts
+++ b/test/waiting-jobs.test.ts
@@ -1,7 +1,7 @@
 // What a waiting job takes, and what it has from the jobs that need it: priority, deadline, and the times that count.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { holderOf, job, SimulatedCluster, shardOf, smallCluster } from './stand-ins.js';
+import { holderOf, job, SimulatedCluster, shardOf, smallCluster } from './simulation/index.js';
 
 test('a job takes the highest priority and the earliest latest start of those that need it, and gives them back', () => {
   const cluster = smallCluster(4);
--- a/test/walks.test.ts
+++ b/test/walks.test.ts
@@ -1,8 +1,8 @@
 // Random walks through pairs of troubles (docs/meetings.md).
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+import { RandomizedSimulation, type RandomizedSimulationOptions } from './randomized/randomized-simulation.js';
 import { PRODUCTION } from './upgrade/production-version.js';
-import { RandomizedSimulation, type RandomizedSimulationOptions } from './walk.js';
 
 /** Troubles in pairs and threes, every rule checked after each step; for long by hand: WALKS=500 npm test. */
 test('seeded random walks through pairs of troubles break no rule, and leave nothing waiting or forgotten', () => {
