--- a/test/autoscaling.test.ts
+++ b/test/autoscaling.test.ts
@@ -7,7 +7,7 @@
 import { newCluster } from './scenarios/takeover-scenarios.js';
 import { holderOf, job, SimulatedCluster } from './simulation/index.js';
 
-test('a machine that comes up in a cut-off zone is granted by way of the state service', () => {
+test('a machine that boots in a partitioned zone is assigned by way of the state service', () => {
   const c = newCluster(8);
   const west = (x: string) => x === 'n1' || c.workers.find((w) => w.name === x)?.zone === 'west';
   c.isPartitioned = (a, b) => west(a) !== west(b);
@@ -16,7 +16,7 @@
   c.runUntil('granted', () => c.controller('n1').controller.clusterState.machines.has('late'), 25);
 });
 
-test('machines are up within two seconds while writes come late and the lead ends: each is granted once, and its work runs', () => {
+test('machines are up within two seconds while writes come late and the leader crashes: each is assigned once, and its work runs', () => {
   const cluster = new SimulatedCluster(undefined, (settings) => ({
     ...settings,
     policy: { ...settings.policy, holdSpareCapacity: false, maxMachines: 8 },
@@ -45,7 +45,7 @@
   for (const id of ['run-red', 'run-blue', 'run-green']) cluster.runUntil('told', () => cluster.queryStatus(id) === 'done', 10);
 });
 
-test('for work of the lowest rank only what is cheap is rented, and nothing dear ever', () => {
+test('for work of the lowest priority only cheap instances are provisioned, and expensive ones never', () => {
   const cluster = new SimulatedCluster(['n0', 'n1', 'n2'], (settings) => ({
     ...withGuest(settings),
     policy: { ...settings.policy, holdSpareCapacity: false, maxMachines: null },
@@ -70,7 +70,7 @@
   );
 });
 
-test('a machine is late by what its type took lately, and a kind that never comes up is told', () => {
+test('a machine is overdue by the boot times of its type, and an instance kind that never boots is reported', () => {
   const boots = new BootTimeEstimator();
   const kind = { type: 'small', zone: 'east', spot: false };
   assert.equal(boots.limitMs('small', 50, 0), 80_000, 'one and a half times is usual');
@@ -85,7 +85,7 @@
   assert.ok(!boots.isFailing({ ...kind, zone: 'west' }, 80_000, 490_000), 'elsewhere it goes well');
 });
 
-test('machines of a zone whose controllers the leader can not reach are all granted while the cut lasts', () => {
+test('machines of a zone whose controllers the leader can not reach are all assigned while the partition lasts', () => {
   const cluster = new SimulatedCluster();
   for (let index = 0; index < 6; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.runUntilSettled();
@@ -102,7 +102,7 @@
   );
 });
 
-test('a machine that was given back is remembered for as long as reports of it may be late, however many are', () => {
+test('a released machine is remembered for as long as heartbeats of it may be late, however many are', () => {
   const cluster = new SimulatedCluster();
   cluster.run(3);
   const { autoscaler: rentals } = cluster.controller(holderOf(cluster, 'lead')).controller.leader;
--- a/test/client-responses.test.ts
+++ b/test/client-responses.test.ts
@@ -29,7 +29,7 @@
   assert.equal(c.trace.filter((l) => l.includes('user told 201')).length, 2);
 });
 
-test('a storm of questions costs one reading, and everybody is answered', () => {
+test('a burst of status queries costs one read, and everybody is answered', () => {
   const cluster = smallCluster(4);
   for (let index = 0; index < 10; index++) cluster.submit(job(`run-${index}`, { tasks: 1, estimatedRunS: 600 }));
   cluster.run(5);
@@ -45,7 +45,7 @@
   assert.equal([...said.keys()].filter((k) => k.endsWith(' 404')).length, 10);
 });
 
-test('what is refused in a storm is fair: no job goes unanswered for long, and no submission pays for it', () => {
+test('load shedding in a burst is fair: no job goes unanswered for long, and no submission pays for it', () => {
   let now = 0;
   const door = new LoadShedder(() => now);
   const last = new Map<string, number>();
@@ -127,7 +127,7 @@
   }
 });
 
-test('a cancellation, a question and a repeated submission meet the end of the last task, at a controller that is behind', () => {
+test('a cancellation, a status query and a repeated submission meet the end of the last task, at a controller whose replica is stale', () => {
   const cluster = smallCluster(4);
   for (const id of ['run-d', 'run-c']) cluster.submit(job(id, { estimatedRunS: id === 'run-d' ? 6 : 500 }));
   const behind = cluster.controllers.find((node) => node.name !== holderOf(cluster, shardOf(cluster, 'run-d')));
@@ -151,7 +151,7 @@
   );
 });
 
-test('one-task jobs come four a second for a minute, a quarter of them called off: all end as their users were told', () => {
+test('one-task jobs come four a second for a minute, a quarter of them cancelled: all end as their users were told', () => {
   const cluster = smallCluster(8);
   const cancelled = new Set<string>();
   for (let index = 0; index < 240; index++) {
--- a/test/dependency-priorities.test.ts
+++ b/test/dependency-priorities.test.ts
@@ -95,7 +95,7 @@
   }
 });
 
-test('a waiting job takes no part of a guarantee, asks for no machine and is started when its time comes', () => {
+test('a blocked job takes no part of a quota, demands no machine and is started when its time comes', () => {
   const cluster = new SimulatedCluster();
   for (let index = 0; index < 2; index++) cluster.machine(`g${index}`, 'big', 'east');
   cluster.runUntilSettled();
@@ -155,7 +155,7 @@
   assert.equal(cluster.machinesRunning('run-pressed').length, 1);
 });
 
-test('a waiting job of the highest rank keeps no share from going home, and no machine for its kind', () => {
+test('a blocked job of the highest priority keeps no shard from its preferred holder, and reserves no machine', () => {
   const cluster = smallCluster(4);
   cluster.machine('g0', 'big', 'east');
   cluster.runUntilSettled();
@@ -168,7 +168,7 @@
 });
 
 // Counted, it would put the team beyond its guarantee, and what comes after it could not preempt.
-test('a waiting job takes nothing of its team s guarantee from work that can run', () => {
+test("a blocked job takes nothing of its team's quota from work that can run", () => {
   const cluster = new SimulatedCluster(['n0']);
   for (let index = 0; index < 2; index++) cluster.machine(`g${index}`, 'big', 'east');
   cluster.runUntilSettled();
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -20,7 +20,7 @@
 
 const holderOfJob = (cluster: SimulatedCluster, id: string) => holderOf(cluster, shardOf(cluster, id));
 
-test('takeover with a silent worker: its task is started elsewhere only once it is given back', () => {
+test('failover with a silent worker: its task is started elsewhere only once the machine is released', () => {
   const c = newCluster();
   c.submit(job('run-s', { shape: 'service', priority: 3, jobClass: 'serve' }));
   c.runUntil('running', () => c.runningTasks('run-s') === 1);
@@ -62,7 +62,7 @@
   assertGoldenTrace(c, 'late-transaction');
 });
 
-test('a job cancelled while its owner is being replaced is gone in time', () => {
+test('a job cancelled during the failover of its shard is gone in time', () => {
   const c = newCluster();
   c.submit(job('run-c', { tasks: 3, estimatedRunS: 500 }));
   c.runUntil('running', () => c.runningTasks('run-c') === 3);
@@ -74,7 +74,7 @@
   assertGoldenTrace(c, 'cancelled-during-takeover');
 });
 
-test('a gang that was partly started when its owner crashed runs whole, once', () => {
+test("a gang that was partly started when its shard's holder crashed runs whole, once", () => {
   const cluster = new SimulatedCluster();
   for (let index = 0; index < 4; index++) cluster.machine(`m${index}`, 'small', 'east');
   cluster.runUntilSettled();
@@ -87,7 +87,7 @@
   assertGoldenTrace(cluster, 'gang-partly-started');
 });
 
-test('quota holds while places are unresolved after a takeover', () => {
+test('quota holds while allocations are unverified after a failover', () => {
   const cluster = new SimulatedCluster();
   cluster.machine('g0', 'big', 'east');
   cluster.machine('g1', 'big', 'west');
@@ -112,7 +112,7 @@
   assertGoldenTrace(cluster, 'quota-with-unresolved-places');
 });
 
-test('a single node that the state service refuses loses its shares to the others, and one comes home later', () => {
+test('a single controller that the state service refuses loses its shards to the others, and one returns later', () => {
   const c = newCluster();
   c.controller('n1').isRefusedByStateService = true;
   c.runUntil('taken over', () => c.controllers[0]?.controller.clusterState.leaseOf(1)?.holder.controller !== 'n1', 40);
@@ -122,7 +122,7 @@
   c.runUntil('home again', () => c.controllers[0]?.controller.clusterState.leaseOf(1)?.holder.controller === 'n1', 60);
 });
 
-test('every team is at its limit, a job is cancelled whose machine hangs, and its owner ends: no limit is passed', () => {
+test("every team is at its limit, a job is cancelled whose machine hangs, and its shard's holder crashes: no limit is exceeded", () => {
   for (const hangs of [4, 9, 30]) {
     const cluster = new SimulatedCluster();
     for (let index = 0; index < 6; index++) cluster.machine(`g${index}`, 'big', index % 2 === 0 ? 'east' : 'west');
@@ -159,7 +159,7 @@
   }
 });
 
-test('after a takeover a silent machine that may bear cancelled work is given back in time, though nothing is known of it', () => {
+test('after a failover a silent machine that may run cancelled work is released in time, though nothing is known of it', () => {
   const cluster = smallCluster(6);
   cluster.submit(job('run-c', { tasks: 1, estimatedRunS: 500 }));
   cluster.runUntil('running', () => cluster.runningTasks('run-c') === 1);
@@ -173,7 +173,7 @@
   cluster.runUntil('given back', () => w.dead, 36);
 });
 
-test('jobs are cancelled in the seconds in which a share changes hands: none starts after, all are gone in time', () => {
+test('jobs are cancelled in the seconds in which a shard changes its holder: none starts after, all are gone in time', () => {
   const cluster = smallCluster(8);
   const { home } = away(cluster);
   for (let index = 0; index < 4; index++) cluster.submit(job(`run-b${index}`, { team: 'blue', tasks: 2, estimatedRunS: 500 }));
@@ -198,7 +198,7 @@
   assertGoldenTrace(cluster, 'cancelled-while-a-share-changes-hands');
 });
 
-test('the lead and the owners change ten times in two minutes, twice inside an outage: work runs once and to its end', () => {
+test('the leader and the holders change ten times in two minutes, twice inside an outage: work runs once and to its end', () => {
   const cluster = smallCluster(8);
   for (let index = 0; index < 6; index++)
     cluster.submit(job(`run-t${index}`, { team: ['red', 'blue', 'green'][index % 3] as string, tasks: 3, estimatedRunS: 25 }));
@@ -215,7 +215,7 @@
   assert.equal(cluster.runningTasks('run-v'), 2);
 });
 
-test('tasks of one array end far apart, and the owner ends in between: what is done is not run again', () => {
+test('tasks of one array end far apart, and the holder crashes in between: what is done is not run again', () => {
   const cluster = smallCluster(1);
   // One machine, room for one: they run one after the other.
   cluster.submit(job('run-f', { tasks: 3, cpus: 4, estimatedRunS: 8 }));
@@ -237,7 +237,7 @@
   assertGoldenTrace(cluster, 'ends-far-apart');
 });
 
-test('all controllers end and one is back within a second, the others later; then a share goes to and fro', () => {
+test('all controllers crash and one is back within a second, the others later; then a shard changes its holder to and fro', () => {
   const cluster = smallCluster(8);
   cluster.submit(job('run-v', { shape: 'service', tasks: 3, priority: 3, jobClass: 'serve' }));
   cluster.submit(job('run-a', { team: 'blue', tasks: 4, estimatedRunS: 40 }));
@@ -271,7 +271,7 @@
   );
 });
 
-test('after a cut a share goes home only once its services run again: a change of holder stops starts', () => {
+test('after a partition a shard returns to its preferred holder only once its services run again: a change of holder stops starts', () => {
   const c = clusterOfEight(12);
   c.submit(job('run-q', { team: 'blue', shape: 'service', tasks: 10, priority: 3, jobClass: 'serve' }));
   c.runUntil('running', () => c.runningTasks('run-q') === 10);
@@ -331,7 +331,7 @@
   return cluster;
 }
 
-test('after a takeover during a cut, machines that were not asked yet are not thrown away', () => {
+test('after a failover during a partition, machines that were not probed yet are not released', () => {
   const cluster = oneShare(240, 40);
   cluster.submit(job('run-x', { shape: 'service', tasks: 60, priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-x') === 60, 30);
@@ -355,7 +355,7 @@
 
 // The few that had answered were not asked again before the verdict, and afterwards the same four, some dead, for ever:
 // no controller held anything, and nothing that was lost was given back.
-test('a third of the machines lost while shares change hands is not taken for a cut', () => {
+test('a third of the machines lost during failovers is not taken for a partition', () => {
   const fleet = new LargeFleet({ machines: 600, controllers: 3 });
   const { cluster } = fleet;
   fleet.firstStart();
--- a/test/failure-attribution.test.ts
+++ b/test/failure-attribution.test.ts
@@ -14,7 +14,7 @@
   smallCluster,
 } from './simulation/index.js';
 
-test('a bad job fails on many machines and costs none of them; a faulty machine is left', () => {
+test('a broken job fails on many machines and costs none of them; a faulty machine is released', () => {
   const c = newCluster(6);
   const bad = c.workers[0];
   assert.ok(bad);
@@ -47,7 +47,7 @@
   );
 });
 
-test('jobs that fail everywhere cost no machine, no room and no rental; they stay known, and a faulty machine is still found', () => {
+test('crash-looping jobs cost no machine, no capacity and no provisioning; they stay known, and a faulty machine is still found', () => {
   const cluster = smallCluster(9);
   const ids = ['run-b0', 'run-b1', 'run-b2', 'run-b3', 'run-b4', 'run-b5'];
   for (const id of ids) {
@@ -86,7 +86,7 @@
   for (const id of ids) assert.equal(cluster.queryStatus(id), 'aborted');
 });
 
-test('what a job that fails everywhere cast on machines is taken back', () => {
+test('failures that a crash-looping job attributed to machines are taken back', () => {
   const cluster = smallCluster(3);
   cluster.mistaken.add('run-b');
   cluster.submit(job('run-b', { tasks: 6, estimatedRunS: 3 }));
--- a/test/failure-detection.test.ts
+++ b/test/failure-detection.test.ts
@@ -15,7 +15,7 @@
   smallCluster,
 } from './simulation/index.js';
 
-test('a machine that is taken back with a notice is left, and its service goes on elsewhere', () => {
+test('a spot machine with a preemption notice is drained, and its service goes on elsewhere', () => {
   const c = newCluster(6);
   c.submit(job('run-n', { shape: 'service', priority: 3, jobClass: 'serve' }));
   c.runUntil('running', () => c.runningTasks('run-n') === 1);
@@ -25,7 +25,7 @@
   c.runUntil('moved', () => c.runningTasks('run-n') === 1 && !c.machinesRunning('run-n').includes(w.name), 8);
 });
 
-test('a machine whose reports come but that nothing reaches is given back, and its work goes on elsewhere', () => {
+test('a machine whose heartbeats come but that no command reaches is released, and its work goes on elsewhere', () => {
   const c = clusterOfEight();
   c.submit(job('run-w', { shape: 'service', priority: 3, jobClass: 'serve' }));
   c.runUntil('running', () => c.runningTasks('run-w') === 1);
@@ -40,7 +40,7 @@
   assertGoldenTrace(c, 'one-way-machine');
 });
 
-test('a controller that can reach no worker hands its shares over, throws no machine away, and they come home once', () => {
+test('a controller that can reach no worker hands its shards over, releases no machine, and gets them back once', () => {
   const c = clusterOfEight(9);
   c.submit(job('run-v', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
   c.runUntil('running', () => c.runningTasks('run-v') === 2);
@@ -66,7 +66,7 @@
   assert.equal(c.runningTasks('run-v'), 2);
 });
 
-test('in a zone cut off from the state service too, work ends by its leases and goes on elsewhere once its machines are given back', () => {
+test('in a zone partitioned from the state service too, work ends by its leases and goes on elsewhere once its machines are released', () => {
   const c = clusterOfEight();
   c.submit(job('run-z', { shape: 'service', tasks: 6, priority: 3, jobClass: 'serve' }));
   c.runUntil('running', () => c.runningTasks('run-z') === 6);
@@ -86,7 +86,7 @@
   assertGoldenTrace(c, 'zone-cut-from-everything');
 });
 
-test('a controller that loses all workers throws none of them away, before or after, and their leases go on elsewhere', () => {
+test('a controller that loses all workers releases none of them, before or after, and their leases go on elsewhere', () => {
   const cluster = new SimulatedCluster(['n0', 'n1', 'n2'], (settings) => ({ ...settings, teams: settings.teams.slice(0, 1) }));
   for (let index = 0; index < 40; index++) cluster.machine(`m${100 + index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.runUntilSettled();
@@ -108,7 +108,7 @@
   assert.equal(cluster.runningTasks('run-k'), 60);
 });
 
-test('a machine that was silent for a moment, and then while its owner stood still, is not given up', () => {
+test("a machine that was silent for a moment, and then while its holder's process was paused, is not released", () => {
   const cluster = smallCluster(12);
   cluster.submit(job('run-v', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-v') === 2);
@@ -139,7 +139,7 @@
 
 // Each is in another session by then, which its first answer tells; while it waited for the second question it counted
 // as silent, though its reports came.
-test('a first start that outlasts the leases gives no machine back', () => {
+test('a first start that outlasts the leases releases no machine', () => {
   const cluster = new SimulatedCluster(['n0'], (settings) => ({
     ...settings,
     cpuShare: 0.02,
@@ -155,7 +155,7 @@
 });
 
 // Its workers had not come to the lead yet: within a second 71 of 100 machines were given back.
-test('a first lead over machines that have been up for long gives none of them back', () => {
+test('a first leader over machines that have been up for long releases none of them', () => {
   const cluster = new SimulatedCluster();
   cluster.bootTimeMs = () => 1000;
   for (const node of cluster.controllers) node.crash();
--- a/test/fencing.test.ts
+++ b/test/fencing.test.ts
@@ -31,7 +31,7 @@
   assertGoldenTrace(c, 'hung-machine-goes-on');
 });
 
-test('a start whose answer was lost, and which comes late, finds a higher token', () => {
+test('a start whose answer was lost, and which comes late, finds a higher fencing token', () => {
   const c = newCluster(2);
   const w = c.workers[0];
   assert.ok(w);
@@ -44,7 +44,7 @@
   assertGoldenTrace(c, 'late-start-finds-a-higher-token');
 });
 
-test('a release is carried out, its answer lost and the watch late: the old holder starts nothing more', () => {
+test('the release of a shard lease is carried out, its answer lost and the watch late: the old holder starts nothing more', () => {
   const cluster = smallCluster(8);
   const { home, old } = away(cluster);
   // Carried out at once; the old holder learns of it neither by the answer nor by its watch.
@@ -72,7 +72,7 @@
   assertGoldenTrace(cluster, 'released-and-not-told');
 });
 
-test('a start is held up on its way, its sender ends and is back at once: it finds a higher token', () => {
+test('a start is delayed on its way while its sender restarts: it finds a higher fencing token', () => {
   const cluster = smallCluster(4);
   cluster.losesCommands = () => true;
   cluster.lateCommandDelayMs = () => 9000;
@@ -95,7 +95,7 @@
   assert.equal(cluster.trace.filter((l) => l.includes('starts run-a')).length, 1);
 });
 
-test('a start is lost for good: the token rises, and the task is started anew', () => {
+test('a start is lost for good: the fencing token rises, and the task is started anew', () => {
   const cluster = smallCluster(4);
   cluster.losesCommands = () => true;
   cluster.submit(job('run-a', { estimatedRunS: 60 }));
@@ -107,7 +107,7 @@
   assert.ok(token() > before);
 });
 
-test('direct commands to a machine are lost while the cloud is down: the answers to its reports stop what is cancelled', () => {
+test('direct commands to a machine are lost while the cloud is down: the answers to its heartbeats stop what is cancelled', () => {
   const cluster = smallCluster(4);
   cluster.submit(job('run-c', { zone: 'east', estimatedRunS: 500 }));
   cluster.runUntil('running', () => cluster.runningTasks('run-c') === 1);
@@ -129,7 +129,7 @@
   assert.equal(cluster.runningTasks('run-a'), 3);
 });
 
-test('a report with a higher token than a controller knows is refused, so that the worker finds another', () => {
+test('a heartbeat with a higher fencing token than a controller knows is refused, so that the worker finds another', () => {
   const c = clusterOfEight();
   const w = c.workers[0] as SimulatedWorker;
   c.run(5);
@@ -172,7 +172,7 @@
 });
 
 // At the slowest rate of changes 240 tokens take a quarter of a minute to raise, and no stop leaves before its machine's is.
-test('hundreds of machines lost their commands: those with cancelled work get their tokens, and their stops, first', () => {
+test('hundreds of machines lost their commands: those with cancelled work get their fencing tokens, and their stops, first', () => {
   const cluster = new SimulatedCluster(undefined, (settings) => ({
     ...settings,
     state: { ...settings.state, writesPerS: 15, writesPerTransaction: 4 },
--- a/test/gang-and-array-placement.test.ts
+++ b/test/gang-and-array-placement.test.ts
@@ -6,7 +6,7 @@
 import { newCluster } from './scenarios/takeover-scenarios.js';
 import { job, smallCluster, TYPES } from './simulation/index.js';
 
-test('an array runs to its end, once, and its user is told so by every node', () => {
+test('an array runs to its end, once, and every controller says so', () => {
   const c = newCluster();
   c.submit(job('run-a', { tasks: 5, estimatedRunS: 4 }));
   c.runUntil('done', () => c.finished.size === 5, 40);
--- a/test/heartbeat-connections.test.ts
+++ b/test/heartbeat-connections.test.ts
@@ -106,7 +106,7 @@
   return opened;
 }
 
-test('reports, whole and in pieces, one after the other on one connection', async (context) => {
+test('heartbeats, whole and in pieces, are taken one after the other on one connection', async (context) => {
   const { api, requests, connect } = await door(context);
   const client = await connect();
   client.socket.write(request(REPORT));
@@ -135,7 +135,7 @@
 
 const LONGEST_BODY = 64 * 1024;
 
-test('what is no report: other requests on the same connection, bodies too large, rubbish', async (context) => {
+test('what is no heartbeat is answered: other requests on the same connection, bodies too large, malformed ones', async (context) => {
   const { connect } = await door(context);
   const mixed = await connect();
   mixed.socket.write(request(REPORT));
@@ -170,7 +170,7 @@
   assert.equal((await other.reply())?.status, 400);
 });
 
-test('what comes before the last report was answered ends the connection; the answer then finds nobody', async (context) => {
+test('what comes before the last heartbeat was answered ends the connection; the answer is then dropped', async (context) => {
   const opened = await door(context);
   const { api, requests, connect } = opened;
   opened.isHeld = true;
@@ -210,7 +210,7 @@
 
 // The HTTP server behind the listener listens nowhere, and Node looks for half requests only at servers that do: such a
 // connection was kept for ever.
-test('who says nothing, or half a request, is closed after a while', async (context) => {
+test('a connection with no request, or half of one, is closed after a while', async (context) => {
   const listener = new HttpListener({ onHeartbeat: assert.fail, onOtherRequest: assert.fail }, 100);
   context.after(() => listener.close());
   await new Promise<void>((resolve) => listener.server.listen(0, '127.0.0.1', resolve));
--- a/test/heartbeats.test.ts
+++ b/test/heartbeats.test.ts
@@ -7,7 +7,7 @@
 import { newCluster } from './scenarios/takeover-scenarios.js';
 import { assertGoldenTrace, holderOf, job, type SimulatedWorker, shardOf, smallCluster } from './simulation/index.js';
 
-test('in a cut zone a keeper answers reports, so the work there goes on', () => {
+test('a controller in a partitioned zone answers heartbeats there, so the work goes on', () => {
   const c = newCluster(8);
   c.submit(job('run-z', { shape: 'service', tasks: 4, spread: true, priority: 3, jobClass: 'serve' }));
   c.runUntil('running', () => c.runningTasks('run-z') === 4);
@@ -26,7 +26,7 @@
   assertGoldenTrace(c, 'keeper-in-a-cut-zone');
 });
 
-test('a machine begins again, and a copy of an older report follows: what runs on it now stays where it is', () => {
+test("a machine's agent restarts, and a copy of an older heartbeat follows: what runs on it now stays where it is", () => {
   const cluster = smallCluster(4);
   for (const id of ['run-f0', 'run-f1', 'run-a']) cluster.submit(job(id, { zone: 'east', estimatedRunS: 500 }));
   cluster.runUntil('running', () => cluster.runningTasks('run-a') === 1);
@@ -58,7 +58,7 @@
   assertGoldenTrace(cluster, 'begun-again-and-an-old-copy');
 });
 
-test('workers that reach no controller, while direct commands reach them: their work is asked for, and goes on', () => {
+test('workers that reach no controller, while direct commands reach them, are probed, and their work goes on', () => {
   const cluster = smallCluster(6);
   cluster.submit(job('run-v', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-v') === 2);
@@ -73,7 +73,7 @@
   assert.equal(cluster.runningTasks('run-v'), 2);
 });
 
-test('late copies of reports make no dead machine seem alive, at its owner, at a keeper or after a takeover', () => {
+test('late copies of heartbeats make no dead machine seem alive, at its holder, at a forwarding controller or after a failover', () => {
   const c = clusterOfEight();
   c.submit(job('run-d', { shape: 'service', priority: 3, jobClass: 'serve' }));
   c.runUntil('running', () => c.runningTasks('run-d') === 1);
@@ -100,7 +100,7 @@
   assertGoldenTrace(c, 'late-reports');
 });
 
-test('late copies at the keeper of another zone do not hide that a machine is silent', () => {
+test('late copies at a forwarding controller of another zone do not hide that a machine is silent', () => {
   const c = clusterOfEight();
   const keeper = c.controller('n1');
   const w = c.workers.find((x) => {
@@ -124,7 +124,7 @@
   assert.ok(w.dead, 'silent, whatever late copies say');
 });
 
-test('a late report neither frees, finishes nor moves anything that is newer', () => {
+test('a stale heartbeat neither frees, finishes nor moves anything that is newer', () => {
   const c = clusterOfEight();
   c.submit(job('run-e', { tasks: 2, estimatedRunS: 30 }));
   c.runUntil('running', () => c.runningTasks('run-e') === 2);
@@ -157,7 +157,7 @@
   assert.equal(c.trace.filter((l) => l.includes('starts run-e')).length, 2);
 });
 
-test('a keeper passes on what changes, and says of the rest that nothing did', () => {
+test("a controller that answers another's workers forwards what changes, and says of the rest that nothing did", () => {
   const c = clusterOfEight();
   c.submit(job('run-p', { shape: 'service', tasks: 8, spread: true, priority: 3, jobClass: 'serve' }));
   c.runUntil('running', () => c.runningTasks('run-p') === 8);
@@ -183,7 +183,7 @@
   }
 });
 
-test('a machine that begins again with a low session is asked, and used again', () => {
+test('a machine whose agent restarts with a low epoch is probed, and used again', () => {
   const c = clusterOfEight();
   const w = c.workers[0] as SimulatedWorker;
   w.agentEpoch = 5;
@@ -223,7 +223,7 @@
 });
 
 // A task that its owner knows nothing of ran on for as long as direct commands didn't get through to its machine.
-test('a second attempt of a job that is done is stopped by the answers to reports, and takes no new work meanwhile', () => {
+test('a second attempt of a finished job is stopped by the answers to heartbeats, and its machine takes no new work meanwhile', () => {
   const cluster = smallCluster(2);
   cluster.submit(job('run-a', { estimatedRunS: 2 }));
   cluster.runUntil('done', () => cluster.queryStatus('run-a') === 'done', 30);
@@ -241,7 +241,7 @@
   cluster.runUntil('stopped', () => cluster.machinesRunning('run-a').length === 0, 10);
 });
 
-test('a report that names what can not be: it is stopped, and nothing else is harmed', () => {
+test('a heartbeat that names impossible tasks: they are stopped, and nothing else is harmed', () => {
   const cluster = smallCluster(2);
   cluster.submit(job('run-a', { tasks: 2, cpus: 1, estimatedRunS: 300 }));
   cluster.runUntil('running', () => cluster.runningTasks('run-a') === 2);
--- a/test/job-dependencies.test.ts
+++ b/test/job-dependencies.test.ts
@@ -61,7 +61,7 @@
 }
 
 // too_early: a start before the end of the job awaited is stored. The cluster checks it at each start.
-test('a chain runs in its order, over a takeover of each share', () => {
+test('a chain runs in its order, over a failover of each shard', () => {
   const cluster = smallCluster(6);
   chain(cluster, ['run-1', 'run-2', 'run-3'], { tasks: 3 });
   cluster.runUntil('the first is done', () => cluster.allTasksDone('run-1'), 40);
@@ -283,7 +283,7 @@
 });
 
 /** For long by hand: WALKS=500 npm test. */
-test('seeded random walks with chains of jobs: none starts too early, none is left of what was cancelled', () => {
+test('seeded random simulations with chains of jobs: none starts too early, none is left of what was cancelled', () => {
   for (let seed = 1; seed <= Number(process.env.WALKS ?? 8); seed++) {
     try {
       new RandomizedSimulation(seed, { pipelines: true }).run(120);
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -142,7 +142,7 @@
   return count;
 }
 
-for (const nodes of [3, 7]) test(`900 machines, ${nodes} controllers, one trouble after the other`, () => roughDay(nodes));
+for (const nodes of [3, 7]) test(`900 machines, ${nodes} controllers, one fault after the other`, () => roughDay(nodes));
 
 const MACHINES = 4000;
 
--- a/test/load-shedding.test.ts
+++ b/test/load-shedding.test.ts
@@ -7,7 +7,7 @@
 import { PATHS, pack } from '@archpost/protocol';
 import { Inbox, TIME_SLICE_MS } from '../packages/server/src/inbox.js';
 
-test('with few sockets left users give theirs back before workers do', async (context) => {
+test('with few sockets left users lose theirs before workers do', async (context) => {
   const connections = new ConnectionLimiter(20);
   const api = new HttpApi(
     ({ id }) => api.respond(id, 200, {}),
@@ -36,7 +36,7 @@
   for (const socket of sockets) socket.destroy();
 });
 
-test('overload: reports first, then decisions, then users, and users who waited too long are refused', async () => {
+test('overload: heartbeats first, then decisions, then users, and users who waited too long are refused', async () => {
   let now = 0;
   const seen: string[] = [];
   const inbox = new Inbox({ clock: () => now, onTurnEnd: () => {}, maxClientRequestAgeMs: 1500, onError: assert.ifError });
@@ -72,7 +72,7 @@
   ]);
 });
 
-test('after a pause of the process it is told of it first, whatever comes first, and questions come last', () => {
+test('a pause of the process is noticed before any input is taken, and status queries come last', () => {
   let now = 0;
   const seen: string[] = [];
   const inbox = new Inbox({
@@ -108,7 +108,7 @@
 
 // A backlog was taken whole, seconds on a small share of a core: no health check was answered meanwhile, no answer left,
 // and the load balancer took every controller for dead.
-test('a backlog is taken in slices, reports first, in their order, and says how long it has waited', () => {
+test('a backlog is taken in slices, heartbeats first, in their order, and says how long it has waited', () => {
   let now = 0;
   const taken: string[] = [];
   const inbox = new Inbox({
@@ -144,7 +144,7 @@
   assert.equal(inbox.queueDelayMs, 0);
 });
 
-test('while reports wait a few submissions a second are taken all the same, the others refused', () => {
+test('while heartbeats wait a few submissions a second are taken all the same, the others refused', () => {
   let now = 0;
   const shedding = new LoadShedder(() => now, 2);
   shedding.recordTimerDelay(2000);
@@ -157,7 +157,7 @@
   assert.deepEqual(shedding.takeRejectedCounts(), { statusQueries: 0, mutations: 7 });
 });
 
-test('at the door: reports pass by, users are refused at once when more is asked than can be done', async () => {
+test('load shedding lets heartbeats pass, and refuses users at once when more is asked than can be done', async () => {
   const shedding = new LoadShedder(() => 0);
   const seen: string[] = [];
   const api: HttpApi = new HttpApi(
--- a/test/long-lists-and-progress.test.ts
+++ b/test/long-lists-and-progress.test.ts
@@ -76,7 +76,7 @@
   };
 };
 
-test('after the fall a job with long lists is accepted and runs, over a change of its holder', () => {
+test('after the limits fall a job with long lists is accepted and runs, over a change of its holder', () => {
   const c = clusterWithAnnouncedLimits(6);
   fall(c);
   const before = Array.from({ length: 200 }, (_, index) => `run-${String(index).padStart(20, '0')}`);
@@ -124,7 +124,7 @@
 });
 
 // The leader rents by what is told: told half a list, it would rent nothing, or the wrong thing.
-test('what is told of waiting work names all machine types that its parts hold', () => {
+test("the demand of waiting work names all machine types that its record's parts hold", () => {
   const c = clusterWithAnnouncedLimits(0);
   const put = (key: string, value: unknown) =>
     c.stateService.compareAndSwap({ type: 'compareAndSwap', id: 0, conditions: [], writes: [{ put: key, value }] }, c.now);
@@ -139,7 +139,7 @@
 });
 
 // Larger records of before stay as they are: completed, cancelled and handed over without being written again.
-test('after the fall large records of before can still be completed and cancelled', () => {
+test('after the limits fall larger records of before can still be completed and cancelled', () => {
   const c = clusterWithAnnouncedLimits(6);
   const types = ['small', ...Array.from({ length: 63 }, (_, index) => `none-${index}-${'x'.repeat(60)}`)];
   const large = (id: string) => {
--- a/test/malformed-input.test.ts
+++ b/test/malformed-input.test.ts
@@ -508,7 +508,7 @@
   ['cause', 'constructor'],
 ];
 
-test('HTTP: a report with a field that is missing or wrong is answered as recorded', async (context) => {
+test('HTTP: a heartbeat with a field that is missing or wrong is answered as recorded', async (context) => {
   const requests: [string, Buffer][] = [];
   for (const field of Object.keys(REPORT))
     for (const [title, value] of VALUES) requests.push([`${field}: ${title}`, reportWith(field, value, requests.length)]);
--- a/test/mixed-versions.test.ts
+++ b/test/mixed-versions.test.ts
@@ -13,7 +13,7 @@
   ['old', 'new'],
   ['new', 'old'],
 ] as const) {
-  test(`leader of the ${leader} version, owners of the ${owner} one: machines go where work waits`, () => {
+  test(`leader of the ${leader} version, holders of the ${owner} one: machines go where work waits`, () => {
     const { c: cluster, present } = oldCluster(0);
     const lead = holderOf(cluster, 'lead');
     for (const name of NAMES) if ((name === lead) === (leader === 'new')) upgrade(cluster.controller(name), present);
@@ -52,7 +52,7 @@
 
 // A progress key is a chunk's number, with a fraction where this version stores a part of one. The old version
 // computes the first task from it by the same product, so that it repeats nothing that is done.
-test('progress of a large array that a new owner stored in parts is read by an old one, and the reverse', () => {
+test('progress of a large array that a new holder stored in parts is read by an old one, and the reverse', () => {
   const next = { valueKib: 2, writesPerTransaction: 4 };
   const { c: cluster, present } = oldCluster(6, (settings) => ({
     ...settings,
@@ -92,7 +92,7 @@
   cluster.runUntil('the rest is done', () => cluster.allTasksDone('run-large'), 300);
 });
 
-test('a job whose list of machine types outgrows a value: an old owner starts it where the user allowed', () => {
+test('a job whose list of machine types outgrows a value: an old holder starts it where the user allowed', () => {
   const next = { valueKib: 2, writesPerTransaction: 4 };
   const { c: cluster, present } = oldCluster(4, (settings) => ({
     ...settings,
--- a/test/peer-messages.test.ts
+++ b/test/peer-messages.test.ts
@@ -64,7 +64,7 @@
   peers.close();
 });
 
-test('what runs is told in parts that fit a frame, and each peer knows all of it in the end', () => {
+test('running tasks are told in parts that fit a frame, and each peer knows all of them in the end', () => {
   const news = new RunningTaskDeltas(1000);
   const running = new Map(Array.from({ length: 2500 }, (_, index) => [`run-${index}`, { count: 1, done: 0, failed: 0 }]));
   let known = new Map<string, number>();
@@ -81,7 +81,7 @@
 const ungranted = (count: number) =>
   Array.from({ length: count }, (_, index) => ({ machine: `m${index}`, address: 'x', type: 'small', zone: 'east', spot: false }));
 
-test('a stored status tells all machines without a grant in turn, though the first ones are never granted', () => {
+test('a stored status tells all unassigned machines in turn, though the first ones are never assigned', () => {
   const told = new Set<string>();
   const status = { ...STATUS, unassignedMachines: ungranted(500) };
   const limit = 8 * 1024;
@@ -93,7 +93,7 @@
   assert.equal(told.size, 500);
 });
 
-test('a machine with more tasks to stop than a message holds is told of all of them', () => {
+test('a machine with more tasks to stop than a command holds gets all of the stops', () => {
   const cluster = new SimulatedCluster(['n0'], (settings) => ({
     ...settings,
     teams: [{ name: 'red', cpus: 0, maxCpus: 0, gpus: 0, maxGpus: 0 }],
--- a/test/process-pauses.test.ts
+++ b/test/process-pauses.test.ts
@@ -8,7 +8,7 @@
 const killed = (cluster: SimulatedCluster) => cluster.trace.filter((l) => l.includes('kills'));
 
 for (const seconds of [0.9, 6, 16, 19, 25, 45]) {
-  test(`the owner stands still for ${seconds} s: nothing runs twice or after its cancellation, no machine is thrown away`, () => {
+  test(`the holder's process pauses for ${seconds} s: nothing runs twice or after its cancellation, no machine is released`, () => {
     const cluster = smallCluster(8);
     cluster.submit(job('run-v', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
     cluster.submit(job('run-c', { tasks: 3, estimatedRunS: 500 }));
@@ -34,7 +34,7 @@
   });
 }
 
-test('what came while the owner stood still is lost: it asks its machines, and throws none away', () => {
+test("what came while the holder's process was paused is lost: it probes its machines, and releases none", () => {
   const cluster = smallCluster(8);
   cluster.submit(job('run-v', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-v') === 2);
@@ -69,7 +69,7 @@
   assert.ok(!cluster.trace.some((l) => l.includes('starts run-z')));
 });
 
-test('after standing still, the lead and owner takes no share back by force, and gets its own once at rest', () => {
+test('after a pause the former leader and holder takes no shard back by force, and gets its own once they are settled', () => {
   const cluster = smallCluster(8);
   const lead = cluster.controller(holderOf(cluster, 2));
   const revision = () => cluster.controllers[0]?.controller.clusterState.leaseOf(2)?.revision;
@@ -90,7 +90,7 @@
   assert.deepEqual(dead(cluster), []);
 });
 
-test('all controllers stand still for longer than a cancellation has: what was cancelled before is not started after', () => {
+test('all controllers pause for longer than a cancellation may take: what was cancelled before is not started after', () => {
   const cluster = smallCluster(6);
   cluster.submit(job('run-s', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-s') === 2);
--- a/test/quota-and-preemption.test.ts
+++ b/test/quota-and-preemption.test.ts
@@ -5,7 +5,7 @@
 import { withGuest } from './scenarios/on-call-scenarios.js';
 import { assertGoldenTrace, job, SimulatedCluster } from './simulation/index.js';
 
-test('a gang above its guarantee is stopped whole for one within its own, and runs again whole', () => {
+test('a gang above its quota is preempted whole for one within its own, and runs again whole', () => {
   const cluster = new SimulatedCluster();
   cluster.machine('g0', 'big', 'east');
   cluster.machine('g1', 'big', 'east');
@@ -32,7 +32,7 @@
   assertGoldenTrace(cluster, 'gang-stopped-whole');
 });
 
-test('a large gang that has waited gets machines kept for it, while small ones go on coming', () => {
+test('a large gang that has waited gets machines reserved for it, while small ones go on coming', () => {
   const cluster = new SimulatedCluster();
   for (let index = 0; index < 3; index++) cluster.machine(`g${index}`, 'big', 'east');
   cluster.runUntilSettled();
@@ -53,7 +53,7 @@
   assert.equal(cluster.runningTasks('run-big'), 2, `not begun in ${(cluster.now - since) / 1000} s`);
 });
 
-test('a swarm of a guest team uses what is idle and gives way at once; its changes are few', () => {
+test('a burst of a team without quota uses idle capacity and is preempted at once; its writes are few', () => {
   const cluster = new SimulatedCluster(['n0', 'n1', 'n2'], withGuest);
   for (let index = 0; index < 12; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.runUntilSettled();
@@ -69,7 +69,7 @@
   assert.ok(changes() - before < guests.length * 2.5 + 150, `${changes() - before} changes for ${guests.length} jobs`);
 });
 
-test('a guest is within no guarantee: its gangs stop none of equal rank, not even above their guarantee', () => {
+test('a team without quota is within none: its gangs preempt none of equal priority, not even above their quota', () => {
   const cluster = new SimulatedCluster(['n0', 'n1', 'n2'], withGuest);
   cluster.machine('g0', 'big', 'east');
   cluster.machine('g1', 'big', 'east');
@@ -83,7 +83,7 @@
   assert.equal(cluster.runningTasks('run-0') + cluster.runningTasks('run-1'), 2);
 });
 
-test('machines with short tasks of the lowest rank are told of several at once', () => {
+test('machines with short tasks of the lowest priority get several starts in one command', () => {
   const cluster = new SimulatedCluster(['n0', 'n1', 'n2'], withGuest);
   for (let index = 0; index < 6; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.runUntilSettled();
@@ -123,13 +123,13 @@
   return { c: cluster, late, largeBegan };
 }
 
-test('when more arrays wait than can be kept, the largest is put off', () => {
+test('when more arrays wait than can meet their objectives, the largest is postponed', () => {
   const { c: cluster, late } = largeAndSmall(5);
   assert.deepEqual(late, [], 'the small ones are kept');
   cluster.runUntil('the large one is done too', () => cluster.finished.has('run-large/79'), 200);
 });
 
-test('an array that is put off begins within four minutes, whatever comes', () => {
+test('a postponed array begins within four minutes, whatever comes', () => {
   const { largeBegan } = largeAndSmall(8);
   assert.ok(largeBegan() < 240, `after ${largeBegan()} s`);
 });
@@ -146,7 +146,7 @@
   return cluster;
 }
 
-test('services of the highest rank that find no room for a plan wait take the place of a gang within its guarantee', () => {
+test('services of the highest priority without capacity for a plan wait preempt a gang within its quota', () => {
   const cluster = oneTakenMachine();
   cluster.submit(job('run-serve', { shape: 'service', priority: 3, jobClass: 'serve', tasks: 16, memory: 7 }));
   cluster.run(8);
@@ -158,7 +158,7 @@
   assertGoldenTrace(cluster, 'service-before-firm-gang');
 });
 
-test('a machine that bears a gang within its guarantee goes to the share whose services press', () => {
+test('a machine that runs a gang within its quota is moved to the shard whose services press', () => {
   const cluster = oneTakenMachine();
   cluster.submit(job('run-serve', { team: 'blue', shape: 'service', priority: 3, jobClass: 'serve', tasks: 12, memory: 7 }));
   cluster.run(10);
@@ -167,7 +167,7 @@
   assert.deepEqual(cluster.machinesRunning('run-serve'), ['m0']);
 });
 
-test('a few replicas without room stop no gang within its guarantee', () => {
+test('a few replicas without capacity preempt no gang within its quota', () => {
   const cluster = oneTakenMachine();
   cluster.submit(job('run-serve', { shape: 'service', priority: 3, jobClass: 'serve', tasks: 6, memory: 7 }));
   cluster.submit(job('run-other', { team: 'blue', shape: 'service', priority: 3, jobClass: 'serve', tasks: 6, memory: 7 }));
--- a/test/randomized-simulation.test.ts
+++ b/test/randomized-simulation.test.ts
@@ -6,7 +6,7 @@
 import { PRODUCTION } from './upgrade/production-version.js';
 
 /** Troubles in pairs and threes, every rule checked after each step; for long by hand: WALKS=500 npm test. */
-test('seeded random walks through pairs of troubles break no rule, and leave nothing waiting or forgotten', () => {
+test('seeded random simulations through pairs of faults break no rule, and leave nothing waiting or forgotten', () => {
   for (let seed = 1; seed <= Number(process.env.WALKS ?? 16); seed++) {
     const walk = new RandomizedSimulation(seed);
     try {
@@ -35,7 +35,7 @@
 };
 
 /** For longer by hand: SIZE_WALKS=20 npm test. */
-test('walks at the size and the ratios of production, with chains at full rate, over a roll and without', () => {
+test('random simulations at the size and the ratios of production, with chains at full rate, over a roll and without', () => {
   for (let seed = 1; seed <= Number(process.env.SIZE_WALKS ?? 1); seed++) {
     for (const from of [undefined, PRODUCTION]) {
       try {
--- a/test/rolling-upgrade.test.ts
+++ b/test/rolling-upgrade.test.ts
@@ -39,7 +39,7 @@
   });
 }
 
-test('takeovers in both directions, and an old process that comes back old', () => {
+test('failovers in both directions, and an old process that comes back old', () => {
   const { c: cluster, present } = oldCluster();
   cluster.submit(job('run-s', { shape: 'service', priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-s') === 1);
@@ -125,7 +125,7 @@
 }
 
 /** For long by hand: WALKS=500 npm test. */
-test('seeded random walks over a roll, chains of jobs after it and limits that fall break no rule', () => {
+test('seeded random simulations over a roll, chains of jobs after it and limits that fall break no rule', () => {
   for (let seed = 1; seed <= Number(process.env.WALKS ?? 8); seed++) {
     try {
       new RandomizedSimulation(seed, {
--- a/test/simulation-rules.test.ts
+++ b/test/simulation-rules.test.ts
@@ -4,7 +4,7 @@
 import { test } from 'node:test';
 import { job, type SimulatedCluster, type SimulatedWorker, smallCluster } from './simulation/index.js';
 
-/** Each of these breaks a rule on purpose: the judge of the stand-ins must see it. */
+/** Each of these breaks a rule on purpose: the rule checker must see it. */
 const PLANTED: { rule: RegExp; plant: (cluster: SimulatedCluster, w: SimulatedWorker) => void }[] = [
   {
     rule: /too_early: run-b\/0 starts before run-a is done/,
@@ -48,7 +48,7 @@
   },
 ];
 
-test('the judge of the stand-ins sees each of the rules broken', () => {
+test('the rule checker of the simulation sees each of the rules broken', () => {
   for (const { rule, plant } of PLANTED) {
     const cluster = smallCluster(1);
     for (const node of cluster.controllers) node.crash();
--- a/test/state-service-limits.test.ts
+++ b/test/state-service-limits.test.ts
@@ -31,7 +31,7 @@
   });
 });
 
-test('the rate of changes falls to the announced one at a refusal, and rises again while there is none', () => {
+test('the rate of writes falls to the announced one at a refusal, and rises again while there is none', () => {
   const rate = new WriteRateLimit({
     requestsPerS: 100,
     writesPerS: 60,
@@ -52,7 +52,7 @@
   assert.equal(steady.perSecond(0), 60);
 });
 
-test('a change that is too large, its key included, is not sent, is told once, and holds nothing else back', () => {
+test('a write that is too large, its key included, is not sent, is logged once, and holds nothing else back', () => {
   const sent: string[] = [];
   const told: string[] = [];
   const outcomes: string[] = [];
@@ -213,7 +213,7 @@
 });
 
 // A 429 costs neither a lease nor a share nor an acceptance, and no storm of repeats follows it.
-test('while changes are refused for their rate, shares stay, submissions are accepted and repeats stay few', () => {
+test('while writes are refused for their rate, shard leases stay, submissions are accepted and retries stay few', () => {
   const c = clusterWithAnnouncedLimits(8);
   c.stateService.limits = { valueBytes: 2048, writesPerTransaction: 4, writesPerS: NEXT.writesPerS };
   const before = c.controllers.map((node) => node.controller.clusterState.leaseOf(0)?.revision);
--- a/test/state-service-outages.test.ts
+++ b/test/state-service-outages.test.ts
@@ -26,7 +26,7 @@
   assert.ok(c.trace.length > before);
 });
 
-test('an answer never goes back: a node without the state service refuses rather than guess', () => {
+test('an answer never goes back: a controller without the state service refuses rather than guess', () => {
   const c = newCluster();
   c.submit(job('run-b', { tasks: 1, estimatedRunS: 300 }), c.controller('n0'));
   c.controller('n2').isRefusedByStateService = true;
@@ -36,7 +36,7 @@
   assert.equal(c.queryStatus('run-b', c.controller('n2')), '503');
 });
 
-test('in an outage longer than a lease nobody acts; after it the holders go on, and ask no machine anew', () => {
+test('in an outage longer than a lease nobody acts; after it the holders go on, and probe no machine anew', () => {
   const c = newCluster();
   c.submit(job('run-x', { shape: 'service', priority: 3, jobClass: 'serve' }));
   c.runUntil('running', () => c.runningTasks('run-x') === 1);
@@ -84,7 +84,7 @@
  * Guards against leases that go on by answers of a controller that can't have read the cancellation.
  */
 for (const refusedIs of ['the owner', 'the lead', 'owner and lead', 'neither'] as const) {
-  test(`the gap, ${refusedIs} refused: cancelled work is gone in time, whatever the outage's length and distance`, () => {
+  test(`the state service refuses ${refusedIs}, then an outage: cancelled work is gone in time, whatever the outage's length and distance`, () => {
     for (const [before, outage] of [
       [0.4, 52],
       [2, 52],
@@ -228,7 +228,7 @@
   for (const n of c.controllers) assert.equal(n.controller.isReady, true);
 });
 
-test('a controller with its workers alone stops commanding with its lease, and refuses reports soon after', () => {
+test('a controller with its workers alone stops commanding with its lease, and refuses heartbeats soon after', () => {
   const c = clusterOfEight();
   const node = c.controller('n2');
   const w = c.workers.find((x) => x.zone === 'east') as SimulatedWorker;
@@ -254,7 +254,7 @@
   );
 });
 
-test('once troubles are over, every accepted job is answered by every controller, whatever became of its share', () => {
+test('once troubles are over, every accepted job is answered by every controller, whatever became of its shard', () => {
   const c = clusterOfEight();
   for (let index = 0; index < 9; index++) {
     const team = ['red', 'blue', 'green'][index % 3] as string;
--- a/test/state-writer.test.ts
+++ b/test/state-writer.test.ts
@@ -5,7 +5,7 @@
 import { type Effect, type QueuedWrite, Replica, StateWriter, WritePriority, WriteQueue } from '@archpost/controller';
 import { isLeaseNotFound } from '@archpost/protocol';
 
-test('what waits is sent by urgency and age, and what becomes urgent goes before', () => {
+test('queued writes are sent by priority and age, and those that become urgent go first', () => {
   const queue = new WriteQueue();
   let isPressing = false;
   const write = (key: string, urgency: number, at: number, pressing?: () => boolean): QueuedWrite => ({
@@ -72,7 +72,7 @@
   assert.deepEqual(outcomes, ['ok']);
 });
 
-test('cancellations and acceptances do not stand behind a hundred grants, nor grants behind acceptances', () => {
+test('cancellations and acceptances do not wait for a hundred assignments, nor assignments for acceptances', () => {
   const sent: string[][] = [];
   let now = 0;
   const writer = new StateWriter(
@@ -122,7 +122,7 @@
   return { w, replica, sent, gone };
 }
 
-test('a repeated write is the same write: its own lost first copy is known, whatever was meant meanwhile', () => {
+test('a retried write is the same write: its own lost first copy is recognized, whatever was meant meanwhile', () => {
   const { w, replica, sent } = writer();
   const outcomes: string[] = [];
   let value = { a: 1, b: 2 };
@@ -144,7 +144,7 @@
   assert.deepEqual(outcomes, ['ok']);
 });
 
-test('a transaction that can not be taken costs no lease and no other write; a lease given up before costs none either', () => {
+test('an invalid transaction costs no lease and no other write; a lease given up before costs none either', () => {
   let lease = 5;
   const { w, sent, gone } = writer(() => lease);
   const outcomes: string[] = [];
--- a/test/stored-records.test.ts
+++ b/test/stored-records.test.ts
@@ -119,7 +119,7 @@
 });
 
 // What is found on a machine before its record was taken into the table came in without the jobs that it awaits.
-test('a job comes into the table by its record alone, also where a machine names it first', () => {
+test('a job enters the registry by its record alone, also where a machine names it first', () => {
   const core = new Controller(settings('n0'), 'boot');
   for (const [index, [key, value]] of HISTORY.slice(0, 4).entries()) core.replica.set(key, value, index + 1);
   core.clusterState.jobs.delete('run-m');
--- a/test/wire-formats.test.ts
+++ b/test/wire-formats.test.ts
@@ -52,7 +52,7 @@
   assert.deepEqual(r, { revision: 433, changes: [{ key: 'a/d', value: undefined, revision: 432 }] });
 });
 
-test('a report passed on between controllers arrives as it was', () => {
+test('a heartbeat forwarded between controllers arrives as it was', () => {
   const report = {
     machine: 'n-1',
     address: '10.1.0.1:9000',
