--- a/test/autoscaling.test.ts
+++ b/test/autoscaling.test.ts
@@ -8,12 +8,12 @@
 import { holderOf, job, SimulatedCluster } from './simulation/index.js';
 
 test('a machine that boots in a partitioned zone is assigned by way of the state service', () => {
-  const c = newCluster(8);
-  const west = (x: string) => x === 'n1' || c.workers.find((w) => w.name === x)?.zone === 'west';
-  c.isPartitioned = (a, b) => west(a) !== west(b);
-  c.run(5);
-  c.machine('late', 'small', 'west');
-  c.runUntil('granted', () => c.controller('n1').controller.clusterState.machines.has('late'), 25);
+  const cluster = newCluster(8);
+  const west = (x: string) => x === 'n1' || cluster.workers.find((worker) => worker.name === x)?.zone === 'west';
+  cluster.isPartitioned = (a, b) => west(a) !== west(b);
+  cluster.run(5);
+  cluster.machine('late', 'small', 'west');
+  cluster.runUntil('granted', () => cluster.controller('n1').controller.clusterState.machines.has('late'), 25);
 });
 
 test('machines are up within two seconds while writes come late and the leader crashes: each is assigned once, and its work runs', () => {
--- a/test/client-responses.test.ts
+++ b/test/client-responses.test.ts
@@ -8,25 +8,25 @@
 import { holderOf, job, type SimulatedCluster, type SimulatedController, shardOf, smallCluster } from './simulation/index.js';
 
 test('repeats of submissions and cancellations that come late change nothing', () => {
-  const c = clusterOfEight();
-  c.submit(job('run-once', { estimatedRunS: 3 }));
-  c.submit(job('run-gone', { estimatedRunS: 400 }));
-  c.runUntil('running', () => c.runningTasks('run-gone') === 1);
-  c.cancel('run-gone');
-  c.runUntil('done', () => c.queryStatus('run-once') === 'done', 40);
-  const starts = c.trace.filter((l) => l.includes('starts')).length;
-  for (const node of c.controllers) {
-    c.submit(c.specs.get('run-once') as ReturnType<typeof job>, node);
-    c.submit(c.specs.get('run-gone') as ReturnType<typeof job>, node);
-    c.cancel('run-once', node);
+  const cluster = clusterOfEight();
+  cluster.submit(job('run-once', { estimatedRunS: 3 }));
+  cluster.submit(job('run-gone', { estimatedRunS: 400 }));
+  cluster.runUntil('running', () => cluster.runningTasks('run-gone') === 1);
+  cluster.cancel('run-gone');
+  cluster.runUntil('done', () => cluster.queryStatus('run-once') === 'done', 40);
+  const starts = cluster.trace.filter((line) => line.includes('starts')).length;
+  for (const node of cluster.controllers) {
+    cluster.submit(cluster.specs.get('run-once') as ReturnType<typeof job>, node);
+    cluster.submit(cluster.specs.get('run-gone') as ReturnType<typeof job>, node);
+    cluster.cancel('run-once', node);
   }
-  c.run(10);
-  assert.equal(c.trace.filter((l) => l.includes('starts')).length, starts, 'nothing is started again');
-  for (const node of c.controllers) {
-    assert.equal(c.queryStatus('run-once', node), 'done');
-    assert.equal(c.queryStatus('run-gone', node), 'aborted');
+  cluster.run(10);
+  assert.equal(cluster.trace.filter((line) => line.includes('starts')).length, starts, 'nothing is started again');
+  for (const node of cluster.controllers) {
+    assert.equal(cluster.queryStatus('run-once', node), 'done');
+    assert.equal(cluster.queryStatus('run-gone', node), 'aborted');
   }
-  assert.equal(c.trace.filter((l) => l.includes('user told 201')).length, 2);
+  assert.equal(cluster.trace.filter((line) => line.includes('user told 201')).length, 2);
 });
 
 test('a burst of status queries costs one read, and everybody is answered', () => {
@@ -42,7 +42,7 @@
   }
   cluster.run(1);
   for (let index = 0; index < 10; index++) assert.equal(said.get(`run-${index} 200`), 99);
-  assert.equal([...said.keys()].filter((k) => k.endsWith(' 404')).length, 10);
+  assert.equal([...said.keys()].filter((key) => key.endsWith(' 404')).length, 10);
 });
 
 test('load shedding in a burst is fair: no job goes unanswered for long, and no submission pays for it', () => {
@@ -177,7 +177,7 @@
   // Queues are empty again: no write waits for ever, and no machine is out of use.
   for (const node of cluster.controllers) assert.equal(node.controller.writer.length, 0);
   assert.deepEqual(
-    cluster.workers.filter((w) => w.dead),
+    cluster.workers.filter((worker) => worker.dead),
     [],
   );
 });
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -21,57 +21,61 @@
 const holderOfJob = (cluster: SimulatedCluster, id: string) => holderOf(cluster, shardOf(cluster, id));
 
 test('failover with a silent worker: its task is started elsewhere only once the machine is released', () => {
-  const c = newCluster();
-  c.submit(job('run-s', { shape: 'service', priority: 3, jobClass: 'serve' }));
-  c.runUntil('running', () => c.runningTasks('run-s') === 1);
-  const holder = holderOfJob(c, 'run-s');
-  const machine = c.machinesRunning('run-s')[0] as string;
-  c.isCloudDown = true;
-  c.controller(holder).crash();
-  const w = c.workers.find((x) => x.name === machine);
-  assert.ok(w);
-  w.hung = true;
-  c.run(30);
-  assert.deepEqual(c.machinesRunning('run-s'), [machine], 'nothing proves that it is gone yet');
-  c.isCloudDown = false;
-  c.runUntil('started elsewhere', () => c.runningTasks('run-s') === 1 && c.machinesRunning('run-s')[0] !== machine, 30);
-  const lines = c.trace.join('\n');
+  const cluster = newCluster();
+  cluster.submit(job('run-s', { shape: 'service', priority: 3, jobClass: 'serve' }));
+  cluster.runUntil('running', () => cluster.runningTasks('run-s') === 1);
+  const holder = holderOfJob(cluster, 'run-s');
+  const machine = cluster.machinesRunning('run-s')[0] as string;
+  cluster.isCloudDown = true;
+  cluster.controller(holder).crash();
+  const worker = cluster.workers.find((candidate) => candidate.name === machine);
+  assert.ok(worker);
+  worker.hung = true;
+  cluster.run(30);
+  assert.deepEqual(cluster.machinesRunning('run-s'), [machine], 'nothing proves that it is gone yet');
+  cluster.isCloudDown = false;
+  cluster.runUntil(
+    'started elsewhere',
+    () => cluster.runningTasks('run-s') === 1 && cluster.machinesRunning('run-s')[0] !== machine,
+    30,
+  );
+  const lines = cluster.trace.join('\n');
   assert.ok(lines.indexOf(`${machine} is given back`) < lines.lastIndexOf('starts run-s'));
-  assertGoldenTrace(c, 'takeover-with-a-silent-worker');
+  assertGoldenTrace(cluster, 'takeover-with-a-silent-worker');
 });
 
 test('a late transaction of a dead holder changes nothing', () => {
-  const c = newCluster();
+  const cluster = newCluster();
   const late: (() => void)[] = [];
-  c.submit(job('run-t', { tasks: 2, estimatedRunS: 3 }));
-  const holder = holderOfJob(c, 'run-t');
-  c.losesTransactionAnswer = (e, apply) => {
+  cluster.submit(job('run-t', { tasks: 2, estimatedRunS: 3 }));
+  const holder = holderOfJob(cluster, 'run-t');
+  cluster.losesTransactionAnswer = (e, apply) => {
     if (!e.writes.some((write) => 'put' in write && /^a\/[jp]\/run-t/.test(write.put))) return false;
     late.push(apply);
     return true;
   };
-  c.runUntil('its end was to be written', () => late.length > 0, 30);
-  c.controller(holder).crash();
-  c.losesTransactionAnswer = null;
-  c.run(1);
-  c.controller(holder).restart();
-  c.runUntil('done again', () => c.queryStatus('run-t') === 'done', 40);
-  const before = JSON.stringify(c.stateService.rows());
+  cluster.runUntil('its end was to be written', () => late.length > 0, 30);
+  cluster.controller(holder).crash();
+  cluster.losesTransactionAnswer = null;
+  cluster.run(1);
+  cluster.controller(holder).restart();
+  cluster.runUntil('done again', () => cluster.queryStatus('run-t') === 'done', 40);
+  const before = JSON.stringify(cluster.stateService.rows());
   for (const apply of late) apply();
-  assert.equal(JSON.stringify(c.stateService.rows()), before);
-  assertGoldenTrace(c, 'late-transaction');
+  assert.equal(JSON.stringify(cluster.stateService.rows()), before);
+  assertGoldenTrace(cluster, 'late-transaction');
 });
 
 test('a job cancelled during the failover of its shard is gone in time', () => {
-  const c = newCluster();
-  c.submit(job('run-c', { tasks: 3, estimatedRunS: 500 }));
-  c.runUntil('running', () => c.runningTasks('run-c') === 3);
-  c.controller(holderOfJob(c, 'run-c')).crash();
-  c.run(1);
-  c.cancel('run-c');
-  c.runUntil('gone', () => c.machinesRunning('run-c').length === 0, 36);
-  assert.equal(c.queryStatus('run-c'), 'aborted');
-  assertGoldenTrace(c, 'cancelled-during-takeover');
+  const cluster = newCluster();
+  cluster.submit(job('run-c', { tasks: 3, estimatedRunS: 500 }));
+  cluster.runUntil('running', () => cluster.runningTasks('run-c') === 3);
+  cluster.controller(holderOfJob(cluster, 'run-c')).crash();
+  cluster.run(1);
+  cluster.cancel('run-c');
+  cluster.runUntil('gone', () => cluster.machinesRunning('run-c').length === 0, 36);
+  assert.equal(cluster.queryStatus('run-c'), 'aborted');
+  assertGoldenTrace(cluster, 'cancelled-during-takeover');
 });
 
 test("a gang that was partly started when its shard's holder crashed runs whole, once", () => {
@@ -97,11 +101,11 @@
   cluster.submit(job('run-q', { team: 'green', shape: 'gang', gpus: 8, cpus: 40, estimatedRunS: 60, priority: 2 }));
   cluster.runUntil('running', () => cluster.runningTasks('run-q') === 1, 40);
   cluster.isCloudDown = true;
-  const w = cluster.workers.find((x) => x.name === cluster.machinesRunning('run-q')[0]);
-  assert.ok(w);
+  const worker = cluster.workers.find((candidate) => candidate.name === cluster.machinesRunning('run-q')[0]);
+  assert.ok(worker);
   const owner = cluster.controller(holderOfJob(cluster, 'run-q'));
   owner.crash();
-  w.hung = true;
+  worker.hung = true;
   cluster.submit(job('run-r', { team: 'green', shape: 'gang', gpus: 8, cpus: 40, estimatedRunS: 5, priority: 2 }));
   cluster.run(3);
   owner.restart();
@@ -113,13 +117,21 @@
 });
 
 test('a single controller that the state service refuses loses its shards to the others, and one returns later', () => {
-  const c = newCluster();
-  c.controller('n1').isRefusedByStateService = true;
-  c.runUntil('taken over', () => c.controllers[0]?.controller.clusterState.leaseOf(1)?.holder.controller !== 'n1', 40);
-  c.submit(job('run-f', { team: 'blue', tasks: 4, estimatedRunS: 3 }), c.controller('n0'));
-  c.runUntil('done', () => c.queryStatus('run-f', c.controller('n0')) === 'done', 60);
-  c.controller('n1').isRefusedByStateService = false;
-  c.runUntil('home again', () => c.controllers[0]?.controller.clusterState.leaseOf(1)?.holder.controller === 'n1', 60);
+  const cluster = newCluster();
+  cluster.controller('n1').isRefusedByStateService = true;
+  cluster.runUntil(
+    'taken over',
+    () => cluster.controllers[0]?.controller.clusterState.leaseOf(1)?.holder.controller !== 'n1',
+    40,
+  );
+  cluster.submit(job('run-f', { team: 'blue', tasks: 4, estimatedRunS: 3 }), cluster.controller('n0'));
+  cluster.runUntil('done', () => cluster.queryStatus('run-f', cluster.controller('n0')) === 'done', 60);
+  cluster.controller('n1').isRefusedByStateService = false;
+  cluster.runUntil(
+    'home again',
+    () => cluster.controllers[0]?.controller.clusterState.leaseOf(1)?.holder.controller === 'n1',
+    60,
+  );
 });
 
 test("every team is at its limit, a job is cancelled whose machine hangs, and its shard's holder crashes: no limit is exceeded", () => {
@@ -163,14 +175,14 @@
   const cluster = smallCluster(6);
   cluster.submit(job('run-c', { tasks: 1, estimatedRunS: 500 }));
   cluster.runUntil('running', () => cluster.runningTasks('run-c') === 1);
-  const w = cluster.worker(cluster.machinesRunning('run-c')[0] as string);
+  const worker = cluster.worker(cluster.machinesRunning('run-c')[0] as string);
   const owner = cluster.controller(holderOf(cluster, shardOf(cluster, 'run-c')));
-  assert.ok(w);
+  assert.ok(worker);
   // It hangs for good just as its owner ends and its user calls it off.
-  w.hung = true;
+  worker.hung = true;
   owner.crash();
   cluster.cancel('run-c');
-  cluster.runUntil('given back', () => w.dead, 36);
+  cluster.runUntil('given back', () => worker.dead, 36);
 });
 
 test('jobs are cancelled in the seconds in which a shard changes its holder: none starts after, all are gone in time', () => {
@@ -192,7 +204,7 @@
   const told = cluster.trace.length;
   cluster.runUntil('gone', () => [0, 1, 2, 3].every((index) => cluster.machinesRunning(`run-b${index}`).length === 0), 36);
   assert.deepEqual(
-    cluster.trace.slice(told).filter((l) => l.includes('starts run-b')),
+    cluster.trace.slice(told).filter((line) => line.includes('starts run-b')),
     [],
   );
   assertGoldenTrace(cluster, 'cancelled-while-a-share-changes-hands');
@@ -233,7 +245,7 @@
   }
   cluster.runUntil('done', () => cluster.queryStatus('run-f') === 'done', 60);
   for (let index = 0; index < 3; index++)
-    assert.equal(cluster.trace.filter((l) => l.includes(`starts run-f/${index}`)).length, 1);
+    assert.equal(cluster.trace.filter((line) => line.includes(`starts run-f/${index}`)).length, 1);
   assertGoldenTrace(cluster, 'ends-far-apart');
 });
 
@@ -266,41 +278,41 @@
   cluster.runUntil('done', () => cluster.queryStatus('run-a') === 'done', 90);
   assert.equal(cluster.runningTasks('run-v'), 2);
   assert.deepEqual(
-    cluster.workers.filter((w) => w.dead),
+    cluster.workers.filter((worker) => worker.dead),
     [],
   );
 });
 
 test('after a partition a shard returns to its preferred holder only once its services run again: a change of holder stops starts', () => {
-  const c = clusterOfEight(12);
-  c.submit(job('run-q', { team: 'blue', shape: 'service', tasks: 10, priority: 3, jobClass: 'serve' }));
-  c.runUntil('running', () => c.runningTasks('run-q') === 10);
-  const shard = shardOf(c, 'run-q');
-  const home = holderOf(c, shard);
-  const zone = c.controller(home).controller.settings.zone;
-  const inside = (x: string) => x === home || c.workers.find((w) => w.name === x)?.zone === zone;
+  const cluster = clusterOfEight(12);
+  cluster.submit(job('run-q', { team: 'blue', shape: 'service', tasks: 10, priority: 3, jobClass: 'serve' }));
+  cluster.runUntil('running', () => cluster.runningTasks('run-q') === 10);
+  const shard = shardOf(cluster, 'run-q');
+  const home = holderOf(cluster, shard);
+  const zone = cluster.controller(home).controller.settings.zone;
+  const inside = (x: string) => x === home || cluster.workers.find((worker) => worker.name === x)?.zone === zone;
   // Its home is cut off whole; a machine there dies, the others' work ends by its leases.
-  for (const node of c.controllers) if (node.name !== home && node.controller.settings.zone === zone) node.crash();
-  c.isPartitioned = (a, b) => inside(a) !== inside(b);
-  c.controller(home).isRefusedByStateService = true;
-  const dead = c.workers.find((w) => w.zone === zone && c.machinesRunning('run-q').includes(w.name));
+  for (const node of cluster.controllers) if (node.name !== home && node.controller.settings.zone === zone) node.crash();
+  cluster.isPartitioned = (a, b) => inside(a) !== inside(b);
+  cluster.controller(home).isRefusedByStateService = true;
+  const dead = cluster.workers.find((worker) => worker.zone === zone && cluster.machinesRunning('run-q').includes(worker.name));
   if (dead) {
     dead.dead = true;
     dead.tasks.clear();
   }
-  const away = c.controllers.find((node) => node.up && node.name !== home) as SimulatedController;
-  c.runUntil('taken over', () => (away.controller.clusterState.leaseOf(shard)?.holder.controller ?? home) !== home, 40);
-  c.runUntil('its leases are over', () => !c.machinesRunning('run-q').some(inside), 40);
+  const away = cluster.controllers.find((node) => node.up && node.name !== home) as SimulatedController;
+  cluster.runUntil('taken over', () => (away.controller.clusterState.leaseOf(shard)?.holder.controller ?? home) !== home, 40);
+  cluster.runUntil('its leases are over', () => !cluster.machinesRunning('run-q').some(inside), 40);
   // The cloud can't tell that the dead one is gone for a while: what may be on it waits.
-  c.isCloudDown = true;
-  c.isPartitioned = () => false;
-  c.controller(home).isRefusedByStateService = false;
-  for (const node of c.controllers) if (!node.up) node.restart();
-  c.at(c.now + 15_000, () => {
-    c.isCloudDown = false;
+  cluster.isCloudDown = true;
+  cluster.isPartitioned = () => false;
+  cluster.controller(home).isRefusedByStateService = false;
+  for (const node of cluster.controllers) if (!node.up) node.restart();
+  cluster.at(cluster.now + 15_000, () => {
+    cluster.isCloudDown = false;
   });
-  c.runUntil('at home', () => away.controller.clusterState.leaseOf(shard)?.holder.controller === home, 90);
-  assert.equal(c.runningTasks('run-q'), 10);
+  cluster.runUntil('at home', () => away.controller.clusterState.leaseOf(shard)?.holder.controller === home, 90);
+  assert.equal(cluster.runningTasks('run-q'), 10);
 });
 
 // A rename by tool had left the two sides of the move's flag with different names: what was known from the old shard stayed.
@@ -345,7 +357,7 @@
   cluster.runUntil('taken over', () => clusterState.leaseOf(shard)?.holder.controller === 'n2', 40);
   cluster.run(15);
   assert.deepEqual(
-    cluster.workers.filter((w) => w.dead && !west(w.name)).map((w) => w.name),
+    cluster.workers.filter((worker) => worker.dead && !west(worker.name)).map((worker) => worker.name),
     [],
     'machines that can be reached',
   );
--- a/test/failure-attribution.test.ts
+++ b/test/failure-attribution.test.ts
@@ -15,15 +15,15 @@
 } from './simulation/index.js';
 
 test('a broken job fails on many machines and costs none of them; a faulty machine is released', () => {
-  const c = newCluster(6);
-  const bad = c.workers[0];
+  const cluster = newCluster(6);
+  const bad = cluster.workers[0];
   assert.ok(bad);
   bad.fails = true;
-  for (let index = 0; index < 3; index++) c.submit(job(`run-${index}`, { tasks: 8, estimatedRunS: 3 }));
-  c.runUntil('all done', () => c.finished.size === 24, 90);
+  for (let index = 0; index < 3; index++) cluster.submit(job(`run-${index}`, { tasks: 8, estimatedRunS: 3 }));
+  cluster.runUntil('all done', () => cluster.finished.size === 24, 90);
   assert.ok(bad.dead, 'the faulty machine was given back');
-  assert.equal(c.workers.filter((w) => w.dead).length, 1);
-  assertGoldenTrace(c, 'faulty-machine');
+  assert.equal(cluster.workers.filter((worker) => worker.dead).length, 1);
+  assertGoldenTrace(cluster, 'faulty-machine');
 });
 
 test('one job is enough to tell a faulty machine, if its tasks get done elsewhere', () => {
@@ -35,14 +35,14 @@
   cluster.runUntil('some done', () => cluster.finished.size >= 5, 60);
   // More of them start; the machine that bears the most fails them all.
   cluster.run(2);
-  const busy = (w: SimulatedWorker) => [...w.tasks.values()].filter((t) => t.state === 'running').length;
+  const busy = (worker: SimulatedWorker) => [...worker.tasks.values()].filter((task) => task.state === 'running').length;
   const bad = [...cluster.workers].sort((a, b) => busy(b) - busy(a))[0];
   assert.ok(bad && busy(bad) > 3);
   bad.fails = true;
   cluster.runUntil('all done', () => cluster.finished.size === 250, 180);
   cluster.run(5);
   assert.deepEqual(
-    cluster.workers.filter((w) => w.dead).map((w) => w.name),
+    cluster.workers.filter((worker) => worker.dead).map((worker) => worker.name),
     [bad.name],
   );
 });
@@ -58,7 +58,7 @@
   assert.deepEqual(dead(cluster), [], 'no healthy machine is put aside');
   for (const node of cluster.controllers)
     for (const machine of node.controller.clusterState.machines.values()) assert.equal(machine.failedJobs.size, 0, 'nor blamed');
-  const tried = new Set(cluster.trace.filter((l) => l.includes('starts run-b0/')).map((l) => l.split('/')[1]));
+  const tried = new Set(cluster.trace.filter((line) => line.includes('starts run-b0/')).map((line) => line.split('/')[1]));
   assert.equal(tried.size, 30, 'each of its tasks was tried');
   const shard = shardOf(cluster, 'run-b0');
   const told = cluster.controller(holderOf(cluster, shard)).controller.shardController.shardSummary(shard, cluster.now + 1000);
@@ -74,7 +74,10 @@
   cluster.submit(job('run-ok', { tasks: 18, estimatedRunS: 3 }));
   cluster.runUntil('healthy work is not held up', () => cluster.finished.size === 18, 20);
   cluster.run(10);
-  assert.ok(cluster.trace.slice(before).filter((l) => l.includes('starts run-b')).length < 20, 'they are tried now and then');
+  assert.ok(
+    cluster.trace.slice(before).filter((line) => line.includes('starts run-b')).length < 20,
+    'they are tried now and then',
+  );
   const bad = cluster.workers[0];
   assert.ok(bad);
   bad.fails = true;
@@ -94,20 +97,22 @@
   cluster.submit(job('run-good', { tasks: 12, estimatedRunS: 3 }));
   cluster.runUntil('some done', () => cluster.finished.size >= 4, 30);
   cluster.run(1);
-  const w = cluster.workers.find((x) => [...x.tasks.values()].some((t) => t.job === 'run-good' && t.state === 'running'));
-  assert.ok(w);
-  w.fails = true;
+  const worker = cluster.workers.find((candidate) =>
+    [...candidate.tasks.values()].some((task) => task.job === 'run-good' && task.state === 'running'),
+  );
+  assert.ok(worker);
+  worker.fails = true;
   cluster.run(0.1);
-  w.fails = false;
+  worker.fails = false;
   cluster.runUntil('done', () => cluster.finished.size === 12, 60);
   assert.deepEqual(dead(cluster), [], 'one failure of a good job is no proof');
 });
 
 test('a job that failed on faulty machines only recovers', () => {
   const cluster = smallCluster(8);
-  for (const w of cluster.workers.slice(0, 4)) w.fails = true;
+  for (const worker of cluster.workers.slice(0, 4)) worker.fails = true;
   cluster.submit(job('run-r', { tasks: 8, estimatedRunS: 3 }));
   cluster.run(8);
-  for (const w of cluster.workers) w.fails = false;
+  for (const worker of cluster.workers) worker.fails = false;
   cluster.runUntil('done', () => cluster.queryStatus('run-r') === 'done', 90);
 });
--- a/test/failure-detection.test.ts
+++ b/test/failure-detection.test.ts
@@ -16,74 +16,81 @@
 } from './simulation/index.js';
 
 test('a spot machine with a preemption notice is drained, and its service goes on elsewhere', () => {
-  const c = newCluster(6);
-  c.submit(job('run-n', { shape: 'service', priority: 3, jobClass: 'serve' }));
-  c.runUntil('running', () => c.runningTasks('run-n') === 1);
-  const w = c.workers.find((x) => x.name === c.machinesRunning('run-n')[0]);
-  assert.ok(w);
-  w.preemptionNoticeS = 10;
-  c.runUntil('moved', () => c.runningTasks('run-n') === 1 && !c.machinesRunning('run-n').includes(w.name), 8);
+  const cluster = newCluster(6);
+  cluster.submit(job('run-n', { shape: 'service', priority: 3, jobClass: 'serve' }));
+  cluster.runUntil('running', () => cluster.runningTasks('run-n') === 1);
+  const worker = cluster.workers.find((candidate) => candidate.name === cluster.machinesRunning('run-n')[0]);
+  assert.ok(worker);
+  worker.preemptionNoticeS = 10;
+  cluster.runUntil(
+    'moved',
+    () => cluster.runningTasks('run-n') === 1 && !cluster.machinesRunning('run-n').includes(worker.name),
+    8,
+  );
 });
 
 test('a machine whose heartbeats come but that no command reaches is released, and its work goes on elsewhere', () => {
-  const c = clusterOfEight();
-  c.submit(job('run-w', { shape: 'service', priority: 3, jobClass: 'serve' }));
-  c.runUntil('running', () => c.runningTasks('run-w') === 1);
-  const w = machineOf(c, 'run-w');
-  c.isDeaf = (_node, machine) => machine === w.name;
-  c.runUntil('given back', () => w.dead, 40);
-  c.runUntil('goes on elsewhere', () => c.runningTasks('run-w') === 1, 20);
+  const cluster = clusterOfEight();
+  cluster.submit(job('run-w', { shape: 'service', priority: 3, jobClass: 'serve' }));
+  cluster.runUntil('running', () => cluster.runningTasks('run-w') === 1);
+  const worker = machineOf(cluster, 'run-w');
+  cluster.isDeaf = (_node, machine) => machine === worker.name;
+  cluster.runUntil('given back', () => worker.dead, 40);
+  cluster.runUntil('goes on elsewhere', () => cluster.runningTasks('run-w') === 1, 20);
   assert.deepEqual(
-    c.workers.filter((x) => x.dead).map((x) => x.name),
-    [w.name],
+    cluster.workers.filter((candidate) => candidate.dead).map((candidate) => candidate.name),
+    [worker.name],
   );
-  assertGoldenTrace(c, 'one-way-machine');
+  assertGoldenTrace(cluster, 'one-way-machine');
 });
 
 test('a controller that can reach no worker hands its shards over, releases no machine, and gets them back once', () => {
-  const c = clusterOfEight(9);
-  c.submit(job('run-v', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
-  c.runUntil('running', () => c.runningTasks('run-v') === 2);
-  const shard = shardOf(c, 'run-v');
-  const apart = holderOf(c, shard);
-  const tokens = () => c.controllers.map((node) => node.controller.clusterState.leaseOf(shard)?.revision ?? 0);
-  c.isDeaf = (controller) => controller === apart;
-  c.runUntil('taken over', () => holderOf(c, shard) !== apart && holderOf(c, shard) !== '', 30);
-  c.submit(job('run-u', { team: c.specs.get('run-v')?.team ?? '', estimatedRunS: 3 }));
-  c.runUntil('the new holder starts work', () => c.finished.has('run-u/0'), 30);
-  c.run(20);
+  const cluster = clusterOfEight(9);
+  cluster.submit(job('run-v', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
+  cluster.runUntil('running', () => cluster.runningTasks('run-v') === 2);
+  const shard = shardOf(cluster, 'run-v');
+  const apart = holderOf(cluster, shard);
+  const tokens = () => cluster.controllers.map((node) => node.controller.clusterState.leaseOf(shard)?.revision ?? 0);
+  cluster.isDeaf = (controller) => controller === apart;
+  cluster.runUntil('taken over', () => holderOf(cluster, shard) !== apart && holderOf(cluster, shard) !== '', 30);
+  cluster.submit(job('run-u', { team: cluster.specs.get('run-v')?.team ?? '', estimatedRunS: 3 }));
+  cluster.runUntil('the new holder starts work', () => cluster.finished.has('run-u/0'), 30);
+  cluster.run(20);
   const during = tokens();
-  c.isDeaf = () => false;
-  c.runUntil('home again', () => holderOf(c, shard) === apart, 40);
+  cluster.isDeaf = () => false;
+  cluster.runUntil('home again', () => holderOf(cluster, shard) === apart, 40);
   const home = tokens();
-  c.run(30);
+  cluster.run(30);
   assert.deepEqual(tokens(), home, 'it does not go to and fro');
   assert.notDeepEqual(home, during);
   assert.deepEqual(
-    c.workers.filter((x) => x.dead),
+    cluster.workers.filter((candidate) => candidate.dead),
     [],
   );
-  assert.equal(c.runningTasks('run-v'), 2);
+  assert.equal(cluster.runningTasks('run-v'), 2);
 });
 
 test('in a zone partitioned from the state service too, work ends by its leases and goes on elsewhere once its machines are released', () => {
-  const c = clusterOfEight();
-  c.submit(job('run-z', { shape: 'service', tasks: 6, priority: 3, jobClass: 'serve' }));
-  c.runUntil('running', () => c.runningTasks('run-z') === 6);
-  const west = (x: string) => x === 'n1' || c.workers.find((w) => w.name === x)?.zone === 'west';
-  assert.ok(c.machinesRunning('run-z').some(west));
-  c.trace = [];
-  c.isPartitioned = (a, b) => west(a) !== west(b);
-  c.controller('n1').isRefusedByStateService = true;
-  c.run(30);
-  assert.equal(c.workers.filter((w) => w.dead).length, 0, 'a shorter cut costs no machine');
-  c.runUntil('its leases are over', () => c.runningTasks('run-z') < 6, 20);
-  c.runUntil('all run again', () => c.runningTasks('run-z') === 6, 40);
-  const lines = c.trace.map((l) => l.trim().split(' ').slice(1).join(' '));
-  for (const w of c.workers.filter((x) => x.dead)) {
-    assert.ok(west(w.name) && lines.indexOf(`${w.name} kills its tasks: lease over`) < lines.indexOf(`${w.name} is given back`));
+  const cluster = clusterOfEight();
+  cluster.submit(job('run-z', { shape: 'service', tasks: 6, priority: 3, jobClass: 'serve' }));
+  cluster.runUntil('running', () => cluster.runningTasks('run-z') === 6);
+  const west = (x: string) => x === 'n1' || cluster.workers.find((worker) => worker.name === x)?.zone === 'west';
+  assert.ok(cluster.machinesRunning('run-z').some(west));
+  cluster.trace = [];
+  cluster.isPartitioned = (a, b) => west(a) !== west(b);
+  cluster.controller('n1').isRefusedByStateService = true;
+  cluster.run(30);
+  assert.equal(cluster.workers.filter((worker) => worker.dead).length, 0, 'a shorter cut costs no machine');
+  cluster.runUntil('its leases are over', () => cluster.runningTasks('run-z') < 6, 20);
+  cluster.runUntil('all run again', () => cluster.runningTasks('run-z') === 6, 40);
+  const lines = cluster.trace.map((line) => line.trim().split(' ').slice(1).join(' '));
+  for (const worker of cluster.workers.filter((candidate) => candidate.dead)) {
+    assert.ok(
+      west(worker.name) &&
+        lines.indexOf(`${worker.name} kills its tasks: lease over`) < lines.indexOf(`${worker.name} is given back`),
+    );
   }
-  assertGoldenTrace(c, 'zone-cut-from-everything');
+  assertGoldenTrace(cluster, 'zone-cut-from-everything');
 });
 
 test('a controller that loses all workers releases none of them, before or after, and their leases go on elsewhere', () => {
@@ -102,7 +109,7 @@
   cluster.isPartitioned = () => false;
   cluster.run(30);
   assert.deepEqual(
-    cluster.trace.filter((l) => /given back|lease over/.test(l)),
+    cluster.trace.filter((line) => /given back|lease over/.test(line)),
     [],
   );
   assert.equal(cluster.runningTasks('run-k'), 60);
@@ -116,23 +123,24 @@
   const mine = [...owner.controller.clusterState.machines.values()].filter(
     (machine) => machine.shard === shardOf(cluster, 'run-v'),
   );
-  const w = cluster.workers.find(
-    (x) => mine.some((machine) => machine.name === x.name) && !cluster.machinesRunning('run-v').includes(x.name),
+  const worker = cluster.workers.find(
+    (candidate) =>
+      mine.some((machine) => machine.name === candidate.name) && !cluster.machinesRunning('run-v').includes(candidate.name),
   );
-  assert.ok(w);
-  w.hung = true;
+  assert.ok(worker);
+  worker.hung = true;
   cluster.run(3);
   cluster.submit(job('run-k', { tasks: 2, estimatedRunS: 60 }));
   cluster.runUntil(
     'a command is under way',
-    () => mine.some((machine) => machine.name !== w.name && machine.tenure.pendingCommandId !== null),
+    () => mine.some((machine) => machine.name !== worker.name && machine.tenure.pendingCommandId !== null),
     5,
   );
   owner.pause();
   cluster.run(6.5);
   owner.resume();
   cluster.run(1);
-  w.hung = false;
+  worker.hung = false;
   cluster.run(10);
   assert.deepEqual(dead(cluster), []);
 });
@@ -148,7 +156,10 @@
   for (let index = 0; index < 500; index++) cluster.machine(`m${index}`);
   cluster.runUntil(
     'all have answered',
-    () => cluster.workers.every((w) => cluster.controllers[0]?.controller.clusterState.machines.get(w.name)?.tenure.isVerified),
+    () =>
+      cluster.workers.every(
+        (worker) => cluster.controllers[0]?.controller.clusterState.machines.get(worker.name)?.tenure.isVerified,
+      ),
     120,
   );
   assert.equal(cluster.workers.filter((worker) => worker.dead).length, 0);
--- a/test/fencing.test.ts
+++ b/test/fencing.test.ts
@@ -16,32 +16,32 @@
 } from './simulation/index.js';
 
 test('a machine that hangs and goes on later does not run what was started elsewhere', () => {
-  const c = newCluster();
-  c.submit(job('run-h', { shape: 'service', priority: 3, jobClass: 'serve' }));
-  c.runUntil('running', () => c.runningTasks('run-h') === 1);
-  const w = c.workers.find((x) => x.name === c.machinesRunning('run-h')[0]);
-  assert.ok(w);
-  w.hung = true;
-  c.run(5);
-  c.submit(job('run-i', { tasks: 4 }));
-  c.run(2);
-  w.hung = false;
-  c.run(30);
-  assert.equal(c.runningTasks('run-h'), 1);
-  assertGoldenTrace(c, 'hung-machine-goes-on');
+  const cluster = newCluster();
+  cluster.submit(job('run-h', { shape: 'service', priority: 3, jobClass: 'serve' }));
+  cluster.runUntil('running', () => cluster.runningTasks('run-h') === 1);
+  const worker = cluster.workers.find((candidate) => candidate.name === cluster.machinesRunning('run-h')[0]);
+  assert.ok(worker);
+  worker.hung = true;
+  cluster.run(5);
+  cluster.submit(job('run-i', { tasks: 4 }));
+  cluster.run(2);
+  worker.hung = false;
+  cluster.run(30);
+  assert.equal(cluster.runningTasks('run-h'), 1);
+  assertGoldenTrace(cluster, 'hung-machine-goes-on');
 });
 
 test('a start whose answer was lost, and which comes late, finds a higher fencing token', () => {
-  const c = newCluster(2);
-  const w = c.workers[0];
-  assert.ok(w);
+  const cluster = newCluster(2);
+  const worker = cluster.workers[0];
+  assert.ok(worker);
   // Hangs just as starts are sent: they are held, and executed when it goes on.
-  w.hung = true;
-  c.submit(job('run-l', { tasks: 4, estimatedRunS: 60 }));
-  c.run(4);
-  w.hung = false;
-  c.runUntil('all running', () => c.runningTasks('run-l') === 4, 60);
-  assertGoldenTrace(c, 'late-start-finds-a-higher-token');
+  worker.hung = true;
+  cluster.submit(job('run-l', { tasks: 4, estimatedRunS: 60 }));
+  cluster.run(4);
+  worker.hung = false;
+  cluster.runUntil('all running', () => cluster.runningTasks('run-l') === 4, 60);
+  assertGoldenTrace(cluster, 'late-start-finds-a-higher-token');
 });
 
 test('the release of a shard lease is carried out, its answer lost and the watch late: the old holder starts nothing more', () => {
@@ -92,14 +92,14 @@
   owner.restart();
   cluster.runUntil('running', () => cluster.runningTasks('run-a') === 1, 20);
   cluster.run(15);
-  assert.equal(cluster.trace.filter((l) => l.includes('starts run-a')).length, 1);
+  assert.equal(cluster.trace.filter((line) => line.includes('starts run-a')).length, 1);
 });
 
 test('a start is lost for good: the fencing token rises, and the task is started anew', () => {
   const cluster = smallCluster(4);
   cluster.losesCommands = () => true;
   cluster.submit(job('run-a', { estimatedRunS: 60 }));
-  const token = () => Math.max(...cluster.workers.map((w) => w.fencingToken));
+  const token = () => Math.max(...cluster.workers.map((worker) => worker.fencingToken));
   const before = token();
   cluster.run(1);
   cluster.losesCommands = () => false;
@@ -130,13 +130,13 @@
 });
 
 test('a heartbeat with a higher fencing token than a controller knows is refused, so that the worker finds another', () => {
-  const c = clusterOfEight();
-  const w = c.workers[0] as SimulatedWorker;
-  c.run(5);
-  const r = { ...w.heartbeat(), fencingToken: w.fencingToken + 1_000 };
-  for (const node of c.controllers) assert.ok([503, 421].includes(deliverLate(node, r)));
-  assert.ok(c.controllers.some((node) => deliverLate(node, r) === 503));
-  assert.ok(c.controllers.some((node) => deliverLate(node, w.heartbeat()) === 200));
+  const cluster = clusterOfEight();
+  const worker = cluster.workers[0] as SimulatedWorker;
+  cluster.run(5);
+  const r = { ...worker.heartbeat(), fencingToken: worker.fencingToken + 1_000 };
+  for (const node of cluster.controllers) assert.ok([503, 421].includes(deliverLate(node, r)));
+  assert.ok(cluster.controllers.some((node) => deliverLate(node, r) === 503));
+  assert.ok(cluster.controllers.some((node) => deliverLate(node, worker.heartbeat()) === 200));
 });
 
 /** A job is cancelled while its start is on its way; then the start comes back, not carried out. */
--- a/test/gang-and-array-placement.test.ts
+++ b/test/gang-and-array-placement.test.ts
@@ -7,12 +7,12 @@
 import { job, smallCluster, TYPES } from './simulation/index.js';
 
 test('an array runs to its end, once, and every controller says so', () => {
-  const c = newCluster();
-  c.submit(job('run-a', { tasks: 5, estimatedRunS: 4 }));
-  c.runUntil('done', () => c.finished.size === 5, 40);
-  c.run(3);
-  for (const node of c.controllers) assert.equal(c.queryStatus('run-a', node), 'done');
-  const starts = c.trace.filter((l) => l.includes('starts run-a'));
+  const cluster = newCluster();
+  cluster.submit(job('run-a', { tasks: 5, estimatedRunS: 4 }));
+  cluster.runUntil('done', () => cluster.finished.size === 5, 40);
+  cluster.run(3);
+  for (const node of cluster.controllers) assert.equal(cluster.queryStatus('run-a', node), 'done');
+  const starts = cluster.trace.filter((line) => line.includes('starts run-a'));
   assert.equal(starts.length, 5);
 });
 
@@ -22,15 +22,15 @@
   cluster.runUntil('running', () => cluster.runningTasks('run-z') >= 4);
   const zone = cluster.worker(cluster.machinesRunning('run-z')[0] as string)?.zone;
   for (const name of cluster.machinesRunning('run-z').slice(0, 2)) {
-    const w = cluster.worker(name);
-    if (!w) continue;
-    w.dead = true;
-    w.tasks.clear();
+    const worker = cluster.worker(name);
+    if (!worker) continue;
+    worker.dead = true;
+    worker.tasks.clear();
   }
   // The other zone has room all the while; wrong_place is checked at each start.
   cluster.runUntil('done', () => cluster.queryStatus('run-z') === 'done', 180);
-  for (const l of cluster.trace.filter((x) => x.includes('starts run-z')))
-    assert.equal(cluster.worker(l.trim().split(' ')[1] as string)?.zone, zone);
+  for (const line of cluster.trace.filter((x) => x.includes('starts run-z')))
+    assert.equal(cluster.worker(line.trim().split(' ')[1] as string)?.zone, zone);
 });
 
 function room(name: string, type: number, zone: number): FreeResources {
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -36,7 +36,8 @@
   const up = () => Array.from({ length: 300 }, (_, index) => cluster.runningTasks(`run-s${index}`)).reduce((a, b) => a + b, 0);
   cluster.runUntil('all replicas run', () => up() === 1200, 60);
   cluster.trace = [];
-  const lost = () => cluster.workers.filter((w) => w.dead && !w.spot && !gone.has(w.name)).map((w) => w.name);
+  const lost = () =>
+    cluster.workers.filter((worker) => worker.dead && !worker.spot && !gone.has(worker.name)).map((worker) => worker.name);
   const gone = new Set<string>();
 
   // All controllers crash, and once more while they start: work goes on, no machine is thrown away.
@@ -49,7 +50,7 @@
   }
   cluster.runUntil(
     'all machines answer their new holders',
-    () => answering(cluster) === cluster.workers.filter((w) => !w.dead).length,
+    () => answering(cluster) === cluster.workers.filter((worker) => !worker.dead).length,
     30,
   );
   assert.equal(up(), 1200);
@@ -69,27 +70,27 @@
   // A zone is cut off for less than its leases last, while machines of the other die and hang.
   const west = (x: string) => (x.startsWith('n') ? x === 'n1' : (Number(x.slice(1)) - 1000) % 2 === 1);
   cluster.isPartitioned = (a, b) => west(a) !== west(b);
-  const hit = cluster.workers.filter((w) => !w.spot && !w.dead && !west(w.name)).slice(0, 40);
-  hit.forEach((w, index) => {
-    gone.add(w.name);
+  const hit = cluster.workers.filter((worker) => !worker.spot && !worker.dead && !west(worker.name)).slice(0, 40);
+  hit.forEach((worker, index) => {
+    gone.add(worker.name);
     if (index % 2 === 0) {
-      w.dead = true;
-      w.tasks.clear();
-    } else w.hung = true;
+      worker.dead = true;
+      worker.tasks.clear();
+    } else worker.hung = true;
   });
   cluster.run(15);
   cluster.isPartitioned = () => false;
   cluster.run(2);
-  for (const w of hit) w.hung = false;
+  for (const worker of hit) worker.hung = false;
   cluster.runUntil('what stood there runs elsewhere', () => up() === 1200, 90);
   assert.deepEqual(lost(), []);
 
   // All cheap machines are taken, some without a word; every controller is restarted in turn.
-  for (const w of cluster.workers.filter((x) => x.spot && !x.dead)) {
-    if (Number(w.name.slice(1)) % 20 === 9) w.preemptionNoticeS = 10;
+  for (const worker of cluster.workers.filter((candidate) => candidate.spot && !candidate.dead)) {
+    if (Number(worker.name.slice(1)) % 20 === 9) worker.preemptionNoticeS = 10;
     else {
-      w.dead = true;
-      w.tasks.clear();
+      worker.dead = true;
+      worker.tasks.clear();
     }
   }
   for (const node of cluster.controllers) {
@@ -100,7 +101,7 @@
   }
   cluster.runUntil(
     'all settled',
-    () => up() === 1200 && answering(cluster) === cluster.workers.filter((w) => !w.dead).length,
+    () => up() === 1200 && answering(cluster) === cluster.workers.filter((worker) => !worker.dead).length,
     60,
   );
   assert.deepEqual(lost(), []);
@@ -112,7 +113,7 @@
   cluster.statuses = 0;
   cluster.statusBytes = 0;
   cluster.run(20);
-  const live = cluster.workers.filter((w) => !w.dead).length;
+  const live = cluster.workers.filter((worker) => !worker.dead).length;
   assert.deepEqual([...cluster.changes], [], 'nothing changed, nothing is written');
   // A report in five is passed on whole, of machines whose owner sits elsewhere.
   assert.ok(cluster.forwardedHeartbeats < (live * 20) / 2 / 3, `${cluster.forwardedHeartbeats} reports passed on`);
@@ -128,13 +129,13 @@
 /** Machines that answered whoever holds their share. */
 function answering(cluster: SimulatedCluster): number {
   let count = 0;
-  for (const w of cluster.workers) {
-    if (w.dead) continue;
+  for (const worker of cluster.workers) {
+    if (worker.dead) continue;
     if (
       cluster.controllers.some(
         (node) =>
-          node.controller.shardController.heldShards.has(node.controller.clusterState.machines.get(w.name)?.shard ?? -1) &&
-          node.controller.clusterState.machines.get(w.name)?.tenure.isVerified,
+          node.controller.shardController.heldShards.has(node.controller.clusterState.machines.get(worker.name)?.shard ?? -1) &&
+          node.controller.clusterState.machines.get(worker.name)?.tenure.isVerified,
       )
     )
       count++;
--- a/test/long-lists-and-progress.test.ts
+++ b/test/long-lists-and-progress.test.ts
@@ -77,114 +77,123 @@
 };
 
 test('after the limits fall a job with long lists is accepted and runs, over a change of its holder', () => {
-  const c = clusterWithAnnouncedLimits(6);
-  fall(c);
+  const cluster = clusterWithAnnouncedLimits(6);
+  fall(cluster);
   const before = Array.from({ length: 200 }, (_, index) => `run-${String(index).padStart(20, '0')}`);
-  for (const id of before) c.submit(job(id, { estimatedRunS: 1, cpus: 0.1, memory: 0.1 }));
+  for (const id of before) cluster.submit(job(id, { estimatedRunS: 1, cpus: 0.1, memory: 0.1 }));
   const types = Array.from({ length: 64 }, (_, index) => `none-${index}-${'x'.repeat(60)}`);
   const spec = job('run-long', { machineTypes: [...types.slice(1), 'small'], estimatedRunS: 5 });
   // An acceptance that fails after its parts were stored costs no second copy of them.
-  c.losesTransactionAnswer = (e) => e.writes.some((write) => 'put' in write && write.put === 'a/j/run-long');
-  c.specs.set(spec.id, spec);
-  c.awaits.set(spec.id, before);
+  cluster.losesTransactionAnswer = (e) => e.writes.some((write) => 'put' in write && write.put === 'a/j/run-long');
+  cluster.specs.set(spec.id, spec);
+  cluster.awaits.set(spec.id, before);
   let status = 0;
-  (c.controllers[0] as SimulatedController).submit(spec, (code) => {
+  (cluster.controllers[0] as SimulatedController).submit(spec, (code) => {
     status = code;
   });
-  c.runUntil('answered', () => status !== 0, 6);
+  cluster.runUntil('answered', () => status !== 0, 6);
   assert.equal(status, 503);
-  const parts = () => [...c.stateService.keys.keys()].filter((key) => key.startsWith('a/x/run-long/')).length;
+  const parts = () => [...cluster.stateService.keys.keys()].filter((key) => key.startsWith('a/x/run-long/')).length;
   const stored = parts();
   assert.ok(stored > 0);
-  c.losesTransactionAnswer = null;
-  const written = c.changes.get('x');
-  c.submit(spec, c.controllers[1], before);
+  cluster.losesTransactionAnswer = null;
+  const written = cluster.changes.get('x');
+  cluster.submit(spec, cluster.controllers[1], before);
   assert.equal(parts(), stored);
-  assert.equal(c.changes.get('x'), written);
-  c.controller(holderOf(c, shardOf(c, 'run-long'))).crash();
-  c.runUntil('it runs', () => c.allTasksDone('run-long'), 120);
-  assert.equal(c.stateService.tooLarge, 0);
+  assert.equal(cluster.changes.get('x'), written);
+  cluster.controller(holderOf(cluster, shardOf(cluster, 'run-long'))).crash();
+  cluster.runUntil('it runs', () => cluster.allTasksDone('run-long'), 120);
+  assert.equal(cluster.stateService.tooLarge, 0);
 });
 
 // Too early would be a start by a list that is not whole yet.
 test('a job starts only once all parts of its record are read', () => {
-  const c = clusterWithAnnouncedLimits(4);
+  const cluster = clusterWithAnnouncedLimits(4);
   const put = (key: string, value: unknown) =>
-    c.stateService.compareAndSwap({ type: 'compareAndSwap', id: 0, conditions: [], writes: [{ put: key, value }] }, c.now);
+    cluster.stateService.compareAndSwap(
+      { type: 'compareAndSwap', id: 0, conditions: [], writes: [{ put: key, value }] },
+      cluster.now,
+    );
   const spec = job('run-parts', { machineTypes: ['small'], estimatedRunS: 2 });
-  c.specs.set(spec.id, spec);
+  cluster.specs.set(spec.id, spec);
   put('a/j/run-parts', { s: 0, t: 0, sp: encodeJobSpec(spec), x: { k: 'group', n: 2 } });
   for (const part of [0, 1]) {
-    c.run(3);
-    assert.equal(c.queryStatus('run-parts'), 'queued');
-    assert.equal(c.machinesRunning('run-parts').length, 0);
+    cluster.run(3);
+    assert.equal(cluster.queryStatus('run-parts'), 'queued');
+    assert.equal(cluster.machinesRunning('run-parts').length, 0);
     put(`a/x/run-parts/group/${part}`, { ty: [], aw: [] });
   }
-  c.runUntil('it runs', () => c.allTasksDone('run-parts'), 20);
+  cluster.runUntil('it runs', () => cluster.allTasksDone('run-parts'), 20);
 });
 
 // The leader rents by what is told: told half a list, it would rent nothing, or the wrong thing.
 test("the demand of waiting work names all machine types that its record's parts hold", () => {
-  const c = clusterWithAnnouncedLimits(0);
+  const cluster = clusterWithAnnouncedLimits(0);
   const put = (key: string, value: unknown) =>
-    c.stateService.compareAndSwap({ type: 'compareAndSwap', id: 0, conditions: [], writes: [{ put: key, value }] }, c.now);
+    cluster.stateService.compareAndSwap(
+      { type: 'compareAndSwap', id: 0, conditions: [], writes: [{ put: key, value }] },
+      cluster.now,
+    );
   const spec = job('run-parts', { machineTypes: ['none'], gpus: 1 });
-  c.specs.set(spec.id, spec);
+  cluster.specs.set(spec.id, spec);
   put('a/x/run-parts/group/0', { ty: ['big'] });
   put('a/j/run-parts', { s: 0, t: 0, sp: encodeJobSpec(spec), x: { k: 'group', n: 1 } });
-  c.run(2);
-  const owner = c.controller(holderOf(c, 0)).controller;
-  assert.deepEqual(owner.shardController.shardSummary(0, c.now).demands[0]?.types, ['none', 'big']);
+  cluster.run(2);
+  const owner = cluster.controller(holderOf(cluster, 0)).controller;
+  assert.deepEqual(owner.shardController.shardSummary(0, cluster.now).demands[0]?.types, ['none', 'big']);
   assert.equal(owner.clusterState.gpuDemandByType.size, 1);
 });
 
 // Larger records of before stay as they are: completed, cancelled and handed over without being written again.
 test('after the limits fall larger records of before can still be completed and cancelled', () => {
-  const c = clusterWithAnnouncedLimits(6);
+  const cluster = clusterWithAnnouncedLimits(6);
   const types = ['small', ...Array.from({ length: 63 }, (_, index) => `none-${index}-${'x'.repeat(60)}`)];
   const large = (id: string) => {
     const spec = job(id, { machineTypes: types, estimatedRunS: 10 });
-    c.specs.set(id, spec);
-    c.stateService.compareAndSwap(
+    cluster.specs.set(id, spec);
+    cluster.stateService.compareAndSwap(
       {
         type: 'compareAndSwap',
         id: 0,
         conditions: [],
         writes: [{ put: `a/j/${id}`, value: { s: 0, t: 0, sp: encodeJobSpec(spec) } }],
       },
-      c.now,
+      cluster.now,
     );
   };
   large('run-a');
   large('run-b');
-  fall(c);
-  c.runUntil('both run', () => c.runningTasks('run-a') + c.runningTasks('run-b') === 2, 20);
-  c.cancel('run-b', c.controllers[2]);
-  c.runUntil('done', () => c.allTasksDone('run-a') && c.machinesRunning('run-b').length === 0, 40);
-  c.run(3);
-  for (const node of c.controllers) {
-    assert.equal(c.queryStatus('run-a', node), 'done');
-    assert.equal(c.queryStatus('run-b', node), 'aborted');
+  fall(cluster);
+  cluster.runUntil('both run', () => cluster.runningTasks('run-a') + cluster.runningTasks('run-b') === 2, 20);
+  cluster.cancel('run-b', cluster.controllers[2]);
+  cluster.runUntil('done', () => cluster.allTasksDone('run-a') && cluster.machinesRunning('run-b').length === 0, 40);
+  cluster.run(3);
+  for (const node of cluster.controllers) {
+    assert.equal(cluster.queryStatus('run-a', node), 'done');
+    assert.equal(cluster.queryStatus('run-b', node), 'aborted');
   }
-  assert.equal(c.stateService.tooLarge, 0);
+  assert.equal(cluster.stateService.tooLarge, 0);
 });
 
 test('progress stored in whole chunks and in parts is united, and what is done does not run again', () => {
-  const c = clusterWithAnnouncedLimits(6);
+  const cluster = clusterWithAnnouncedLimits(6);
   const spec = job('run-many', { tasks: 9000, cpus: 0.01, memory: 0.001, estimatedRunS: 5 });
   const done = new Uint8Array(9000).fill(1, 0, 8000);
   const whole = packBits(done, 0, 9000);
-  c.specs.set(spec.id, spec);
+  cluster.specs.set(spec.id, spec);
   const put = (key: string, value: unknown) =>
-    c.stateService.compareAndSwap({ type: 'compareAndSwap', id: 0, conditions: [], writes: [{ put: key, value }] }, c.now);
+    cluster.stateService.compareAndSwap(
+      { type: 'compareAndSwap', id: 0, conditions: [], writes: [{ put: key, value }] },
+      cluster.now,
+    );
   put('a/p/run-many/0', whole);
   put('a/p/run-many/0.25', packBits(new Uint8Array(9000).fill(1), 8192, 9000));
   put('a/j/run-many', { s: 0, t: 0, sp: encodeJobSpec(spec) });
-  for (let index = 0; index < 9000; index++) if (done[index] || index >= 8192) c.finished.add(`run-many/${index}`);
-  fall(c);
-  c.runUntil('the rest is done', () => c.allTasksDone('run-many'), 120);
-  assert.equal(c.trace.filter((line) => line.includes('starts run-many/')).length, 192);
-  assert.equal(c.stateService.tooLarge, 0);
-  c.run(5);
-  assert.equal(c.queryStatus('run-many'), 'done');
+  for (let index = 0; index < 9000; index++) if (done[index] || index >= 8192) cluster.finished.add(`run-many/${index}`);
+  fall(cluster);
+  cluster.runUntil('the rest is done', () => cluster.allTasksDone('run-many'), 120);
+  assert.equal(cluster.trace.filter((line) => line.includes('starts run-many/')).length, 192);
+  assert.equal(cluster.stateService.tooLarge, 0);
+  cluster.run(5);
+  assert.equal(cluster.queryStatus('run-many'), 'done');
 });
--- a/test/loopback/state-server.ts
+++ b/test/loopback/state-server.ts
@@ -54,7 +54,7 @@
 
   private transaction({ body }: LoopbackRequest): LoopbackAnswer {
     const conditions = (body.guards as { k: string; stamp: number }[]).map(
-      ({ k, stamp: revision }): RevisionCondition => ({ key: k, revision }),
+      ({ k: key, stamp: revision }): RevisionCondition => ({ key: key, revision }),
     );
     const writes = ((body.writes ?? []) as WireWrite[]).map(writeOf);
     const outcome = this.change(() =>
--- a/test/process-pauses.test.ts
+++ b/test/process-pauses.test.ts
@@ -5,7 +5,7 @@
 import { dead } from './scenarios/on-call-scenarios.js';
 import { assertGoldenTrace, holderOf, job, type SimulatedCluster, shardOf, smallCluster } from './simulation/index.js';
 
-const killed = (cluster: SimulatedCluster) => cluster.trace.filter((l) => l.includes('kills'));
+const killed = (cluster: SimulatedCluster) => cluster.trace.filter((line) => line.includes('kills'));
 
 for (const seconds of [0.9, 6, 16, 19, 25, 45]) {
   test(`the holder's process pauses for ${seconds} s: nothing runs twice or after its cancellation, no machine is released`, () => {
@@ -66,7 +66,7 @@
   owner.isRefusedByStateService = false;
   cluster.run(10);
   assert.equal(cluster.finished.size, 4);
-  assert.ok(!cluster.trace.some((l) => l.includes('starts run-z')));
+  assert.ok(!cluster.trace.some((line) => line.includes('starts run-z')));
 });
 
 test('after a pause the former leader and holder takes no shard back by force, and gets its own once they are settled', () => {
@@ -104,6 +104,6 @@
   cluster.run(45);
   for (const node of cluster.controllers) node.resume();
   cluster.run(40);
-  assert.ok(!cluster.trace.some((l) => l.includes('starts run-l')));
+  assert.ok(!cluster.trace.some((line) => line.includes('starts run-l')));
   cluster.runUntil('the service runs again', () => cluster.runningTasks('run-s') === 2, 60);
 });
--- a/test/quota-and-preemption.test.ts
+++ b/test/quota-and-preemption.test.ts
@@ -23,7 +23,7 @@
   cluster.runUntil('both running', () => cluster.runningTasks('run-low') === 2, 40);
   cluster.submit(job('run-high', { team: 'blue', shape: 'gang', gpus: 8, cpus: 40, estimatedRunS: 5, priority: 2 }));
   cluster.runUntil('its turn', () => cluster.runningTasks('run-high') === 1, 30);
-  const stops = cluster.trace.filter((l) => l.includes('stops run-low')).map((l) => Number(l.trim().split(' ')[0]));
+  const stops = cluster.trace.filter((line) => line.includes('stops run-low')).map((line) => Number(line.trim().split(' ')[0]));
   assert.equal(stops.length, 2);
   assert.ok(Math.abs((stops[0] ?? 0) - (stops[1] ?? 0)) <= 4, 'all told within gang_peer_s');
   assert.equal(cluster.machinesRunning('run-low').length, 0);
@@ -119,7 +119,7 @@
     cluster.run(8);
   }
   const largeBegan = () =>
-    Number.parseFloat(cluster.trace.find((l) => l.includes('starts run-large/')) ?? 'Infinity') - began / 1000;
+    Number.parseFloat(cluster.trace.find((line) => line.includes('starts run-large/')) ?? 'Infinity') - began / 1000;
   return { c: cluster, late, largeBegan };
 }
 
--- a/test/randomized/faults.ts
+++ b/test/randomized/faults.ts
@@ -76,7 +76,7 @@
       if (!node.up) node.restart();
       if (node.isPaused) node.resume();
     }
-    for (const w of this.cluster.workers) w.hung = false;
+    for (const worker of this.cluster.workers) worker.hung = false;
     this.cluster.note('the troubles are over');
   }
 
@@ -88,8 +88,8 @@
   begin(kind: Fault, s: number): void {
     const { cluster } = this;
     const node = this.random.pick(cluster.controllers);
-    const live = cluster.workers.filter((w) => !w.dead);
-    const some = new Set(live.filter(() => this.random.next() < 0.3).map((w) => w.name));
+    const live = cluster.workers.filter((worker) => !worker.dead);
+    const some = new Set(live.filter(() => this.random.next() < 0.3).map((worker) => worker.name));
     cluster.note(`${kind} for ${s.toFixed(1)} s (${node.name})`);
     const isNode = (x: string) => x.startsWith('n');
     switch (kind) {
@@ -122,10 +122,10 @@
           if (node.up && node.isPaused) node.resume(this.random.next() < 0.3);
         });
       case 'hang': {
-        const w = this.random.pick(live);
-        w.hung = true;
+        const worker = this.random.pick(live);
+        worker.hung = true;
         return this.after(Math.min(s, 11) * this.random.next() + 1, () => {
-          w.hung = false;
+          worker.hung = false;
         });
       }
       case 'deaf':
@@ -193,13 +193,13 @@
           cluster.isCloudDown = false;
         });
       case 'machine dies': {
-        const w = this.random.pick(live);
-        w.dead = true;
-        w.tasks.clear();
+        const worker = this.random.pick(live);
+        worker.dead = true;
+        worker.tasks.clear();
         return;
       }
       case 'machines begin again':
-        for (const w of live) if (some.has(w.name) && !w.hung) w.reboot();
+        for (const worker of live) if (some.has(worker.name) && !worker.hung) worker.reboot();
         return;
       case 'cancel now':
         this.cancelNow();
--- a/test/randomized/randomized-simulation.ts
+++ b/test/randomized/randomized-simulation.ts
@@ -146,10 +146,10 @@
       for (const share of [0, 1, 2, 'lead'] as const)
         if (!cluster.controllers.some((node) => node.controller.shardLeases.mayActUnder(share, cluster.now)))
           result.push(`nobody holds ${share}`);
-      for (const w of cluster.workers) {
-        if (w.dead) continue;
+      for (const worker of cluster.workers) {
+        if (worker.dead) continue;
         const used = cluster.controllers.some((node) => {
-          const machine = node.controller.clusterState.machines.get(w.name);
+          const machine = node.controller.clusterState.machines.get(worker.name);
           return (
             machine &&
             node.controller.shardController.heldShards.has(machine.shard) &&
@@ -157,7 +157,7 @@
               node.controller.shardController.allocations.isSchedulable(machine, cluster.now))
           );
         });
-        if (!used) result.push(`${w.name} is out of use`);
+        if (!used) result.push(`${worker.name} is out of use`);
       }
       for (const node of cluster.controllers)
         if (node.controller.writer.length > 0) result.push(`${node.name} has ${node.controller.writer.length} writes waiting`);
@@ -171,19 +171,19 @@
   /** Once the troubles are over every job is known everywhere, and what can run has run. */
   private peace(): void {
     const { c: cluster, users } = this;
-    for (const [id, t] of users.told) if (!t.accepted) cluster.specs.has(id) && users.asks('submit', id);
+    for (const [id, told] of users.told) if (!told.accepted) cluster.specs.has(id) && users.asks('submit', id);
     cluster.run(60);
     // Services would run for ever; with them gone there is room for all the rest.
     for (let index = 0; index < 5; index++) {
-      for (const [id, t] of users.told)
-        if (t.accepted && t.final === null && (t.cancelAsked || cluster.specs.get(id)?.shape === 'service'))
+      for (const [id, told] of users.told)
+        if (told.accepted && told.final === null && (told.cancelAsked || cluster.specs.get(id)?.shape === 'service'))
           users.asks('cancel', id);
       cluster.run(2);
     }
     const rest = () =>
-      [...users.told].filter(([id, t]) => {
+      [...users.told].filter(([id, told]) => {
         const spec = cluster.specs.get(id);
-        if (!t.accepted || t.final !== null || !spec || users.needsCancelled(id)) return false;
+        if (!told.accepted || told.final !== null || !spec || users.needsCancelled(id)) return false;
         return !Array.from({ length: spec.tasks }, (_, index) => cluster.finished.has(`${id}/${index}`)).some((x) => x);
       });
     for (let index = 0; index < 30 && rest().length > 0; index++) cluster.run(10);
@@ -197,17 +197,17 @@
   /** Every accepted job is answered by the controller, a few at a time, and what was cancelled before it is, too. */
   private allAnswered(node: SimulatedController): void {
     const { c: cluster, users } = this;
-    const accepted = [...users.told].filter(([, t]) => t.accepted);
+    const accepted = [...users.told].filter(([, told]) => told.accepted);
     for (let at = 0; at < accepted.length; at += ASKED_AT_ONCE) {
       const some = accepted.slice(at, at + ASKED_AT_ONCE);
-      for (const [id, t] of some) {
-        t.answeredAt = -1;
+      for (const [id, told] of some) {
+        told.answeredAt = -1;
         users.asks('poll', id, node);
       }
-      for (let index = 0; index < 30 && some.some(([, t]) => t.answeredAt < 0); index++) cluster.run(0.1);
-      for (const [id, t] of some) {
-        if (t.answeredAt < 0) cluster.broken(`forgotten: ${id} is not answered by ${node.name}`);
-        if (users.needsCancelled(id) && t.final !== 'aborted') cluster.broken(`orphaned: ${id} goes on at ${node.name}`);
+      for (let index = 0; index < 30 && some.some(([, told]) => told.answeredAt < 0); index++) cluster.run(0.1);
+      for (const [id, told] of some) {
+        if (told.answeredAt < 0) cluster.broken(`forgotten: ${id} is not answered by ${node.name}`);
+        if (users.needsCancelled(id) && told.final !== 'aborted') cluster.broken(`orphaned: ${id} goes on at ${node.name}`);
       }
     }
   }
--- a/test/randomized/users.ts
+++ b/test/randomized/users.ts
@@ -62,8 +62,8 @@
   /** Compares an answer with what was told before it was asked for. */
   private hears(id: string, before: Told, status: number, said: string): void {
     if (status === 503 || status === 429) return;
-    const t = this.told.get(id) as Told;
-    t.answeredAt = this.cluster.now;
+    const told = this.told.get(id) as Told;
+    told.answeredAt = this.cluster.now;
     if (before.accepted && (status === 404 || status === 400 || status === 422))
       this.cluster.broken(`forgotten: ${id} answered ${status}`);
     // No user of a walk submits what can't run, nor names what was never accepted.
@@ -72,8 +72,8 @@
     if (before.final && said !== before.final) this.cluster.broken(`went_back: ${id} was ${before.final}, is called ${said}`);
     if (said === 'aborted' && !this.mayBeCancelled(id)) this.cluster.broken(`went_back: ${id} called cancelled, its user didn't`);
     if (said === 'done' && !this.cluster.allTasksDone(id)) this.cluster.broken(`not_done: ${id} is called done`);
-    if (said === 'done' || said === 'aborted') t.final = said;
-    t.accepted = true;
+    if (said === 'done' || said === 'aborted') told.final = said;
+    told.accepted = true;
     this.cluster.rules.told(id, said);
   }
 
@@ -95,7 +95,7 @@
   private chooseAwaited(id: string): void {
     if (!this.options.pipelines || !this.mayAskNewThings() || this.random.next() < 0.5) return;
     const known = [...this.told]
-      .filter(([other, t]) => t.accepted && this.cluster.specs.get(other)?.shape !== 'service')
+      .filter(([other, told]) => told.accepted && this.cluster.specs.get(other)?.shape !== 'service')
       .slice(-8);
     if (known.length === 0) return;
     const names = Array.from({ length: 1 + this.random.below(3) }, () => this.random.pick(known)[0]);
@@ -104,10 +104,10 @@
 
   asks(kind: 'submit' | 'poll' | 'cancel', id: string, node = this.node()): void {
     const spec = this.cluster.specs.get(id);
-    const t = this.told.get(id);
-    if (!node || !spec || !t) return;
-    const before = { ...t };
-    if (kind === 'cancel') t.cancelAsked = true;
+    const told = this.told.get(id);
+    if (!node || !spec || !told) return;
+    const before = { ...told };
+    if (kind === 'cancel') told.cancelAsked = true;
     const then = (status: number, body: Record<string, unknown>) => this.hears(id, before, status, String(body.status));
     if (kind === 'submit') node.submit(spec, then);
     else if (kind === 'poll') node.queryStatus(id, then);
@@ -243,7 +243,7 @@
       if (this.told.get(id)?.final !== null) this.toCancel.delete(id);
       else if (this.random.next() < 0.05) this.asks('cancel', id);
     }
-    const open = [...this.told].filter(([, t]) => t.accepted && t.final === null);
+    const open = [...this.told].filter(([, told]) => told.accepted && told.final === null);
     for (let index = 0; index < open.length / 50; index++) this.asks('poll', this.random.pick(open)[0]);
   }
 
@@ -268,14 +268,14 @@
     if (this.random.next() < 0.025) this.asks('cancel', this.random.pick(late));
     // Whoever was not accepted, or not told that it is cancelled, asks again.
     for (const id of late) {
-      const t = this.told.get(id) as Told;
-      if (!t.accepted && this.random.next() < 0.1) this.asks('submit', id);
-      if (t.cancelAsked && t.final === null && this.random.next() < 0.1) this.asks('cancel', id);
+      const told = this.told.get(id) as Told;
+      if (!told.accepted && this.random.next() < 0.1) this.asks('submit', id);
+      if (told.cancelAsked && told.final === null && this.random.next() < 0.1) this.asks('cancel', id);
     }
   }
 
   /** All who submitted something lately that runs call it off. */
   cancelLately(): void {
-    for (const [id, t] of [...this.told].slice(-6)) if (t.accepted && !t.final) this.asks('cancel', id);
+    for (const [id, told] of [...this.told].slice(-6)) if (told.accepted && !told.final) this.asks('cancel', id);
   }
 }
--- a/test/scenarios/on-call-scenarios.ts
+++ b/test/scenarios/on-call-scenarios.ts
@@ -3,7 +3,7 @@
 import type { ControllerSettings } from '@archpost/controller';
 import type { SimulatedCluster } from '../simulation/index.js';
 
-export const dead = (cluster: SimulatedCluster) => cluster.workers.filter((w) => w.dead).map((w) => w.name);
+export const dead = (cluster: SimulatedCluster) => cluster.workers.filter((worker) => worker.dead).map((worker) => worker.name);
 
 export const withGuest = (settings: ControllerSettings): ControllerSettings => ({
   ...settings,
--- a/test/scenarios/partition-scenarios.ts
+++ b/test/scenarios/partition-scenarios.ts
@@ -6,7 +6,7 @@
 export const clusterOfEight = (machines = 8) => smallCluster(machines);
 
 export const machineOf = (cluster: SimulatedCluster, id: string) =>
-  cluster.workers.find((w) => w.name === cluster.machinesRunning(id)[0]) as SimulatedWorker;
+  cluster.workers.find((worker) => worker.name === cluster.machinesRunning(id)[0]) as SimulatedWorker;
 
 /** Hands a copy of a report to a controller, as a network that held it back would. */
 export const deliverLate = (node: SimulatedController, heartbeat: Heartbeat) => {
--- a/test/simulation-rules.test.ts
+++ b/test/simulation-rules.test.ts
@@ -5,28 +5,28 @@
 import { job, type SimulatedCluster, type SimulatedWorker, smallCluster } from './simulation/index.js';
 
 /** Each of these breaks a rule on purpose: the rule checker must see it. */
-const PLANTED: { rule: RegExp; plant: (cluster: SimulatedCluster, w: SimulatedWorker) => void }[] = [
+const PLANTED: { rule: RegExp; plant: (cluster: SimulatedCluster, worker: SimulatedWorker) => void }[] = [
   {
     rule: /too_early: run-b\/0 starts before run-a is done/,
-    plant: (_cluster, w) => w.obey([{ type: 'start', job: 'run-b', index: 0, attempt: 1 }]),
+    plant: (_cluster, worker) => worker.obey([{ type: 'start', job: 'run-b', index: 0, attempt: 1 }]),
   },
   {
     rule: /ran_cancelled: run-b on m0/,
-    plant: (cluster, w) => {
+    plant: (cluster, worker) => {
       cluster.finished.add('run-a/0');
-      w.obey([{ type: 'start', job: 'run-b', index: 0, attempt: 1 }]);
+      worker.obey([{ type: 'start', job: 'run-b', index: 0, attempt: 1 }]);
       cluster.finished.clear();
       cluster.rules.told('run-a', 'aborted');
-      w.hung = true;
+      worker.hung = true;
       cluster.run(37);
     },
   },
   {
     rule: /ran_cancelled: run-a starts/,
-    plant: (cluster, w) => {
+    plant: (cluster, worker) => {
       cluster.rules.told('run-a', 'aborted');
       cluster.run(37);
-      w.obey([{ type: 'start', job: 'run-a', index: 0, attempt: 1 }]);
+      worker.obey([{ type: 'start', job: 'run-a', index: 0, attempt: 1 }]);
     },
   },
   {
@@ -39,10 +39,10 @@
   },
   {
     rule: /orphaned: run-a\/0 runs on, it was told done/,
-    plant: (cluster, w) => {
-      w.obey([{ type: 'start', job: 'run-a', index: 0, attempt: 1 }]);
+    plant: (cluster, worker) => {
+      worker.obey([{ type: 'start', job: 'run-a', index: 0, attempt: 1 }]);
       cluster.rules.told('run-a', 'done');
-      w.hung = true;
+      worker.hung = true;
       cluster.run(37);
     },
   },
--- a/test/simulation/cluster.ts
+++ b/test/simulation/cluster.ts
@@ -100,10 +100,10 @@
   }
 
   machine(name: string, type = 'small', zone = 'east', spot = false): SimulatedWorker {
-    const w = new SimulatedWorker(this, name, type, zone, spot);
-    this.workers.push(w);
-    this.byName.set(name, w);
-    return w;
+    const worker = new SimulatedWorker(this, name, type, zone, spot);
+    this.workers.push(worker);
+    this.byName.set(name, worker);
+    return worker;
   }
 
   /** Machines of the cloud, up after a while; null: it has none. */
@@ -118,23 +118,23 @@
   machineList(): ListedMachine[] {
     if (!this.bootTimeMs) return [];
     return this.workers
-      .filter((w) => !w.dead)
-      .map((w) => ({
-        machine: w.name,
-        address: w.name,
-        type: w.type,
-        zone: w.zone,
-        spot: w.spot,
+      .filter((worker) => !worker.dead)
+      .map((worker) => ({
+        machine: worker.name,
+        address: worker.name,
+        type: worker.type,
+        zone: worker.zone,
+        spot: worker.spot,
         state: 'running' as const,
-        ageS: (this.now - w.bornAt) / 1000,
+        ageS: (this.now - worker.bornAt) / 1000,
       }));
   }
 
   remove(name: string): void {
-    const w = this.byName.get(name);
-    if (!w) return;
-    w.dead = true;
-    w.tasks.clear();
+    const worker = this.byName.get(name);
+    if (!worker) return;
+    worker.dead = true;
+    worker.tasks.clear();
     this.note(`${name} is given back`);
   }
 
@@ -148,7 +148,7 @@
       // After an outage all leases have their full time again.
       if (this.isStateServiceDown) for (const l of this.stateService.leases.values()) l.until = this.now + l.ttl;
       else this.stateService.expire(this.now);
-      for (const w of this.workers) w.tick();
+      for (const worker of this.workers) worker.tick();
       for (const node of this.controllers) node.tick();
       this.rules.checkStep();
     }
@@ -197,13 +197,15 @@
 
   machinesRunning(id: string): string[] {
     return this.workers
-      .filter((w) => !w.dead && [...w.tasks.values()].some((t) => t.job === id && t.state !== 'exited'))
-      .map((w) => w.name);
+      .filter((worker) => !worker.dead && [...worker.tasks.values()].some((task) => task.job === id && task.state !== 'exited'))
+      .map((worker) => worker.name);
   }
 
   runningTasks(id: string): number {
     return this.workers.reduce(
-      (count, w) => count + (w.dead ? 0 : [...w.tasks.values()].filter((t) => t.job === id && t.state === 'running').length),
+      (count, worker) =>
+        count +
+        (worker.dead ? 0 : [...worker.tasks.values()].filter((task) => task.job === id && task.state === 'running').length),
       0,
     );
   }
@@ -227,9 +229,11 @@
       'all machines granted',
       () =>
         this.workers.every(
-          (w) =>
-            w.dead ||
-            [...this.controllers].some((node) => node.up && node.controller.clusterState.machines.get(w.name)?.tenure.isVerified),
+          (worker) =>
+            worker.dead ||
+            [...this.controllers].some(
+              (node) => node.up && node.controller.clusterState.machines.get(worker.name)?.tenure.isVerified,
+            ),
         ),
       40,
     );
--- a/test/simulation/controller.ts
+++ b/test/simulation/controller.ts
@@ -242,16 +242,16 @@
           core.receiveCommandOutcome(effect.id, { kind: 'refused' }, cluster.now);
         });
       }
-      const w = cluster.worker(effect.machine);
+      const worker = cluster.worker(effect.machine);
       const astray = cluster.isDeaf(this.name, effect.machine) || cluster.losesCommands(this.name, effect.machine);
-      if (!w || w.dead || w.hung || cluster.isPartitioned(this.name, effect.machine) || astray) {
-        if (w?.hung) w.held.push(() => void w.command(effect.fencingToken, effect.agentEpoch, effect.commands));
+      if (!worker || worker.dead || worker.hung || cluster.isPartitioned(this.name, effect.machine) || astray) {
+        if (worker?.hung) worker.held.push(() => void worker.command(effect.fencingToken, effect.agentEpoch, effect.commands));
         // The network may deliver what was given up, long after.
-        else if (w && cluster.lateCommandDelayMs) {
+        else if (worker && cluster.lateCommandDelayMs) {
           cluster.at(cluster.now + cluster.lateCommandDelayMs(), () => {
-            const arrives = () => void w.command(effect.fencingToken, effect.agentEpoch, effect.commands);
-            if (w.hung) w.held.push(arrives);
-            else if (!w.dead) arrives();
+            const arrives = () => void worker.command(effect.fencingToken, effect.agentEpoch, effect.commands);
+            if (worker.hung) worker.held.push(arrives);
+            else if (!worker.dead) arrives();
           });
         }
         return later(2500, () => {
@@ -263,13 +263,17 @@
         this.asked -= question;
         core.receiveCommandOutcome(effect.id, outcome, cluster.now);
       };
-      const outcome = w.command(effect.fencingToken, effect.agentEpoch, effect.commands);
+      const outcome = worker.command(effect.fencingToken, effect.agentEpoch, effect.commands);
       const unreadable = outcome.kind === 'ok' && cluster.garblesAnswers(this.name, effect.machine);
       later(10, answered(unreadable ? { ...outcome, report: null } : outcome), answered({ kind: 'lost' }));
     } else if (effect.type === 'probe') {
-      const w = cluster.worker(effect.address);
+      const worker = cluster.worker(effect.address);
       const ok =
-        w !== undefined && !w.dead && !w.hung && !cluster.isPartitioned(this.name, w.name) && !cluster.isDeaf(this.name, w.name);
+        worker !== undefined &&
+        !worker.dead &&
+        !worker.hung &&
+        !cluster.isPartitioned(this.name, worker.name) &&
+        !cluster.isDeaf(this.name, worker.name);
       later(ok ? 10 : 1500, () => core.receiveProbeOutcome(effect.id, ok, cluster.now));
     } else if (effect.type === 'sendStatus') {
       cluster.statuses++;
--- a/test/simulation/large-fleet.ts
+++ b/test/simulation/large-fleet.ts
@@ -162,7 +162,7 @@
   loseThird(): number {
     const { cluster } = this;
     const from = cluster.now;
-    const hit = this.alive.filter((_, index) => index % 3 === 1);
+    const hit = this.alive.filter((_worker, index) => index % 3 === 1);
     for (const worker of hit) {
       this.lost.add(worker.name);
       worker.dead = true;
--- a/test/simulation/state-service.ts
+++ b/test/simulation/state-service.ts
@@ -53,9 +53,9 @@
       this.leases.delete(id);
       const gone = [...this.keys].filter(([, k]) => k.lease === id);
       if (gone.length > 0) this.revision++;
-      for (const [k] of gone) {
-        this.keys.delete(k);
-        this.log.push({ key: k, value: undefined, revision: this.revision });
+      for (const [key] of gone) {
+        this.keys.delete(key);
+        this.log.push({ key: key, value: undefined, revision: this.revision });
       }
     }
   }
--- a/test/simulation/worker.ts
+++ b/test/simulation/worker.ts
@@ -85,10 +85,10 @@
           saved: false,
           startedAt: this.cluster.now,
         };
-        const used = [...this.tasks.values()].filter((x) => x.state !== 'exited');
+        const used = [...this.tasks.values()].filter((task) => task.state !== 'exited');
         const capacity = TYPES.find((machineType) => machineType.name === this.type) as MachineType;
         const sum = (f: (spec: JobSpec) => number) =>
-          used.reduce((a, x) => a + f(this.cluster.specs.get(x.job) as JobSpec), spec ? f(spec) : 0);
+          used.reduce((a, task) => a + f(this.cluster.specs.get(task.job) as JobSpec), spec ? f(spec) : 0);
         if (!spec) this.tasks.set(key, { ...state, state: 'exited', exitReason: 'unknown' });
         else if (
           sum((spec) => spec.cpus) > capacity.cpus ||
@@ -135,24 +135,24 @@
       this.agentEpoch++;
       this.renewedAt = now;
     }
-    for (const t of this.tasks.values()) {
-      const spec = this.cluster.specs.get(t.job) as JobSpec;
-      if (t.state === 'waiting') {
-        const all = this.cluster.workers.flatMap((w) => (w.dead ? [] : [...w.tasks.values()]));
-        if (all.filter((x) => x.job === t.job && x.attempt === t.attempt && x.state !== 'exited').length === spec.tasks)
-          t.state = 'running';
+    for (const task of this.tasks.values()) {
+      const spec = this.cluster.specs.get(task.job) as JobSpec;
+      if (task.state === 'waiting') {
+        const all = this.cluster.workers.flatMap((worker) => (worker.dead ? [] : [...worker.tasks.values()]));
+        if (all.filter((x) => x.job === task.job && x.attempt === task.attempt && x.state !== 'exited').length === spec.tasks)
+          task.state = 'running';
       }
-      if (t.state !== 'running') continue;
+      if (task.state !== 'running') continue;
       const over =
-        this.fails || this.cluster.mistaken.has(t.job)
+        this.fails || this.cluster.mistaken.has(task.job)
           ? 'error'
-          : spec.shape !== 'service' && now - t.startedAt >= spec.estimatedRunS * 1000
+          : spec.shape !== 'service' && now - task.startedAt >= spec.estimatedRunS * 1000
             ? 'done'
             : null;
       if (!over) continue;
-      t.state = 'exited';
-      t.exitReason = over;
-      if (over === 'done') this.cluster.finished.add(`${t.job}/${t.index}`);
+      task.state = 'exited';
+      task.exitReason = over;
+      if (over === 'done') this.cluster.finished.add(`${task.job}/${task.index}`);
       this.nextReport = Math.min(this.nextReport, now + 500);
     }
     if (now >= this.nextReport) this.send();
--- a/test/state-service-limits.test.ts
+++ b/test/state-service-limits.test.ts
@@ -140,8 +140,8 @@
   assert.ok((status.shards[0]?.demands.length ?? 0) > 0, 'waiting work is told above all');
   assert.deepEqual(parseStatus(encodeStatus(status)), status);
 
-  const c = clusterWithAnnouncedLimits(2);
-  const { clusterState } = (c.controllers[0] as SimulatedController).controller;
+  const cluster = clusterWithAnnouncedLimits(2);
+  const { clusterState } = (cluster.controllers[0] as SimulatedController).controller;
   const machine = clusterState.machines.get('m0');
   assert.ok(machine);
   for (let index = 0; index < 30; index++)
@@ -214,23 +214,23 @@
 
 // A 429 costs neither a lease nor a share nor an acceptance, and no storm of repeats follows it.
 test('while writes are refused for their rate, shard leases stay, submissions are accepted and retries stay few', () => {
-  const c = clusterWithAnnouncedLimits(8);
-  c.stateService.limits = { valueBytes: 2048, writesPerTransaction: 4, writesPerS: NEXT.writesPerS };
-  const before = c.controllers.map((node) => node.controller.clusterState.leaseOf(0)?.revision);
+  const cluster = clusterWithAnnouncedLimits(8);
+  cluster.stateService.limits = { valueBytes: 2048, writesPerTransaction: 4, writesPerS: NEXT.writesPerS };
+  const before = cluster.controllers.map((node) => node.controller.clusterState.leaseOf(0)?.revision);
   const ids = Array.from({ length: 400 }, (_, index) => `run-${index}`);
   ids.forEach((id, index) => {
-    c.specs.set(id, job(id, { cpus: 0.2, memory: 0.2, estimatedRunS: 3 }));
+    cluster.specs.set(id, job(id, { cpus: 0.2, memory: 0.2, estimatedRunS: 3 }));
     const ask = () =>
-      c.controllers[index % 3]?.submit(c.specs.get(id) as JobSpec, (status) => {
-        if (status === 503) c.at(c.now + 1000, ask);
+      cluster.controllers[index % 3]?.submit(cluster.specs.get(id) as JobSpec, (status) => {
+        if (status === 503) cluster.at(cluster.now + 1000, ask);
       });
-    c.at(c.now + index * 20, ask);
+    cluster.at(cluster.now + index * 20, ask);
   });
-  c.runUntil('all done', () => ids.every((id) => c.allTasksDone(id)), 120);
+  cluster.runUntil('all done', () => ids.every((id) => cluster.allTasksDone(id)), 120);
   assert.deepEqual(
-    c.controllers.map((node) => node.controller.clusterState.leaseOf(0)?.revision),
+    cluster.controllers.map((node) => node.controller.clusterState.leaseOf(0)?.revision),
     before,
   );
-  assert.ok(c.stateService.limited < 30, `${c.stateService.limited} refusals`);
-  assert.equal(c.stateService.tooLarge, 0);
+  assert.ok(cluster.stateService.limited < 30, `${cluster.stateService.limited} refusals`);
+  assert.equal(cluster.stateService.tooLarge, 0);
 });
--- a/test/state-service-outages.test.ts
+++ b/test/state-service-outages.test.ts
@@ -15,49 +15,49 @@
 } from './simulation/index.js';
 
 test('no start while the state service is away for long, and none is lost when it is back', () => {
-  const c = newCluster();
-  c.isStateServiceDown = true;
-  c.run(12);
-  const before = c.trace.length;
-  c.isStateServiceDown = false;
-  c.run(1);
-  c.submit(job('run-o', { tasks: 2, estimatedRunS: 3 }));
-  c.runUntil('done', () => c.queryStatus('run-o') === 'done', 40);
-  assert.ok(c.trace.length > before);
+  const cluster = newCluster();
+  cluster.isStateServiceDown = true;
+  cluster.run(12);
+  const before = cluster.trace.length;
+  cluster.isStateServiceDown = false;
+  cluster.run(1);
+  cluster.submit(job('run-o', { tasks: 2, estimatedRunS: 3 }));
+  cluster.runUntil('done', () => cluster.queryStatus('run-o') === 'done', 40);
+  assert.ok(cluster.trace.length > before);
 });
 
 test('an answer never goes back: a controller without the state service refuses rather than guess', () => {
-  const c = newCluster();
-  c.submit(job('run-b', { tasks: 1, estimatedRunS: 300 }), c.controller('n0'));
-  c.controller('n2').isRefusedByStateService = true;
-  c.run(1);
-  c.cancel('run-b', c.controller('n0'));
-  assert.equal(c.queryStatus('run-b', c.controller('n1')), 'aborted');
-  assert.equal(c.queryStatus('run-b', c.controller('n2')), '503');
+  const cluster = newCluster();
+  cluster.submit(job('run-b', { tasks: 1, estimatedRunS: 300 }), cluster.controller('n0'));
+  cluster.controller('n2').isRefusedByStateService = true;
+  cluster.run(1);
+  cluster.cancel('run-b', cluster.controller('n0'));
+  assert.equal(cluster.queryStatus('run-b', cluster.controller('n1')), 'aborted');
+  assert.equal(cluster.queryStatus('run-b', cluster.controller('n2')), '503');
 });
 
 test('in an outage longer than a lease nobody acts; after it the holders go on, and probe no machine anew', () => {
-  const c = newCluster();
-  c.submit(job('run-x', { shape: 'service', priority: 3, jobClass: 'serve' }));
-  c.runUntil('running', () => c.runningTasks('run-x') === 1);
-  c.isStateServiceDown = true;
-  c.run(45);
-  for (const node of c.controllers)
+  const cluster = newCluster();
+  cluster.submit(job('run-x', { shape: 'service', priority: 3, jobClass: 'serve' }));
+  cluster.runUntil('running', () => cluster.runningTasks('run-x') === 1);
+  cluster.isStateServiceDown = true;
+  cluster.run(45);
+  for (const node of cluster.controllers)
     for (const s of node.controller.shardController.heldShards.keys())
-      assert.ok(!node.controller.shardController.allocations.holdsShard(s, c.now));
-  const stamps = () => [0, 1, 2].map((s) => c.controllers[0]?.controller.clusterState.leaseOf(s)?.revision);
+      assert.ok(!node.controller.shardController.allocations.holdsShard(s, cluster.now));
+  const stamps = () => [0, 1, 2].map((s) => cluster.controllers[0]?.controller.clusterState.leaseOf(s)?.revision);
   const before = stamps();
-  c.isStateServiceDown = false;
-  c.run(1);
-  assert.equal(c.runningTasks('run-x'), 1);
-  c.submit(job('run-y', { tasks: 2, estimatedRunS: 3 }));
-  c.runUntil('done', () => c.queryStatus('run-y') === 'done', 40);
+  cluster.isStateServiceDown = false;
+  cluster.run(1);
+  assert.equal(cluster.runningTasks('run-x'), 1);
+  cluster.submit(job('run-y', { tasks: 2, estimatedRunS: 3 }));
+  cluster.runUntil('done', () => cluster.queryStatus('run-y') === 'done', 40);
   assert.deepEqual(stamps(), before);
   assert.deepEqual(
-    c.workers.filter((w) => w.dead),
+    cluster.workers.filter((worker) => worker.dead),
     [],
   );
-  assertGoldenTrace(c, 'outage-longer-than-a-lease');
+  assertGoldenTrace(cluster, 'outage-longer-than-a-lease');
 });
 
 test('a controller that the state service alone refuses starts nothing that others may have called off meanwhile', () => {
@@ -75,7 +75,7 @@
   );
   cluster.runUntil('room comes free', () => cluster.finished.size === 4, 12);
   cluster.run(15);
-  assert.ok(!cluster.trace.some((l) => l.includes('starts run-z')));
+  assert.ok(!cluster.trace.some((line) => line.includes('starts run-z')));
 });
 
 /**
@@ -144,7 +144,7 @@
   cluster.run(2);
   cluster.cancel('run-v');
   cluster.runUntil('done', () => cluster.queryStatus('run-a') === 'done', 60);
-  assert.ok(!cluster.trace.some((l) => l.includes('kills')));
+  assert.ok(!cluster.trace.some((line) => line.includes('kills')));
   assertGoldenTrace(cluster, 'outage-that-all-ride-out');
 });
 
@@ -189,7 +189,7 @@
       trouble.before?.(cluster, confirming.name, old.name);
       cluster.run(14);
       // Its workers stay with it alone, and it hears the other two.
-      for (const w of cluster.workers) w.target = cluster.controllers.indexOf(old);
+      for (const worker of cluster.workers) worker.target = cluster.controllers.indexOf(old);
       cluster.isPartitioned = (a, b) => a !== old.name && a.startsWith('n') && !b.startsWith('n');
       old.isRefusedByStateService = true;
       // The third knows no more than the old one: all depends on what the one that confirmed says.
@@ -204,89 +204,89 @@
 }
 
 test('a controller that alone lost the state service says so to the load balancer; in an outage of all none does', () => {
-  const c = clusterOfEight();
-  const node = c.controller('n2');
+  const cluster = clusterOfEight();
+  const node = cluster.controller('n2');
   node.isRefusedByStateService = true;
-  c.run(8);
+  cluster.run(8);
   assert.equal(node.controller.isReady, false);
-  assert.equal(c.controller('n0').controller.isReady, true);
-  assert.equal(c.queryStatus('run-none', node), '503');
+  assert.equal(cluster.controller('n0').controller.isReady, true);
+  assert.equal(cluster.queryStatus('run-none', node), '503');
   node.isRefusedByStateService = false;
-  c.run(2);
+  cluster.run(2);
   assert.equal(node.controller.isReady, true);
   // With the other controllers gone too, nothing tells it from an outage: it says no.
   node.isRefusedByStateService = true;
-  c.isPartitioned = (a, b) =>
+  cluster.isPartitioned = (a, b) =>
     (a === 'n2') !== (b === 'n2') && (a.startsWith('n') || b.startsWith('n')) && !a.startsWith('m') && !b.startsWith('m');
-  c.run(8);
+  cluster.run(8);
   assert.equal(node.controller.isReady, false);
-  c.isPartitioned = () => false;
+  cluster.isPartitioned = () => false;
   node.isRefusedByStateService = false;
-  c.run(5);
-  c.isStateServiceDown = true;
-  c.run(10);
-  for (const n of c.controllers) assert.equal(n.controller.isReady, true);
+  cluster.run(5);
+  cluster.isStateServiceDown = true;
+  cluster.run(10);
+  for (const controller of cluster.controllers) assert.equal(controller.controller.isReady, true);
 });
 
 test('a controller with its workers alone stops commanding with its lease, and refuses heartbeats soon after', () => {
-  const c = clusterOfEight();
-  const node = c.controller('n2');
-  const w = c.workers.find((x) => x.zone === 'east') as SimulatedWorker;
+  const cluster = clusterOfEight();
+  const node = cluster.controller('n2');
+  const worker = cluster.workers.find((candidate) => candidate.zone === 'east') as SimulatedWorker;
   node.isRefusedByStateService = true;
-  c.isPartitioned = (a, b) => (a === 'n2' && b.startsWith('n')) || (b === 'n2' && a.startsWith('n'));
-  c.run(10);
-  assert.equal(deliverLate(node, w.heartbeat()), 200, 'its workers are kept for a while');
-  c.run(9);
+  cluster.isPartitioned = (a, b) => (a === 'n2' && b.startsWith('n')) || (b === 'n2' && a.startsWith('n'));
+  cluster.run(10);
+  assert.equal(deliverLate(node, worker.heartbeat()), 200, 'its workers are kept for a while');
+  cluster.run(9);
   for (const s of node.controller.shardController.heldShards.keys())
-    assert.ok(!node.controller.shardController.allocations.holdsShard(s, c.now), 'no share is acted for without a lease');
+    assert.ok(!node.controller.shardController.allocations.holdsShard(s, cluster.now), 'no share is acted for without a lease');
   // Time for a cancellation that it can't know of, less what a worker's own lease takes.
-  c.run(4);
-  assert.equal(deliverLate(node, w.heartbeat()), 503);
-  c.isPartitioned = () => false;
+  cluster.run(4);
+  assert.equal(deliverLate(node, worker.heartbeat()), 503);
+  cluster.isPartitioned = () => false;
   node.isRefusedByStateService = false;
-  c.runUntil('back', () => deliverLate(node, w.heartbeat()) !== 503, 20);
-  const held = c.controllers.map((n) => n.controller.shardController.heldShards.size);
-  c.run(30);
+  cluster.runUntil('back', () => deliverLate(node, worker.heartbeat()) !== 503, 20);
+  const held = cluster.controllers.map((controller) => controller.controller.shardController.heldShards.size);
+  cluster.run(30);
   assert.equal(
-    c.controllers.reduce((count, x) => count + x.controller.shardController.heldShards.size, 0),
+    cluster.controllers.reduce((count, controller) => count + controller.controller.shardController.heldShards.size, 0),
     3,
     `shares held: ${held}`,
   );
 });
 
 test('once troubles are over, every accepted job is answered by every controller, whatever became of its shard', () => {
-  const c = clusterOfEight();
+  const cluster = clusterOfEight();
   for (let index = 0; index < 9; index++) {
     const team = ['red', 'blue', 'green'][index % 3] as string;
-    c.submit(job(`run-${index}`, { team, estimatedRunS: index < 3 ? 3 : 400 }), c.controllers[index % 3]);
+    cluster.submit(job(`run-${index}`, { team, estimatedRunS: index < 3 ? 3 : 400 }), cluster.controllers[index % 3]);
   }
-  c.runUntil('some done', () => c.finished.size >= 3, 40);
-  c.cancel('run-4');
+  cluster.runUntil('some done', () => cluster.finished.size >= 3, 40);
+  cluster.cancel('run-4');
   // One controller crashes and comes back in the middle of the others' election, one is
   // refused by the state service until its shares are gone, and then all lose it.
-  c.controller('n0').crash();
-  c.controller('n2').isRefusedByStateService = true;
-  c.run(2);
-  c.controller('n0').restart();
-  c.run(0.3);
-  c.controller('n0').crash();
-  c.controller('n0').restart();
-  c.run(28);
-  c.isStateServiceDown = true;
-  c.run(10);
-  c.isStateServiceDown = false;
-  c.controller('n2').isRefusedByStateService = false;
-  c.run(25);
-  for (const node of c.controllers) {
+  cluster.controller('n0').crash();
+  cluster.controller('n2').isRefusedByStateService = true;
+  cluster.run(2);
+  cluster.controller('n0').restart();
+  cluster.run(0.3);
+  cluster.controller('n0').crash();
+  cluster.controller('n0').restart();
+  cluster.run(28);
+  cluster.isStateServiceDown = true;
+  cluster.run(10);
+  cluster.isStateServiceDown = false;
+  cluster.controller('n2').isRefusedByStateService = false;
+  cluster.run(25);
+  for (const node of cluster.controllers) {
     assert.ok(node.controller.isReady, `${node.name} takes users`);
     for (let index = 0; index < 9; index++) {
-      const said = c.queryStatus(`run-${index}`, node);
+      const said = cluster.queryStatus(`run-${index}`, node);
       const gpuDemand = index < 3 ? ['done'] : index === 4 ? ['aborted'] : ['queued', 'running'];
       assert.ok(gpuDemand.includes(said), `${node.name} says ${said} of run-${index}`);
     }
   }
   assert.equal(
-    c.controllers.reduce((count, node) => count + node.controller.shardController.heldShards.size, 0),
+    cluster.controllers.reduce((count, node) => count + node.controller.shardController.heldShards.size, 0),
     3,
     'each share has one holder',
   );
--- a/test/state-writer.test.ts
+++ b/test/state-writer.test.ts
@@ -100,7 +100,7 @@
   add('c', 1, WritePriority.cancellation);
   now = 1500;
   writer.flush(now);
-  const count = (kind: string) => sent[1]?.filter((k) => k === kind).length;
+  const count = (kind: string) => sent[1]?.filter((key) => key === kind).length;
   assert.deepEqual([count('c'), count('j'), count('g')], [1, 6, 5]);
 });
 
@@ -108,7 +108,7 @@
   const replica = new Replica(() => {}, assert.ifError);
   const sent: Extract<Effect, { type: 'compareAndSwap' }>[] = [];
   const gone: number[] = [];
-  const w = new StateWriter(
+  const writer = new StateWriter(
     { writesPerS: 50, writesPerTransaction: 8, maxWriteBytes: 8192 },
     {
       replica,
@@ -119,7 +119,7 @@
       onTooLarge: () => {},
     },
   );
-  return { w, replica, sent, gone };
+  return { w: writer, replica, sent, gone };
 }
 
 test('a retried write is the same write: its own lost first copy is recognized, whatever was meant meanwhile', () => {
