--- a/packages/controller/src/scheduling/team-usage.ts
+++ b/packages/controller/src/scheduling/team-usage.ts
@@ -53,17 +53,29 @@
 }
 
 /** Measures what is, or may be, on a machine of the shards held here. */
-export function measureTeamUsage({ settings, clusterState }: SettingsView & ClusterStateView, heldShards: HeldShards): TeamUsage {
-  const usage = new TeamUsage(settings.teams);
+export function measureTeamUsage(context: SettingsView & ClusterStateView, heldShards: HeldShards): TeamUsage {
+  const usage = new TeamUsage(context.settings.teams);
+  addAllocations(usage, context, heldShards);
+  addUnverifiedMachines(usage, context, heldShards);
+  return usage;
+}
+
+function addAllocations(usage: TeamUsage, { clusterState }: ClusterStateView, heldShards: HeldShards): void {
   for (const job of clusterState.jobs.values()) {
     if (!heldShards.has(job.shard)) continue;
     for (const allocation of job.tenure.allocations.values()) if (allocation.phase !== 'exited') usage.add(job);
   }
-  // Any team of the shard may have work on a machine that has not answered yet.
+}
+
+/** Any team of the shard may have work on a machine that has not answered yet. */
+function addUnverifiedMachines(
+  usage: TeamUsage,
+  { settings, clusterState }: SettingsView & ClusterStateView,
+  heldShards: HeldShards,
+): void {
   for (const machine of clusterState.machines.values()) {
     if (!machine.tenure.isUnverifiedTakeover || !heldShards.has(machine.shard)) continue;
     for (let teamIndex = 0; teamIndex < settings.teams.length; teamIndex++)
       if (clusterState.shardOfTeam[teamIndex] === machine.shard) usage.addMachine(teamIndex, machine);
   }
-  return usage;
 }
