--- a/packages/controller/src/shards/command-outcomes.ts
+++ b/packages/controller/src/shards/command-outcomes.ts
@@ -27,10 +27,10 @@
 
 /**
  * What became of a command. `ok`: it was carried out; `stale`: the worker rejected it, for its fencing token or for the agent's
- * epoch; `lost`: there was no answer, and it may be carried out yet; `refused`: it never left. `report`: the worker's status;
+ * epoch; `lost`: there was no answer, and it may be carried out yet; `refused`: it never left. `heartbeat`: the worker's status;
  * null: it could not be read.
  */
-export type CommandOutcome = { kind: 'ok' | 'stale'; report: Heartbeat | null } | { kind: 'lost' | 'refused' };
+export type CommandOutcome = { kind: 'ok' | 'stale'; heartbeat: Heartbeat | null } | { kind: 'lost' | 'refused' };
 
 /** What the outcomes of commands need of their controller. */
 type CommandOutcomesContext = ClusterStateView & Logger;
@@ -50,9 +50,9 @@
       case 'refused':
         return this.handleUnanswered(pending, outcome.kind, now);
       case 'ok':
-        return this.handleExecuted(pending, outcome.report, now);
+        return this.handleExecuted(pending, outcome.heartbeat, now);
       case 'stale':
-        return this.handleRejected(pending, outcome.report, now);
+        return this.handleRejected(pending, outcome.heartbeat, now);
       default:
         return outcome satisfies never;
     }
--- a/packages/worker-client/src/worker-client.ts
+++ b/packages/worker-client/src/worker-client.ts
@@ -10,7 +10,7 @@
  * agent epoch. Both come with the worker's status afterwards, null if it can not be parsed. Refused: nothing was sent.
  * Lost: the commands may have been carried out, or may be later.
  */
-export type CommandOutcome = { kind: 'ok' | 'stale'; report: Heartbeat | null } | { kind: 'lost' | 'refused' };
+export type CommandOutcome = { kind: 'ok' | 'stale'; heartbeat: Heartbeat | null } | { kind: 'lost' | 'refused' };
 
 /** Owns the connections to workers. */
 export class WorkerClient {
@@ -39,8 +39,8 @@
     });
     if (outcome.kind !== 'answer') return { kind: outcome.kind };
     const body = unpackMap(outcome.body);
-    if (outcome.status === 200) return { kind: 'ok', report: body && parseHeartbeat(body) };
-    if (outcome.status === 409) return { kind: 'stale', report: body && parseHeartbeat(body) };
+    if (outcome.status === 200) return { kind: 'ok', heartbeat: body && parseHeartbeat(body) };
+    if (outcome.status === 409) return { kind: 'stale', heartbeat: body && parseHeartbeat(body) };
     return { kind: 'lost' };
   }
 
--- a/test/simulation/controller.ts
+++ b/test/simulation/controller.ts
@@ -265,7 +265,7 @@
       };
       const outcome = worker.command(effect.fencingToken, effect.agentEpoch, effect.commands);
       const unreadable = outcome.kind === 'ok' && cluster.garblesAnswers(this.name, effect.machine);
-      later(10, answered(unreadable ? { ...outcome, report: null } : outcome), answered({ kind: 'lost' }));
+      later(10, answered(unreadable ? { ...outcome, heartbeat: null } : outcome), answered({ kind: 'lost' }));
     } else if (effect.type === 'probe') {
       const worker = cluster.worker(effect.address);
       const ok =
--- a/test/simulation/worker.ts
+++ b/test/simulation/worker.ts
@@ -118,11 +118,11 @@
   }
 
   command(token: number, session: number, commands: Command[]): Parameters<Controller['receiveCommandOutcome']>[1] {
-    if (token < this.fencingToken || session !== this.agentEpoch) return { kind: 'stale', report: this.heartbeat() };
+    if (token < this.fencingToken || session !== this.agentEpoch) return { kind: 'stale', heartbeat: this.heartbeat() };
     this.fencingToken = token;
     this.obey(commands);
     this.nextReport = Math.min(this.nextReport, this.cluster.now + 500);
-    return { kind: 'ok', report: this.heartbeat() };
+    return { kind: 'ok', heartbeat: this.heartbeat() };
   }
 
   tick(): void {
