--- a/packages/controller/src/allocation/failure-attribution.ts
+++ b/packages/controller/src/allocation/failure-attribution.ts
@@ -68,7 +68,7 @@
   private hasRunWithoutError(job: Job, now: Milliseconds): boolean {
     if (job.doneCount > 0 || job.ranWithoutError) return true;
     for (const { phase, runningSince } of job.tenure.allocations.values()) {
-      if (phase !== 'there' || runningSince === null || now - runningSince < ERROR_FREE_RUN_MS) continue;
+      if (phase !== 'reported' || runningSince === null || now - runningSince < ERROR_FREE_RUN_MS) continue;
       job.ranWithoutError = true;
       return true;
     }
--- a/packages/controller/src/heartbeats/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeats/heartbeat-reconciler.ts
@@ -188,7 +188,7 @@
   private freeMissing(machine: Machine, reportedKeys: ReadonlySet<string>, now: Milliseconds, isAnswer: boolean): void {
     for (const [key, allocation] of [...machine.tenure.allocations]) {
       if (reportedKeys.has(key) || allocation.phase === 'planned' || allocation.phase === 'sent') continue;
-      if (!isAnswer && allocation.phase === 'there') this.requestProbe(machine, now);
+      if (!isAnswer && allocation.phase === 'reported') this.requestProbe(machine, now);
       else this.allocations.free(allocation);
     }
   }
--- a/packages/controller/src/heartbeats/task-reconciler.ts
+++ b/packages/controller/src/heartbeats/task-reconciler.ts
@@ -43,7 +43,7 @@
       if (allocated.phase !== 'planned') return null;
       this.allocations.free(allocated);
     }
-    const allocation = this.allocations.allocate(job, task.index, task.attempt, machine, 'there', now);
+    const allocation = this.allocations.allocate(job, task.index, task.attempt, machine, 'reported', now);
     if (job.spec.shape === 'gang') this.adoptIntoGang(job, allocation);
     if (job.state === 'cancelled') this.allocations.stop(allocation, 0);
     return allocation;
@@ -57,7 +57,7 @@
       if (allocation.phase !== 'exited') this.recordExited(allocation, task, now);
       return;
     }
-    allocation.phase = 'there';
+    allocation.phase = 'reported';
     if (task.state === 'running' && previousState !== 'running') this.recordRunning(allocation, now);
   }
 
--- a/packages/controller/src/jobs/job-status.ts
+++ b/packages/controller/src/jobs/job-status.ts
@@ -39,7 +39,7 @@
 function countTasks(context: PeerDirectory, job: Job): TaskCounts {
   let running = 0;
   for (const allocation of job.tenure.allocations.values())
-    if (allocation.phase === 'there' && allocation.status?.state === 'running') running++;
+    if (allocation.phase === 'reported' && allocation.status?.state === 'running') running++;
   let done = job.doneCount;
   let failed = job.crashLoopingSince !== null ? job.failureCount : 0;
   for (const peer of running === 0 ? context.peers.values() : []) {
--- a/packages/controller/src/model/job.ts
+++ b/packages/controller/src/model/job.ts
@@ -15,9 +15,9 @@
 
 /**
  * How far an allocation is. `planned`: resources are reserved, nothing was sent. `sent`: the start was sent and may have been
- * executed. `there`: the machine reports the task. `exited`: the task has ended, and the machine is to be told to forget it.
+ * executed. `reported`: the machine reports the task. `exited`: the task has ended, and the machine is to be told to forget it.
  */
-export type AllocationPhase = 'planned' | 'sent' | 'there' | 'exited';
+export type AllocationPhase = 'planned' | 'sent' | 'reported' | 'exited';
 
 /** One task on one machine, from the scheduling decision until the machine has forgotten the task. */
 export interface Allocation {
--- a/packages/controller/src/scheduling/machine-eligibility.ts
+++ b/packages/controller/src/scheduling/machine-eligibility.ts
@@ -156,7 +156,7 @@
 function isFetchingForGpuWork(machine: Machine): boolean {
   for (const { job, phase, stopGraceS, status } of machine.tenure.allocations.values()) {
     if (job.spec.gpus === 0 || phase === 'exited' || stopGraceS !== null || machine.images.has(job.imageIndex)) continue;
-    if (phase !== 'there' || status?.state === 'fetching') return true;
+    if (phase !== 'reported' || status?.state === 'fetching') return true;
   }
   return false;
 }
--- a/packages/controller/src/shards/machine-commands.ts
+++ b/packages/controller/src/shards/machine-commands.ts
@@ -114,8 +114,8 @@
   if (!machine.tenure.isVerified || machine.tenure.hasUncertainCommand || !machine.capacity) return false;
   const free = capacityOf(machine);
   for (const { phase, job } of machine.tenure.allocations.values()) {
-    const mayBeThere = phase === 'sent' || phase === 'there';
-    if (mayBeThere || (phase === 'planned' && job === gang)) subtract(free, job.resources);
+    const mayBeRunning = phase === 'sent' || phase === 'reported';
+    if (mayBeRunning || (phase === 'planned' && job === gang)) subtract(free, job.resources);
   }
   return fits(NO_RESOURCES, free);
 }
@@ -139,7 +139,7 @@
   for (const { phase, status } of machine.tenure.allocations.values()) {
     // A task that was stopped or failed can't start again before it is cleared away.
     if (phase === 'exited' && status?.exitReason !== 'done') return false;
-    runsOthers ||= phase === 'there';
+    runsOthers ||= phase === 'reported';
   }
   return runsOthers;
 }
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -68,7 +68,8 @@
 /** Tasks of the job that run, by their workers' last heartbeats. */
 function runningCount(job: Job): number {
   let count = 0;
-  for (const { phase, status } of job.tenure.allocations.values()) if (phase === 'there' && status?.state === 'running') count++;
+  for (const { phase, status } of job.tenure.allocations.values())
+    if (phase === 'reported' && status?.state === 'running') count++;
   return count;
 }
 
--- a/packages/controller/src/shards/shard-debug-summary.ts
+++ b/packages/controller/src/shards/shard-debug-summary.ts
@@ -5,7 +5,10 @@
 import type { MachineSummary } from '@archpost/protocol';
 import type { TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView } from '../context/index.js';
-import type { Machine, Milliseconds } from '../model/index.js';
+import type { AllocationPhase, Machine, Milliseconds } from '../model/index.js';
+
+/** The phases of allocations as the log line has them; the words are part of the log's format. */
+const LOGGED_PHASES: Record<AllocationPhase, string> = { planned: 'planned', sent: 'sent', reported: 'there', exited: 'exited' };
 
 /** The fields of the log line; their names are part of the log's format. */
 export interface ShardDebugSummary {
@@ -84,7 +87,7 @@
 function describeTasks(machine: Machine): string {
   const countsByLabel = new Map<string, number>();
   for (const { job, phase } of machine.tenure.allocations.values()) {
-    const label = `${job.spec.jobClass} ${phase}`;
+    const label = `${job.spec.jobClass} ${LOGGED_PHASES[phase]}`;
     countsByLabel.set(label, (countsByLabel.get(label) ?? 0) + 1);
   }
   return [...countsByLabel].map(([label, count]) => `${count} ${label}`).join(', ');
