--- a/packages/controller/src/heartbeats/task-reconciler.ts
+++ b/packages/controller/src/heartbeats/task-reconciler.ts
@@ -5,8 +5,8 @@
 import type { TaskStatus } from '@archpost/protocol';
 import type { TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, Logger, ReplicaView } from '../context/index.js';
-import type { Allocation, Job, Machine, Milliseconds } from '../model/index.js';
-import { type ImageCacheWriter, type ProgressWriter, toLoggedSeconds } from '../shards/index.js';
+import { type Allocation, type Job, type Machine, type Milliseconds, toLoggedSeconds } from '../model/index.js';
+import type { ImageCacheWriter, ProgressWriter } from '../shards/index.js';
 import { StateKey } from '../state/index.js';
 import { recordImageUse } from './machine-images.js';
 
--- a/packages/controller/src/leadership/process-pause.ts
+++ b/packages/controller/src/leadership/process-pause.ts
@@ -6,7 +6,7 @@
  * Owns no state.
  */
 import type { LeaseView, Logger } from '../context/index.js';
-import type { Milliseconds } from '../model/index.js';
+import { type Milliseconds, toLoggedSeconds } from '../model/index.js';
 
 /** A longer pause is logged for operators; shorter ones, of garbage collection say, for debugging only. */
 const LONG_PAUSE_MS = 3000;
@@ -32,7 +32,7 @@
   /** This process was paused for `pausedMs`, until `now`. */
   processPaused(pausedMs: Milliseconds, now: Milliseconds): void {
     this.context.log(pausedMs > LONG_PAUSE_MS ? 'info' : 'debug', 'process paused', {
-      seconds: Math.round(pausedMs / 100) / 10,
+      seconds: toLoggedSeconds(pausedMs),
       leaseValid: this.context.isLeaseValid(now),
     });
     for (const listener of this.listeners) listener.processPaused(pausedMs, now);
--- a/packages/controller/src/model/time.ts
+++ b/packages/controller/src/model/time.ts
@@ -8,3 +8,8 @@
 
 /** Before anything happened: far enough back that any duration has passed since. */
 export const NEVER: Milliseconds = -1e12;
+
+/** Seconds with one decimal, as durations are logged. */
+export function toLoggedSeconds(durationMs: Milliseconds): number {
+  return Math.round(durationMs / 100) / 10;
+}
--- a/packages/controller/src/shards/index.ts
+++ b/packages/controller/src/shards/index.ts
@@ -5,7 +5,6 @@
 export type { CommandOutcome } from './command-outcomes.js';
 export type { HeartbeatReconciliation, KnownHeartbeat } from './heartbeat-reconciliation.js';
 export { ImageCacheWriter } from './image-cache-writer.js';
-export { toLoggedSeconds } from './logged-seconds.js';
 export { ProgressWriter } from './progress-writer.js';
 export { ShardController } from './shard-controller.js';
 export { stopReportedTask } from './task-commands.js';
--- a/packages/controller/src/shards/job-completion-writer.ts
+++ b/packages/controller/src/shards/job-completion-writer.ts
@@ -4,9 +4,8 @@
  */
 import type { TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, InputClock, Logger, StateWriting } from '../context/index.js';
-import type { Job, Milliseconds } from '../model/index.js';
+import { type Job, type Milliseconds, toLoggedSeconds } from '../model/index.js';
 import { encodeDoneJob, StateKey, type WriteOutcome, WritePriority } from '../state/index.js';
-import { toLoggedSeconds } from './logged-seconds.js';
 
 /** What the writer of completions needs of its controller. */
 type JobCompletionWriterContext = InputClock & ClusterStateView & StateWriting & Logger;
