--- a/packages/controller/src/leadership/shard-leases.ts
+++ b/packages/controller/src/leadership/shard-leases.ts
@@ -23,7 +23,7 @@
   type StateWriting,
 } from '../context/index.js';
 import type { Milliseconds } from '../model/index.js';
-import { StateKey, WritePriority } from '../state/index.js';
+import { NO_REVISION, StateKey, WritePriority } from '../state/index.js';
 import { HolderSelection } from './holder-selection.js';
 import { LeaseClaims } from './lease-claims.js';
 import { allLeaseNames } from './lease-names.js';
@@ -158,7 +158,7 @@
     this.context.writer.add({
       key: StateKey.shardLease(shard),
       value: () => undefined,
-      expectedRevision: this.heldLeases.get(shard) ?? 0,
+      expectedRevision: this.heldLeases.get(shard) ?? NO_REVISION,
       priority: WritePriority.shardLease,
       expiresAt: now + RELEASE_EXPIRY_MS,
       onOutcome: (outcome) => {
--- a/packages/controller/src/leadership/stored-status-writer.ts
+++ b/packages/controller/src/leadership/stored-status-writer.ts
@@ -15,7 +15,7 @@
   type StateWriting,
 } from '../context/index.js';
 import { type Milliseconds, NEVER } from '../model/index.js';
-import { encodeStatus, StateKey, WritePriority } from '../state/index.js';
+import { encodeStatus, NO_REVISION, StateKey, WritePriority } from '../state/index.js';
 import type { StatusAssembly } from './status-assembly.js';
 import { fitStoredStatus } from './stored-status.js';
 
@@ -62,7 +62,7 @@
     writer.add({
       key,
       value: () => encodeStatus(status),
-      expectedRevision: replica.get(key)?.revision ?? 0,
+      expectedRevision: replica.get(key)?.revision ?? NO_REVISION,
       priority: WritePriority.progress,
       expiresAt: now + STORED_STATUS_INTERVAL_MS,
       onOutcome: () => {
--- a/packages/controller/src/shards/image-cache-writer.ts
+++ b/packages/controller/src/shards/image-cache-writer.ts
@@ -5,7 +5,7 @@
 import type { TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, ReplicaView, StateWriting } from '../context/index.js';
 import type { Machine, Milliseconds } from '../model/index.js';
-import { encodeImageCache, StateKey, WritePriority } from '../state/index.js';
+import { encodeImageCache, NO_REVISION, StateKey, WritePriority } from '../state/index.js';
 
 /** A machine's images are stored this long after one was fetched: others may follow. */
 const IMAGE_WRITE_DELAY_MS = 15_000;
@@ -58,7 +58,7 @@
     this.context.writer.add({
       key,
       value: () => encodeImageCache(this.context.clusterState.imagesToStore(machine)),
-      expectedRevision: this.context.replica.get(key)?.revision ?? 0,
+      expectedRevision: this.context.replica.get(key)?.revision ?? NO_REVISION,
       priority: WritePriority.images,
       expiresAt: this.allocations.now + IMAGE_WRITE_TIMEOUT_MS,
       onOutcome: () => {
--- a/packages/controller/src/shards/task-checkpoint-writer.ts
+++ b/packages/controller/src/shards/task-checkpoint-writer.ts
@@ -5,7 +5,7 @@
 import type { TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, ReplicaView, StateWriting } from '../context/index.js';
 import type { Job } from '../model/index.js';
-import { type ProgressPart, packBits, StateKey, WritePriority } from '../state/index.js';
+import { NO_REVISION, type ProgressPart, packBits, StateKey, WritePriority } from '../state/index.js';
 
 /** The completed tasks of a job are stored this often at most. */
 const CHECKPOINT_INTERVAL_MS = 3000;
@@ -52,7 +52,7 @@
         writtenDone = job.done.slice(part.from, part.to);
         return packBits(job.done, part.from, part.to);
       },
-      expectedRevision: this.context.replica.get(key)?.revision ?? 0,
+      expectedRevision: this.context.replica.get(key)?.revision ?? NO_REVISION,
       conditions: this.allocations.heldShards.leaseConditions(job.shard),
       priority: WritePriority.progress,
       onOutcome: (outcome) => {
