--- a/packages/controller/src/state/state-writer.ts
+++ b/packages/controller/src/state/state-writer.ts
@@ -10,7 +10,7 @@
 import { type SentTransaction, TransactionsInFlight } from './transactions-in-flight.js';
 import { WriteBatch } from './write-batch.js';
 import { WriteBudget } from './write-budget.js';
-import { NO_REVISION, type PendingWrite, type QueuedWrite, WritePriority, WriteQueue } from './write-queue.js';
+import { type PendingWrite, type QueuedWrite, WritePriority, WriteQueue } from './write-queue.js';
 import { WriteStatistics } from './write-statistics.js';
 
 /** Transactions in flight at once. */
@@ -190,14 +190,14 @@
   /** Drops what has waited too long to be sent. */
   private dropExpired(now: Milliseconds): void {
     this.expiryCheckedAt = now;
-    for (const write of this.queue.takeExpired(now)) write.onOutcome('dropped', NO_REVISION);
+    for (const write of this.queue.takeExpired(now)) write.onOutcome('dropped');
   }
 
   /** The service would refuse it, or has: reported once for each key, and not tried again. */
   private dropTooLarge(write: QueuedWrite): void {
     if (!this.reportedTooLarge.has(write.key)) this.host.onTooLarge(write.key, encodedBytes(write.key, write.sentValue));
     this.reportedTooLarge.add(write.key);
-    write.onOutcome('dropped', NO_REVISION);
+    write.onOutcome('dropped');
   }
 
   // ---- outcomes
@@ -208,7 +208,7 @@
       if (write.sentValue === undefined) this.host.replica.remove(write.key, revision);
       else this.host.replica.set(write.key, write.sentValue, revision);
     }
-    for (const write of writes) write.onOutcome('ok', revision);
+    for (const write of writes) write.onOutcome('ok');
   }
 
   /** Those whose conditions failed are settled by a fresh read; the others go again. */
@@ -235,7 +235,7 @@
   private handleLeaseNotFound({ writes, leaseId }: SentTransaction, now: Milliseconds): void {
     if (leaseId !== null && leaseId === this.host.leaseId()) this.host.onLeaseLost();
     for (const write of writes) {
-      if (write.attachedToLease) write.onOutcome('conflict', NO_REVISION);
+      if (write.attachedToLease) write.onOutcome('conflict');
       else this.queue.add(write, now);
     }
   }
@@ -247,8 +247,7 @@
 
   /** The replica is as fresh as the failure: what it holds tells whether an earlier copy of the write was applied. */
   private settleFailedWrite(write: QueuedWrite): void {
-    const entry = this.host.replica.get(write.key);
-    write.onOutcome(isAlreadyApplied(write, entry) ? 'ok' : 'conflict', entry?.revision ?? NO_REVISION);
+    write.onOutcome(isAlreadyApplied(write, this.host.replica.get(write.key)) ? 'ok' : 'conflict');
   }
 }
 
--- a/packages/controller/src/state/write-queue.ts
+++ b/packages/controller/src/state/write-queue.ts
@@ -26,7 +26,7 @@
 /** After this long a release counts as an assignment. */
 const RELEASE_PROMOTION_MS = 300;
 
-/** Stands for the revision of a key that doesn't exist, or isn't known. */
+/** Stands for the revision of a key that doesn't exist. */
 export const NO_REVISION = 0;
 
 /**
@@ -52,8 +52,8 @@
   isUrgent?: () => boolean;
   /** dropped if it wasn't sent by this time */
   expiresAt?: Milliseconds;
-  /** Called once. `revision`: of the key after the write or the conflict; `NO_REVISION` where it has none or isn't known. */
-  onOutcome: (outcome: WriteOutcome, revision: number) => void;
+  /** Called once; the replica holds the write by then if it was applied. */
+  onOutcome: (outcome: WriteOutcome) => void;
 }
 
 /** A write that waits to be sent, or to be sent again. */
