--- a/packages/controller/src/controller-context.ts
+++ b/packages/controller/src/controller-context.ts
@@ -153,7 +153,7 @@
   }
 
   reachesWorkers(): boolean {
-    return this.parts.shardController.machineLifecycle.failureDetector.reachesWorkers;
+    return this.parts.shardController.reachesWorkers;
   }
 
   isTypeAvailable(type: string): boolean {
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -207,14 +207,14 @@
   /** A worker answered commands, or didn't in time. `id`: that of the `command` effect. */
   receiveCommandOutcome(id: number, outcome: CommandOutcome, now: Milliseconds): void {
     this.beginInput(now);
-    this.parts.shardController.commandDispatcher.handleOutcome(id, outcome, now);
+    this.parts.shardController.handleCommandOutcome(id, outcome, now);
     this.flushWrites(now);
   }
 
   /** A worker answered a probe, or didn't in time. `id`: that of the `probe` effect. */
   receiveProbeOutcome(id: number, isAnswered: boolean, now: Milliseconds): void {
     this.beginInput(now);
-    this.parts.shardController.machineLifecycle.failureDetector.handleProbeOutcome(id, isAnswered);
+    this.parts.shardController.handleProbeOutcome(id, isAnswered);
   }
 
   // Inputs from the cloud
@@ -248,7 +248,7 @@
     this.beginInput(now);
     const { leader, shardController } = this.parts;
     const isOfAutoscaler = leader.autoscaler.handleReleaseOutcome(id, isReleased, now);
-    if (!isOfAutoscaler) shardController.machineLifecycle.handleReleaseOutcome(id, isReleased, now);
+    if (!isOfAutoscaler) shardController.handleReleaseOutcome(id, isReleased, now);
     this.flushWrites(now);
   }
 
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -68,7 +68,7 @@
     this.autoscaler = new Autoscaler(context, {
       isAssignmentPending: (machine) => this.machineAssigner.isAssignmentPending(machine),
       recentlyAssigned: (now) => this.machineAssigner.recentlyAssigned(now),
-      isZoneCut: (zone) => shardController.machineLifecycle.failureDetector.isZoneNameCut(zone),
+      isZoneCut: (zone) => shardController.isZoneCut(zone),
     });
     this.machineAssigner = new MachineAssigner(context, this.autoscaler);
     this.shardRebalancer = new ShardRebalancer(context);
--- a/packages/controller/src/leadership/status-assembly.ts
+++ b/packages/controller/src/leadership/status-assembly.ts
@@ -42,7 +42,7 @@
       availableTypes: leader.isLeading ? leader.autoscaler.availableTypes() : [],
       isLeader: leader.isLeading,
       mayAnswerWorkers: this.sources.mayAnswerWorkers(now),
-      reachesWorkers: shardController.machineLifecycle.failureDetector.reachesWorkers,
+      reachesWorkers: shardController.reachesWorkers,
       wantedWritesPerS: Math.round(context.writer.wantedWritesPerS(now)),
       stateServiceAnswers: context.stateServiceAnswers(now),
       heardWorkers: workerRouting.servedWorkers(now),
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -30,6 +30,7 @@
 } from '../model/index.js';
 import { QueueOrder, Scheduler } from '../scheduling/index.js';
 import { CommandDispatcher } from './command-dispatcher.js';
+import type { CommandOutcome } from './command-outcomes.js';
 import type { HeartbeatReconciliation } from './heartbeat-reconciliation.js';
 import type { ImageCacheWriter } from './image-cache-writer.js';
 import { JobChecks } from './job-checks.js';
@@ -76,8 +77,8 @@
 /** The decisions for the shards held here: what starts where, what stops, and what is stored. */
 export class ShardController {
   readonly allocations: TaskAllocations;
-  readonly machineLifecycle: MachineLifecycle;
-  readonly commandDispatcher: CommandDispatcher;
+  private readonly machineLifecycle: MachineLifecycle;
+  private readonly commandDispatcher: CommandDispatcher;
   private readonly imageCacheWriter: ImageCacheWriter;
   private readonly jobChecks: JobChecks;
   private readonly queueOrder: QueueOrder;
@@ -182,6 +183,31 @@
     this.allocations.schedulingRequested = true;
   }
 
+  /** Can workers be reached from here, as far as their answers tell? */
+  get reachesWorkers(): boolean {
+    return this.machineLifecycle.failureDetector.reachesWorkers;
+  }
+
+  /** Is the zone of this name cut off from here? */
+  isZoneCut(zone: string): boolean {
+    return this.machineLifecycle.failureDetector.isZoneNameCut(zone);
+  }
+
+  /** The outcome of the command or probe with this effect id. */
+  handleCommandOutcome(id: number, outcome: CommandOutcome, now: Milliseconds): void {
+    this.commandDispatcher.handleOutcome(id, outcome, now);
+  }
+
+  /** The outcome of a probe for recovery: did the worker answer? */
+  handleProbeOutcome(id: number, isAnswered: boolean): void {
+    this.machineLifecycle.failureDetector.handleProbeOutcome(id, isAnswered);
+  }
+
+  /** The outcome of the release request with this effect id. */
+  handleReleaseOutcome(id: number, isReleased: boolean, now: Milliseconds): void {
+    this.machineLifecycle.handleReleaseOutcome(id, isReleased, now);
+  }
+
   /** This process stood still until `now`: workers that it did not hear meanwhile were not silent. */
   processPaused(pauseMs: Milliseconds, now: Milliseconds): void {
     this.allocations.now = now;
