--- a/packages/controller/src/allocation/task-allocations.ts
+++ b/packages/controller/src/allocation/task-allocations.ts
@@ -15,9 +15,9 @@
 import { type Allocation, type Job, type Machine, type Milliseconds, NEVER } from '../model/index.js';
 import { FailureAttribution } from './failure-attribution.js';
 import { HeldShards } from './held-shards.js';
-import { isHeardRecently, MachineSchedulability } from './machine-schedulability.js';
+import { MachineSchedulability } from './machine-schedulability.js';
 import { StartFreshness } from './start-freshness.js';
-import { mayRunUnseen, shardsAwaitingVerification } from './unverified-takeovers.js';
+import { mayRunUnseen } from './unverified-takeovers.js';
 
 /** Tasks of a job that found no machine in the last scheduling run. */
 export interface UnmetDemand {
@@ -157,13 +157,6 @@
     return allocation.phase === 'sent' && allocation.machine.tenure.allocations.get(taskKeyOf(allocation)) === allocation;
   }
 
-  /** Does something on it belong to a cancelled job? Such machines are attended to first. */
-  hasCancelledWork(machine: Machine): boolean {
-    for (const allocation of machine.tenure.allocations.values())
-      if (allocation.job.state === 'cancelled' && allocation.phase !== 'exited') return true;
-    return false;
-  }
-
   /** A gang that lost a task is stopped whole and queued again. */
   failGang(job: Job): void {
     if (job.tenure.gangFailed) return;
@@ -215,32 +208,13 @@
     }
   }
 
-  /** Do its heartbeats come, here or to another controller? */
-  isHeardRecently(machine: Machine, now: Milliseconds): boolean {
-    return isHeardRecently(machine, now);
-  }
-
   /** Does it take starts? */
   isSchedulable(machine: Machine, now: Milliseconds): boolean {
     return this.machineSchedulability.isSchedulable(machine, now);
   }
 
-  /** Shards with machines that may have tasks that nobody has reported. */
-  shardsAwaitingVerification(): Set<number> {
-    return shardsAwaitingVerification(this.context.clusterState.machines);
-  }
-
   /** Could a task of this job be among those that nobody has reported? */
   mayRunUnseen(job: Job): boolean {
     return mayRunUnseen(job, this.heldShards.leaseRevisionOf(job.shard), this.context.clusterState.machines);
   }
-
-  /** Has it no task, known or orphaned, and no command under way? */
-  isEmpty(machine: Machine): boolean {
-    return (
-      machine.tenure.allocations.size === 0 &&
-      machine.tenure.orphanedTasks.length === 0 &&
-      machine.tenure.pendingCommandId === null
-    );
-  }
 }
--- a/packages/controller/src/scheduling/scheduler.ts
+++ b/packages/controller/src/scheduling/scheduler.ts
@@ -2,7 +2,7 @@
  * The scheduler: decides when a scheduling run is due, takes the snapshot that it decides on, and goes through the queue.
  * Owns the times of the runs; what it decides are planned allocations and the unmet demand in `TaskAllocations`.
  */
-import { freeResourcesOf, type TaskAllocations, type UnmetDemand } from '../allocation/index.js';
+import { freeResourcesOf, shardsAwaitingVerification, type TaskAllocations, type UnmetDemand } from '../allocation/index.js';
 import type { CapacityView, ClusterStateView, Logger, SettingsView, ShardOwnership } from '../context/index.js';
 import { type FreeResources, type Job, type Machine, type Milliseconds, NEVER } from '../model/index.js';
 import { reserveForAgedGang } from './aged-gang-reservation.js';
@@ -145,7 +145,7 @@
     const outcome: RunOutcome = { unmetDemand: [], crashLoopingJobs: [], hasPostponedJobs: false, machinesConsidered: 0 };
     this.preemption.beginRun(queue, run.now);
     this.unschedulableKinds.clear();
-    const unverifiedShards = this.allocations.shardsAwaitingVerification();
+    const unverifiedShards = shardsAwaitingVerification(this.context.clusterState.machines);
     for (const queued of queue) {
       const readiness = this.readinessOf(queued.job, unverifiedShards, run.now);
       switch (readiness) {
--- a/packages/controller/src/shards/assignment-updates.ts
+++ b/packages/controller/src/shards/assignment-updates.ts
@@ -2,7 +2,7 @@
  * What the holder of a shard writes to the assignments of its machines: moves to another shard, fencing tokens that rise, and
  * removals. Each write stands under the lease on the shard. Owns no state beside the marks in the machine that a write is queued.
  */
-import type { TaskAllocations } from '../allocation/index.js';
+import { hasCancelledWork, type TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, Logger, ReplicaView, StateWriting } from '../context/index.js';
 import type { Machine } from '../model/index.js';
 import { encodeAssignment, StateKey, WritePriority } from '../state/index.js';
@@ -58,7 +58,7 @@
       conditions: this.allocations.heldShards.leaseConditions(machine.shard),
       priority: WritePriority.release,
       // No command to the machine leaves before this is stored, and so no stop.
-      isUrgent: () => this.allocations.hasCancelledWork(machine),
+      isUrgent: () => hasCancelledWork(machine),
       onOutcome: (outcome) => {
         machine.assignmentWriteQueued = false;
         machine.tenure.isRaisingToken = false;
--- a/packages/controller/src/shards/command-dispatcher.ts
+++ b/packages/controller/src/shards/command-dispatcher.ts
@@ -42,8 +42,7 @@
       if (needsProbe(machine, settings, now)) toProbe.push(machine);
       else this.dispatch(machine, now);
     }
-    for (const machine of selectForProbing(toProbe, this.pendingProbes, settings, this.allocations, now))
-      this.probe(machine, now);
+    for (const machine of selectForProbing(toProbe, this.pendingProbes, settings, now)) this.probe(machine, now);
   }
 
   /** The outcome of the command or probe with this effect id. */
--- a/packages/controller/src/shards/command-outcomes.ts
+++ b/packages/controller/src/shards/command-outcomes.ts
@@ -3,7 +3,7 @@
  * writes to the tenure of the machine, and hands the status in an answer to the reconciliation of heartbeats.
  */
 import type { Heartbeat } from '@archpost/protocol';
-import type { TaskAllocations } from '../allocation/index.js';
+import { isHeardRecently, type TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, Logger } from '../context/index.js';
 import { type Allocation, type Machine, type Milliseconds, NEVER } from '../model/index.js';
 import type { HeartbeatReconciliation, KnownHeartbeat } from './heartbeat-reconciliation.js';
@@ -99,7 +99,7 @@
 
   private handleUnanswered({ machine, starts, isProbe }: PendingCommand, kind: 'lost' | 'refused', now: Milliseconds): void {
     const { tenure } = machine;
-    if (this.allocations.isHeardRecently(machine, now)) this.allocations.unansweredMachines.add(machine.name);
+    if (isHeardRecently(machine, now)) this.allocations.unansweredMachines.add(machine.name);
     tenure.unansweredCommands++;
     if (tenure.unansweredSince === null) tenure.unansweredSince = now;
     tenure.retryAt = now + UNANSWERED_RETRY_MS;
--- a/packages/controller/src/shards/failure-detector.ts
+++ b/packages/controller/src/shards/failure-detector.ts
@@ -3,7 +3,7 @@
  * whether the fault is this controller's own. A worker that is heard need not be reachable, and one that doesn't answer need
  * not be dead. Owns which zones count as cut off, and since when no worker answers.
  */
-import type { TaskAllocations } from '../allocation/index.js';
+import { isHeardRecently, type TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, EffectSink, Logger, PeerDirectory, SettingsView } from '../context/index.js';
 import type { Machine, Milliseconds } from '../model/index.js';
 import { RecoveryProbes } from './recovery-probes.js';
@@ -213,7 +213,7 @@
       this.allocations.heldShards.has(machine.shard) &&
       machine.tenure.unansweredCommands === 0 &&
       machine.tenure.releaseReason === null &&
-      this.allocations.isHeardRecently(machine, now)
+      isHeardRecently(machine, now)
     );
   }
 
--- a/packages/controller/src/shards/machine-lifecycle.ts
+++ b/packages/controller/src/shards/machine-lifecycle.ts
@@ -3,7 +3,7 @@
  * cancelled work that does not end, which are empty and can move or go, and whose fencing token has to rise. Decides machine
  * by machine; the failure detector judges them together. Owns no state beside its parts' and the machines' tenures.
  */
-import type { TaskAllocations } from '../allocation/index.js';
+import { isEmpty, type TaskAllocations } from '../allocation/index.js';
 import type {
   ClusterStateView,
   EffectSink,
@@ -114,7 +114,7 @@
   private checkEmpty(machine: Machine, now: Milliseconds): void {
     const { tenure } = machine;
     if (tenure.releaseReason !== null) return;
-    if (this.allocations.isEmpty(machine) && tenure.isVerified && !tenure.hasUncertainCommand) this.releaseEmpty(machine, now);
+    if (isEmpty(machine) && tenure.isVerified && !tenure.hasUncertainCommand) this.releaseEmpty(machine, now);
     if ((machine.moveToShard !== null || machine.isRetired) && tenure.releaseReason === null) this.allocations.drain(machine);
   }
 
--- a/packages/controller/src/shards/machine-releases.ts
+++ b/packages/controller/src/shards/machine-releases.ts
@@ -3,7 +3,7 @@
  * not it recovers meanwhile, unless it was marked for its silence. Owns the requests that are pending.
  */
 import { MAX_MACHINES_PER_RELEASE } from '@archpost/protocol';
-import type { TaskAllocations } from '../allocation/index.js';
+import { hasCancelledWork, type TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, EffectSink, Logger } from '../context/index.js';
 import type { Machine, Milliseconds, ReleaseReason } from '../model/index.js';
 import type { AssignmentUpdates } from './assignment-updates.js';
@@ -78,7 +78,7 @@
   }
 
   private cancelledWorkFirst(machines: readonly Machine[]): Machine[] {
-    const urgent = new Set(machines.filter((machine) => this.allocations.hasCancelledWork(machine)));
+    const urgent = new Set(machines.filter(hasCancelledWork));
     return [...urgent, ...machines.filter((machine) => !urgent.has(machine))];
   }
 }
--- a/packages/controller/src/shards/probe-selection.ts
+++ b/packages/controller/src/shards/probe-selection.ts
@@ -2,7 +2,7 @@
  * Which machines may be commanded, which are probed instead, and in which order. A probe is a command without contents: its
  * answer is the worker's status. Judgements alone; owns no state.
  */
-import type { TaskAllocations } from '../allocation/index.js';
+import { hasCancelledWork, isHeardRecently } from '../allocation/index.js';
 import {
   CANCELLED_WORK_PRIORITY,
   type ControllerSettings,
@@ -57,24 +57,23 @@
   machines: Machine[],
   pendingProbes: number,
   settings: ControllerSettings,
-  allocations: TaskAllocations,
   now: Milliseconds,
 ): Machine[] {
   const limit = Math.max(MIN_PROBES_PER_TICK, Math.round(MAX_PROBES_PER_TICK * settings.cpuShare));
-  if (machines.length > limit) sortForProbing(machines, allocations);
+  if (machines.length > limit) sortForProbing(machines);
   const selected: Machine[] = [];
   for (const machine of machines) {
     if (selected.length >= limit) break;
-    const socketsPerProbe = isHealthy(machine, allocations, now) ? SOCKETS_PER_HEALTHY_PROBE : SOCKETS_PER_PROBE;
+    const socketsPerProbe = isHealthy(machine, now) ? SOCKETS_PER_HEALTHY_PROBE : SOCKETS_PER_PROBE;
     if (pendingProbes + selected.length < settings.maxSockets / socketsPerProbe) selected.push(machine);
   }
   return selected;
 }
 
 /** Is it heard, and did it answer so far? */
-function isHealthy(machine: Machine, allocations: TaskAllocations, now: Milliseconds): boolean {
+function isHealthy(machine: Machine, now: Milliseconds): boolean {
   const { tenure } = machine;
-  return tenure.isVerified && tenure.unansweredCommands === 0 && allocations.isHeardRecently(machine, now);
+  return tenure.isVerified && tenure.unansweredCommands === 0 && isHeardRecently(machine, now);
 }
 
 /**
@@ -82,17 +81,17 @@
  * that were not probed for longest. In the order of their names, a hundred machines of a cut zone were probed again and
  * again, and 31 live ones, never probed, were released as silent (docs/incidents/zone-takeover.md).
  */
-function sortForProbing(machines: Machine[], allocations: TaskAllocations): void {
+function sortForProbing(machines: Machine[]): void {
   const priorities = new Map<Machine, number>();
-  for (const machine of machines) priorities.set(machine, probePriority(machine, allocations));
+  for (const machine of machines) priorities.set(machine, probePriority(machine));
   const priorityOf = (machine: Machine) => priorities.get(machine) ?? LOWEST_REPORTED_PRIORITY;
   machines.sort(
     (a, b) => unansweredOrder(a) - unansweredOrder(b) || priorityOf(b) - priorityOf(a) || a.lastProbeAt - b.lastProbeAt,
   );
 }
 
-function probePriority(machine: Machine, allocations: TaskAllocations): number {
-  return allocations.hasCancelledWork(machine) ? CANCELLED_WORK_PRIORITY : machine.tenure.reportedPriority;
+function probePriority(machine: Machine): number {
+  return hasCancelledWork(machine) ? CANCELLED_WORK_PRIORITY : machine.tenure.reportedPriority;
 }
 
 /** How often it did not answer makes no difference, only whether it did. */
