--- a/packages/controller/src/allocation/task-allocations.ts
+++ b/packages/controller/src/allocation/task-allocations.ts
@@ -52,10 +52,6 @@
   schedulingRequested = true;
   /** the time of the input that is being taken */
   now: Milliseconds = 0;
-  /** when a worker last answered a command or probe */
-  lastAnswerAt: Milliseconds = 0;
-  /** workers that have not answered since, though their heartbeats come */
-  readonly unansweredMachines = new Set<string>();
   /** what the last scheduling run found no machine for */
   unmetDemand: readonly UnmetDemand[] = [];
   readonly failureAttribution: FailureAttribution;
--- a/packages/controller/src/shards/command-dispatcher.ts
+++ b/packages/controller/src/shards/command-dispatcher.ts
@@ -10,6 +10,7 @@
 import type { HeartbeatReconciliation } from './heartbeat-reconciliation.js';
 import { hasCommandsDue, machineCommands } from './machine-commands.js';
 import { mayCommand, needsProbe, selectForProbing } from './probe-selection.js';
+import type { WorkerAnswers } from './worker-answers.js';
 
 /** What an agent that has not been heard is addressed with: it answers with its own epoch. */
 const FIRST_EPOCH = 1;
@@ -28,8 +29,9 @@
     private readonly context: CommandDispatcherContext,
     private readonly allocations: TaskAllocations,
     reconciler: HeartbeatReconciliation,
+    workerAnswers: WorkerAnswers,
   ) {
-    this.outcomes = new CommandOutcomes(context, allocations, reconciler);
+    this.outcomes = new CommandOutcomes(context, allocations, reconciler, workerAnswers);
   }
 
   /** Commands the machines that are known well enough, and probes others, as many as there is capacity for. */
--- a/packages/controller/src/shards/command-outcomes.ts
+++ b/packages/controller/src/shards/command-outcomes.ts
@@ -7,6 +7,7 @@
 import type { ClusterStateView, Logger } from '../context/index.js';
 import { type Allocation, type Machine, type Milliseconds, NEVER } from '../model/index.js';
 import type { HeartbeatReconciliation, KnownHeartbeat } from './heartbeat-reconciliation.js';
+import type { WorkerAnswers } from './worker-answers.js';
 
 /** A machine that didn't answer is tried again after this long. */
 const UNANSWERED_RETRY_MS = 700;
@@ -41,6 +42,7 @@
     private readonly context: CommandOutcomesContext,
     private readonly allocations: TaskAllocations,
     private readonly reconciler: HeartbeatReconciliation,
+    private readonly workerAnswers: WorkerAnswers,
   ) {}
 
   /** `pending` is the machine's last command, and no longer counts as pending. */
@@ -91,15 +93,14 @@
 
   /** Some worker is reachable from here, and this machine is. */
   private recordAnswer({ tenure }: Machine, now: Milliseconds): void {
-    this.allocations.lastAnswerAt = now;
-    this.allocations.unansweredMachines.clear();
+    this.workerAnswers.recordAnswer(now);
     tenure.unansweredCommands = 0;
     tenure.unansweredSince = null;
   }
 
   private handleUnanswered({ machine, starts, isProbe }: PendingCommand, kind: 'lost' | 'refused', now: Milliseconds): void {
     const { tenure } = machine;
-    if (isHeardRecently(machine, now)) this.allocations.unansweredMachines.add(machine.name);
+    if (isHeardRecently(machine, now)) this.workerAnswers.recordUnanswered(machine);
     tenure.unansweredCommands++;
     if (tenure.unansweredSince === null) tenure.unansweredSince = now;
     tenure.retryAt = now + UNANSWERED_RETRY_MS;
--- a/packages/controller/src/shards/failure-detector.ts
+++ b/packages/controller/src/shards/failure-detector.ts
@@ -7,6 +7,7 @@
 import type { ClusterStateView, EffectSink, Logger, PeerDirectory, SettingsView } from '../context/index.js';
 import type { Machine, Milliseconds } from '../model/index.js';
 import { RecoveryProbes } from './recovery-probes.js';
+import type { WorkerAnswers } from './worker-answers.js';
 import { healthNearby, isLossWidespread, isNearlyAllUnanswered, isZoneCutOff, type ZoneHealth } from './zone-health.js';
 
 /** No worker answers for this long, though some that are heard were probed for that: the fault is here. */
@@ -54,6 +55,7 @@
   constructor(
     private readonly context: FailureDetectorContext,
     private readonly allocations: TaskAllocations,
+    private readonly workerAnswers: WorkerAnswers,
   ) {
     this.recoveryProbes = new RecoveryProbes(context);
   }
@@ -103,7 +105,7 @@
     this.reachesWorkers = true;
     this.unreachableSince = null;
     this.noAnswerSince = null;
-    this.allocations.unansweredMachines.clear();
+    this.workerAnswers.forgetUnanswered();
     for (const machine of this.context.clusterState.machines.values()) machine.tenure.unansweredCommands = 0;
     this.context.log('info', 'workers reachable again');
   }
@@ -115,7 +117,7 @@
    */
   confirmSilence(now: Milliseconds, silentMs: Milliseconds): boolean {
     const { workers, policy } = this.context.settings;
-    const answeredMs = now - this.allocations.lastAnswerAt;
+    const answeredMs = now - this.workerAnswers.lastAnswerAt;
     if (answeredMs < ANSWER_FRESH_INTERVALS * 1000 * workers.heartbeatIntervalS) return true;
     return this.probeHealthy(now) === 0 && silentMs > UNCONFIRMED_SILENCE_FACTOR * 1000 * policy.silentS;
   }
@@ -138,8 +140,8 @@
   }
 
   private nobodyAnswers(now: Milliseconds): boolean {
-    const { unansweredMachines, lastAnswerAt } = this.allocations;
-    return unansweredMachines.size >= MIN_UNANSWERED_MACHINES && now - lastAnswerAt > NO_ANSWER_SUSPICION_MS;
+    const { unansweredCount, lastAnswerAt } = this.workerAnswers;
+    return unansweredCount >= MIN_UNANSWERED_MACHINES && now - lastAnswerAt > NO_ANSWER_SUSPICION_MS;
   }
 
   private zoneHealths(now: Milliseconds): ReadonlyMap<number, ZoneHealth> {
--- a/packages/controller/src/shards/machine-lifecycle.ts
+++ b/packages/controller/src/shards/machine-lifecycle.ts
@@ -17,6 +17,7 @@
 import { AssignmentUpdates } from './assignment-updates.js';
 import { FailureDetector } from './failure-detector.js';
 import { MachineReleases } from './machine-releases.js';
+import type { WorkerAnswers } from './worker-answers.js';
 
 /** Cancelled work may stay for this part of the time within which a cancellation has to be carried out. */
 const OVERDUE_CANCELLATION_FRACTION = 0.5;
@@ -48,8 +49,9 @@
   constructor(
     private readonly context: MachineLifecycleContext,
     private readonly allocations: TaskAllocations,
+    workerAnswers: WorkerAnswers,
   ) {
-    this.failureDetector = new FailureDetector(context, allocations);
+    this.failureDetector = new FailureDetector(context, allocations, workerAnswers);
     this.assignmentUpdates = new AssignmentUpdates(context, allocations);
     this.releases = new MachineReleases(context, allocations, this.assignmentUpdates);
   }
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -38,6 +38,7 @@
 import type { ProgressWriter } from './progress-writer.js';
 import { shardDebugSummary } from './shard-debug-summary.js';
 import { ShardSummaries } from './shard-summary.js';
+import { WorkerAnswers } from './worker-answers.js';
 
 /** All jobs of the shards held here are checked this often. */
 const JOB_CHECK_INTERVAL_MS = 300;
@@ -79,6 +80,7 @@
   readonly allocations: TaskAllocations;
   private readonly machineLifecycle: MachineLifecycle;
   private readonly commandDispatcher: CommandDispatcher;
+  private readonly workerAnswers = new WorkerAnswers();
   private readonly imageCacheWriter: ImageCacheWriter;
   private readonly jobChecks: JobChecks;
   private readonly queueOrder: QueueOrder;
@@ -94,8 +96,8 @@
     this.allocations = allocations;
     this.imageCacheWriter = imageCacheWriter;
     this.jobChecks = new JobChecks(context, allocations, progressWriter);
-    this.machineLifecycle = new MachineLifecycle(context, this.allocations);
-    this.commandDispatcher = new CommandDispatcher(context, this.allocations, reconciler);
+    this.machineLifecycle = new MachineLifecycle(context, this.allocations, this.workerAnswers);
+    this.commandDispatcher = new CommandDispatcher(context, this.allocations, reconciler, this.workerAnswers);
     this.queueOrder = new QueueOrder(context, this.allocations);
     this.scheduler = new Scheduler(context, this.allocations, this.queueOrder);
     this.shardSummaries = new ShardSummaries(context, this.allocations, this.queueOrder, this.scheduler);
@@ -211,8 +213,7 @@
   /** This process stood still until `now`: workers that it did not hear meanwhile were not silent. */
   processPaused(pauseMs: Milliseconds, now: Milliseconds): void {
     this.allocations.now = now;
-    this.allocations.lastAnswerAt = now;
-    this.allocations.unansweredMachines.clear();
+    this.workerAnswers.recordAnswer(now);
     this.machineLifecycle.failureDetector.processPaused();
     for (const machine of this.context.clusterState.machines.values()) {
       machine.tenure.lastHeartbeatAt = Math.min(now, machine.tenure.lastHeartbeatAt + pauseMs);
