--- a/packages/controller/src/allocation/task-allocations.ts
+++ b/packages/controller/src/allocation/task-allocations.ts
@@ -27,6 +27,9 @@
   readonly withinQuota: boolean;
 }
 
+/** What is said of an allocation when it is made. */
+type NewAllocation = Pick<Allocation, 'job' | 'taskIndex' | 'attempt' | 'machine' | 'phase' | 'plannedAt'>;
+
 /** Names one attempt of one task among all that a machine may have. */
 export function taskKey(job: string, taskIndex: number, attempt: number): string {
   return `${job}/${taskIndex}/${attempt}`;
@@ -50,13 +53,11 @@
   readonly heldShards = new HeldShards();
   /** something happened that a scheduling run may make use of */
   schedulingRequested = true;
-  /** the time of the input that is being taken */
-  now: Milliseconds = 0;
-  /** what the last scheduling run found no machine for */
-  unmetDemand: readonly UnmetDemand[] = [];
   readonly failureAttribution: FailureAttribution;
   readonly startFreshness: StartFreshness;
   private readonly machineSchedulability: MachineSchedulability;
+  private currentTime: Milliseconds = 0;
+  private lastUnmetDemand: readonly UnmetDemand[] = [];
 
   constructor(private readonly context: TaskAllocationsContext) {
     this.failureAttribution = new FailureAttribution(context);
@@ -64,6 +65,26 @@
     this.machineSchedulability = new MachineSchedulability(context, this.failureAttribution);
   }
 
+  /** The time of the last tick, heartbeat or pause. Other inputs leave it as it is: at most a tick behind. */
+  get now(): Milliseconds {
+    return this.currentTime;
+  }
+
+  /** What the last scheduling run found no machine for. */
+  get unmetDemand(): readonly UnmetDemand[] {
+    return this.lastUnmetDemand;
+  }
+
+  /** A tick, heartbeat or pause is taken at this time. */
+  advanceTo(now: Milliseconds): void {
+    this.currentTime = now;
+  }
+
+  /** A scheduling run has ended, and found no machine for this. */
+  recordUnmetDemand(unmetDemand: readonly UnmetDemand[]): void {
+    this.lastUnmetDemand = unmetDemand;
+  }
+
   /** Are the heartbeats of the shard's workers this controller's to take? */
   holdsShard(shard: number, now: Milliseconds): boolean {
     return this.heldShards.has(shard) && this.context.isLeaseValid(now);
@@ -77,14 +98,7 @@
   }
 
   /** Gives the machine to the task, which must have no other allocation: an earlier one is freed first. */
-  allocate(
-    job: Job,
-    taskIndex: number,
-    attempt: number,
-    machine: Machine,
-    phase: Allocation['phase'],
-    now: Milliseconds,
-  ): Allocation {
+  allocate({ job, taskIndex, attempt, machine, phase, plannedAt }: NewAllocation): Allocation {
     const allocation: Allocation = {
       job,
       taskIndex,
@@ -92,7 +106,7 @@
       machine,
       phase,
       status: null,
-      plannedAt: now,
+      plannedAt,
       stopGraceS: null,
       stopSentAt: NEVER,
       firstStopSentAt: null,
--- a/packages/controller/src/heartbeats/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeats/heartbeat-reconciler.ts
@@ -45,7 +45,7 @@
    * sent when this was known. A start that is under way isn't refuted by either: it may have been made before it.
    */
   reconcile(machine: Machine, heartbeat: Heartbeat, now: Milliseconds, knownBefore: KnownHeartbeat | null = null): void {
-    this.allocations.now = now;
+    this.allocations.advanceTo(now);
     const { tenure } = machine;
     const verdict = knownBefore ? judgeAnswer(tenure, heartbeat, knownBefore) : judgeHeartbeat(tenure, heartbeat, now);
     switch (verdict.kind) {
--- a/packages/controller/src/heartbeats/task-reconciler.ts
+++ b/packages/controller/src/heartbeats/task-reconciler.ts
@@ -43,7 +43,14 @@
       if (allocated.phase !== 'planned') return null;
       this.allocations.free(allocated);
     }
-    const allocation = this.allocations.allocate(job, task.index, task.attempt, machine, 'reported', now);
+    const allocation = this.allocations.allocate({
+      job,
+      taskIndex: task.index,
+      attempt: task.attempt,
+      machine,
+      phase: 'reported',
+      plannedAt: now,
+    });
     if (job.spec.shape === 'gang') this.adoptIntoGang(job, allocation);
     if (job.state === 'cancelled') this.allocations.stop(allocation, 0);
     return allocation;
--- a/packages/controller/src/scheduling/binding.ts
+++ b/packages/controller/src/scheduling/binding.ts
@@ -11,14 +11,14 @@
   /** Gives the machine to one task of an array or service; `tasksInZones` is brought up to date. */
   bindTask(job: Job, taskIndex: number, free: FreeResources, tasksInZones: Map<number, number>, run: SchedulingRun): void {
     subtract(free, job.resources);
-    this.allocations.allocate(
+    this.allocations.allocate({
       job,
       taskIndex,
-      this.allocations.heldShards.nextAttempt(job.shard),
-      free.machine,
-      'planned',
-      run.now,
-    );
+      attempt: this.allocations.heldShards.nextAttempt(job.shard),
+      machine: free.machine,
+      phase: 'planned',
+      plannedAt: run.now,
+    });
     run.usage.add(job);
     countTaskInZone(tasksInZones, free.machine.zoneIndex);
   }
@@ -29,11 +29,13 @@
     job.tenure.gangAttempt = attempt;
     job.tenure.gangFailed = false;
     const pendingTasks = job.pendingTasks();
-    machines.forEach((machine, index) => {
+    for (const [index, taskIndex] of pendingTasks.entries()) {
+      const machine = machines[index];
+      if (machine === undefined) break;
       const free = candidates.find((candidate) => candidate.machine === machine);
       if (free) subtract(free, job.resources);
-      this.allocations.allocate(job, pendingTasks[index] as number, attempt, machine, 'planned', run.now);
+      this.allocations.allocate({ job, taskIndex, attempt, machine, phase: 'planned', plannedAt: run.now });
       run.usage.add(job);
-    });
+    }
   }
 }
--- a/packages/controller/src/scheduling/scheduler.ts
+++ b/packages/controller/src/scheduling/scheduler.ts
@@ -120,7 +120,7 @@
     for (const job of outcome.crashLoopingJobs) this.crashLoopRetries.retry(job, run);
     this.nextRunAt = now + this.pauseAfter(outcome.machinesConsidered);
     this.hasUnfinishedWork = outcome.hasPostponedJobs || outcome.crashLoopingJobs.length > 0 || outcome.unmetDemand.length > 0;
-    this.allocations.unmetDemand = outcome.unmetDemand;
+    this.allocations.recordUnmetDemand(outcome.unmetDemand);
     this.machineEligibility.recordUnmetDemand(outcome.unmetDemand);
     this.gangServiceEviction.evictFor(outcome.unmetDemand, now);
     this.serviceConsolidation.consolidate(now);
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -212,7 +212,7 @@
 
   /** This process stood still until `now`: workers that it did not hear meanwhile were not silent. */
   processPaused(pauseMs: Milliseconds, now: Milliseconds): void {
-    this.allocations.now = now;
+    this.allocations.advanceTo(now);
     this.workerAnswers.recordAnswer(now);
     this.machineLifecycle.failureDetector.processPaused();
     for (const machine of this.context.clusterState.machines.values()) {
@@ -228,7 +228,7 @@
    * machine lifecycle and the scheduler decided.
    */
   tick(now: Milliseconds): void {
-    this.allocations.now = now;
+    this.allocations.advanceTo(now);
     this.machineLifecycle.failureDetector.probeForRecovery(now);
     if (now - this.summaryLoggedAt > SUMMARY_LOG_INTERVAL_MS) {
       this.summaryLoggedAt = now;
