--- a/packages/controller/src/jobs/response-bodies.ts
+++ b/packages/controller/src/jobs/response-bodies.ts
@@ -10,9 +10,10 @@
   unavailable: 503,
 } as const;
 
+/** One of the status codes of `HttpStatus`. */
 export type HttpStatus = (typeof HttpStatus)[keyof typeof HttpStatus];
 
-/** Why a request can't be served now and is to be repeated. The texts are the user's. */
+/** Why a request can't be served now and is to be repeated. The texts are part of the responses. */
 export const UnavailableReason = {
   notReady: 'not ready',
   stateServiceSilent: 'the state service does not answer',
@@ -20,6 +21,7 @@
   conflict: 'try again',
 } as const;
 
+/** One of the texts of `UnavailableReason`. */
 export type UnavailableReason = (typeof UnavailableReason)[keyof typeof UnavailableReason];
 
 /** The body of every response that isn't the status of a job. */
@@ -27,8 +29,11 @@
   error: string;
 }
 
+/** There is neither a job with this id nor a record of one. */
 export const NO_SUCH_JOB: ErrorBody = { error: 'no such job' };
 
+/** The submission is rejected: a key or record with these names would exceed the state service's limits. */
 export const NAMES_TOO_LONG: ErrorBody = { error: 'its names are too long to be stored' };
 
+/** The body of a response with this error. */
 export const errorBody = (error: string): ErrorBody => ({ error });
