--- a/packages/controller/src/allocation/failure-attribution.ts
+++ b/packages/controller/src/allocation/failure-attribution.ts
@@ -59,7 +59,7 @@
     return jobsThatFailedOnlyHere >= SUSPICIOUS_MACHINE_JOBS && now - machine.lastErrorAt > NO_COUNTEREVIDENCE_MS;
   }
 
-  /** Did several jobs fail there lately, and it isn't known yet whose fault it is? */
+  /** Did several jobs fail there recently, and isn't it known yet whose fault it is? */
   isAttributionPending(machine: Machine, now: Milliseconds): boolean {
     return machine.failedJobs.size >= SUSPICIOUS_MACHINE_JOBS && now - machine.lastErrorAt < ATTRIBUTION_PENDING_MS;
   }
--- a/packages/controller/src/allocation/start-freshness.ts
+++ b/packages/controller/src/allocation/start-freshness.ts
@@ -33,7 +33,7 @@
     return false;
   }
 
-  /** Somebody else stopped one of the job's tasks: cancelled perhaps, which only a newer reading can tell. */
+  /** Somebody else stopped one of the job's tasks: cancelled perhaps, which only a newer read can show. */
   isStateUnconfirmed(job: Job): boolean {
     return this.context.replicaFreshAt < job.stoppedByOthersAt;
   }
--- a/packages/controller/src/allocation/task-allocations.ts
+++ b/packages/controller/src/allocation/task-allocations.ts
@@ -1,7 +1,7 @@
 /**
  * Which task has which machine, in the shards held here: the allocations of jobs and machines with their phases, their stops,
  * and what happens to a gang that loses one of them. Owns the allocations, the set of shards held here, and what a scheduling
- * run left without room.
+ * run found no machine for.
  */
 import type {
   ClusterStateView,
--- a/packages/controller/src/capacity/autoscaler.ts
+++ b/packages/controller/src/capacity/autoscaler.ts
@@ -193,7 +193,7 @@
 
   /**
    * The kind of each machine that is requested, boots, or is up and not assigned yet. Overdue machines are left out, since they
-   * may never come up; the boot monitor is told of them.
+   * may never come up; the boot monitor is notified of them.
    */
   private arrivingMachines(now: Milliseconds): InstanceKind[] {
     const arriving = this.tracker.arrivingKinds();
--- a/packages/controller/src/capacity/instance-pools.ts
+++ b/packages/controller/src/capacity/instance-pools.ts
@@ -14,7 +14,7 @@
 const REFUSAL_RETRY_MS = 10_000;
 const MAX_DOUBLINGS = 4;
 
-/** The cloud's capacity of one kind, as far as its answers tell. */
+/** The cloud's capacity of one kind, as far as its answers show. */
 interface InstancePool {
   /** no request is sent before */
   retryAt: Milliseconds;
--- a/packages/controller/src/capacity/machine-assigner.ts
+++ b/packages/controller/src/capacity/machine-assigner.ts
@@ -5,7 +5,7 @@
 import type { ShardSummary } from '@archpost/protocol';
 import type { ClusterStateView, PeerDirectory, SettingsView, StateWriting } from '../context/index.js';
 import { countThatFit, type Milliseconds } from '../model/index.js';
-import { encodeAssignment, NO_REVISION, StateKey, WritePriority } from '../state/index.js';
+import { encodeAssignment, LEADER_LEASE, NO_REVISION, StateKey, WritePriority } from '../state/index.js';
 import type { Autoscaler } from './autoscaler.js';
 import { allocateToDemands, matchesDemand, type PendingDemand, pendingDemands } from './demand.js';
 import { machineTypeNamed } from './instance-kind.js';
@@ -118,7 +118,7 @@
       key: StateKey.assignment(machine),
       value: () => encodeAssignment({ shard, address, type, zone, spot, moveToShard: null, isRetired: false }),
       expectedRevision: NO_REVISION,
-      conditions: [{ key: StateKey.shardLease('lead'), revision: leaderRevision }],
+      conditions: [{ key: StateKey.shardLease(LEADER_LEASE), revision: leaderRevision }],
       priority: WritePriority.assignment,
       expiresAt: now + ASSIGNMENT_EXPIRES_MS,
       onOutcome: () => {
--- a/packages/controller/src/capacity/machine-type-catalogue.ts
+++ b/packages/controller/src/capacity/machine-type-catalogue.ts
@@ -1,5 +1,5 @@
 /**
- * The catalogue of machine types that the cloud sells: when it is asked for, and that it is stored, so that a controller can
+ * The catalogue of machine types that the cloud sells: when it is fetched, and that it is stored, so that a controller can
  * start while the cloud's interface is down.
  *
  * Owns the time of the last request. The types themselves are part of the cluster state.
@@ -16,7 +16,7 @@
   WritePriority,
 } from '../state/index.js';
 
-/** Types that aren't known are asked for this often: nothing can be decided without them. */
+/** Types that aren't known are fetched this often: nothing can be decided without them. */
 const UNKNOWN_TYPES_INTERVAL_MS = 1500;
 
 /** The leader asks again this often for types that are known: prices and zones may change. */
--- a/packages/controller/src/capacity/move-options.ts
+++ b/packages/controller/src/capacity/move-options.ts
@@ -47,7 +47,7 @@
 export class MoveOptions {
   private readonly idleCounts = new Map<number, number>();
 
-  /** `mayDisplaceServices`: services were displaced long enough ago. It is asked anew each time. */
+  /** `mayDisplaceServices`: services were displaced long enough ago. Evaluated anew each time. */
   constructor(
     private readonly context: MoveOptionsContext,
     private readonly movables: readonly MovableMachine[],
@@ -108,7 +108,7 @@
     return this.context.clusterState.shardsWithGpuWork.has(shard.shard);
   }
 
-  /** Idle ordinary machines of the shard, without accelerators: counted when first asked for. */
+  /** Idle ordinary machines of the shard, without accelerators: counted when first needed. */
   private idleCount(shard: ShardSummary): number {
     const known = this.idleCounts.get(shard.shard);
     if (known !== undefined) return known;
--- a/packages/controller/src/capacity/shard-balance.ts
+++ b/packages/controller/src/capacity/shard-balance.ts
@@ -14,7 +14,7 @@
 export class ShardBalance {
   /** machines that each shard has, or is being assigned, by machine type */
   private readonly machineCounts = new Map<string, number[]>();
-  /** weight of each shard, by whether machines with accelerators are asked about */
+  /** weight of each shard, by whether machines with accelerators are meant */
   private readonly shardWeights = new Map<boolean, number[]>();
 
   /** `recentAssignments`: by machine; those that the cluster state shows already aren't counted twice. */
--- a/packages/controller/src/heartbeats/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeats/heartbeat-reconciler.ts
@@ -53,7 +53,7 @@
         return this.learnFromUnverified(machine, heartbeat);
       case 'stale':
       case 'implausible':
-        // An answer is not asked for again: the machine has just given one.
+        // No probe after an answer: the machine has just given one.
         if (knownBefore === null) this.requestProbe(machine, now);
         return;
       case 'agentRestarted':
@@ -86,7 +86,7 @@
     this.recordHeard(machine, now);
   }
 
-  /** Has the machine probed, unless that was requested a moment ago: its answer tells what its heartbeats leave open. */
+  /** Has the machine probed, unless that was requested a moment ago: its answer settles what its heartbeats leave open. */
   requestProbe(machine: Machine, now: Milliseconds): void {
     const intervalMs = this.context.settings.workers.heartbeatIntervalS * (PROBE_REQUEST_INTERVALS * 1000);
     if (now - machine.probeRequestedAt < intervalMs) return;
@@ -183,7 +183,7 @@
 
   /**
    * Frees allocations that the worker doesn't report any more. A task that runs never leaves the heartbeats of its epoch by
-   * itself: where it is missing the agent began again, or this is a copy of something older, and only an answer tells which.
+   * itself: where it is missing the agent restarted, or this is a copy of something older, and only an answer shows which.
    */
   private freeMissing(machine: Machine, reportedKeys: ReadonlySet<string>, now: Milliseconds, isAnswer: boolean): void {
     for (const [key, allocation] of [...machine.tenure.allocations]) {
--- a/packages/controller/src/heartbeats/heartbeat-responder.ts
+++ b/packages/controller/src/heartbeats/heartbeat-responder.ts
@@ -12,7 +12,7 @@
 import type { HeartbeatReconciler } from './heartbeat-reconciler.js';
 import type { WorkerRouting } from './worker-routing.js';
 
-/** Status codes of responses. 421: another controller is to be asked, which the body names if there is one. */
+/** Status codes of responses. 421: a redirect to another controller, which the body names if there is one. */
 const HTTP_OK = 200;
 const HTTP_MISDIRECTED_REQUEST = 421;
 const HTTP_SERVICE_UNAVAILABLE = 503;
--- a/packages/controller/src/heartbeats/heartbeat-verdict.ts
+++ b/packages/controller/src/heartbeats/heartbeat-verdict.ts
@@ -17,7 +17,7 @@
 export type HeartbeatVerdict =
   /** newer than all that is known: it counts. `isGapBefore`: messages before it did not come here */
   | { readonly kind: 'accepted'; readonly isGapBefore: boolean }
-  /** an answer older than what was known when it was asked for: the agent began again, nothing of before is there any more */
+  /** an answer older than what was known when its command was sent: the agent restarted, and none of its earlier tasks runs any more */
   | { readonly kind: 'agentRestarted' }
   /** no answer came since the shard was taken over: what the worker sent before isn't known, so it may be a late copy */
   | { readonly kind: 'unverified' }
--- a/packages/controller/src/heartbeats/task-reconciler.ts
+++ b/packages/controller/src/heartbeats/task-reconciler.ts
@@ -13,7 +13,7 @@
 /** A task that ended for a reason that the worker does not know is tried again after this long. */
 const UNKNOWN_EXIT_RETRY_MS = 1000;
 
-/** A machine that had no room for a task is commanded again after this long: its next heartbeat tells why. */
+/** A machine without enough free resources for a task is commanded again after this long: its next heartbeat shows why. */
 const NO_ROOM_RETRY_MS = 500;
 
 /** Why a task exited that is not done; null: the worker does not say. */
--- a/packages/controller/src/jobs/job-status.ts
+++ b/packages/controller/src/jobs/job-status.ts
@@ -4,7 +4,7 @@
 import type { Job } from '../model/index.js';
 import { type FinalState, readJobRecord, StateKey } from '../state/index.js';
 
-/** The body of a response that tells a job's status. */
+/** The body of a response with a job's status. */
 export type JobStatusBody = ReturnType<typeof encodeJobStatus>;
 
 /** What the status of a job with counts of its tasks needs of the controller. */
--- a/packages/controller/src/jobs/submission-validation.ts
+++ b/packages/controller/src/jobs/submission-validation.ts
@@ -25,7 +25,7 @@
   return findInfeasibility(context, spec) ?? findAwaitsRejection(context, spec.id, awaits);
 }
 
-/** The text that the user is told. */
+/** The text of the response to the client. */
 export function rejectionText(rejection: SubmissionRejection): string {
   switch (rejection.reason) {
     case 'unknownTeam':
--- a/packages/controller/src/jobs/submissions.ts
+++ b/packages/controller/src/jobs/submissions.ts
@@ -8,7 +8,7 @@
 import { errorBody, HttpStatus, NAMES_TOO_LONG, UnavailableReason } from './response-bodies.js';
 import { findRejection, rejectionText } from './submission-validation.js';
 
-/** Within this time of a job's acceptance no other response can have told of its end. */
+/** Within this time of a job's acceptance no other response can have reported its end. */
 const PROMPT_RESPONSE_MS = 150;
 
 /** What submissions need of the controller. */
@@ -38,7 +38,7 @@
     this.accept(id, submission, wallClockMs, now + REQUEST_TIMEOUT_MS);
   }
 
-  /** The job, or one that it awaits, may have been accepted elsewhere a moment ago: only a newer read tells. */
+  /** The job, or one that it awaits, may have been accepted elsewhere a moment ago: only a newer read shows it. */
   private confirmRejection(id: number, submission: Submission, now: Milliseconds, wallClockMs: number): void {
     const job = submission.spec.id;
     const expiresAt = now + REQUEST_TIMEOUT_MS;
@@ -76,7 +76,7 @@
 
   /**
    * The answer to the transaction may have been long on its way, and the job have run to its end, or been cancelled at another
-   * controller, which has told its user so: then the response may not name an older status.
+   * controller, which has responded with that: then the response may not name an older status.
    */
   private respondAccepted(id: number, job: string, sentAt: Milliseconds): void {
     const { now } = this.context;
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -103,7 +103,7 @@
     this.machineAssigner.machineReported(unassigned, now);
   }
 
-  /** The machines without a shard that sent heartbeats to this controller lately, for the status to the leader. */
+  /** The machines without a shard that sent heartbeats to this controller recently, for the status to the leader. */
   unassignedMachines(now: Milliseconds): UnassignedMachine[] {
     return this.machineAssigner.recentlyReported(now);
   }
--- a/packages/controller/src/leadership/process-pause.ts
+++ b/packages/controller/src/leadership/process-pause.ts
@@ -22,7 +22,7 @@
   for (const [key, at] of times) times.set(key, at + byMs);
 }
 
-/** Tells the parts that keep ages of silences of a pause, in the order in which they are given. */
+/** Notifies the parts that keep ages of silences of a pause, in the order in which they are given. */
 export class ProcessPause {
   constructor(
     private readonly context: LeaseView & Logger,
--- a/packages/controller/src/leadership/write-rate-quota.ts
+++ b/packages/controller/src/leadership/write-rate-quota.ts
@@ -1,6 +1,6 @@
 /**
  * Quotas of the state service's limit on writes: each controller computes its own by the demands in the others' statuses. Pure
- * functions; own no state.
+ * functions without state.
  */
 import type { PeerDirectory, SettingsView, StateWriting } from '../context/index.js';
 import type { Milliseconds } from '../model/index.js';
--- a/packages/controller/src/model/machine.ts
+++ b/packages/controller/src/model/machine.ts
@@ -38,7 +38,7 @@
  *
  * | what may be sent | when |
  * | --- | --- |
- * | nothing: being released | `releaseReason` is set; `isReleasing` once the cloud was asked |
+ * | nothing: being released | `releaseReason` is set; `isReleasing` once the request to the cloud was sent |
  * | nothing: a command is in flight | `pendingCommandId` is set |
  * | nothing: its fencing token must rise | `hasUncertainCommand`; `isRaisingToken` once the rewrite of its assignment is queued |
  * | a probe | not `isVerified` (`isProbed` once the first was sent), or silent, not answering or `probeRequested` |
@@ -79,7 +79,7 @@
   isRaisingToken = false;
   /** null: it stays */
   releaseReason: ReleaseReason | null = null;
-  /** the cloud was asked to take it back, or has done so */
+  /** a release was requested from the cloud, or has been carried out */
   isReleasing = false;
 
   /**
@@ -143,9 +143,9 @@
   commandsDue = true;
   imagesWriteQueued = false;
   assignmentWriteQueued = false;
-  /** the cloud isn't asked again to take it back before this time */
+  /** its release isn't requested again before this time */
   releaseRetryAt: Milliseconds = 0;
-  /** takes no more tasks without accelerators until then: services are being evicted from it, or were lately */
+  /** takes no more tasks without accelerators until then: services are being evicted from it, or were a short time ago */
   reservedUntil: Milliseconds = NEVER;
 
   // ---- failure history: written by failure attribution
--- a/packages/controller/src/model/settings.ts
+++ b/packages/controller/src/model/settings.ts
@@ -85,7 +85,7 @@
   gangWaitS: number;
   /** the tasks of a gang notice within this time that one of them is gone */
   gangPeerS: number;
-  /** a cancelled job's tasks must be gone this long after the client was told */
+  /** a cancelled job's tasks must be gone this long after the response to the client */
   cancelS: number;
 }
 
--- a/packages/controller/src/scheduling/aged-gang-reservation.ts
+++ b/packages/controller/src/scheduling/aged-gang-reservation.ts
@@ -17,7 +17,7 @@
   if (reserved.size > 0) run.unreserved = run.unreserved.filter((free) => !reserved.has(free));
 }
 
-/** The first machines that together have room for all the gang's tasks, or all that have room for one. */
+/** The first machines on which all the gang's tasks fit together, or all on which one fits. */
 function machinesToReserve(gang: Job, candidates: readonly FreeResources[]): Set<FreeResources> {
   const reserved = new Set<FreeResources>();
   let missing = gang.spec.tasks;
--- a/packages/controller/src/scheduling/array-postponement.ts
+++ b/packages/controller/src/scheduling/array-postponement.ts
@@ -45,7 +45,7 @@
     return groups.values();
   }
 
-  /** Of the lowest priority there may be hundreds, and they wait for others' room: they go as they came. */
+  /** Of the lowest priority there may be hundreds, and they wait for what others leave free: first come, first served. */
   private mayBePostponed(job: Job): boolean {
     const { shape, gpus } = job.spec;
     const isCpuArray = shape === 'array' && gpus <= 0;
--- a/packages/controller/src/scheduling/candidate-machines.ts
+++ b/packages/controller/src/scheduling/candidate-machines.ts
@@ -1,6 +1,6 @@
 /**
  * The machines that a job's tasks may use, the best first. Sorting all of them for each waiting job was most of a run's cost
- * on a full fleet, where hardly any has room: those without are scored and sorted only once something may be stopped for the
+ * on a full fleet, where the task fits on hardly any: the others are scored and sorted only once something may be stopped for the
  * job.
  */
 import { type FreeResources, fits, type Job } from '../model/index.js';
@@ -21,7 +21,7 @@
 /** Candidates of one job, during its turn in one scheduling run. What is free on them may change meanwhile. */
 export class CandidateMachines {
   private sorted: Candidate[];
-  /** whether `sorted` has all machines, or those alone that had room at first */
+  /** whether `sorted` has all machines, or those alone on which the task fitted at first */
   private isComplete = false;
 
   constructor(
@@ -33,7 +33,7 @@
     this.sorted.sort(compareCandidates);
   }
 
-  /** The best one with room for a task, given how many tasks there are in each zone. */
+  /** The best one on which a task fits, given how many tasks there are in each zone. */
   best(tasksInZones: ReadonlyMap<number, number>): { readonly free: FreeResources; readonly score: number } | null {
     for (const candidate of this.sorted) {
       const { free } = candidate;
@@ -42,14 +42,14 @@
     return null;
   }
 
-  /** All with a higher score, whether or not they have room, the best first. */
+  /** All with a higher score, whether or not the task fits, the best first. */
   withHigherScore(minScore: number, tasksInZones: ReadonlyMap<number, number>): FreeResources[] {
     return this.allSorted()
       .filter(({ free, score }) => score > minScore && zoneAllowsTask(this.job, tasksInZones, free.machine.zoneIndex))
       .map(({ free }) => free);
   }
 
-  /** Where something was stopped there may be room for one more task: from now on all machines are looked at. */
+  /** Where something was stopped one more task may fit: from now on all machines are looked at. */
   private allSorted(): Candidate[] {
     if (this.isComplete) return this.sorted;
     const known = new Map(this.sorted.map((candidate) => [candidate.free, candidate]));
--- a/packages/controller/src/scheduling/crash-loop-retries.ts
+++ b/packages/controller/src/scheduling/crash-loop-retries.ts
@@ -1,6 +1,6 @@
 /**
- * Retries of crash-looping jobs: what fails everywhere is tried now and then, after all other work and only where there is
- * room. Nothing is stopped, moved or provisioned for it.
+ * Retries of crash-looping jobs: what fails everywhere is tried now and then, after all other work and only where it
+ * fits. Nothing is stopped, moved or provisioned for it.
  */
 import type { TaskAllocations } from '../allocation/index.js';
 import { type FreeResources, fits, type Job } from '../model/index.js';
@@ -18,7 +18,7 @@
     private readonly binder: Binder,
   ) {}
 
-  /** The job's next retry is put off whether or not there is room. */
+  /** The job's next retry is put off whether or not a task fits. */
   retry(job: Job, run: SchedulingRun): void {
     const candidates = run.unreserved.filter(({ machine }) => {
       const hasGpus = (machine.capacity?.gpus ?? 0) > 0;
--- a/packages/controller/src/scheduling/gang-preemption.ts
+++ b/packages/controller/src/scheduling/gang-preemption.ts
@@ -11,13 +11,13 @@
 /** Costs more than any choice of victims: on this machine not even one task fits. */
 const COST_WITHOUT_ROOM_S = 1e9;
 
-/** Makes room for whole gangs. */
+/** Preempts work so that whole gangs fit. */
 export class GangPreemption {
   constructor(private readonly preemption: Preemption) {}
 
   /**
    * Stops what is in the way of the gang, counts it as free on the candidates, and returns the machine of each task; null:
-   * there is no room for the whole gang.
+   * the whole gang doesn't fit.
    */
   evictFor(queued: QueuedJob, candidates: readonly FreeResources[], run: SchedulingRun): Machine[] | null {
     const machines = this.chooseMachines(queued, candidates, run);
@@ -44,7 +44,7 @@
     return result;
   }
 
-  /** What it costs to make room for one of the gang's tasks on each machine. */
+  /** What it costs to preempt enough for one of the gang's tasks on each machine. */
   private costsOf(domain: readonly FreeResources[], queued: QueuedJob, run: SchedulingRun): Map<Machine, number> {
     const costs = new Map<Machine, number>();
     for (const free of domain) {
--- a/packages/controller/src/scheduling/gang-service-eviction.ts
+++ b/packages/controller/src/scheduling/gang-service-eviction.ts
@@ -1,5 +1,5 @@
 /**
- * Eviction of services for gangs: clears machines with accelerators of their services when a gang has no other room, as many
+ * Eviction of services for gangs: clears machines with accelerators of their services when a gang doesn't fit otherwise, as many
  * machines as it lacks or none. Owns when that was last done.
  */
 import { freeResourcesOf, type TaskAllocations, type UnmetDemand } from '../allocation/index.js';
@@ -26,9 +26,9 @@
 
 /** What a gang finds in its shard. */
 interface GangCandidates {
-  /** how many of its tasks have room as it is */
+  /** how many of its tasks fit as it is */
   tasksThatFit: number;
-  /** machines without room for it where only services are in its way, and these have room elsewhere */
+  /** machines where it doesn't fit for their services alone, and these fit elsewhere */
   readonly clearable: ClearableMachine[];
 }
 
@@ -36,11 +36,11 @@
   readonly machine: Machine;
   /** processor cores that its services use */
   readonly serviceCpus: number;
-  /** how many of the gang's tasks have room once it is cleared */
+  /** how many of the gang's tasks fit once it is cleared */
   readonly tasksOnceCleared: number;
 }
 
-/** Clears machines for gangs that found no room in a run. */
+/** Clears machines for gangs that didn't fit in a run. */
 export class GangServiceEviction {
   private evictedAt: Milliseconds = NEVER;
 
@@ -50,7 +50,7 @@
     private readonly evacuation: ServiceEvacuation,
   ) {}
 
-  /** Clears machines for the first gang of the unmet demand that this gives room, unless that was done lately. */
+  /** Clears machines for the first gang of the unmet demand that then fits, unless that was done a short time ago. */
   evictFor(unmetDemand: readonly UnmetDemand[], now: Milliseconds): void {
     if (now - this.evictedAt < EVICTION_INTERVAL_MS) return;
     for (const { job } of unmetDemand) {
@@ -88,7 +88,7 @@
   }
 }
 
-/** Is it services alone that leave no room for one of the gang's tasks? */
+/** Is it for services alone that none of the gang's tasks fits? */
 function isBlockedByServices(gang: Job, machine: Machine, capacity: Resources): boolean {
   if (hasGpuWork(machine)) return false;
   const usage = machineLoadOf(machine).serviceUsage;
--- a/packages/controller/src/scheduling/gpu-machines.ts
+++ b/packages/controller/src/scheduling/gpu-machines.ts
@@ -18,7 +18,7 @@
 export class GpuMachines {
   constructor(private readonly context: ClusterStateView) {}
 
-  /** Has it more services than accelerator work leaves room for, or is it in a shard without such work? Never a spot machine. */
+  /** Has it more services than fit beside accelerator work, or is it in a shard without such work? Never a spot machine. */
   isDedicatedToServices(machine: Machine): boolean {
     if (!machine.capacity || machine.capacity.gpus === 0 || machine.spot) return false;
     if (!this.context.clusterState.shardsWithGpuWork.has(machine.shard)) return true;
--- a/packages/controller/src/scheduling/machine-eligibility.ts
+++ b/packages/controller/src/scheduling/machine-eligibility.ts
@@ -1,7 +1,7 @@
 /**
  * Eligibility: which machines a job may use at all for now, beyond what its own constraints say. Machines with accelerators
  * are kept for the work that needs them, for a while or as long as it waits. Owns which shards have accelerator work that
- * found no room.
+ * didn't fit.
  */
 import type { MachineType } from '@archpost/protocol';
 import { freeResourcesOf, type TaskAllocations, type UnmetDemand } from '../allocation/index.js';
@@ -11,13 +11,13 @@
 import { isAllowedOn } from './placement-constraints.js';
 import type { QueueOrder } from './queue-order.js';
 
-/** How long a service waits for other room before it takes a machine with accelerators of a type that can't be had. */
+/** How long a service waits for other machines before it takes one with accelerators of a type that can't be provisioned. */
 const SERVICE_WAIT_MS = {
   /** the machine is given to services whole */
   dedicatedMachine: 800,
   /** accelerator work still fits beside the service */
   spareRoom: 1500,
-  /** another machine that is given to services has room, which the service should take instead */
+  /** the service fits on another machine that is set aside for services, which it should take instead */
   whileDedicatedMachineHasRoom: 30_000,
   /** none of these */
   scarceMachine: SCARCE_MACHINE_WAIT_S * 1000,
@@ -49,7 +49,7 @@
 
   constructor(private readonly dependencies: EligibilityDependencies) {}
 
-  /** What a run found no room for; it holds for the next run. */
+  /** What didn't fit in a run; it holds for the next run. */
   recordUnmetDemand(unmetDemand: readonly UnmetDemand[]): void {
     this.shardsWithWaitingGpuWork.clear();
     for (const { job } of unmetDemand) if (job.spec.gpus > 0) this.shardsWithWaitingGpuWork.add(job.shard);
@@ -68,11 +68,11 @@
   /** for how long some of its tasks have had no machine */
   readonly waitedMs: Milliseconds;
   readonly now: Milliseconds;
-  /** whether accelerator work of its shard found no room in the last run */
+  /** whether accelerator work of its shard didn't fit in the last run */
   readonly hasWaitingGpuWork: boolean;
 }
 
-/** Which machines one job may use. Made when the job's turn comes; no machine may change while it is asked. */
+/** Which machines one job may use. Made when the job's turn comes; no machine may change while it is in use. */
 export class JobEligibility {
   private dedicatedMachines: readonly Machine[] | null = null;
 
@@ -81,7 +81,7 @@
     private readonly request: EligibilityRequest,
   ) {}
 
-  /** May the job use the machine, if its constraints allow it and there is room? */
+  /** May the job use the machine, if its constraints allow it and a task fits? */
   mayUse(machine: Machine): boolean {
     const { job, waitedMs, now } = this.request;
     if (job.spec.gpus > 0) return true;
@@ -108,7 +108,7 @@
     return isOtherDedicated ? SERVICE_WAIT_MS.whileDedicatedMachineHasRoom : SERVICE_WAIT_MS.scarceMachine;
   }
 
-  /** Machines that are given to services and have room for the job's next task, a few at most. */
+  /** Machines that are set aside for services and on which the job's next task fits, a few at most. */
   private findDedicatedMachines(): Machine[] {
     const result: Machine[] = [];
     for (const machine of this.dependencies.context.clusterState.machines.values()) {
--- a/packages/controller/src/scheduling/machine-scoring.ts
+++ b/packages/controller/src/scheduling/machine-scoring.ts
@@ -24,11 +24,11 @@
   spot: 1,
   /** no accelerator work has been seen that fits the machine */
   unwanted: 5,
-  /** room that accelerator work leaves over, on a type of which no more can be had */
+  /** resources that accelerator work leaves free, on a type of which no more can be provisioned */
   spareRoomOfScarceType: 6,
-  /** room beside accelerator work: a service may keep the machine from being released when that ends */
+  /** resources beside accelerator work: a service may keep the machine from being released when that ends */
   serviceBesideGpuWork: 1.5,
-  /** room beside accelerator work: an array ends soon enough */
+  /** resources beside accelerator work: an array ends soon enough */
   arrayBesideGpuWork: 0,
   /** an otherwise empty machine, which would be kept for this work alone */
   emptyMachine: 20,
--- a/packages/controller/src/scheduling/preemption.ts
+++ b/packages/controller/src/scheduling/preemption.ts
@@ -170,7 +170,7 @@
     return fits(request, free) ? victims : null;
   }
 
-  /** Makes room for one task on the machine where that costs least, and returns the machine; null: there is none. */
+  /** Preempts enough for one task on the machine where that costs least, and returns the machine; null: there is none. */
   evictFor(queued: QueuedJob, candidates: readonly FreeResources[], run: SchedulingRun): FreeResources | null {
     const plan = this.cheapestEviction(queued, candidates, run);
     if (!plan) return null;
--- a/packages/controller/src/scheduling/relocation-targets.ts
+++ b/packages/controller/src/scheduling/relocation-targets.ts
@@ -1,5 +1,5 @@
 /**
- * Where the services of a machine could move to within their shard. This is asked for each machine of a shard in one round:
+ * Where the services of a machine could move to within their shard. This is computed for each machine of a shard in one round:
  * going over all targets for each of them cost the square of the machines (eleven of each thirty milliseconds of a tick at
  * 1,333 machines a shard), so the targets are sorted out once for each kind of service.
  */
@@ -8,20 +8,20 @@
 
 /** The machines of one shard that services may move to. Made for one round; nothing may change meanwhile. */
 export class RelocationTargets {
-  /** the targets with room for one service of the kind that the service may use, by kind */
+  /** the targets with enough free resources for one service of the kind that the service may use, by kind */
   private readonly targetsByKind = new Map<string, FreeResources[]>();
   private readonly serviceCpus = new Map<Machine, number>();
 
   /**
    * `freeResources`: the targets, in the order in which they are tried; `measureServiceCpus`: the processor cores that services
-   * use on a machine, asked once for each.
+   * use on a machine, evaluated once for each.
    */
   constructor(
     private readonly freeResources: readonly FreeResources[],
     private readonly measureServiceCpus: (machine: Machine) => number,
   ) {}
 
-  /** Is there room on other machines for all these services of the machine at once? The first target with room is taken. */
+  /** Do all these services of the machine fit on other machines at once? The first target that fits is taken. */
   canHost(source: Machine, services: readonly Allocation[]): boolean {
     const remaining = new Map<FreeResources, FreeResources>();
     for (const { job } of services) {
--- a/packages/controller/src/scheduling/scheduler.ts
+++ b/packages/controller/src/scheduling/scheduler.ts
@@ -25,7 +25,7 @@
 import { measureTeamUsage } from './team-usage.js';
 import { UnschedulableKinds } from './unschedulable-kinds.js';
 
-/** What found no room is tried again after this long, if nothing else happens. */
+/** What didn't fit is tried again after this long, if nothing else happens. */
 const RESCHEDULE_INTERVAL_MS = 600;
 
 /** Scheduling pauses for a millisecond for so many machines that a run looked at, up to `RESCHEDULE_INTERVAL_MS`. */
@@ -42,7 +42,7 @@
 
 /** What a run does with a job of the queue. */
 type Readiness =
-  /** it is placed, as far as there is room */
+  /** it is placed, as far as it fits */
   | 'ready'
   /** its turn comes in a later run, which is due even if nothing else happens */
   | 'postponed'
@@ -95,7 +95,7 @@
     this.serviceConsolidation = new ServiceConsolidation(context, allocations, gpuMachines);
   }
 
-  /** Machines of the shard whose services have room on others. */
+  /** Machines of the shard whose services fit on others. */
   evacuableMachines(shard: number, now: Milliseconds): Set<Machine> {
     return this.serviceEvacuation.evacuableMachines(shard, now);
   }
@@ -140,7 +140,7 @@
     };
   }
 
-  /** Places what has room, in the queue's order. */
+  /** Places what fits, in the queue's order. */
   private placeQueue(queue: readonly QueuedJob[], run: SchedulingRun): RunOutcome {
     const outcome: RunOutcome = { unmetDemand: [], crashLoopingJobs: [], hasPostponedJobs: false, machinesConsidered: 0 };
     this.preemption.beginRun(queue, run.now);
@@ -193,7 +193,7 @@
     if (isAged && job.tenure.allocations.size === 0) reserveForAgedGang(job, run);
   }
 
-  /** Places the gang whole or not at all; returns how many of its tasks found no room. */
+  /** Places the gang whole or not at all; returns how many of its tasks didn't fit. */
   private placeGangJob(queued: QueuedJob, candidates: readonly FreeResources[], run: SchedulingRun): number {
     const { job } = queued;
     const { tasks } = job.spec;
--- a/packages/controller/src/scheduling/service-evacuation.ts
+++ b/packages/controller/src/scheduling/service-evacuation.ts
@@ -1,5 +1,5 @@
 /**
- * Evacuation of services: on which machines of a shard all services have room elsewhere in the shard, so that the machine can
+ * Evacuation of services: on which machines of a shard all services fit elsewhere in the shard, so that the machine can
  * be cleared for accelerator work or for another shard. Decides only; owns nothing.
  */
 import { freeResourcesOf, type TaskAllocations } from '../allocation/index.js';
@@ -22,7 +22,7 @@
     private readonly gpuMachines: GpuMachines,
   ) {}
 
-  /** Machines of the shard whose services have room on others. It holds for each of them by itself, not for all at once. */
+  /** Machines of the shard whose services fit on others. It holds for each of them by itself, not for all at once. */
   evacuableMachines(shard: number, now: Milliseconds): Set<Machine> {
     const targets = new RelocationTargets(this.targetsIn(shard, now), (machine) => machineLoadOf(machine).serviceUsage.cpus);
     const result = new Set<Machine>();
--- a/packages/controller/src/scheduling/task-placement.ts
+++ b/packages/controller/src/scheduling/task-placement.ts
@@ -24,7 +24,7 @@
     private readonly binder: Binder,
   ) {}
 
-  /** Places as many tasks as there is room for; returns how many are left that the team's quota allows. */
+  /** Places as many tasks as fit; returns how many are left that the team's quota allows. */
   place(queued: QueuedJob, freeResources: readonly FreeResources[], run: SchedulingRun): number {
     const { job } = queued;
     const pending = job.pendingCount();
@@ -57,7 +57,7 @@
     return Math.max(0, count);
   }
 
-  /** The best machine with room for one more task; what has to be stopped there is stopped. */
+  /** The best machine on which one more task fits; what has to be stopped there is stopped. */
   private chooseMachine(
     queued: QueuedJob,
     candidates: CandidateMachines,
--- a/packages/controller/src/shards/failure-detector.ts
+++ b/packages/controller/src/shards/failure-detector.ts
@@ -1,5 +1,5 @@
 /**
- * Which workers can be reached from here, as far as their answers and their silence tell: whether a zone is cut off, and
+ * Which workers can be reached from here, as far as their answers and their silence show: whether a zone is cut off, and
  * whether the fault is this controller's own. A worker that is heard need not be reachable, and one that doesn't answer need
  * not be dead. Owns which zones count as cut off, and since when no worker answers.
  */
@@ -32,7 +32,7 @@
 /** An answer of any worker within so many heartbeat intervals shows that this controller isn't cut off. */
 const ANSWER_FRESH_INTERVALS = 2;
 
-/** Where there is nobody to probe, silence is believed after so many times the time that a machine's silence is borne. */
+/** Where there is nobody to probe, silence is believed after so many times the time that a machine's silence is tolerated. */
 const UNCONFIRMED_SILENCE_FACTOR = 2;
 
 /** What the failure detector needs of its controller. */
--- a/packages/controller/src/shards/job-checks.ts
+++ b/packages/controller/src/shards/job-checks.ts
@@ -13,7 +13,7 @@
 /** What the checks of jobs need of their controller. */
 type JobChecksContext = SettingsView & ClusterStateView & Logger;
 
-/** Has the task had its grace for saving, and more, since it was first told to stop? */
+/** Has the task had its grace for saving, and more, since its first stop was sent? */
 function isSaveOverdue({ stopGraceS, firstStopSentAt }: Allocation, now: Milliseconds): boolean {
   return (
     stopGraceS !== null &&
--- a/packages/controller/src/shards/machine-lifecycle.ts
+++ b/packages/controller/src/shards/machine-lifecycle.ts
@@ -96,7 +96,7 @@
     else if (this.isOwnSilence(machine, silentMs, now)) this.releases.mark(machine, 'silent');
   }
 
-  /** Longer than silence is borne, or so that the cloud has most likely taken it at the end of its preemption notice. */
+  /** Longer than silence is tolerated, or so that the cloud has most likely taken it at the end of its preemption notice. */
   private isSilent({ tenure }: Machine, silentMs: Milliseconds, now: Milliseconds): boolean {
     const { policy, workers } = this.context.settings;
     if (silentMs > policy.silentS * 1000) return true;
@@ -183,7 +183,7 @@
     });
   }
 
-  /** Several commands in a row without an answer, over longer than a machine's silence is borne. */
+  /** Several commands in a row without an answer, over longer than a machine's silence is tolerated. */
   private isUnreachable({ tenure: { unansweredCommands, unansweredSince } }: Machine, now: Milliseconds): boolean {
     if (unansweredCommands < UNANSWERED_COMMANDS || unansweredSince === null) return false;
     return now - unansweredSince > this.context.settings.policy.silentS * 1000;
@@ -192,7 +192,7 @@
 
 /**
  * Whose silence counts: one that was probed since it was last heard, where only answers count. At a first start that outlasts
- * leases a machine's first answer tells its agent epoch alone, and those that were never probed come before it: within 90 s
+ * leases a machine's first answer shows its agent epoch alone, and those that were never probed come before it: within 90 s
  * 1,312 of 4,000 machines, all of which sent heartbeats, had been released as silent (docs/incidents/
  * first-start-of-a-large-fleet.md).
  */
--- a/packages/controller/src/shards/probe-selection.ts
+++ b/packages/controller/src/shards/probe-selection.ts
@@ -17,7 +17,7 @@
  */
 const MAX_PROBES_PER_TICK = 32;
 
-/** So many are probed in a tick however small the controller's share of a core is. */
+/** So many are probed in a tick however small the controller's part of a core is. */
 const MIN_PROBES_PER_TICK = 2;
 
 /** A machine that is silent for so many heartbeat intervals is probed. */
--- a/packages/controller/src/shards/recovery-probes.ts
+++ b/packages/controller/src/shards/recovery-probes.ts
@@ -1,6 +1,6 @@
 /**
  * Finds out when workers can be reached from here again. A controller that can't reach them gives its shards away, and then has
- * no command by whose answer it could tell: so it probes a few machines, round by round. Owns the rounds.
+ * no command whose answer would show it: so it probes a few machines, round by round. Owns the rounds.
  */
 import type { ClusterStateView, EffectSink, SettingsView } from '../context/index.js';
 import type { Machine, Milliseconds } from '../model/index.js';
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -185,7 +185,7 @@
     this.allocations.schedulingRequested = true;
   }
 
-  /** Can workers be reached from here, as far as their answers tell? */
+  /** Can workers be reached from here, as far as their answers show? */
   get reachesWorkers(): boolean {
     return this.machineLifecycle.failureDetector.reachesWorkers;
   }
@@ -251,8 +251,8 @@
   }
 
   /**
-   * How far the jobs of the shards held here are, by id, for the status queries of other controllers. Jobs with nothing to
-   * tell are left out.
+   * How far the jobs of the shards held here are, by id, for the status queries of other controllers. Jobs without running,
+   * completed or failed tasks are left out.
    */
   runningJobs(): Map<string, RunningTasks> {
     const result = new Map<string, RunningTasks>();
--- a/packages/controller/src/shards/shard-debug-summary.ts
+++ b/packages/controller/src/shards/shard-debug-summary.ts
@@ -17,7 +17,7 @@
   machines: Record<string, string>;
   /** by machine with accelerators: how many tasks of which class of jobs are in which phase there */
   accelerated: Record<string, string>;
-  /** tasks that found no room, with how long their job has waited */
+  /** tasks that found no machine, with how long their job has waited */
   waiting: string[];
 }
 
--- a/packages/controller/src/shards/shard-summary.ts
+++ b/packages/controller/src/shards/shard-summary.ts
@@ -1,6 +1,6 @@
 /**
  * The summary of a shard that its holder sends to the leader: the machines with what is free on them, and the demand of tasks
- * that found no room. Owns the summaries made last.
+ * that found no machine. Owns the summaries made last.
  */
 import type { MachineSummary, ResourceDemand, ShardSummary } from '@archpost/protocol';
 import { freeResourcesOf, type TaskAllocations, type UnmetDemand } from '../allocation/index.js';
--- a/packages/controller/src/shards/task-commands.ts
+++ b/packages/controller/src/shards/task-commands.ts
@@ -11,7 +11,7 @@
 
 /**
  * The only place where a start is made, as the command leaves. Whatever was true when the task was planned, its job must be
- * live and not blocked now, and the task must not have been told to stop meanwhile; null: it may not start.
+ * live and not blocked now, and no stop of the task may have been requested meanwhile; null: it may not start.
  */
 export function startCommand(allocation: Allocation): Command | null {
   const { job, stopGraceS } = allocation;
--- a/packages/controller/src/state/cluster-state.ts
+++ b/packages/controller/src/state/cluster-state.ts
@@ -1,7 +1,7 @@
 /**
  * The cluster state: a materialized view of what the state service's keys hold, in the shape that decisions use. Each kind of
  * record has one owner (leases, machine types, machines, image caches, jobs, accelerator demand); this module makes the
- * owners, routes each changed key to one of them, and is what other rooms ask.
+ * owners, routes each changed key to one of them, and is the interface to other folders.
  */
 import type { JobSpec, MachineType } from '@archpost/protocol';
 import { ANY_ZONE, type ControllerSettings, Job, type Machine, type Milliseconds, NameInterner } from '../model/index.js';
--- a/packages/controller/src/state/job-record.ts
+++ b/packages/controller/src/state/job-record.ts
@@ -30,7 +30,7 @@
 import { encodedBytes } from './limits.js';
 import { UnreadableRecordError } from './unreadable-record-error.js';
 
-/** How a job ended, as far as its record tells. */
+/** How a job ended, as far as its record shows. */
 export type FinalState = 'done' | 'cancelled';
 
 const ACCEPTED = 0;
--- a/packages/controller/src/state/job-registry.ts
+++ b/packages/controller/src/state/job-registry.ts
@@ -253,7 +253,7 @@
 }
 
 /** Keeps what was read before the record that it belongs to. */
-function keepEarly<Name, Value>(store: Map<string, Map<Name, Value>>, owner: string, name: Name, value: Value): void {
-  const early = store.get(owner) ?? new Map<Name, Value>();
-  store.set(owner, early.set(name, value));
+function keepEarly<Name, Value>(store: Map<string, Map<Name, Value>>, recordId: string, name: Name, value: Value): void {
+  const early = store.get(recordId) ?? new Map<Name, Value>();
+  store.set(recordId, early.set(name, value));
 }
--- a/packages/controller/src/state/job-spec-record.ts
+++ b/packages/controller/src/state/job-spec-record.ts
@@ -29,7 +29,7 @@
   deadlineS: 'deadlineS',
 };
 
-/** Is the value the stored form of a job, as far as its id tells? */
+/** Is the value the stored form of a job, as far as its id shows? */
 export function isStoredJobSpec(value: unknown): value is object {
   return typeof value === 'object' && value !== null && 'id' in value && typeof value.id === 'string';
 }
--- a/packages/controller/src/state/replica.ts
+++ b/packages/controller/src/state/replica.ts
@@ -16,7 +16,7 @@
 type ListenerErrorHandler = (key: string, error: unknown) => void;
 
 /**
- * Holds the newest known entry of each key and tells a listener of each change. A change may arrive twice and from two
+ * Holds the newest known entry of each key and notifies a listener of each change. A change may arrive twice and from two
  * sources at once (the watch, and our own transactions or a barrier read), so each key keeps the revision at which it was
  * last set or removed, and takes only newer changes.
  */
--- a/packages/controller/src/state/state-writer.ts
+++ b/packages/controller/src/state/state-writer.ts
@@ -54,7 +54,7 @@
 /**
  * Groups writes into transactions within the rate limit. A transaction without an answer is sent again with the same
  * conditions: whichever copy arrives first succeeds and the other fails, so a late copy can't undo anything. When the second
- * copy fails, what the key holds tells whether the first was applied.
+ * copy fails, what the key holds shows whether the first was applied.
  */
 export class StateWriter {
   private readonly queue = new WriteQueue();
@@ -245,7 +245,7 @@
     for (const write of writes) this.queue.add(write, now);
   }
 
-  /** The replica is as fresh as the failure: what it holds tells whether an earlier copy of the write was applied. */
+  /** The replica is as fresh as the failure: what it holds shows whether an earlier copy of the write was applied. */
   private settleFailedWrite(write: QueuedWrite): void {
     write.onOutcome(isAlreadyApplied(write, this.host.replica.get(write.key)) ? 'ok' : 'conflict');
   }
--- a/packages/controller/src/state/write-queue.ts
+++ b/packages/controller/src/state/write-queue.ts
@@ -35,7 +35,7 @@
  */
 export type WriteOutcome = 'ok' | 'conflict' | 'dropped';
 
-/** A write to one key, as its owner asks for it. */
+/** A write to one key, as it is requested. */
 export interface PendingWrite {
   key: string;
   /** evaluated when the write is sent first, and not again for a repeated send; undefined removes the key */
@@ -105,7 +105,7 @@
     this.detach(write);
   }
 
-  /** How many wait that had this priority when the order was last asked for. */
+  /** How many wait that had this priority when the queue was last put in order. */
   count(priority: number): number {
     return this.countByPriority.get(priority) ?? 0;
   }
--- a/packages/controller/src/state/write-rate-limit.ts
+++ b/packages/controller/src/state/write-rate-limit.ts
@@ -1,6 +1,6 @@
 /**
  * The rate of writes that the state service takes from all controllers together. The settings may announce a lower one that it
- * will have later, without saying when; only a refusal tells.
+ * will have later, without saying when; only a refusal shows it.
  */
 import type { ControllerSettings, Milliseconds } from '../model/index.js';
 
@@ -11,7 +11,7 @@
 const RATE_RISE_PER_S = 0.02;
 
 /**
- * The rate of writes that the service takes now, as far as its refusals tell. It starts at the present limit,
+ * The rate of writes that the service takes now, as far as its refusals show. It starts at the present limit,
  * falls to the announced one when a write is refused for the rate, and rises again slowly while none is:
  * the service may go back to what it allowed before. Without an announced limit it stays as it is.
  */
