--- a/packages/controller/src/capacity/shard-rebalancer.ts
+++ b/packages/controller/src/capacity/shard-rebalancer.ts
@@ -27,6 +27,15 @@
 /** Orders a machine to be moved to a shard. If the order can't be written, `orderFailed` is called later. */
 type OrderMove = (machine: Machine, shard: number) => void;
 
+/** What the moves of a round are planned by. */
+interface MoveRound {
+  shards: Map<number, ShardSummary>;
+  pending: PendingDemand[];
+  /** moves at most */
+  limit: number;
+  orderMove: OrderMove;
+}
+
 /** Plans the moves of each round. Whether an order is written is up to the leader. */
 export class ShardRebalancer {
   /** moves that were ordered and are not done yet, and when */
@@ -52,13 +61,7 @@
   }
 
   /** Orders the moves of a round, `limit` at most, for the pending demands, and allocates tasks to the moved machines. */
-  planMoves(
-    shards: Map<number, ShardSummary>,
-    pending: PendingDemand[],
-    limit: number,
-    orderMove: OrderMove,
-    now: Milliseconds,
-  ): void {
+  planMoves({ shards, pending, limit, orderMove }: MoveRound, now: Milliseconds): void {
     this.forgetCompletedMoves(now);
     const movingMachines = this.allocateOrderedMoves(pending);
     const movables = this.movableMachines(shards, movingMachines, highestPriority(pending), now);
--- a/packages/controller/src/controller-context.ts
+++ b/packages/controller/src/controller-context.ts
@@ -30,12 +30,13 @@
 import type { ShardController } from './shards/index.js';
 import type { ClusterState, ReadBarriers, Replica, StateWriter } from './state/index.js';
 
-/** What is known of the state service's keys, and the way to change them. */
+/** What is known of the state service's keys, the way to change them, and the effects that inputs ask for. */
 export interface ContextState {
   readonly clusterState: ClusterState;
   readonly replica: Replica;
   readonly writer: StateWriter;
   readonly readBarriers: ReadBarriers;
+  readonly effects: EffectBuffer;
 }
 
 /** The parts that questions go on to. They take the context themselves, so it is given the object that will hold them. */
@@ -72,6 +73,7 @@
   readonly clusterState: ClusterState;
   readonly replica: Replica;
   readonly writer: StateWriter;
+  private readonly effects: EffectBuffer;
   private readonly readBarriers: ReadBarriers;
 
   /** `parts` may be incomplete until the first input. */
@@ -79,9 +81,9 @@
     readonly settings: ControllerSettings,
     readonly incarnation: string,
     state: ContextState,
-    private readonly effects: EffectBuffer,
     private readonly parts: ContextParts,
   ) {
+    this.effects = state.effects;
     this.clusterState = state.clusterState;
     this.replica = state.replica;
     this.writer = state.writer;
--- a/packages/controller/src/controller-parts.ts
+++ b/packages/controller/src/controller-parts.ts
@@ -64,7 +64,7 @@
     this.writeRateLimit = new WriteRateLimit(settings.state);
     this.replica = this.makeReplica();
     this.writer = this.makeWriter(settings);
-    this.context = new ControllerContext(settings, incarnation, this, this.effects, this);
+    this.context = new ControllerContext(settings, incarnation, this, this);
     const { context } = this;
 
     this.stateLease = this.makeStateLease();
--- a/packages/controller/src/jobs/acceptance-writer.ts
+++ b/packages/controller/src/jobs/acceptance-writer.ts
@@ -30,10 +30,14 @@
     const ordered = spec.machineTypes === null ? spec : { ...spec, machineTypes: this.knownTypesFirst(spec.machineTypes) };
     // What is stored as done needs no edge.
     const openAwaits = awaits.filter((job) => finishedJobs.get(job) !== 'done');
-    const encoded = encodeAcceptedJob(key, ordered, openAwaits, wallClockMs, sizeLimits.maxWriteBytes);
+    const encoded = encodeAcceptedJob(
+      key,
+      { spec: ordered, awaits: openAwaits, submittedAt: wallClockMs },
+      sizeLimits.maxWriteBytes,
+    );
     if (encoded === null || encoded.parts.length === 0) return encoded;
     // In parts the whole list is stored, so that a repeated submission finds the same parts.
-    return encodeAcceptedJob(key, ordered, awaits, wallClockMs, sizeLimits.maxWriteBytes);
+    return encodeAcceptedJob(key, { spec: ordered, awaits, submittedAt: wallClockMs }, sizeLimits.maxWriteBytes);
   }
 
   /** Writes until `expiresAt`, and calls `onOutcome` once. */
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -164,7 +164,7 @@
     const demands = pendingDemands(shards.values());
     this.machineAssigner.allocateRecentAssignments(demands, now);
     const orderMove = (machine: Machine, shard: number) => this.orderMove(machine, shard, leaseRevision, now);
-    this.shardRebalancer.planMoves(shards, demands, this.movesPerRound, orderMove, now);
+    this.shardRebalancer.planMoves({ shards, pending: demands, limit: this.movesPerRound, orderMove }, now);
   }
 
   private orderMove(machine: Machine, shard: number, leaseRevision: number, now: Milliseconds): void {
--- a/packages/controller/src/scheduling/binding.ts
+++ b/packages/controller/src/scheduling/binding.ts
@@ -1,15 +1,14 @@
 /** Binding: carries out what was chosen, by planned allocations. The command dispatcher sends the starts later. */
 import type { TaskAllocations } from '../allocation/index.js';
 import { type FreeResources, type Job, type Machine, subtract } from '../model/index.js';
-import { countTaskInZone } from './placement-constraints.js';
 import type { SchedulingRun } from './scheduling-run.js';
 
 /** Turns choices into allocations, and counts them in the run and on the machines' free resources. */
 export class Binder {
   constructor(private readonly allocations: TaskAllocations) {}
 
-  /** Gives the machine to one task of an array or service; `tasksInZones` is brought up to date. */
-  bindTask(job: Job, taskIndex: number, free: FreeResources, tasksInZones: Map<number, number>, run: SchedulingRun): void {
+  /** Gives the machine to one task of an array or service. */
+  bindTask(job: Job, taskIndex: number, free: FreeResources, run: SchedulingRun): void {
     subtract(free, job.resources);
     this.allocations.allocate({
       job,
@@ -20,7 +19,6 @@
       plannedAt: run.now,
     });
     run.usage.add(job);
-    countTaskInZone(tasksInZones, free.machine.zoneIndex);
   }
 
   /** Gives one machine each to the gang's tasks, in one attempt. None of them may have a machine yet. */
--- a/packages/controller/src/scheduling/crash-loop-retries.ts
+++ b/packages/controller/src/scheduling/crash-loop-retries.ts
@@ -7,7 +7,7 @@
 import type { Binder } from './binding.js';
 import { placeGang } from './gang-placement.js';
 import type { MachineScoring } from './machine-scoring.js';
-import { isAllowedOn, tasksPerZone, zoneAllowsTask } from './placement-constraints.js';
+import { countTaskInZone, isAllowedOn, tasksPerZone, zoneAllowsTask } from './placement-constraints.js';
 import type { SchedulingRun } from './scheduling-run.js';
 
 /** Places the tasks of crash-looping jobs whose retry is due. */
@@ -46,7 +46,8 @@
       );
       const taskIndex = free ? job.nextUntriedTaskFirst() : -1;
       if (!free || taskIndex < 0) return;
-      this.binder.bindTask(job, taskIndex, free, tasksInZones, run);
+      this.binder.bindTask(job, taskIndex, free, run);
+      countTaskInZone(tasksInZones, free.machine.zoneIndex);
     }
   }
 }
--- a/packages/controller/src/scheduling/task-placement.ts
+++ b/packages/controller/src/scheduling/task-placement.ts
@@ -4,7 +4,7 @@
 import { CandidateMachines } from './candidate-machines.js';
 import type { MachineEligibility } from './machine-eligibility.js';
 import type { MachineScoring } from './machine-scoring.js';
-import { tasksPerZone } from './placement-constraints.js';
+import { countTaskInZone, tasksPerZone } from './placement-constraints.js';
 import { hasProtectedWork, type Preemption } from './preemption.js';
 import type { QueuedJob } from './queued-job.js';
 import type { SchedulingRun } from './scheduling-run.js';
@@ -51,7 +51,8 @@
       const free = this.chooseMachine(queued, candidates, tasksInZones, run);
       const taskIndex = free ? job.nextPendingTask() : -1;
       if (!free || taskIndex < 0) return placed;
-      this.binder.bindTask(job, taskIndex, free, tasksInZones, run);
+      this.binder.bindTask(job, taskIndex, free, run);
+      countTaskInZone(tasksInZones, free.machine.zoneIndex);
       this.preemption.taskPlaced(job, run.now);
     }
     return Math.max(0, count);
--- a/packages/controller/src/state/job-record.ts
+++ b/packages/controller/src/state/job-record.ts
@@ -170,6 +170,14 @@
   return createHash('sha256').update(JSON.stringify(parts)).digest('base64url').slice(0, GROUP_LENGTH);
 }
 
+/** A job as it is accepted. `submittedAt`: time of day, in ms. */
+interface AcceptedJob {
+  spec: JobSpec;
+  /** ids of the jobs that it awaits */
+  awaits: readonly string[];
+  submittedAt: number;
+}
+
 /** The record of an accepted job; the field for awaited jobs is there only if the job has any. */
 function acceptedRecord(spec: JobSpec, awaits: readonly string[], hasAwaits: boolean, submittedAt: number): object {
   return hasAwaits
@@ -186,9 +194,7 @@
 /** Null if not even one machine type fits, or the rest of the record doesn't. */
 function countNamesInRecord(
   key: string,
-  spec: JobSpec,
-  awaits: readonly string[],
-  submittedAt: number,
+  { spec, awaits, submittedAt }: AcceptedJob,
   maxWriteBytes: number,
 ): NamesInRecord | null {
   const emptySpec = { ...spec, machineTypes: spec.machineTypes && [] };
@@ -209,17 +215,12 @@
  * the record holds what fits of it and parts hold the rest. A version that knows no parts then reads a shorter
  * list of machine types, which allows less than the user did, never more; `types` are best ordered accordingly.
  */
-export function encodeAcceptedJob(
-  key: string,
-  spec: JobSpec,
-  awaits: readonly string[],
-  submittedAt: number,
-  maxWriteBytes: number,
-): EncodedJob | null {
+export function encodeAcceptedJob(key: string, job: AcceptedJob, maxWriteBytes: number): EncodedJob | null {
+  const { spec, awaits, submittedAt } = job;
   const hasAwaits = awaits.length > 0;
   const record = acceptedRecord(spec, awaits, hasAwaits, submittedAt);
   if (encodedBytes(key, record) <= maxWriteBytes) return { record, parts: [], group: '' };
-  const inRecord = countNamesInRecord(key, spec, awaits, submittedAt, maxWriteBytes);
+  const inRecord = countNamesInRecord(key, job, maxWriteBytes);
   if (inRecord === null) return null;
   const types = spec.machineTypes ?? [];
   const parts = [
--- a/packages/controller/src/state/job-registry.ts
+++ b/packages/controller/src/state/job-registry.ts
@@ -72,7 +72,8 @@
   applyRecord(id: string, entry: ReplicaEntry | null, now: Milliseconds): JobsChange {
     if (!entry) return NO_JOBS;
     const stored = parseJobRecord(entry.value);
-    const others = stored.state === 'live' ? [] : this.applyFinalState(id, stored.state, stored.endedAt, entry.revision, now);
+    if (stored.state === 'cancelled') this.cancellationRevision = Math.max(this.cancellationRevision, entry.revision);
+    const others = stored.state === 'live' ? [] : this.applyFinalState(id, stored.state, stored.endedAt, now);
     const known = this.jobs.get(id);
     // Of a finished job nothing is left to do; of a cancelled one there may be tasks to stop.
     const { spec } = stored;
@@ -125,14 +126,7 @@
   }
 
   /** A job is over. Returns those that awaited it and are released or cancelled by that. */
-  private applyFinalState(
-    id: string,
-    finalState: FinalState,
-    endedAt: Milliseconds | null,
-    revision: number,
-    now: Milliseconds,
-  ): Job[] {
-    if (finalState === 'cancelled') this.cancellationRevision = Math.max(this.cancellationRevision, revision);
+  private applyFinalState(id: string, finalState: FinalState, endedAt: Milliseconds | null, now: Milliseconds): Job[] {
     this.finishedJobs.set(id, finalState);
     this.progressReadEarly.delete(id);
     const { released, cancelled } = this.dependencies.jobFinished(id, finalState, endedAt);
--- a/test/long-lists-and-progress.test.ts
+++ b/test/long-lists-and-progress.test.ts
@@ -47,7 +47,7 @@
   const types = Array.from({ length: 64 }, (_, index) => `type-${index}-${'é'.repeat(40)}`);
   const spec = job('run-long', { machineTypes: types });
   const limit = 2 * 1024 - 64;
-  const encoded = encodeAcceptedJob('a/j/run-long', spec, awaits, 5, limit);
+  const encoded = encodeAcceptedJob('a/j/run-long', { spec, awaits, submittedAt: 5 }, limit);
   assert.ok(encoded);
   assert.ok(encodedBytes('a/j/run-long', encoded.record) <= limit);
   const key = `a/x/run-${'x'.repeat(64)}/${encoded.group}/99`;
@@ -59,7 +59,7 @@
   assert.deepEqual([...(head.awaits ?? []), ...parts.flatMap((part) => part.awaits)], awaits);
   // A version that knows no parts allows less, never more: the list is never empty, which it would take for none.
   assert.ok((head.spec?.machineTypes?.length ?? 0) > 0);
-  const again = encodeAcceptedJob('a/j/run-long', spec, awaits, 99, limit);
+  const again = encodeAcceptedJob('a/j/run-long', { spec, awaits, submittedAt: 99 }, limit);
   assert.equal(again?.group, encoded.group, 'a repeated submission finds its parts');
   const old = { s: 0, t: 5, sp: encodeJobSpec(spec) };
   const cancelled = encodeCancelledJob('a/j/run-long', old, limit);
--- a/test/recorded-formats.test.ts
+++ b/test/recorded-formats.test.ts
@@ -542,7 +542,11 @@
   const decoded = parseJobRecord(value);
   if (decoded.state === 'cancelled') return encodeCancelledJob(key, { ...(value as object), s: 0 }, 100_000);
   if (decoded.state === 'done') return encodeDoneJob(decoded.submittedAt, decoded.tasks, decoded.endedAt ?? Number.NaN);
-  const encoded = encodeAcceptedJob(key, decoded.spec as JobSpec, decoded.awaits ?? [], decoded.submittedAt, 100_000);
+  const encoded = encodeAcceptedJob(
+    key,
+    { spec: decoded.spec as JobSpec, awaits: decoded.awaits ?? [], submittedAt: decoded.submittedAt },
+    100_000,
+  );
   assert.deepEqual(encoded?.parts, []);
   return encoded?.record;
 }
@@ -588,7 +592,11 @@
     const parts = stored.map(parseJobPart);
     const types = [...(spec.machineTypes ?? []), ...parts.flatMap((part) => part.types)];
     const awaits = [...(decoded.awaits ?? []), ...parts.flatMap((part) => part.awaits)];
-    const encoded = encodeAcceptedJob(key, { ...spec, machineTypes: types }, awaits, decoded.submittedAt, maxWriteBytes);
+    const encoded = encodeAcceptedJob(
+      key,
+      { spec: { ...spec, machineTypes: types }, awaits, submittedAt: decoded.submittedAt },
+      maxWriteBytes,
+    );
     assert.equal(JSON.stringify(encoded), JSON.stringify({ record: value, parts: stored, group }));
     compared++;
   }
