--- a/packages/controller/src/model/job.ts
+++ b/packages/controller/src/model/job.ts
@@ -180,10 +180,11 @@
    */
   nextPendingTask(): number {
     const { tenure } = this;
-    while (tenure.releasedTasks.length > 0) {
-      const index = tenure.releasedTasks[tenure.releasedTasks.length - 1] as number;
-      if (this.isPending(index)) return index;
+    let released = tenure.releasedTasks.at(-1);
+    while (released !== undefined) {
+      if (this.isPending(released)) return released;
       tenure.releasedTasks.pop();
+      released = tenure.releasedTasks.at(-1);
     }
     while (tenure.nextUntriedTask < this.spec.tasks) {
       const index = tenure.nextUntriedTask++;
--- a/packages/controller/src/state/team-sharding.ts
+++ b/packages/controller/src/state/team-sharding.ts
@@ -19,7 +19,8 @@
 /** The first of the shards with the least load. */
 function leastLoadedShard(loads: readonly number[]): number {
   let best = 0;
-  for (let shard = 1; shard < loads.length; shard++) if ((loads[shard] as number) < (loads[best] as number)) best = shard;
+  let leastLoad = Number.POSITIVE_INFINITY;
+  for (const [shard, load] of loads.entries()) if (load < leastLoad) [best, leastLoad] = [shard, load];
   return best;
 }
 
@@ -32,7 +33,7 @@
     .sort((a, b) => b.weight - a.weight || a.index - b.index);
   for (const { index, weight } of heaviestFirst) {
     const shard = leastLoadedShard(loads);
-    loads[shard] = (loads[shard] as number) + weight;
+    loads[shard] = (loads[shard] ?? 0) + weight;
     shardOfTeam[index] = shard;
   }
   return shardOfTeam;
