--- a/packages/controller/src/controller-context.ts
+++ b/packages/controller/src/controller-context.ts
@@ -26,7 +26,7 @@
 } from './context/index.js';
 import type { EffectBuffer } from './effect-buffer.js';
 import type { Leader, PeerRegistry, ShardLeases, StateLease, StateServiceFreshness } from './leadership/index.js';
-import type { ControllerSettings, Effect, LogLevel, Milliseconds } from './model/index.js';
+import type { ControllerSettings, Effect, LogFields, LogLevel, Milliseconds } from './model/index.js';
 import type { ShardController } from './shards/index.js';
 import type { ClusterState, ReadBarriers, Replica, StateWriter } from './state/index.js';
 
@@ -106,7 +106,7 @@
     return this.effects.nextEffectId();
   }
 
-  log(level: LogLevel, message: string, fields?: Record<string, unknown>): void {
+  log(level: LogLevel, message: string, fields?: LogFields): void {
     this.effects.log(level, message, fields);
   }
 
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -10,6 +10,7 @@
   KeyChange,
   ListedMachine,
   MachineType,
+  MessagePackMap,
   PeerStatus,
   StoredKey,
 } from '@archpost/protocol';
@@ -169,7 +170,7 @@
    * A client submits a job. `body`: the parsed request body; null: it could not be parsed. `wallClockMs`: the time of day,
    * since 1970.
    */
-  submitJob(id: number, body: Record<string, unknown> | null, now: Milliseconds, wallClockMs: Milliseconds): void {
+  submitJob(id: number, body: MessagePackMap | null, now: Milliseconds, wallClockMs: Milliseconds): void {
     this.beginInput(now);
     this.parts.clientRequests.submit(id, body, now, wallClockMs);
     this.flushWrites(now);
--- a/packages/controller/src/effect-buffer.ts
+++ b/packages/controller/src/effect-buffer.ts
@@ -2,7 +2,7 @@
  * The effects of the inputs taken so far. Owns those that the edges haven't taken yet, and the numbering of effects.
  */
 import type { EffectSink, Logger } from './context/index.js';
-import type { Effect, LogLevel } from './model/index.js';
+import type { Effect, LogFields, LogLevel } from './model/index.js';
 
 /** Collects effects in the order in which they are emitted. */
 export class EffectBuffer implements EffectSink, Logger {
@@ -17,7 +17,7 @@
     return this.nextId++;
   }
 
-  log(level: LogLevel, message: string, fields?: Record<string, unknown>): void {
+  log(level: LogLevel, message: string, fields?: LogFields): void {
     this.effects.push(fields ? { type: 'log', level, message, fields } : { type: 'log', level, message });
   }
 
--- a/packages/controller/src/model/effects.ts
+++ b/packages/controller/src/model/effects.ts
@@ -92,12 +92,15 @@
   heartbeat: Heartbeat;
 }
 
+/** What a log line has beside its message, by name. */
+export type LogFields = Readonly<Record<string, unknown>>;
+
 /** Writes a log line. */
 export interface LogEffect {
   type: 'log';
   level: LogLevel;
   message: string;
-  fields?: Record<string, unknown>;
+  fields?: LogFields;
 }
 
 /** One thing to be done. */
--- a/packages/controller/src/state/status-record.ts
+++ b/packages/controller/src/state/status-record.ts
@@ -4,7 +4,7 @@
  * under which it is stored; their order is the order of the stored fields.
  */
 import type { MachineSummary, PeerStatus, ResourceDemand, ShardSummary } from '@archpost/protocol';
-import { type FieldTable, fromStoredFields, toStoredFields } from './field-table.js';
+import { type FieldTable, fromStoredFields, type StoredFields, toStoredFields } from './field-table.js';
 
 type UnassignedMachine = PeerStatus['unassignedMachines'][number];
 
@@ -66,7 +66,7 @@
   echo: 'echo',
 };
 
-function toStoredShard(shard: ShardSummary): Record<string, unknown> {
+function toStoredShard(shard: ShardSummary): StoredFields {
   return {
     ...toStoredFields(shard, SHARD_FIELDS),
     [SHARD_FIELDS.machines]: shard.machines.map((machine) => toStoredFields(machine, MACHINE_FIELDS)),
@@ -115,13 +115,13 @@
 /** Has the value the name and the lists that each stored status has? Single fields aren't checked. */
 function isStoredStatus(value: unknown): boolean {
   if (typeof value !== 'object' || value === null) return false;
-  const stored = value as Record<string, unknown>;
+  const stored = value as StoredFields;
   if (typeof stored[STATUS_FIELDS.node] !== 'string') return false;
   if (!STATUS_LISTS.every((name) => Array.isArray(stored[name]))) return false;
   return (stored[STATUS_FIELDS.shards] as unknown[]).every(isStoredShard);
 }
 
 function isStoredShard(value: unknown): boolean {
-  const stored = value as Record<string, unknown> | null | undefined;
+  const stored = value as StoredFields | null | undefined;
   return Array.isArray(stored?.[SHARD_FIELDS.machines]) && Array.isArray(stored[SHARD_FIELDS.demands]);
 }
