--- a/packages/controller/src/model/job.ts
+++ b/packages/controller/src/model/job.ts
@@ -60,8 +60,28 @@
   completionWriteQueued = false;
 }
 
+/** What a job is made of: its specification, and the indices of the names in it. */
+export interface JobIdentity {
+  spec: JobSpec;
+  teamIndex: number;
+  shard: number;
+  /** machine types that it may use; null: any */
+  typeIndices: number[] | null;
+  /** its zone, or `ANY_ZONE` */
+  zoneIndex: number;
+  imageIndex: number;
+}
+
 /** A job: what is stored of it, and what this controller knows and intends. */
 export class Job {
+  readonly spec: JobSpec;
+  readonly teamIndex: number;
+  readonly shard: number;
+  /** machine types that it may use; null: any */
+  typeIndices: number[] | null;
+  /** its zone, or `ANY_ZONE` */
+  readonly zoneIndex: number;
+  readonly imageIndex: number;
   /** what the holder of the job's shard decided, if that is this controller */
   tenure = new JobTenure();
 
@@ -128,15 +148,13 @@
   /** one of its tasks ran for a while without failing */
   ranWithoutError = false;
 
-  /** `typeIndices`: machine types that it may use, null for any; `zoneIndex`: its zone, or `ANY_ZONE`. */
-  constructor(
-    readonly spec: JobSpec,
-    readonly teamIndex: number,
-    readonly shard: number,
-    public typeIndices: number[] | null,
-    readonly zoneIndex: number,
-    readonly imageIndex: number,
-  ) {
+  constructor({ spec, teamIndex, shard, typeIndices, zoneIndex, imageIndex }: JobIdentity) {
+    this.spec = spec;
+    this.teamIndex = teamIndex;
+    this.shard = shard;
+    this.typeIndices = typeIndices;
+    this.zoneIndex = zoneIndex;
+    this.imageIndex = imageIndex;
     this.priority = spec.priority;
     this.done = new Uint8Array(spec.tasks);
     this.storedDone = new Uint8Array(spec.tasks);
--- a/packages/controller/src/model/machine.ts
+++ b/packages/controller/src/model/machine.ts
@@ -105,8 +105,26 @@
   }
 }
 
+/** What a machine is made of, by its assignment. */
+export interface MachineIdentity {
+  name: string;
+  address: string;
+  typeIndex: number;
+  zoneIndex: number;
+  spot: boolean;
+  /** null while only the name of its type is known */
+  capacity: MachineType | null;
+}
+
 /** A machine: what is stored of it, and what this controller knows and intends. */
 export class Machine {
+  readonly name: string;
+  address: string;
+  readonly typeIndex: number;
+  readonly zoneIndex: number;
+  readonly spot: boolean;
+  /** null while only the name of its type is known */
+  capacity: MachineType | null;
   /** what this controller learned and decided since the machine's shard, or the machine, came to it */
   tenure = new MachineTenure(0, false);
 
@@ -161,15 +179,14 @@
   /** see machine-load.ts; null: to be computed anew */
   load: MachineLoad | null = null;
 
-  /** `capacity`: null while only the name of its type is known. */
-  constructor(
-    readonly name: string,
-    public address: string,
-    readonly typeIndex: number,
-    readonly zoneIndex: number,
-    readonly spot: boolean,
-    public capacity: MachineType | null,
-  ) {}
+  constructor({ name, address, typeIndex, zoneIndex, spot, capacity }: MachineIdentity) {
+    this.name = name;
+    this.address = address;
+    this.typeIndex = typeIndex;
+    this.zoneIndex = zoneIndex;
+    this.spot = spot;
+    this.capacity = capacity;
+  }
 
   /** To be called whenever an allocation is added, removed, ends or is to be stopped, and when the capacity changes. */
   allocationsChanged(): void {
--- a/packages/controller/src/state/cluster-state.ts
+++ b/packages/controller/src/state/cluster-state.ts
@@ -199,14 +199,14 @@
 
   private createJob(spec: JobSpec): Job {
     const team = this.teamNames.indexOf(spec.team);
-    return new Job(
+    return new Job({
       spec,
-      team,
-      this.shardOfTeam[team] ?? 0,
-      spec.machineTypes === null ? null : spec.machineTypes.map((name) => this.typeNames.intern(name)),
-      spec.zone === null ? ANY_ZONE : this.zoneNames.intern(spec.zone),
-      this.imageNames.intern(spec.image),
-    );
+      teamIndex: team,
+      shard: this.shardOfTeam[team] ?? 0,
+      typeIndices: spec.machineTypes === null ? null : spec.machineTypes.map((name) => this.typeNames.intern(name)),
+      zoneIndex: spec.zone === null ? ANY_ZONE : this.zoneNames.intern(spec.zone),
+      imageIndex: this.imageNames.intern(spec.image),
+    });
   }
 
   private applyMachineTypes(entry: ReplicaEntry | null): AppliedChange {
--- a/packages/controller/src/state/machine-registry.ts
+++ b/packages/controller/src/state/machine-registry.ts
@@ -73,7 +73,8 @@
     const typeIndex = this.parts.typeNames.intern(assignment.type);
     const zoneIndex = this.parts.zoneNames.intern(assignment.zone);
     const capacity = this.parts.machineTypeRegistry.types[typeIndex] ?? null;
-    const machine = new Machine(name, assignment.address, typeIndex, zoneIndex, assignment.spot, capacity);
+    const { address, spot } = assignment;
+    const machine = new Machine({ name, address, typeIndex, zoneIndex, spot, capacity });
     machine.tenure.lastHeartbeatAt = now;
     machine.idleSince = now;
     this.machines.set(name, machine);
--- a/test/gang-and-array-placement.test.ts
+++ b/test/gang-and-array-placement.test.ts
@@ -36,7 +36,7 @@
 function room(name: string, type: number, zone: number): FreeResources {
   const capacity = TYPES[type];
   assert.ok(capacity);
-  const machine = new Machine(name, '', type, zone, false, capacity);
+  const machine = new Machine({ name, address: '', typeIndex: type, zoneIndex: zone, spot: false, capacity });
   return { machine, cpus: capacity.cpus, gpus: capacity.gpus, memory: capacity.memory };
 }
 
@@ -45,7 +45,8 @@
   const candidates = [room('a', 0, 0), room('b', 0, 0), room('c', 0, 0), room('d', 0, 1), room('e', 0, 1), room('f', 1, 1)];
   const place = (tasks: number, oneZone = false) => {
     const spec = job('run-g', { shape: 'gang', tasks, cpus: 4, oneZone });
-    return placeGang(new Job(spec, 0, 0, null, -1, 0), tasks, candidates, () => 0)?.map((machine) => machine.name) ?? null;
+    const gang = new Job({ spec, teamIndex: 0, shard: 0, typeIndices: null, zoneIndex: -1, imageIndex: 0 });
+    return placeGang(gang, tasks, candidates, () => 0)?.map((machine) => machine.name) ?? null;
   };
   assert.deepEqual(place(1), ['f'], 'one machine is the smallest domain');
   assert.deepEqual(place(12), new Array(12).fill('f'));
