--- a/packages/controller/src/allocation/failure-attribution.ts
+++ b/packages/controller/src/allocation/failure-attribution.ts
@@ -7,16 +7,16 @@
 import type { ClusterStateView, Logger } from '../context/index.js';
 import type { Allocation, Job, Machine, Milliseconds } from '../model/index.js';
 
-/** A job that failed on so many machines, and never ran well, is taken to crash wherever it runs. */
+/** A job that failed on this many machines, and never ran well, is taken to crash wherever it runs. */
 const CRASH_LOOP_MACHINES = 3;
 
 /** What runs for this long without an error runs well: mistakes show at the start. */
 const ERROR_FREE_RUN_MS = 10_000;
 
-/** A machine is faulty once so many tasks failed there of jobs whose other tasks get done elsewhere. */
+/** A machine is faulty once this many tasks failed there of jobs whose other tasks get done elsewhere. */
 const FAULTY_MACHINE_TASKS = 3;
 
-/** A machine comes under suspicion once so many jobs failed there. */
+/** A machine is doubtful once this many jobs failed there. */
 const SUSPICIOUS_MACHINE_JOBS = 2;
 
 /** A machine on which jobs failed that prove nothing yet takes no work meanwhile, for so long at most. */
--- a/packages/controller/src/allocation/machine-schedulability.ts
+++ b/packages/controller/src/allocation/machine-schedulability.ts
@@ -12,7 +12,7 @@
 /** A machine whose last heartbeat came so long ago is not heard here any more. */
 const HEARD_HERE_MS = 4000;
 
-/** The same for heartbeats that another controller takes, whose word of them comes with some delay. */
+/** The same for heartbeats that another controller takes, which it reports with some delay. */
 const HEARD_BY_PEER_MS = 5000;
 
 /** Do the machine's heartbeats come, here or to another controller? */
--- a/packages/controller/src/allocation/task-allocations.ts
+++ b/packages/controller/src/allocation/task-allocations.ts
@@ -153,7 +153,7 @@
 
   /**
    * A start that surely was not carried out: its machine is held on, unless the task is to stop meanwhile or its job is over.
-   * Such a start was sent again after the job's cancellation, and a gang that had failed kept its machines for ever.
+   * Such a start was sent again after the job's cancellation, and a gang that had failed kept its machines for good.
    */
   startNotSent(allocation: Allocation): void {
     if (!this.isStartPending(allocation)) return;
@@ -162,7 +162,7 @@
     if (allocation.stopGraceS !== null || allocation.job.state !== 'live') this.free(allocation);
   }
 
-  /** Is its start under way, or was it not heard of since? */
+  /** Was its start sent, and neither answered nor reported since? */
   isStartPending(allocation: Allocation): boolean {
     return allocation.phase === 'sent' && allocation.machine.tenure.allocations.get(taskKeyOf(allocation)) === allocation;
   }
--- a/packages/controller/src/heartbeats/heartbeat-forwarding.ts
+++ b/packages/controller/src/heartbeats/heartbeat-forwarding.ts
@@ -11,10 +11,10 @@
 /** The status names machines heard within this time. */
 const RECENTLY_HEARD_MS = 4000;
 
-/** An unchanged heartbeat is forwarded whole again after so many heartbeat intervals. */
+/** An unchanged heartbeat is forwarded whole again after this many heartbeat intervals. */
 const FORWARD_AGAIN_INTERVALS = 5;
 
-/** What was heard is kept for so many worker leases: late copies of it may come. */
+/** What was heard is kept for this many worker leases: late copies of it may come. */
 const RETENTION_LEASES = 10;
 
 /** The newest heartbeat of a machine, and what the holder of its shard was sent of it. */
@@ -90,7 +90,7 @@
     return byHolder;
   }
 
-  /** This process stood still: workers that it did not hear meanwhile were not silent. */
+  /** This process was paused: workers that it did not hear meanwhile were not silent. */
   processPaused(pauseMs: Milliseconds): void {
     for (const machine of this.heardMachines.values()) machine.heardAt += pauseMs;
   }
--- a/packages/controller/src/heartbeats/heartbeat-order.ts
+++ b/packages/controller/src/heartbeats/heartbeat-order.ts
@@ -1,6 +1,6 @@
 /** The order in which a worker sent its heartbeats, which need not be the order in which they come. Pure; owns no state. */
 
-/** Where a heartbeat stands in the order of those of its worker. */
+/** The position of a heartbeat in the order of those of its worker. */
 export interface HeartbeatPosition {
   /** rises each time that the worker's agent begins anew */
   readonly agentEpoch: number;
--- a/packages/controller/src/heartbeats/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeats/heartbeat-reconciler.ts
@@ -1,6 +1,6 @@
 /**
- * Brings what workers report together with what is stored and intended. What a heartbeat is worth is judged by
- * heartbeat-verdict.ts; here stands what follows from that for the machine, and task-reconciler.ts has what follows for its
+ * Brings what workers report together with what is stored and intended. Whether a heartbeat is current is decided by
+ * heartbeat-verdict.ts; here is what follows from that for the machine, and task-reconciler.ts has what follows for its
  * tasks. Owns what the tenures of machines know of their workers: epoch, sequence, when they were heard, and their orphaned
  * tasks. Within one heartbeat the effects have a fixed order: the machine's address and liveness, a new epoch, a preemption
  * notice, reported tasks, missing tasks.
@@ -21,7 +21,7 @@
 import { isImplausible, judgeAnswer, judgeHeartbeat } from './heartbeat-verdict.js';
 import { TaskReconciler } from './task-reconciler.js';
 
-/** A machine is probed for something odd about its heartbeats once in so many heartbeat intervals at most. */
+/** A machine is probed for something odd about its heartbeats once in this many heartbeat intervals at most. */
 const PROBE_REQUEST_INTERVALS = 2;
 
 /** What the heartbeat reconciler needs of its controller. */
@@ -137,7 +137,7 @@
 
   private recordHeardByPeer(machine: Machine, peer: string, now: Milliseconds): void {
     machine.heardByPeerAt = now;
-    // It goes from one controller to the next: perhaps nobody's responses reach it. One that stays is answered.
+    // It goes from one controller to the next: perhaps no controller's responses reach it. One that stays is answered.
     if (machine.heardByPeer !== peer && machine.heardByPeer !== null) this.requestProbe(machine, now);
     machine.heardByPeer = peer;
   }
--- a/packages/controller/src/heartbeats/heartbeat-verdict.ts
+++ b/packages/controller/src/heartbeats/heartbeat-verdict.ts
@@ -10,14 +10,17 @@
 /** A worker numbers its heartbeats, two a second at most, and its answers to probes and commands: together fewer than this. */
 const MAX_MESSAGES_PER_S = 10;
 
-/** So many more may have been sent at once. */
+/** This many more may have been sent at once. */
 const MAX_MESSAGE_BURST = 200;
 
 /** What is to be done with a heartbeat, or with the status in an answer. */
 export type HeartbeatVerdict =
   /** newer than all that is known: it counts. `isGapBefore`: messages before it did not come here */
   | { readonly kind: 'accepted'; readonly isGapBefore: boolean }
-  /** an answer older than what was known when its command was sent: the agent restarted, and none of its earlier tasks runs any more */
+  /**
+   * an answer older than what was known when its command was sent: the agent restarted, and none of its earlier tasks runs any
+   * more
+   */
   | { readonly kind: 'agentRestarted' }
   /** no answer came since the shard was taken over: what the worker sent before isn't known, so it may be a late copy */
   | { readonly kind: 'unverified' }
--- a/packages/controller/src/heartbeats/worker-routing.ts
+++ b/packages/controller/src/heartbeats/worker-routing.ts
@@ -7,16 +7,16 @@
 import type { PeerDirectory, SettingsView } from '../context/index.js';
 import { type Milliseconds, NEVER } from '../model/index.js';
 
-/** A controller that answers so many workers is known to be reachable for them. */
+/** A controller that answers this many workers is known to be reachable for them. */
 const MIN_HEARD_WORKERS = 3;
 
 /** A worker is redirected to a controller of which that isn't known this often, as a trial. */
 const TRIAL_REDIRECT_INTERVAL_MS = 250;
 
-/** A worker is redirected to the same controller again only after so many worker leases. */
+/** A worker is redirected to the same controller again only after this many worker leases. */
 const REDIRECT_AGAIN_LEASES = 4;
 
-/** A worker that was answered here within so many heartbeat intervals counts as served here. */
+/** A worker that was answered here within this many heartbeat intervals counts as served here. */
 const SERVED_INTERVALS = 2;
 
 /** The last redirect of a worker. */
@@ -56,7 +56,7 @@
     return this.servedAt.size;
   }
 
-  /** This process stood still: workers that it did not hear meanwhile were not silent. */
+  /** This process was paused: workers that it did not hear meanwhile were not silent. */
   processPaused(pauseMs: Milliseconds): void {
     for (const [machine, at] of this.servedAt) this.servedAt.set(machine, at + pauseMs);
   }
--- a/packages/controller/src/jobs/acceptance-writer.ts
+++ b/packages/controller/src/jobs/acceptance-writer.ts
@@ -54,7 +54,7 @@
     return [...types.filter((type) => known.has(type)), ...types.filter((type) => !known.has(type))];
   }
 
-  /** The parts come before the record that makes them valid: what is left of a submission that fails harms nobody. */
+  /** The parts come before the record that makes them valid: what is left of a submission that fails is never read. */
   private storeParts(
     job: string,
     { parts, group }: EncodedJob,
--- a/packages/controller/src/jobs/job-status.ts
+++ b/packages/controller/src/jobs/job-status.ts
@@ -35,7 +35,9 @@
   return encodeJobStatus(id, finalState, { done: finalState === 'done' ? tasks : 0, running: 0 });
 }
 
-/** By what runs here; if nothing does, by what the other controllers reported last. `failed` is 0 unless tasks fail everywhere. */
+/**
+ * By what runs here; if nothing does, by what the other controllers reported last. `failed` is 0 unless tasks fail everywhere.
+ */
 function countTasks(context: PeerDirectory, job: Job): TaskCounts {
   let running = 0;
   for (const allocation of job.tenure.allocations.values())
--- a/packages/controller/src/leadership/cancellation-freshness.ts
+++ b/packages/controller/src/leadership/cancellation-freshness.ts
@@ -1,7 +1,7 @@
 /**
  * Since when no controller can have confirmed a cancellation that isn't known here, by what the others' statuses prove.
  *
- * While the state service is away for all, nobody can confirm a new cancellation. Each controller says so by naming the
+ * While no controller reaches the state service, none can confirm a new cancellation. Each controller says so by naming the
  * revision of the newest one that it knows, and by sending back a ping of the receiver's, which proves that it said so after
  * that ping had left. Why that is enough: docs/design.md, "Who may answer workers, and how long".
  *
@@ -43,7 +43,7 @@
   /** A status came from another controller. `revision`: all changes of the state service up to it are known here. */
   statusReceived(status: PeerStatus, revision: number): void {
     this.receivedPings.set(status.node, status.ping);
-    // A ping of an earlier incarnation, or of nobody, proves nothing about the clock of this one.
+    // A ping of an earlier incarnation, or an empty one, proves nothing about the clock of this one.
     const sentAt = this.pingSentAt.get(status.echo);
     if (sentAt === undefined || !status.replicaLoaded || status.cancellationRevision > revision) return;
     this.provenUntil.set(status.node, Math.max(sentAt, this.provenUntil.get(status.node) ?? sentAt));
--- a/packages/controller/src/leadership/idle-machine-scale-in.ts
+++ b/packages/controller/src/leadership/idle-machine-scale-in.ts
@@ -11,7 +11,7 @@
 import { WritePriority } from '../state/index.js';
 import { writeAssignmentOrder } from './assignment-orders.js';
 
-/** A cheap machine may stay idle for so many times as long as the most expensive one, at most. */
+/** A cheap machine may stay idle for at most this many times as long as the most expensive one. */
 const MAX_IDLE_FACTOR = 8;
 
 /** Lower prices count as this, in the currency of the prices: the quotient of two prices stays finite. */
@@ -20,7 +20,7 @@
 /** Tasks up to this priority that need no accelerators keep no on-demand machine with accelerators from being retired. */
 const MAX_LOW_PRIORITY = 1;
 
-/** What a round of scale-in goes by. */
+/** The inputs of a round of scale-in. */
 export interface ScaleInRound {
   shards: ReadonlyMap<number, ShardSummary>;
   /** price of an hour of the most expensive machine type on demand */
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -34,7 +34,7 @@
 /** A shard's summary that came from a peer is used for so long: a few statuses may be lost. */
 const MAX_SUMMARY_AGE_MS = 5000;
 
-/** Moves in one round: so many in any case, or this part of the writes that the state service takes in the time of a round. */
+/** Moves in one round: this many in any case, or this part of the writes that the state service takes in the time of a round. */
 const MIN_MOVES_PER_ROUND = 6;
 const MOVES_PART_OF_WRITES = 0.03;
 
@@ -130,7 +130,7 @@
   private runRound(leaseRevision: number, now: Milliseconds): void {
     const shards = this.shardSummaries(now);
     this.rebalance(shards, leaseRevision, now);
-    // Without the types and the cloud's list nobody knows what a machine is worth, or which are on their way.
+    // Without the types and the cloud's list neither the value of a machine nor which ones are being provisioned is known.
     if (!this.context.clusterState.machineTypesKnown || !this.autoscaler.isListKnown) return;
     this.autoscaler.scaleOut(shards, now);
     this.autoscaler.releaseOverdue(now);
--- a/packages/controller/src/leadership/lease-claims.ts
+++ b/packages/controller/src/leadership/lease-claims.ts
@@ -51,7 +51,10 @@
     private readonly holderSelection: HolderSelection,
   ) {}
 
-  /** Waiting for a holder goes on where it was when the process was paused: the preferred holder's time stood still too. */
+  /**
+   * Waiting for a holder goes on where it was when the process was paused: the preferred holder did not see that time pass
+   * either.
+   */
   processPaused(pausedMs: Milliseconds): void {
     shiftTimes(this.absentSince, pausedMs);
   }
@@ -88,7 +91,7 @@
     });
   }
 
-  /** Shows the others that this controller's state lease stands, whether or not it holds anything. */
+  /** Shows the others that this controller's state lease is valid, whether or not it holds anything. */
   announcePresence(now: Milliseconds): void {
     const key = StateKey.presence(this.context.settings.name);
     const current = this.context.replica.get(key);
--- a/packages/controller/src/leadership/process-pause.ts
+++ b/packages/controller/src/leadership/process-pause.ts
@@ -1,6 +1,6 @@
 /**
- * A pause of this process: it stood still while everybody else went on. What was silent meanwhile wasn't heard because of the
- * pause, which says nothing about workers, peers or the state service. So every age of a silence is taken back by the length
+ * A pause of this process: it got no processor time while all others went on. What was silent meanwhile wasn't heard because of
+ * the pause, which says nothing about workers, peers or the state service. So every age of a silence is taken back by the length
  * of the pause. Leases, and the age of what the state service confirmed, are left alone: they did run out.
  *
  * Owns no state.
--- a/packages/controller/src/leadership/running-task-deltas.ts
+++ b/packages/controller/src/leadership/running-task-deltas.ts
@@ -7,7 +7,7 @@
 import type { PeerStatus } from '@archpost/protocol';
 import type { RunningTasks } from '../model/index.js';
 
-/** One status of so many lists all running jobs, so that a peer that missed a change has it within seconds. */
+/** One status in this many lists all running jobs, so that a peer that missed a change has it within seconds. */
 const STATUSES_PER_FULL_LIST = 5;
 
 /** Jobs in one status; with the longest names they fill a quarter of a frame. */
--- a/packages/controller/src/leadership/shard-leases.ts
+++ b/packages/controller/src/leadership/shard-leases.ts
@@ -3,7 +3,7 @@
  * lease: it disappears when the state lease expires.
  *
  * Each start of a controller writes its own keys anew (same controller, another incarnation), so that the fencing token rises
- * and nothing that the earlier process left under way is obeyed. Other controllers wait until the key is gone.
+ * and nothing that the earlier process left under way is executed. Other controllers wait until the key is gone.
  *
  * Owns the leases held here, and which of them are being released.
  */
@@ -63,8 +63,9 @@
   }
 
   /**
-   * A lease is acted under only while the state lease surely stands, and no more once its release has been queued: that may be
-   * carried out while its answer is late, and the next holder counts on nothing of this one's being started after its own claim.
+   * A lease is acted under only while the state lease is certainly valid, and no more once its release has been queued: that may
+   * be carried out while its answer is late, and the next holder counts on nothing of this one's being started after its own
+   * claim.
    */
   mayActUnder(lease: LeaseName, now: Milliseconds): boolean {
     return this.heldLeases.has(lease) && !this.releasing.has(lease) && this.context.isLeaseValid(now);
--- a/packages/controller/src/leadership/state-lease.ts
+++ b/packages/controller/src/leadership/state-lease.ts
@@ -2,7 +2,7 @@
  * This controller's lease on the state service. Everything that the controller holds (its shard leases, the leader's, the key
  * that shows its presence) is attached to it and disappears with it.
  *
- * Owns the id of the lease and the time until which it surely stands.
+ * Owns the id of the lease and the time until which it is certainly valid.
  */
 import type { LeaseView, Logger } from '../context/index.js';
 import { type Milliseconds, NEVER } from '../model/index.js';
@@ -35,7 +35,7 @@
     return this.id !== null && now < this.validUntil;
   }
 
-  /** The lease was granted or renewed: it stands until `validUntil` at least. */
+  /** The lease was granted or renewed: it is valid until `validUntil` at least. */
   renewed(leaseId: number, validUntil: Milliseconds, now: Milliseconds): void {
     if (this.id !== null && this.id !== leaseId) this.lost();
     // It was renewed, so it never ended, and nobody can have taken what is attached to it: what is held stays held. Treating
--- a/packages/controller/src/model/job.ts
+++ b/packages/controller/src/model/job.ts
@@ -15,7 +15,8 @@
 
 /**
  * How far an allocation is. `planned`: resources are reserved, nothing was sent. `sent`: the start was sent and may have been
- * executed. `reported`: the machine reports the task. `exited`: the task has ended, and the worker has yet to be commanded to forget it.
+ * executed. `reported`: the machine reports the task. `exited`: the task has ended, and the worker has yet to be commanded to
+ * forget it.
  */
 export type AllocationPhase = 'planned' | 'sent' | 'reported' | 'exited';
 
--- a/packages/controller/src/model/machine.ts
+++ b/packages/controller/src/model/machine.ts
@@ -97,7 +97,10 @@
     this.isUnverifiedTakeover = false;
   }
 
-  /** The fencing token has risen: no earlier command can be executed any more, and the machine is to be probed under the new one. */
+  /**
+   * The fencing token has risen: no earlier command can be executed any more, and the machine is to be probed under the new
+   * one.
+   */
   recordTokenRaised(): void {
     this.hasUncertainCommand = false;
     this.isVerified = false;
--- a/packages/controller/src/model/settings.ts
+++ b/packages/controller/src/model/settings.ts
@@ -32,7 +32,7 @@
 export interface Policy {
   /** a reservation for a gang that isn't complete after this long is released */
   planWaitS: number;
-  /** a machine that answers nobody for this long is released to the cloud */
+  /** a machine that no controller has heard for this long is released to the cloud */
   silentS: number;
   /** hold spare machines of every kind, whatever they cost */
   holdSpareCapacity: boolean;
--- a/packages/controller/src/scheduling/gang-service-eviction.ts
+++ b/packages/controller/src/scheduling/gang-service-eviction.ts
@@ -21,7 +21,7 @@
 /** Machines are cleared for one gang at a time, and the next gang waits this long. */
 const EVICTION_INTERVAL_MS = 5000;
 
-/** A machine that was cleared takes no work without accelerators for so many plan waits. */
+/** A machine that was cleared takes no work without accelerators for this many plan waits. */
 const RESERVED_PLAN_WAITS = 2;
 
 /** What a gang finds in its shard. */
--- a/packages/controller/src/scheduling/gpu-machines.ts
+++ b/packages/controller/src/scheduling/gpu-machines.ts
@@ -1,5 +1,5 @@
 /**
- * Which machines with accelerators are left to the work that needs accelerators, and which are given to services whole. Reads
+ * Which machines with accelerators are reserved for work that needs accelerators, and which are dedicated to services. Reads
  * the cluster state; owns nothing.
  */
 import type { ClusterStateView } from '../context/index.js';
--- a/packages/controller/src/scheduling/machine-eligibility.ts
+++ b/packages/controller/src/scheduling/machine-eligibility.ts
@@ -13,11 +13,11 @@
 
 /** How long a service waits for other machines before it takes one with accelerators of a type that can't be provisioned. */
 const SERVICE_WAIT_MS = {
-  /** the machine is given to services whole */
+  /** the machine is dedicated to services */
   dedicatedMachine: 800,
   /** accelerator work still fits beside the service */
   spareRoom: 1500,
-  /** the service fits on another machine that is set aside for services, which it should take instead */
+  /** the service fits on another machine that is dedicated to services, which it should take instead */
   whileDedicatedMachineHasRoom: 30_000,
   /** none of these */
   scarceMachine: SCARCE_MACHINE_WAIT_S * 1000,
@@ -26,7 +26,7 @@
 /** Two are enough to find one other than the machine that is looked at. */
 const MAX_DEDICATED_MACHINES = 2;
 
-/** A new machine is expected within so many times the boot time of its type. */
+/** A new machine is expected within this multiple of the boot time of its type. */
 const BOOT_TIME_MARGIN = 1.5;
 
 /** Estimates of runs are often wrong by as much as half of the run, which is allowed on top. */
@@ -96,7 +96,7 @@
 
   /**
    * Where no more of them can be had, services keep off machines with accelerators until nothing else has come free for a
-   * while: there they would be in the way for hours. One machine given to services whole leaves the others to the work that
+   * while: there they would be in the way for hours. One machine dedicated to services leaves the others to the work that
    * they are made for.
    */
   private serviceWaitMs(machine: Machine): Milliseconds {
@@ -108,7 +108,7 @@
     return isOtherDedicated ? SERVICE_WAIT_MS.whileDedicatedMachineHasRoom : SERVICE_WAIT_MS.scarceMachine;
   }
 
-  /** Machines that are set aside for services and on which the job's next task fits, a few at most. */
+  /** Machines that are dedicated to services and on which the job's next task fits, a few at most. */
   private findDedicatedMachines(): Machine[] {
     const result: Machine[] = [];
     for (const machine of this.dependencies.context.clusterState.machines.values()) {
--- a/packages/controller/src/scheduling/machine-scoring.ts
+++ b/packages/controller/src/scheduling/machine-scoring.ts
@@ -1,6 +1,6 @@
 /**
  * Scoring: how good a machine is for a task. A score is about in seconds of the task's waiting: what the fetch of the image
- * takes counts as it is, everything else as what it is worth to wait for. Owns nothing.
+ * takes counts as it is, everything else by how long a wait it is worth. Owns nothing.
  */
 import type { CapacityView, ClusterStateView } from '../context/index.js';
 import { type FreeResources, type Job, type Machine, machineLoadOf } from '../model/index.js';
--- a/packages/controller/src/scheduling/preemption.ts
+++ b/packages/controller/src/scheduling/preemption.ts
@@ -29,7 +29,7 @@
 /** What has not been started yet is stopped before anything else of its priority. */
 const COST_OF_PLANNED_S = -1;
 
-/** A second of a machine's score is worth as much as so many seconds of the stopped tasks' runs. */
+/** A second of a machine's score is worth as much as this many seconds of the stopped tasks' runs. */
 const COST_PER_SCORE = 20;
 
 /** What has to be stopped on a machine for one more task. */
--- a/packages/controller/src/scheduling/queue-order.ts
+++ b/packages/controller/src/scheduling/queue-order.ts
@@ -10,7 +10,7 @@
 import { type QuotaStatuses, quotaStatusesOf, WITHOUT_QUOTA } from './quota-status.js';
 import { StartDeadlines } from './start-deadlines.js';
 
-/** A gang that has waited for so many plan waits is aged. */
+/** A gang that has waited for this many plan waits is aged. */
 const AGED_GANG_PLAN_WAITS = 6;
 
 /** Orders the waiting jobs of the shards held here. */
--- a/packages/controller/src/scheduling/quota-status.ts
+++ b/packages/controller/src/scheduling/quota-status.ts
@@ -3,7 +3,7 @@
 import type { ClusterStateView, SettingsView } from '../context/index.js';
 import { type Job, RESOURCE_TOLERANCE, type Team } from '../model/index.js';
 
-/** How a job stands to its team's guarantee. */
+/** Where a job stands relative to its team's guaranteed quota. */
 export interface QuotaStatus {
   /** the job, and all jobs of its team that came before it, fit into the guarantee */
   readonly withinQuota: boolean;
--- a/packages/controller/src/scheduling/scheduler.ts
+++ b/packages/controller/src/scheduling/scheduler.ts
@@ -28,7 +28,7 @@
 /** What didn't fit is tried again after this long, if nothing else happens. */
 const RESCHEDULE_INTERVAL_MS = 600;
 
-/** Scheduling pauses for a millisecond for so many machines that a run looked at, up to `RESCHEDULE_INTERVAL_MS`. */
+/** After a run scheduling pauses for a millisecond per this many machines considered, up to `RESCHEDULE_INTERVAL_MS`. */
 const MACHINES_PER_PAUSE_MS = 25;
 
 /** Machines that a whole processor core looks at in a millisecond (docs/results.md). */
--- a/packages/controller/src/scheduling/service-consolidation.ts
+++ b/packages/controller/src/scheduling/service-consolidation.ts
@@ -1,6 +1,7 @@
 /**
  * Consolidation of services: a few services keep a machine with accelerators from being released. Where other machines have
- * enough free resources for them and their images in the cache, they move there, one machine of a shard at a time. Owns when that was last tried.
+ * enough free resources for them and their images in the cache, they move there, one machine of a shard at a time. Owns when
+ * that was last tried.
  */
 import { freeResourcesOf, type TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, Logger, SettingsView } from '../context/index.js';
--- a/packages/controller/src/shards/assignment-updates.ts
+++ b/packages/controller/src/shards/assignment-updates.ts
@@ -1,6 +1,7 @@
 /**
  * What the holder of a shard writes to the assignments of its machines: moves to another shard, fencing tokens that rise, and
- * removals. Each write stands under the lease on the shard. Owns no state beside the marks in the machine that a write is queued.
+ * removals. Each write is conditional on the lease of the shard. Owns no state beside the marks in the machine that a write is
+ * queued.
  */
 import { hasCancelledWork, type TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, Logger, ReplicaView, StateWriting } from '../context/index.js';
--- a/packages/controller/src/shards/failure-detector.ts
+++ b/packages/controller/src/shards/failure-detector.ts
@@ -13,14 +13,14 @@
 /** No worker answers for this long, though some that are heard were probed for that: the fault is here. */
 const NO_ANSWER_LIMIT_MS = 2000;
 
-/** No worker seems to answer once so many that are heard did not, and none has for so long. */
+/** No worker seems to answer once this many that are heard did not, and none has for this long. */
 const MIN_UNANSWERED_MACHINES = 3;
 const NO_ANSWER_SUSPICION_MS = 1500;
 
 /** A machine heard within this time counts as heard in its zone. */
 const RECENTLY_HEARD_MS = 4000;
 
-/** A machine that did not answer so many commands in a row counts as unanswered in its zone. */
+/** A machine that did not answer this many commands in a row counts as unanswered in its zone. */
 const UNANSWERED_COMMANDS = 2;
 
 /** Healthy machines probed at once. */
@@ -29,10 +29,10 @@
 /** A healthy machine isn't probed more often than this. */
 const HEALTHY_PROBE_INTERVAL_MS = 1000;
 
-/** An answer of any worker within so many heartbeat intervals shows that this controller isn't cut off. */
+/** An answer of any worker within this many heartbeat intervals shows that this controller isn't cut off. */
 const ANSWER_FRESH_INTERVALS = 2;
 
-/** Where there is nobody to probe, silence is believed after so many times the time that a machine's silence is tolerated. */
+/** Where there is nobody to probe, silence is believed after this multiple of the time that a machine's silence is tolerated. */
 const UNCONFIRMED_SILENCE_FACTOR = 2;
 
 /** What the failure detector needs of its controller. */
--- a/packages/controller/src/shards/machine-lifecycle.ts
+++ b/packages/controller/src/shards/machine-lifecycle.ts
@@ -28,13 +28,13 @@
 /** A machine that another controller heard within this time isn't silent. */
 const HEARD_BY_PEER_MS = 5000;
 
-/** A machine whose spot preemption notice is over is given up after so many heartbeat intervals of silence. */
+/** A machine whose spot preemption notice is over is given up after this many heartbeat intervals of silence. */
 const SILENT_INTERVALS_AFTER_NOTICE = 1.5;
 
-/** A worker's lease has surely expired once it was not heard for the lease and so many heartbeat intervals. */
+/** A worker's lease has surely expired once it was not heard for the lease and this many heartbeat intervals. */
 const LEASE_OVERRUN_INTERVALS = 2;
 
-/** A machine is unreachable once it did not answer so many commands in a row. */
+/** A machine is unreachable once it did not answer this many commands in a row. */
 const UNANSWERED_COMMANDS = 3;
 
 /** What the machine lifecycle needs of its controller. */
--- a/packages/controller/src/shards/probe-selection.ts
+++ b/packages/controller/src/shards/probe-selection.ts
@@ -17,13 +17,13 @@
  */
 const MAX_PROBES_PER_TICK = 32;
 
-/** So many are probed in a tick however small the controller's part of a core is. */
+/** This many are probed in a tick however small the controller's part of a core is. */
 const MIN_PROBES_PER_TICK = 2;
 
-/** A machine that is silent for so many heartbeat intervals is probed. */
+/** A machine that is silent for this many heartbeat intervals is probed. */
 const PROBE_AFTER_SILENT_INTERVALS = 2;
 
-/** One probe at a time may be pending for so many sockets: the others are for commands and heartbeats. */
+/** One probe at a time may be pending per this many sockets: the others are for commands and heartbeats. */
 const SOCKETS_PER_PROBE = 12;
 
 /** The same where a healthy machine is probed, so that it doesn't wait behind those that do not answer. */
--- a/packages/controller/src/shards/recovery-probes.ts
+++ b/packages/controller/src/shards/recovery-probes.ts
@@ -11,10 +11,10 @@
 /** A round begins this long after the one before, once all of that one's probes have an outcome. */
 const PROBE_ROUND_INTERVAL_MS = 1500;
 
-/** So many answers in a row, more than one round gives, show it: a shard that comes back must not leave again at once. */
+/** This many answers in a row, more than one round gives, show recovery: a shard that comes back must not leave again at once. */
 const ANSWERS_TO_RECOVER = 6;
 
-/** Machines of this controller's own zone are probed if there are so many. */
+/** Machines of this controller's own zone are probed if there are this many. */
 const MIN_MACHINES_OF_OWN_ZONE = 3;
 
 /** The machines that were probed at once, by their outcomes. */
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -210,7 +210,7 @@
     this.machineLifecycle.handleReleaseOutcome(id, isReleased, now);
   }
 
-  /** This process stood still until `now`: workers that it did not hear meanwhile were not silent. */
+  /** This process was paused until `now`: workers that it did not hear meanwhile were not silent. */
   processPaused(pauseMs: Milliseconds, now: Milliseconds): void {
     this.allocations.advanceTo(now);
     this.workerAnswers.recordAnswer(now);
--- a/packages/controller/src/shards/zone-health.ts
+++ b/packages/controller/src/shards/zone-health.ts
@@ -8,7 +8,7 @@
 /** With fewer machines than this nothing is concluded from most of them not answering. */
 const MIN_MACHINES_TO_JUDGE = 3;
 
-/** In another zone without controllers that could be missed, so many silent machines are enough. */
+/** In another zone without controllers that could be missed, this many silent machines are enough. */
 const MIN_MACHINES_OF_REMOTE_ZONE = 2;
 
 /** What is seen of those machines of a zone that belong to shards held here. */
--- a/packages/controller/src/state/progress-layout.ts
+++ b/packages/controller/src/state/progress-layout.ts
@@ -21,7 +21,10 @@
 /** Bytes of a progress change that are not digits: the longest key, and the quotes around the value. */
 const OVERHEAD_BYTES = 128;
 
-/** Indices of the tasks that one stored key says are done. Decoded at each iteration, so that keeping it costs no more than its digits. */
+/**
+ * Indices of the tasks that one stored key says are done. Decoded at each iteration, so that keeping it costs no more than its
+ * digits.
+ */
 export type StoredProgress = Iterable<number>;
 
 /** Tasks whose completion one key holds. */
--- a/packages/controller/src/state/read-barriers.ts
+++ b/packages/controller/src/state/read-barriers.ts
@@ -10,7 +10,7 @@
   run: (now: Milliseconds) => void;
   /** given up after this time */
   expiresAt: Milliseconds;
-  /** called instead of `run` when it was given up */
+  /** called instead of `run` once it has expired */
   onExpired: (() => void) | undefined;
 }
 
--- a/packages/controller/src/state/state-writer.ts
+++ b/packages/controller/src/state/state-writer.ts
@@ -231,7 +231,9 @@
     }
   }
 
-  /** The lease that the transaction named has ended. One that we have given up ourselves says nothing of the lease we have now. */
+  /**
+   * The lease that the transaction named has ended. One that we have given up ourselves says nothing of the lease we have now.
+   */
   private handleLeaseNotFound({ writes, leaseId }: SentTransaction, now: Milliseconds): void {
     if (leaseId !== null && leaseId === this.host.leaseId()) this.host.onLeaseLost();
     for (const write of writes) {
--- a/packages/controller/src/state/write-budget.ts
+++ b/packages/controller/src/state/write-budget.ts
@@ -28,7 +28,7 @@
     this.writesPerS = writesPerS;
   }
 
-  /** Adds what the time since the last call is worth. */
+  /** Adds the writes that the rate allows for the time since the last call. */
   refill(now: Milliseconds): void {
     const earned = ((now - this.refilledAt) / 1000) * this.writesPerS;
     this.availableWrites = Math.min(Math.max(this.maxWritesPerS, MIN_BURST_WRITES), this.availableWrites + earned);
--- a/packages/controller/src/state/write-queue.ts
+++ b/packages/controller/src/state/write-queue.ts
@@ -68,7 +68,7 @@
   sentValue: unknown;
 }
 
-/** Where a write stands: by its priority now, then the older first, then the one that was queued before. */
+/** The order of writes: by their priority now, then the older first, then the one that was queued before. */
 interface QueuePosition {
   priority: number;
   queuedAt: Milliseconds;
