--- a/packages/controller/src/jobs/job-status.ts
+++ b/packages/controller/src/jobs/job-status.ts
@@ -39,9 +39,7 @@
  * By what runs here; if nothing does, by what the other controllers reported last. `failed` is 0 unless tasks fail everywhere.
  */
 function countTasks(context: PeerDirectory, job: Job): TaskCounts {
-  let running = 0;
-  for (const allocation of job.tenure.allocations.values())
-    if (allocation.phase === 'reported' && allocation.status?.state === 'running') running++;
+  let running = job.runningCount();
   let done = job.doneCount;
   let failed = job.crashLoopingSince !== null ? job.failureCount : 0;
   for (const peer of running === 0 ? context.peers.values() : []) {
--- a/packages/controller/src/model/job.ts
+++ b/packages/controller/src/model/job.ts
@@ -186,6 +186,14 @@
     this.effectiveDeadlineSpanMs = this.deadlineSpanMs;
   }
 
+  /** How many tasks run, by their workers' last heartbeats. */
+  runningCount(): number {
+    let count = 0;
+    for (const { phase, status } of this.tenure.allocations.values())
+      if (phase === 'reported' && status?.state === 'running') count++;
+    return count;
+  }
+
   /** How many tasks are neither done nor allocated. */
   pendingCount(): number {
     let allocatedUndone = 0;
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -67,14 +67,6 @@
   EffectSink &
   Logger;
 
-/** Tasks of the job that run, by their workers' last heartbeats. */
-function runningCount(job: Job): number {
-  let count = 0;
-  for (const { phase, status } of job.tenure.allocations.values())
-    if (phase === 'reported' && status?.state === 'running') count++;
-  return count;
-}
-
 /** The decisions for the shards held here: what starts where, what stops, and what is stored. */
 export class ShardController {
   readonly allocations: TaskAllocations;
@@ -258,7 +250,7 @@
     const result = new Map<string, RunningTasks>();
     for (const job of this.context.clusterState.jobs.values()) {
       if (!this.allocations.heldShards.has(job.shard)) continue;
-      const count = runningCount(job);
+      const count = job.runningCount();
       const failed = this.allocations.failureAttribution.isCrashLooping(job) ? job.failureCount : 0;
       if (count > 0 || job.doneCount > 0 || failed > 0) result.set(job.spec.id, { count, done: job.doneCount, failed });
     }
