--- a/packages/controller/src/allocation/failure-attribution.ts
+++ b/packages/controller/src/allocation/failure-attribution.ts
@@ -7,16 +7,16 @@
 import type { ClusterStateView, Logger } from '../context/index.js';
 import type { Allocation, Job, Machine, Milliseconds } from '../model/index.js';
 
-/** A job that failed on so many machines, and never ran well, is taken to crash wherever it runs. */
+/** A job that failed on this many machines, and never ran well, is taken to crash wherever it runs. */
 const CRASH_LOOP_MACHINES = 3;
 
 /** What runs for this long without an error runs well: mistakes show at the start. */
 const ERROR_FREE_RUN_MS = 10_000;
 
-/** A machine is faulty once so many tasks failed there of jobs whose other tasks get done elsewhere. */
+/** A machine is faulty once this many tasks failed there of jobs whose other tasks get done elsewhere. */
 const FAULTY_MACHINE_TASKS = 3;
 
-/** A machine comes under suspicion once so many jobs failed there. */
+/** A machine is doubtful once this many jobs failed there. */
 const SUSPICIOUS_MACHINE_JOBS = 2;
 
 /** A machine on which jobs failed that prove nothing yet takes no work meanwhile, for so long at most. */
@@ -59,7 +59,7 @@
     return jobsThatFailedOnlyHere >= SUSPICIOUS_MACHINE_JOBS && now - machine.lastErrorAt > NO_COUNTEREVIDENCE_MS;
   }
 
-  /** Did several jobs fail there lately, and it isn't known yet whose fault it is? */
+  /** Did several jobs fail there recently, and isn't it known yet whose fault it is? */
   isAttributionPending(machine: Machine, now: Milliseconds): boolean {
     return machine.failedJobs.size >= SUSPICIOUS_MACHINE_JOBS && now - machine.lastErrorAt < ATTRIBUTION_PENDING_MS;
   }
@@ -68,7 +68,7 @@
   private hasRunWithoutError(job: Job, now: Milliseconds): boolean {
     if (job.doneCount > 0 || job.ranWithoutError) return true;
     for (const { phase, runningSince } of job.tenure.allocations.values()) {
-      if (phase !== 'there' || runningSince === null || now - runningSince < ERROR_FREE_RUN_MS) continue;
+      if (phase !== 'reported' || runningSince === null || now - runningSince < ERROR_FREE_RUN_MS) continue;
       job.ranWithoutError = true;
       return true;
     }
--- a/packages/controller/src/allocation/task-allocations.ts
+++ b/packages/controller/src/allocation/task-allocations.ts
@@ -1,7 +1,7 @@
 /**
  * Which task has which machine, in the shards held here: the allocations of jobs and machines with their phases, their stops,
  * and what happens to a gang that loses one of them. Owns the allocations, the set of shards held here, and what a scheduling
- * run left without room.
+ * run found no machine for.
  */
 import type {
   ClusterStateView,
@@ -15,9 +15,9 @@
 import { type Allocation, type Job, type Machine, type Milliseconds, NEVER } from '../model/index.js';
 import { FailureAttribution } from './failure-attribution.js';
 import { HeldShards } from './held-shards.js';
-import { isHeardRecently, MachineSchedulability } from './machine-schedulability.js';
+import { MachineSchedulability } from './machine-schedulability.js';
 import { StartFreshness } from './start-freshness.js';
-import { mayRunUnseen, shardsAwaitingVerification } from './unverified-takeovers.js';
+import { mayRunUnseen } from './unverified-takeovers.js';
 
 /** Tasks of a job that found no machine in the last scheduling run. */
 export interface UnmetDemand {
@@ -27,6 +27,9 @@
   readonly withinQuota: boolean;
 }
 
+/** What is said of an allocation when it is made. */
+type NewAllocation = Pick<Allocation, 'job' | 'taskIndex' | 'attempt' | 'machine' | 'phase' | 'plannedAt'>;
+
 /** Names one attempt of one task among all that a machine may have. */
 export function taskKey(job: string, taskIndex: number, attempt: number): string {
   return `${job}/${taskIndex}/${attempt}`;
@@ -50,17 +53,11 @@
   readonly heldShards = new HeldShards();
   /** something happened that a scheduling run may make use of */
   schedulingRequested = true;
-  /** the time of the input that is being taken */
-  now: Milliseconds = 0;
-  /** when a worker last answered a command or probe */
-  lastAnswerAt: Milliseconds = 0;
-  /** workers that have not answered since, though their heartbeats come */
-  readonly unansweredMachines = new Set<string>();
-  /** what the last scheduling run found no machine for */
-  unmetDemand: readonly UnmetDemand[] = [];
   readonly failureAttribution: FailureAttribution;
   readonly startFreshness: StartFreshness;
   private readonly machineSchedulability: MachineSchedulability;
+  private currentTime: Milliseconds = 0;
+  private lastUnmetDemand: readonly UnmetDemand[] = [];
 
   constructor(private readonly context: TaskAllocationsContext) {
     this.failureAttribution = new FailureAttribution(context);
@@ -68,6 +65,26 @@
     this.machineSchedulability = new MachineSchedulability(context, this.failureAttribution);
   }
 
+  /** The time of the last tick, heartbeat or pause. Other inputs leave it as it is: at most a tick behind. */
+  get now(): Milliseconds {
+    return this.currentTime;
+  }
+
+  /** What the last scheduling run found no machine for. */
+  get unmetDemand(): readonly UnmetDemand[] {
+    return this.lastUnmetDemand;
+  }
+
+  /** A tick, heartbeat or pause is taken at this time. */
+  advanceTo(now: Milliseconds): void {
+    this.currentTime = now;
+  }
+
+  /** A scheduling run has ended, and found no machine for this. */
+  recordUnmetDemand(unmetDemand: readonly UnmetDemand[]): void {
+    this.lastUnmetDemand = unmetDemand;
+  }
+
   /** Are the heartbeats of the shard's workers this controller's to take? */
   holdsShard(shard: number, now: Milliseconds): boolean {
     return this.heldShards.has(shard) && this.context.isLeaseValid(now);
@@ -81,14 +98,7 @@
   }
 
   /** Gives the machine to the task, which must have no other allocation: an earlier one is freed first. */
-  allocate(
-    job: Job,
-    taskIndex: number,
-    attempt: number,
-    machine: Machine,
-    phase: Allocation['phase'],
-    now: Milliseconds,
-  ): Allocation {
+  allocate({ job, taskIndex, attempt, machine, phase, plannedAt }: NewAllocation): Allocation {
     const allocation: Allocation = {
       job,
       taskIndex,
@@ -96,7 +106,7 @@
       machine,
       phase,
       status: null,
-      plannedAt: now,
+      plannedAt,
       stopGraceS: null,
       stopSentAt: NEVER,
       firstStopSentAt: null,
@@ -143,7 +153,7 @@
 
   /**
    * A start that surely was not carried out: its machine is held on, unless the task is to stop meanwhile or its job is over.
-   * Such a start was sent again after the job's cancellation, and a gang that had failed kept its machines for ever.
+   * Such a start was sent again after the job's cancellation, and a gang that had failed kept its machines for good.
    */
   startNotSent(allocation: Allocation): void {
     if (!this.isStartPending(allocation)) return;
@@ -152,18 +162,11 @@
     if (allocation.stopGraceS !== null || allocation.job.state !== 'live') this.free(allocation);
   }
 
-  /** Is its start under way, or was it not heard of since? */
+  /** Was its start sent, and neither answered nor reported since? */
   isStartPending(allocation: Allocation): boolean {
     return allocation.phase === 'sent' && allocation.machine.tenure.allocations.get(taskKeyOf(allocation)) === allocation;
   }
 
-  /** Does something on it belong to a cancelled job? Such machines are attended to first. */
-  hasCancelledWork(machine: Machine): boolean {
-    for (const allocation of machine.tenure.allocations.values())
-      if (allocation.job.state === 'cancelled' && allocation.phase !== 'exited') return true;
-    return false;
-  }
-
   /** A gang that lost a task is stopped whole and queued again. */
   failGang(job: Job): void {
     if (job.tenure.gangFailed) return;
@@ -215,32 +218,13 @@
     }
   }
 
-  /** Do its heartbeats come, here or to another controller? */
-  isHeardRecently(machine: Machine, now: Milliseconds): boolean {
-    return isHeardRecently(machine, now);
-  }
-
   /** Does it take starts? */
   isSchedulable(machine: Machine, now: Milliseconds): boolean {
     return this.machineSchedulability.isSchedulable(machine, now);
   }
 
-  /** Shards with machines that may have tasks that nobody has reported. */
-  shardsAwaitingVerification(): Set<number> {
-    return shardsAwaitingVerification(this.context.clusterState.machines);
-  }
-
   /** Could a task of this job be among those that nobody has reported? */
   mayRunUnseen(job: Job): boolean {
     return mayRunUnseen(job, this.heldShards.leaseRevisionOf(job.shard), this.context.clusterState.machines);
   }
-
-  /** Has it no task, known or orphaned, and no command under way? */
-  isEmpty(machine: Machine): boolean {
-    return (
-      machine.tenure.allocations.size === 0 &&
-      machine.tenure.orphanedTasks.length === 0 &&
-      machine.tenure.pendingCommandId === null
-    );
-  }
 }
--- a/packages/controller/src/controller-context.ts
+++ b/packages/controller/src/controller-context.ts
@@ -26,16 +26,17 @@
 } from './context/index.js';
 import type { EffectBuffer } from './effect-buffer.js';
 import type { Leader, PeerRegistry, ShardLeases, StateLease, StateServiceFreshness } from './leadership/index.js';
-import type { ControllerSettings, Effect, LogLevel, Milliseconds } from './model/index.js';
+import type { ControllerSettings, Effect, LogFields, LogLevel, Milliseconds } from './model/index.js';
 import type { ShardController } from './shards/index.js';
 import type { ClusterState, ReadBarriers, Replica, StateWriter } from './state/index.js';
 
-/** What is known of the state service's keys, and the way to change them. */
+/** What is known of the state service's keys, the way to change them, and the effects that inputs ask for. */
 export interface ContextState {
   readonly clusterState: ClusterState;
   readonly replica: Replica;
   readonly writer: StateWriter;
   readonly readBarriers: ReadBarriers;
+  readonly effects: EffectBuffer;
 }
 
 /** The parts that questions go on to. They take the context themselves, so it is given the object that will hold them. */
@@ -72,6 +73,7 @@
   readonly clusterState: ClusterState;
   readonly replica: Replica;
   readonly writer: StateWriter;
+  private readonly effects: EffectBuffer;
   private readonly readBarriers: ReadBarriers;
 
   /** `parts` may be incomplete until the first input. */
@@ -79,9 +81,9 @@
     readonly settings: ControllerSettings,
     readonly incarnation: string,
     state: ContextState,
-    private readonly effects: EffectBuffer,
     private readonly parts: ContextParts,
   ) {
+    this.effects = state.effects;
     this.clusterState = state.clusterState;
     this.replica = state.replica;
     this.writer = state.writer;
@@ -104,7 +106,7 @@
     return this.effects.nextEffectId();
   }
 
-  log(level: LogLevel, message: string, fields?: Record<string, unknown>): void {
+  log(level: LogLevel, message: string, fields?: LogFields): void {
     this.effects.log(level, message, fields);
   }
 
@@ -153,7 +155,7 @@
   }
 
   reachesWorkers(): boolean {
-    return this.parts.shardController.machineLifecycle.failureDetector.reachesWorkers;
+    return this.parts.shardController.reachesWorkers;
   }
 
   isTypeAvailable(type: string): boolean {
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -10,6 +10,7 @@
   KeyChange,
   ListedMachine,
   MachineType,
+  MessagePackMap,
   PeerStatus,
   StoredKey,
 } from '@archpost/protocol';
@@ -169,7 +170,7 @@
    * A client submits a job. `body`: the parsed request body; null: it could not be parsed. `wallClockMs`: the time of day,
    * since 1970.
    */
-  submitJob(id: number, body: Record<string, unknown> | null, now: Milliseconds, wallClockMs: Milliseconds): void {
+  submitJob(id: number, body: MessagePackMap | null, now: Milliseconds, wallClockMs: Milliseconds): void {
     this.beginInput(now);
     this.parts.clientRequests.submit(id, body, now, wallClockMs);
     this.flushWrites(now);
@@ -207,14 +208,14 @@
   /** A worker answered commands, or didn't in time. `id`: that of the `command` effect. */
   receiveCommandOutcome(id: number, outcome: CommandOutcome, now: Milliseconds): void {
     this.beginInput(now);
-    this.parts.shardController.commandDispatcher.handleOutcome(id, outcome, now);
+    this.parts.shardController.handleCommandOutcome(id, outcome, now);
     this.flushWrites(now);
   }
 
   /** A worker answered a probe, or didn't in time. `id`: that of the `probe` effect. */
   receiveProbeOutcome(id: number, isAnswered: boolean, now: Milliseconds): void {
     this.beginInput(now);
-    this.parts.shardController.machineLifecycle.failureDetector.handleProbeOutcome(id, isAnswered);
+    this.parts.shardController.handleProbeOutcome(id, isAnswered);
   }
 
   // Inputs from the cloud
@@ -248,7 +249,7 @@
     this.beginInput(now);
     const { leader, shardController } = this.parts;
     const isOfAutoscaler = leader.autoscaler.handleReleaseOutcome(id, isReleased, now);
-    if (!isOfAutoscaler) shardController.machineLifecycle.handleReleaseOutcome(id, isReleased, now);
+    if (!isOfAutoscaler) shardController.handleReleaseOutcome(id, isReleased, now);
     this.flushWrites(now);
   }
 
--- a/packages/controller/src/heartbeats/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeats/heartbeat-reconciler.ts
@@ -1,6 +1,6 @@
 /**
- * Brings what workers report together with what is stored and intended. What a heartbeat is worth is judged by
- * heartbeat-verdict.ts; here stands what follows from that for the machine, and task-reconciler.ts has what follows for its
+ * Brings what workers report together with what is stored and intended. Whether a heartbeat is current is decided by
+ * heartbeat-verdict.ts; here is what follows from that for the machine, and task-reconciler.ts has what follows for its
  * tasks. Owns what the tenures of machines know of their workers: epoch, sequence, when they were heard, and their orphaned
  * tasks. Within one heartbeat the effects have a fixed order: the machine's address and liveness, a new epoch, a preemption
  * notice, reported tasks, missing tasks.
@@ -21,7 +21,7 @@
 import { isImplausible, judgeAnswer, judgeHeartbeat } from './heartbeat-verdict.js';
 import { TaskReconciler } from './task-reconciler.js';
 
-/** A machine is probed for something odd about its heartbeats once in so many heartbeat intervals at most. */
+/** A machine is probed for something odd about its heartbeats once in this many heartbeat intervals at most. */
 const PROBE_REQUEST_INTERVALS = 2;
 
 /** What the heartbeat reconciler needs of its controller. */
@@ -45,7 +45,7 @@
    * sent when this was known. A start that is under way isn't refuted by either: it may have been made before it.
    */
   reconcile(machine: Machine, heartbeat: Heartbeat, now: Milliseconds, knownBefore: KnownHeartbeat | null = null): void {
-    this.allocations.now = now;
+    this.allocations.advanceTo(now);
     const { tenure } = machine;
     const verdict = knownBefore ? judgeAnswer(tenure, heartbeat, knownBefore) : judgeHeartbeat(tenure, heartbeat, now);
     switch (verdict.kind) {
@@ -53,7 +53,7 @@
         return this.learnFromUnverified(machine, heartbeat);
       case 'stale':
       case 'implausible':
-        // An answer is not asked for again: the machine has just given one.
+        // No probe after an answer: the machine has just given one.
         if (knownBefore === null) this.requestProbe(machine, now);
         return;
       case 'agentRestarted':
@@ -86,7 +86,7 @@
     this.recordHeard(machine, now);
   }
 
-  /** Has the machine probed, unless that was requested a moment ago: its answer tells what its heartbeats leave open. */
+  /** Has the machine probed, unless that was requested a moment ago: its answer settles what its heartbeats leave open. */
   requestProbe(machine: Machine, now: Milliseconds): void {
     const intervalMs = this.context.settings.workers.heartbeatIntervalS * (PROBE_REQUEST_INTERVALS * 1000);
     if (now - machine.probeRequestedAt < intervalMs) return;
@@ -137,7 +137,7 @@
 
   private recordHeardByPeer(machine: Machine, peer: string, now: Milliseconds): void {
     machine.heardByPeerAt = now;
-    // It goes from one controller to the next: perhaps nobody's responses reach it. One that stays is answered.
+    // It goes from one controller to the next: perhaps no controller's responses reach it. One that stays is answered.
     if (machine.heardByPeer !== peer && machine.heardByPeer !== null) this.requestProbe(machine, now);
     machine.heardByPeer = peer;
   }
@@ -183,12 +183,12 @@
 
   /**
    * Frees allocations that the worker doesn't report any more. A task that runs never leaves the heartbeats of its epoch by
-   * itself: where it is missing the agent began again, or this is a copy of something older, and only an answer tells which.
+   * itself: where it is missing the agent restarted, or this is a copy of something older, and only an answer shows which.
    */
   private freeMissing(machine: Machine, reportedKeys: ReadonlySet<string>, now: Milliseconds, isAnswer: boolean): void {
     for (const [key, allocation] of [...machine.tenure.allocations]) {
       if (reportedKeys.has(key) || allocation.phase === 'planned' || allocation.phase === 'sent') continue;
-      if (!isAnswer && allocation.phase === 'there') this.requestProbe(machine, now);
+      if (!isAnswer && allocation.phase === 'reported') this.requestProbe(machine, now);
       else this.allocations.free(allocation);
     }
   }
--- a/packages/controller/src/heartbeats/task-reconciler.ts
+++ b/packages/controller/src/heartbeats/task-reconciler.ts
@@ -5,15 +5,15 @@
 import type { TaskStatus } from '@archpost/protocol';
 import type { TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, Logger, ReplicaView } from '../context/index.js';
-import type { Allocation, Job, Machine, Milliseconds } from '../model/index.js';
-import { type ImageCacheWriter, type ProgressWriter, toLoggedSeconds } from '../shards/index.js';
+import { type Allocation, type Job, type Machine, type Milliseconds, toLoggedSeconds } from '../model/index.js';
+import type { ImageCacheWriter, ProgressWriter } from '../shards/index.js';
 import { StateKey } from '../state/index.js';
 import { recordImageUse } from './machine-images.js';
 
 /** A task that ended for a reason that the worker does not know is tried again after this long. */
 const UNKNOWN_EXIT_RETRY_MS = 1000;
 
-/** A machine that had no room for a task is commanded again after this long: its next heartbeat tells why. */
+/** A machine without enough free resources for a task is commanded again after this long: its next heartbeat shows why. */
 const NO_ROOM_RETRY_MS = 500;
 
 /** Why a task exited that is not done; null: the worker does not say. */
@@ -43,7 +43,14 @@
       if (allocated.phase !== 'planned') return null;
       this.allocations.free(allocated);
     }
-    const allocation = this.allocations.allocate(job, task.index, task.attempt, machine, 'there', now);
+    const allocation = this.allocations.allocate({
+      job,
+      taskIndex: task.index,
+      attempt: task.attempt,
+      machine,
+      phase: 'reported',
+      plannedAt: now,
+    });
     if (job.spec.shape === 'gang') this.adoptIntoGang(job, allocation);
     if (job.state === 'cancelled') this.allocations.stop(allocation, 0);
     return allocation;
@@ -57,7 +64,7 @@
       if (allocation.phase !== 'exited') this.recordExited(allocation, task, now);
       return;
     }
-    allocation.phase = 'there';
+    allocation.phase = 'reported';
     if (task.state === 'running' && previousState !== 'running') this.recordRunning(allocation, now);
   }
 
--- a/packages/controller/src/jobs/job-status.ts
+++ b/packages/controller/src/jobs/job-status.ts
@@ -4,7 +4,7 @@
 import type { Job } from '../model/index.js';
 import { type FinalState, readJobRecord, StateKey } from '../state/index.js';
 
-/** The body of a response that tells a job's status. */
+/** The body of a response with a job's status. */
 export type JobStatusBody = ReturnType<typeof encodeJobStatus>;
 
 /** What the status of a job with counts of its tasks needs of the controller. */
@@ -35,11 +35,11 @@
   return encodeJobStatus(id, finalState, { done: finalState === 'done' ? tasks : 0, running: 0 });
 }
 
-/** By what runs here; if nothing does, by what the other controllers reported last. `failed` is 0 unless tasks fail everywhere. */
+/**
+ * By what runs here; if nothing does, by what the other controllers reported last. `failed` is 0 unless tasks fail everywhere.
+ */
 function countTasks(context: PeerDirectory, job: Job): TaskCounts {
-  let running = 0;
-  for (const allocation of job.tenure.allocations.values())
-    if (allocation.phase === 'there' && allocation.status?.state === 'running') running++;
+  let running = job.runningCount();
   let done = job.doneCount;
   let failed = job.crashLoopingSince !== null ? job.failureCount : 0;
   for (const peer of running === 0 ? context.peers.values() : []) {
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -34,7 +34,7 @@
 /** A shard's summary that came from a peer is used for so long: a few statuses may be lost. */
 const MAX_SUMMARY_AGE_MS = 5000;
 
-/** Moves in one round: so many in any case, or this part of the writes that the state service takes in the time of a round. */
+/** Moves in one round: this many in any case, or this part of the writes that the state service takes in the time of a round. */
 const MIN_MOVES_PER_ROUND = 6;
 const MOVES_PART_OF_WRITES = 0.03;
 
@@ -68,7 +68,7 @@
     this.autoscaler = new Autoscaler(context, {
       isAssignmentPending: (machine) => this.machineAssigner.isAssignmentPending(machine),
       recentlyAssigned: (now) => this.machineAssigner.recentlyAssigned(now),
-      isZoneCut: (zone) => shardController.machineLifecycle.failureDetector.isZoneNameCut(zone),
+      isZoneCut: (zone) => shardController.isZoneCut(zone),
     });
     this.machineAssigner = new MachineAssigner(context, this.autoscaler);
     this.shardRebalancer = new ShardRebalancer(context);
@@ -103,7 +103,7 @@
     this.machineAssigner.machineReported(unassigned, now);
   }
 
-  /** The machines without a shard that sent heartbeats to this controller lately, for the status to the leader. */
+  /** The machines without a shard that sent heartbeats to this controller recently, for the status to the leader. */
   unassignedMachines(now: Milliseconds): UnassignedMachine[] {
     return this.machineAssigner.recentlyReported(now);
   }
@@ -130,7 +130,7 @@
   private runRound(leaseRevision: number, now: Milliseconds): void {
     const shards = this.shardSummaries(now);
     this.rebalance(shards, leaseRevision, now);
-    // Without the types and the cloud's list nobody knows what a machine is worth, or which are on their way.
+    // Without the types and the cloud's list neither the value of a machine nor which ones are being provisioned is known.
     if (!this.context.clusterState.machineTypesKnown || !this.autoscaler.isListKnown) return;
     this.autoscaler.scaleOut(shards, now);
     this.autoscaler.releaseOverdue(now);
@@ -164,7 +164,7 @@
     const demands = pendingDemands(shards.values());
     this.machineAssigner.allocateRecentAssignments(demands, now);
     const orderMove = (machine: Machine, shard: number) => this.orderMove(machine, shard, leaseRevision, now);
-    this.shardRebalancer.planMoves(shards, demands, this.movesPerRound, orderMove, now);
+    this.shardRebalancer.planMoves({ shards, pending: demands, limit: this.movesPerRound, orderMove }, now);
   }
 
   private orderMove(machine: Machine, shard: number, leaseRevision: number, now: Milliseconds): void {
--- a/packages/controller/src/model/job.ts
+++ b/packages/controller/src/model/job.ts
@@ -15,9 +15,10 @@
 
 /**
  * How far an allocation is. `planned`: resources are reserved, nothing was sent. `sent`: the start was sent and may have been
- * executed. `there`: the machine reports the task. `exited`: the task has ended, and the machine is to be told to forget it.
+ * executed. `reported`: the machine reports the task. `exited`: the task has ended, and the worker has yet to be commanded to
+ * forget it.
  */
-export type AllocationPhase = 'planned' | 'sent' | 'there' | 'exited';
+export type AllocationPhase = 'planned' | 'sent' | 'reported' | 'exited';
 
 /** One task on one machine, from the scheduling decision until the machine has forgotten the task. */
 export interface Allocation {
@@ -60,8 +61,28 @@
   completionWriteQueued = false;
 }
 
+/** What a job is made of: its specification, and the indices of the names in it. */
+export interface JobIdentity {
+  spec: JobSpec;
+  teamIndex: number;
+  shard: number;
+  /** machine types that it may use; null: any */
+  typeIndices: number[] | null;
+  /** its zone, or `ANY_ZONE` */
+  zoneIndex: number;
+  imageIndex: number;
+}
+
 /** A job: what is stored of it, and what this controller knows and intends. */
 export class Job {
+  readonly spec: JobSpec;
+  readonly teamIndex: number;
+  readonly shard: number;
+  /** machine types that it may use; null: any */
+  typeIndices: number[] | null;
+  /** its zone, or `ANY_ZONE` */
+  readonly zoneIndex: number;
+  readonly imageIndex: number;
   /** what the holder of the job's shard decided, if that is this controller */
   tenure = new JobTenure();
 
@@ -128,15 +149,13 @@
   /** one of its tasks ran for a while without failing */
   ranWithoutError = false;
 
-  /** `typeIndices`: machine types that it may use, null for any; `zoneIndex`: its zone, or `ANY_ZONE`. */
-  constructor(
-    readonly spec: JobSpec,
-    readonly teamIndex: number,
-    readonly shard: number,
-    public typeIndices: number[] | null,
-    readonly zoneIndex: number,
-    readonly imageIndex: number,
-  ) {
+  constructor({ spec, teamIndex, shard, typeIndices, zoneIndex, imageIndex }: JobIdentity) {
+    this.spec = spec;
+    this.teamIndex = teamIndex;
+    this.shard = shard;
+    this.typeIndices = typeIndices;
+    this.zoneIndex = zoneIndex;
+    this.imageIndex = imageIndex;
     this.priority = spec.priority;
     this.done = new Uint8Array(spec.tasks);
     this.storedDone = new Uint8Array(spec.tasks);
@@ -167,6 +186,14 @@
     this.effectiveDeadlineSpanMs = this.deadlineSpanMs;
   }
 
+  /** How many tasks run, by their workers' last heartbeats. */
+  runningCount(): number {
+    let count = 0;
+    for (const { phase, status } of this.tenure.allocations.values())
+      if (phase === 'reported' && status?.state === 'running') count++;
+    return count;
+  }
+
   /** How many tasks are neither done nor allocated. */
   pendingCount(): number {
     let allocatedUndone = 0;
@@ -180,10 +207,11 @@
    */
   nextPendingTask(): number {
     const { tenure } = this;
-    while (tenure.releasedTasks.length > 0) {
-      const index = tenure.releasedTasks[tenure.releasedTasks.length - 1] as number;
-      if (this.isPending(index)) return index;
+    let released = tenure.releasedTasks.at(-1);
+    while (released !== undefined) {
+      if (this.isPending(released)) return released;
       tenure.releasedTasks.pop();
+      released = tenure.releasedTasks.at(-1);
     }
     while (tenure.nextUntriedTask < this.spec.tasks) {
       const index = tenure.nextUntriedTask++;
--- a/packages/controller/src/model/machine.ts
+++ b/packages/controller/src/model/machine.ts
@@ -38,7 +38,7 @@
  *
  * | what may be sent | when |
  * | --- | --- |
- * | nothing: being released | `releaseReason` is set; `isReleasing` once the cloud was asked |
+ * | nothing: being released | `releaseReason` is set; `isReleasing` once the request to the cloud was sent |
  * | nothing: a command is in flight | `pendingCommandId` is set |
  * | nothing: its fencing token must rise | `hasUncertainCommand`; `isRaisingToken` once the rewrite of its assignment is queued |
  * | a probe | not `isVerified` (`isProbed` once the first was sent), or silent, not answering or `probeRequested` |
@@ -79,7 +79,7 @@
   isRaisingToken = false;
   /** null: it stays */
   releaseReason: ReleaseReason | null = null;
-  /** the cloud was asked to take it back, or has done so */
+  /** a release was requested from the cloud, or has been carried out */
   isReleasing = false;
 
   /**
@@ -97,7 +97,10 @@
     this.isUnverifiedTakeover = false;
   }
 
-  /** The fencing token has risen: no earlier command can be executed any more, and the machine is to be probed under the new one. */
+  /**
+   * The fencing token has risen: no earlier command can be executed any more, and the machine is to be probed under the new
+   * one.
+   */
   recordTokenRaised(): void {
     this.hasUncertainCommand = false;
     this.isVerified = false;
@@ -105,8 +108,26 @@
   }
 }
 
+/** What a machine is made of, by its assignment. */
+export interface MachineIdentity {
+  name: string;
+  address: string;
+  typeIndex: number;
+  zoneIndex: number;
+  spot: boolean;
+  /** null while only the name of its type is known */
+  capacity: MachineType | null;
+}
+
 /** A machine: what is stored of it, and what this controller knows and intends. */
 export class Machine {
+  readonly name: string;
+  address: string;
+  readonly typeIndex: number;
+  readonly zoneIndex: number;
+  readonly spot: boolean;
+  /** null while only the name of its type is known */
+  capacity: MachineType | null;
   /** what this controller learned and decided since the machine's shard, or the machine, came to it */
   tenure = new MachineTenure(0, false);
 
@@ -143,9 +164,9 @@
   commandsDue = true;
   imagesWriteQueued = false;
   assignmentWriteQueued = false;
-  /** the cloud isn't asked again to take it back before this time */
+  /** its release isn't requested again before this time */
   releaseRetryAt: Milliseconds = 0;
-  /** takes no more tasks without accelerators until then: services are being evicted from it, or were lately */
+  /** takes no more tasks without accelerators until then: services are being evicted from it, or were a short time ago */
   reservedUntil: Milliseconds = NEVER;
 
   // ---- failure history: written by failure attribution
@@ -161,15 +182,14 @@
   /** see machine-load.ts; null: to be computed anew */
   load: MachineLoad | null = null;
 
-  /** `capacity`: null while only the name of its type is known. */
-  constructor(
-    readonly name: string,
-    public address: string,
-    readonly typeIndex: number,
-    readonly zoneIndex: number,
-    readonly spot: boolean,
-    public capacity: MachineType | null,
-  ) {}
+  constructor({ name, address, typeIndex, zoneIndex, spot, capacity }: MachineIdentity) {
+    this.name = name;
+    this.address = address;
+    this.typeIndex = typeIndex;
+    this.zoneIndex = zoneIndex;
+    this.spot = spot;
+    this.capacity = capacity;
+  }
 
   /** To be called whenever an allocation is added, removed, ends or is to be stopped, and when the capacity changes. */
   allocationsChanged(): void {
--- a/packages/controller/src/model/settings.ts
+++ b/packages/controller/src/model/settings.ts
@@ -32,7 +32,7 @@
 export interface Policy {
   /** a reservation for a gang that isn't complete after this long is released */
   planWaitS: number;
-  /** a machine that answers nobody for this long is released to the cloud */
+  /** a machine that no controller has heard for this long is released to the cloud */
   silentS: number;
   /** hold spare machines of every kind, whatever they cost */
   holdSpareCapacity: boolean;
@@ -85,7 +85,7 @@
   gangWaitS: number;
   /** the tasks of a gang notice within this time that one of them is gone */
   gangPeerS: number;
-  /** a cancelled job's tasks must be gone this long after the client was told */
+  /** a cancelled job's tasks must be gone this long after the response to the client */
   cancelS: number;
 }
 
--- a/packages/controller/src/scheduling/binding.ts
+++ b/packages/controller/src/scheduling/binding.ts
@@ -1,26 +1,24 @@
 /** Binding: carries out what was chosen, by planned allocations. The command dispatcher sends the starts later. */
 import type { TaskAllocations } from '../allocation/index.js';
 import { type FreeResources, type Job, type Machine, subtract } from '../model/index.js';
-import { countTaskInZone } from './placement-constraints.js';
 import type { SchedulingRun } from './scheduling-run.js';
 
 /** Turns choices into allocations, and counts them in the run and on the machines' free resources. */
 export class Binder {
   constructor(private readonly allocations: TaskAllocations) {}
 
-  /** Gives the machine to one task of an array or service; `tasksInZones` is brought up to date. */
-  bindTask(job: Job, taskIndex: number, free: FreeResources, tasksInZones: Map<number, number>, run: SchedulingRun): void {
+  /** Gives the machine to one task of an array or service. */
+  bindTask(job: Job, taskIndex: number, free: FreeResources, run: SchedulingRun): void {
     subtract(free, job.resources);
-    this.allocations.allocate(
+    this.allocations.allocate({
       job,
       taskIndex,
-      this.allocations.heldShards.nextAttempt(job.shard),
-      free.machine,
-      'planned',
-      run.now,
-    );
+      attempt: this.allocations.heldShards.nextAttempt(job.shard),
+      machine: free.machine,
+      phase: 'planned',
+      plannedAt: run.now,
+    });
     run.usage.add(job);
-    countTaskInZone(tasksInZones, free.machine.zoneIndex);
   }
 
   /** Gives one machine each to the gang's tasks, in one attempt. None of them may have a machine yet. */
@@ -29,11 +27,13 @@
     job.tenure.gangAttempt = attempt;
     job.tenure.gangFailed = false;
     const pendingTasks = job.pendingTasks();
-    machines.forEach((machine, index) => {
+    for (const [index, taskIndex] of pendingTasks.entries()) {
+      const machine = machines[index];
+      if (machine === undefined) break;
       const free = candidates.find((candidate) => candidate.machine === machine);
       if (free) subtract(free, job.resources);
-      this.allocations.allocate(job, pendingTasks[index] as number, attempt, machine, 'planned', run.now);
+      this.allocations.allocate({ job, taskIndex, attempt, machine, phase: 'planned', plannedAt: run.now });
       run.usage.add(job);
-    });
+    }
   }
 }
--- a/packages/controller/src/scheduling/crash-loop-retries.ts
+++ b/packages/controller/src/scheduling/crash-loop-retries.ts
@@ -1,13 +1,13 @@
 /**
- * Retries of crash-looping jobs: what fails everywhere is tried now and then, after all other work and only where there is
- * room. Nothing is stopped, moved or provisioned for it.
+ * Retries of crash-looping jobs: what fails everywhere is tried now and then, after all other work and only where it
+ * fits. Nothing is stopped, moved or provisioned for it.
  */
 import type { TaskAllocations } from '../allocation/index.js';
 import { type FreeResources, fits, type Job } from '../model/index.js';
 import type { Binder } from './binding.js';
 import { placeGang } from './gang-placement.js';
 import type { MachineScoring } from './machine-scoring.js';
-import { isAllowedOn, tasksPerZone, zoneAllowsTask } from './placement-constraints.js';
+import { countTaskInZone, isAllowedOn, tasksPerZone, zoneAllowsTask } from './placement-constraints.js';
 import type { SchedulingRun } from './scheduling-run.js';
 
 /** Places the tasks of crash-looping jobs whose retry is due. */
@@ -18,7 +18,7 @@
     private readonly binder: Binder,
   ) {}
 
-  /** The job's next retry is put off whether or not there is room. */
+  /** The job's next retry is put off whether or not a task fits. */
   retry(job: Job, run: SchedulingRun): void {
     const candidates = run.unreserved.filter(({ machine }) => {
       const hasGpus = (machine.capacity?.gpus ?? 0) > 0;
@@ -46,7 +46,8 @@
       );
       const taskIndex = free ? job.nextUntriedTaskFirst() : -1;
       if (!free || taskIndex < 0) return;
-      this.binder.bindTask(job, taskIndex, free, tasksInZones, run);
+      this.binder.bindTask(job, taskIndex, free, run);
+      countTaskInZone(tasksInZones, free.machine.zoneIndex);
     }
   }
 }
--- a/packages/controller/src/scheduling/scheduler.ts
+++ b/packages/controller/src/scheduling/scheduler.ts
@@ -2,7 +2,7 @@
  * The scheduler: decides when a scheduling run is due, takes the snapshot that it decides on, and goes through the queue.
  * Owns the times of the runs; what it decides are planned allocations and the unmet demand in `TaskAllocations`.
  */
-import { freeResourcesOf, type TaskAllocations, type UnmetDemand } from '../allocation/index.js';
+import { freeResourcesOf, shardsAwaitingVerification, type TaskAllocations, type UnmetDemand } from '../allocation/index.js';
 import type { CapacityView, ClusterStateView, Logger, SettingsView, ShardOwnership } from '../context/index.js';
 import { type FreeResources, type Job, type Machine, type Milliseconds, NEVER } from '../model/index.js';
 import { reserveForAgedGang } from './aged-gang-reservation.js';
@@ -25,10 +25,10 @@
 import { measureTeamUsage } from './team-usage.js';
 import { UnschedulableKinds } from './unschedulable-kinds.js';
 
-/** What found no room is tried again after this long, if nothing else happens. */
+/** What didn't fit is tried again after this long, if nothing else happens. */
 const RESCHEDULE_INTERVAL_MS = 600;
 
-/** Scheduling pauses for a millisecond for so many machines that a run looked at, up to `RESCHEDULE_INTERVAL_MS`. */
+/** After a run scheduling pauses for a millisecond per this many machines considered, up to `RESCHEDULE_INTERVAL_MS`. */
 const MACHINES_PER_PAUSE_MS = 25;
 
 /** Machines that a whole processor core looks at in a millisecond (docs/results.md). */
@@ -42,7 +42,7 @@
 
 /** What a run does with a job of the queue. */
 type Readiness =
-  /** it is placed, as far as there is room */
+  /** it is placed, as far as it fits */
   | 'ready'
   /** its turn comes in a later run, which is due even if nothing else happens */
   | 'postponed'
@@ -95,7 +95,7 @@
     this.serviceConsolidation = new ServiceConsolidation(context, allocations, gpuMachines);
   }
 
-  /** Machines of the shard whose services have room on others. */
+  /** Machines of the shard whose services fit on others. */
   evacuableMachines(shard: number, now: Milliseconds): Set<Machine> {
     return this.serviceEvacuation.evacuableMachines(shard, now);
   }
@@ -120,7 +120,7 @@
     for (const job of outcome.crashLoopingJobs) this.crashLoopRetries.retry(job, run);
     this.nextRunAt = now + this.pauseAfter(outcome.machinesConsidered);
     this.hasUnfinishedWork = outcome.hasPostponedJobs || outcome.crashLoopingJobs.length > 0 || outcome.unmetDemand.length > 0;
-    this.allocations.unmetDemand = outcome.unmetDemand;
+    this.allocations.recordUnmetDemand(outcome.unmetDemand);
     this.machineEligibility.recordUnmetDemand(outcome.unmetDemand);
     this.gangServiceEviction.evictFor(outcome.unmetDemand, now);
     this.serviceConsolidation.consolidate(now);
@@ -140,12 +140,12 @@
     };
   }
 
-  /** Places what has room, in the queue's order. */
+  /** Places what fits, in the queue's order. */
   private placeQueue(queue: readonly QueuedJob[], run: SchedulingRun): RunOutcome {
     const outcome: RunOutcome = { unmetDemand: [], crashLoopingJobs: [], hasPostponedJobs: false, machinesConsidered: 0 };
     this.preemption.beginRun(queue, run.now);
     this.unschedulableKinds.clear();
-    const unverifiedShards = this.allocations.shardsAwaitingVerification();
+    const unverifiedShards = shardsAwaitingVerification(this.context.clusterState.machines);
     for (const queued of queue) {
       const readiness = this.readinessOf(queued.job, unverifiedShards, run.now);
       switch (readiness) {
@@ -193,7 +193,7 @@
     if (isAged && job.tenure.allocations.size === 0) reserveForAgedGang(job, run);
   }
 
-  /** Places the gang whole or not at all; returns how many of its tasks found no room. */
+  /** Places the gang whole or not at all; returns how many of its tasks didn't fit. */
   private placeGangJob(queued: QueuedJob, candidates: readonly FreeResources[], run: SchedulingRun): number {
     const { job } = queued;
     const { tasks } = job.spec;
--- a/packages/controller/src/scheduling/task-placement.ts
+++ b/packages/controller/src/scheduling/task-placement.ts
@@ -4,7 +4,7 @@
 import { CandidateMachines } from './candidate-machines.js';
 import type { MachineEligibility } from './machine-eligibility.js';
 import type { MachineScoring } from './machine-scoring.js';
-import { tasksPerZone } from './placement-constraints.js';
+import { countTaskInZone, tasksPerZone } from './placement-constraints.js';
 import { hasProtectedWork, type Preemption } from './preemption.js';
 import type { QueuedJob } from './queued-job.js';
 import type { SchedulingRun } from './scheduling-run.js';
@@ -24,7 +24,7 @@
     private readonly binder: Binder,
   ) {}
 
-  /** Places as many tasks as there is room for; returns how many are left that the team's quota allows. */
+  /** Places as many tasks as fit; returns how many are left that the team's quota allows. */
   place(queued: QueuedJob, freeResources: readonly FreeResources[], run: SchedulingRun): number {
     const { job } = queued;
     const pending = job.pendingCount();
@@ -51,13 +51,14 @@
       const free = this.chooseMachine(queued, candidates, tasksInZones, run);
       const taskIndex = free ? job.nextPendingTask() : -1;
       if (!free || taskIndex < 0) return placed;
-      this.binder.bindTask(job, taskIndex, free, tasksInZones, run);
+      this.binder.bindTask(job, taskIndex, free, run);
+      countTaskInZone(tasksInZones, free.machine.zoneIndex);
       this.preemption.taskPlaced(job, run.now);
     }
     return Math.max(0, count);
   }
 
-  /** The best machine with room for one more task; what has to be stopped there is stopped. */
+  /** The best machine on which one more task fits; what has to be stopped there is stopped. */
   private chooseMachine(
     queued: QueuedJob,
     candidates: CandidateMachines,
--- a/packages/controller/src/shards/command-outcomes.ts
+++ b/packages/controller/src/shards/command-outcomes.ts
@@ -3,10 +3,11 @@
  * writes to the tenure of the machine, and hands the status in an answer to the reconciliation of heartbeats.
  */
 import type { Heartbeat } from '@archpost/protocol';
-import type { TaskAllocations } from '../allocation/index.js';
+import { isHeardRecently, type TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, Logger } from '../context/index.js';
 import { type Allocation, type Machine, type Milliseconds, NEVER } from '../model/index.js';
 import type { HeartbeatReconciliation, KnownHeartbeat } from './heartbeat-reconciliation.js';
+import type { WorkerAnswers } from './worker-answers.js';
 
 /** A machine that didn't answer is tried again after this long. */
 const UNANSWERED_RETRY_MS = 700;
@@ -27,10 +28,10 @@
 
 /**
  * What became of a command. `ok`: it was carried out; `stale`: the worker rejected it, for its fencing token or for the agent's
- * epoch; `lost`: there was no answer, and it may be carried out yet; `refused`: it never left. `report`: the worker's status;
+ * epoch; `lost`: there was no answer, and it may be carried out yet; `refused`: it never left. `heartbeat`: the worker's status;
  * null: it could not be read.
  */
-export type CommandOutcome = { kind: 'ok' | 'stale'; report: Heartbeat | null } | { kind: 'lost' | 'refused' };
+export type CommandOutcome = { kind: 'ok' | 'stale'; heartbeat: Heartbeat | null } | { kind: 'lost' | 'refused' };
 
 /** What the outcomes of commands need of their controller. */
 type CommandOutcomesContext = ClusterStateView & Logger;
@@ -41,6 +42,7 @@
     private readonly context: CommandOutcomesContext,
     private readonly allocations: TaskAllocations,
     private readonly reconciler: HeartbeatReconciliation,
+    private readonly workerAnswers: WorkerAnswers,
   ) {}
 
   /** `pending` is the machine's last command, and no longer counts as pending. */
@@ -50,9 +52,9 @@
       case 'refused':
         return this.handleUnanswered(pending, outcome.kind, now);
       case 'ok':
-        return this.handleExecuted(pending, outcome.report, now);
+        return this.handleExecuted(pending, outcome.heartbeat, now);
       case 'stale':
-        return this.handleRejected(pending, outcome.report, now);
+        return this.handleRejected(pending, outcome.heartbeat, now);
       default:
         return outcome satisfies never;
     }
@@ -91,15 +93,14 @@
 
   /** Some worker is reachable from here, and this machine is. */
   private recordAnswer({ tenure }: Machine, now: Milliseconds): void {
-    this.allocations.lastAnswerAt = now;
-    this.allocations.unansweredMachines.clear();
+    this.workerAnswers.recordAnswer(now);
     tenure.unansweredCommands = 0;
     tenure.unansweredSince = null;
   }
 
   private handleUnanswered({ machine, starts, isProbe }: PendingCommand, kind: 'lost' | 'refused', now: Milliseconds): void {
     const { tenure } = machine;
-    if (this.allocations.isHeardRecently(machine, now)) this.allocations.unansweredMachines.add(machine.name);
+    if (isHeardRecently(machine, now)) this.workerAnswers.recordUnanswered(machine);
     tenure.unansweredCommands++;
     if (tenure.unansweredSince === null) tenure.unansweredSince = now;
     tenure.retryAt = now + UNANSWERED_RETRY_MS;
--- a/packages/controller/src/shards/failure-detector.ts
+++ b/packages/controller/src/shards/failure-detector.ts
@@ -1,25 +1,26 @@
 /**
- * Which workers can be reached from here, as far as their answers and their silence tell: whether a zone is cut off, and
+ * Which workers can be reached from here, as far as their answers and their silence show: whether a zone is cut off, and
  * whether the fault is this controller's own. A worker that is heard need not be reachable, and one that doesn't answer need
  * not be dead. Owns which zones count as cut off, and since when no worker answers.
  */
-import type { TaskAllocations } from '../allocation/index.js';
+import { isHeardRecently, type TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, EffectSink, Logger, PeerDirectory, SettingsView } from '../context/index.js';
 import type { Machine, Milliseconds } from '../model/index.js';
 import { RecoveryProbes } from './recovery-probes.js';
+import type { WorkerAnswers } from './worker-answers.js';
 import { healthNearby, isLossWidespread, isNearlyAllUnanswered, isZoneCutOff, type ZoneHealth } from './zone-health.js';
 
 /** No worker answers for this long, though some that are heard were probed for that: the fault is here. */
 const NO_ANSWER_LIMIT_MS = 2000;
 
-/** No worker seems to answer once so many that are heard did not, and none has for so long. */
+/** No worker seems to answer once this many that are heard did not, and none has for this long. */
 const MIN_UNANSWERED_MACHINES = 3;
 const NO_ANSWER_SUSPICION_MS = 1500;
 
 /** A machine heard within this time counts as heard in its zone. */
 const RECENTLY_HEARD_MS = 4000;
 
-/** A machine that did not answer so many commands in a row counts as unanswered in its zone. */
+/** A machine that did not answer this many commands in a row counts as unanswered in its zone. */
 const UNANSWERED_COMMANDS = 2;
 
 /** Healthy machines probed at once. */
@@ -28,10 +29,10 @@
 /** A healthy machine isn't probed more often than this. */
 const HEALTHY_PROBE_INTERVAL_MS = 1000;
 
-/** An answer of any worker within so many heartbeat intervals shows that this controller isn't cut off. */
+/** An answer of any worker within this many heartbeat intervals shows that this controller isn't cut off. */
 const ANSWER_FRESH_INTERVALS = 2;
 
-/** Where there is nobody to probe, silence is believed after so many times the time that a machine's silence is borne. */
+/** Where there is nobody to probe, silence is believed after this multiple of the time that a machine's silence is tolerated. */
 const UNCONFIRMED_SILENCE_FACTOR = 2;
 
 /** What the failure detector needs of its controller. */
@@ -54,6 +55,7 @@
   constructor(
     private readonly context: FailureDetectorContext,
     private readonly allocations: TaskAllocations,
+    private readonly workerAnswers: WorkerAnswers,
   ) {
     this.recoveryProbes = new RecoveryProbes(context);
   }
@@ -103,7 +105,7 @@
     this.reachesWorkers = true;
     this.unreachableSince = null;
     this.noAnswerSince = null;
-    this.allocations.unansweredMachines.clear();
+    this.workerAnswers.forgetUnanswered();
     for (const machine of this.context.clusterState.machines.values()) machine.tenure.unansweredCommands = 0;
     this.context.log('info', 'workers reachable again');
   }
@@ -115,7 +117,7 @@
    */
   confirmSilence(now: Milliseconds, silentMs: Milliseconds): boolean {
     const { workers, policy } = this.context.settings;
-    const answeredMs = now - this.allocations.lastAnswerAt;
+    const answeredMs = now - this.workerAnswers.lastAnswerAt;
     if (answeredMs < ANSWER_FRESH_INTERVALS * 1000 * workers.heartbeatIntervalS) return true;
     return this.probeHealthy(now) === 0 && silentMs > UNCONFIRMED_SILENCE_FACTOR * 1000 * policy.silentS;
   }
@@ -138,8 +140,8 @@
   }
 
   private nobodyAnswers(now: Milliseconds): boolean {
-    const { unansweredMachines, lastAnswerAt } = this.allocations;
-    return unansweredMachines.size >= MIN_UNANSWERED_MACHINES && now - lastAnswerAt > NO_ANSWER_SUSPICION_MS;
+    const { unansweredCount, lastAnswerAt } = this.workerAnswers;
+    return unansweredCount >= MIN_UNANSWERED_MACHINES && now - lastAnswerAt > NO_ANSWER_SUSPICION_MS;
   }
 
   private zoneHealths(now: Milliseconds): ReadonlyMap<number, ZoneHealth> {
@@ -213,7 +215,7 @@
       this.allocations.heldShards.has(machine.shard) &&
       machine.tenure.unansweredCommands === 0 &&
       machine.tenure.releaseReason === null &&
-      this.allocations.isHeardRecently(machine, now)
+      isHeardRecently(machine, now)
     );
   }
 
--- a/packages/controller/src/shards/machine-lifecycle.ts
+++ b/packages/controller/src/shards/machine-lifecycle.ts
@@ -3,7 +3,7 @@
  * cancelled work that does not end, which are empty and can move or go, and whose fencing token has to rise. Decides machine
  * by machine; the failure detector judges them together. Owns no state beside its parts' and the machines' tenures.
  */
-import type { TaskAllocations } from '../allocation/index.js';
+import { isEmpty, type TaskAllocations } from '../allocation/index.js';
 import type {
   ClusterStateView,
   EffectSink,
@@ -17,6 +17,7 @@
 import { AssignmentUpdates } from './assignment-updates.js';
 import { FailureDetector } from './failure-detector.js';
 import { MachineReleases } from './machine-releases.js';
+import type { WorkerAnswers } from './worker-answers.js';
 
 /** Cancelled work may stay for this part of the time within which a cancellation has to be carried out. */
 const OVERDUE_CANCELLATION_FRACTION = 0.5;
@@ -27,13 +28,13 @@
 /** A machine that another controller heard within this time isn't silent. */
 const HEARD_BY_PEER_MS = 5000;
 
-/** A machine whose spot preemption notice is over is given up after so many heartbeat intervals of silence. */
+/** A machine whose spot preemption notice is over is given up after this many heartbeat intervals of silence. */
 const SILENT_INTERVALS_AFTER_NOTICE = 1.5;
 
-/** A worker's lease has surely expired once it was not heard for the lease and so many heartbeat intervals. */
+/** A worker's lease has surely expired once it was not heard for the lease and this many heartbeat intervals. */
 const LEASE_OVERRUN_INTERVALS = 2;
 
-/** A machine is unreachable once it did not answer so many commands in a row. */
+/** A machine is unreachable once it did not answer this many commands in a row. */
 const UNANSWERED_COMMANDS = 3;
 
 /** What the machine lifecycle needs of its controller. */
@@ -48,8 +49,9 @@
   constructor(
     private readonly context: MachineLifecycleContext,
     private readonly allocations: TaskAllocations,
+    workerAnswers: WorkerAnswers,
   ) {
-    this.failureDetector = new FailureDetector(context, allocations);
+    this.failureDetector = new FailureDetector(context, allocations, workerAnswers);
     this.assignmentUpdates = new AssignmentUpdates(context, allocations);
     this.releases = new MachineReleases(context, allocations, this.assignmentUpdates);
   }
@@ -94,7 +96,7 @@
     else if (this.isOwnSilence(machine, silentMs, now)) this.releases.mark(machine, 'silent');
   }
 
-  /** Longer than silence is borne, or so that the cloud has most likely taken it at the end of its preemption notice. */
+  /** Longer than silence is tolerated, or so that the cloud has most likely taken it at the end of its preemption notice. */
   private isSilent({ tenure }: Machine, silentMs: Milliseconds, now: Milliseconds): boolean {
     const { policy, workers } = this.context.settings;
     if (silentMs > policy.silentS * 1000) return true;
@@ -114,7 +116,7 @@
   private checkEmpty(machine: Machine, now: Milliseconds): void {
     const { tenure } = machine;
     if (tenure.releaseReason !== null) return;
-    if (this.allocations.isEmpty(machine) && tenure.isVerified && !tenure.hasUncertainCommand) this.releaseEmpty(machine, now);
+    if (isEmpty(machine) && tenure.isVerified && !tenure.hasUncertainCommand) this.releaseEmpty(machine, now);
     if ((machine.moveToShard !== null || machine.isRetired) && tenure.releaseReason === null) this.allocations.drain(machine);
   }
 
@@ -181,7 +183,7 @@
     });
   }
 
-  /** Several commands in a row without an answer, over longer than a machine's silence is borne. */
+  /** Several commands in a row without an answer, over longer than a machine's silence is tolerated. */
   private isUnreachable({ tenure: { unansweredCommands, unansweredSince } }: Machine, now: Milliseconds): boolean {
     if (unansweredCommands < UNANSWERED_COMMANDS || unansweredSince === null) return false;
     return now - unansweredSince > this.context.settings.policy.silentS * 1000;
@@ -190,7 +192,7 @@
 
 /**
  * Whose silence counts: one that was probed since it was last heard, where only answers count. At a first start that outlasts
- * leases a machine's first answer tells its agent epoch alone, and those that were never probed come before it: within 90 s
+ * leases a machine's first answer shows its agent epoch alone, and those that were never probed come before it: within 90 s
  * 1,312 of 4,000 machines, all of which sent heartbeats, had been released as silent (docs/incidents/
  * first-start-of-a-large-fleet.md).
  */
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -30,6 +30,7 @@
 } from '../model/index.js';
 import { QueueOrder, Scheduler } from '../scheduling/index.js';
 import { CommandDispatcher } from './command-dispatcher.js';
+import type { CommandOutcome } from './command-outcomes.js';
 import type { HeartbeatReconciliation } from './heartbeat-reconciliation.js';
 import type { ImageCacheWriter } from './image-cache-writer.js';
 import { JobChecks } from './job-checks.js';
@@ -37,6 +38,7 @@
 import type { ProgressWriter } from './progress-writer.js';
 import { shardDebugSummary } from './shard-debug-summary.js';
 import { ShardSummaries } from './shard-summary.js';
+import { WorkerAnswers } from './worker-answers.js';
 
 /** All jobs of the shards held here are checked this often. */
 const JOB_CHECK_INTERVAL_MS = 300;
@@ -65,18 +67,12 @@
   EffectSink &
   Logger;
 
-/** Tasks of the job that run, by their workers' last heartbeats. */
-function runningCount(job: Job): number {
-  let count = 0;
-  for (const { phase, status } of job.tenure.allocations.values()) if (phase === 'there' && status?.state === 'running') count++;
-  return count;
-}
-
 /** The decisions for the shards held here: what starts where, what stops, and what is stored. */
 export class ShardController {
   readonly allocations: TaskAllocations;
-  readonly machineLifecycle: MachineLifecycle;
-  readonly commandDispatcher: CommandDispatcher;
+  private readonly machineLifecycle: MachineLifecycle;
+  private readonly commandDispatcher: CommandDispatcher;
+  private readonly workerAnswers = new WorkerAnswers();
   private readonly imageCacheWriter: ImageCacheWriter;
   private readonly jobChecks: JobChecks;
   private readonly queueOrder: QueueOrder;
@@ -92,8 +88,8 @@
     this.allocations = allocations;
     this.imageCacheWriter = imageCacheWriter;
     this.jobChecks = new JobChecks(context, allocations, progressWriter);
-    this.machineLifecycle = new MachineLifecycle(context, this.allocations);
-    this.commandDispatcher = new CommandDispatcher(context, this.allocations, reconciler);
+    this.machineLifecycle = new MachineLifecycle(context, this.allocations, this.workerAnswers);
+    this.commandDispatcher = new CommandDispatcher(context, this.allocations, reconciler, this.workerAnswers);
     this.queueOrder = new QueueOrder(context, this.allocations);
     this.scheduler = new Scheduler(context, this.allocations, this.queueOrder);
     this.shardSummaries = new ShardSummaries(context, this.allocations, this.queueOrder, this.scheduler);
@@ -181,11 +177,35 @@
     this.allocations.schedulingRequested = true;
   }
 
-  /** This process stood still until `now`: workers that it did not hear meanwhile were not silent. */
+  /** Can workers be reached from here, as far as their answers show? */
+  get reachesWorkers(): boolean {
+    return this.machineLifecycle.failureDetector.reachesWorkers;
+  }
+
+  /** Is the zone of this name cut off from here? */
+  isZoneCut(zone: string): boolean {
+    return this.machineLifecycle.failureDetector.isZoneNameCut(zone);
+  }
+
+  /** The outcome of the command or probe with this effect id. */
+  handleCommandOutcome(id: number, outcome: CommandOutcome, now: Milliseconds): void {
+    this.commandDispatcher.handleOutcome(id, outcome, now);
+  }
+
+  /** The outcome of a probe for recovery: did the worker answer? */
+  handleProbeOutcome(id: number, isAnswered: boolean): void {
+    this.machineLifecycle.failureDetector.handleProbeOutcome(id, isAnswered);
+  }
+
+  /** The outcome of the release request with this effect id. */
+  handleReleaseOutcome(id: number, isReleased: boolean, now: Milliseconds): void {
+    this.machineLifecycle.handleReleaseOutcome(id, isReleased, now);
+  }
+
+  /** This process was paused until `now`: workers that it did not hear meanwhile were not silent. */
   processPaused(pauseMs: Milliseconds, now: Milliseconds): void {
-    this.allocations.now = now;
-    this.allocations.lastAnswerAt = now;
-    this.allocations.unansweredMachines.clear();
+    this.allocations.advanceTo(now);
+    this.workerAnswers.recordAnswer(now);
     this.machineLifecycle.failureDetector.processPaused();
     for (const machine of this.context.clusterState.machines.values()) {
       machine.tenure.lastHeartbeatAt = Math.min(now, machine.tenure.lastHeartbeatAt + pauseMs);
@@ -200,7 +220,7 @@
    * machine lifecycle and the scheduler decided.
    */
   tick(now: Milliseconds): void {
-    this.allocations.now = now;
+    this.allocations.advanceTo(now);
     this.machineLifecycle.failureDetector.probeForRecovery(now);
     if (now - this.summaryLoggedAt > SUMMARY_LOG_INTERVAL_MS) {
       this.summaryLoggedAt = now;
@@ -223,14 +243,14 @@
   }
 
   /**
-   * How far the jobs of the shards held here are, by id, for the status queries of other controllers. Jobs with nothing to
-   * tell are left out.
+   * How far the jobs of the shards held here are, by id, for the status queries of other controllers. Jobs without running,
+   * completed or failed tasks are left out.
    */
   runningJobs(): Map<string, RunningTasks> {
     const result = new Map<string, RunningTasks>();
     for (const job of this.context.clusterState.jobs.values()) {
       if (!this.allocations.heldShards.has(job.shard)) continue;
-      const count = runningCount(job);
+      const count = job.runningCount();
       const failed = this.allocations.failureAttribution.isCrashLooping(job) ? job.failureCount : 0;
       if (count > 0 || job.doneCount > 0 || failed > 0) result.set(job.spec.id, { count, done: job.doneCount, failed });
     }
--- a/packages/controller/src/state/cluster-state.ts
+++ b/packages/controller/src/state/cluster-state.ts
@@ -1,7 +1,7 @@
 /**
  * The cluster state: a materialized view of what the state service's keys hold, in the shape that decisions use. Each kind of
  * record has one owner (leases, machine types, machines, image caches, jobs, accelerator demand); this module makes the
- * owners, routes each changed key to one of them, and is what other rooms ask.
+ * owners, routes each changed key to one of them, and is the interface to other folders.
  */
 import type { JobSpec, MachineType } from '@archpost/protocol';
 import { ANY_ZONE, type ControllerSettings, Job, type Machine, type Milliseconds, NameInterner } from '../model/index.js';
@@ -199,14 +199,14 @@
 
   private createJob(spec: JobSpec): Job {
     const team = this.teamNames.indexOf(spec.team);
-    return new Job(
+    return new Job({
       spec,
-      team,
-      this.shardOfTeam[team] ?? 0,
-      spec.machineTypes === null ? null : spec.machineTypes.map((name) => this.typeNames.intern(name)),
-      spec.zone === null ? ANY_ZONE : this.zoneNames.intern(spec.zone),
-      this.imageNames.intern(spec.image),
-    );
+      teamIndex: team,
+      shard: this.shardOfTeam[team] ?? 0,
+      typeIndices: spec.machineTypes === null ? null : spec.machineTypes.map((name) => this.typeNames.intern(name)),
+      zoneIndex: spec.zone === null ? ANY_ZONE : this.zoneNames.intern(spec.zone),
+      imageIndex: this.imageNames.intern(spec.image),
+    });
   }
 
   private applyMachineTypes(entry: ReplicaEntry | null): AppliedChange {
--- a/packages/controller/src/state/write-queue.ts
+++ b/packages/controller/src/state/write-queue.ts
@@ -26,7 +26,7 @@
 /** After this long a release counts as an assignment. */
 const RELEASE_PROMOTION_MS = 300;
 
-/** Stands for the revision of a key that doesn't exist, or isn't known. */
+/** Stands for the revision of a key that doesn't exist. */
 export const NO_REVISION = 0;
 
 /**
@@ -35,7 +35,7 @@
  */
 export type WriteOutcome = 'ok' | 'conflict' | 'dropped';
 
-/** A write to one key, as its owner asks for it. */
+/** A write to one key, as it is requested. */
 export interface PendingWrite {
   key: string;
   /** evaluated when the write is sent first, and not again for a repeated send; undefined removes the key */
@@ -52,8 +52,8 @@
   isUrgent?: () => boolean;
   /** dropped if it wasn't sent by this time */
   expiresAt?: Milliseconds;
-  /** Called once. `revision`: of the key after the write or the conflict; `NO_REVISION` where it has none or isn't known. */
-  onOutcome: (outcome: WriteOutcome, revision: number) => void;
+  /** Called once; the replica holds the write by then if it was applied. */
+  onOutcome: (outcome: WriteOutcome) => void;
 }
 
 /** A write that waits to be sent, or to be sent again. */
@@ -68,7 +68,7 @@
   sentValue: unknown;
 }
 
-/** Where a write stands: by its priority now, then the older first, then the one that was queued before. */
+/** The order of writes: by their priority now, then the older first, then the one that was queued before. */
 interface QueuePosition {
   priority: number;
   queuedAt: Milliseconds;
@@ -105,7 +105,7 @@
     this.detach(write);
   }
 
-  /** How many wait that had this priority when the order was last asked for. */
+  /** How many wait that had this priority when the queue was last put in order. */
   count(priority: number): number {
     return this.countByPriority.get(priority) ?? 0;
   }
