--- a/packages/controller/src/capacity/autoscaler.ts
+++ b/packages/controller/src/capacity/autoscaler.ts
@@ -16,9 +16,9 @@
 import { type InstanceKind, type InstanceOption, instanceOptions } from './instance-kind.js';
 import { InstancePools } from './instance-pools.js';
 import { MachineList } from './machine-list.js';
-import { MachineReleases } from './machine-releases.js';
 import { Provisioner, type ProvisioningOutcome } from './provisioner.js';
 import { ProvisioningTracker } from './provisioning-tracker.js';
+import { RecentReleases } from './recent-releases.js';
 import type { ScaleOutRequest, ScaleOutSnapshot } from './scale-out.js';
 import { requestsToHoldSpare } from './spare-capacity.js';
 
@@ -61,7 +61,7 @@
   private readonly bootMonitor: BootMonitor;
   private readonly tracker = new ProvisioningTracker();
   private readonly pools = new InstancePools();
-  private readonly releases = new MachineReleases();
+  private readonly releases = new RecentReleases();
   private readonly provisioner: Provisioner;
 
   constructor(
--- a/packages/controller/src/capacity/provisioner.ts
+++ b/packages/controller/src/capacity/provisioner.ts
@@ -8,7 +8,7 @@
 import { type InstanceKind, instanceOptions } from './instance-kind.js';
 import type { InstancePools } from './instance-pools.js';
 import type { MachineList } from './machine-list.js';
-import type { PendingRequest, ProvisioningTracker } from './provisioning-tracker.js';
+import type { PendingProvisioning, ProvisioningTracker } from './provisioning-tracker.js';
 
 /** Provisioning requests pending at once. */
 const MAX_PENDING_REQUESTS = 3;
@@ -101,7 +101,7 @@
     }
   }
 
-  private requestFulfilled(request: PendingRequest, machines: string[], now: Milliseconds): void {
+  private requestFulfilled(request: PendingProvisioning, machines: string[], now: Milliseconds): void {
     const { tracker, pools, machineList, bootMonitor } = this.parts;
     for (const machine of machines) if (!machineList.has(machine)) tracker.machineProvisioned(machine, request, now);
     pools.requestFulfilled(request, request.count, machines.length, now);
--- a/packages/controller/src/capacity/provisioning-tracker.ts
+++ b/packages/controller/src/capacity/provisioning-tracker.ts
@@ -3,7 +3,7 @@
 import type { InstanceKind } from './instance-kind.js';
 
 /** A provisioning request whose outcome isn't known yet. */
-export interface PendingRequest extends InstanceKind {
+export interface PendingProvisioning extends InstanceKind {
   count: number;
   /** when it was sent */
   at: Milliseconds;
@@ -17,7 +17,7 @@
 
 /** The provisioning requests of one leadership, and the machines that came of them. */
 export class ProvisioningTracker {
-  private readonly pendingRequests = new Map<number, PendingRequest>();
+  private readonly pendingRequests = new Map<number, PendingProvisioning>();
   private readonly bootingMachines = new Map<string, BootingMachine>();
 
   /** The leadership begins: what an earlier one requested will be seen in the list. */
@@ -36,7 +36,7 @@
   }
 
   /** Ends the request and returns it; null if it isn't of this leadership. */
-  requestEnded(id: number): PendingRequest | null {
+  requestEnded(id: number): PendingProvisioning | null {
     const pending = this.pendingRequests.get(id);
     if (!pending) return null;
     this.pendingRequests.delete(id);
--- a/packages/controller/src/capacity/machine-releases.ts
+++ b/packages/controller/src/capacity/recent-releases.ts
@@ -8,7 +8,7 @@
 const RELEASE_VISIBILITY_MS = 60_000;
 
 /** The releases of the last minutes. */
-export class MachineReleases {
+export class RecentReleases {
   /** ordered by time: a machine that is released again moves to the end */
   private readonly releasedAt = new Map<string, Milliseconds>();
   private readonly pending = new Map<number, string[]>();
--- a/packages/controller/src/scheduling/gang-preemption.ts
+++ b/packages/controller/src/scheduling/gang-preemption.ts
@@ -19,7 +19,7 @@
    * Stops what is in the way of the gang, counts it as free on the candidates, and returns the machine of each task; null:
    * the whole gang doesn't fit.
    */
-  evictFor(queued: QueuedJob, candidates: readonly FreeResources[], run: SchedulingRun): Machine[] | null {
+  preemptFor(queued: QueuedJob, candidates: readonly FreeResources[], run: SchedulingRun): Machine[] | null {
     const machines = this.chooseMachines(queued, candidates, run);
     if (!machines) return null;
     const isCleared = this.clear(machines, queued, candidates, run);
@@ -67,7 +67,7 @@
       const free = candidates.find((candidate) => candidate.machine === machine);
       const victims = free ? this.preemption.victimsOn(free, queued, run, count) : null;
       if (!free || !victims) return false;
-      this.preemption.evict(victims, free);
+      this.preemption.preempt(victims, free);
     }
     return true;
   }
--- a/packages/controller/src/scheduling/preemption.ts
+++ b/packages/controller/src/scheduling/preemption.ts
@@ -171,10 +171,10 @@
   }
 
   /** Preempts enough for one task on the machine where that costs least, and returns the machine; null: there is none. */
-  evictFor(queued: QueuedJob, candidates: readonly FreeResources[], run: SchedulingRun): FreeResources | null {
+  preemptFor(queued: QueuedJob, candidates: readonly FreeResources[], run: SchedulingRun): FreeResources | null {
     const plan = this.cheapestEviction(queued, candidates, run);
     if (!plan) return null;
-    this.evict(plan.victims, plan.free);
+    this.preempt(plan.victims, plan.free);
     return plan.free;
   }
 
@@ -191,7 +191,7 @@
   }
 
   /** Stops the victims, and counts what they hold on the machine as free. A gang is stopped whole. */
-  evict(victims: readonly Allocation[], free: FreeResources): void {
+  preempt(victims: readonly Allocation[], free: FreeResources): void {
     for (const allocation of victims) {
       releaseResources(free, allocation);
       this.allocations.stopWithGang(allocation);
--- a/packages/controller/src/scheduling/scheduler.ts
+++ b/packages/controller/src/scheduling/scheduler.ts
@@ -201,7 +201,7 @@
     if (hasAttempt || run.usage.remainingTasks(job) < tasks) return 0;
     const machines =
       placeGang(job, tasks, candidates, (free) => this.machineScoring.score(job, free)) ??
-      this.gangPreemption.evictFor(queued, candidates, run);
+      this.gangPreemption.preemptFor(queued, candidates, run);
     if (!machines) return tasks;
     this.binder.bindGang(job, machines, candidates, run);
     return 0;
--- a/packages/controller/src/scheduling/task-placement.ts
+++ b/packages/controller/src/scheduling/task-placement.ts
@@ -72,6 +72,6 @@
     const better = candidates.withHigherScore(minScore, tasksInZones);
     // Protected work is not stopped for a better machine, only for any machine at all.
     const preemptible = best ? better.filter(({ machine }) => !hasProtectedWork(machine, run.quotaStatuses)) : better;
-    return this.preemption.evictFor(queued, preemptible, run) ?? best?.free ?? null;
+    return this.preemption.preemptFor(queued, preemptible, run) ?? best?.free ?? null;
   }
 }
