--- a/packages/http-api/src/http-api.ts
+++ b/packages/http-api/src/http-api.ts
@@ -35,26 +35,30 @@
 /** `Retry-After` of requests that are refused under load, in seconds. */
 const OVERLOADED_RETRY_S = 1;
 
+/** What the interface is made of, and what it calls. */
+export interface HttpApiOptions {
+  /** is called with each admitted request, whose response is given by `respond` */
+  onRequest(request: ApiRequest): void;
+  /** the response to health checks */
+  isReady(): boolean;
+  loadShedder: LoadShedder;
+  /** is called with the client's address when a heartbeat can't be decoded */
+  onMalformedHeartbeat?(from: string): void;
+  /** by default connections aren't limited */
+  connections?: ConnectionLimiter;
+}
+
 /** Owns the listening server and all connections of users and workers. */
 export class HttpApi {
+  readonly connections: ConnectionLimiter;
   private readonly pendingRequests = new PendingRequests();
   private readonly app: express.Express;
   private readonly listener: HttpListener;
   private lastEncodedBody: unknown;
   private lastEncodedBytes: Buffer = Buffer.alloc(0);
 
-  /**
-   * @param onRequest is called with each admitted request, whose response is given by `respond`
-   * @param isReady the answer to health checks
-   * @param onMalformedHeartbeat is called with the client's address when a heartbeat can't be decoded
-   */
-  constructor(
-    private readonly onRequest: (request: ApiRequest) => void,
-    private readonly isReady: () => boolean,
-    private readonly loadShedder: LoadShedder,
-    private readonly onMalformedHeartbeat: (from: string) => void = () => {},
-    readonly connections = new ConnectionLimiter(Number.POSITIVE_INFINITY),
-  ) {
+  constructor(private readonly options: HttpApiOptions) {
+    this.connections = options.connections ?? new ConnectionLimiter(Number.POSITIVE_INFINITY);
     this.app = createExpressApp({
       health: (response) => this.respondHealth(response),
       submit: (response, body) => this.submit(response, body),
@@ -91,7 +95,7 @@
   respond(id: number, status: number, body: unknown, retryAfterS?: number): void {
     const pending = this.pendingRequests.take(id);
     if (!pending) return;
-    if (pending.job !== null && status !== 503) this.loadShedder.recordAnswered(pending.job);
+    if (pending.job !== null && status !== 503) this.options.loadShedder.recordAnswered(pending.job);
     this.send(pending.responder, status, body, retryAfterS, pending.clientKind);
   }
 
@@ -100,22 +104,23 @@
     else if (request.method === 'GET' && request.url?.startsWith(STATUS_QUERY_PREFIX))
       this.receiveStatusQuery(request, request.url, response);
     else if (request.method === 'GET' && request.url === PATHS.up) this.respondHealth(response);
-    else if (request.url?.startsWith(PATHS.jobs) && !this.loadShedder.admitMutation()) this.rejectOverloaded(request, response);
+    else if (request.url?.startsWith(PATHS.jobs) && !this.options.loadShedder.admitMutation())
+      this.rejectOverloaded(request, response);
     else this.app(request, response);
   }
 
   private respondHealth(response: http.ServerResponse): void {
-    this.send(new HttpResponder(response), this.isReady() ? 200 : 503, EMPTY_BODY);
+    this.send(new HttpResponder(response), this.options.isReady() ? 200 : 503, EMPTY_BODY);
   }
 
   private submit(response: http.ServerResponse, bytes: Buffer | null): void {
     const id = this.pendingRequests.add(new HttpResponder(response), 'user', null);
-    this.onRequest({ kind: 'submit', id, body: bytes && unpackMap(bytes) });
+    this.options.onRequest({ kind: 'submit', id, body: bytes && unpackMap(bytes) });
   }
 
   private cancel(response: http.ServerResponse, job: string): void {
     const id = this.pendingRequests.add(new HttpResponder(response), 'user', null);
-    this.onRequest({ kind: 'cancel', id, job });
+    this.options.onRequest({ kind: 'cancel', id, job });
   }
 
   /** Reads a heartbeat on a connection that began with another request, so that Node's HTTP server serves it. */
@@ -137,10 +142,10 @@
     const body = bytes && unpackMap(bytes);
     const heartbeat = body && parseHeartbeat(body);
     if (!heartbeat) {
-      this.onMalformedHeartbeat(`${socket.remoteAddress}`);
+      this.options.onMalformedHeartbeat?.(`${socket.remoteAddress}`);
       return this.send(responder, 400, { error: 'not a report' }, undefined, 'worker');
     }
-    this.onRequest({ kind: 'heartbeat', id: this.pendingRequests.add(responder, 'worker', null), heartbeat });
+    this.options.onRequest({ kind: 'heartbeat', id: this.pendingRequests.add(responder, 'worker', null), heartbeat });
   }
 
   /**
@@ -156,8 +161,8 @@
 
   private queryStatus(response: http.ServerResponse, job: string): void {
     const responder = new HttpResponder(response);
-    if (this.loadShedder.admitStatusQuery(job))
-      this.onRequest({ kind: 'statusQuery', id: this.pendingRequests.add(responder, 'user', job), job });
+    if (this.options.loadShedder.admitStatusQuery(job))
+      this.options.onRequest({ kind: 'statusQuery', id: this.pendingRequests.add(responder, 'user', job), job });
     else this.send(responder, 503, OVERLOADED_BODY, OVERLOADED_RETRY_S);
   }
 
--- a/packages/server/src/effect-executor.ts
+++ b/packages/server/src/effect-executor.ts
@@ -21,15 +21,28 @@
   log: ServiceLog;
 }
 
+/** What an executor connects. */
+export interface EffectExecutorOptions {
+  controller: Controller;
+  inbox: Inbox;
+  targets: EffectTargets;
+  /** this controller's name, which its messages to peers contain */
+  nodeName: string;
+}
+
 /** Executes the controller's effects in the order in which it decided them. */
 export class EffectExecutor {
-  /** @param nodeName this controller's name, which its messages to peers contain */
-  constructor(
-    private readonly controller: Controller,
-    private readonly inbox: Inbox,
-    private readonly targets: EffectTargets,
-    private readonly nodeName: string,
-  ) {}
+  private readonly controller: Controller;
+  private readonly inbox: Inbox;
+  private readonly targets: EffectTargets;
+  private readonly nodeName: string;
+
+  constructor({ controller, inbox, targets, nodeName }: EffectExecutorOptions) {
+    this.controller = controller;
+    this.inbox = inbox;
+    this.targets = targets;
+    this.nodeName = nodeName;
+  }
 
   /**
    * Executes all effects since the last call.
@@ -107,11 +120,11 @@
       .then((outcome) => inbox.enqueueControlEvent(() => controller.receiveCompareAndSwapOutcome(id, outcome, monotonicMs())));
   }
 
-  private command({ id, address, fencingToken, agentEpoch, commands }: EffectOf<'command'>): void {
+  private command(effect: EffectOf<'command'>): void {
     const { controller, inbox, targets } = this;
     void targets.workers
-      .sendCommands(address, fencingToken, agentEpoch, commands)
-      .then((outcome) => inbox.enqueueControlEvent(() => controller.receiveCommandOutcome(id, outcome, monotonicMs())));
+      .sendCommands(effect)
+      .then((outcome) => inbox.enqueueControlEvent(() => controller.receiveCommandOutcome(effect.id, outcome, monotonicMs())));
   }
 
   private probe({ id, address }: EffectOf<'probe'>): void {
--- a/packages/server/src/metrics-reporter.ts
+++ b/packages/server/src/metrics-reporter.ts
@@ -8,16 +8,19 @@
 const BYTES_PER_MB = 1024 * 1024;
 const MICROSECONDS_PER_S = 1e6;
 
+/** Where the figures come from, and the log that they go to. */
+export interface MetricsSources {
+  inbox: Inbox;
+  loadShedder: LoadShedder;
+  connections: ConnectionLimiter;
+  log: ServiceLog;
+}
+
 /** Logs the figures of each interval. */
 export class MetricsReporter {
   private timer: NodeJS.Timeout | undefined;
 
-  constructor(
-    private readonly inbox: Inbox,
-    private readonly loadShedder: LoadShedder,
-    private readonly connections: ConnectionLimiter,
-    private readonly log: ServiceLog,
-  ) {}
+  constructor(private readonly sources: MetricsSources) {}
 
   /** Starts the timer; the first figures come after one interval. */
   start(): void {
@@ -30,11 +33,12 @@
   }
 
   private logFigures(): void {
-    const rejected = this.loadShedder.takeRejectedCounts();
-    if (rejected.statusQueries + rejected.mutations > 0) this.log.clientRequestsRejected(rejected);
-    const connections = this.connections.takeRejectedCount();
-    if (connections > 0) this.log.connectionsRejected(connections);
-    this.log.processFigures(processFigures(), this.inbox.takeProcessedCounts());
+    const { inbox, loadShedder, connections, log } = this.sources;
+    const rejected = loadShedder.takeRejectedCounts();
+    if (rejected.statusQueries + rejected.mutations > 0) log.clientRequestsRejected(rejected);
+    const rejectedConnections = connections.takeRejectedCount();
+    if (rejectedConnections > 0) log.connectionsRejected(rejectedConnections);
+    log.processFigures(processFigures(), inbox.takeProcessedCounts());
   }
 }
 
--- a/packages/server/src/service.ts
+++ b/packages/server/src/service.ts
@@ -62,13 +62,13 @@
     this.controller = new Controller(controllerSettings, randomUUID().slice(0, INCARNATION_LENGTH));
     this.inbox = this.createInbox();
     this.loadShedder = new LoadShedder(monotonicMs, MUTATIONS_PER_S_AND_CORE * controllerSettings.cpuShare);
-    this.stateService = new StateServiceClient(
-      settings.stateAddress,
-      STATE_KEY_PREFIX,
-      stateRequestsPerS(controllerSettings),
-      stateLeaseMs(controllerSettings),
-      CLOCK_DRIFT_FRACTION,
-    );
+    this.stateService = new StateServiceClient({
+      address: settings.stateAddress,
+      keyPrefix: STATE_KEY_PREFIX,
+      requestsPerS: stateRequestsPerS(controllerSettings),
+      leaseMs: stateLeaseMs(controllerSettings),
+      clockDrift: CLOCK_DRIFT_FRACTION,
+    });
     this.cloud = new CloudClient(settings.cloudAddress, cloudRequestsPerS(controllerSettings));
     // All workers may come to one controller, with a connection each: those for commands, of which
     // the longest unused are closed, must leave room for that, and for users.
@@ -78,7 +78,8 @@
     this.inputRouter = new InputRouter(this.controller, this.inbox, this.api);
     this.effectExecutor = this.createEffectExecutor();
     this.tickTimer = new TickTimer(this.controller, this.inbox, this.loadShedder);
-    this.metricsReporter = new MetricsReporter(this.inbox, this.loadShedder, this.api.connections, log);
+    const { inbox, loadShedder, api } = this;
+    this.metricsReporter = new MetricsReporter({ inbox, loadShedder, connections: api.connections, log });
   }
 
   /** Resolves once peers, users and workers can connect; rejects if an address can't be listened on. */
@@ -125,19 +126,19 @@
   }
 
   private createApi(): HttpApi {
-    return new HttpApi(
-      (request) => this.inputRouter.receiveRequest(request),
-      () => this.controller.isReady,
-      this.loadShedder,
-      (from) => this.log.heartbeatMalformed(from),
-      new ConnectionLimiter(maxInboundSockets(this.settings)),
-    );
+    return new HttpApi({
+      onRequest: (request) => this.inputRouter.receiveRequest(request),
+      isReady: () => this.controller.isReady,
+      loadShedder: this.loadShedder,
+      onMalformedHeartbeat: (from) => this.log.heartbeatMalformed(from),
+      connections: new ConnectionLimiter(maxInboundSockets(this.settings)),
+    });
   }
 
   private createEffectExecutor(): EffectExecutor {
     const { api, stateService, workers, cloud, peers, log, settings } = this;
     const targets = { api, stateService, workers, cloud, peers, log };
-    return new EffectExecutor(this.controller, this.inbox, targets, settings.controller.name);
+    return new EffectExecutor({ controller: this.controller, inbox: this.inbox, targets, nodeName: settings.controller.name });
   }
 
   private subscribeLog(): void {
--- a/packages/state-client/src/state-service-client.ts
+++ b/packages/state-client/src/state-service-client.ts
@@ -6,6 +6,20 @@
 import { type ReplicaChanges, ReplicaReader, type Snapshot } from './replica-reader.js';
 import { StateServiceConnection } from './state-service-connection.js';
 
+/** The service, and what is read and kept there. */
+export interface StateServiceClientOptions {
+  /** `IP:port` */
+  address: string;
+  /** of the keys that are read */
+  keyPrefix: string;
+  /** this controller's part of the service's request limit */
+  requestsPerS: number;
+  /** the lease's time without a renewal, in milliseconds */
+  leaseMs: number;
+  /** part by which this machine's clock may run faster or slower than the service's */
+  clockDrift: number;
+}
+
 /** Its parts share connections and one request budget. `start` starts the loops that keep the lease and read keys. */
 export class StateServiceClient {
   readonly snapshot$: Observable<Snapshot>;
@@ -17,14 +31,10 @@
   private readonly leaseKeeper: LeaseKeeper;
   private readonly replicaReader: ReplicaReader;
 
-  /**
-   * `prefix`: of the keys that are read; `requestsPerS`: this controller's part of the service's limit; `ttlMs`: the
-   * lease's time without a renewal; `clockDrift`: part by which clocks may run apart.
-   */
-  constructor(address: string, prefix: string, requestsPerS: number, ttlMs: number, clockDrift: number) {
+  constructor({ address, keyPrefix, requestsPerS, leaseMs, clockDrift }: StateServiceClientOptions) {
     this.connection = new StateServiceConnection(address, requestsPerS);
-    this.leaseKeeper = new LeaseKeeper(this.connection, ttlMs, clockDrift);
-    this.replicaReader = new ReplicaReader(this.connection, prefix, requestsPerS);
+    this.leaseKeeper = new LeaseKeeper(this.connection, leaseMs, clockDrift);
+    this.replicaReader = new ReplicaReader(this.connection, keyPrefix, requestsPerS);
     this.snapshot$ = this.replicaReader.snapshot$;
     this.changes$ = this.replicaReader.changes$;
     this.lease$ = this.leaseKeeper.lease$;
--- a/packages/worker-client/src/worker-client.ts
+++ b/packages/worker-client/src/worker-client.ts
@@ -12,6 +12,16 @@
  */
 export type CommandOutcome = { kind: 'ok' | 'stale'; report: Heartbeat | null } | { kind: 'lost' | 'refused' };
 
+/** Commands to one worker. */
+export interface CommandRequest {
+  /** `IP:port` at which the worker listens */
+  address: string;
+  fencingToken: number;
+  agentEpoch: number;
+  /** at most MAX_COMMANDS_PER_BODY, which the worker carries out in order */
+  commands: Command[];
+}
+
 /** Owns the connections to workers. */
 export class WorkerClient {
   private readonly connections: WorkerConnectionPool;
@@ -28,8 +38,8 @@
     return outcome.kind === 'answer' && outcome.status === 200;
   }
 
-  /** At most MAX_COMMANDS_PER_BODY commands, which the worker carries out in order. */
-  async sendCommands(address: string, fencingToken: number, agentEpoch: number, commands: Command[]): Promise<CommandOutcome> {
+  /** Sends commands and resolves with their outcome; it does not reject. */
+  async sendCommands({ address, fencingToken, agentEpoch, commands }: CommandRequest): Promise<CommandOutcome> {
     if (this.isClosed) return { kind: 'refused' };
     const outcome = await this.connections.get(address).call({
       method: 'POST',
--- a/test/heartbeat-connections.test.ts
+++ b/test/heartbeat-connections.test.ts
@@ -84,16 +84,16 @@
 
 async function door(context: TestContext, connections = new ConnectionLimiter(100)): Promise<Door> {
   const requests: ApiRequest[] = [];
-  const api: HttpApi = new HttpApi(
-    (each) => {
+  const api: HttpApi = new HttpApi({
+    onRequest: (each) => {
       requests.push(each);
       if (!opened.isHeld) api.respond(each.id, 200, { kind: each.kind });
     },
-    () => true,
-    new LoadShedder(() => 0),
-    () => {},
+    isReady: () => true,
+    loadShedder: new LoadShedder(() => 0),
+    onMalformedHeartbeat: () => {},
     connections,
-  );
+  });
   // Whatever fails: a server that is left open keeps the test from ending.
   context.after(() => api.close());
   const server = await api.listen('127.0.0.1', 0);
--- a/test/load-shedding.test.ts
+++ b/test/load-shedding.test.ts
@@ -9,13 +9,13 @@
 
 test('with few sockets left users lose theirs before workers do', async (context) => {
   const connections = new ConnectionLimiter(20);
-  const api = new HttpApi(
-    ({ id }) => api.respond(id, 200, {}),
-    () => true,
-    new LoadShedder(() => 0),
-    () => {},
+  const api: HttpApi = new HttpApi({
+    onRequest: ({ id }) => api.respond(id, 200, {}),
+    isReady: () => true,
+    loadShedder: new LoadShedder(() => 0),
+    onMalformedHeartbeat: () => {},
     connections,
-  );
+  });
   // Whatever fails: a server that is left open keeps the test from ending.
   context.after(() => api.close());
   const server = await api.listen('127.0.0.1', 0);
@@ -160,14 +160,14 @@
 test('load shedding lets heartbeats pass, and refuses users at once when more is asked than can be done', async () => {
   const shedding = new LoadShedder(() => 0);
   const seen: string[] = [];
-  const api: HttpApi = new HttpApi(
-    (request) => {
+  const api: HttpApi = new HttpApi({
+    onRequest: (request) => {
       seen.push(request.kind);
       api.respond(request.id, 200, {});
     },
-    () => true,
-    shedding,
-  );
+    isReady: () => true,
+    loadShedder: shedding,
+  });
   const server = await api.listen('127.0.0.1', 0);
   const { port } = server.address() as { port: number };
   const call = (path: string, body?: Uint8Array) =>
--- a/test/malformed-input.test.ts
+++ b/test/malformed-input.test.ts
@@ -60,11 +60,11 @@
   const { controller: core } = cluster.controller('n0');
   const takeEffects = core.takeEffects.bind(core);
   const answered = new Set<number>();
-  const api: HttpApi = new HttpApi(
-    (request) => handOver(cluster, request, () => answered.has(request.id)),
-    () => true,
-    new LoadShedder(() => 0),
-  );
+  const api: HttpApi = new HttpApi({
+    onRequest: (request) => handOver(cluster, request, () => answered.has(request.id)),
+    isReady: () => true,
+    loadShedder: new LoadShedder(() => 0),
+  });
   core.takeEffects = () => {
     const effects = takeEffects();
     for (const effect of effects) {
--- a/test/stored-records.test.ts
+++ b/test/stored-records.test.ts
@@ -216,7 +216,13 @@
     const row = { k: isFirst ? 'a/1' : 'a/2', v: 1, stamp: 1 };
     return { status: 200, body: { rows: [row], has_next: isFirst, ledger: 9 } };
   });
-  const store = new StateServiceClient(await listen(server), 'a/', 100, 5000, 0.002);
+  const store = new StateServiceClient({
+    address: await listen(server),
+    keyPrefix: 'a/',
+    requestsPerS: 100,
+    leaseMs: 5000,
+    clockDrift: 0.002,
+  });
   const keys = await new Promise<string[]>((resolve) => {
     store.snapshot$.subscribe(({ rows }) => resolve(rows.map(({ key }) => key)));
     store.start();
