--- a/packages/cloud-client/src/cloud-client.ts
+++ b/packages/cloud-client/src/cloud-client.ts
@@ -35,10 +35,10 @@
 const PROVISIONING_ATTEMPTS = 3;
 
 /**
- * Ok: these machines were rented, fewer than were asked for perhaps. Full: nothing was rented. Unknown: no attempt was
+ * Ok: these machines were rented, fewer than were asked for perhaps. Out of capacity: nothing was rented. Unknown: no attempt was
  * answered, and machines may have been rented, or may be later.
  */
-export type ProvisioningOutcome = { kind: 'ok'; machines: string[] } | { kind: 'full' | 'unknown' };
+export type ProvisioningOutcome = { kind: 'ok'; machines: string[] } | { kind: 'outOfCapacity' | 'unknown' };
 
 /** Owns the connections to the cloud. Calls wait for their turn in the request budget. */
 export class CloudClient {
@@ -81,8 +81,8 @@
       const response = await this.post(PATHS.machines, encodeProvisioningRequest(request));
       if (response?.status === 200 && response.body)
         return { kind: 'ok', machines: parseProvisionedMachines(response.body) ?? [] };
-      if (response?.status === 503 && isOutOfCapacity(response.body)) return { kind: 'full' };
-      if (response?.status === 400) return { kind: 'full' };
+      if (response?.status === 503 && isOutOfCapacity(response.body)) return { kind: 'outOfCapacity' };
+      if (response?.status === 400) return { kind: 'outOfCapacity' };
     }
     return { kind: 'unknown' };
   }
--- a/packages/controller/src/capacity/provisioner.ts
+++ b/packages/controller/src/capacity/provisioner.ts
@@ -31,7 +31,7 @@
   /** these machines were provisioned, perhaps fewer than requested */
   | { kind: 'ok'; machines: string[] }
   /** none was provisioned */
-  | { kind: 'full' }
+  | { kind: 'outOfCapacity' }
   /** there was no answer: the request may have been carried out */
   | { kind: 'unknown' };
 
@@ -91,7 +91,7 @@
     switch (outcome.kind) {
       case 'ok':
         return this.requestFulfilled(request, outcome.machines, now);
-      case 'full':
+      case 'outOfCapacity':
         return this.parts.pools.requestRefused(request, this.maxRetryDelayMs(), now);
       case 'unknown':
         // It may have been carried out: what came of it shows in the list.
--- a/packages/http-api/src/express-app.ts
+++ b/packages/http-api/src/express-app.ts
@@ -11,7 +11,7 @@
 
 /** The only method of each path; others get 405. */
 const ALLOWED_METHODS: readonly { path: string; method: string }[] = [
-  { path: PATHS.report, method: 'POST' },
+  { path: PATHS.heartbeat, method: 'POST' },
   { path: PATHS.up, method: 'GET' },
   { path: PATHS.jobs, method: 'POST' },
   { path: JOB_PATH, method: 'GET' },
--- a/packages/http-api/src/heartbeat-connection.ts
+++ b/packages/http-api/src/heartbeat-connection.ts
@@ -9,7 +9,7 @@
 import { encodeResponse, type HttpResponse, type Responder } from './responder.js';
 
 /** The request line of a heartbeat. Requests that begin otherwise are left to Node's HTTP server. */
-const HEARTBEAT_REQUEST_LINE = Buffer.from(`POST ${PATHS.report} HTTP/1.1\r\n`, 'latin1');
+const HEARTBEAT_REQUEST_LINE = Buffer.from(`POST ${PATHS.heartbeat} HTTP/1.1\r\n`, 'latin1');
 
 /** The connection is closed if a request isn't complete, or a response isn't received, after this long. */
 export const REQUEST_TIMEOUT_MS = 10_000;
--- a/packages/http-api/src/http-api.ts
+++ b/packages/http-api/src/http-api.ts
@@ -100,7 +100,7 @@
   }
 
   private dispatch(request: http.IncomingMessage, response: http.ServerResponse): void {
-    if (request.method === 'POST' && request.url === PATHS.report) this.readHeartbeat(request, response);
+    if (request.method === 'POST' && request.url === PATHS.heartbeat) this.readHeartbeat(request, response);
     else if (request.method === 'GET' && request.url?.startsWith(STATUS_QUERY_PREFIX))
       this.receiveStatusQuery(request, request.url, response);
     else if (request.method === 'GET' && request.url === PATHS.up) this.respondHealth(response);
--- a/packages/http-client/src/http-client.ts
+++ b/packages/http-client/src/http-client.ts
@@ -23,7 +23,7 @@
     });
   }
 
-  /** Ends all connections; calls that wait for an answer end as `lost` or `refused`. */
+  /** Ends all connections; calls that wait for a response end as `unknown` or `notSent`. */
   close(): void {
     this.endpoint.agent.destroy();
   }
--- a/packages/http-client/src/http-exchange.ts
+++ b/packages/http-client/src/http-exchange.ts
@@ -7,11 +7,11 @@
 
 /** How a call ended. Calls don't throw for failures of the network. */
 export type CallOutcome =
-  | { kind: 'answer'; status: number; body: Buffer }
+  | { kind: 'response'; status: number; body: Buffer }
   /** nothing left this machine: the request can't be carried out later */
-  | { kind: 'refused' }
-  /** no answer: it may have been carried out, or may be yet */
-  | { kind: 'lost' };
+  | { kind: 'notSent' }
+  /** no response: it may have been carried out, or may be yet */
+  | { kind: 'unknown' };
 
 /** A request. Its body, if any, is MessagePack. */
 export interface HttpCall {
@@ -87,12 +87,12 @@
     response.on('end', () => {
       const first = chunks[0];
       const body = chunks.length === 1 && first ? first : Buffer.concat(chunks);
-      this.settle({ kind: 'answer', status: response.statusCode ?? 0, body });
+      this.settle({ kind: 'response', status: response.statusCode ?? 0, body });
     });
   }
 
   private readonly fail = (): void => {
-    this.settle(this.isSent ? { kind: 'lost' } : { kind: 'refused' });
+    this.settle(this.isSent ? { kind: 'unknown' } : { kind: 'notSent' });
     this.request.destroy();
   };
 
--- a/packages/peer-transport/src/outgoing-links.ts
+++ b/packages/peer-transport/src/outgoing-links.ts
@@ -40,7 +40,7 @@
     for (const peer of this.peers) if (!this.sockets.has(peer.name)) this.connect(peer);
   }
 
-  private connect({ name, addr: address }: Peer): void {
+  private connect({ name, address }: Peer): void {
     const colon = address.lastIndexOf(':');
     const socket = net.connect({ host: address.slice(0, colon), port: Number(address.slice(colon + 1)), noDelay: true });
     this.sockets.set(name, socket);
--- a/packages/peer-transport/src/peer.ts
+++ b/packages/peer-transport/src/peer.ts
@@ -4,7 +4,7 @@
 export interface Peer {
   name: string;
   /** `host:port` at which it listens for its peers */
-  addr: string;
+  address: string;
 }
 
 /** A message that was dropped, and from whom it came or to whom it was to go. Operators see it in the log. */
--- a/packages/protocol/src/paths.ts
+++ b/packages/protocol/src/paths.ts
@@ -1,10 +1,10 @@
 /** Paths of the HTTP interfaces: of the controllers, the workers, the cloud and the state service. */
 export const PATHS = {
-  // Controllers, asked by users and workers.
+  // Controllers, called by users and workers.
   jobs: '/v2/runs',
   up: '/up',
-  report: '/checkin',
-  // Workers, asked by controllers.
+  heartbeat: '/checkin',
+  // Workers, called by controllers.
   commands: '/do',
   status: '/show',
   // Cloud.
--- a/packages/protocol/src/service-response.ts
+++ b/packages/protocol/src/service-response.ts
@@ -8,11 +8,11 @@
 }
 
 /** The part of an HTTP call's outcome that is needed here: a response, or one of the ways to have none. */
-type CallOutcome = { kind: 'answer'; status: number; body: Uint8Array } | { kind: 'refused' | 'lost' };
+type CallOutcome = { kind: 'response'; status: number; body: Uint8Array } | { kind: 'notSent' | 'unknown' };
 
 /** The response to a call; null if none was received. */
 export function decodeServiceResponse(outcome: CallOutcome): ServiceResponse | null {
-  return outcome.kind === 'answer' ? { status: outcome.status, body: unpackMap(outcome.body) } : null;
+  return outcome.kind === 'response' ? { status: outcome.status, body: unpackMap(outcome.body) } : null;
 }
 
 /**
--- a/packages/server/src/settings/load-settings.ts
+++ b/packages/server/src/settings/load-settings.ts
@@ -21,7 +21,7 @@
   /** where the other controllers connect */
   peerAddress: string;
   /** the other controllers, and where they listen for this one */
-  peers: { name: string; addr: string }[];
+  peers: { name: string; address: string }[];
   cloudAddress: string;
   stateAddress: string;
   /** connections that the process may have open */
@@ -50,7 +50,7 @@
     controller: toControllerSettings(platform, policy),
     publicAddress: platform.public_addr,
     peerAddress: platform.peer_listen,
-    peers: platform.others.map((other) => ({ name: other.host_name, addr: other.peer_addr })),
+    peers: platform.others.map((other) => ({ name: other.host_name, address: other.peer_addr })),
     cloudAddress: platform.external.cloud,
     stateAddress: platform.external.state,
     maxSockets: platform.params.machine_limits.max_sockets,
--- a/packages/state-client/src/compare-and-swap.ts
+++ b/packages/state-client/src/compare-and-swap.ts
@@ -23,8 +23,8 @@
 ): Promise<CompareAndSwapOutcome> {
   await connection.budget.take();
   const outcome = await connection.post(PATHS.compareAndSwap, pack(encodeCompareAndSwap(conditions, writes)), TIMEOUT_MS);
-  if (outcome.kind === 'refused') return { kind: 'refused' };
-  if (outcome.kind === 'lost') return { kind: 'unknown' };
+  if (outcome.kind === 'notSent') return { kind: 'refused' };
+  if (outcome.kind === 'unknown') return { kind: 'unknown' };
   return outcomeOfResponse(outcome.status, outcome.body);
 }
 
--- a/packages/state-client/src/lease-keeper.ts
+++ b/packages/state-client/src/lease-keeper.ts
@@ -60,7 +60,7 @@
     this.connection.budget.force();
     const sentAt = monotonicMs();
     const outcome = await this.call();
-    if (outcome.kind !== 'answer') return RETRY_MS;
+    if (outcome.kind !== 'response') return RETRY_MS;
     if (outcome.status === 200) return this.accept(outcome.body, sentAt);
     if (this.leaseId !== null && (outcome.status === 404 || outcome.status === 400)) return this.giveUp();
     return RETRY_MS;
--- a/packages/state-client/src/state-service-connection.ts
+++ b/packages/state-client/src/state-service-connection.ts
@@ -27,7 +27,7 @@
   }
 
   async post(path: string, body: Buffer, timeoutMs: number): Promise<CallOutcome> {
-    if (this.isClosed) return { kind: 'refused' };
+    if (this.isClosed) return { kind: 'notSent' };
     return this.client.call({ method: 'POST', path, body, timeoutMs });
   }
 
--- a/packages/worker-client/src/worker-client.ts
+++ b/packages/worker-client/src/worker-client.ts
@@ -35,7 +35,7 @@
   async probe(address: string): Promise<boolean> {
     if (this.isClosed) return false;
     const outcome = await this.connections.get(address).call({ method: 'GET', path: PATHS.status, timeoutMs: PROBE_TIMEOUT_MS });
-    return outcome.kind === 'answer' && outcome.status === 200;
+    return outcome.kind === 'response' && outcome.status === 200;
   }
 
   /** Sends commands and resolves with their outcome; it does not reject. */
@@ -47,7 +47,8 @@
       body: pack(encodeCommandRequest(fencingToken, agentEpoch, commands)),
       timeoutMs: COMMAND_TIMEOUT_MS,
     });
-    if (outcome.kind !== 'answer') return { kind: outcome.kind };
+    if (outcome.kind === 'notSent') return { kind: 'refused' };
+    if (outcome.kind === 'unknown') return { kind: 'lost' };
     const body = unpackMap(outcome.body);
     if (outcome.status === 200) return { kind: 'ok', report: body && parseHeartbeat(body) };
     if (outcome.status === 409) return { kind: 'stale', report: body && parseHeartbeat(body) };
--- a/test/heartbeat-connections.test.ts
+++ b/test/heartbeat-connections.test.ts
@@ -18,7 +18,7 @@
   pieces: [],
 });
 
-function request(body: Uint8Array, start = `POST ${PATHS.report}`, headers = ''): Buffer {
+function request(body: Uint8Array, start = `POST ${PATHS.heartbeat}`, headers = ''): Buffer {
   const head = `${start} HTTP/1.1\r\nHost: c\r\n${headers}Content-Length: ${body.length}\r\n\r\n`;
   return Buffer.concat([Buffer.from(head, 'latin1'), body]);
 }
@@ -158,12 +158,12 @@
   assert.equal((await large.reply())?.status, 200, 'the connection goes on');
 
   const chunked = await connect();
-  const head = `POST ${PATHS.report} HTTP/1.1\r\nHost: c\r\nTransfer-Encoding: chunked\r\n\r\n${REPORT.length.toString(16)}\r\n`;
+  const head = `POST ${PATHS.heartbeat} HTTP/1.1\r\nHost: c\r\nTransfer-Encoding: chunked\r\n\r\n${REPORT.length.toString(16)}\r\n`;
   chunked.socket.write(Buffer.concat([Buffer.from(head), REPORT, Buffer.from('\r\n0\r\n\r\n')]));
   assert.equal((await chunked.reply())?.status, 200);
 
   const rubbish = await connect();
-  rubbish.socket.write(`POST ${PATHS.report} HTTP/1.1\r\nContent-Length: none of it\r\n\r\n`);
+  rubbish.socket.write(`POST ${PATHS.heartbeat} HTTP/1.1\r\nContent-Length: none of it\r\n\r\n`);
   assert.notEqual((await rubbish.reply())?.status, 200);
   const other = await connect();
   other.socket.write('no HTTP at all\r\n\r\n');
--- a/test/load-shedding.test.ts
+++ b/test/load-shedding.test.ts
@@ -186,15 +186,15 @@
     pieces: [],
   });
   try {
-    assert.equal((await call(PATHS.report, report)).status, 200);
-    assert.equal((await call(PATHS.report, pack({ host: 'n-1' }))).status, 400, 'a field is missing');
-    assert.equal((await call(PATHS.report, new Uint8Array(64 * 1024 + 1))).status, 400, 'over 64 KiB');
+    assert.equal((await call(PATHS.heartbeat, report)).status, 200);
+    assert.equal((await call(PATHS.heartbeat, pack({ host: 'n-1' }))).status, 400, 'a field is missing');
+    assert.equal((await call(PATHS.heartbeat, new Uint8Array(64 * 1024 + 1))).status, 400, 'over 64 KiB');
     assert.equal((await call(PATHS.jobs, new Uint8Array(64 * 1024 + 1))).status, 400, 'over 64 KiB');
     assert.equal((await call(`${PATHS.jobs}/run-000001`)).status, 200);
     shedding.recordTimerDelay(2000);
     assert.deepEqual(await call(`${PATHS.jobs}/run-000001`), { status: 503, retry: '1' });
     assert.deepEqual(await call(PATHS.jobs, pack({})), { status: 503, retry: '1' });
-    assert.equal((await call(PATHS.report, report)).status, 200, 'reports are taken all the same');
+    assert.equal((await call(PATHS.heartbeat, report)).status, 200, 'reports are taken all the same');
     assert.equal((await call(PATHS.up)).status, 200);
     assert.deepEqual(seen, ['heartbeat', 'statusQuery', 'heartbeat']);
   } finally {
--- a/test/peer-messages.test.ts
+++ b/test/peer-messages.test.ts
@@ -29,8 +29,8 @@
   );
   await new Promise((resolve) => probe.close(resolve));
   const peers = new PeerTransport([
-    { name: 'n1', addr: '127.0.0.1:1' },
-    { name: 'n2', addr: '127.0.0.1:1' },
+    { name: 'n1', address: '127.0.0.1:1' },
+    { name: 'n2', address: '127.0.0.1:1' },
   ]);
   const heard: string[] = [];
   const problems: string[] = [];
--- a/test/simulation/controller.ts
+++ b/test/simulation/controller.ts
@@ -311,7 +311,7 @@
         effect.request.count,
       );
       later(100, () =>
-        core.receiveProvisioningOutcome(effect.id, machines ? { kind: 'ok', machines } : { kind: 'full' }, cluster.now),
+        core.receiveProvisioningOutcome(effect.id, machines ? { kind: 'ok', machines } : { kind: 'outOfCapacity' }, cluster.now),
       );
     } else if (effect.type === 'fetchMachineTypes') later(50, () => core.receiveMachineTypes(TYPES, cluster.now));
   }
--- a/test/upgrade/production-version.ts
+++ b/test/upgrade/production-version.ts
@@ -176,6 +176,7 @@
 
 const stamped = (list: unknown) => (list as Fields[]).map(({ revision, ...row }) => ({ ...row, stamp: revision }));
 const outcomeThen = (outcome: unknown) => renamed(outcome, TO_THEN);
+const provisioningOutcomeThen = (outcome: Fields) => (outcome.kind === 'outOfCapacity' ? { kind: 'full' } : outcome);
 
 const INPUTS: Record<string, Input> = {
   receiveSnapshot: (core, rows, ...rest) => core.loaded?.(stamped(rows), ...rest),
@@ -191,7 +192,7 @@
   receiveProbeOutcome: (core, ...inputs) => core.asked?.(...inputs),
   receiveMachineTypes: (core, ...inputs) => core.types?.(...inputs),
   receiveMachineList: (core, machines, now) => core.listed?.(machines && renamed(machines, TO_THEN), now),
-  receiveProvisioningOutcome: (core, ...inputs) => core.rented?.(...inputs),
+  receiveProvisioningOutcome: (core, id, outcome, now) => core.rented?.(id, provisioningOutcomeThen(outcome as Fields), now),
   receiveReleaseOutcome: (core, ...inputs) => core.returned?.(...inputs),
   receivePeerStatus: (core, status, now) => core.peerStatus?.(renamed(status, TO_THEN), now),
   peerDisconnected: (core, ...inputs) => core.peerDown?.(...inputs),
