--- a/packages/cloud-client/src/cloud-client.ts
+++ b/packages/cloud-client/src/cloud-client.ts
@@ -27,7 +27,7 @@
 const TIMEOUT_MS = 3000;
 
 /** Part of the request budget that pages of lists may take: renting and releasing need the rest. */
-const LIST_SHARE = 0.5;
+const LIST_BUDGET_FRACTION = 0.5;
 
 /** Pages after the first are asked for this often: what came before them would be lost. */
 const PAGE_ATTEMPTS = 3;
@@ -53,7 +53,7 @@
   constructor(address: string, requestsPerS: number) {
     this.client = new HttpClient(address, CLOUD_SOCKETS);
     this.budget = new RequestBudget(requestsPerS, monotonicMs);
-    this.listBudget = new RequestBudget(requestsPerS * LIST_SHARE, monotonicMs);
+    this.listBudget = new RequestBudget(requestsPerS * LIST_BUDGET_FRACTION, monotonicMs);
   }
 
   /** Null if the cloud did not answer, refused, or its answer can not be parsed. */
--- a/packages/protocol/src/jobs/job-status.ts
+++ b/packages/protocol/src/jobs/job-status.ts
@@ -32,10 +32,10 @@
  * machine it has two fields that the protocol does not know of, which other clients ignore.
  */
 export function encodeJobStatus(id: string, state: JobState, counts?: TaskCounts): JobStatusOnWire {
-  const answer = { ref: id, status: JOB_STATE_TO_WIRE[state] };
-  if (!counts) return answer;
+  const response = { ref: id, status: JOB_STATE_TO_WIRE[state] };
+  if (!counts) return response;
   const { done, running, failed } = counts;
   return failed
-    ? { ...answer, done, running, failed, note: 'its tasks fail on every machine that they start on' }
-    : { ...answer, done, running };
+    ? { ...response, done, running, failed, note: 'its tasks fail on every machine that they start on' }
+    : { ...response, done, running };
 }
--- a/packages/state-client/src/lease-keeper.ts
+++ b/packages/state-client/src/lease-renewer.ts
@@ -26,7 +26,7 @@
 const SAFETY_MARGIN_MS = 20;
 
 /** Asks for a lease, renews it, and asks for another one when it has ended. */
-export class LeaseKeeper {
+export class LeaseRenewer {
   readonly lease$ = new Subject<LeaseState>();
   private readonly delay = new Delay();
   private readonly renewalMs: number;
@@ -62,7 +62,7 @@
     const outcome = await this.call();
     if (outcome.kind !== 'response') return RETRY_MS;
     if (outcome.status === 200) return this.accept(outcome.body, sentAt);
-    if (this.leaseId !== null && (outcome.status === 404 || outcome.status === 400)) return this.giveUp();
+    if (this.leaseId !== null && (outcome.status === 404 || outcome.status === 400)) return this.discardLease();
     return RETRY_MS;
   }
 
@@ -80,7 +80,7 @@
     return this.renewalMs;
   }
 
-  private giveUp(): number {
+  private discardLease(): number {
     this.leaseId = null;
     this.lease$.next({ leaseId: null, validUntil: 0 });
     return 0;
--- a/packages/state-client/src/state-service-client.ts
+++ b/packages/state-client/src/state-service-client.ts
@@ -2,7 +2,7 @@
 import type { CompareAndSwapOutcome, KeyWrite, RevisionCondition } from '@archpost/protocol';
 import type { Observable } from 'rxjs';
 import { compareAndSwap } from './compare-and-swap.js';
-import { LeaseKeeper, type LeaseState } from './lease-keeper.js';
+import { LeaseRenewer, type LeaseState } from './lease-renewer.js';
 import { type ReplicaChanges, ReplicaReader, type Snapshot } from './replica-reader.js';
 import { StateServiceConnection } from './state-service-connection.js';
 
@@ -28,21 +28,21 @@
   /** What could not be parsed though the service answered with status 200. */
   readonly unreadable$: Observable<string>;
   private readonly connection: StateServiceConnection;
-  private readonly leaseKeeper: LeaseKeeper;
+  private readonly leaseRenewer: LeaseRenewer;
   private readonly replicaReader: ReplicaReader;
 
   constructor({ address, keyPrefix, requestsPerS, leaseMs, clockDrift }: StateServiceClientOptions) {
     this.connection = new StateServiceConnection(address, requestsPerS);
-    this.leaseKeeper = new LeaseKeeper(this.connection, leaseMs, clockDrift);
+    this.leaseRenewer = new LeaseRenewer(this.connection, leaseMs, clockDrift);
     this.replicaReader = new ReplicaReader(this.connection, keyPrefix, requestsPerS);
     this.snapshot$ = this.replicaReader.snapshot$;
     this.changes$ = this.replicaReader.changes$;
-    this.lease$ = this.leaseKeeper.lease$;
+    this.lease$ = this.leaseRenewer.lease$;
     this.unreadable$ = this.connection.unreadable$;
   }
 
   start(): void {
-    this.leaseKeeper.start();
+    this.leaseRenewer.start();
     this.replicaReader.start();
   }
 
@@ -58,7 +58,7 @@
 
   /** Ends all loops, timers, calls and connections. The lease ends by itself when its time is over. */
   close(): void {
-    this.leaseKeeper.close();
+    this.leaseRenewer.close();
     this.replicaReader.close();
     this.connection.close();
   }
