--- a/packages/cloud-client/src/cloud-client.ts
+++ b/packages/cloud-client/src/cloud-client.ts
@@ -1,4 +1,4 @@
-/** Machine types, the list of machines, and the renting and releasing of machines. */
+/** Machine types, the list of machines, and provisioning and releasing machines. */
 import { HttpClient, monotonicMs, RequestBudget } from '@archpost/http-client';
 import {
   decodeServiceResponse,
@@ -26,23 +26,23 @@
 
 const TIMEOUT_MS = 3000;
 
-/** Part of the request budget that pages of lists may take: renting and releasing need the rest. */
+/** Part of the request budget that pages of lists may take: provisioning and releasing need the rest. */
 const LIST_BUDGET_FRACTION = 0.5;
 
-/** Pages after the first are asked for this often: what came before them would be lost. */
+/** Attempts to read a page after the first: a failure would waste the pages before it. */
 const PAGE_ATTEMPTS = 3;
 
 const PROVISIONING_ATTEMPTS = 3;
 
 /**
- * Ok: these machines were rented, fewer than were asked for perhaps. Out of capacity: nothing was rented. Unknown: no attempt was
- * answered, and machines may have been rented, or may be later.
+ * Ok: these machines were provisioned, perhaps fewer than requested. Out of capacity: none was provisioned. Unknown: no
+ * attempt got a response, and machines may have been provisioned, or may be later.
  */
 export type ProvisioningOutcome = { kind: 'ok'; machines: string[] } | { kind: 'outOfCapacity' | 'unknown' };
 
 /** Owns the connections to the cloud. Calls wait for their turn in the request budget. */
 export class CloudClient {
-  /** What could not be parsed though the cloud answered with status 200. */
+  /** What could not be parsed though the response had status 200. */
   readonly unreadable$ = new Subject<string>();
   private readonly client: HttpClient;
   private readonly budget: RequestBudget;
@@ -56,13 +56,13 @@
     this.listBudget = new RequestBudget(requestsPerS * LIST_BUDGET_FRACTION, monotonicMs);
   }
 
-  /** Null if the cloud did not answer, refused, or its answer can not be parsed. */
+  /** Null if there was no response, it was an error, or it can not be parsed. */
   async fetchMachineTypes(): Promise<MachineType[] | null> {
     const response = await this.get(PATHS.machineTypes);
     return this.parse(response, 'machine types', parseMachineTypes);
   }
 
-  /** All machines; null if a page could not be had. Pages are of different times, and all of them lag. */
+  /** All machines; null if a page could not be read. Pages are of different times, and all of them lag. */
   async listMachines(): Promise<ListedMachine[] | null> {
     const machines: ListedMachine[] = [];
     let after = '';
@@ -75,7 +75,7 @@
     }
   }
 
-  /** Repeats a request that gets no answer: if one was carried out, the same answer comes back. */
+  /** Retries a request that gets no response. It is idempotent: if it was carried out, the response is the same. */
   async provision(request: ProvisioningRequest): Promise<ProvisioningOutcome> {
     for (let attempt = 0; attempt < PROVISIONING_ATTEMPTS; attempt++) {
       const response = await this.post(PATHS.machines, encodeProvisioningRequest(request));
--- a/packages/cloud-client/src/index.ts
+++ b/packages/cloud-client/src/index.ts
@@ -1,2 +1,2 @@
-/** The client of the cloud that rents out machines. */
+/** The client of the cloud that provisions machines. */
 export { CLOUD_SOCKETS, CloudClient, type ProvisioningOutcome } from './cloud-client.js';
--- a/packages/http-api/src/connection-limiter.ts
+++ b/packages/http-api/src/connection-limiter.ts
@@ -1,6 +1,6 @@
 /**
  * Limits the connections from users and workers. When there are fewer sockets than workers and users, connections are
- * closed after their response so that others get a turn: users' first, then workers', whose heartbeats matter most.
+ * closed after their response so that others can connect: users' first, then workers', whose heartbeats matter most.
  */
 import type net from 'node:net';
 
--- a/packages/http-api/src/express-app.ts
+++ b/packages/http-api/src/express-app.ts
@@ -1,5 +1,5 @@
 /**
- * The routes of the HTTP interface as an Express application, and what is answered to requests without a route. Frequent
+ * The routes of the HTTP interface as an Express application, and the responses to requests without a route. Frequent
  * requests don't come this way: the framework would cost each several times what is done for it (see `HttpApi`).
  */
 import type http from 'node:http';
--- a/packages/http-api/src/heartbeat-connection.ts
+++ b/packages/http-api/src/heartbeat-connection.ts
@@ -23,7 +23,7 @@
   return chunk.length >= length && chunk.compare(HEARTBEAT_REQUEST_LINE, 0, length, 0, length) === 0;
 }
 
-/** What a connection hands on. */
+/** Callbacks of a connection. */
 export interface HeartbeatConnectionOptions {
   /** a whole heartbeat was received and waits for its response; null: its body is too large */
   onHeartbeat(connection: HeartbeatConnection, body: Buffer | null): void;
@@ -37,7 +37,7 @@
   private bodyChunks: Buffer[] = [];
   private bodyBytes = 0;
   private state: 'idle' | 'reading' | 'responding' = 'idle';
-  /** the current request asks for the connection to be closed after its response */
+  /** the current request has `Connection: close` */
   private closeRequested = false;
   private disconnectListener: (() => void) | null = null;
 
@@ -70,10 +70,12 @@
     if (typeof this.parser.execute(chunk) !== 'number') this.destroy();
   };
 
+  /** Calls the listener when the client disconnects before the response. */
   onDisconnect(listener: () => void): void {
     this.disconnectListener = listener;
   }
 
+  /** Writes the response, and closes the connection if either side requires it. */
   send(response: HttpResponse): void {
     const { socket } = this;
     this.disconnectListener = null;
--- a/packages/http-api/src/http-api.ts
+++ b/packages/http-api/src/http-api.ts
@@ -27,7 +27,7 @@
 /** Where a path has such a character, its job id is encoded or it is no status query: it is left to Express. */
 const NON_JOB_ID_CHARACTER = /[^\w-]/;
 
-/** Responses about health say all by their status. */
+/** The status of a health check's response is enough. */
 const EMPTY_BODY = {};
 
 const OVERLOADED_BODY = { error: 'overloaded' };
--- a/packages/http-api/src/http-listener.ts
+++ b/packages/http-api/src/http-listener.ts
@@ -6,7 +6,7 @@
 import net from 'node:net';
 import { HeartbeatConnection, IDLE_TIMEOUT_MS, REQUEST_TIMEOUT_MS, startsHeartbeat } from './heartbeat-connection.js';
 
-/** What the listener hands on. */
+/** Callbacks of the listener. */
 export interface HttpListenerOptions {
   /** a whole heartbeat was received; null: its body is too large */
   onHeartbeat(connection: HeartbeatConnection, body: Buffer | null): void;
--- a/packages/http-api/src/load-shedder.ts
+++ b/packages/http-api/src/load-shedder.ts
@@ -10,12 +10,12 @@
 /** With timers this late, workers' heartbeats are delayed too, and only queries about starved jobs are admitted. */
 const OVERLOAD_DELAY_MS = 500;
 
-/** A job whose status this controller told within this time is recently answered; users ask every 5 s. */
+/** A job whose status this controller sent within this time is recently answered; users query it every 5 s. */
 const RECENTLY_ANSWERED_MS = 4000;
 
 /**
- * A job whose status this controller hasn't told for this long is starved, and queries about it are admitted even under
- * overload: a job without any answer for 75 s counts as forgotten, and other controllers may be overloaded as well.
+ * A job whose status this controller hasn't sent for this long is starved, and queries about it are admitted even under
+ * overload: a job without any response for 75 s counts as forgotten, and other controllers may be overloaded as well.
  */
 const STARVED_MS = 20_000;
 
@@ -23,14 +23,14 @@
 const STARVED_QUERIES_PER_S = 8;
 
 /**
- * Status queries are refused first, and fairly: those about recently answered jobs, so that no job goes without an answer
+ * Status queries are refused first, and fairly: those about recently answered jobs, so that no job goes without a response
  * for long. Mutations (submissions and cancellations) are refused only when workers' heartbeats are delayed, and a few a
  * second are admitted even then: a client repeats what was refused, which costs nearly as much as serving it.
  */
 export class LoadShedder {
   /** how late timers fire; the worst delay counts for a while */
   private timerDelayMs = 0;
-  /** when this controller last told a job's status, by job id; starved jobs are removed */
+  /** when this controller last sent a job's status, by job id; starved jobs are removed */
   private readonly answeredAt = new Map<string, number>();
   private sweptAt = 0;
   private readonly starvedQueryBucket: TokenBucket;
--- a/packages/http-api/src/token-bucket.ts
+++ b/packages/http-api/src/token-bucket.ts
@@ -13,7 +13,7 @@
     this.tokens = perS;
   }
 
-  /** Takes a token if there is one, and tells whether there was. */
+  /** Takes a token if there is one, and returns whether there was. */
   take(): boolean {
     const now = this.clock();
     const limit = this.perS > 0 ? Math.max(1, this.perS) : 0;
--- a/packages/http-client/src/http-exchange.ts
+++ b/packages/http-client/src/http-exchange.ts
@@ -28,7 +28,7 @@
   port: number;
 }
 
-/** A timer that fires this much too late shows that the process stood still, or had no processor. */
+/** A timer that fires this late shows that the process was paused, or had no processor. */
 const LATE_TIMER_MS = 250;
 
 const CONTENT_TYPE = 'application/msgpack';
@@ -74,7 +74,7 @@
   }
 
   private handleConnect(): void {
-    // The process stood still while it connected, so the request is out of date.
+    // The process was paused while it connected, so the request is out of date.
     if (monotonicMs() > this.deadline) this.fail();
     else this.isSent = true;
   }
--- a/packages/http-client/src/request-budget.ts
+++ b/packages/http-client/src/request-budget.ts
@@ -27,7 +27,7 @@
     this.tokens -= 1;
   }
 
-  /** Takes a token if there is one, and tells whether there was. */
+  /** Takes a token if there is one, and returns whether there was. */
   tryTake(): boolean {
     this.refill();
     if (this.tokens < 1) return false;
--- a/packages/peer-transport/src/frames.ts
+++ b/packages/peer-transport/src/frames.ts
@@ -1,6 +1,6 @@
 /**
  * Frames on a link between controllers: the length of a message in four bytes, most significant first, and the message.
- * A frame comes in many chunks. They are joined once, when the frame is complete: joining at each chunk would copy the
+ * A frame is received in many chunks. They are joined once, when the frame is complete: joining at each chunk would copy the
  * square of its size.
  */
 
@@ -9,7 +9,7 @@
 
 const HEADER_BYTES = 4;
 
-/** A frame is announced that is larger than any that is sent: where the next one begins can not be known. */
+/** A header with a length beyond MAX_FRAME_BYTES. The sender does not follow the format, so the link can not be read on. */
 export class FrameTooLargeError extends Error {
   readonly code = 'FRAME_TOO_LARGE';
 
@@ -26,7 +26,7 @@
   return frame;
 }
 
-/** Takes the chunks of one link and returns messages as they are complete. */
+/** Decodes the frames of one link from the chunks that its socket emits. */
 export class FrameReader {
   private chunks: Buffer[] = [];
   private length = 0;
--- a/packages/peer-transport/src/incoming-links.ts
+++ b/packages/peer-transport/src/incoming-links.ts
@@ -38,7 +38,7 @@
     });
   }
 
-  /** Closes all links and takes none any more. */
+  /** Closes all links; no further ones are accepted. */
   close(): void {
     this.server?.close();
     for (const socket of this.sockets) socket.destroy();
@@ -65,7 +65,7 @@
     });
   }
 
-  /** Passes a message on and returns its sender. One that can not be read is dropped alone: the next has its own frame. */
+  /** Emits a message and returns its sender. An unreadable one is dropped; the next one has its own frame. */
   private receive(body: Buffer): string | null {
     let message: PeerMessage;
     try {
--- a/packages/peer-transport/src/outgoing-links.ts
+++ b/packages/peer-transport/src/outgoing-links.ts
@@ -6,10 +6,10 @@
 /** A link that is down is opened again this often. */
 const RECONNECT_MS = 500;
 
-/** A connection that does not come about, or a link on which nothing has moved, is given up after this long. */
+/** A connection that isn't established, or a link that is idle, for this long is closed. */
 const IDLE_TIMEOUT_MS = 3000;
 
-/** A link on which more waits to be sent gets nothing until it has caught up. */
+/** Backpressure: a link with more unsent bytes gets no message until they are sent. */
 const MAX_BACKLOG_BYTES = 256 * 1024;
 
 /** Owns the sockets and the timer that opens them again. */
@@ -19,18 +19,19 @@
 
   constructor(private readonly peers: readonly Peer[]) {}
 
+  /** Opens links to all peers, and starts the timer. */
   start(): void {
     this.connectMissing();
     this.reconnecting = interval(RECONNECT_MS).subscribe(() => this.connectMissing());
   }
 
-  /** The link to this peer; null if it is down, or so far behind that what is sent now would arrive out of date. */
+  /** The link to this peer; null if it is down, or so far behind that a message sent now would arrive out of date. */
   readyLink(peer: string): net.Socket | null {
     const socket = this.sockets.get(peer);
     return socket && !socket.connecting && socket.writableLength <= MAX_BACKLOG_BYTES ? socket : null;
   }
 
-  /** Closes all links and opens none any more. */
+  /** Closes all links; no further ones are opened. */
   close(): void {
     this.reconnecting?.unsubscribe();
     for (const socket of this.sockets.values()) socket.destroy();
--- a/packages/peer-transport/src/peer-transport.ts
+++ b/packages/peer-transport/src/peer-transport.ts
@@ -8,7 +8,7 @@
 
 /**
  * Each controller opens a link to every other and only sends on it; it receives on the links that the others open.
- * Messages are sent once and may be lost: a later one tells the same or something newer.
+ * Messages are sent once and may be lost: a later one contains the same or something newer.
  */
 export class PeerTransport {
   readonly message$: Observable<PeerMessage>;
@@ -16,7 +16,7 @@
   readonly disconnected$: Observable<string>;
   /** Messages that were received and can not be read. */
   readonly unreadable$: Observable<LinkProblem>;
-  /** Messages that were not sent since they are larger than a frame may be, reported once for each peer. */
+  /** Messages that were not sent since they are larger than a frame may be; emitted once for each peer. */
   readonly unsent$ = new Subject<LinkProblem>();
   private readonly incoming: IncomingLinks;
   private readonly outgoing: OutgoingLinks;
--- a/packages/peer-transport/src/peer.ts
+++ b/packages/peer-transport/src/peer.ts
@@ -1,4 +1,4 @@
-/** What the two kinds of links between controllers share. */
+/** Types that incoming and outgoing links have in common. */
 
 /** Another controller. */
 export interface Peer {
--- a/packages/protocol/src/cloud/machine-list.ts
+++ b/packages/protocol/src/cloud/machine-list.ts
@@ -15,7 +15,7 @@
   zone: string;
   spot: boolean;
   state: 'booting' | 'running' | 'failed';
-  /** seconds since it was asked for, at the time that the list describes */
+  /** seconds since it was requested, at the time that the list describes */
   ageS: number;
 }
 
@@ -41,13 +41,13 @@
   has_next: z.boolean().nullish(),
 });
 
-/** Path and query of the page that begins after this machine; an empty name asks for the first page. */
+/** Path and query of the page that begins after this machine; an empty name requests the first page. */
 export function machineListPath(after: string): string {
   const start = after === '' ? '' : `since=${after}&`;
   return `${PATHS.machines}?${start}most=${MAX_MACHINES_PER_LIST}`;
 }
 
-/** Null if a field is missing or invalid. */
+/** The page; null if a field is missing or invalid. */
 export function parseMachineList(body: MessagePackMap): MachinePage | null {
   const parsed = machineListOnWire.safeParse(body);
   if (!parsed.success) return null;
--- a/packages/protocol/src/cloud/machine-types.ts
+++ b/packages/protocol/src/cloud/machine-types.ts
@@ -1,4 +1,4 @@
-/** The machine types that the cloud rents out. */
+/** The machine types that the cloud offers. */
 import { z } from 'zod';
 import type { MessagePackMap } from '../message-pack.js';
 
@@ -19,7 +19,7 @@
   spotPrice: number;
   /** usual boot time in seconds; single machines take several times as long */
   bootS: number;
-  /** zones in which machines of this type are rented out */
+  /** zones in which machines of this type are offered */
   zones: string[];
 }
 
@@ -43,7 +43,7 @@
   ),
 });
 
-/** Null if a field is missing or invalid. Optional fields that are missing get their defaults. */
+/** The types; null if a field is missing or invalid. Optional fields that are missing get their defaults. */
 export function parseMachineTypes(body: MessagePackMap): MachineType[] | null {
   const parsed = machineTypesOnWire.safeParse(body);
   if (!parsed.success) return null;
--- a/packages/protocol/src/cloud/provisioning.ts
+++ b/packages/protocol/src/cloud/provisioning.ts
@@ -1,24 +1,24 @@
-/** Requests by which machines are rented from the cloud and released. */
+/** Requests by which the cloud's machines are provisioned and released. */
 import { z } from 'zod';
 import type { MessagePackMap } from '../message-pack.js';
 
-/** Most machines that the cloud rents out for one request. */
+/** Most machines that the cloud provisions for one request. */
 export const MAX_MACHINES_PER_PROVISIONING = 50;
 
-/** Most machines that the cloud takes back in one request. */
+/** Most machines that the cloud releases for one request. */
 export const MAX_MACHINES_PER_RELEASE = 100;
 
 /** A request for machines of one type in one zone. */
 export interface ProvisioningRequest {
   /**
-   * Makes the request idempotent: if it was granted and is repeated, the cloud returns the same machines. It must not
-   * be used again for another request, by no controller.
+   * Makes the request idempotent: if it was fulfilled and is repeated, the cloud returns the same machines. It must not
+   * be used for any other request, by any controller.
    */
   requestId: string;
   machineType: string;
   zone: string;
   spot: boolean;
-  /** at most MAX_MACHINES_PER_PROVISIONING; the cloud may grant fewer */
+  /** at most MAX_MACHINES_PER_PROVISIONING; the cloud may provision fewer */
   count: number;
 }
 
@@ -50,7 +50,7 @@
   };
 }
 
-/** The names of the machines that were rented; null if they can not be read. */
+/** The names of the machines that were provisioned; null if they can not be read. */
 export function parseProvisionedMachines(body: MessagePackMap): string[] | null {
   const parsed = provisionedMachinesOnWire.safeParse(body);
   return parsed.success ? parsed.data.hosts : null;
--- a/packages/protocol/src/jobs/job-spec.ts
+++ b/packages/protocol/src/jobs/job-spec.ts
@@ -1,4 +1,4 @@
-/** What a user asks for with a job. */
+/** The specification of a job, as its user submitted it. */
 
 /**
  * How the tasks of a job belong together. Array: independent tasks, each runs to completion. Gang: all tasks run at
--- a/packages/protocol/src/jobs/submission.ts
+++ b/packages/protocol/src/jobs/submission.ts
@@ -16,7 +16,7 @@
 const nameOnWire = z.string().min(1).max(MAX_NAME_LENGTH);
 const amountOnWire = z.number().min(0).max(MAX_AMOUNT);
 
-/** Ids of jobs: only such are accepted, so that they fit keys and paths as they are. */
+/** Job ids have this form, so that they can be used in keys and paths without escaping. */
 export const JOB_ID_PATTERN = /^run-[A-Za-z0-9_.-]{1,64}$/;
 
 const submissionOnWire = z.object({
@@ -55,6 +55,7 @@
   field: string;
 }
 
+/** The submission, or its first field that is missing or invalid. */
 export function parseSubmission(body: MessagePackMap): Submission | InvalidSubmission {
   const parsed = submissionOnWire.safeParse(body);
   if (!parsed.success) return { field: parsed.error.issues[0]?.path.join('.') || 'body' };
--- a/packages/protocol/src/peer/forwarded-heartbeat.ts
+++ b/packages/protocol/src/peer/forwarded-heartbeat.ts
@@ -2,7 +2,7 @@
 import type { Heartbeat, TaskStatus } from '../worker/heartbeat.js';
 import type { ProtobufFields } from './protobuf-fields.js';
 
-/** Protobuf knows no null: these stand for a machine without a notice, and for a task that has not exited. */
+/** Protobuf has no null: these mean a machine without a notice, and a task that has not exited. */
 const NO_PREEMPTION_NOTICE_S = -1;
 const NO_EXIT_REASON = '';
 
@@ -30,7 +30,7 @@
   tasks: { rule: 'repeated', type: 'TaskStatus', id: 10 },
 } satisfies ProtobufFields<Heartbeat>;
 
-/** A heartbeat in which values that protobuf knows stand for null. */
+/** A heartbeat in which null is replaced by values that protobuf can encode. */
 type HeartbeatWithoutNulls = Omit<Heartbeat, 'preemptionNoticeS' | 'tasks'> & {
   preemptionNoticeS: number;
   tasks: (Omit<TaskStatus, 'exitReason'> & { exitReason: string })[];
@@ -45,7 +45,7 @@
   };
 }
 
-/** Puts the nulls back into a decoded heartbeat, in place: a large one is not copied. */
+/** Restores the nulls of a decoded heartbeat, in place: a large one is not copied. */
 export function restoreNulls(heartbeat: Heartbeat): void {
   if ((heartbeat.preemptionNoticeS ?? NO_PREEMPTION_NOTICE_S) < 0) heartbeat.preemptionNoticeS = null;
   for (const task of heartbeat.tasks) if (!task.exitReason) task.exitReason = null;
--- a/packages/protocol/src/peer/peer-message.ts
+++ b/packages/protocol/src/peer/peer-message.ts
@@ -55,7 +55,7 @@
   }).finish();
 }
 
-/** Throws on bytes that are no message. Fields that are unknown here are passed over. */
+/** Throws on bytes that are no message. Unknown fields are ignored. */
 export function decodePeerMessage(bytes: Uint8Array): PeerMessage {
   // The tables are checked against the model types, so what they decode to has these types.
   const message = Message.toObject(Message.decode(bytes), CONVERSION) as PeerMessage;
--- a/packages/protocol/src/peer/peer-status.ts
+++ b/packages/protocol/src/peer/peer-status.ts
@@ -30,7 +30,7 @@
   spot: boolean;
 }
 
-/** Protobuf fields of a UnassignedMachine. */
+/** Protobuf fields of an UnassignedMachine. */
 export const unassignedMachineFields = {
   machine: { type: 'string', id: 1 },
   address: { type: 'string', id: 2 },
@@ -39,7 +39,7 @@
   spot: { type: 'bool', id: 5 },
 } satisfies ProtobufFields<UnassignedMachine>;
 
-/** Stands for heartbeats that are not forwarded, since they do not differ from the last one that was. */
+/** Replaces heartbeats that are not forwarded, since they do not differ from the last one that was. */
 export interface UnchangedHeartbeat {
   machine: string;
   agentEpoch: number;
@@ -49,7 +49,7 @@
   forwardedSequence: number;
 }
 
-/** Protobuf fields of a UnchangedHeartbeat. */
+/** Protobuf fields of an UnchangedHeartbeat. */
 export const unchangedHeartbeatFields = {
   machine: { type: 'string', id: 1 },
   agentEpoch: { type: 'uint64', id: 2 },
@@ -79,9 +79,9 @@
   reachesWorkers: boolean;
   /** changes of the state service's keys that it would make a second if it could */
   wantedWritesPerS: number;
-  /** the state service answers it */
+  /** the state service responds to it */
   stateServiceAnswers: boolean;
-  /** number of workers whose heartbeats it answered lately */
+  /** number of workers whose heartbeats it answered in the last seconds */
   heardWorkers: number;
   /** since it started it has read all keys of the state service once */
   replicaLoaded: boolean;
--- a/packages/protocol/src/peer/protobuf-fields.ts
+++ b/packages/protocol/src/peer/protobuf-fields.ts
@@ -3,7 +3,7 @@
  * each field of its model type, no other, and a kind that can carry it.
  *
  * Field numbers are the format: controllers of different versions exchange messages. A number is never changed or used
- * again; a new field gets a new number, and receivers that do not know it pass over it.
+ * again; a new field gets a new number, and receivers that do not know it ignore it.
  */
 
 /** Names of nested messages begin with a capital letter, those of protobuf's own kinds do not. */
@@ -21,5 +21,5 @@
   ? { rule: 'repeated'; type: KindOf<Element>; id: number }
   : { type: KindOf<Value>; id: number };
 
-/** The table of fields of a message that carries this model type. Protobuf knows no null: the model's codec maps it. */
+/** The table of fields of a message that carries this model type. Protobuf has no null: the model's codec maps it. */
 export type ProtobufFields<Model> = { [Field in keyof Model]: FieldOf<NonNullable<Model[Field]>> };
--- a/packages/protocol/src/peer/shard-summary.ts
+++ b/packages/protocol/src/peer/shard-summary.ts
@@ -1,4 +1,4 @@
-/** Summary of a shard that its lease holder sends to the leader: its machines, and the tasks they have no room for. */
+/** Summary of a shard that its lease holder sends to the leader: its machines, and the tasks that don't fit on them. */
 import type { ProtobufFields } from './protobuf-fields.js';
 
 /** A machine of a shard. */
@@ -30,7 +30,7 @@
   services: { type: 'uint32', id: 8 },
 } satisfies ProtobufFields<MachineSummary>;
 
-/** Tasks of one kind that wait for room. */
+/** Pending tasks of one kind, which wait for free resources. */
 export interface ResourceDemand {
   /** what each task takes of its machine */
   cpus: number;
--- a/packages/protocol/src/service-response.ts
+++ b/packages/protocol/src/service-response.ts
@@ -7,7 +7,7 @@
   body: MessagePackMap | null;
 }
 
-/** The part of an HTTP call's outcome that is needed here: a response, or one of the ways to have none. */
+/** The part of an HTTP call's outcome that is needed here: a response, or the reason that there is none. */
 type CallOutcome = { kind: 'response'; status: number; body: Uint8Array } | { kind: 'notSent' | 'unknown' };
 
 /** The response to a call; null if none was received. */
@@ -17,7 +17,7 @@
 
 /**
  * The parsed body of a response with status 200, and null for any other. A body of status 200 that can not be parsed
- * is reported by `onUnreadable`, since asking again is unlikely to help and an operator should know.
+ * is passed to `onUnreadable`, since a retry is unlikely to help and an operator should know.
  */
 export function readResponse<T>(
   response: ServiceResponse | null,
--- a/packages/protocol/src/state/compare-and-swap.ts
+++ b/packages/protocol/src/state/compare-and-swap.ts
@@ -15,7 +15,7 @@
   | { kind: 'ok'; revision: number }
   /** not carried out: its conditions on these keys did not hold */
   | { kind: 'failed'; keys: string[] }
-  /** not carried out: the service does not serve this controller now */
+  /** not carried out: the service is unavailable to this controller, or was not reached */
   | { kind: 'refused' }
   /** not carried out: more requests or changes than the service takes */
   | { kind: 'limited' }
--- a/packages/protocol/src/state/key-reads.ts
+++ b/packages/protocol/src/state/key-reads.ts
@@ -29,7 +29,7 @@
   revision: number;
 }
 
-/** All changes after the revision that was asked for. */
+/** All changes after the requested revision. */
 export interface ChangePage {
   changes: KeyChange[];
   /** revision of the service, up to which the changes are complete */
@@ -49,21 +49,21 @@
   ),
 });
 
-/** Path and query of a page of the keys with this prefix, from the key after `after`; an empty one asks for the first page. */
+/** Path and query of a page of the keys with this prefix, from the key after `after`; an empty one requests the first page. */
 export function keyPagePath(prefix: string, after: string, limit: number): string {
   const start = after === '' ? '' : `&since=${after}`;
   return `${PATHS.keys}?starts=${prefix}${start}&most=${limit}`;
 }
 
 /**
- * Path and query of the changes of keys with this prefix. The service answers at once if there are any, and otherwise
- * once there is one or this many milliseconds are over.
+ * Path and query of the changes of keys with this prefix. The service responds at once if there are any, and
+ * otherwise once there is one or this many milliseconds are over.
  */
 export function changesPath(prefix: string, sinceRevision: number, waitMs: number): string {
   return `${PATHS.changes}?starts=${prefix}&since=${sinceRevision}&wait_ms=${waitMs}`;
 }
 
-/** Null if a field is missing or invalid. */
+/** The page; null if a field is missing or invalid. */
 export function parseRows(body: MessagePackMap): KeyPage | null {
   const parsed = keyPageOnWire.safeParse(body);
   if (!parsed.success) return null;
@@ -74,7 +74,7 @@
   };
 }
 
-/** Null if a field is missing or invalid. */
+/** The changes; null if a field is missing or invalid. */
 export function parseChanges(body: MessagePackMap): ChangePage | null {
   const parsed = changesOnWire.safeParse(body);
   if (!parsed.success) return null;
--- a/packages/protocol/src/worker/heartbeat.ts
+++ b/packages/protocol/src/worker/heartbeat.ts
@@ -24,7 +24,7 @@
   saved: boolean;
 }
 
-/** A worker's report on its machine, sent at regular intervals and when something changes. */
+/** The status of a worker's machine, sent at regular intervals and when something changes. */
 export interface Heartbeat {
   machine: string;
   /** where the worker takes commands */
@@ -87,7 +87,7 @@
   pieces: z.array(taskStatusOnWire),
 });
 
-/** Null if a field is missing or invalid. */
+/** The heartbeat; null if a field is missing or invalid. */
 export function parseHeartbeat(body: MessagePackMap): Heartbeat | null {
   const parsed = heartbeatOnWire.safeParse(body);
   if (!parsed.success) return null;
--- a/packages/server/src/effect-executor.ts
+++ b/packages/server/src/effect-executor.ts
@@ -48,8 +48,8 @@
    * Executes all effects since the last call.
    *
    * Effects on machines and the cloud that were decided before a pause of the process are withheld after it, because
-   * another controller may have decided otherwise meanwhile. Others are harmless: a late response finds nobody, and a late
-   * write fails on its conditions.
+   * another controller may have decided otherwise meanwhile. Others are harmless: a late response has no client left, and a
+   * late write fails on its conditions.
    *
    * @param wasPaused all effects were decided before a pause
    */
@@ -62,7 +62,7 @@
     }
   }
 
-  /** Withholds an effect on machines or the cloud and tells the controller so. Returns false for any other effect. */
+  /** Withholds an effect on machines or the cloud and sends the controller its outcome. Returns false for any other effect. */
   private withhold(effect: Effect): boolean {
     const { controller, inbox } = this;
     switch (effect.type) {
--- a/packages/server/src/garbage-collection.ts
+++ b/packages/server/src/garbage-collection.ts
@@ -6,8 +6,8 @@
 const COLLECTION_CHECK_INTERVAL_MS = 5000;
 
 /**
- * The next collection comes once the process has grown by this part of its memory, since what the last one left is no
- * garbage. A full collection takes tens of milliseconds of processor, most of a second on a small share of a core.
+ * The next collection comes once the process has grown by this part of its memory, since what the last one retained is no
+ * garbage. A full collection takes tens of milliseconds of processor, most of a second on a small part of a core.
  */
 const COLLECTION_GROWTH_FRACTION = 0.04;
 
@@ -32,7 +32,7 @@
       this.wasJustCollected = false;
       this.retainedMb = heldMb;
     }
-    // Memory may be given back later than at the collection: growth is measured from the least.
+    // Memory may be released later than at the collection: growth is measured from the least.
     this.retainedMb = Math.min(this.retainedMb, heldMb);
     if (heldMb <= Math.max(this.thresholdMb, this.retainedMb + this.growthMb)) return false;
     this.wasJustCollected = true;
--- a/packages/server/src/inbox.ts
+++ b/packages/server/src/inbox.ts
@@ -1,6 +1,6 @@
 /**
  * Queues of inputs to the controller, which takes one at a time. Under overload they are served in the order that the users
- * asked for: heartbeats of workers, then control events, then mutations (submissions and cancellations), then status queries.
+ * require: heartbeats of workers, then control events, then mutations (submissions and cancellations), then status queries.
  */
 
 /** An input that waits. */
@@ -15,12 +15,12 @@
   reject: () => void;
 }
 
-/** With this long between two readings of the clock, the process stood still or had no processor. */
+/** With this long between two readings of the clock, the process was paused or had no processor. */
 export const PROCESS_PAUSE_MS = 800;
 
 /**
- * The longest time spent on heartbeats, and then on control events, in one turn. On a small share of a core a backlog takes
- * seconds, in which without this no health check would be answered and no response would leave.
+ * The longest time spent on heartbeats, and then on control events, in one turn. On a small part of a core a backlog takes
+ * seconds, in which without this no health check would get a response and no other response would be sent.
  */
 export const TIME_SLICE_MS = 100;
 
@@ -35,7 +35,7 @@
   onTurnEnd: () => void;
   /** a mutation or status query that has waited longer than this is rejected rather than served late */
   maxClientRequestAgeMs: number;
-  /** the process stood still for this long; called before the next input */
+  /** the process was paused for this long; called before the next input */
   onProcessPause?: (ms: number) => void;
   /** an input threw; the others are served all the same */
   onError: (error: unknown) => void;
@@ -179,7 +179,7 @@
     }
   }
 
-  /** An input that throws must not take those behind it along: most of them come only once. */
+  /** An input that throws must not prevent those behind it: most of them come only once. */
   private runInput(run: () => void): void {
     try {
       run();
@@ -189,7 +189,7 @@
   }
 
   /**
-   * Ticks come every tenth of a second, so if far more time has passed, the process stood still. The controller has to
+   * Ticks come every tenth of a second, so if far more time has passed, the process was paused. The controller has to
    * adjust its times before the next input, whichever comes first (a tick, a heartbeat, an outcome).
    */
   private readClock(): number {
--- a/packages/server/src/service.ts
+++ b/packages/server/src/service.ts
@@ -24,10 +24,10 @@
  */
 const MUTATIONS_PER_S_AND_CORE = 30;
 
-/** Older requests are rejected: users give up a status query after 2 s, and any other request after 5 s. */
+/** Older requests are rejected: the users' timeout of a status query is 2 s, and of any other request 5 s. */
 const MAX_CLIENT_REQUEST_AGE_MS = 1500;
 
-/** A response that can't be read is requested again at once; it is logged at most this often. */
+/** A request whose response can't be read is retried at once; that is logged at most this often. */
 const UNREADABLE_LOG_INTERVAL_MS = 10_000;
 
 /** The prefix of all stored keys. */
--- a/packages/server/src/settings/feasibility.ts
+++ b/packages/server/src/settings/feasibility.ts
@@ -1,6 +1,6 @@
 /**
- * Refuses settings under which rules would be broken or nothing could be served, so that operators learn of it at the start
- * and users don't later.
+ * Refuses settings under which guarantees would be broken or nothing could be served, so that operators see it at the start
+ * rather than users later.
  */
 import { STATE_SOCKETS, WATCH_S } from '@archpost/state-client';
 import type { PlatformSettings, StateLimitFields } from './platform-settings.js';
@@ -46,8 +46,8 @@
 }
 
 /**
- * Workers are answered for what this leaves after the last reading of all changes: no less than the time between two
- * readings (docs/design.md, "Who may answer workers").
+ * Workers get responses for what this leaves after the last read of all changes: no less than the time between two
+ * reads (docs/design.md, "Who may answer workers").
  */
 function requireCancellationTime(path: string, workers: PlatformSettings['params']['workers']): void {
   const minCancelS = workers.lease_s + workers.report_s + WATCH_S;
--- a/packages/server/src/settings/load-settings.ts
+++ b/packages/server/src/settings/load-settings.ts
@@ -9,7 +9,7 @@
 import { SettingsError } from './settings-error.js';
 import { parseOperatorJson, parseToml, validate } from './settings-file.js';
 
-/** Stands for the operators' file in errors where there is none, and the defaults count. */
+/** Named in errors where there is no operators' file, so that the defaults apply. */
 const NO_OPERATOR_FILE = 'operator settings';
 
 /** What the program uses of both files. Addresses are `IP:port`. */
@@ -33,7 +33,7 @@
 /**
  * Reads and checks both files.
  *
- * @param operatorPath null: the operators' defaults count
+ * @param operatorPath null: the operators' defaults apply
  * @throws SettingsError if a file can't be read, a field violates its schema, or a limit is too small to run with
  */
 export function loadSettings(path: string, operatorPath: string | null): Settings {
--- a/packages/server/src/settings/settings-error.ts
+++ b/packages/server/src/settings/settings-error.ts
@@ -1,4 +1,4 @@
-/** The one error by which settings are refused. */
+/** The error by which settings are refused. */
 
 /** Where a fault is, and what it is. */
 export interface SettingsFault {
--- a/packages/server/src/settings/settings-file.ts
+++ b/packages/server/src/settings/settings-file.ts
@@ -8,7 +8,7 @@
 import { errorMessage, systemErrorCode } from '../error-message.js';
 import { SettingsError } from './settings-error.js';
 
-/** Stands for the field where a value as a whole, not one of its fields, has the wrong type. */
+/** Named in place of a field where the value as a whole, not one of its fields, has the wrong type. */
 const WHOLE_FILE = 'file';
 
 /**
--- a/packages/state-client/src/delay.ts
+++ b/packages/state-client/src/delay.ts
@@ -1,4 +1,4 @@
-/** Waits of one loop, which its owner can end early so that no timer and no loop outlives it. */
+/** The waits of one loop. Its owner can end them early, so that no timer and no loop outlives it. */
 export class Delay {
   private endWait: (() => void) | null = null;
   private closed = false;
@@ -20,6 +20,7 @@
     });
   }
 
+  /** Ends the present wait; later ones resolve at once. */
   close(): void {
     this.closed = true;
     this.endWait?.();
--- a/packages/state-client/src/lease-renewer.ts
+++ b/packages/state-client/src/lease-renewer.ts
@@ -5,9 +5,9 @@
 import { Delay } from './delay.js';
 import type { StateServiceConnection } from './state-service-connection.js';
 
-/** The lease as it stands. */
+/** The lease that the controller has now. */
 export interface LeaseState {
-  /** null: there is none any more */
+  /** null: it has ended */
   leaseId: number | null;
   /** in milliseconds of this machine's monotonic clock */
   validUntil: number;
@@ -18,15 +18,16 @@
 /** Wait after a request that failed. */
 const RETRY_MS = 400;
 
-/** Renewals follow one another by this part of the lease's time, and by no more than MAX_RENEWAL_MS. */
+/** Interval of renewals: this part of the lease's time, and no more than MAX_RENEWAL_MS. */
 const RENEWALS_PER_LEASE = 6;
 const MAX_RENEWAL_MS = 2500;
 
 /** The lease counts as ended this much earlier than it may end. */
 const SAFETY_MARGIN_MS = 20;
 
-/** Asks for a lease, renews it, and asks for another one when it has ended. */
+/** Requests a lease, renews it, and requests another one when it has ended. */
 export class LeaseRenewer {
+  /** Emits after each renewal, and when the lease has ended. */
   readonly lease$ = new Subject<LeaseState>();
   private readonly delay = new Delay();
   private readonly renewalMs: number;
@@ -41,11 +42,12 @@
     this.renewalMs = Math.min(ttlMs / RENEWALS_PER_LEASE, MAX_RENEWAL_MS);
   }
 
+  /** Starts the requests. */
   start(): void {
     void this.run();
   }
 
-  /** Leaves the lease to end by itself. */
+  /** Ends the requests. The lease expires by itself. */
   close(): void {
     this.delay.close();
   }
@@ -54,7 +56,7 @@
     while (!this.delay.isClosed) await this.delay.wait(await this.renew());
   }
 
-  /** Renews the lease, or asks for one; returns the milliseconds until the next request. */
+  /** Renews the lease, or requests one; returns the milliseconds until the next request. */
   private async renew(): Promise<number> {
     // A renewal does not wait for the budget: without a lease this controller may do nothing else either.
     this.connection.budget.force();
--- a/packages/state-client/src/read-barrier.ts
+++ b/packages/state-client/src/read-barrier.ts
@@ -1,14 +1,14 @@
-/** Reads that are newer than the moment at which they were asked for. */
+/** Read barriers: reads that begin after the moment at which they were requested. */
 import { monotonicMs } from '@archpost/http-client';
 import { Delay } from './delay.js';
 
-/** A request that is not urgent waits this long for the watch, of the two seconds that users give an answer. */
+/** A request that is not urgent waits this long for the watch; users wait two seconds for a response. */
 const MAX_DELAY_MS = 350;
 
 /** Wait after a read that failed, beyond the interval between reads. */
 const RETRY_MS = 200;
 
-/** The reads that a barrier waits for, and asks for. */
+/** The reads that a barrier waits for, and starts. */
 export interface BarrierReads {
   /** When the newest read that succeeded began, in milliseconds of the monotonic clock. */
   newestReadAt(): number;
@@ -17,7 +17,7 @@
 }
 
 /**
- * Sees to it that a read begins after each request. Requests are batched: one read serves all that came before it.
+ * Ensures that a read begins after each request. Requests are batched: one read serves all that came before it.
  * Those that are not urgent are mostly served by the watch, which is opened anew after each change.
  */
 export class ReadBarrier {
@@ -42,6 +42,7 @@
     void this.run();
   }
 
+  /** Ends the reads. */
   close(): void {
     this.delay.close();
   }
--- a/packages/state-client/src/replica-reader.ts
+++ b/packages/state-client/src/replica-reader.ts
@@ -1,4 +1,4 @@
-/** Reads what a replica of this controller's keys needs: all keys once, and then their changes. */
+/** Feeds a replica of the controllers' keys: reads all keys once, and then their changes. */
 import { monotonicMs } from '@archpost/http-client';
 import {
   changesPath,
@@ -34,7 +34,7 @@
 export const WATCH_S = 2.5;
 const WATCH_MS = WATCH_S * 1000;
 
-/** What a response may take beyond the wait that it was asked for. */
+/** What a response may take beyond the wait that was requested. */
 const WATCH_GRACE_MS = 2000;
 const FIRST_CHANGES_TIMEOUT_MS = 2000;
 const BARRIER_TIMEOUT_MS = 1200;
@@ -44,19 +44,19 @@
 
 const KEYS_PER_PAGE = 1000;
 const PAGE_TIMEOUT_MS = 3000;
-/** Pages after the first are asked for this often: what came before them would be lost. */
+/** Attempts to read a page after the first: a failure would waste the pages before it. */
 const PAGE_ATTEMPTS = 3;
 const PAGE_RETRY_MS = 200;
 
 /**
- * Watch, barriers and writes share the request budget: the watch is opened again by one in three requests. The pause
+ * Watch, barriers and writes share the request budget: one in three requests reopens the watch. The pause
  * before that stays within these bounds.
  */
 const REQUESTS_PER_WATCH = 3;
 const MIN_WATCH_PAUSE_MS = 40;
 const MAX_WATCH_PAUSE_MS = 250;
 
-/** Reads for barriers follow one another by this many pauses of the watch. */
+/** Interval of reads for barriers, in pauses of the watch. */
 const BARRIER_PAUSES = 1.5;
 
 type ReadResult = 'ok' | 'compacted' | 'failed';
@@ -85,15 +85,17 @@
     this.barrier = new ReadBarrier(reads, BARRIER_PAUSES * this.watchPauseMs);
   }
 
+  /** Starts the reads. */
   start(): void {
     void this.run();
   }
 
-  /** Has changes read that is newer than this call; urgently, or when the watch does not do so by itself. */
+  /** Requests a read of the changes that begins after this call: at once if urgent, otherwise unless the watch does so soon. */
   readBarrier(isUrgent: boolean): void {
     this.barrier.request(isUrgent, this.revision !== 0);
   }
 
+  /** Ends all reads and waits. */
   close(): void {
     this.delay.close();
     this.barrier.close();
--- a/packages/state-client/src/state-service-client.ts
+++ b/packages/state-client/src/state-service-client.ts
@@ -20,12 +20,12 @@
   clockDrift: number;
 }
 
-/** Its parts share connections and one request budget. `start` starts the loops that keep the lease and read keys. */
+/** Its parts use the same connections and one request budget. */
 export class StateServiceClient {
   readonly snapshot$: Observable<Snapshot>;
   readonly changes$: Observable<ReplicaChanges>;
   readonly lease$: Observable<LeaseState>;
-  /** What could not be parsed though the service answered with status 200. */
+  /** What could not be parsed though the response had status 200. */
   readonly unreadable$: Observable<string>;
   private readonly connection: StateServiceConnection;
   private readonly leaseRenewer: LeaseRenewer;
@@ -41,12 +41,13 @@
     this.unreadable$ = this.connection.unreadable$;
   }
 
+  /** Starts the loops that renew the lease and read keys. */
   start(): void {
     this.leaseRenewer.start();
     this.replicaReader.start();
   }
 
-  /** Has changes read by a request that begins after this call; see ReplicaReader. */
+  /** Requests a read of the changes that begins after this call; see ReplicaReader. */
   readBarrier(isUrgent: boolean): void {
     this.replicaReader.readBarrier(isUrgent);
   }
@@ -56,7 +57,7 @@
     return compareAndSwap(this.connection, conditions, writes);
   }
 
-  /** Ends all loops, timers, calls and connections. The lease ends by itself when its time is over. */
+  /** Ends all loops, timers, calls and connections. The lease expires by itself. */
   close(): void {
     this.leaseRenewer.close();
     this.replicaReader.close();
--- a/packages/state-client/src/state-service-connection.ts
+++ b/packages/state-client/src/state-service-connection.ts
@@ -1,4 +1,4 @@
-/** Requests to the state service, on connections and a request budget that all parts of the client share. */
+/** Requests to the state service, on the connections and the request budget that all parts of the client use. */
 import { type CallOutcome, HttpClient, monotonicMs, RequestBudget } from '@archpost/http-client';
 import { decodeServiceResponse, type MessagePackMap, readResponse, type ServiceResponse } from '@archpost/protocol';
 import { Subject } from 'rxjs';
@@ -8,7 +8,7 @@
 
 /** Owns the connections: `close` ends them, and no call is made after it. */
 export class StateServiceConnection {
-  /** What could not be parsed though the service answered with status 200. */
+  /** What could not be parsed though the response had status 200. */
   readonly unreadable$ = new Subject<string>();
   /** Callers take from it before each request. */
   readonly budget: RequestBudget;
@@ -20,18 +20,19 @@
     this.budget = new RequestBudget(requestsPerS, monotonicMs);
   }
 
-  /** Null if there is no response. */
+  /** The response; null if there is none. */
   async get(path: string, timeoutMs: number): Promise<ServiceResponse | null> {
     if (this.isClosed) return null;
     return decodeServiceResponse(await this.client.call({ method: 'GET', path, timeoutMs }));
   }
 
+  /** The outcome of a POST request; it does not reject. */
   async post(path: string, body: Buffer, timeoutMs: number): Promise<CallOutcome> {
     if (this.isClosed) return { kind: 'notSent' };
     return this.client.call({ method: 'POST', path, body, timeoutMs });
   }
 
-  /** The parsed body of a response with status 200; null if there is none, or if it can not be parsed, which is reported. */
+  /** The parsed body of a response with status 200; null if there is none, or if it can not be parsed, which is emitted. */
   parse<T>(response: ServiceResponse | null, what: string, parse: (body: MessagePackMap) => T | null): T | null {
     return readResponse(response, parse, () => this.unreadable$.next(what));
   }
--- a/packages/worker-client/src/worker-client.ts
+++ b/packages/worker-client/src/worker-client.ts
@@ -31,7 +31,7 @@
     this.connections = new WorkerConnectionPool(maxConnections);
   }
 
-  /** Whether the worker answers. */
+  /** Whether the worker responds. */
   async probe(address: string): Promise<boolean> {
     if (this.isClosed) return false;
     const outcome = await this.connections.get(address).call({ method: 'GET', path: PATHS.status, timeoutMs: PROBE_TIMEOUT_MS });
--- a/packages/worker-client/src/worker-connection-pool.ts
+++ b/packages/worker-client/src/worker-connection-pool.ts
@@ -13,6 +13,7 @@
 
   constructor(private readonly maxConnections: number) {}
 
+  /** The client of this worker, on a new connection if it has none. */
   get(address: string): HttpClient {
     const known = this.connections.get(address);
     if (known) {
@@ -25,6 +26,7 @@
     return client;
   }
 
+  /** Ends all connections. */
   close(): void {
     for (const { client } of this.connections.values()) client.close();
     this.connections.clear();
