--- a/packages/http-api/src/express-app.ts
+++ b/packages/http-api/src/express-app.ts
@@ -1,5 +1,5 @@
 /**
- * The routes of the HTTP interface as an Express application, and what is answered to requests without a route. Frequent
+ * The routes of the HTTP interface as an Express application, and the responses to requests without a route. Frequent
  * requests don't come this way: the framework would cost each several times what is done for it (see `HttpApi`).
  */
 import type http from 'node:http';
@@ -11,7 +11,7 @@
 
 /** The only method of each path; others get 405. */
 const ALLOWED_METHODS: readonly { path: string; method: string }[] = [
-  { path: PATHS.report, method: 'POST' },
+  { path: PATHS.heartbeat, method: 'POST' },
   { path: PATHS.up, method: 'GET' },
   { path: PATHS.jobs, method: 'POST' },
   { path: JOB_PATH, method: 'GET' },
--- a/packages/peer-transport/src/peer-transport.ts
+++ b/packages/peer-transport/src/peer-transport.ts
@@ -8,7 +8,7 @@
 
 /**
  * Each controller opens a link to every other and only sends on it; it receives on the links that the others open.
- * Messages are sent once and may be lost: a later one tells the same or something newer.
+ * Messages are sent once and may be lost: a later one contains the same or something newer.
  */
 export class PeerTransport {
   readonly message$: Observable<PeerMessage>;
@@ -16,11 +16,11 @@
   readonly disconnected$: Observable<string>;
   /** Messages that were received and can not be read. */
   readonly unreadable$: Observable<LinkProblem>;
-  /** Messages that were not sent since they are larger than a frame may be, reported once for each peer. */
+  /** Messages that were not sent since they are larger than a frame may be; emitted once for each peer. */
   readonly unsent$ = new Subject<LinkProblem>();
   private readonly incoming: IncomingLinks;
   private readonly outgoing: OutgoingLinks;
-  private readonly reportedTooLarge = new Set<string>();
+  private readonly loggedTooLarge = new Set<string>();
 
   /** `peers`: all other controllers; messages of anybody else are dropped. */
   constructor(peers: readonly Peer[]) {
@@ -47,7 +47,7 @@
     if (!link) return;
     const body = encodePeerMessage(message);
     if (body.length <= MAX_FRAME_BYTES) link.write(encodeFrame(body));
-    else this.reportTooLarge(to, body.length);
+    else this.emitTooLarge(to, body.length);
   }
 
   /** Closes all links, and ends all timers. */
@@ -56,9 +56,9 @@
     this.incoming.close();
   }
 
-  private reportTooLarge(to: string, bytes: number): void {
-    if (this.reportedTooLarge.has(to)) return;
-    this.reportedTooLarge.add(to);
+  private emitTooLarge(to: string, bytes: number): void {
+    if (this.loggedTooLarge.has(to)) return;
+    this.loggedTooLarge.add(to);
     this.unsent$.next({ peer: to, error: `a message of ${bytes} bytes is larger than a frame may be` });
   }
 }
--- a/packages/peer-transport/src/peer.ts
+++ b/packages/peer-transport/src/peer.ts
@@ -1,10 +1,10 @@
-/** What the two kinds of links between controllers share. */
+/** Types that incoming and outgoing links have in common. */
 
 /** Another controller. */
 export interface Peer {
   name: string;
   /** `host:port` at which it listens for its peers */
-  addr: string;
+  address: string;
 }
 
 /** A message that was dropped, and from whom it came or to whom it was to go. Operators see it in the log. */
--- a/packages/protocol/src/service-response.ts
+++ b/packages/protocol/src/service-response.ts
@@ -7,17 +7,17 @@
   body: MessagePackMap | null;
 }
 
-/** The part of an HTTP call's outcome that is needed here: a response, or one of the ways to have none. */
-type CallOutcome = { kind: 'answer'; status: number; body: Uint8Array } | { kind: 'refused' | 'lost' };
+/** The part of an HTTP call's outcome that is needed here: a response, or the reason that there is none. */
+type CallOutcome = { kind: 'response'; status: number; body: Uint8Array } | { kind: 'notSent' | 'unknown' };
 
 /** The response to a call; null if none was received. */
 export function decodeServiceResponse(outcome: CallOutcome): ServiceResponse | null {
-  return outcome.kind === 'answer' ? { status: outcome.status, body: unpackMap(outcome.body) } : null;
+  return outcome.kind === 'response' ? { status: outcome.status, body: unpackMap(outcome.body) } : null;
 }
 
 /**
  * The parsed body of a response with status 200, and null for any other. A body of status 200 that can not be parsed
- * is reported by `onUnreadable`, since asking again is unlikely to help and an operator should know.
+ * is passed to `onUnreadable`, since a retry is unlikely to help and an operator should know.
  */
 export function readResponse<T>(
   response: ServiceResponse | null,
--- a/packages/server/src/effect-executor.ts
+++ b/packages/server/src/effect-executor.ts
@@ -21,22 +21,35 @@
   log: ServiceLog;
 }
 
+/** What an executor connects. */
+export interface EffectExecutorOptions {
+  controller: Controller;
+  inbox: Inbox;
+  targets: EffectTargets;
+  /** this controller's name, which its messages to peers contain */
+  nodeName: string;
+}
+
 /** Executes the controller's effects in the order in which it decided them. */
 export class EffectExecutor {
-  /** @param nodeName this controller's name, which its messages to peers contain */
-  constructor(
-    private readonly controller: Controller,
-    private readonly inbox: Inbox,
-    private readonly targets: EffectTargets,
-    private readonly nodeName: string,
-  ) {}
+  private readonly controller: Controller;
+  private readonly inbox: Inbox;
+  private readonly targets: EffectTargets;
+  private readonly nodeName: string;
+
+  constructor({ controller, inbox, targets, nodeName }: EffectExecutorOptions) {
+    this.controller = controller;
+    this.inbox = inbox;
+    this.targets = targets;
+    this.nodeName = nodeName;
+  }
 
   /**
    * Executes all effects since the last call.
    *
    * Effects on machines and the cloud that were decided before a pause of the process are withheld after it, because
-   * another controller may have decided otherwise meanwhile. Others are harmless: a late response finds nobody, and a late
-   * write fails on its conditions.
+   * another controller may have decided otherwise meanwhile. Others are harmless: a late response has no client left, and a
+   * late write fails on its conditions.
    *
    * @param wasPaused all effects were decided before a pause
    */
@@ -49,7 +62,7 @@
     }
   }
 
-  /** Withholds an effect on machines or the cloud and tells the controller so. Returns false for any other effect. */
+  /** Withholds an effect on machines or the cloud and sends the controller its outcome. Returns false for any other effect. */
   private withhold(effect: Effect): boolean {
     const { controller, inbox } = this;
     switch (effect.type) {
@@ -107,11 +120,11 @@
       .then((outcome) => inbox.enqueueControlEvent(() => controller.receiveCompareAndSwapOutcome(id, outcome, monotonicMs())));
   }
 
-  private command({ id, address, fencingToken, agentEpoch, commands }: EffectOf<'command'>): void {
+  private command(effect: EffectOf<'command'>): void {
     const { controller, inbox, targets } = this;
     void targets.workers
-      .sendCommands(address, fencingToken, agentEpoch, commands)
-      .then((outcome) => inbox.enqueueControlEvent(() => controller.receiveCommandOutcome(id, outcome, monotonicMs())));
+      .sendCommands(effect)
+      .then((outcome) => inbox.enqueueControlEvent(() => controller.receiveCommandOutcome(effect.id, outcome, monotonicMs())));
   }
 
   private probe({ id, address }: EffectOf<'probe'>): void {
--- a/packages/server/src/service.ts
+++ b/packages/server/src/service.ts
@@ -24,10 +24,10 @@
  */
 const MUTATIONS_PER_S_AND_CORE = 30;
 
-/** Older requests are rejected: users give up a status query after 2 s, and any other request after 5 s. */
+/** Older requests are rejected: the users' timeout of a status query is 2 s, and of any other request 5 s. */
 const MAX_CLIENT_REQUEST_AGE_MS = 1500;
 
-/** A response that can't be read is requested again at once; it is logged at most this often. */
+/** A request whose response can't be read is retried at once; that is logged at most this often. */
 const UNREADABLE_LOG_INTERVAL_MS = 10_000;
 
 /** The prefix of all stored keys. */
@@ -62,13 +62,13 @@
     this.controller = new Controller(controllerSettings, randomUUID().slice(0, INCARNATION_LENGTH));
     this.inbox = this.createInbox();
     this.loadShedder = new LoadShedder(monotonicMs, MUTATIONS_PER_S_AND_CORE * controllerSettings.cpuShare);
-    this.stateService = new StateServiceClient(
-      settings.stateAddress,
-      STATE_KEY_PREFIX,
-      stateRequestsPerS(controllerSettings),
-      stateLeaseMs(controllerSettings),
-      CLOCK_DRIFT_FRACTION,
-    );
+    this.stateService = new StateServiceClient({
+      address: settings.stateAddress,
+      keyPrefix: STATE_KEY_PREFIX,
+      requestsPerS: stateRequestsPerS(controllerSettings),
+      leaseMs: stateLeaseMs(controllerSettings),
+      clockDrift: CLOCK_DRIFT_FRACTION,
+    });
     this.cloud = new CloudClient(settings.cloudAddress, cloudRequestsPerS(controllerSettings));
     // All workers may come to one controller, with a connection each: those for commands, of which
     // the longest unused are closed, must leave room for that, and for users.
@@ -78,7 +78,8 @@
     this.inputRouter = new InputRouter(this.controller, this.inbox, this.api);
     this.effectExecutor = this.createEffectExecutor();
     this.tickTimer = new TickTimer(this.controller, this.inbox, this.loadShedder);
-    this.metricsReporter = new MetricsReporter(this.inbox, this.loadShedder, this.api.connections, log);
+    const { inbox, loadShedder, api } = this;
+    this.metricsReporter = new MetricsReporter({ inbox, loadShedder, connections: api.connections, log });
   }
 
   /** Resolves once peers, users and workers can connect; rejects if an address can't be listened on. */
@@ -125,19 +126,19 @@
   }
 
   private createApi(): HttpApi {
-    return new HttpApi(
-      (request) => this.inputRouter.receiveRequest(request),
-      () => this.controller.isReady,
-      this.loadShedder,
-      (from) => this.log.heartbeatMalformed(from),
-      new ConnectionLimiter(maxInboundSockets(this.settings)),
-    );
+    return new HttpApi({
+      onRequest: (request) => this.inputRouter.receiveRequest(request),
+      isReady: () => this.controller.isReady,
+      loadShedder: this.loadShedder,
+      onMalformedHeartbeat: (from) => this.log.heartbeatMalformed(from),
+      connections: new ConnectionLimiter(maxInboundSockets(this.settings)),
+    });
   }
 
   private createEffectExecutor(): EffectExecutor {
     const { api, stateService, workers, cloud, peers, log, settings } = this;
     const targets = { api, stateService, workers, cloud, peers, log };
-    return new EffectExecutor(this.controller, this.inbox, targets, settings.controller.name);
+    return new EffectExecutor({ controller: this.controller, inbox: this.inbox, targets, nodeName: settings.controller.name });
   }
 
   private subscribeLog(): void {
--- a/packages/server/src/settings/load-settings.ts
+++ b/packages/server/src/settings/load-settings.ts
@@ -9,7 +9,7 @@
 import { SettingsError } from './settings-error.js';
 import { parseOperatorJson, parseToml, validate } from './settings-file.js';
 
-/** Stands for the operators' file in errors where there is none, and the defaults count. */
+/** Named in errors where there is no operators' file, so that the defaults apply. */
 const NO_OPERATOR_FILE = 'operator settings';
 
 /** What the program uses of both files. Addresses are `IP:port`. */
@@ -21,7 +21,7 @@
   /** where the other controllers connect */
   peerAddress: string;
   /** the other controllers, and where they listen for this one */
-  peers: { name: string; addr: string }[];
+  peers: { name: string; address: string }[];
   cloudAddress: string;
   stateAddress: string;
   /** connections that the process may have open */
@@ -33,7 +33,7 @@
 /**
  * Reads and checks both files.
  *
- * @param operatorPath null: the operators' defaults count
+ * @param operatorPath null: the operators' defaults apply
  * @throws SettingsError if a file can't be read, a field violates its schema, or a limit is too small to run with
  */
 export function loadSettings(path: string, operatorPath: string | null): Settings {
@@ -50,7 +50,7 @@
     controller: toControllerSettings(platform, policy),
     publicAddress: platform.public_addr,
     peerAddress: platform.peer_listen,
-    peers: platform.others.map((other) => ({ name: other.host_name, addr: other.peer_addr })),
+    peers: platform.others.map((other) => ({ name: other.host_name, address: other.peer_addr })),
     cloudAddress: platform.external.cloud,
     stateAddress: platform.external.state,
     maxSockets: platform.params.machine_limits.max_sockets,
--- a/packages/state-client/src/state-service-client.ts
+++ b/packages/state-client/src/state-service-client.ts
@@ -2,41 +2,52 @@
 import type { CompareAndSwapOutcome, KeyWrite, RevisionCondition } from '@archpost/protocol';
 import type { Observable } from 'rxjs';
 import { compareAndSwap } from './compare-and-swap.js';
-import { LeaseKeeper, type LeaseState } from './lease-keeper.js';
+import { LeaseRenewer, type LeaseState } from './lease-renewer.js';
 import { type ReplicaChanges, ReplicaReader, type Snapshot } from './replica-reader.js';
 import { StateServiceConnection } from './state-service-connection.js';
 
-/** Its parts share connections and one request budget. `start` starts the loops that keep the lease and read keys. */
+/** The service, and what is read and kept there. */
+export interface StateServiceClientOptions {
+  /** `IP:port` */
+  address: string;
+  /** of the keys that are read */
+  keyPrefix: string;
+  /** this controller's part of the service's request limit */
+  requestsPerS: number;
+  /** the lease's time without a renewal, in milliseconds */
+  leaseMs: number;
+  /** part by which this machine's clock may run faster or slower than the service's */
+  clockDrift: number;
+}
+
+/** Its parts use the same connections and one request budget. */
 export class StateServiceClient {
   readonly snapshot$: Observable<Snapshot>;
   readonly changes$: Observable<ReplicaChanges>;
   readonly lease$: Observable<LeaseState>;
-  /** What could not be parsed though the service answered with status 200. */
+  /** What could not be parsed though the response had status 200. */
   readonly unreadable$: Observable<string>;
   private readonly connection: StateServiceConnection;
-  private readonly leaseKeeper: LeaseKeeper;
+  private readonly leaseRenewer: LeaseRenewer;
   private readonly replicaReader: ReplicaReader;
 
-  /**
-   * `prefix`: of the keys that are read; `requestsPerS`: this controller's part of the service's limit; `ttlMs`: the
-   * lease's time without a renewal; `clockDrift`: part by which clocks may run apart.
-   */
-  constructor(address: string, prefix: string, requestsPerS: number, ttlMs: number, clockDrift: number) {
+  constructor({ address, keyPrefix, requestsPerS, leaseMs, clockDrift }: StateServiceClientOptions) {
     this.connection = new StateServiceConnection(address, requestsPerS);
-    this.leaseKeeper = new LeaseKeeper(this.connection, ttlMs, clockDrift);
-    this.replicaReader = new ReplicaReader(this.connection, prefix, requestsPerS);
+    this.leaseRenewer = new LeaseRenewer(this.connection, leaseMs, clockDrift);
+    this.replicaReader = new ReplicaReader(this.connection, keyPrefix, requestsPerS);
     this.snapshot$ = this.replicaReader.snapshot$;
     this.changes$ = this.replicaReader.changes$;
-    this.lease$ = this.leaseKeeper.lease$;
+    this.lease$ = this.leaseRenewer.lease$;
     this.unreadable$ = this.connection.unreadable$;
   }
 
+  /** Starts the loops that renew the lease and read keys. */
   start(): void {
-    this.leaseKeeper.start();
+    this.leaseRenewer.start();
     this.replicaReader.start();
   }
 
-  /** Has changes read by a request that begins after this call; see ReplicaReader. */
+  /** Requests a read of the changes that begins after this call; see ReplicaReader. */
   readBarrier(isUrgent: boolean): void {
     this.replicaReader.readBarrier(isUrgent);
   }
@@ -46,9 +57,9 @@
     return compareAndSwap(this.connection, conditions, writes);
   }
 
-  /** Ends all loops, timers, calls and connections. The lease ends by itself when its time is over. */
+  /** Ends all loops, timers, calls and connections. The lease expires by itself. */
   close(): void {
-    this.leaseKeeper.close();
+    this.leaseRenewer.close();
     this.replicaReader.close();
     this.connection.close();
   }
--- a/packages/worker-client/src/worker-client.ts
+++ b/packages/worker-client/src/worker-client.ts
@@ -12,6 +12,16 @@
  */
 export type CommandOutcome = { kind: 'ok' | 'stale'; heartbeat: Heartbeat | null } | { kind: 'lost' | 'refused' };
 
+/** Commands to one worker. */
+export interface CommandRequest {
+  /** `IP:port` at which the worker listens */
+  address: string;
+  fencingToken: number;
+  agentEpoch: number;
+  /** at most MAX_COMMANDS_PER_BODY, which the worker carries out in order */
+  commands: Command[];
+}
+
 /** Owns the connections to workers. */
 export class WorkerClient {
   private readonly connections: WorkerConnectionPool;
@@ -21,15 +31,15 @@
     this.connections = new WorkerConnectionPool(maxConnections);
   }
 
-  /** Whether the worker answers. */
+  /** Whether the worker responds. */
   async probe(address: string): Promise<boolean> {
     if (this.isClosed) return false;
     const outcome = await this.connections.get(address).call({ method: 'GET', path: PATHS.status, timeoutMs: PROBE_TIMEOUT_MS });
-    return outcome.kind === 'answer' && outcome.status === 200;
+    return outcome.kind === 'response' && outcome.status === 200;
   }
 
-  /** At most MAX_COMMANDS_PER_BODY commands, which the worker carries out in order. */
-  async sendCommands(address: string, fencingToken: number, agentEpoch: number, commands: Command[]): Promise<CommandOutcome> {
+  /** Sends commands and resolves with their outcome; it does not reject. */
+  async sendCommands({ address, fencingToken, agentEpoch, commands }: CommandRequest): Promise<CommandOutcome> {
     if (this.isClosed) return { kind: 'refused' };
     const outcome = await this.connections.get(address).call({
       method: 'POST',
@@ -37,7 +47,8 @@
       body: pack(encodeCommandRequest(fencingToken, agentEpoch, commands)),
       timeoutMs: COMMAND_TIMEOUT_MS,
     });
-    if (outcome.kind !== 'answer') return { kind: outcome.kind };
+    if (outcome.kind === 'notSent') return { kind: 'refused' };
+    if (outcome.kind === 'unknown') return { kind: 'lost' };
     const body = unpackMap(outcome.body);
     if (outcome.status === 200) return { kind: 'ok', heartbeat: body && parseHeartbeat(body) };
     if (outcome.status === 409) return { kind: 'stale', heartbeat: body && parseHeartbeat(body) };
