--- /dev/null
+++ b/test/malformed-stored-rows.test.ts
@@ -0,0 +1,57 @@
+// Stored values that can't be read are passed over as recorded, and the rows beside them are read.
+
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { loadRows, newController, warnedKeys, whatIsKnown } from './recorded-support/controller-reader.js';
+import { GOOD_ROWS, MALFORMED, WRONG } from './recorded-support/malformed-rows.js';
+import { assertAsRecorded } from './recorded-support/recorded-data.js';
+
+interface Outcome {
+  value: string;
+  warnedOf: string[];
+  /** of what is known, the parts that differ from the load of the good rows alone */
+  known: Record<string, unknown>;
+}
+
+const GOOD_ALONE = (() => {
+  const controller = newController();
+  loadRows(controller, GOOD_ROWS);
+  return whatIsKnown(controller);
+})();
+
+function differences(known: Record<string, unknown>): Record<string, unknown> {
+  return Object.fromEntries(
+    Object.entries(known).filter(([name, value]) => JSON.stringify(value) !== JSON.stringify(GOOD_ALONE[name])),
+  );
+}
+
+/** A value of each kind that is stored last is read after the good rows, one that is stored first before them. */
+function outcomeOf(key: string, value: unknown, isFirst: boolean): Outcome {
+  const controller = newController();
+  const row = { key, value, stamp: isFirst ? 1 : 9 };
+  loadRows(controller, isFirst ? [row, ...GOOD_ROWS] : [...GOOD_ROWS, row]);
+  const text = JSON.stringify(value);
+  const outcome = {
+    value: text.length > 600 ? `${text.slice(0, 60)}... (${text.length} characters)` : text,
+    warnedOf: warnedKeys(controller),
+    known: differences(whatIsKnown(controller)),
+  };
+  const { jobs, machines } = whatIsKnown(controller) as { jobs: Record<string, unknown>; machines: Record<string, unknown> };
+  assert.ok('run-good' in jobs && 'run-parts' in jobs, `jobs beside ${key} ${text}`);
+  // What is read of a machine's images belongs to its grant.
+  if (key !== 'a/c/good') assert.ok('good' in machines, `the machine beside ${key} ${text}`);
+  return outcome;
+}
+
+for (const [order, isFirst] of [
+  ['before', true],
+  ['after', false],
+] as const) {
+  test(`malformed values ${order} good rows: as many warnings as recorded for their keys, and the good rows are read`, () => {
+    const outcomes = Object.entries(MALFORMED).map(([key, values]): [string, Outcome[]] => [
+      key,
+      [...WRONG, ...values].map((value) => outcomeOf(key, value, isFirst)),
+    ]);
+    assertAsRecorded(`malformed-${order}-good-rows`, Object.fromEntries(outcomes), 2);
+  });
+}
--- /dev/null
+++ b/test/recorded-support/day-recording.ts
@@ -0,0 +1,45 @@
+/** Plays a simulated day and records what is stored and sent. */
+
+import assert from 'node:assert/strict';
+import { decodePeerMessage } from '@archpost/protocol';
+import { SimulatedCluster } from '../simulation/index.js';
+import { loadRows, newController, type Row, warnedKeys, whatIsKnown } from './controller-reader.js';
+import { kindOfChange, kindOfMessage } from './record-kinds.js';
+import { Recording } from './recording.js';
+import { type Day, NAMES } from './simulated-days.js';
+
+/** What was stored and sent on a day. */
+export interface RecordedDay {
+  changes: { count: number; sha256: string; examples: Record<string, string[]> };
+  messages: { count: number; sha256: string; examples: Record<string, string[]> };
+  rows: Row[];
+  known: Record<string, unknown>;
+}
+
+/** Plays a day on a new cluster. */
+export function play({ tune, run }: Day): RecordedDay {
+  const cluster = new SimulatedCluster(NAMES, tune);
+  const changes = new Recording();
+  const messages = new Recording();
+  const { stateService: state } = cluster;
+  const carryOut = state.compareAndSwap.bind(state);
+  state.compareAndSwap = (transaction, now) => {
+    for (const write of transaction.writes) changes.add(kindOfChange(write), JSON.stringify(write));
+    return carryOut(transaction, now);
+  };
+  cluster.onPeerMessage = (bytes) => messages.add(kindOfMessage(decodePeerMessage(bytes)), Buffer.from(bytes).toString('hex'));
+  run(cluster);
+  const rows = state
+    .rows()
+    .map(({ key, value, revision }): Row => ({ key, value, stamp: revision }))
+    .sort((a, b) => (a.key < b.key ? -1 : 1));
+  const reader = newController(tune);
+  loadRows(reader, rows);
+  assert.deepEqual(warnedKeys(reader), []);
+  return {
+    changes: { count: changes.count, sha256: changes.sha256(), examples: changes.examples },
+    messages: { count: messages.count, sha256: messages.sha256(), examples: messages.examples },
+    rows,
+    known: whatIsKnown(reader),
+  };
+}
