--- /dev/null
+++ b/test/malformed-answers.test.ts
@@ -0,0 +1,106 @@
+// Malformed answers of the state service, the cloud and workers are refused or read
+// as recorded in test/recorded/malformed-input.json.
+
+import { test } from 'node:test';
+import {
+  isLeaseNotFound,
+  parseChanges,
+  parseFailedKeys,
+  parseHeartbeat,
+  parseLease,
+  parseMachineList,
+  parseMachineTypes,
+  parseProvisionedMachines,
+  parseRevision,
+  parseRows,
+  unpack,
+  unpackMap,
+} from '@archpost/protocol';
+import { BODIES, type Body, placesIn, resultOf, VALUES, withValue } from './malformed-support/malformed-values.js';
+import { compareWithRecorded, type Table } from './malformed-support/recorded-results.js';
+import { REPORT, TASK } from './malformed-support/request-bodies.js';
+
+/** What reads the bodies of answers, by what answers. */
+const BODY_READERS: Record<string, (body: Body) => unknown> = {
+  'keys of the state service': parseRows,
+  'changes of the state service': parseChanges,
+  'lease of the state service': parseLease,
+  'revision of a transaction': parseRevision,
+  'keys that failed a transaction': parseFailedKeys,
+  'error of a transaction: the lease has ended': isLeaseNotFound,
+  'machine types of the cloud': parseMachineTypes,
+  'machine list of the cloud': parseMachineList,
+  'rented machines of the cloud': parseProvisionedMachines,
+  'report in the answer of a worker': parseHeartbeat,
+};
+
+/** Good bodies of answers; each of their fields is replaced by values of all types. */
+const ANSWERS: Record<string, Body> = {
+  'keys of the state service': { rows: [{ k: 'a/x', v: { s: 0 }, stamp: 3 }], has_next: true, ledger: 4 },
+  'changes of the state service': { ledger: 4, log: [{ write: 'a/x', remove: null, v: 1, stamp: 3 }] },
+  'lease of the state service': { permit: 5 },
+  'revision of a transaction': { ledger: 4 },
+  'keys that failed a transaction': { failed: ['a/x', 'a/y'] },
+  'error of a transaction: the lease has ended': { error: 'no such lease' },
+  'machine types of the cloud': {
+    builds: [
+      {
+        name: 'g8',
+        cores: 48,
+        accelerators: 8,
+        memory_gb: 384,
+        cache_gb: 100,
+        fetch_gb_per_s: 2,
+        hourly: 20,
+        spot_price: 6,
+        boot_s: 30,
+        yards: ['east'],
+      },
+    ],
+  },
+  'machine list of the cloud': {
+    hosts: [{ ref: 'n-1', address: '1.2.3.4:5', build: 'g8', yard: 'east', loaners: true, status: 'running', age_s: 3 }],
+    has_next: false,
+  },
+  'rented machines of the cloud': { hosts: ['n-1', 'n-2'] },
+  'report in the answer of a worker': { ...REPORT, pieces: [TASK] },
+};
+
+/** All values in a result without the names of their fields, which are internal. */
+function valuesIn(result: unknown): string[] {
+  const isTree = typeof result === 'object' && result !== null && !(result instanceof Uint8Array);
+  return isTree ? Object.values(result).flatMap(valuesIn).sort() : [`${typeof result} ${String(result)}`];
+}
+
+/** The values that are read from a body; null: it can't be read. */
+function valuesRead(read: (body: Body) => unknown, body: Body): unknown {
+  return resultOf(() => {
+    const result = read(body);
+    return result === null ? null : valuesIn(result);
+  });
+}
+
+test('answers of the state service, the cloud and workers: malformed bodies are refused or read as recorded', () => {
+  const table: Table = {};
+  for (const [answer, read] of Object.entries(BODY_READERS)) {
+    const good = ANSWERS[answer] as Body;
+    table[`${answer}: good`] = valuesRead(read, good);
+    table[`${answer}: an empty map`] = valuesRead(read, {});
+    for (const place of placesIn(good))
+      for (const [title, value] of VALUES)
+        table[`${answer}: ${place.join('.')}: ${title}`] = valuesRead(read, withValue(good, place, value) as Body);
+  }
+  compareWithRecorded('answers', table);
+});
+
+test('answers that are no MessagePack map are refused as recorded', () => {
+  const table: Table = {};
+  for (const [title, bytes] of BODIES) {
+    table[`${title}: a map`] = resultOf(() => {
+      const map = unpackMap(bytes);
+      return map === null ? null : Object.keys(map);
+    });
+    table[`${title}: any value`] = resultOf(() => typeof unpack(bytes));
+  }
+  compareWithRecorded('bodies of answers', table);
+});
--- /dev/null
+++ b/test/malformed-support/http-exchange.ts
@@ -0,0 +1,134 @@
+/** Sends requests byte by byte to the HTTP interface of a controller in a simulated cluster, and reads the answers. */
+
+import assert from 'node:assert/strict';
+import net from 'node:net';
+import type { TestContext } from 'node:test';
+import { type ApiRequest, HttpApi, LoadShedder } from '@archpost/http-api';
+import { unpack } from '@archpost/protocol';
+import { type SimulatedCluster, smallCluster } from '../simulation/index.js';
+import type { Table } from './recorded-results.js';
+
+/** Identifiers of requests to a controller in a simulated cluster: beyond those that the stand-ins give themselves. */
+const FIRST_REQUEST_ID = 1_000_000;
+
+/** Simulated seconds after which a request that has no answer fails the test. */
+const ANSWER_WITHIN_S = 10;
+
+/** Hands a request to a controller of a simulated cluster and lets time pass there until it is answered. */
+function handOver(cluster: SimulatedCluster, request: ApiRequest, isAnswered: () => boolean): void {
+  const { controller: core } = cluster.controller('n0');
+  const id = FIRST_REQUEST_ID + request.id;
+  const { now } = cluster;
+  if (request.kind === 'heartbeat') core.receiveHeartbeat(id, request.heartbeat, now);
+  else if (request.kind === 'submit') core.submitJob(id, request.body, now, now);
+  else if (request.kind === 'statusQuery') core.queryJobStatus(id, request.job, now);
+  else core.cancelJob(id, request.job, now);
+  cluster.controller('n0').run();
+  cluster.runUntil(`an answer to ${request.kind}`, isAnswered, ANSWER_WITHIN_S);
+}
+
+/** Opens the HTTP interface of a controller with four machines in a simulated cluster; returns its port. */
+async function openController(context: TestContext): Promise<number> {
+  const cluster = smallCluster(4);
+  const { controller: core } = cluster.controller('n0');
+  const takeEffects = core.takeEffects.bind(core);
+  const answered = new Set<number>();
+  const api: HttpApi = new HttpApi(
+    (request) => handOver(cluster, request, () => answered.has(request.id)),
+    () => true,
+    new LoadShedder(() => 0),
+  );
+  core.takeEffects = () => {
+    const effects = takeEffects();
+    for (const effect of effects) {
+      if (effect.type !== 'respond' || effect.id < FIRST_REQUEST_ID) continue;
+      answered.add(effect.id - FIRST_REQUEST_ID);
+      api.respond(effect.id - FIRST_REQUEST_ID, effect.status, effect.body, effect.retryAfterS);
+    }
+    return effects;
+  };
+  context.after(() => api.close());
+  const server = await api.listen('127.0.0.1', 0);
+  return (server.address() as net.AddressInfo).port;
+}
+
+const PATIENCE_MS = 20_000;
+
+/** The end of a body in chunks, with which Node itself answers at times. */
+const LAST_CHUNK = '0\r\n\r\n';
+
+/** A request with a body of which the length is given. */
+export function request(method: string, path: string, body: Uint8Array = Buffer.alloc(0), headers: string[] = []): Buffer {
+  const lines = [`${method} ${path} HTTP/1.1`, 'Host: c', ...headers, `Content-Length: ${body.length}`];
+  return Buffer.concat([Buffer.from(`${lines.join('\r\n')}\r\n\r\n`, 'latin1'), body]);
+}
+
+/** A request whose head is given line by line. */
+export const rawRequest = (lines: string[], body: Uint8Array = Buffer.alloc(0)): Buffer =>
+  Buffer.concat([Buffer.from(`${lines.join('\r\n')}\r\n\r\n`, 'latin1'), body]);
+
+/** An answer as it is recorded: without its date. */
+interface Reply {
+  status: string;
+  headers: string[];
+  body: string;
+  decoded: unknown;
+}
+
+function decoded(body: Buffer): unknown {
+  try {
+    return unpack(body);
+  } catch {
+    return body.toString('latin1');
+  }
+}
+
+/** The answer, once it is whole; null: more is to come. */
+function parseReply(bytes: Buffer, hasBody: boolean, isClosed: boolean): Reply | null {
+  const end = bytes.indexOf('\r\n\r\n');
+  if (end < 0) return null;
+  const [status, ...headers] = bytes.subarray(0, end).toString('latin1').split('\r\n');
+  const rest = bytes.subarray(end + 4);
+  if (status?.includes(' 100 ')) return parseReply(rest, hasBody, isClosed);
+  const length = headers.map((line) => /^content-length: (\d+)$/i.exec(line)?.[1]).find((each) => each !== undefined);
+  const isWhole = length === undefined ? isClosed || rest.toString('latin1').endsWith(LAST_CHUNK) : rest.length >= Number(length);
+  if (hasBody && !isWhole) return null;
+  return {
+    status: status as string,
+    headers: headers.filter((line) => !/^date:/i.test(line)),
+    body: rest.toString('hex'),
+    decoded: decoded(rest),
+  };
+}
+
+/** Sends bytes on a new connection; the first answer, or that the connection was closed without one. */
+function exchange(port: number, bytes: Buffer): Promise<Reply | 'closed without an answer'> {
+  const hasBody = !bytes.subarray(0, 5).equals(Buffer.from('HEAD '));
+  return new Promise((resolve, reject) => {
+    let received = Buffer.alloc(0);
+    const socket = net.connect(port, '127.0.0.1', () => socket.write(bytes));
+    const end = (reply: Reply | 'closed without an answer') => {
+      socket.destroy();
+      resolve(reply);
+    };
+    socket.setTimeout(PATIENCE_MS, () => reject(new Error(`no answer to ${bytes.subarray(0, 60).toString('latin1')}`)));
+    socket.on('error', () => {});
+    socket.on('data', (chunk: Buffer) => {
+      received = Buffer.concat([received, chunk]);
+      const reply = parseReply(received, hasBody, false);
+      if (reply) end(reply);
+    });
+    socket.on('close', () => end(parseReply(received, hasBody, true) ?? 'closed without an answer'));
+  });
+}
+
+/** The answers of one new controller to these requests, one after the other. */
+export async function answersTo(context: TestContext, requests: [string, Buffer][]): Promise<Table> {
+  const port = await openController(context);
+  const table: Table = {};
+  for (const [title, bytes] of requests) {
+    assert.ok(!(title in table), `two requests are called ${title}`);
+    table[title] = await exchange(port, bytes);
+  }
+  return table;
+}
--- /dev/null
+++ b/test/malformed-support/malformed-values.ts
@@ -0,0 +1,96 @@
+/** Values and bodies of wrong types, and how they are put into good ones. */
+import { pack } from '@archpost/protocol';
+
+/** A map as it is decoded from a body. */
+export type Body = Record<string, unknown>;
+
+/** Stands for a field that is left out. */
+export const OMITTED = Symbol('omitted');
+
+/** Values of all types; most are wrong for most fields. */
+export const VALUES: [string, unknown][] = [
+  ['omitted', OMITTED],
+  ['null', null],
+  ['an empty text', ''],
+  ['a text', 'text'],
+  ['0', 0],
+  ['-1', -1],
+  ['1.5', 1.5],
+  ['1e300', 1e300],
+  ['not a number', Number.NaN],
+  ['true', true],
+  ['an empty list', []],
+  ['a list of a number', [7]],
+  ['an empty map', {}],
+  ['bytes', new Uint8Array([1, 2])],
+];
+
+/** A copy of the map with another value in this field. */
+export function withField(map: Body, field: string, value: unknown): Body {
+  const { [field]: _, ...others } = map;
+  return value === OMITTED ? others : { ...others, [field]: value };
+}
+
+const LONGEST_BODY = 64 * 1024;
+
+/** Bodies that are empty, too large, or no MessagePack map. */
+export const BODIES: [string, Uint8Array][] = [
+  ['empty', Buffer.alloc(0)],
+  ['never used in MessagePack', Buffer.from('c1', 'hex')],
+  ['JSON', Buffer.from('{"ref":"run-a"}')],
+  ['nil', pack(null)],
+  ['a number', pack(7)],
+  ['a text', pack('text')],
+  ['a list', pack([])],
+  ['a list of a map', pack([{}])],
+  ['bytes', pack(new Uint8Array([1, 2]))],
+  ['an extension', Buffer.from('d4010a', 'hex')],
+  ['a time', Buffer.from('d6ff00000000', 'hex')],
+  ['an empty map', pack({})],
+  ['a truncated map', Buffer.from('81a3726566', 'hex')],
+  ['a map of which the end is missing', Buffer.from('82a3726566a572756e2d61', 'hex')],
+  ['a map followed by a byte', Buffer.from('8000', 'hex')],
+  ['a map with a number for a key', Buffer.from('810102', 'hex')],
+  ['a map with a map for a key', Buffer.from('818002', 'hex')],
+  ['a map with the key __proto__', Buffer.from('81a95f5f70726f746f5f5f80', 'hex')],
+  ['a map that claims to be huge', Buffer.from('dfffffffff', 'hex')],
+  ['a list that claims to be huge', Buffer.from('ddffffffff', 'hex')],
+  ['a text that claims to be huge', Buffer.from('dbffffffff', 'hex')],
+  ['a text that is not UTF-8', Buffer.from('81a3726566a2ff80', 'hex')],
+  ['nested deeply', Buffer.concat([Buffer.alloc(20_000, 0x91), Buffer.from('c0', 'hex')])],
+  ['as large as allowed, no map', Buffer.alloc(LONGEST_BODY)],
+  ['a byte larger than allowed', Buffer.alloc(LONGEST_BODY + 1)],
+  ['four times as large as allowed', Buffer.alloc(4 * LONGEST_BODY)],
+];
+
+/** Keys and indices from the root of a tree to a place in it. */
+export type Path = (string | number)[];
+
+/** All places in a tree: tables, lists and fields. */
+export function placesIn(tree: unknown, at: Path = []): Path[] {
+  if (typeof tree !== 'object' || tree === null) return [at];
+  const inside = Object.entries(tree).flatMap(([key, value]) =>
+    placesIn(value, [...at, Array.isArray(tree) ? Number(key) : key]),
+  );
+  return at.length === 0 ? inside : [at, ...inside];
+}
+
+/** A copy of the tree with another value at this place. */
+export function withValue(tree: unknown, [key, ...deeper]: Path, value: unknown): unknown {
+  if (key === undefined) return value;
+  const copy = structuredClone(tree) as Record<string | number, unknown>;
+  const replaced = withValue(copy[key], deeper, value);
+  if (replaced !== OMITTED) copy[key] = replaced;
+  else if (Array.isArray(copy)) copy.splice(Number(key), 1);
+  else delete copy[key];
+  return copy;
+}
+
+/** What a function returns, or that it throws: its words are for logs. */
+export function resultOf(read: () => unknown): unknown {
+  try {
+    return read();
+  } catch {
+    return 'refused';
+  }
+}
