--- a/test/autoscaling.test.ts
+++ b/test/autoscaling.test.ts
@@ -3,7 +3,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { BootTimeEstimator } from '../packages/controller/src/capacity/boot-time-estimator.js';
-import { withGuest } from './scenarios/on-call-scenarios.js';
+import { withTeamWithoutGuarantee } from './scenarios/on-call-scenarios.js';
 import { newCluster } from './scenarios/takeover-scenarios.js';
 import { holderOf, job, SimulatedCluster } from './simulation/index.js';
 
@@ -47,7 +47,7 @@
 
 test('for work of the lowest priority only cheap instances are provisioned, and expensive ones never', () => {
   const cluster = new SimulatedCluster(['n0', 'n1', 'n2'], (settings) => ({
-    ...withGuest(settings),
+    ...withTeamWithoutGuarantee(settings),
     policy: { ...settings.policy, holdSpareCapacity: false, maxMachines: null },
   }));
   for (let index = 0; index < 3; index++) cluster.machine(`m${index}`, 'small', 'east');
--- a/test/failover-cancellations.test.ts
+++ b/test/failover-cancellations.test.ts
@@ -2,7 +2,7 @@
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { away, holderOfJob, stateHolder } from './scenarios/failover-scenarios.js';
+import { holderOfJob, holdShardElsewhere, storedLeaseHolder } from './scenarios/failover-scenarios.js';
 import { newCluster } from './scenarios/takeover-scenarios.js';
 import { assertGoldenTrace, holderOf, job, SimulatedCluster, shardOf, smallCluster } from './simulation/index.js';
 
@@ -71,7 +71,7 @@
 
 test('jobs are cancelled in the seconds in which a shard changes its holder: none starts after, all are gone in time', () => {
   const cluster = smallCluster(8);
-  const { home } = away(cluster);
+  const { preferredHolder } = holdShardElsewhere(cluster);
   for (let index = 0; index < 4; index++) cluster.submit(job(`run-b${index}`, { team: 'blue', tasks: 2, estimatedRunS: 500 }));
   cluster.runUntil('running', () => cluster.runningTasks('run-b0') === 2);
   let count = 0;
@@ -79,9 +79,9 @@
     'handed home',
     () => {
       // One while it is still the old holder's, one without a holder, two at the new one's.
-      const next = stateHolder(cluster, 1) === undefined || count < 1 || stateHolder(cluster, 1) === 'n1';
+      const next = storedLeaseHolder(cluster, 1) === undefined || count < 1 || storedLeaseHolder(cluster, 1) === 'n1';
       if (next && count < 4) cluster.cancel(`run-b${count++}`, cluster.controller('n0'));
-      return count === 4 && holderOf(cluster, 1) === home.name;
+      return count === 4 && holderOf(cluster, 1) === preferredHolder.name;
     },
     120,
   );
--- a/test/failure-attribution.test.ts
+++ b/test/failure-attribution.test.ts
@@ -2,7 +2,7 @@
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { dead } from './scenarios/on-call-scenarios.js';
+import { deadWorkers } from './scenarios/on-call-scenarios.js';
 import { newCluster } from './scenarios/takeover-scenarios.js';
 import {
   assertGoldenTrace,
@@ -55,7 +55,7 @@
     cluster.submit(job(id, { tasks: id === 'run-b0' ? 30 : 1, estimatedRunS: 5 }));
   }
   cluster.run(30);
-  assert.deepEqual(dead(cluster), [], 'no healthy machine is put aside');
+  assert.deepEqual(deadWorkers(cluster), [], 'no healthy machine is put aside');
   for (const node of cluster.controllers)
     for (const machine of node.controller.clusterState.machines.values()) assert.equal(machine.failedJobs.size, 0, 'nor blamed');
   const tried = new Set(cluster.trace.filter((line) => line.includes('starts run-b0/')).map((line) => line.split('/')[1]));
@@ -83,7 +83,7 @@
   bad.fails = true;
   for (let index = 0; index < 4; index++) cluster.submit(job(`run-h${index}`, { tasks: 8, estimatedRunS: 3 }));
   cluster.runUntil('all done', () => cluster.finished.size === 18 + 32, 90);
-  assert.deepEqual(dead(cluster), [bad.name]);
+  assert.deepEqual(deadWorkers(cluster), [bad.name]);
   for (const id of ids) cluster.cancel(id);
   cluster.run(5);
   for (const id of ids) assert.equal(cluster.queryStatus(id), 'aborted');
@@ -105,7 +105,7 @@
   cluster.run(0.1);
   worker.fails = false;
   cluster.runUntil('done', () => cluster.finished.size === 12, 60);
-  assert.deepEqual(dead(cluster), [], 'one failure of a good job is no proof');
+  assert.deepEqual(deadWorkers(cluster), [], 'one failure of a good job is no proof');
 });
 
 test('a job that failed on faulty machines only recovers', () => {
--- a/test/failure-detection.test.ts
+++ b/test/failure-detection.test.ts
@@ -2,8 +2,8 @@
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { dead } from './scenarios/on-call-scenarios.js';
-import { clusterOfEight, machineOf } from './scenarios/partition-scenarios.js';
+import { deadWorkers } from './scenarios/on-call-scenarios.js';
+import { clusterOfEight, workerRunning } from './scenarios/partition-scenarios.js';
 import { newCluster } from './scenarios/takeover-scenarios.js';
 import {
   assertGoldenTrace,
@@ -33,7 +33,7 @@
   const cluster = clusterOfEight();
   cluster.submit(job('run-w', { shape: 'service', priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-w') === 1);
-  const worker = machineOf(cluster, 'run-w');
+  const worker = workerRunning(cluster, 'run-w');
   cluster.isDeaf = (_node, machine) => machine === worker.name;
   cluster.runUntil('given back', () => worker.dead, 40);
   cluster.runUntil('goes on elsewhere', () => cluster.runningTasks('run-w') === 1, 20);
@@ -142,7 +142,7 @@
   cluster.run(1);
   worker.hung = false;
   cluster.run(10);
-  assert.deepEqual(dead(cluster), []);
+  assert.deepEqual(deadWorkers(cluster), []);
 });
 
 // Each is in another session by then, which its first answer tells; while it waited for the second question it counted
--- a/test/fencing.test.ts
+++ b/test/fencing.test.ts
@@ -2,8 +2,8 @@
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { away, stateHolder } from './scenarios/failover-scenarios.js';
-import { clusterOfEight, deliverLate } from './scenarios/partition-scenarios.js';
+import { holdShardElsewhere, storedLeaseHolder } from './scenarios/failover-scenarios.js';
+import { clusterOfEight, deliverHeartbeatCopy } from './scenarios/partition-scenarios.js';
 import { newCluster } from './scenarios/takeover-scenarios.js';
 import {
   assertGoldenTrace,
@@ -46,26 +46,27 @@
 
 test('the release of a shard lease is carried out, its answer lost and the watch late: the old holder starts nothing more', () => {
   const cluster = smallCluster(8);
-  const { home, old } = away(cluster);
+  const { preferredHolder, currentHolder } = holdShardElsewhere(cluster);
   // Carried out at once; the old holder learns of it neither by the answer nor by its watch.
   cluster.losesTransactionAnswer = (e, apply) => {
     if (!e.writes.some((write) => 'del' in write && write.del === 'a/h/1')) return false;
-    old.isWatchLagging = true;
+    currentHolder.isWatchLagging = true;
     apply();
     return true;
   };
-  cluster.runUntil('claimed by its home', () => stateHolder(cluster, 1) === 'n1', 80);
-  assert.ok(old.isWatchLagging);
-  const mine = [...old.controller.clusterState.machines.values()]
+  cluster.runUntil('claimed by its home', () => storedLeaseHolder(cluster, 1) === 'n1', 80);
+  assert.ok(currentHolder.isWatchLagging);
+  const mine = [...currentHolder.controller.clusterState.machines.values()]
     .filter((machine) => machine.shard === 1)
     .map((machine) => machine.name);
   assert.ok(mine.length >= 2);
   // Each of them reaches one machine alone: what both start is started twice.
   const last = mine.at(-1);
-  cluster.isPartitioned = (a, b) => (a === home.name && b !== last && mine.includes(b)) || (a === old.name && b === last);
-  cluster.submit(job('run-twice', { team: 'blue', estimatedRunS: 60 }), old);
+  cluster.isPartitioned = (a, b) =>
+    (a === preferredHolder.name && b !== last && mine.includes(b)) || (a === currentHolder.name && b === last);
+  cluster.submit(job('run-twice', { team: 'blue', estimatedRunS: 60 }), currentHolder);
   cluster.run(4);
-  old.isWatchLagging = false;
+  currentHolder.isWatchLagging = false;
   cluster.losesTransactionAnswer = null;
   cluster.run(4);
   assert.equal(cluster.runningTasks('run-twice'), 1);
@@ -134,9 +135,9 @@
   const worker = cluster.workers[0] as SimulatedWorker;
   cluster.run(5);
   const r = { ...worker.heartbeat(), fencingToken: worker.fencingToken + 1_000 };
-  for (const node of cluster.controllers) assert.ok([503, 421].includes(deliverLate(node, r)));
-  assert.ok(cluster.controllers.some((node) => deliverLate(node, r) === 503));
-  assert.ok(cluster.controllers.some((node) => deliverLate(node, worker.heartbeat()) === 200));
+  for (const node of cluster.controllers) assert.ok([503, 421].includes(deliverHeartbeatCopy(node, r)));
+  assert.ok(cluster.controllers.some((node) => deliverHeartbeatCopy(node, r) === 503));
+  assert.ok(cluster.controllers.some((node) => deliverHeartbeatCopy(node, worker.heartbeat()) === 200));
 });
 
 /** A job is cancelled while its start is on its way; then the start comes back, not carried out. */
--- a/test/heartbeats.test.ts
+++ b/test/heartbeats.test.ts
@@ -3,7 +3,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Heartbeat } from '@archpost/protocol';
-import { clusterOfEight, deliverLate, machineOf } from './scenarios/partition-scenarios.js';
+import { clusterOfEight, deliverHeartbeatCopy, workerRunning } from './scenarios/partition-scenarios.js';
 import { newCluster } from './scenarios/takeover-scenarios.js';
 import { assertGoldenTrace, holderOf, job, type SimulatedWorker, shardOf, smallCluster } from './simulation/index.js';
 
@@ -78,7 +78,7 @@
   cluster.submit(job('run-d', { shape: 'service', priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-d') === 1);
   cluster.run(4);
-  const worker = machineOf(cluster, 'run-d');
+  const worker = workerRunning(cluster, 'run-d');
   const copies: Heartbeat[] = [];
   for (let index = 0; index < 8; index++) {
     cluster.run(1);
@@ -93,7 +93,7 @@
   for (let index = 0; index < 20 && !worker.dead; index++) {
     cluster.run(1);
     // One to each controller, oldest first, for longer than its silence is borne.
-    for (const node of cluster.controllers) deliverLate(node, copies[index % copies.length] as Heartbeat);
+    for (const node of cluster.controllers) deliverHeartbeatCopy(node, copies[index % copies.length] as Heartbeat);
   }
   assert.ok(worker.dead, `not given back in ${(cluster.now - died) / 1000} s`);
   cluster.runUntil('goes on elsewhere', () => cluster.runningTasks('run-d') === 1, 20);
@@ -119,7 +119,7 @@
   cluster.run(1);
   for (let index = 0; index < 9 && !worker.dead; index++) {
     cluster.run(1);
-    deliverLate(keeper, copies[index % copies.length] as Heartbeat);
+    deliverHeartbeatCopy(keeper, copies[index % copies.length] as Heartbeat);
   }
   assert.ok(worker.dead, 'silent, whatever late copies say');
 });
@@ -128,7 +128,7 @@
   const cluster = clusterOfEight();
   cluster.submit(job('run-e', { tasks: 2, estimatedRunS: 30 }));
   cluster.runUntil('running', () => cluster.runningTasks('run-e') === 2);
-  const worker = machineOf(cluster, 'run-e');
+  const worker = workerRunning(cluster, 'run-e');
   const owner = cluster.controller(holderOf(cluster, shardOf(cluster, 'run-e')));
   cluster.run(3);
   const before: Heartbeat = { ...worker.heartbeat(), sequence: 1, tasks: [], address: 'elsewhere', preemptionNoticeS: 3 };
@@ -137,8 +137,8 @@
     sequence: 2,
     tasks: worker.heartbeat().tasks.map((task) => ({ ...task, state: 'exited', exitReason: 'done' })),
   };
-  deliverLate(owner, before);
-  deliverLate(owner, done);
+  deliverHeartbeatCopy(owner, before);
+  deliverHeartbeatCopy(owner, done);
   const machine = owner.controller.clusterState.machines.get(worker.name);
   assert.equal(machine?.address, worker.name);
   assert.equal(machine?.tenure.preemptionNoticeUntil, null);
@@ -148,8 +148,8 @@
   owner.crash();
   owner.restart();
   cluster.runUntil('holds again', () => owner.controller.shardController.heldShards.size > 0, 20);
-  deliverLate(owner, done);
-  deliverLate(owner, before);
+  deliverHeartbeatCopy(owner, done);
+  deliverHeartbeatCopy(owner, before);
   cluster.run(5);
   assert.equal(cluster.runningTasks('run-e'), 2);
   assert.equal(cluster.queryStatus('run-e'), 'running');
--- a/test/long-lists-and-progress.test.ts
+++ b/test/long-lists-and-progress.test.ts
@@ -11,7 +11,7 @@
   parseJobPart,
   parseJobRecord,
 } from '@archpost/controller';
-import { clusterWithAnnouncedLimits, NEXT } from './scenarios/limit-scenarios.js';
+import { ANNOUNCED_LIMITS, clusterWithAnnouncedLimits } from './scenarios/limit-scenarios.js';
 import { holderOf, job, SimulatedCluster, type SimulatedController, shardOf } from './simulation/index.js';
 
 // Until parts were stored, a long list of machine types was refused by the same answer, though the job could run:
@@ -70,9 +70,9 @@
 
 const fall = (cluster: SimulatedCluster) => {
   cluster.stateService.limits = {
-    valueBytes: NEXT.valueKib * 1024,
-    writesPerTransaction: NEXT.writesPerTransaction,
-    writesPerS: NEXT.writesPerS,
+    valueBytes: ANNOUNCED_LIMITS.valueKib * 1024,
+    writesPerTransaction: ANNOUNCED_LIMITS.writesPerTransaction,
+    writesPerS: ANNOUNCED_LIMITS.writesPerS,
   };
 };
 
--- a/test/loopback-fleet.test.ts
+++ b/test/loopback-fleet.test.ts
@@ -7,7 +7,7 @@
 import { test } from 'node:test';
 import { threadHeapMb } from '../packages/server/src/heap-plan.js';
 import { singleController } from './loopback/single-controller.js';
-import { MACHINES, until } from './scenarios/loopback-fixtures.js';
+import { FLEET_MACHINES, waitForCount } from './scenarios/loopback-fixtures.js';
 
 const MEMORY_MB = 300;
 
@@ -21,13 +21,13 @@
 
 test('4,000 workers, fewer sockets than workers: a real controller keeps to its heap, its memory and its sockets', async () => {
   const { state, cloud, fleet, controller, close } = await singleController({
-    machines: MACHINES,
+    machines: FLEET_MACHINES,
     memoryMb: MEMORY_MB,
     sockets: SOCKETS,
     reportS: REPORT_S,
   });
   const operator = join(mkdtempSync(join(tmpdir(), 'archpost-operator-')), 'operator.json');
-  writeFileSync(operator, JSON.stringify({ max_machines: MACHINES }));
+  writeFileSync(operator, JSON.stringify({ max_machines: FLEET_MACHINES }));
   const granted = () => [...state.state.keys.keys()].filter((key) => key.startsWith('a/g/')).length;
   let mostMb = 0;
   let mostSockets = 0;
@@ -38,14 +38,14 @@
   };
   try {
     controller.start(['--operator', operator]);
-    await until('it is up', 1, async () => Number(await controller.isUp()));
+    await waitForCount('it is up', 1, async () => Number(await controller.isUp()));
     fleet.start();
-    await until('all are granted', MACHINES, () => {
+    await waitForCount('all are granted', FLEET_MACHINES, () => {
       look();
       return granted();
     });
     const before = fleet.workers.map((worker) => worker.answered);
-    await until('all are answered, again and again', MACHINES, () => {
+    await waitForCount('all are answered, again and again', FLEET_MACHINES, () => {
       look();
       return fleet.workers.filter((worker, index) => worker.answered >= (before[index] as number) + 3).length;
     });
--- a/test/mixed-versions.test.ts
+++ b/test/mixed-versions.test.ts
@@ -5,7 +5,13 @@
 import { test } from 'node:test';
 import { Controller, encodeJobSpec } from '@archpost/controller';
 import { decodePeerMessage, encodePeerMessage, type JobSpec, type StoredKey } from '@archpost/protocol';
-import { NAMES, OLD, oldCluster, submitAll, upgrade } from './scenarios/upgrade-scenarios.js';
+import {
+  CONTROLLER_NAMES,
+  PRODUCTION_VERSION,
+  productionCluster,
+  submitJobOfEachKind,
+  upgrade,
+} from './scenarios/upgrade-scenarios.js';
 import { holderOf, job, type SimulatedCluster, type SimulatedController, settings, shardOf } from './simulation/index.js';
 
 // The leader decides over machines of all shares, by what owners of the other version tell of themselves.
@@ -14,9 +20,9 @@
   ['new', 'old'],
 ] as const) {
   test(`leader of the ${leader} version, holders of the ${owner} one: machines go where work waits`, () => {
-    const { c: cluster, present } = oldCluster(0);
+    const { cluster, present } = productionCluster(0);
     const lead = holderOf(cluster, 'lead');
-    for (const name of NAMES) if ((name === lead) === (leader === 'new')) upgrade(cluster.controller(name), present);
+    for (const name of CONTROLLER_NAMES) if ((name === lead) === (leader === 'new')) upgrade(cluster.controller(name), present);
     cluster.run(25);
     assert.equal(cluster.controller(holderOf(cluster, 'lead')).running === present, leader === 'new');
     for (let index = 0; index < 6; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
@@ -32,17 +38,17 @@
   ['new', 'old'],
 ] as const) {
   test(`a cancellation confirmed by the ${teller} version is enforced by the ${enforcer} one, and stays`, () => {
-    const { c: cluster, present } = oldCluster();
+    const { cluster, present } = productionCluster();
     cluster.submit(job('run-c', { tasks: 3, estimatedRunS: 300 }));
     cluster.runUntil('running', () => cluster.runningTasks('run-c') === 3);
     const holder = holderOf(cluster, shardOf(cluster, 'run-c'));
-    const other = NAMES.find((name) => name !== holder) as string;
+    const other = CONTROLLER_NAMES.find((name) => name !== holder) as string;
     upgrade(cluster.controller(enforcer === 'new' ? holder : other), present);
     cluster.run(25);
     cluster.cancel('run-c', cluster.controller(other));
     cluster.runUntil('gone', () => cluster.machinesRunning('run-c').length === 0, 30);
     for (const node of cluster.controllers) assert.equal(cluster.queryStatus('run-c', node), 'aborted');
-    for (const name of NAMES) {
+    for (const name of CONTROLLER_NAMES) {
       upgrade(cluster.controller(name), present);
       cluster.run(10);
     }
@@ -54,7 +60,7 @@
 // computes the first task from it by the same product, so that it repeats nothing that is done.
 test('progress of a large array that a new holder stored in parts is read by an old one, and the reverse', () => {
   const next = { valueKib: 2, writesPerTransaction: 4 };
-  const { c: cluster, present } = oldCluster(6, (settings) => ({
+  const { cluster, present } = productionCluster(6, (settings) => ({
     ...settings,
     state: { ...settings.state, valueKib: 16, next },
   }));
@@ -85,7 +91,7 @@
     (count, digit) => count + Number.parseInt(digit, 16).toString(2).replaceAll('0', '').length,
     0,
   );
-  upgrade(owner, OLD);
+  upgrade(owner, PRODUCTION_VERSION);
   cluster.run(1);
   assert.ok(doneCount() > byOld, 'what the new one stored is known to the old one');
   assert.ok(doneCount() >= 8192 + byNew);
@@ -94,7 +100,7 @@
 
 test('a job whose list of machine types outgrows a value: an old holder starts it where the user allowed', () => {
   const next = { valueKib: 2, writesPerTransaction: 4 };
-  const { c: cluster, present } = oldCluster(4, (settings) => ({
+  const { cluster, present } = productionCluster(4, (settings) => ({
     ...settings,
     state: { ...settings.state, valueKib: 16, next },
   }));
@@ -118,21 +124,21 @@
 
 /** What the version in production writes and sends on a day with every kind of key and message. */
 function recordProduction(): { rows: RecordedRow[]; messages: string[] } {
-  const { c: cluster } = oldCluster();
+  const { cluster } = productionCluster();
   const messages = new Map<string, string>();
   cluster.onPeerMessage = (bytes) => {
-    const message = OLD.decodePeerMessage(bytes);
+    const message = PRODUCTION_VERSION.decodePeerMessage(bytes);
     const kind = message.heartbeat
       ? `report of ${message.heartbeat.tasks.length}`
       : `status of ${message.status?.shards.length}, ${message.status?.runningJobs.length}`;
     messages.set(kind, Buffer.from(bytes).toString('hex'));
   };
-  submitAll(cluster, 'kept');
+  submitJobOfEachKind(cluster, 'kept');
   cluster.submit(job('run-called-off', { tasks: 3, estimatedRunS: 300, machineTypes: ['small'], zone: 'east' }));
   cluster.submit(job('run-partly', { tasks: 9, cpus: 4, memory: 1, estimatedRunS: 5 }));
   // The leader alone is not heard by the others, so that they tell it by way of the state service.
   const lead = holderOf(cluster, 'lead');
-  cluster.isPartitioned = (a, b) => NAMES.includes(a) && NAMES.includes(b) && (a === lead) !== (b === lead);
+  cluster.isPartitioned = (a, b) => CONTROLLER_NAMES.includes(a) && CONTROLLER_NAMES.includes(b) && (a === lead) !== (b === lead);
   cluster.run(8);
   cluster.cancel('run-called-off');
   cluster.run(14);
@@ -170,7 +176,7 @@
   for (const hex of messages) {
     const bytes = Buffer.from(hex, 'hex');
     const message = decodePeerMessage(bytes);
-    assert.deepEqual(message, OLD.decodePeerMessage(bytes));
+    assert.deepEqual(message, PRODUCTION_VERSION.decodePeerMessage(bytes));
     assert.equal(Buffer.from(encodePeerMessage(message)).toString('hex'), hex);
   }
   assert.throws(() => decodePeerMessage(Buffer.from('ff', 'hex')));
@@ -178,7 +184,7 @@
 
 // LATER.md promises that no such job meets an old controller. Should one all the same, it must not run too early.
 test('a job that awaits others is passed over by an old controller, which can still cancel it', () => {
-  const { c: cluster, present } = oldCluster(4);
+  const { cluster, present } = productionCluster(4);
   const owner = cluster.controller(holderOf(cluster, 0));
   for (const node of cluster.controllers) if (node !== owner) upgrade(node, present);
   cluster.run(25);
@@ -195,7 +201,7 @@
 
 /** One controller has the present version; a chain is asked for all the same, its second job at an old one. */
 function chainAskedTooSoon(): SimulatedCluster {
-  const { c: cluster, present } = oldCluster();
+  const { cluster, present } = productionCluster();
   upgrade(cluster.controller('n0'), present);
   cluster.run(10);
   cluster.submit(job('run-a', { team: 'blue', estimatedRunS: 30 }), cluster.controller('n0'));
--- a/test/process-pauses.test.ts
+++ b/test/process-pauses.test.ts
@@ -2,7 +2,7 @@
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { dead } from './scenarios/on-call-scenarios.js';
+import { deadWorkers } from './scenarios/on-call-scenarios.js';
 import { assertGoldenTrace, holderOf, job, type SimulatedCluster, shardOf, smallCluster } from './simulation/index.js';
 
 const killed = (cluster: SimulatedCluster) => cluster.trace.filter((line) => line.includes('kills'));
@@ -27,7 +27,7 @@
     cluster.runUntil('the rest is done', () => cluster.finished.size === 8, 60);
     cluster.run(20);
     assert.equal(cluster.runningTasks('run-v'), 2);
-    assert.deepEqual(dead(cluster), [], 'it did not hold its own sleep against the machines');
+    assert.deepEqual(deadWorkers(cluster), [], 'it did not hold its own sleep against the machines');
     assert.deepEqual(killed(cluster), [], 'the others answered the workers');
     assert.equal(cluster.queryStatus('run-c'), 'aborted');
     if (seconds === 25) assertGoldenTrace(cluster, 'owner-stands-still');
@@ -43,7 +43,7 @@
   cluster.run(16);
   owner.resume(true);
   cluster.run(20);
-  assert.deepEqual(dead(cluster), []);
+  assert.deepEqual(deadWorkers(cluster), []);
   assert.equal(cluster.runningTasks('run-v'), 2);
 });
 
@@ -87,7 +87,7 @@
   const home = revision();
   cluster.run(20);
   assert.equal(revision(), home);
-  assert.deepEqual(dead(cluster), []);
+  assert.deepEqual(deadWorkers(cluster), []);
 });
 
 test('all controllers pause for longer than a cancellation may take: what was cancelled before is not started after', () => {
--- a/test/quota-and-preemption.test.ts
+++ b/test/quota-and-preemption.test.ts
@@ -2,7 +2,7 @@
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { withGuest } from './scenarios/on-call-scenarios.js';
+import { withTeamWithoutGuarantee } from './scenarios/on-call-scenarios.js';
 import { assertGoldenTrace, job, SimulatedCluster } from './simulation/index.js';
 
 test('a gang above its quota is preempted whole for one within its own, and runs again whole', () => {
@@ -54,7 +54,7 @@
 });
 
 test('a burst of a team without quota uses idle capacity and is preempted at once; its writes are few', () => {
-  const cluster = new SimulatedCluster(['n0', 'n1', 'n2'], withGuest);
+  const cluster = new SimulatedCluster(['n0', 'n1', 'n2'], withTeamWithoutGuarantee);
   for (let index = 0; index < 12; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.runUntilSettled();
   const changes = () => [...cluster.changes.values()].reduce((a, count) => a + count, 0);
@@ -70,7 +70,7 @@
 });
 
 test('a team without quota is within none: its gangs preempt none of equal priority, not even above their quota', () => {
-  const cluster = new SimulatedCluster(['n0', 'n1', 'n2'], withGuest);
+  const cluster = new SimulatedCluster(['n0', 'n1', 'n2'], withTeamWithoutGuarantee);
   cluster.machine('g0', 'big', 'east');
   cluster.machine('g1', 'big', 'east');
   cluster.runUntilSettled();
@@ -84,7 +84,7 @@
 });
 
 test('machines with short tasks of the lowest priority get several starts in one command', () => {
-  const cluster = new SimulatedCluster(['n0', 'n1', 'n2'], withGuest);
+  const cluster = new SimulatedCluster(['n0', 'n1', 'n2'], withTeamWithoutGuarantee);
   for (let index = 0; index < 6; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.runUntilSettled();
   cluster.submit(job('run-tiles', { team: 'guest', priority: 0, tasks: 2000, cpus: 0.5, memory: 1, estimatedRunS: 0.7 }));
--- a/test/rolling-upgrade.test.ts
+++ b/test/rolling-upgrade.test.ts
@@ -3,7 +3,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { RandomizedSimulation } from './randomized/randomized-simulation.js';
-import { NAMES, OLD, oldCluster, submitAll, upgrade } from './scenarios/upgrade-scenarios.js';
+import {
+  CONTROLLER_NAMES,
+  PRODUCTION_VERSION,
+  productionCluster,
+  submitJobOfEachKind,
+  upgrade,
+} from './scenarios/upgrade-scenarios.js';
 import {
   assertGoldenTrace,
   holderOf,
@@ -20,12 +26,12 @@
   ['n2', 'n1', 'n0'],
 ]) {
   test(`a roll in the order ${order}: what either version accepted runs once, and every answer stands`, () => {
-    const { c: cluster, present } = oldCluster();
-    const ids = submitAll(cluster, 'before');
+    const { cluster, present } = productionCluster();
+    const ids = submitJobOfEachKind(cluster, 'before');
     for (const name of order) {
       upgrade(cluster.controller(name), present);
       cluster.run(4);
-      ids.push(...submitAll(cluster, name));
+      ids.push(...submitJobOfEachKind(cluster, name));
       cluster.run(6);
     }
     cluster.runUntil('all is done', () => allDone(cluster, ids), 200);
@@ -40,11 +46,11 @@
 }
 
 test('failovers in both directions, and an old process that comes back old', () => {
-  const { c: cluster, present } = oldCluster();
+  const { cluster, present } = productionCluster();
   cluster.submit(job('run-s', { shape: 'service', priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-s') === 1);
   const first = holderOf(cluster, shardOf(cluster, 'run-s'));
-  const others = NAMES.filter((name) => name !== first);
+  const others = CONTROLLER_NAMES.filter((name) => name !== first);
   // Both others are new: one of them takes the share over from an old holder that is gone.
   for (const name of others) {
     upgrade(cluster.controller(name), present);
@@ -77,7 +83,7 @@
   },
   'a cut between old and new': (cluster) => {
     const cut = new Set(['n0', 'n1']);
-    cluster.isPartitioned = (a, b) => NAMES.includes(a) && NAMES.includes(b) && cut.has(a) !== cut.has(b);
+    cluster.isPartitioned = (a, b) => CONTROLLER_NAMES.includes(a) && CONTROLLER_NAMES.includes(b) && cut.has(a) !== cut.has(b);
     cluster.run(25);
     cluster.isPartitioned = () => false;
   },
@@ -96,8 +102,8 @@
 
 for (const [name, trouble] of Object.entries(MIDDLE)) {
   test(`a roll with ${name} in its middle breaks nothing and loses nothing`, () => {
-    const { c: cluster, present } = oldCluster();
-    const ids = submitAll(cluster, 'a');
+    const { cluster, present } = productionCluster();
+    const ids = submitJobOfEachKind(cluster, 'a');
     cluster.submit(job('run-called-off', { tasks: 3, estimatedRunS: 300 }));
     cluster.run(3);
     upgrade(cluster.controller('n0'), present);
@@ -113,7 +119,7 @@
     cluster.run(2);
     upgrade(cluster.controller('n2'), present);
     cluster.run(20);
-    ids.push(...submitAll(cluster, 'b'));
+    ids.push(...submitJobOfEachKind(cluster, 'b'));
     cluster.runUntil('all is done', () => allDone(cluster, ids), 240);
     cluster.run(4);
     for (const node of cluster.controllers) {
@@ -129,7 +135,7 @@
   for (let seed = 1; seed <= Number(process.env.WALKS ?? 8); seed++) {
     try {
       new RandomizedSimulation(seed, {
-        from: OLD,
+        from: PRODUCTION_VERSION,
         pipelines: true,
         next: { valueKib: 2, writesPerTransaction: 4, writesPerS: 45 },
       }).run(120);
--- a/test/scenarios/failover-scenarios.ts
+++ b/test/scenarios/failover-scenarios.ts
@@ -1,17 +1,21 @@
-// Scenarios that several test files start from.
+/** What a failover starts from, and who holds a shard before and after it. */
 import { holderOf, type SimulatedCluster, type SimulatedController, shardOf } from '../simulation/index.js';
 
 /** The controller that holds the job's shard. */
 export const holderOfJob = (cluster: SimulatedCluster, id: string) => holderOf(cluster, shardOf(cluster, id));
 
-export const stateHolder = (cluster: SimulatedCluster, shard: number) =>
+/** The controller that the state service names as the holder of the shard's lease; undefined: none. */
+export const storedLeaseHolder = (cluster: SimulatedCluster, shard: number) =>
   (cluster.stateService.keys.get(`a/h/${shard}`)?.value as { node: string } | undefined)?.node;
 
-/** Share 1 is held by another than its home controller, which is back and is about to be handed it. */
-export function away(cluster: SimulatedCluster): { home: SimulatedController; old: SimulatedController } {
-  const home = cluster.controller('n1');
-  home.crash();
+/** Shard 1 is held by another controller than its preferred holder, which is back and about to be handed it. */
+export function holdShardElsewhere(cluster: SimulatedCluster): {
+  preferredHolder: SimulatedController;
+  currentHolder: SimulatedController;
+} {
+  const preferredHolder = cluster.controller('n1');
+  preferredHolder.crash();
   cluster.runUntil('taken over', () => !['', 'n1'].includes(holderOf(cluster, 1)), 40);
-  home.restart();
-  return { home, old: cluster.controller(holderOf(cluster, 1)) };
+  preferredHolder.restart();
+  return { preferredHolder, currentHolder: cluster.controller(holderOf(cluster, 1)) };
 }
--- a/test/scenarios/limit-scenarios.ts
+++ b/test/scenarios/limit-scenarios.ts
@@ -1,18 +1,21 @@
-// Scenarios that several test files start from.
+/** Clusters of which the state service has announced lower limits. */
 
 import type { ControllerSettings } from '@archpost/controller';
 import { SimulatedCluster } from '../simulation/index.js';
 
-export const NEXT = { valueKib: 2, writesPerTransaction: 4, writesPerS: 45 };
+/** The limits that are announced. */
+export const ANNOUNCED_LIMITS = { valueKib: 2, writesPerTransaction: 4, writesPerS: 45 };
 
-export const announced = (settings: ControllerSettings): ControllerSettings => ({
+/** Settings of a controller that knows the announced limits. */
+export const withAnnouncedLimits = (settings: ControllerSettings): ControllerSettings => ({
   ...settings,
-  state: { ...settings.state, valueKib: 16, next: NEXT },
+  state: { ...settings.state, valueKib: 16, next: ANNOUNCED_LIMITS },
   policy: { ...settings.policy, holdSpareCapacity: false },
 });
 
+/** A settled cluster of small machines whose controllers know the announced limits. */
 export function clusterWithAnnouncedLimits(machines: number): SimulatedCluster {
-  const cluster = new SimulatedCluster(undefined, announced);
+  const cluster = new SimulatedCluster(undefined, withAnnouncedLimits);
   for (let index = 0; index < machines; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.runUntilSettled();
   return cluster;
--- a/test/scenarios/loopback-fixtures.ts
+++ b/test/scenarios/loopback-fixtures.ts
@@ -1,22 +1,23 @@
-// Scenarios that several test files start from.
+/** What tests with real processes wait for, and how long. */
 import assert from 'node:assert/strict';
 
-export const MACHINES = 4000;
+/** Machines of the large fleet on loopback. */
+export const FLEET_MACHINES = 4000;
 
-/** Nothing that is waited for has come for so long: it will not. */
-export const PATIENCE_MS = 90_000;
+/** A wait fails when nothing has come for this long. */
+const STANDSTILL_LIMIT_MS = 90_000;
 
-export const LOOK_EACH_MS = 100;
+const POLL_INTERVAL_MS = 100;
 
-/** Waits until so many are there. A busy machine may take long, as long as some come: only a standstill fails. */
-export async function until(what: string, wanted: number, count: () => number | Promise<number>): Promise<void> {
-  let limit = -1;
-  for (let waited = 0; waited < PATIENCE_MS; waited += LOOK_EACH_MS) {
-    const there = await count();
-    if (there === wanted) return;
-    if (there > limit) waited = 0;
-    limit = Math.max(limit, there);
-    await new Promise((resolve) => setTimeout(resolve, LOOK_EACH_MS));
+/** Waits until the count is reached. It may take long while the count grows: only a standstill fails. */
+export async function waitForCount(what: string, wanted: number, count: () => number | Promise<number>): Promise<void> {
+  let highest = -1;
+  for (let waited = 0; waited < STANDSTILL_LIMIT_MS; waited += POLL_INTERVAL_MS) {
+    const present = await count();
+    if (present === wanted) return;
+    if (present > highest) waited = 0;
+    highest = Math.max(highest, present);
+    await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
   }
-  assert.fail(`in vain: ${what}: ${limit} of ${wanted}`);
+  assert.fail(`in vain: ${what}: ${highest} of ${wanted}`);
 }
--- a/test/scenarios/partition-scenarios.ts
+++ b/test/scenarios/partition-scenarios.ts
@@ -1,18 +1,22 @@
-// Scenarios that several test files start from.
+/** Clusters, workers and late heartbeats of tests with partitions. */
 
 import type { Heartbeat } from '@archpost/protocol';
 import { type SimulatedCluster, type SimulatedController, type SimulatedWorker, smallCluster } from '../simulation/index.js';
 
 export const clusterOfEight = (machines = 8) => smallCluster(machines);
 
-export const machineOf = (cluster: SimulatedCluster, id: string) =>
+/** The first worker that runs a task of the job. */
+export const workerRunning = (cluster: SimulatedCluster, id: string) =>
   cluster.workers.find((worker) => worker.name === cluster.machinesRunning(id)[0]) as SimulatedWorker;
 
-/** Hands a copy of a report to a controller, as a network that held it back would. */
-export const deliverLate = (node: SimulatedController, heartbeat: Heartbeat) => {
-  let said = 0;
+/**
+ * Delivers a copy of a heartbeat to a controller, as a network that delayed it would. Returns the status of the response; 0: none
+ * came.
+ */
+export const deliverHeartbeatCopy = (node: SimulatedController, heartbeat: Heartbeat) => {
+  let responseStatus = 0;
   node.receiveHeartbeat(structuredClone(heartbeat), (status) => {
-    said = status;
+    responseStatus = status;
   });
-  return said;
+  return responseStatus;
 };
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -8,7 +8,7 @@
 import { loadSettings } from '../packages/server/src/settings/load-settings.js';
 import { SettingsError } from '../packages/server/src/settings/settings-error.js';
 import { ControllerProcess, freeAddress } from './loopback/controller-process.js';
-import { MACHINES, until } from './scenarios/loopback-fixtures.js';
+import { FLEET_MACHINES, waitForCount } from './scenarios/loopback-fixtures.js';
 
 const SETTINGS = `
 host_name = "a"
@@ -93,9 +93,9 @@
     writesPerS: 20,
   });
   const operator = join(mkdtempSync(join(tmpdir(), 'archpost-operator-')), 'operator.json');
-  writeFileSync(operator, JSON.stringify({ max_machines: MACHINES }));
+  writeFileSync(operator, JSON.stringify({ max_machines: FLEET_MACHINES }));
   controller.start(['--operator', operator, '--check']);
-  await until('it has ended', 1, () => Number(controller.ended !== null));
+  await waitForCount('it has ended', 1, () => Number(controller.ended !== null));
   assert.equal(controller.ended?.code, 0);
   const lines = controller.said.trim().split('\n');
   assert.equal(lines.length, 4);
--- a/test/state-service-limits.test.ts
+++ b/test/state-service-limits.test.ts
@@ -18,11 +18,13 @@
   WriteRateLimit,
 } from '@archpost/controller';
 import type { JobSpec, MachineType, PeerStatus, StoredKey } from '@archpost/protocol';
-import { announced, clusterWithAnnouncedLimits, NEXT } from './scenarios/limit-scenarios.js';
+import { ANNOUNCED_LIMITS, clusterWithAnnouncedLimits, withAnnouncedLimits } from './scenarios/limit-scenarios.js';
 import { job, type SimulatedController, STATUS, settings, TYPES } from './simulation/index.js';
 
 test('the sizes in use fit the present limits and the announced ones; what is not announced stays', () => {
-  const { state } = announced({ state: { requestsPerS: 100, writesPerS: 60, writesPerTransaction: 12 } } as ControllerSettings);
+  const { state } = withAnnouncedLimits({
+    state: { requestsPerS: 100, writesPerS: 60, writesPerTransaction: 12 },
+  } as ControllerSettings);
   assert.deepEqual(stateSizeLimits(state), { maxWriteBytes: 2 * 1024 - 64, writesPerTransaction: 4 });
   assert.deepEqual(stateSizeLimits({ ...state, next: null }), { maxWriteBytes: 16 * 1024 - 64, writesPerTransaction: 12 });
   assert.deepEqual(stateSizeLimits({ ...state, next: { writesPerS: 5 } }), {
@@ -157,7 +159,7 @@
     ...(TYPES[0] as MachineType),
     name: `type-${index}-${'x'.repeat(60)}`,
   }));
-  const s = announced(settings('n0', ['n0']));
+  const s = withAnnouncedLimits(settings('n0', ['n0']));
   const first = new Controller(s, 'first');
   first.receiveSnapshot([], 1, 0);
   first.takeEffects();
@@ -215,7 +217,7 @@
 // A 429 costs neither a lease nor a share nor an acceptance, and no storm of repeats follows it.
 test('while writes are refused for their rate, shard leases stay, submissions are accepted and retries stay few', () => {
   const cluster = clusterWithAnnouncedLimits(8);
-  cluster.stateService.limits = { valueBytes: 2048, writesPerTransaction: 4, writesPerS: NEXT.writesPerS };
+  cluster.stateService.limits = { valueBytes: 2048, writesPerTransaction: 4, writesPerS: ANNOUNCED_LIMITS.writesPerS };
   const before = cluster.controllers.map((node) => node.controller.clusterState.leaseOf(0)?.revision);
   const ids = Array.from({ length: 400 }, (_, index) => `run-${index}`);
   ids.forEach((id, index) => {
--- a/test/state-service-outages.test.ts
+++ b/test/state-service-outages.test.ts
@@ -2,7 +2,7 @@
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { clusterOfEight, deliverLate } from './scenarios/partition-scenarios.js';
+import { clusterOfEight, deliverHeartbeatCopy } from './scenarios/partition-scenarios.js';
 import { newCluster } from './scenarios/takeover-scenarios.js';
 import {
   assertGoldenTrace,
@@ -235,16 +235,16 @@
   node.isRefusedByStateService = true;
   cluster.isPartitioned = (a, b) => (a === 'n2' && b.startsWith('n')) || (b === 'n2' && a.startsWith('n'));
   cluster.run(10);
-  assert.equal(deliverLate(node, worker.heartbeat()), 200, 'its workers are kept for a while');
+  assert.equal(deliverHeartbeatCopy(node, worker.heartbeat()), 200, 'its workers are kept for a while');
   cluster.run(9);
   for (const s of node.controller.shardController.heldShards.keys())
     assert.ok(!node.controller.shardController.allocations.holdsShard(s, cluster.now), 'no share is acted for without a lease');
   // Time for a cancellation that it can't know of, less what a worker's own lease takes.
   cluster.run(4);
-  assert.equal(deliverLate(node, worker.heartbeat()), 503);
+  assert.equal(deliverHeartbeatCopy(node, worker.heartbeat()), 503);
   cluster.isPartitioned = () => false;
   node.isRefusedByStateService = false;
-  cluster.runUntil('back', () => deliverLate(node, worker.heartbeat()) !== 503, 20);
+  cluster.runUntil('back', () => deliverHeartbeatCopy(node, worker.heartbeat()) !== 503, 20);
   const held = cluster.controllers.map((controller) => controller.controller.shardController.heldShards.size);
   cluster.run(30);
   assert.equal(
