--- a/test/autoscaling.test.ts
+++ b/test/autoscaling.test.ts
@@ -4,11 +4,10 @@
 import { test } from 'node:test';
 import { BootTimeEstimator } from '../packages/controller/src/capacity/boot-time-estimator.js';
 import { withTeamWithoutGuarantee } from './scenarios/on-call-scenarios.js';
-import { newCluster } from './scenarios/takeover-scenarios.js';
-import { holderOf, job, SimulatedCluster } from './simulation/index.js';
+import { holderOf, job, SimulatedCluster, smallCluster } from './simulation/index.js';
 
 test('a machine that boots in a partitioned zone is assigned by way of the state service', () => {
-  const cluster = newCluster(8);
+  const cluster = smallCluster(8);
   const west = (x: string) => x === 'n1' || cluster.workers.find((worker) => worker.name === x)?.zone === 'west';
   cluster.isPartitioned = (a, b) => west(a) !== west(b);
   cluster.run(5);
--- a/test/client-responses.test.ts
+++ b/test/client-responses.test.ts
@@ -4,11 +4,10 @@
 import { test } from 'node:test';
 import type { JobSpec } from '@archpost/protocol';
 import { LoadShedder } from '../packages/http-api/src/load-shedder.js';
-import { clusterOfEight } from './scenarios/partition-scenarios.js';
 import { holderOf, job, type SimulatedCluster, type SimulatedController, shardOf, smallCluster } from './simulation/index.js';
 
 test('repeats of submissions and cancellations that come late change nothing', () => {
-  const cluster = clusterOfEight();
+  const cluster = smallCluster(8);
   cluster.submit(job('run-once', { estimatedRunS: 3 }));
   cluster.submit(job('run-gone', { estimatedRunS: 400 }));
   cluster.runUntil('running', () => cluster.runningTasks('run-gone') === 1);
--- a/test/failover-cancellations.test.ts
+++ b/test/failover-cancellations.test.ts
@@ -3,11 +3,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { holderOfJob, holdShardElsewhere, storedLeaseHolder } from './scenarios/failover-scenarios.js';
-import { newCluster } from './scenarios/takeover-scenarios.js';
 import { assertGoldenTrace, holderOf, job, SimulatedCluster, shardOf, smallCluster } from './simulation/index.js';
 
 test('a job cancelled during the failover of its shard is gone in time', () => {
-  const cluster = newCluster();
+  const cluster = smallCluster(6);
   cluster.submit(job('run-c', { tasks: 3, estimatedRunS: 500 }));
   cluster.runUntil('running', () => cluster.runningTasks('run-c') === 3);
   cluster.controller(holderOfJob(cluster, 'run-c')).crash();
--- a/test/failover-partitions.test.ts
+++ b/test/failover-partitions.test.ts
@@ -2,13 +2,11 @@
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { clusterOfEight } from './scenarios/partition-scenarios.js';
-import { newCluster } from './scenarios/takeover-scenarios.js';
-import { holderOf, job, SimulatedCluster, type SimulatedController, shardOf } from './simulation/index.js';
+import { holderOf, job, SimulatedCluster, type SimulatedController, shardOf, smallCluster } from './simulation/index.js';
 import { LargeFleet } from './simulation/large-fleet.js';
 
 test('a single controller that the state service refuses loses its shards to the others, and one returns later', () => {
-  const cluster = newCluster();
+  const cluster = smallCluster(6);
   cluster.controller('n1').isRefusedByStateService = true;
   cluster.runUntil(
     'taken over',
@@ -26,7 +24,7 @@
 });
 
 test('after a partition a shard returns to its preferred holder only once its services run again: a change of holder stops starts', () => {
-  const cluster = clusterOfEight(12);
+  const cluster = smallCluster(12);
   cluster.submit(job('run-q', { team: 'blue', shape: 'service', tasks: 10, priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-q') === 10);
   const shard = shardOf(cluster, 'run-q');
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -4,7 +4,6 @@
 import { test } from 'node:test';
 import { Controller } from '@archpost/controller';
 import { holderOfJob } from './scenarios/failover-scenarios.js';
-import { newCluster } from './scenarios/takeover-scenarios.js';
 import {
   assertGoldenTrace,
   holderOf,
@@ -16,7 +15,7 @@
 } from './simulation/index.js';
 
 test('failover with a silent worker: its task is started elsewhere only once the machine is released', () => {
-  const cluster = newCluster();
+  const cluster = smallCluster(6);
   cluster.submit(job('run-s', { shape: 'service', priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-s') === 1);
   const holder = holderOfJob(cluster, 'run-s');
@@ -40,7 +39,7 @@
 });
 
 test('a late transaction of a dead holder changes nothing', () => {
-  const cluster = newCluster();
+  const cluster = smallCluster(6);
   const late: (() => void)[] = [];
   cluster.submit(job('run-t', { tasks: 2, estimatedRunS: 3 }));
   const holder = holderOfJob(cluster, 'run-t');
--- a/test/failure-attribution.test.ts
+++ b/test/failure-attribution.test.ts
@@ -3,7 +3,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { deadWorkers } from './scenarios/on-call-scenarios.js';
-import { newCluster } from './scenarios/takeover-scenarios.js';
 import {
   assertGoldenTrace,
   holderOf,
@@ -15,7 +14,7 @@
 } from './simulation/index.js';
 
 test('a broken job fails on many machines and costs none of them; a faulty machine is released', () => {
-  const cluster = newCluster(6);
+  const cluster = smallCluster(6);
   const bad = cluster.workers[0];
   assert.ok(bad);
   bad.fails = true;
--- a/test/failure-detection.test.ts
+++ b/test/failure-detection.test.ts
@@ -3,8 +3,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { deadWorkers } from './scenarios/on-call-scenarios.js';
-import { clusterOfEight, workerRunning } from './scenarios/partition-scenarios.js';
-import { newCluster } from './scenarios/takeover-scenarios.js';
+import { workerRunning } from './scenarios/partition-scenarios.js';
 import {
   assertGoldenTrace,
   holderOf,
@@ -16,7 +15,7 @@
 } from './simulation/index.js';
 
 test('a spot machine with a preemption notice is drained, and its service goes on elsewhere', () => {
-  const cluster = newCluster(6);
+  const cluster = smallCluster(6);
   cluster.submit(job('run-n', { shape: 'service', priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-n') === 1);
   const worker = cluster.workers.find((candidate) => candidate.name === cluster.machinesRunning('run-n')[0]);
@@ -30,7 +29,7 @@
 });
 
 test('a machine whose heartbeats come but that no command reaches is released, and its work goes on elsewhere', () => {
-  const cluster = clusterOfEight();
+  const cluster = smallCluster(8);
   cluster.submit(job('run-w', { shape: 'service', priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-w') === 1);
   const worker = workerRunning(cluster, 'run-w');
@@ -45,7 +44,7 @@
 });
 
 test('a controller that can reach no worker hands its shards over, releases no machine, and gets them back once', () => {
-  const cluster = clusterOfEight(9);
+  const cluster = smallCluster(9);
   cluster.submit(job('run-v', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-v') === 2);
   const shard = shardOf(cluster, 'run-v');
@@ -71,7 +70,7 @@
 });
 
 test('in a zone partitioned from the state service too, work ends by its leases and goes on elsewhere once its machines are released', () => {
-  const cluster = clusterOfEight();
+  const cluster = smallCluster(8);
   cluster.submit(job('run-z', { shape: 'service', tasks: 6, priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-z') === 6);
   const west = (x: string) => x === 'n1' || cluster.workers.find((worker) => worker.name === x)?.zone === 'west';
--- a/test/fencing.test.ts
+++ b/test/fencing.test.ts
@@ -3,8 +3,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { holdShardElsewhere, storedLeaseHolder } from './scenarios/failover-scenarios.js';
-import { clusterOfEight, deliverHeartbeatCopy } from './scenarios/partition-scenarios.js';
-import { newCluster } from './scenarios/takeover-scenarios.js';
+import { deliverHeartbeatCopy } from './scenarios/partition-scenarios.js';
 import {
   assertGoldenTrace,
   holderOf,
@@ -16,7 +15,7 @@
 } from './simulation/index.js';
 
 test('a machine that hangs and goes on later does not run what was started elsewhere', () => {
-  const cluster = newCluster();
+  const cluster = smallCluster(6);
   cluster.submit(job('run-h', { shape: 'service', priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-h') === 1);
   const worker = cluster.workers.find((candidate) => candidate.name === cluster.machinesRunning('run-h')[0]);
@@ -32,7 +31,7 @@
 });
 
 test('a start whose answer was lost, and which comes late, finds a higher fencing token', () => {
-  const cluster = newCluster(2);
+  const cluster = smallCluster(2);
   const worker = cluster.workers[0];
   assert.ok(worker);
   // Hangs just as starts are sent: they are held, and executed when it goes on.
@@ -131,7 +130,7 @@
 });
 
 test('a heartbeat with a higher fencing token than a controller knows is refused, so that the worker finds another', () => {
-  const cluster = clusterOfEight();
+  const cluster = smallCluster(8);
   const worker = cluster.workers[0] as SimulatedWorker;
   cluster.run(5);
   const r = { ...worker.heartbeat(), fencingToken: worker.fencingToken + 1_000 };
--- a/test/gang-and-array-placement.test.ts
+++ b/test/gang-and-array-placement.test.ts
@@ -3,11 +3,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type FreeResources, Job, Machine, placeGang } from '@archpost/controller';
-import { newCluster } from './scenarios/takeover-scenarios.js';
 import { job, smallCluster, TYPES } from './simulation/index.js';
 
 test('an array runs to its end, once, and every controller says so', () => {
-  const cluster = newCluster();
+  const cluster = smallCluster(6);
   cluster.submit(job('run-a', { tasks: 5, estimatedRunS: 4 }));
   cluster.runUntil('done', () => cluster.finished.size === 5, 40);
   cluster.run(3);
--- a/test/heartbeats.test.ts
+++ b/test/heartbeats.test.ts
@@ -3,12 +3,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Heartbeat } from '@archpost/protocol';
-import { clusterOfEight, deliverHeartbeatCopy, workerRunning } from './scenarios/partition-scenarios.js';
-import { newCluster } from './scenarios/takeover-scenarios.js';
+import { deliverHeartbeatCopy, workerRunning } from './scenarios/partition-scenarios.js';
 import { assertGoldenTrace, holderOf, job, type SimulatedWorker, shardOf, smallCluster } from './simulation/index.js';
 
 test('a controller in a partitioned zone answers heartbeats there, so the work goes on', () => {
-  const cluster = newCluster(8);
+  const cluster = smallCluster(8);
   cluster.submit(job('run-z', { shape: 'service', tasks: 4, spread: true, priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-z') === 4);
   const west = (x: string) => x === 'n1' || cluster.workers.find((worker) => worker.name === x)?.zone === 'west';
@@ -74,7 +73,7 @@
 });
 
 test('late copies of heartbeats make no dead machine seem alive, at its holder, at a forwarding controller or after a failover', () => {
-  const cluster = clusterOfEight();
+  const cluster = smallCluster(8);
   cluster.submit(job('run-d', { shape: 'service', priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-d') === 1);
   cluster.run(4);
@@ -101,7 +100,7 @@
 });
 
 test('late copies at a forwarding controller of another zone do not hide that a machine is silent', () => {
-  const cluster = clusterOfEight();
+  const cluster = smallCluster(8);
   const keeper = cluster.controller('n1');
   const worker = cluster.workers.find((candidate) => {
     const machine = keeper.controller.clusterState.machines.get(candidate.name);
@@ -125,7 +124,7 @@
 });
 
 test('a stale heartbeat neither frees, finishes nor moves anything that is newer', () => {
-  const cluster = clusterOfEight();
+  const cluster = smallCluster(8);
   cluster.submit(job('run-e', { tasks: 2, estimatedRunS: 30 }));
   cluster.runUntil('running', () => cluster.runningTasks('run-e') === 2);
   const worker = workerRunning(cluster, 'run-e');
@@ -158,7 +157,7 @@
 });
 
 test("a controller that answers another's workers forwards what changes, and says of the rest that nothing did", () => {
-  const cluster = clusterOfEight();
+  const cluster = smallCluster(8);
   cluster.submit(job('run-p', { shape: 'service', tasks: 8, spread: true, priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-p') === 8);
   cluster.run(6);
@@ -186,7 +185,7 @@
 });
 
 test('a machine whose agent restarts with a low epoch is probed, and used again', () => {
-  const cluster = clusterOfEight();
+  const cluster = smallCluster(8);
   const worker = cluster.workers[0] as SimulatedWorker;
   worker.agentEpoch = 5;
   worker.sequence = 900;
@@ -206,7 +205,7 @@
 });
 
 test('a worker whose controller has lost its workers is answered by another before it is sent back', () => {
-  const cluster = clusterOfEight(8);
+  const cluster = smallCluster(8);
   cluster.submit(job('run-p', { shape: 'service', tasks: 16, priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-p') === 16);
   cluster.run(6);
--- a/test/scenarios/partition-scenarios.ts
+++ b/test/scenarios/partition-scenarios.ts
@@ -1,9 +1,7 @@
 /** Clusters, workers and late heartbeats of tests with partitions. */
 
 import type { Heartbeat } from '@archpost/protocol';
-import { type SimulatedCluster, type SimulatedController, type SimulatedWorker, smallCluster } from '../simulation/index.js';
-
-export const clusterOfEight = (machines = 8) => smallCluster(machines);
+import type { SimulatedCluster, SimulatedController, SimulatedWorker } from '../simulation/index.js';
 
 /** The first worker that runs a task of the job. */
 export const workerRunning = (cluster: SimulatedCluster, id: string) =>
--- a/test/state-service-outages.test.ts
+++ b/test/state-service-outages.test.ts
@@ -2,8 +2,7 @@
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { clusterOfEight, deliverHeartbeatCopy } from './scenarios/partition-scenarios.js';
-import { newCluster } from './scenarios/takeover-scenarios.js';
+import { deliverHeartbeatCopy } from './scenarios/partition-scenarios.js';
 import {
   assertGoldenTrace,
   holderOf,
@@ -15,7 +14,7 @@
 } from './simulation/index.js';
 
 test('no start while the state service is away for long, and none is lost when it is back', () => {
-  const cluster = newCluster();
+  const cluster = smallCluster(6);
   cluster.isStateServiceDown = true;
   cluster.run(12);
   const before = cluster.trace.length;
@@ -27,7 +26,7 @@
 });
 
 test('an answer never goes back: a controller without the state service refuses rather than guess', () => {
-  const cluster = newCluster();
+  const cluster = smallCluster(6);
   cluster.submit(job('run-b', { tasks: 1, estimatedRunS: 300 }), cluster.controller('n0'));
   cluster.controller('n2').isRefusedByStateService = true;
   cluster.run(1);
@@ -37,7 +36,7 @@
 });
 
 test('in an outage longer than a lease nobody acts; after it the holders go on, and probe no machine anew', () => {
-  const cluster = newCluster();
+  const cluster = smallCluster(6);
   cluster.submit(job('run-x', { shape: 'service', priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-x') === 1);
   cluster.isStateServiceDown = true;
@@ -204,7 +203,7 @@
 }
 
 test('a controller that alone lost the state service says so to the load balancer; in an outage of all none does', () => {
-  const cluster = clusterOfEight();
+  const cluster = smallCluster(8);
   const node = cluster.controller('n2');
   node.isRefusedByStateService = true;
   cluster.run(8);
@@ -229,7 +228,7 @@
 });
 
 test('a controller with its workers alone stops commanding with its lease, and refuses heartbeats soon after', () => {
-  const cluster = clusterOfEight();
+  const cluster = smallCluster(8);
   const node = cluster.controller('n2');
   const worker = cluster.workers.find((candidate) => candidate.zone === 'east') as SimulatedWorker;
   node.isRefusedByStateService = true;
@@ -255,7 +254,7 @@
 });
 
 test('once troubles are over, every accepted job is answered by every controller, whatever became of its shard', () => {
-  const cluster = clusterOfEight();
+  const cluster = smallCluster(8);
   for (let index = 0; index < 9; index++) {
     const team = ['red', 'blue', 'green'][index % 3] as string;
     cluster.submit(job(`run-${index}`, { team, estimatedRunS: index < 3 ? 3 : 400 }), cluster.controllers[index % 3]);
