--- a/test/failure-detection.test.ts
+++ b/test/failure-detection.test.ts
@@ -172,7 +172,7 @@
   for (let index = 0; index < 60; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.run(300);
   for (const node of cluster.controllers) node.restart();
-  for (const worker of cluster.workers) worker.nextReport = cluster.now + 4000;
+  for (const worker of cluster.workers) worker.nextHeartbeatAt = cluster.now + 4000;
   cluster.runUntilSettled();
   cluster.run(20);
   assert.deepEqual(
--- a/test/loopback/state-server.ts
+++ b/test/loopback/state-server.ts
@@ -76,7 +76,7 @@
     const since = query.get('since') ?? '';
     const keys = [...this.state.keys.keys()].filter((key) => key.startsWith(starts) && key > since).sort();
     const page = keys.slice(0, Math.min(MOST_ROWS, Number(query.get('most') ?? MOST_ROWS)));
-    const rows = page.map((key) => ({ k: key, v: this.state.keys.get(key)?.value, stamp: this.state.keys.get(key)?.stamp }));
+    const rows = page.map((key) => ({ k: key, v: this.state.keys.get(key)?.value, stamp: this.state.keys.get(key)?.revision }));
     return { status: 200, body: { rows, has_next: page.length < keys.length, ledger: this.state.revision } };
   }
 
--- a/test/randomized/faults.ts
+++ b/test/randomized/faults.ts
@@ -1,7 +1,8 @@
-// Troubles that meet in a walk, and what undoes each of them.
+/** Faults that a randomized simulation injects in combination, and what undoes each of them. */
 import type { SimulatedCluster } from '../simulation/index.js';
 import type { Random } from './random.js';
 
+/** The kinds of faults, as traces name them. */
 export const FAULTS = [
   'outage',
   'refused',
@@ -27,22 +28,25 @@
   'machines begin again',
   'cancel now',
 ] as const;
+
+/** One kind of fault. */
 export type Fault = (typeof FAULTS)[number];
 
-/** Most copies of reports that are kept for the next holder. */
+/** Most copies of heartbeats that are kept for the next holder. */
 const COPIES_KEPT = 200;
 
+/** Begins faults, and undoes each when its time is over. */
 export class FaultInjector {
-  /** what undoes each trouble under way */
+  /** what undoes each fault that stands */
   private readonly undo: { at: number; run: () => void }[] = [];
   private copies: 'none' | 'late' | 'for the next leader' = 'none';
-  private readonly kept: (() => void)[] = [];
+  private readonly keptCopies: (() => void)[] = [];
   private holders = '';
 
   constructor(
     private readonly cluster: SimulatedCluster,
     private readonly random: Random,
-    /** users call off what they submitted lately */
+    /** cancels what users submitted lately */
     private readonly cancelNow: () => void,
   ) {
     this.cluster.onHeartbeat = (heartbeat) => {
@@ -52,26 +56,26 @@
         for (const node of this.cluster.controllers) if (node.up) node.receiveHeartbeat(copy, () => {});
       };
       if (this.copies === 'late') this.cluster.at(this.cluster.now + 2000 + 20_000 * this.random.next(), send);
-      else if (this.kept.length < COPIES_KEPT) this.kept.push(send);
+      else if (this.keptCopies.length < COPIES_KEPT) this.keptCopies.push(send);
     };
   }
 
   /** What is over by now is undone; a copy that was kept comes just as a new holder begins. */
   step(): void {
-    const due = this.undo.filter((u) => u.at <= this.cluster.now);
-    for (const u of due) {
-      this.undo.splice(this.undo.indexOf(u), 1);
-      u.run();
+    const due = this.undo.filter((pending) => pending.at <= this.cluster.now);
+    for (const pending of due) {
+      this.undo.splice(this.undo.indexOf(pending), 1);
+      pending.run();
     }
-    if (this.kept.length === 0) return;
+    if (this.keptCopies.length === 0) return;
     const holders = JSON.stringify(this.cluster.controllers.map((node) => [...node.controller.shardLeases.heldLeases]));
-    if (holders !== this.holders) for (const send of this.kept.splice(0)) send();
+    if (holders !== this.holders) for (const send of this.keptCopies.splice(0)) send();
     this.holders = holders;
   }
 
-  /** All troubles are over. */
+  /** Undoes all faults. */
   end(): void {
-    for (const u of this.undo.splice(0)) u.run();
+    for (const pending of this.undo.splice(0)) pending.run();
     for (const node of this.cluster.controllers) {
       if (!node.up) node.restart();
       if (node.isPaused) node.resume();
@@ -84,30 +88,30 @@
     this.undo.push({ at: this.cluster.now + seconds * 1000, run });
   }
 
-  /** One of them begins, for so many seconds. */
-  begin(kind: Fault, s: number): void {
+  /** Begins a fault that lasts for so many seconds. */
+  begin(kind: Fault, seconds: number): void {
     const { cluster } = this;
     const node = this.random.pick(cluster.controllers);
     const live = cluster.workers.filter((worker) => !worker.dead);
-    const some = new Set(live.filter(() => this.random.next() < 0.3).map((worker) => worker.name));
-    cluster.note(`${kind} for ${s.toFixed(1)} s (${node.name})`);
-    const isNode = (x: string) => x.startsWith('n');
+    const affected = new Set(live.filter(() => this.random.next() < 0.3).map((worker) => worker.name));
+    cluster.note(`${kind} for ${seconds.toFixed(1)} s (${node.name})`);
+    const isController = (name: string) => name.startsWith('n');
     switch (kind) {
       case 'outage':
         cluster.isStateServiceDown = true;
-        return this.after(s, () => {
+        return this.after(seconds, () => {
           cluster.isStateServiceDown = false;
         });
       case 'refused':
         node.isRefusedByStateService = true;
-        return this.after(s, () => {
+        return this.after(seconds, () => {
           node.isRefusedByStateService = false;
         });
       case 'crash':
       case 'bounce':
         if (!node.up) return;
         node.crash();
-        return this.after(kind === 'bounce' ? 0.3 : Math.min(s, 6), () => {
+        return this.after(kind === 'bounce' ? 0.3 : Math.min(seconds, 6), () => {
           if (!node.up) node.restart();
         });
       case 'crash all':
@@ -118,78 +122,78 @@
       case 'freeze':
         if (!node.up || node.isPaused) return;
         node.pause();
-        return this.after(s, () => {
+        return this.after(seconds, () => {
           if (node.up && node.isPaused) node.resume(this.random.next() < 0.3);
         });
       case 'hang': {
         const worker = this.random.pick(live);
         worker.hung = true;
-        return this.after(Math.min(s, 11) * this.random.next() + 1, () => {
+        return this.after(Math.min(seconds, 11) * this.random.next() + 1, () => {
           worker.hung = false;
         });
       }
       case 'deaf':
-        cluster.isDeaf = (_n, m) => some.has(m);
-        return this.after(s, () => {
+        cluster.isDeaf = (_controller, machine) => affected.has(machine);
+        return this.after(seconds, () => {
           cluster.isDeaf = () => false;
         });
       case 'mute':
-        cluster.isMute = (m) => some.has(m);
-        return this.after(s, () => {
+        cluster.isMute = (machine) => affected.has(machine);
+        return this.after(seconds, () => {
           cluster.isMute = () => false;
         });
       case 'commands lost':
       case 'commands late':
-        cluster.losesCommands = (_n, m) => some.has(m);
+        cluster.losesCommands = (_controller, machine) => affected.has(machine);
         if (kind === 'commands late') cluster.lateCommandDelayMs = () => 1000 + 30_000 * this.random.next();
-        return this.after(s, () => {
+        return this.after(seconds, () => {
           cluster.losesCommands = () => false;
           cluster.lateCommandDelayMs = null;
         });
       case 'zone cut': {
-        const west = (x: string) => x === 'n1' || cluster.worker(x)?.zone === 'west';
-        cluster.isPartitioned = (a, b) => west(a) !== west(b);
-        return this.after(s, () => {
+        const isWest = (name: string) => name === 'n1' || cluster.worker(name)?.zone === 'west';
+        cluster.isPartitioned = (a, b) => isWest(a) !== isWest(b);
+        return this.after(seconds, () => {
           cluster.isPartitioned = () => false;
         });
       }
       case 'peers cut':
       case 'alone with its workers':
-        cluster.isPartitioned = (a, b) => isNode(a) && isNode(b) && (a === node.name || b === node.name);
+        cluster.isPartitioned = (a, b) => isController(a) && isController(b) && (a === node.name || b === node.name);
         if (kind === 'alone with its workers') node.isRefusedByStateService = true;
-        return this.after(s, () => {
+        return this.after(seconds, () => {
           cluster.isPartitioned = () => false;
           if (kind === 'alone with its workers') node.isRefusedByStateService = false;
         });
       case 'lost answers':
       case 'late writes':
-        cluster.losesTransactionAnswer = (_e, apply) => {
+        cluster.losesTransactionAnswer = (_transaction, apply) => {
           if (this.random.next() > 0.3) return false;
           if (kind === 'lost answers') apply();
           else cluster.at(cluster.now + 2000 + 10_000 * this.random.next(), apply);
           return true;
         };
-        return this.after(s, () => {
+        return this.after(seconds, () => {
           cluster.losesTransactionAnswer = null;
         });
       case 'slow answers':
         cluster.transactionAnswerMs = () => 10 + 1300 * this.random.next();
-        return this.after(s, () => {
+        return this.after(seconds, () => {
           cluster.transactionAnswerMs = () => 10;
         });
       case 'watch lags':
         node.isWatchLagging = true;
-        return this.after(Math.min(s, 6), () => {
+        return this.after(Math.min(seconds, 6), () => {
           node.isWatchLagging = false;
         });
       case 'late reports':
         this.copies = this.random.next() < 0.5 ? 'late' : 'for the next leader';
-        return this.after(s, () => {
+        return this.after(seconds, () => {
           this.copies = 'none';
         });
       case 'cloud down':
         cluster.isCloudDown = true;
-        return this.after(s, () => {
+        return this.after(seconds, () => {
           cluster.isCloudDown = false;
         });
       case 'machine dies': {
@@ -199,7 +203,7 @@
         return;
       }
       case 'machines begin again':
-        for (const worker of live) if (some.has(worker.name) && !worker.hung) worker.reboot();
+        for (const worker of live) if (affected.has(worker.name) && !worker.hung) worker.reboot();
         return;
       case 'cancel now':
         this.cancelNow();
--- a/test/randomized/invariants.ts
+++ b/test/randomized/invariants.ts
@@ -1,4 +1,4 @@
-// What must hold inside a controller at every step, beside the rules that are judged from outside.
+/** What must hold inside a controller at every step, beside the rules that are judged from outside. */
 import type { ControllerVersion, SimulatedCluster, SimulatedController } from '../simulation/index.js';
 
 /**
--- a/test/randomized/random.ts
+++ b/test/randomized/random.ts
@@ -1,5 +1,6 @@
-// Numbers that look random and are the same for the same seed.
+/** Pseudo-random numbers, the same for the same seed. */
 
+/** A generator of pseudo-random numbers. */
 export class Random {
   private state: number;
 
--- a/test/randomized/randomized-simulation.ts
+++ b/test/randomized/randomized-simulation.ts
@@ -1,5 +1,7 @@
-// A seeded random walk: users go on submitting, asking and calling off while troubles meet in pairs, and
-// every rule of PROTOCOL that can be seen from workers and users is checked after each step.
+/**
+ * A seeded randomized simulation: users go on submitting, querying and cancelling while faults combine, and every rule of
+ * PROTOCOL that can be seen from workers and users is checked after each step.
+ */
 import type { ControllerSettings } from '@archpost/controller';
 import { type ControllerVersion, SimulatedCluster, type SimulatedController } from '../simulation/index.js';
 import { FAULTS, type Fault, FaultInjector } from './faults.js';
@@ -7,9 +9,9 @@
 import { Random } from './random.js';
 import { SimulatedUsers, type UserOptions } from './users.js';
 
-/** What a walk has beside troubles. */
+/** What a randomized simulation has beside faults. */
 export interface RandomizedSimulationOptions extends UserOptions {
-  /** troubles that may come */
+  /** faults that may come */
   only?: readonly Fault[];
   /** the version that all controllers run at first; one after another they get the present one */
   from?: ControllerVersion;
@@ -17,7 +19,7 @@
   next?: { valueKib: number; writesPerTransaction: number; writesPerS: number };
   /** machines at the start, instead of a handful */
   machines?: { small: number; big: number };
-  /** settings that differ from those of the stand-ins */
+  /** settings that differ from those of the fixtures */
   tune?: (settings: ControllerSettings) => ControllerSettings;
   /** inputs that a controller has processor time for in a tenth of a second */
   inputsPerTick?: number;
@@ -35,12 +37,12 @@
 /** The limits of the state service fall a while after the last controller got it. */
 const LIMITS_FALL_MS = UPGRADE_AT_MS + 4 * UPGRADE_EACH_MS;
 
-/** One walk: its cluster, its users and its troubles. */
+/** One run: its cluster, its users and its faults. */
 export class RandomizedSimulation {
-  readonly c: SimulatedCluster;
+  readonly cluster: SimulatedCluster;
   readonly users: SimulatedUsers;
   private readonly random: Random;
-  private readonly troubles: FaultInjector;
+  private readonly faults: FaultInjector;
   private readonly only: readonly Fault[];
 
   constructor(
@@ -49,12 +51,12 @@
   ) {
     this.only = options.only ?? FAULTS;
     this.random = new Random(seed);
-    this.c = this.makeCluster();
+    this.cluster = this.makeCluster();
     if (options.from) this.startWith(options.from);
     this.addMachines();
-    this.c.runUntilSettled();
-    this.users = new SimulatedUsers(this.c, this.random, options, () => this.upgraded);
-    this.troubles = new FaultInjector(this.c, this.random, () => this.users.cancelLately());
+    this.cluster.runUntilSettled();
+    this.users = new SimulatedUsers(this.cluster, this.random, options, () => this.upgraded);
+    this.faults = new FaultInjector(this.cluster, this.random, () => this.users.cancelLately());
   }
 
   private get machines(): { small: number; big: number } {
@@ -69,7 +71,7 @@
       state: { ...settings.state, next: next ?? null },
       policy: { ...settings.policy, holdSpareCapacity: false, idleS: 60, maxMachines: small + big + 7 },
     });
-    const cluster = new SimulatedCluster(undefined, (s) => (tune ? tune(settings(s)) : settings(s)));
+    const cluster = new SimulatedCluster(undefined, (defaults) => (tune ? tune(settings(defaults)) : settings(defaults)));
     if (state) Object.assign(cluster.stateService, state);
     for (const node of cluster.controllers) node.inputsPerTick = inputsPerTick ?? Number.POSITIVE_INFINITY;
     cluster.bootTimeMs = () => 1000 + 5000 * this.random.next();
@@ -78,16 +80,16 @@
 
   private addMachines(): void {
     const { small, big } = this.machines;
-    for (let index = 0; index < small; index++) this.c.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
-    for (let index = 0; index < big; index++) this.c.machine(`g${index}`, 'big', index % 2 === 0 ? 'east' : 'west');
+    for (let index = 0; index < small; index++) this.cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+    for (let index = 0; index < big; index++) this.cluster.machine(`g${index}`, 'big', index % 2 === 0 ? 'east' : 'west');
   }
 
   private startWith(old: ControllerVersion): void {
-    this.c.controllers.forEach((node, index) => {
+    this.cluster.controllers.forEach((node, index) => {
       const present = node.version;
       node.version = old;
       node.restart();
-      this.c.at(UPGRADE_AT_MS + index * UPGRADE_EACH_MS, () => {
+      this.cluster.at(UPGRADE_AT_MS + index * UPGRADE_EACH_MS, () => {
         node.version = present;
         if (node.up) node.crash();
         node.restart();
@@ -97,33 +99,33 @@
 
   /** Nothing new is asked, and no limit falls, before all controllers have the present version. */
   private get upgraded(): boolean {
-    return !this.options.from || this.c.controllers.every((node) => node.running !== this.options.from);
+    return !this.options.from || this.cluster.controllers.every((node) => node.running !== this.options.from);
   }
 
   private step(): void {
-    this.troubles.step();
+    this.faults.step();
     const { next } = this.options;
-    if (next && this.upgraded && !this.c.stateService.limits && this.c.now > LIMITS_FALL_MS) {
-      this.c.note('the state service lowers its limits');
-      this.c.stateService.limits = {
+    if (next && this.upgraded && !this.cluster.stateService.limits && this.cluster.now > LIMITS_FALL_MS) {
+      this.cluster.note('the state service lowers its limits');
+      this.cluster.stateService.limits = {
         valueBytes: next.valueKib * 1024,
         writesPerTransaction: next.writesPerTransaction,
         writesPerS: next.writesPerS,
       };
     }
-    this.c.run(0.1);
-    checkDerivedState(this.c, this.options.from);
+    this.cluster.run(0.1);
+    checkDerivedState(this.cluster, this.options.from);
   }
 
-  /** Troubles by twos and threes for so long, then peace. */
+  /** Faults by twos and threes for so long; once they are over, everything must come to rest. */
   run(seconds: number): void {
-    const { random, users, troubles } = this;
-    const end = this.c.now + seconds * 1000;
-    while (this.c.now < end) {
-      const s = 2 + 28 * random.next() * random.next();
-      const long = random.next() < 0.1 ? 45 : s;
+    const { random, users, faults } = this;
+    const end = this.cluster.now + seconds * 1000;
+    while (this.cluster.now < end) {
+      const usualS = 2 + 28 * random.next() * random.next();
+      const durationS = random.next() < 0.1 ? 45 : usualS;
       for (let index = 0; index < 2 + random.below(2); index++) {
-        troubles.begin(random.pick(this.only), long);
+        faults.begin(random.pick(this.only), durationS);
         for (let candidate = random.below(25); candidate > 0; candidate--) {
           users.step();
           this.step();
@@ -134,18 +136,18 @@
         this.step();
       }
     }
-    troubles.end();
-    this.peace();
+    faults.end();
+    this.checkRecovery();
   }
 
-  /** No share without a holder, no machine out of use, no write that waits for ever. */
-  private atRest(): void {
-    const { c: cluster } = this;
-    const odd = (): string[] => {
+  /** No shard without a holder, no machine out of use, no write that waits for ever. */
+  private checkAtRest(): void {
+    const { cluster } = this;
+    const findings = (): string[] => {
       const result: string[] = [];
-      for (const share of [0, 1, 2, 'lead'] as const)
-        if (!cluster.controllers.some((node) => node.controller.shardLeases.mayActUnder(share, cluster.now)))
-          result.push(`nobody holds ${share}`);
+      for (const shard of [0, 1, 2, 'lead'] as const)
+        if (!cluster.controllers.some((node) => node.controller.shardLeases.mayActUnder(shard, cluster.now)))
+          result.push(`nobody holds ${shard}`);
       for (const worker of cluster.workers) {
         if (worker.dead) continue;
         const used = cluster.controllers.some((node) => {
@@ -163,51 +165,51 @@
         if (node.controller.writer.length > 0) result.push(`${node.name} has ${node.controller.writer.length} writes waiting`);
       return result;
     };
-    // A share may be on its way home, and a machine between two shares.
-    for (let index = 0; index < 90 && odd().length > 0; index++) cluster.run(1);
-    if (odd().length > 0) this.c.broken(`long after the troubles:\n${odd().join('\n')}`);
+    // A shard may be on its way to its preferred holder, and a machine between two shards.
+    for (let index = 0; index < 90 && findings().length > 0; index++) cluster.run(1);
+    if (findings().length > 0) this.cluster.broken(`long after the troubles:\n${findings().join('\n')}`);
   }
 
-  /** Once the troubles are over every job is known everywhere, and what can run has run. */
-  private peace(): void {
-    const { c: cluster, users } = this;
-    for (const [id, told] of users.told) if (!told.accepted) cluster.specs.has(id) && users.asks('submit', id);
+  /** Once the faults are over every job is known everywhere, and what can run has run. */
+  private checkRecovery(): void {
+    const { cluster, users } = this;
+    for (const [id, known] of users.knownJobs) if (!known.accepted) cluster.specs.has(id) && users.request('submit', id);
     cluster.run(60);
     // Services would run for ever; with them gone there is room for all the rest.
     for (let index = 0; index < 5; index++) {
-      for (const [id, told] of users.told)
-        if (told.accepted && told.final === null && (told.cancelAsked || cluster.specs.get(id)?.shape === 'service'))
-          users.asks('cancel', id);
+      for (const [id, known] of users.knownJobs)
+        if (known.accepted && known.final === null && (known.cancelRequested || cluster.specs.get(id)?.shape === 'service'))
+          users.request('cancel', id);
       cluster.run(2);
     }
-    const rest = () =>
-      [...users.told].filter(([id, told]) => {
+    const unfinished = () =>
+      [...users.knownJobs].filter(([id, known]) => {
         const spec = cluster.specs.get(id);
-        if (!told.accepted || told.final !== null || !spec || users.needsCancelled(id)) return false;
-        return !Array.from({ length: spec.tasks }, (_, index) => cluster.finished.has(`${id}/${index}`)).some((x) => x);
+        if (!known.accepted || known.final !== null || !spec || users.needsCancelled(id)) return false;
+        return !Array.from({ length: spec.tasks }, (_, index) => cluster.finished.has(`${id}/${index}`)).some((isDone) => isDone);
       });
-    for (let index = 0; index < 30 && rest().length > 0; index++) cluster.run(10);
-    const left = rest().map(([id]) => `${id} ${JSON.stringify(cluster.specs.get(id))}`);
-    if (left.length > 0) this.c.broken(`still waiting long after the troubles:\n${left.join('\n')}`);
-    this.atRest();
+    for (let index = 0; index < 30 && unfinished().length > 0; index++) cluster.run(10);
+    const left = unfinished().map(([id]) => `${id} ${JSON.stringify(cluster.specs.get(id))}`);
+    if (left.length > 0) this.cluster.broken(`still waiting long after the troubles:\n${left.join('\n')}`);
+    this.checkAtRest();
     if (cluster.stateService.tooLarge > 0) cluster.broken(`${cluster.stateService.tooLarge} changes were too large`);
-    for (const node of cluster.controllers) this.allAnswered(node);
+    for (const node of cluster.controllers) this.checkAllAnswered(node);
   }
 
   /** Every accepted job is answered by the controller, a few at a time, and what was cancelled before it is, too. */
-  private allAnswered(node: SimulatedController): void {
-    const { c: cluster, users } = this;
-    const accepted = [...users.told].filter(([, told]) => told.accepted);
+  private checkAllAnswered(node: SimulatedController): void {
+    const { cluster, users } = this;
+    const accepted = [...users.knownJobs].filter(([, known]) => known.accepted);
     for (let at = 0; at < accepted.length; at += ASKED_AT_ONCE) {
       const some = accepted.slice(at, at + ASKED_AT_ONCE);
-      for (const [id, told] of some) {
-        told.answeredAt = -1;
-        users.asks('poll', id, node);
+      for (const [id, known] of some) {
+        known.answeredAt = -1;
+        users.request('poll', id, node);
       }
-      for (let index = 0; index < 30 && some.some(([, told]) => told.answeredAt < 0); index++) cluster.run(0.1);
-      for (const [id, told] of some) {
-        if (told.answeredAt < 0) cluster.broken(`forgotten: ${id} is not answered by ${node.name}`);
-        if (users.needsCancelled(id) && told.final !== 'aborted') cluster.broken(`orphaned: ${id} goes on at ${node.name}`);
+      for (let index = 0; index < 30 && some.some(([, known]) => known.answeredAt < 0); index++) cluster.run(0.1);
+      for (const [id, known] of some) {
+        if (known.answeredAt < 0) cluster.broken(`forgotten: ${id} is not answered by ${node.name}`);
+        if (users.needsCancelled(id) && known.final !== 'aborted') cluster.broken(`orphaned: ${id} goes on at ${node.name}`);
       }
     }
   }
--- a/test/randomized/users.ts
+++ b/test/randomized/users.ts
@@ -1,13 +1,13 @@
-// The users of a walk: what they submit, ask and call off, and what they were told.
+/** The users of a randomized simulation: what they submit, query and cancel, and what they were answered. */
 import type { JobSpec } from '@archpost/protocol';
 import { job, type SimulatedCluster, type SimulatedController } from '../simulation/index.js';
 import type { Random } from './random.js';
 
-/** What users were told of a job, by whichever controller. */
-export interface Told {
+/** What users were answered about a job, by whichever controller. */
+export interface KnownJob {
   accepted: boolean;
   final: 'done' | 'aborted' | null;
-  cancelAsked: boolean;
+  cancelRequested: boolean;
   /** the last time that anybody got an answer about it */
   answeredAt: number;
 }
@@ -24,6 +24,7 @@
   cancelled: number;
 }
 
+/** What users do beside the usual. */
 export interface UserOptions {
   /** jobs that await others */
   pipelines?: boolean;
@@ -41,7 +42,7 @@
 
 /** Several users, who come to any controller. */
 export class SimulatedUsers {
-  readonly told = new Map<string, Told>();
+  readonly knownJobs = new Map<string, KnownJob>();
   private jobs = 0;
   private chains: Chain[] = [];
   private readonly toCancel = new Set<string>();
@@ -51,40 +52,41 @@
     private readonly random: Random,
     private readonly options: UserOptions,
     /** nothing new is asked before all controllers have the present version */
-    private readonly mayAskNewThings: () => boolean,
+    private readonly mayUseNewFeatures: () => boolean,
   ) {}
 
-  private node(): SimulatedController | undefined {
+  private anyController(): SimulatedController | undefined {
     const up = this.cluster.controllers.filter((node) => node.up);
     return up.length > 0 ? this.random.pick(up) : undefined;
   }
 
   /** Compares an answer with what was told before it was asked for. */
-  private hears(id: string, before: Told, status: number, said: string): void {
+  private recordAnswer(id: string, before: KnownJob, status: number, state: string): void {
     if (status === 503 || status === 429) return;
-    const told = this.told.get(id) as Told;
-    told.answeredAt = this.cluster.now;
+    const known = this.knownJobs.get(id) as KnownJob;
+    known.answeredAt = this.cluster.now;
     if (before.accepted && (status === 404 || status === 400 || status === 422))
       this.cluster.broken(`forgotten: ${id} answered ${status}`);
-    // No user of a walk submits what can't run, nor names what was never accepted.
+    // No simulated user submits what can't run, nor names what was never accepted.
     if (status === 422) this.cluster.broken(`forgotten: ${id} refused`);
     if (status !== 200 && status !== 201) return;
-    if (before.final && said !== before.final) this.cluster.broken(`went_back: ${id} was ${before.final}, is called ${said}`);
-    if (said === 'aborted' && !this.mayBeCancelled(id)) this.cluster.broken(`went_back: ${id} called cancelled, its user didn't`);
-    if (said === 'done' && !this.cluster.allTasksDone(id)) this.cluster.broken(`not_done: ${id} is called done`);
-    if (said === 'done' || said === 'aborted') told.final = said;
-    told.accepted = true;
-    this.cluster.rules.told(id, said);
+    if (before.final && state !== before.final) this.cluster.broken(`went_back: ${id} was ${before.final}, is called ${state}`);
+    if (state === 'aborted' && !this.mayBeCancelled(id))
+      this.cluster.broken(`went_back: ${id} called cancelled, its user didn't`);
+    if (state === 'done' && !this.cluster.allTasksDone(id)) this.cluster.broken(`not_done: ${id} is called done`);
+    if (state === 'done' || state === 'aborted') known.final = state;
+    known.accepted = true;
+    this.cluster.rules.recordAnswer(id, state);
   }
 
   /** Its user asked to cancel it, or one that it needs. */
   private mayBeCancelled(id: string): boolean {
-    return this.told.get(id)?.cancelAsked === true || this.awaited(id).some((other) => this.mayBeCancelled(other));
+    return this.knownJobs.get(id)?.cancelRequested === true || this.awaited(id).some((other) => this.mayBeCancelled(other));
   }
 
   /** A job that it needs was told to be cancelled. */
   needsCancelled(id: string): boolean {
-    return this.awaited(id).some((other) => this.told.get(other)?.final === 'aborted' || this.needsCancelled(other));
+    return this.awaited(id).some((other) => this.knownJobs.get(other)?.final === 'aborted' || this.needsCancelled(other));
   }
 
   private awaited(id: string): string[] {
@@ -93,22 +95,22 @@
 
   /** Half of the jobs need a few of those that were accepted lately, in whatever state these are. */
   private chooseAwaited(id: string): void {
-    if (!this.options.pipelines || !this.mayAskNewThings() || this.random.next() < 0.5) return;
-    const known = [...this.told]
-      .filter(([other, told]) => told.accepted && this.cluster.specs.get(other)?.shape !== 'service')
+    if (!this.options.pipelines || !this.mayUseNewFeatures() || this.random.next() < 0.5) return;
+    const known = [...this.knownJobs]
+      .filter(([other, candidate]) => candidate.accepted && this.cluster.specs.get(other)?.shape !== 'service')
       .slice(-8);
     if (known.length === 0) return;
     const names = Array.from({ length: 1 + this.random.below(3) }, () => this.random.pick(known)[0]);
     this.cluster.awaits.set(id, [...new Set(names)]);
   }
 
-  asks(kind: 'submit' | 'poll' | 'cancel', id: string, node = this.node()): void {
+  request(kind: 'submit' | 'poll' | 'cancel', id: string, node = this.anyController()): void {
     const spec = this.cluster.specs.get(id);
-    const told = this.told.get(id);
-    if (!node || !spec || !told) return;
-    const before = { ...told };
-    if (kind === 'cancel') told.cancelAsked = true;
-    const then = (status: number, body: Record<string, unknown>) => this.hears(id, before, status, String(body.status));
+    const known = this.knownJobs.get(id);
+    if (!node || !spec || !known) return;
+    const before = { ...known };
+    if (kind === 'cancel') known.cancelRequested = true;
+    const then = (status: number, body: Record<string, unknown>) => this.recordAnswer(id, before, status, String(body.status));
     if (kind === 'submit') node.submit(spec, then);
     else if (kind === 'poll') node.queryStatus(id, then);
     else node.cancel(id, then);
@@ -169,8 +171,8 @@
         }),
       );
     this.chooseAwaited(id);
-    this.told.set(id, { accepted: false, final: null, cancelAsked: false, answeredAt: this.cluster.now });
-    this.asks('submit', id);
+    this.knownJobs.set(id, { accepted: false, final: null, cancelRequested: false, answeredAt: this.cluster.now });
+    this.request('submit', id);
   }
 
   /** Work at full rate: chains whose jobs are submitted as soon as those before are accepted, and jobs of one task. */
@@ -186,7 +188,7 @@
       });
       if (this.random.next() < cancelled) this.cancelLater([id]);
     }
-    if (this.mayAskNewThings() && perStep(chainsPerS)) {
+    if (this.mayUseNewFeatures() && perStep(chainsPerS)) {
       const ids: string[] = [];
       this.chains.push({ ids, length: 4 + this.random.below(4), team: this.random.pick(TEAMS) });
       if (this.random.next() < cancelled) this.cancelLater(ids);
@@ -198,8 +200,8 @@
   /** The next job of a chain awaits one or two of those before it, the last of them among these. */
   private continueChain({ ids, team }: Chain): void {
     const last = ids.at(-1);
-    if (last !== undefined && !this.told.get(last)?.accepted) {
-      if (this.random.next() < 0.1) this.asks('submit', last);
+    if (last !== undefined && !this.knownJobs.get(last)?.accepted) {
+      if (this.random.next() < 0.1) this.request('submit', last);
       return;
     }
     const awaits = last === undefined ? [] : [...new Set([last, this.random.pick(ids)])];
@@ -224,8 +226,8 @@
     const id = `run-w${this.jobs++}`;
     this.cluster.specs.set(id, job(id, { team: this.random.pick(TEAMS), ...over }));
     if (awaits.length > 0) this.cluster.awaits.set(id, awaits);
-    this.told.set(id, { accepted: false, final: null, cancelAsked: false, answeredAt: this.cluster.now });
-    this.asks('submit', id);
+    this.knownJobs.set(id, { accepted: false, final: null, cancelRequested: false, answeredAt: this.cluster.now });
+    this.request('submit', id);
     return id;
   }
 
@@ -240,11 +242,11 @@
   /** Whoever wants a job cancelled asks until it is over; whoever waits for one asks now and then. */
   private persist(): void {
     for (const id of this.toCancel) {
-      if (this.told.get(id)?.final !== null) this.toCancel.delete(id);
-      else if (this.random.next() < 0.05) this.asks('cancel', id);
+      if (this.knownJobs.get(id)?.final !== null) this.toCancel.delete(id);
+      else if (this.random.next() < 0.05) this.request('cancel', id);
     }
-    const open = [...this.told].filter(([, told]) => told.accepted && told.final === null);
-    for (let index = 0; index < open.length / 50; index++) this.asks('poll', this.random.pick(open)[0]);
+    const open = [...this.knownJobs].filter(([, known]) => known.accepted && known.final === null);
+    for (let index = 0; index < open.length / 50; index++) this.request('poll', this.random.pick(open)[0]);
   }
 
   /** What users do in a tenth of a second. */
@@ -254,28 +256,29 @@
       this.persist();
     }
     if (this.random.next() < 0.1) this.newJob();
-    const ids = [...this.told.keys()];
+    const ids = [...this.knownJobs.keys()];
     if (ids.length === 0) return;
     const late = ids.slice(-12);
-    if (this.random.next() < 0.2) this.asks('poll', this.random.pick(late));
-    if (this.random.next() < 0.1) this.asks('poll', this.random.pick(ids));
+    if (this.random.next() < 0.2) this.request('poll', this.random.pick(late));
+    if (this.random.next() < 0.1) this.request('poll', this.random.pick(ids));
     // Close looks: at all controllers at once.
     if (this.random.next() < 0.1) {
       const id = this.random.pick(late);
-      for (const node of this.cluster.controllers) if (node.up) this.asks(this.random.next() < 0.3 ? 'submit' : 'poll', id, node);
+      for (const node of this.cluster.controllers)
+        if (node.up) this.request(this.random.next() < 0.3 ? 'submit' : 'poll', id, node);
     }
-    if (this.random.next() < 0.05) this.asks('submit', this.random.pick(ids));
-    if (this.random.next() < 0.025) this.asks('cancel', this.random.pick(late));
+    if (this.random.next() < 0.05) this.request('submit', this.random.pick(ids));
+    if (this.random.next() < 0.025) this.request('cancel', this.random.pick(late));
     // Whoever was not accepted, or not told that it is cancelled, asks again.
     for (const id of late) {
-      const told = this.told.get(id) as Told;
-      if (!told.accepted && this.random.next() < 0.1) this.asks('submit', id);
-      if (told.cancelAsked && told.final === null && this.random.next() < 0.1) this.asks('cancel', id);
+      const known = this.knownJobs.get(id) as KnownJob;
+      if (!known.accepted && this.random.next() < 0.1) this.request('submit', id);
+      if (known.cancelRequested && known.final === null && this.random.next() < 0.1) this.request('cancel', id);
     }
   }
 
   /** All who submitted something lately that runs call it off. */
   cancelLately(): void {
-    for (const [id, told] of [...this.told].slice(-6)) if (told.accepted && !told.final) this.asks('cancel', id);
+    for (const [id, known] of [...this.knownJobs].slice(-6)) if (known.accepted && !known.final) this.request('cancel', id);
   }
 }
--- a/test/simulation-rules.test.ts
+++ b/test/simulation-rules.test.ts
@@ -16,7 +16,7 @@
       cluster.finished.add('run-a/0');
       worker.obey([{ type: 'start', job: 'run-b', index: 0, attempt: 1 }]);
       cluster.finished.clear();
-      cluster.rules.told('run-a', 'aborted');
+      cluster.rules.recordAnswer('run-a', 'aborted');
       worker.hung = true;
       cluster.run(37);
     },
@@ -24,7 +24,7 @@
   {
     rule: /ran_cancelled: run-a starts/,
     plant: (cluster, worker) => {
-      cluster.rules.told('run-a', 'aborted');
+      cluster.rules.recordAnswer('run-a', 'aborted');
       cluster.run(37);
       worker.obey([{ type: 'start', job: 'run-a', index: 0, attempt: 1 }]);
     },
@@ -32,16 +32,16 @@
   {
     rule: /orphaned: run-b is called queued/,
     plant: (cluster) => {
-      cluster.rules.told('run-a', 'aborted');
+      cluster.rules.recordAnswer('run-a', 'aborted');
       cluster.run(37);
-      cluster.rules.told('run-b', 'queued');
+      cluster.rules.recordAnswer('run-b', 'queued');
     },
   },
   {
     rule: /orphaned: run-a\/0 runs on, it was told done/,
     plant: (cluster, worker) => {
       worker.obey([{ type: 'start', job: 'run-a', index: 0, attempt: 1 }]);
-      cluster.rules.told('run-a', 'done');
+      cluster.rules.recordAnswer('run-a', 'done');
       worker.hung = true;
       cluster.run(37);
     },
--- a/test/simulation/cluster.ts
+++ b/test/simulation/cluster.ts
@@ -1,4 +1,4 @@
-// Controllers, state service, cloud, workers and users in one simulated time. Nothing here is random.
+/** Controllers, state service, cloud, workers and users in one simulated time. Nothing here is random. */
 import assert from 'node:assert/strict';
 import { mkdirSync, readFileSync, writeFileSync } from 'node:fs';
 import type { ControllerSettings, Effect } from '@archpost/controller';
@@ -8,7 +8,7 @@
 import { SimulatedStateService } from './state-service.js';
 import { SimulatedWorker } from './worker.js';
 
-/** The whole world. Every step checks the rules that can be seen from the workers. */
+/** A cluster in simulated time. Every step checks the rules that can be seen from the workers. */
 export class SimulatedCluster {
   now = 0;
   readonly leaseMs = 12_000;
@@ -26,14 +26,15 @@
   isStateServiceDown = false;
   isCloudDown = false;
   /** says whether a transaction's answer is lost; `apply` carries it out, now or later */
-  losesTransactionAnswer: ((e: Extract<Effect, { type: 'compareAndSwap' }>, apply: () => void) => boolean) | null = null;
+  losesTransactionAnswer: ((transaction: Extract<Effect, { type: 'compareAndSwap' }>, apply: () => void) => boolean) | null =
+    null;
   /** commands that were lost arrive after so long all the same; null: never */
   lateCommandDelayMs: (() => number) | null = null;
   /** true if the two can't reach each other */
   isPartitioned: (a: string, b: string) => boolean = () => false;
-  /** true if what this controller sends doesn't reach the machine, though its reports arrive */
+  /** true if what this controller sends doesn't reach the machine, though its heartbeats arrive */
   isDeaf: (controller: string, machine: string) => boolean = () => false;
-  /** true if direct commands to it are lost, while its reports are answered */
+  /** true if direct commands to it are lost, while its heartbeats are answered */
   losesCommands: (controller: string, machine: string) => boolean = () => false;
   /** true if no connection to the machine can be opened: a direct command never leaves */
   refusesCommands: (controller: string, machine: string) => boolean = () => false;
@@ -47,14 +48,14 @@
   isMute: (machine: string) => boolean = () => false;
   /** sees every message between controllers as it leaves */
   onPeerMessage: ((bytes: Uint8Array) => void) | null = null;
-  /** sees every report as it leaves, to deliver copies late */
+  /** sees every heartbeat as it leaves, to deliver copies late */
   onHeartbeat: ((heartbeat: Heartbeat) => void) | null = null;
   /** how long the answer to a transaction takes, once it is carried out */
   transactionAnswerMs: (controller: string) => number = () => 10;
   /** the cloud has machines left: they are up so long after they were rented */
   bootTimeMs: (() => number) | null = null;
   private rented = 0;
-  /** reports passed on whole by keepers */
+  /** heartbeats that controllers forwarded whole */
   forwardedHeartbeats = 0;
   /** bytes of statuses between controllers, and how many were sent */
   statusBytes = 0;
@@ -70,7 +71,7 @@
   onCommands: ((commands: Command[]) => void) | null = null;
   /** what was asked of the cloud, which has nothing left */
   readonly provisioningRequests: { type: string; spot: boolean; at: number }[] = [];
-  /** questions under way to workers, the most at once at any controller */
+  /** the most probes that any controller had under way at once */
   maxPendingProbes = 0;
   trace: string[] = [];
   private queue: { at: number; run: () => void }[] = [];
@@ -80,7 +81,7 @@
     readonly names = ['n0', 'n1', 'n2'],
     readonly tune: (settings: ControllerSettings) => ControllerSettings = (settings) => settings,
   ) {
-    this.controllers = names.map((n) => new SimulatedController(this, n));
+    this.controllers = names.map((name) => new SimulatedController(this, name));
   }
 
   worker(name: string): SimulatedWorker | undefined {
@@ -114,7 +115,7 @@
     return names;
   }
 
-  /** What the cloud lists: in this stand-in only what it rented out itself. */
+  /** What the cloud lists: in this simulation only what it rented out itself. */
   machineList(): ListedMachine[] {
     if (!this.bootTimeMs) return [];
     return this.workers
@@ -142,11 +143,11 @@
     const end = this.now + seconds * 1000;
     while (this.now < end) {
       this.now += 100;
-      const due = this.queue.filter((q) => q.at <= this.now).sort((a, b) => a.at - b.at);
-      this.queue = this.queue.filter((q) => q.at > this.now);
-      for (const q of due) q.run();
+      const due = this.queue.filter((scheduled) => scheduled.at <= this.now).sort((a, b) => a.at - b.at);
+      this.queue = this.queue.filter((scheduled) => scheduled.at > this.now);
+      for (const scheduled of due) scheduled.run();
       // After an outage all leases have their full time again.
-      if (this.isStateServiceDown) for (const l of this.stateService.leases.values()) l.until = this.now + l.ttl;
+      if (this.isStateServiceDown) for (const lease of this.stateService.leases.values()) lease.until = this.now + lease.ttl;
       else this.stateService.expire(this.now);
       for (const worker of this.workers) worker.tick();
       for (const node of this.controllers) node.tick();
@@ -175,24 +176,24 @@
   }
 
   cancel(id: string, at = this.controllers.find((node) => node.up) as SimulatedController): void {
-    let told = '';
+    let answer = '';
     at.cancel(id, (_code, body) => {
-      told = String(body.status ?? body.error);
+      answer = String(body.status ?? body.error);
     });
-    this.runUntil(`${id} cancelled`, () => told !== '', 6);
-    this.rules.told(id, told);
-    this.note(`user told ${told} for ${id}`);
+    this.runUntil(`${id} cancelled`, () => answer !== '', 6);
+    this.rules.recordAnswer(id, answer);
+    this.note(`user told ${answer} for ${id}`);
   }
 
   /** What a user is told: status code and state. */
   queryStatus(id: string, at = this.controllers.find((node) => node.up) as SimulatedController): string {
-    let said = '';
+    let answer = '';
     at.queryStatus(id, (code, body) => {
-      said = code === 200 ? String(body.status) : String(code);
+      answer = code === 200 ? String(body.status) : String(code);
     });
-    this.runUntil(`${id} answered`, () => said !== '', 6);
-    this.rules.told(id, said);
-    return said;
+    this.runUntil(`${id} answered`, () => answer !== '', 6);
+    this.rules.recordAnswer(id, answer);
+    return answer;
   }
 
   machinesRunning(id: string): string[] {
@@ -220,10 +221,10 @@
     if (!spec) return false;
     const done = Array.from({ length: spec.tasks }, (_, index) => this.finished.has(`${id}/${index}`));
     // A gang completes together: if one task is done, all are.
-    return spec.shape === 'gang' ? done.some((x) => x) : done.every((x) => x);
+    return spec.shape === 'gang' ? done.some((isDone) => isDone) : done.every((isDone) => isDone);
   }
 
-  /** Controllers up, machines granted and answering. */
+  /** Runs until all machines are assigned and have answered; the trace begins anew. */
   runUntilSettled(): void {
     this.runUntil(
       'all machines granted',
@@ -242,7 +243,7 @@
   }
 }
 
-/** Small machines in both zones by turns, granted and answering. */
+/** A settled cluster with this many small machines, in both zones by turns. */
 export function smallCluster(machines: number): SimulatedCluster {
   const cluster = new SimulatedCluster();
   for (let index = 0; index < machines; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
@@ -252,9 +253,11 @@
 
 const anyUp = (cluster: SimulatedCluster) => cluster.controllers.find((node) => node.up);
 
-/** The share that a job belongs to, and the controller that holds a share, as any controller sees it. */
+/** The shard that the job belongs to, as any controller sees it; -1: none knows the job. */
 export const shardOf = (cluster: SimulatedCluster, id: string): number =>
   anyUp(cluster)?.controller.clusterState.jobs.get(id)?.shard ?? -1;
+
+/** The controller that holds the shard, as any controller sees it; empty: none. */
 export const holderOf = (cluster: SimulatedCluster, shard: number | 'lead'): string =>
   anyUp(cluster)?.controller.clusterState.leaseOf(shard)?.holder.controller ?? '';
 
--- a/test/simulation/controller.ts
+++ b/test/simulation/controller.ts
@@ -1,4 +1,4 @@
-// A controller: a real core of some version, with its edges simulated.
+/** A real controller of some version whose connections are simulated. */
 import { Controller, type Effect } from '@archpost/controller';
 import {
   decodePeerMessage,
@@ -21,7 +21,7 @@
 
 const PRESENT: ControllerVersion = { Controller, encodePeerMessage, decodePeerMessage };
 
-/** A controller: a core with its edges simulated. */
+/** Drives a controller in simulated time and carries out its effects on the cluster. */
 export class SimulatedController {
   controller: Controller;
   /** what it runs from its next start on */
@@ -35,9 +35,9 @@
   private backlog: { run: () => void; lost: () => void }[] = [];
   /** the state service refuses this node alone */
   isRefusedByStateService = false;
-  /** inputs that it has processor time for in a tenth of a second: the rest waits, reports first */
+  /** inputs that it has processor time for in a tenth of a second: the rest waits, heartbeats first */
   inputsPerTick = Number.POSITIVE_INFINITY;
-  private readonly waiting: { reports: (() => void)[]; others: (() => void)[] } = { reports: [], others: [] };
+  private readonly waiting: { heartbeats: (() => void)[]; others: (() => void)[] } = { heartbeats: [], others: [] };
   /** its watch brings nothing for now, while all else at the state service goes on */
   isWatchLagging = false;
   private leaseId: number | null = null;
@@ -48,16 +48,17 @@
   private incarnations = 0;
   private answers = new Map<number, (status: number, body: Record<string, unknown>) => void>();
   private nextAnswer = 1;
-  private asked = 0;
+  /** probes that have no outcome yet */
+  private pendingProbes = 0;
 
   constructor(
     readonly cluster: SimulatedCluster,
     readonly name: string,
   ) {
-    this.controller = this.fresh();
+    this.controller = this.newController();
   }
 
-  private fresh(): Controller {
+  private newController(): Controller {
     this.running = this.version;
     return new this.running.Controller(
       this.cluster.tune(settings(this.name, this.cluster.names)),
@@ -68,20 +69,20 @@
   crash(): void {
     this.isPaused = false;
     this.backlog = [];
-    this.waiting.reports.length = 0;
+    this.waiting.heartbeats.length = 0;
     this.waiting.others.length = 0;
     this.up = false;
     this.cluster.note(`${this.name} crashes`);
   }
 
   restart(): void {
-    this.controller = this.fresh();
+    this.controller = this.newController();
     this.leaseId = null;
     this.renewAt = 0;
     this.loadedAt = -1;
     this.loading = null;
     this.answers.clear();
-    this.asked = 0;
+    this.pendingProbes = 0;
     this.up = true;
     this.cluster.note(`${this.name} restarts`);
   }
@@ -102,7 +103,7 @@
     this.run();
   }
 
-  private input(run: () => void, lost: () => void = () => {}, kind: 'reports' | 'others' = 'others'): void {
+  private input(run: () => void, lost: () => void = () => {}, kind: 'heartbeats' | 'others' = 'others'): void {
     if (this.isPaused) {
       this.backlog.push({ run, lost });
       return;
@@ -117,7 +118,7 @@
 
   /** As many of the inputs that wait as there is processor time for. */
   private takeWaiting(): void {
-    const { reports: heartbeats, others } = this.waiting;
+    const { heartbeats, others } = this.waiting;
     for (let taken = 0; taken < this.inputsPerTick && heartbeats.length + others.length > 0; taken++) {
       (heartbeats.shift() ?? others.shift())?.();
       this.run();
@@ -135,7 +136,7 @@
     this.input(
       () => this.controller.receiveHeartbeat(id, heartbeat, this.cluster.now),
       () => {},
-      'reports',
+      'heartbeats',
     );
   }
 
@@ -177,7 +178,7 @@
     this.run();
   }
 
-  /** Reads a page of all keys; with the last one the core gets them all. */
+  /** Reads a page of all keys; with the last one the controller gets them all. */
   private loadPage(now: number): void {
     const { stateService: state } = this.cluster;
     if (this.loading === null) this.loading = { rows: [], revision: state.revision, pages: 0 };
@@ -206,9 +207,9 @@
 
   private effect(effect: Effect): void {
     const { cluster, controller: core } = this;
-    const later = (ms: number, f: () => void, lost: () => void = f) =>
-      cluster.at(cluster.now + ms, () => {
-        if (this.up && this.controller === core) this.input(f, lost);
+    const schedule = (delayMs: number, run: () => void, lost: () => void = run) =>
+      cluster.at(cluster.now + delayMs, () => {
+        if (this.up && this.controller === core) this.input(run, lost);
       });
     if (effect.type === 'respond') {
       const then = this.answers.get(effect.id);
@@ -220,31 +221,31 @@
         cluster.changes.set(kind, (cluster.changes.get(kind) ?? 0) + 1);
       }
       if (cluster.isStateServiceDown || this.isRefusedByStateService)
-        return later(20, () => core.receiveCompareAndSwapOutcome(effect.id, { kind: 'refused' }, cluster.now));
+        return schedule(20, () => core.receiveCompareAndSwapOutcome(effect.id, { kind: 'refused' }, cluster.now));
       const apply = () => cluster.stateService.compareAndSwap(effect, cluster.now);
       if (cluster.losesTransactionAnswer?.(effect, apply))
-        return later(1500, () => core.receiveCompareAndSwapOutcome(effect.id, { kind: 'unknown' }, cluster.now));
+        return schedule(1500, () => core.receiveCompareAndSwapOutcome(effect.id, { kind: 'unknown' }, cluster.now));
       const outcome = apply();
-      later(
+      schedule(
         cluster.transactionAnswerMs(this.name),
         () => core.receiveCompareAndSwapOutcome(effect.id, outcome, cluster.now),
         () => core.receiveCompareAndSwapOutcome(effect.id, { kind: 'unknown' }, cluster.now),
       );
     } else if (effect.type === 'command') {
-      const question = effect.commands.length === 0 ? 1 : 0;
-      cluster.commands += 1 - question;
+      const probeCount = effect.commands.length === 0 ? 1 : 0;
+      cluster.commands += 1 - probeCount;
       cluster.onCommands?.(effect.commands);
-      this.asked += question;
-      cluster.maxPendingProbes = Math.max(cluster.maxPendingProbes, this.asked);
+      this.pendingProbes += probeCount;
+      cluster.maxPendingProbes = Math.max(cluster.maxPendingProbes, this.pendingProbes);
       if (cluster.refusesCommands(this.name, effect.machine)) {
-        return later(2500, () => {
-          this.asked -= question;
+        return schedule(2500, () => {
+          this.pendingProbes -= probeCount;
           core.receiveCommandOutcome(effect.id, { kind: 'refused' }, cluster.now);
         });
       }
       const worker = cluster.worker(effect.machine);
-      const astray = cluster.isDeaf(this.name, effect.machine) || cluster.losesCommands(this.name, effect.machine);
-      if (!worker || worker.dead || worker.hung || cluster.isPartitioned(this.name, effect.machine) || astray) {
+      const isLost = cluster.isDeaf(this.name, effect.machine) || cluster.losesCommands(this.name, effect.machine);
+      if (!worker || worker.dead || worker.hung || cluster.isPartitioned(this.name, effect.machine) || isLost) {
         if (worker?.hung) worker.held.push(() => void worker.command(effect.fencingToken, effect.agentEpoch, effect.commands));
         // The network may deliver what was given up, long after.
         else if (worker && cluster.lateCommandDelayMs) {
@@ -254,27 +255,27 @@
             else if (!worker.dead) arrives();
           });
         }
-        return later(2500, () => {
-          this.asked -= question;
+        return schedule(2500, () => {
+          this.pendingProbes -= probeCount;
           core.receiveCommandOutcome(effect.id, { kind: 'lost' }, cluster.now);
         });
       }
       const answered = (outcome: Parameters<Controller['receiveCommandOutcome']>[1]) => () => {
-        this.asked -= question;
+        this.pendingProbes -= probeCount;
         core.receiveCommandOutcome(effect.id, outcome, cluster.now);
       };
       const outcome = worker.command(effect.fencingToken, effect.agentEpoch, effect.commands);
       const unreadable = outcome.kind === 'ok' && cluster.garblesAnswers(this.name, effect.machine);
-      later(10, answered(unreadable ? { ...outcome, report: null } : outcome), answered({ kind: 'lost' }));
+      schedule(10, answered(unreadable ? { ...outcome, report: null } : outcome), answered({ kind: 'lost' }));
     } else if (effect.type === 'probe') {
       const worker = cluster.worker(effect.address);
-      const ok =
+      const isAnswered =
         worker !== undefined &&
         !worker.dead &&
         !worker.hung &&
         !cluster.isPartitioned(this.name, worker.name) &&
         !cluster.isDeaf(this.name, worker.name);
-      later(ok ? 10 : 1500, () => core.receiveProbeOutcome(effect.id, ok, cluster.now));
+      schedule(isAnswered ? 10 : 1500, () => core.receiveProbeOutcome(effect.id, isAnswered, cluster.now));
     } else if (effect.type === 'sendStatus') {
       cluster.statuses++;
       cluster.statusBytes += encodePeerMessage({ node: this.name, status: effect.status, heartbeat: null }).length;
@@ -295,13 +296,13 @@
     } else if (effect.type === 'readBarrier') {
       cluster.readBarriers++;
     } else if (effect.type === 'release') {
-      if (cluster.isCloudDown) return later(100, () => core.receiveReleaseOutcome(effect.id, false, cluster.now));
+      if (cluster.isCloudDown) return schedule(100, () => core.receiveReleaseOutcome(effect.id, false, cluster.now));
       for (const name of effect.machines) cluster.remove(name);
-      later(100, () => core.receiveReleaseOutcome(effect.id, true, cluster.now));
+      schedule(100, () => core.receiveReleaseOutcome(effect.id, true, cluster.now));
     } else if (effect.type === 'listMachines') {
       cluster.listRequests++;
       const list = cluster.isCloudDown ? null : cluster.machineList();
-      later(100, () => core.receiveMachineList(list, cluster.now));
+      schedule(100, () => core.receiveMachineList(list, cluster.now));
     } else if (effect.type === 'provision') {
       cluster.provisioningRequests.push({ type: effect.request.machineType, spot: effect.request.spot, at: cluster.now });
       const machines = cluster.provision(
@@ -310,9 +311,9 @@
         effect.request.spot,
         effect.request.count,
       );
-      later(100, () =>
+      schedule(100, () =>
         core.receiveProvisioningOutcome(effect.id, machines ? { kind: 'ok', machines } : { kind: 'full' }, cluster.now),
       );
-    } else if (effect.type === 'fetchMachineTypes') later(50, () => core.receiveMachineTypes(TYPES, cluster.now));
+    } else if (effect.type === 'fetchMachineTypes') schedule(50, () => core.receiveMachineTypes(TYPES, cluster.now));
   }
 }
--- a/test/simulation/fixtures.ts
+++ b/test/simulation/fixtures.ts
@@ -1,7 +1,8 @@
-// What the stand-ins and most tests start from: machine types, settings of a controller, a job.
+/** What simulations and most tests start from: machine types, settings of a controller, a job. */
 import type { ControllerSettings } from '@archpost/controller';
 import type { JobSpec, MachineType, PeerStatus } from '@archpost/protocol';
 
+/** The machine types of the cloud. */
 export const TYPES: MachineType[] = [
   {
     name: 'small',
@@ -29,8 +30,9 @@
   },
 ];
 
+/** Settings of one of these controllers. */
 export function settings(controller: string, nodes = ['n0', 'n1', 'n2']): ControllerSettings {
-  const zone = (n: string) => (n === 'n1' ? 'west' : 'east');
+  const zone = (name: string) => (name === 'n1' ? 'west' : 'east');
   return {
     name: controller,
     zone: zone(controller),
@@ -52,6 +54,7 @@
   };
 }
 
+/** The specification of a small batch job, apart from what is given. */
 export function job(id: string, over: Partial<JobSpec> = {}): JobSpec {
   return {
     id,
@@ -79,7 +82,7 @@
 }
 
 const SHAPES = { array: 'sweep', gang: 'gang', service: 'standing' } as const;
-const RANKS = ['best_effort', 'standard', 'urgent', 'critical'];
+const PRIORITIES = ['best_effort', 'standard', 'urgent', 'critical'];
 
 /** The job as its user would submit it. */
 export function submission(spec: JobSpec): Record<string, unknown> {
@@ -88,7 +91,7 @@
     jobclass: spec.jobClass,
     crew: spec.team,
     shape: SHAPES[spec.shape],
-    rank: RANKS[spec.priority],
+    rank: PRIORITIES[spec.priority],
     pieces: spec.tasks,
     cores: spec.cpus,
     accelerators: spec.gpus,
--- a/test/simulation/index.ts
+++ b/test/simulation/index.ts
@@ -1,5 +1,7 @@
-// Stand-ins for what archpost meets, written from PROTOCOL: the state service, the cloud, workers and users, joined with
-// real cores in one simulated time. Nothing here is random.
+/**
+ * Simulations of what archpost talks to, written from PROTOCOL: the state service, the cloud, workers and users, joined with
+ * real controllers in one simulated time. Nothing here is random.
+ */
 export * from './cluster.js';
 export * from './controller.js';
 export * from './fixtures.js';
--- a/test/simulation/large-fleet.ts
+++ b/test/simulation/large-fleet.ts
@@ -1,5 +1,7 @@
-// Thousands of machines, at the ratios of the users' larger sites: steps of a day that any number of controllers can be
-// put through. Every rule that can be seen from workers and users is checked at each step of simulated time.
+/**
+ * Thousands of machines, at the ratios of the users' larger sites: steps of a day that any number of controllers can be
+ * put through. Every rule that can be seen from workers and users is checked at each step of simulated time.
+ */
 import assert from 'node:assert/strict';
 import type { ControllerSettings } from '@archpost/controller';
 import type { JobSpec } from '@archpost/protocol';
@@ -25,6 +27,7 @@
 
 const DISPLAY_LAG_S = 5;
 
+/** The size of the fleet, and the version that its controllers run. */
 export interface LargeFleetOptions {
   machines: number;
   controllers: number;
@@ -72,12 +75,12 @@
     return this.cluster.workers.filter((worker) => !worker.dead);
   }
 
-  /** Machines that have answered whoever holds their share. */
+  /** Machines that have answered whoever holds their shard. */
   answering(): number {
     return this.alive.filter((worker) => this.cluster.controllers.some((node) => answers(node, worker))).length;
   }
 
-  /** Nothing is granted at first. Returns the seconds until all machines are, and have answered. */
+  /** Nothing is assigned at first. Returns the seconds until all machines are, and have answered. */
   firstStart(): number {
     return this.untilAllAnswer('the first start', 60 + this.options.machines / 20);
   }
@@ -158,18 +161,18 @@
     return this.untilAllAnswer('a crash of all', 120);
   }
 
-  /** Every third machine stops at once. Returns the seconds until their grants are gone. */
+  /** Every third machine stops at once. Returns the seconds until they are assigned no more. */
   loseThird(): number {
     const { cluster } = this;
     const from = cluster.now;
-    const hit = this.alive.filter((_worker, index) => index % 3 === 1);
-    for (const worker of hit) {
+    const lostWorkers = this.alive.filter((_worker, index) => index % 3 === 1);
+    for (const worker of lostWorkers) {
       this.lost.add(worker.name);
       worker.dead = true;
       worker.tasks.clear();
     }
     const granted = () =>
-      cluster.controllers.some((node) => hit.some((worker) => node.controller.clusterState.machines.has(worker.name)));
+      cluster.controllers.some((node) => lostWorkers.some((worker) => node.controller.clusterState.machines.has(worker.name)));
     cluster.runUntil('what was lost is granted no more', () => !granted(), 120);
     return (cluster.now - from) / 1000;
   }
@@ -184,25 +187,25 @@
     ids.forEach((id, index) => {
       this.submit(job(id, { team: TEAMS[index % TEAMS.length], tasks: 4, cpus: 0.5, memory: 0.5, estimatedRunS: 10_000 }), index);
     });
-    const runs = () =>
+    const runningCount = () =>
       this.alive.reduce((count, worker) => count + [...worker.tasks.values()].filter(isCancelledArray).length, 0);
-    cluster.runUntil('the arrays run', () => runs() >= 2 * arrays, 90);
+    cluster.runUntil('the arrays run', () => runningCount() >= 2 * arrays, 90);
     const from = cluster.now;
-    const told = new Set<string>();
+    const confirmed = new Set<string>();
     ids.forEach((id, index) => {
-      cluster.at(cluster.now + 100 + 5 * index, () => this.cancel(id, index, told));
+      cluster.at(cluster.now + 100 + 5 * index, () => this.cancel(id, index, confirmed));
     });
     cluster.run(1);
     const leader = cluster.controllers.find((node) => node.controller.leader.isLeading) as SimulatedController;
     leader.crash();
     cluster.at(cluster.now + CONTROLLER_DOWN_S * 1000, () => leader.restart());
-    cluster.runUntil('all users are told', () => told.size === arrays, 90);
-    cluster.runUntil('no cancelled task is left', () => runs() === 0, 60);
+    cluster.runUntil('all users are told', () => confirmed.size === arrays, 90);
+    cluster.runUntil('no cancelled task is left', () => runningCount() === 0, 60);
     return (cluster.now - from) / 1000;
   }
 
   /** As a user does: asks again, elsewhere, until it is answered. */
-  private cancel(id: string, at: number, told: Set<string>): void {
+  private cancel(id: string, at: number, confirmed: Set<string>): void {
     const { cluster } = this;
     const up = cluster.controllers.filter((node) => node.up);
     const node = up[at % up.length];
@@ -210,11 +213,11 @@
     node?.cancel(id, (status, body) => {
       answered = status === 200;
       if (!answered) return;
-      told.add(id);
-      cluster.rules.told(id, String(body.status));
+      confirmed.add(id);
+      cluster.rules.recordAnswer(id, String(body.status));
     });
     cluster.at(cluster.now + 2000, () => {
-      if (!answered && !told.has(id)) this.cancel(id, at + 1, told);
+      if (!answered && !confirmed.has(id)) this.cancel(id, at + 1, confirmed);
     });
   }
 
--- a/test/simulation/rules.ts
+++ b/test/simulation/rules.ts
@@ -1,10 +1,10 @@
-// The rules, judged from outside: by what workers run and what users were told, never by the core's own tables.
+/** The rules, judged from outside: by what workers run and what users were told, never by the controllers' own state. */
 import type { JobSpec, TaskStatus } from '@archpost/protocol';
 import type { SimulatedCluster } from './cluster.js';
 import { settings } from './fixtures.js';
 import type { SimulatedWorker } from './worker.js';
 
-/** Time that a cancellation has, as in the settings of the stand-ins. */
+/** Time that a cancellation has, as in the settings of the simulated controllers. */
 const CANCEL_MS = settings('n0').workers.cancelS * 1000;
 
 /** A task that a worker had at some moment of this step. */
@@ -91,7 +91,7 @@
   }
 
   /** A user was told this of the job. `orphaned`: it goes on though one that it needs was told to be cancelled. */
-  told(id: string, status: string): void {
+  recordAnswer(id: string, status: string): void {
     const { cluster } = this;
     if (status === 'aborted' && !cluster.cancelledAt.has(id)) cluster.cancelledAt.set(id, cluster.now);
     if (status === 'done' && !this.doneAt.has(id)) this.doneAt.set(id, cluster.now);
--- a/test/simulation/state-service.ts
+++ b/test/simulation/state-service.ts
@@ -1,10 +1,11 @@
-// The state service, as PROTOCOL describes it.
+/** The state service, as PROTOCOL describes it. */
 import type { Controller, Effect } from '@archpost/controller';
 import type { KeyChange, StoredKey } from '@archpost/protocol';
 
 interface Key {
   value: unknown;
-  stamp: number;
+  /** at which it was written last */
+  revision: number;
   lease: number | null;
 }
 
@@ -41,61 +42,64 @@
   }
 
   extend(id: number, now: number): boolean {
-    const l = this.leases.get(id);
-    if (!l) return false;
-    l.until = now + l.ttl;
+    const lease = this.leases.get(id);
+    if (!lease) return false;
+    lease.until = now + lease.ttl;
     return true;
   }
 
   expire(now: number): void {
-    for (const [id, l] of this.leases) {
-      if (now < l.until) continue;
+    for (const [id, lease] of this.leases) {
+      if (now < lease.until) continue;
       this.leases.delete(id);
-      const gone = [...this.keys].filter(([, k]) => k.lease === id);
+      const gone = [...this.keys].filter(([, key]) => key.lease === id);
       if (gone.length > 0) this.revision++;
       for (const [key] of gone) {
         this.keys.delete(key);
-        this.log.push({ key: key, value: undefined, revision: this.revision });
+        this.log.push({ key, value: undefined, revision: this.revision });
       }
     }
   }
 
   /** The refusal of a transaction that exceeds a limit, or null. */
-  private exceeds(e: Extract<Effect, { type: 'compareAndSwap' }>, now: number): { kind: 'invalid' } | { kind: 'limited' } | null {
+  private exceeds(
+    transaction: Extract<Effect, { type: 'compareAndSwap' }>,
+    now: number,
+  ): { kind: 'invalid' } | { kind: 'limited' } | null {
     if (!this.limits) return null;
     const { valueBytes, writesPerTransaction, writesPerS } = this.limits;
-    const large = e.writes.some((write) => 'put' in write && JSON.stringify(write.value).length > valueBytes);
-    if (large || e.writes.length > writesPerTransaction || e.conditions.length > 4 * writesPerTransaction) {
+    const large = transaction.writes.some((write) => 'put' in write && JSON.stringify(write.value).length > valueBytes);
+    if (large || transaction.writes.length > writesPerTransaction || transaction.conditions.length > 4 * writesPerTransaction) {
       this.tooLarge++;
       return { kind: 'invalid' };
     }
     this.allowance = Math.min(writesPerS, this.allowance + ((now - this.allowedAt) / 1000) * writesPerS);
     this.allowedAt = now;
-    if (this.allowance < e.writes.length) {
+    if (this.allowance < transaction.writes.length) {
       this.limited++;
       return { kind: 'limited' };
     }
-    this.allowance -= e.writes.length;
+    this.allowance -= transaction.writes.length;
     return null;
   }
 
   compareAndSwap(
-    e: Extract<Effect, { type: 'compareAndSwap' }>,
+    transaction: Extract<Effect, { type: 'compareAndSwap' }>,
     now: number,
   ): Parameters<Controller['receiveCompareAndSwapOutcome']>[1] {
-    const refusal = this.exceeds(e, now);
+    const refusal = this.exceeds(transaction, now);
     if (refusal) return refusal;
-    const failed = e.conditions
-      .filter((condition) => (this.keys.get(condition.key)?.stamp ?? 0) !== condition.revision)
+    const failed = transaction.conditions
+      .filter((condition) => (this.keys.get(condition.key)?.revision ?? 0) !== condition.revision)
       .map((condition) => condition.key);
-    for (const write of e.writes)
+    for (const write of transaction.writes)
       if ('put' in write && write.lease !== undefined && !this.leases.has(write.lease)) return { kind: 'noLease' };
     if (failed.length > 0) return { kind: 'failed', keys: failed };
     this.revision++;
-    for (const write of e.writes) {
+    for (const write of transaction.writes) {
       if ('put' in write) {
         const value = structuredClone(write.value);
-        this.keys.set(write.put, { value, stamp: this.revision, lease: write.lease ?? null });
+        this.keys.set(write.put, { value, revision: this.revision, lease: write.lease ?? null });
         this.log.push({ key: write.put, value, revision: this.revision });
       } else {
         this.keys.delete(write.del);
@@ -126,6 +130,6 @@
   }
 
   rows(): StoredKey[] {
-    return [...this.keys].map(([key, k]) => ({ key, value: k.value, revision: k.stamp }));
+    return [...this.keys].map(([key, { value, revision }]) => ({ key, value, revision }));
   }
 }
--- a/test/simulation/worker.ts
+++ b/test/simulation/worker.ts
@@ -1,4 +1,4 @@
-// A machine and its worker, as PROTOCOL describes them.
+/** A machine and its worker, as PROTOCOL describes them. */
 import type { Controller } from '@archpost/controller';
 import type { Command, Heartbeat, JobSpec, MachineType, TaskStatus } from '@archpost/protocol';
 import type { SimulatedCluster } from './cluster.js';
@@ -9,7 +9,7 @@
   startedAt: number;
 }
 
-/** One worker: its lease, its session, the token it obeys, and the tasks it runs. */
+/** One worker: its lease, its agent epoch, the fencing token that it obeys, and the tasks that it runs. */
 export class SimulatedWorker {
   agentEpoch = 1;
   sequence = 0;
@@ -17,7 +17,7 @@
   tasks = new Map<string, WorkerTask>();
   renewedAt: number;
   readonly bornAt: number;
-  nextReport = 0;
+  nextHeartbeatAt = 0;
   target = 0;
   preemptionNoticeS: number | null = null;
   /** no power, or given back */
@@ -75,8 +75,8 @@
   obey(commands: Command[]): void {
     for (const command of commands) {
       const key = `${command.job}/${command.index}/${command.attempt}`;
-      const t = this.tasks.get(key);
-      if (command.type === 'start' && !t) {
+      const task = this.tasks.get(key);
+      if (command.type === 'start' && !task) {
         const spec = this.cluster.specs.get(command.job);
         const state = {
           job: command.job,
@@ -85,50 +85,50 @@
           saved: false,
           startedAt: this.cluster.now,
         };
-        const used = [...this.tasks.values()].filter((task) => task.state !== 'exited');
+        const used = [...this.tasks.values()].filter((other) => other.state !== 'exited');
         const capacity = TYPES.find((machineType) => machineType.name === this.type) as MachineType;
-        const sum = (f: (spec: JobSpec) => number) =>
-          used.reduce((a, task) => a + f(this.cluster.specs.get(task.job) as JobSpec), spec ? f(spec) : 0);
+        const total = (amountOf: (spec: JobSpec) => number) =>
+          used.reduce((sum, other) => sum + amountOf(this.cluster.specs.get(other.job) as JobSpec), spec ? amountOf(spec) : 0);
         if (!spec) this.tasks.set(key, { ...state, state: 'exited', exitReason: 'unknown' });
         else if (
-          sum((spec) => spec.cpus) > capacity.cpus ||
-          sum((spec) => spec.gpus) > capacity.gpus ||
-          sum((spec) => spec.memory) > capacity.memory
+          total((spec) => spec.cpus) > capacity.cpus ||
+          total((spec) => spec.gpus) > capacity.gpus ||
+          total((spec) => spec.memory) > capacity.memory
         )
           this.tasks.set(key, { ...state, state: 'exited', exitReason: 'no_room' });
         else {
           this.cluster.rules.checkStart(this, command.job, command.index);
-          const task: WorkerTask = {
+          const startedTask: WorkerTask = {
             ...state,
             state: spec.shape === 'gang' && spec.tasks > 1 ? 'waiting' : 'running',
             exitReason: null,
           };
-          this.tasks.set(key, task);
-          this.cluster.rules.started(this, key, task);
+          this.tasks.set(key, startedTask);
+          this.cluster.rules.started(this, key, startedTask);
           this.cluster.note(`${this.name} starts ${command.job}/${command.index}`);
         }
-      } else if (command.type === 'stop' && t && t.state !== 'exited') {
-        t.state = 'exited';
-        t.exitReason = 'stopped';
+      } else if (command.type === 'stop' && task && task.state !== 'exited') {
+        task.state = 'exited';
+        task.exitReason = 'stopped';
         this.cluster.note(`${this.name} stops ${command.job}/${command.index}`);
-      } else if (command.type === 'forget' && t?.state === 'exited') {
+      } else if (command.type === 'forget' && task?.state === 'exited') {
         this.tasks.delete(key);
       }
     }
   }
 
-  command(token: number, session: number, commands: Command[]): Parameters<Controller['receiveCommandOutcome']>[1] {
-    if (token < this.fencingToken || session !== this.agentEpoch) return { kind: 'stale', report: this.heartbeat() };
-    this.fencingToken = token;
+  command(fencingToken: number, agentEpoch: number, commands: Command[]): Parameters<Controller['receiveCommandOutcome']>[1] {
+    if (fencingToken < this.fencingToken || agentEpoch !== this.agentEpoch) return { kind: 'stale', report: this.heartbeat() };
+    this.fencingToken = fencingToken;
     this.obey(commands);
-    this.nextReport = Math.min(this.nextReport, this.cluster.now + 500);
+    this.nextHeartbeatAt = Math.min(this.nextHeartbeatAt, this.cluster.now + 500);
     return { kind: 'ok', report: this.heartbeat() };
   }
 
   tick(): void {
     const { now, leaseMs } = this.cluster;
     if (this.dead || this.hung) return;
-    for (const late of this.held.splice(0)) late();
+    for (const deliver of this.held.splice(0)) deliver();
     if (now - this.renewedAt > leaseMs) {
       if (this.tasks.size > 0) this.cluster.note(`${this.name} kills its tasks: lease over`);
       this.tasks.clear();
@@ -139,61 +139,64 @@
       const spec = this.cluster.specs.get(task.job) as JobSpec;
       if (task.state === 'waiting') {
         const all = this.cluster.workers.flatMap((worker) => (worker.dead ? [] : [...worker.tasks.values()]));
-        if (all.filter((x) => x.job === task.job && x.attempt === task.attempt && x.state !== 'exited').length === spec.tasks)
+        if (
+          all.filter((other) => other.job === task.job && other.attempt === task.attempt && other.state !== 'exited').length ===
+          spec.tasks
+        )
           task.state = 'running';
       }
       if (task.state !== 'running') continue;
-      const over =
+      const exitReason =
         this.fails || this.cluster.mistaken.has(task.job)
           ? 'error'
           : spec.shape !== 'service' && now - task.startedAt >= spec.estimatedRunS * 1000
             ? 'done'
             : null;
-      if (!over) continue;
+      if (!exitReason) continue;
       task.state = 'exited';
-      task.exitReason = over;
-      if (over === 'done') this.cluster.finished.add(`${task.job}/${task.index}`);
-      this.nextReport = Math.min(this.nextReport, now + 500);
+      task.exitReason = exitReason;
+      if (exitReason === 'done') this.cluster.finished.add(`${task.job}/${task.index}`);
+      this.nextHeartbeatAt = Math.min(this.nextHeartbeatAt, now + 500);
     }
-    if (now >= this.nextReport) this.send();
+    if (now >= this.nextHeartbeatAt) this.send();
   }
 
   private send(): void {
     const { cluster } = this;
-    this.nextReport = cluster.now + 2000;
+    this.nextHeartbeatAt = cluster.now + 2000;
     const node = cluster.controllers[this.target % cluster.controllers.length] as SimulatedController;
     const sentAt = cluster.now;
-    const session = this.agentEpoch;
-    const next = () => {
+    const { agentEpoch } = this;
+    const tryNextController = () => {
       this.target++;
-      this.nextReport = cluster.now + 1000;
+      this.nextHeartbeatAt = cluster.now + 1000;
     };
-    if (!node.up || cluster.isMute(this.name) || cluster.isPartitioned(node.name, this.name)) return next();
+    if (!node.up || cluster.isMute(this.name) || cluster.isPartitioned(node.name, this.name)) return tryNextController();
     if (node.isPaused) {
       // Nobody answers for 4 s; the report is read when the controller goes on.
       this.target++;
-      this.nextReport = cluster.now + 5000;
+      this.nextHeartbeatAt = cluster.now + 5000;
     }
     const heartbeat = this.heartbeat();
     cluster.onHeartbeat?.(heartbeat);
     node.receiveHeartbeat(heartbeat, (status, body) => {
-      if (this.dead || this.hung || session !== this.agentEpoch || cluster.now - sentAt > 4000) return;
-      if (cluster.isDeaf(node.name, this.name)) return next();
+      if (this.dead || this.hung || agentEpoch !== this.agentEpoch || cluster.now - sentAt > 4000) return;
+      if (cluster.isDeaf(node.name, this.name)) return tryNextController();
       if (status === 421 && typeof body.home === 'string') {
         this.target = cluster.controllers.findIndex((node) => node.name === body.home);
-        this.nextReport = cluster.now + 100;
-      } else if (status !== 200) next();
+        this.nextHeartbeatAt = cluster.now + 100;
+      } else if (status !== 200) tryNextController();
       else if (typeof body.baton === 'number' && body.baton >= this.fencingToken) {
-        if (body.baton > this.fencingToken) this.nextReport = cluster.now + 500;
+        if (body.baton > this.fencingToken) this.nextHeartbeatAt = cluster.now + 500;
         this.fencingToken = body.baton;
         this.renewedAt = Math.max(this.renewedAt, sentAt);
         const orders = body.orders as { verb: string; piece: string; try: number }[];
         this.obey(
-          orders.map((o) => ({
-            type: o.verb === 'run' ? 'start' : o.verb === 'clear' ? 'forget' : 'stop',
-            job: o.piece.slice(0, o.piece.lastIndexOf('/')),
-            index: Number(o.piece.slice(o.piece.lastIndexOf('/') + 1)),
-            attempt: o.try,
+          orders.map((order) => ({
+            type: order.verb === 'run' ? 'start' : order.verb === 'clear' ? 'forget' : 'stop',
+            job: order.piece.slice(0, order.piece.lastIndexOf('/')),
+            index: Number(order.piece.slice(order.piece.lastIndexOf('/') + 1)),
+            attempt: order.try,
             graceS: 0,
           })),
         );
