--- a/test/loopback/cloud-server.ts
+++ b/test/loopback/cloud-server.ts
@@ -1,4 +1,4 @@
-// The cloud on loopback: machine types, a list in pages, returns; it has no further machines to rent out.
+/** The cloud on loopback: machine types, a list in pages, releases; it has no further machines to provision. */
 import type { MachineType } from '@archpost/protocol';
 import { TYPES } from '../simulation/fixtures.js';
 import { type LoopbackAnswer, type LoopbackRequest, listen, serverFor } from './http.js';
@@ -29,17 +29,21 @@
   };
 }
 
+/** Serves the cloud's HTTP interface on a free port. */
 export class CloudServer {
+  /** names of the machines that were released */
   readonly returned = new Set<string>();
   private readonly server = serverFor((request) => this.handle(request));
 
   /** `machines`: in the order of their names */
   constructor(private readonly machines: () => readonly ListedMachine[]) {}
 
+  /** Returns the address that it listens on. */
   listen(): Promise<string> {
     return listen(this.server);
   }
 
+  /** Ends the server and its connections. */
   close(): void {
     this.server.close();
     this.server.closeAllConnections();
--- a/test/loopback/controller-process.ts
+++ b/test/loopback/controller-process.ts
@@ -1,4 +1,4 @@
-// A real controller: the program as deploy/service.toml starts it, on loopback addresses.
+/** A real controller: the program as deploy/service.toml starts it, on loopback addresses. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { mkdtempSync, readdirSync, readFileSync, readlinkSync, writeFileSync } from 'node:fs';
 import http from 'node:http';
@@ -20,7 +20,7 @@
   memoryMb: number;
   sockets: number;
   writesPerS: number;
-  /** seconds between a worker's reports; 2 where nothing is said */
+  /** seconds between a worker's heartbeats; 2 where nothing is said */
   reportS?: number;
   /** part of a core that it is told it has; a whole one where nothing is said */
   processorShare?: number;
@@ -90,22 +90,24 @@
   }
 }
 
+/** Runs one controller as a process of its own, and measures what the process uses. */
 export class ControllerProcess {
   private child: ChildProcess | null = null;
   readonly log: Record<string, unknown>[] = [];
   /** what it wrote to standard output */
-  said = '';
+  output = '';
   /** how the last run ended; null: it has not */
   ended: { code: number | null; signal: string | null } | null = null;
   private readonly file: string;
-  private rest = '';
+  /** the beginning of a log line that is not complete yet */
+  private unfinishedLine = '';
 
   constructor(readonly settings: ControllerSettings) {
     this.file = join(mkdtempSync(join(tmpdir(), 'archpost-loopback-')), 'settings.toml');
     writeFileSync(this.file, toml(settings));
   }
 
-  /** `environment`: variables that only this process has */
+  /** Starts the program. `environment`: variables that only this process has */
   start(options: string[] = [], environment: Record<string, string> = {}): void {
     const { run } = parse(readFileSync('deploy/service.toml', 'utf8')) as { run: string };
     const [program, ...args] = [...run.split(' '), this.file, ...options];
@@ -116,7 +118,7 @@
     });
     this.child.stderr?.on('data', (text: Buffer) => this.read(String(text)));
     this.child.stdout?.on('data', (text: Buffer) => {
-      this.said += String(text);
+      this.output += String(text);
     });
     this.child.on('exit', (code, signal) => {
       this.ended = { code, signal };
@@ -124,8 +126,8 @@
   }
 
   private read(text: string): void {
-    const lines = (this.rest + text).split('\n');
-    this.rest = lines.pop() ?? '';
+    const lines = (this.unfinishedLine + text).split('\n');
+    this.unfinishedLine = lines.pop() ?? '';
     for (const line of lines) {
       try {
         this.log.push(JSON.parse(line));
@@ -165,10 +167,12 @@
     });
   }
 
+  /** Ends the process at once. */
   stop(): void {
     this.signal('SIGKILL');
   }
 
+  /** Sends the process a signal. */
   signal(name: NodeJS.Signals): void {
     this.child?.kill(name);
   }
--- a/test/loopback/http.ts
+++ b/test/loopback/http.ts
@@ -1,4 +1,4 @@
-// HTTP as PROTOCOL describes it, for stand-ins that real processes talk to over the loopback interface.
+/** HTTP as PROTOCOL describes it, for simulated services that real processes talk to over the loopback interface. */
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { pack, unpackMap } from '@archpost/protocol';
@@ -13,11 +13,13 @@
   to: string;
 }
 
+/** The status code and the body of a response. */
 export interface LoopbackAnswer {
   status: number;
   body: unknown;
 }
 
+/** Responds to a request. */
 export type Handler = (request: LoopbackRequest) => LoopbackAnswer | Promise<LoopbackAnswer>;
 
 function readBody(request: http.IncomingMessage): Promise<Buffer> {
--- a/test/loopback/single-controller.ts
+++ b/test/loopback/single-controller.ts
@@ -1,18 +1,19 @@
-// One real controller with its state service, cloud and workers on loopback.
+/** One real controller with its state service, cloud and workers on loopback. */
 import { CloudServer } from './cloud-server.js';
 import { ControllerProcess, freeAddress } from './controller-process.js';
 import { StateServer } from './state-server.js';
 import { WorkerFleet } from './worker-fleet.js';
 
-/** What the test chooses of it. */
+/** What a test chooses of it. */
 export interface SingleControllerOptions {
   machines: number;
   memoryMb: number;
   sockets: number;
-  /** seconds between a worker's reports */
+  /** seconds between a worker's heartbeats */
   reportS?: number;
 }
 
+/** The controller and all that it talks to. */
 export interface SingleController {
   state: StateServer;
   cloud: CloudServer;
--- a/test/loopback/state-server.ts
+++ b/test/loopback/state-server.ts
@@ -1,10 +1,10 @@
-// The state service on loopback: the stand-in of the simulated clusters behind PROTOCOL's HTTP interface.
+/** The state service on loopback: that of the simulated clusters behind PROTOCOL's HTTP interface. */
 import type { KeyWrite, RevisionCondition } from '@archpost/protocol';
 import { SimulatedStateService } from '../simulation/state-service.js';
 import { type LoopbackAnswer, type LoopbackRequest, listen, serverFor } from './http.js';
 
-const MOST_ROWS = 1000;
-const EXPIRE_EACH_MS = 50;
+const MAX_ROWS_PER_PAGE = 1000;
+const LEASE_EXPIRY_INTERVAL_MS = 50;
 
 interface WireWrite {
   write?: string;
@@ -18,16 +18,19 @@
   return leaseId === undefined ? { put: write, value: v } : { put: write, value: v, lease: leaseId };
 }
 
+/** Serves the state service's HTTP interface on a free port. */
 export class StateServer {
   readonly state = new SimulatedStateService();
   private readonly server = serverFor((request) => this.handle(request));
   private readonly waiting = new Set<() => void>();
-  private readonly expiry = setInterval(() => this.change(() => this.state.expire(Date.now())), EXPIRE_EACH_MS);
+  private readonly expiry = setInterval(() => this.change(() => this.state.expire(Date.now())), LEASE_EXPIRY_INTERVAL_MS);
 
+  /** Returns the address that it listens on. */
   listen(): Promise<string> {
     return listen(this.server);
   }
 
+  /** Ends the server, its connections and those that watch. */
   close(): void {
     clearInterval(this.expiry);
     for (const wake of [...this.waiting]) wake();
@@ -54,7 +57,7 @@
 
   private transaction({ body }: LoopbackRequest): LoopbackAnswer {
     const conditions = (body.guards as { k: string; stamp: number }[]).map(
-      ({ k: key, stamp: revision }): RevisionCondition => ({ key: key, revision }),
+      ({ k: key, stamp: revision }): RevisionCondition => ({ key, revision }),
     );
     const writes = ((body.writes ?? []) as WireWrite[]).map(writeOf);
     const outcome = this.change(() =>
@@ -75,7 +78,7 @@
     const starts = query.get('starts') ?? '';
     const since = query.get('since') ?? '';
     const keys = [...this.state.keys.keys()].filter((key) => key.startsWith(starts) && key > since).sort();
-    const page = keys.slice(0, Math.min(MOST_ROWS, Number(query.get('most') ?? MOST_ROWS)));
+    const page = keys.slice(0, Math.min(MAX_ROWS_PER_PAGE, Number(query.get('most') ?? MAX_ROWS_PER_PAGE)));
     const rows = page.map((key) => ({ k: key, v: this.state.keys.get(key)?.value, stamp: this.state.keys.get(key)?.revision }));
     return { status: 200, body: { rows, has_next: page.length < keys.length, ledger: this.state.revision } };
   }
@@ -84,9 +87,9 @@
     const since = Number(query.get('since'));
     const starts = query.get('starts') ?? '';
     const until = Date.now() + Number(query.get('wait_ms') ?? 0);
-    const news = () => this.state.since(since).filter(({ key }) => key.startsWith(starts));
-    while (news().length === 0 && Date.now() < until) await this.nextChange(until - Date.now());
-    const log = news().map(({ key, value, revision }) =>
+    const newChanges = () => this.state.since(since).filter(({ key }) => key.startsWith(starts));
+    while (newChanges().length === 0 && Date.now() < until) await this.nextChange(until - Date.now());
+    const log = newChanges().map(({ key, value, revision }) =>
       value === undefined ? { remove: key, stamp: revision } : { write: key, v: value, stamp: revision },
     );
     return { status: 200, body: { ledger: this.state.revision, log } };
--- a/test/loopback/worker-fleet.ts
+++ b/test/loopback/worker-fleet.ts
@@ -1,19 +1,21 @@
-// Workers on loopback, each with an address of its own (127.x.y.z): they report, and carry out what they are told.
+/** Workers on loopback, each with an address of its own (127.x.y.z): they send heartbeats, and carry out commands. */
 import http from 'node:http';
 import net from 'node:net';
 import { pack, unpackMap } from '@archpost/protocol';
 import type { ListedMachine } from './cloud-server.js';
 import { type LoopbackAnswer, type LoopbackRequest, serverFor } from './http.js';
 
-const TRY_NEXT_MS = 1000;
-const CHANGED_MS = 500;
+const NEXT_CONTROLLER_DELAY_MS = 1000;
+const CHANGE_HEARTBEAT_DELAY_MS = 500;
 
+/** A command, as it is on the wire. */
 interface Order {
   verb: 'run' | 'stop' | 'clear';
   piece: string;
   try: number;
 }
 
+/** A task, as it is on the wire. */
 interface Task {
   piece: string;
   try: number;
@@ -24,14 +26,15 @@
 /** One worker. Its tasks run until they are stopped, or for as long as the fleet says. */
 export class LoopbackWorker {
   readonly tasks = new Map<string, Task>();
-  private token = 0;
-  private number = 0;
+  private fencingToken = 0;
+  private sequence = 0;
+  /** index of the controller to which heartbeats go */
   private target = 0;
   private timer: NodeJS.Timeout | null = null;
   private isStopped = false;
   /** its own connection, as a worker has one */
   private readonly agent = new http.Agent({ keepAlive: true, maxSockets: 1 });
-  /** reports that were answered 200 */
+  /** heartbeats that were answered 200 */
   answered = 0;
 
   constructor(
@@ -51,44 +54,44 @@
 
   private schedule(ms: number): void {
     if (this.timer) clearTimeout(this.timer);
-    // A report that was under way at the end must not be followed by another.
+    // A heartbeat that was under way at the end must not be followed by another.
     if (this.isStopped) return;
-    this.timer = setTimeout(() => void this.sendReport(), ms);
+    this.timer = setTimeout(() => void this.sendHeartbeat(), ms);
   }
 
-  private report(): Record<string, unknown> {
+  private heartbeat(): Record<string, unknown> {
     const { name, address, type, zone } = this.machine;
     const pieces = [...this.tasks.values()];
-    const numbers = { shift: 1, tally: ++this.number, baton: this.token };
+    const numbers = { shift: 1, tally: ++this.sequence, baton: this.fencingToken };
     return { host: name, address, build: type, yard: zone, loaners: false, ...numbers, warning_s: null, pieces };
   }
 
-  private async sendReport(): Promise<void> {
+  private async sendHeartbeat(): Promise<void> {
     const { controllers } = this.fleet;
     const answer = await this.fleet.post(
       controllers[this.target % controllers.length] as string,
       '/checkin',
-      this.report(),
+      this.heartbeat(),
       this.agent,
     );
-    const home = typeof answer?.body.home === 'string' ? this.fleet.names.indexOf(answer.body.home) : -1;
+    const redirectIndex = typeof answer?.body.home === 'string' ? this.fleet.names.indexOf(answer.body.home) : -1;
     if (answer?.status === 200) {
       this.answered++;
       this.obey(answer.body);
       this.schedule(this.fleet.reportMs * (0.75 + 0.5 * Math.random()));
-    } else if (answer?.status === 421 && home >= 0 && home !== this.target % controllers.length) {
-      this.target = home;
-      this.schedule(Math.random() * CHANGED_MS);
+    } else if (answer?.status === 421 && redirectIndex >= 0 && redirectIndex !== this.target % controllers.length) {
+      this.target = redirectIndex;
+      this.schedule(Math.random() * CHANGE_HEARTBEAT_DELAY_MS);
     } else {
       this.target++;
-      this.schedule(TRY_NEXT_MS);
+      this.schedule(NEXT_CONTROLLER_DELAY_MS);
     }
   }
 
   private obey(body: Record<string, unknown>): boolean {
-    const token = Number(body.baton ?? 0);
-    if (token < this.token) return false;
-    this.token = token;
+    const fencingToken = Number(body.baton ?? 0);
+    if (fencingToken < this.fencingToken) return false;
+    this.fencingToken = fencingToken;
     for (const order of (body.orders ?? []) as Order[]) this.carryOut(order);
     return true;
   }
@@ -108,19 +111,20 @@
     setTimeout(() => {
       if (task.status !== 'running') return;
       Object.assign(task, { status: 'ended', cause: 'done' });
-      this.schedule(CHANGED_MS);
+      this.schedule(CHANGE_HEARTBEAT_DELAY_MS);
     }, runMs);
   }
 
-  /** A direct command, or a question. */
+  /** Responds to direct commands, or to a probe. */
   handle({ path, body }: LoopbackRequest): LoopbackAnswer {
-    if (path === '/show') return { status: 200, body: this.report() };
-    const current = Number(body.shift) === 1 && this.obey(body);
-    if (current && (body.orders as Order[]).length > 0) this.schedule(CHANGED_MS);
-    return { status: current ? 200 : 409, body: this.report() };
+    if (path === '/show') return { status: 200, body: this.heartbeat() };
+    const isCurrent = Number(body.shift) === 1 && this.obey(body);
+    if (isCurrent && (body.orders as Order[]).length > 0) this.schedule(CHANGE_HEARTBEAT_DELAY_MS);
+    return { status: isCurrent ? 200 : 409, body: this.heartbeat() };
   }
 }
 
+/** Many workers that share one HTTP server, and an HTTP client of a user. */
 export class WorkerFleet {
   /** how long a task runs, by its name */
   runMs: (task: string) => number = () => Number.POSITIVE_INFINITY;
@@ -140,6 +144,7 @@
     readonly reportMs = 2000,
   ) {}
 
+  /** Adds workers until there are `count`, in the zones by turns. */
   async add(count: number, zones: string[]): Promise<void> {
     for (let index = this.workers.length; this.workers.length < count; index++) {
       const host = `127.${1 + (index >> 16)}.${(index >> 8) & 255}.${index & 255}`;
@@ -169,7 +174,7 @@
     this.agent.destroy();
   }
 
-  /** A user's question; what is answered is not looked at. */
+  /** Sends a GET request, as a user does. Returns the status code; null: no response came. */
   get(address: string, path: string): Promise<number | null> {
     const [host, port] = address.split(':') as [string, string];
     return new Promise((resolve) => {
@@ -182,6 +187,7 @@
     });
   }
 
+  /** Sends a POST request. Returns its response; null: none came. */
   post(
     address: string,
     path: string,
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -97,7 +97,7 @@
   controller.start(['--operator', operator, '--check']);
   await waitForCount('it has ended', 1, () => Number(controller.ended !== null));
   assert.equal(controller.ended?.code, 0);
-  const lines = controller.said.trim().split('\n');
+  const lines = controller.output.trim().split('\n');
   assert.equal(lines.length, 4);
   for (const [index, setting] of ['max_sockets', 'mem_mb', 'write_rps'].entries())
     assert.match(lines[index] as string, new RegExp(setting));
