--- a/test/failover-cancellations.test.ts
+++ b/test/failover-cancellations.test.ts
@@ -9,9 +9,11 @@
   const cluster = smallCluster(6);
   cluster.submit(job('run-c', { tasks: 3, estimatedRunS: 500 }));
   cluster.runUntil('running', () => cluster.runningTasks('run-c') === 3);
+
   cluster.controller(holderOfJob(cluster, 'run-c')).crash();
   cluster.run(1);
   cluster.cancel('run-c');
+
   cluster.runUntil('gone', () => cluster.machinesRunning('run-c').length === 0, 36);
   assert.equal(cluster.queryStatus('run-c'), 'aborted');
   assertGoldenTrace(cluster, 'cancelled-during-takeover');
@@ -31,7 +33,10 @@
       () => ['red0', 'red1', 'blue0', 'blue1', 'green0'].every((x) => cluster.runningTasks(`run-${x}`) === 1),
       90,
     );
+
     for (const team of ['red', 'blue', 'green']) cluster.submit(job(`run-${team}9`, { ...gang, team, estimatedRunS: 5 }));
+
+    // Its machine hangs for a while, and its holder crashes right after the cancellation.
     const machine = cluster.worker(cluster.machinesRunning('run-green0')[0] as string);
     assert.ok(machine);
     machine.hung = true;
@@ -48,6 +53,7 @@
     cluster.run(hangs);
     machine.hung = false;
     cluster.isCloudDown = false;
+
     // The rules are checked after every step; the next of the team gets its turn once that is proven.
     cluster.runUntil('its turn', () => cluster.finished.has('run-green9/0'), 120);
     assert.equal(cluster.machinesRunning('run-green0').length, 0);
@@ -61,10 +67,12 @@
   const worker = cluster.worker(cluster.machinesRunning('run-c')[0] as string);
   const owner = cluster.controller(holderOf(cluster, shardOf(cluster, 'run-c')));
   assert.ok(worker);
+
   // It hangs for good just as its owner ends and its user calls it off.
   worker.hung = true;
   owner.crash();
   cluster.cancel('run-c');
+
   cluster.runUntil('given back', () => worker.dead, 36);
 });
 
@@ -73,6 +81,7 @@
   const { preferredHolder } = holdShardElsewhere(cluster);
   for (let index = 0; index < 4; index++) cluster.submit(job(`run-b${index}`, { team: 'blue', tasks: 2, estimatedRunS: 500 }));
   cluster.runUntil('running', () => cluster.runningTasks('run-b0') === 2);
+
   let count = 0;
   cluster.runUntil(
     'handed home',
@@ -85,6 +94,7 @@
     120,
   );
   const told = cluster.trace.length;
+
   cluster.runUntil('gone', () => [0, 1, 2, 3].every((index) => cluster.machinesRunning(`run-b${index}`).length === 0), 36);
   assert.deepEqual(
     cluster.trace.slice(told).filter((line) => line.includes('starts run-b')),
--- a/test/failover-partitions.test.ts
+++ b/test/failover-partitions.test.ts
@@ -7,14 +7,17 @@
 
 test('a single controller that the state service refuses loses its shards to the others, and one returns later', () => {
   const cluster = smallCluster(6);
+
   cluster.controller('n1').isRefusedByStateService = true;
   cluster.runUntil(
     'taken over',
     () => cluster.controllers[0]?.controller.clusterState.leaseOf(1)?.holder.controller !== 'n1',
     40,
   );
+
   cluster.submit(job('run-f', { team: 'blue', tasks: 4, estimatedRunS: 3 }), cluster.controller('n0'));
   cluster.runUntil('done', () => cluster.queryStatus('run-f', cluster.controller('n0')) === 'done', 60);
+
   cluster.controller('n1').isRefusedByStateService = false;
   cluster.runUntil(
     'home again',
@@ -31,6 +34,7 @@
   const home = holderOf(cluster, shard);
   const zone = cluster.controller(home).controller.settings.zone;
   const inside = (x: string) => x === home || cluster.workers.find((worker) => worker.name === x)?.zone === zone;
+
   // Its home is cut off whole; a machine there dies, the others' work ends by its leases.
   for (const node of cluster.controllers) if (node.name !== home && node.controller.settings.zone === zone) node.crash();
   cluster.isPartitioned = (a, b) => inside(a) !== inside(b);
@@ -43,6 +47,7 @@
   const away = cluster.controllers.find((node) => node.up && node.name !== home) as SimulatedController;
   cluster.runUntil('taken over', () => (away.controller.clusterState.leaseOf(shard)?.holder.controller ?? home) !== home, 40);
   cluster.runUntil('its leases are over', () => !cluster.machinesRunning('run-q').some(inside), 40);
+
   // The cloud can't tell that the dead one is gone for a while: what may be on it waits.
   cluster.isCloudDown = true;
   cluster.isPartitioned = () => false;
@@ -51,6 +56,7 @@
   cluster.at(cluster.now + 15_000, () => {
     cluster.isCloudDown = false;
   });
+
   cluster.runUntil('at home', () => away.controller.clusterState.leaseOf(shard)?.holder.controller === home, 90);
   assert.equal(cluster.runningTasks('run-q'), 10);
 });
@@ -72,6 +78,7 @@
   const cluster = oneShare(240, 40);
   cluster.submit(job('run-x', { shape: 'service', tasks: 60, priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-x') === 60, 30);
+
   const west = (x: string) => x === 'n1' || x.startsWith('m1');
   cluster.isPartitioned = (a, b) => west(a) !== west(b);
   cluster.controller('n1').isRefusedByStateService = true;
@@ -81,6 +88,7 @@
   const { clusterState } = cluster.controller('n2').controller;
   cluster.runUntil('taken over', () => clusterState.leaseOf(shard)?.holder.controller === 'n2', 40);
   cluster.run(15);
+
   assert.deepEqual(
     cluster.workers.filter((worker) => worker.dead && !west(worker.name)).map((worker) => worker.name),
     [],
@@ -98,12 +106,15 @@
   fleet.firstStart();
   fleet.startServices();
   cluster.run(10);
+
   fleet.crashOne(0);
   fleet.crashAll();
   fleet.roll();
   fleet.cancelWhileTheLeaderEnds(46);
+
   cluster.trace = [];
   fleet.loseThird();
+
   fleet.untilServicesRun('all replicas have another place', 120);
   fleet.check();
 });
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -20,19 +20,23 @@
   cluster.runUntil('running', () => cluster.runningTasks('run-s') === 1);
   const holder = holderOfJob(cluster, 'run-s');
   const machine = cluster.machinesRunning('run-s')[0] as string;
+
   cluster.isCloudDown = true;
   cluster.controller(holder).crash();
   const worker = cluster.workers.find((candidate) => candidate.name === machine);
   assert.ok(worker);
   worker.hung = true;
+
   cluster.run(30);
   assert.deepEqual(cluster.machinesRunning('run-s'), [machine], 'nothing proves that it is gone yet');
+
   cluster.isCloudDown = false;
   cluster.runUntil(
     'started elsewhere',
     () => cluster.runningTasks('run-s') === 1 && cluster.machinesRunning('run-s')[0] !== machine,
     30,
   );
+
   const lines = cluster.trace.join('\n');
   assert.ok(lines.indexOf(`${machine} is given back`) < lines.lastIndexOf('starts run-s'));
   assertGoldenTrace(cluster, 'takeover-with-a-silent-worker');
@@ -43,6 +47,7 @@
   const late: (() => void)[] = [];
   cluster.submit(job('run-t', { tasks: 2, estimatedRunS: 3 }));
   const holder = holderOfJob(cluster, 'run-t');
+
   cluster.losesTransactionAnswer = (e, apply) => {
     if (!e.writes.some((write) => 'put' in write && /^a\/[jp]\/run-t/.test(write.put))) return false;
     late.push(apply);
@@ -54,8 +59,10 @@
   cluster.run(1);
   cluster.controller(holder).restart();
   cluster.runUntil('done again', () => cluster.queryStatus('run-t') === 'done', 40);
+
   const before = JSON.stringify(cluster.stateService.rows());
   for (const apply of late) apply();
+
   assert.equal(JSON.stringify(cluster.stateService.rows()), before);
   assertGoldenTrace(cluster, 'late-transaction');
 });
@@ -66,9 +73,11 @@
   cluster.runUntilSettled();
   cluster.submit(job('run-g', { shape: 'gang', tasks: 4, cpus: 4, estimatedRunS: 10, priority: 2 }));
   cluster.runUntil('a member started', () => cluster.machinesRunning('run-g').length > 0, 40);
+
   cluster.controller(holderOfJob(cluster, 'run-g')).crash();
   cluster.run(4);
   cluster.controllers.find((node) => !node.up)?.restart();
+
   cluster.runUntil('done', () => cluster.queryStatus('run-g') === 'done', 90);
   assertGoldenTrace(cluster, 'gang-partly-started');
 });
@@ -82,17 +91,21 @@
   // Team green may use 8 GPUs: one job of 8 runs, another waits for it.
   cluster.submit(job('run-q', { team: 'green', shape: 'gang', gpus: 8, cpus: 40, estimatedRunS: 60, priority: 2 }));
   cluster.runUntil('running', () => cluster.runningTasks('run-q') === 1, 40);
+
   cluster.isCloudDown = true;
   const worker = cluster.workers.find((candidate) => candidate.name === cluster.machinesRunning('run-q')[0]);
   assert.ok(worker);
   const owner = cluster.controller(holderOfJob(cluster, 'run-q'));
   owner.crash();
   worker.hung = true;
+
   cluster.submit(job('run-r', { team: 'green', shape: 'gang', gpus: 8, cpus: 40, estimatedRunS: 5, priority: 2 }));
   cluster.run(3);
   owner.restart();
   cluster.run(30);
+
   assert.equal(cluster.runningTasks('run-r'), 0);
+
   cluster.isCloudDown = false;
   cluster.runUntil('its turn', () => cluster.runningTasks('run-r') === 1, 120);
   assertGoldenTrace(cluster, 'quota-with-unresolved-places');
@@ -103,6 +116,7 @@
   for (let index = 0; index < 6; index++)
     cluster.submit(job(`run-t${index}`, { team: ['red', 'blue', 'green'][index % 3] as string, tasks: 3, estimatedRunS: 25 }));
   cluster.submit(job('run-v', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
+
   for (let index = 0; index < 10; index++) {
     cluster.isStateServiceDown = index === 3 || index === 4;
     const ends = cluster.controller(index % 2 === 0 ? holderOf(cluster, 'lead') || 'n2' : holderOf(cluster, index % 3) || 'n0');
@@ -111,6 +125,7 @@
     ends.restart();
     cluster.run(9);
   }
+
   for (let index = 0; index < 6; index++) cluster.runUntil('done', () => cluster.queryStatus(`run-t${index}`) === 'done', 120);
   assert.equal(cluster.runningTasks('run-v'), 2);
 });
@@ -119,6 +134,7 @@
   const cluster = smallCluster(1);
   // One machine, room for one: they run one after the other.
   cluster.submit(job('run-f', { tasks: 3, cpus: 4, estimatedRunS: 8 }));
+
   for (let index = 1; index <= 3; index++) {
     cluster.runUntil('one more ended', () => cluster.finished.size === index, 60);
     const owner = cluster.controller(holderOf(cluster, 0));
@@ -131,6 +147,7 @@
     owner.restart();
     cluster.run(2);
   }
+
   cluster.runUntil('done', () => cluster.queryStatus('run-f') === 'done', 60);
   for (let index = 0; index < 3; index++)
     assert.equal(cluster.trace.filter((line) => line.includes(`starts run-f/${index}`)).length, 1);
@@ -142,6 +159,7 @@
   cluster.submit(job('run-v', { shape: 'service', tasks: 3, priority: 3, jobClass: 'serve' }));
   cluster.submit(job('run-a', { team: 'blue', tasks: 4, estimatedRunS: 40 }));
   cluster.runUntil('running', () => cluster.runningTasks('run-v') === 3 && cluster.runningTasks('run-a') === 4);
+
   for (let round = 0; round < 3; round++) {
     for (const node of cluster.controllers) node.crash();
     cluster.run(0.3);
@@ -150,6 +168,7 @@
     for (const node of cluster.controllers) if (!node.up) node.restart();
     cluster.run(5);
   }
+
   cluster.runUntil('done', () => cluster.queryStatus('run-a') === 'done', 90);
   assert.equal(cluster.runningTasks('run-v'), 3);
 });
@@ -159,10 +178,14 @@
   cluster.submit(job('run-v', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
   cluster.submit(job('run-a', { team: 'blue', tasks: 3, estimatedRunS: 30 }));
   cluster.runUntil('running', () => cluster.runningTasks('run-v') === 2 && cluster.runningTasks('run-a') === 3);
+
   for (const node of cluster.controllers) node.crash();
   cluster.run(20);
+
   assert.equal(cluster.runningTasks('run-v') + cluster.runningTasks('run-a'), 0);
+
   for (const node of cluster.controllers) node.restart();
+
   cluster.runUntil('done', () => cluster.queryStatus('run-a') === 'done', 90);
   assert.equal(cluster.runningTasks('run-v'), 2);
   assert.deepEqual(
@@ -179,8 +202,10 @@
   const machine = core.clusterState.machines.get('m0');
   assert.ok(machine);
   const tenure = machine.tenure;
+
   core.replica.set('a/g/m0', { ...assignment(0), mv: 1 }, 2);
   assert.equal(machine.tenure, tenure, 'a move that is ordered changes nothing yet');
+
   core.replica.set('a/g/m0', assignment(1), 3);
   assert.equal(machine.shard, 1);
   assert.notEqual(machine.tenure, tenure, 'the move begins a new tenure');
--- a/test/fencing.test.ts
+++ b/test/fencing.test.ts
@@ -20,11 +20,13 @@
   cluster.runUntil('running', () => cluster.runningTasks('run-h') === 1);
   const worker = cluster.workers.find((candidate) => candidate.name === cluster.machinesRunning('run-h')[0]);
   assert.ok(worker);
+
   worker.hung = true;
   cluster.run(5);
   cluster.submit(job('run-i', { tasks: 4 }));
   cluster.run(2);
   worker.hung = false;
+
   cluster.run(30);
   assert.equal(cluster.runningTasks('run-h'), 1);
   assertGoldenTrace(cluster, 'hung-machine-goes-on');
@@ -34,11 +36,13 @@
   const cluster = smallCluster(2);
   const worker = cluster.workers[0];
   assert.ok(worker);
+
   // Hangs just as starts are sent: they are held, and executed when it goes on.
   worker.hung = true;
   cluster.submit(job('run-l', { tasks: 4, estimatedRunS: 60 }));
   cluster.run(4);
   worker.hung = false;
+
   cluster.runUntil('all running', () => cluster.runningTasks('run-l') === 4, 60);
   assertGoldenTrace(cluster, 'late-start-finds-a-higher-token');
 });
@@ -46,6 +50,7 @@
 test('the release of a shard lease is carried out, its answer lost and the watch late: the old holder starts nothing more', () => {
   const cluster = smallCluster(8);
   const { preferredHolder, currentHolder } = holdShardElsewhere(cluster);
+
   // Carried out at once; the old holder learns of it neither by the answer nor by its watch.
   cluster.losesTransactionAnswer = (e, apply) => {
     if (!e.writes.some((write) => 'del' in write && write.del === 'a/h/1')) return false;
@@ -59,15 +64,18 @@
     .filter((machine) => machine.shard === 1)
     .map((machine) => machine.name);
   assert.ok(mine.length >= 2);
+
   // Each of them reaches one machine alone: what both start is started twice.
   const last = mine.at(-1);
   cluster.isPartitioned = (a, b) =>
     (a === preferredHolder.name && b !== last && mine.includes(b)) || (a === currentHolder.name && b === last);
   cluster.submit(job('run-twice', { team: 'blue', estimatedRunS: 60 }), currentHolder);
   cluster.run(4);
+
   currentHolder.isWatchLagging = false;
   cluster.losesTransactionAnswer = null;
   cluster.run(4);
+
   assert.equal(cluster.runningTasks('run-twice'), 1);
   assertGoldenTrace(cluster, 'released-and-not-told');
 });
@@ -78,6 +86,7 @@
   cluster.lateCommandDelayMs = () => 9000;
   cluster.submit(job('run-a', { estimatedRunS: 60 }));
   const owner = cluster.controller(holderOf(cluster, 0));
+
   cluster.runUntil(
     'sent',
     () =>
@@ -86,12 +95,14 @@
       ),
     5,
   );
+
   owner.crash();
   cluster.losesCommands = () => false;
   cluster.run(0.3);
   owner.restart();
   cluster.runUntil('running', () => cluster.runningTasks('run-a') === 1, 20);
   cluster.run(15);
+
   assert.equal(cluster.trace.filter((line) => line.includes('starts run-a')).length, 1);
 });
 
@@ -99,11 +110,14 @@
   const cluster = smallCluster(4);
   cluster.losesCommands = () => true;
   cluster.submit(job('run-a', { estimatedRunS: 60 }));
+
   const token = () => Math.max(...cluster.workers.map((worker) => worker.fencingToken));
   const before = token();
+
   cluster.run(1);
   cluster.losesCommands = () => false;
   cluster.runUntil('running', () => cluster.runningTasks('run-a') === 1, 20);
+
   assert.ok(token() > before);
 });
 
@@ -112,9 +126,11 @@
   cluster.submit(job('run-c', { zone: 'east', estimatedRunS: 500 }));
   cluster.runUntil('running', () => cluster.runningTasks('run-c') === 1);
   const machine = cluster.machinesRunning('run-c')[0];
+
   cluster.isCloudDown = true;
   cluster.losesCommands = (_n, m) => m === machine;
   cluster.cancel('run-c');
+
   cluster.runUntil('gone', () => cluster.machinesRunning('run-c').length === 0, 36);
 });
 
@@ -122,8 +138,10 @@
   const cluster = smallCluster(4);
   cluster.garblesAnswers = () => true;
   cluster.submit(job('run-a', { tasks: 3, estimatedRunS: 60 }));
+
   cluster.run(5);
   cluster.garblesAnswers = () => false;
+
   cluster.runUntil('running, once', () => cluster.runningTasks('run-a') === 3, 30);
   cluster.run(10);
   assert.equal(cluster.runningTasks('run-a'), 3);
@@ -134,6 +152,7 @@
   const worker = cluster.workers[0] as SimulatedWorker;
   cluster.run(5);
   const r = { ...worker.heartbeat(), fencingToken: worker.fencingToken + 1_000 };
+
   for (const node of cluster.controllers) assert.ok([503, 421].includes(deliverHeartbeatCopy(node, r)));
   assert.ok(cluster.controllers.some((node) => deliverHeartbeatCopy(node, r) === 503));
   assert.ok(cluster.controllers.some((node) => deliverHeartbeatCopy(node, worker.heartbeat()) === 200));
@@ -146,10 +165,12 @@
   const owner = cluster.controller(holderOf(cluster, shardOf(cluster, 'run-a')));
   const allocations = () => [...(owner.controller.clusterState.jobs.get('run-a')?.tenure.allocations.values() ?? [])];
   cluster.runUntil('sent', () => allocations().some((allocation) => allocation.phase === 'sent'), 5);
+
   cluster.cancel('run-a');
   mend();
   cluster.trace = [];
   cluster.run(20);
+
   assert.deepEqual(
     cluster.trace.filter((line) => line.includes('starts run-a')),
     [],
@@ -184,6 +205,7 @@
   for (const id of ids) cluster.submit(job(id, { tasks: 40, cpus: 3, estimatedRunS: 500 }));
   cluster.runUntil('all run', () => ids.every((id) => cluster.runningTasks(id) === 40), 60);
   cluster.run(20);
+
   // A second task for each machine: its start is lost, and nothing is answered meanwhile that could stop anything.
   cluster.losesCommands = () => true;
   cluster.submit(job('run-more', { tasks: 240, cpus: 1, estimatedRunS: 500 }));
@@ -199,8 +221,10 @@
   cluster.runUntil('they are lost', () => waiting() > 200, 20);
   cluster.isStateServiceDown = false;
   cluster.isMute = () => true;
+
   cluster.cancel('run-5');
   cluster.losesCommands = () => false;
+
   // Sooner than by their leases, which run out after twelve seconds.
   cluster.runUntil('what is cancelled is gone', () => cluster.machinesRunning('run-5').length === 0, 6);
   assert.ok(waiting() > 20, `${waiting()} machines still wait for their tokens`);
