--- a/test/failover-cancellations.test.ts
+++ b/test/failover-cancellations.test.ts
@@ -20,7 +20,7 @@
 });
 
 test("every team is at its limit, a job is cancelled whose machine hangs, and its shard's holder crashes: no limit is exceeded", () => {
-  for (const hangs of [4, 9, 30]) {
+  for (const hungForS of [4, 9, 30]) {
     const cluster = new SimulatedCluster();
     for (let index = 0; index < 6; index++) cluster.machine(`g${index}`, 'big', index % 2 === 0 ? 'east' : 'west');
     cluster.runUntilSettled();
@@ -30,7 +30,7 @@
         cluster.submit(job(`run-${team}${index}`, { ...gang, team }));
     cluster.runUntil(
       'all at their limits',
-      () => ['red0', 'red1', 'blue0', 'blue1', 'green0'].every((x) => cluster.runningTasks(`run-${x}`) === 1),
+      () => ['red0', 'red1', 'blue0', 'blue1', 'green0'].every((suffix) => cluster.runningTasks(`run-${suffix}`) === 1),
       90,
     );
 
@@ -40,17 +40,17 @@
     const machine = cluster.worker(cluster.machinesRunning('run-green0')[0] as string);
     assert.ok(machine);
     machine.hung = true;
-    const ends = cluster.controller(holderOf(cluster, shardOf(cluster, 'run-green0')));
-    const other = cluster.controllers.find((node) => node !== ends);
+    const holder = cluster.controller(holderOf(cluster, shardOf(cluster, 'run-green0')));
+    const other = cluster.controllers.find((node) => node !== holder);
     cluster.cancel('run-green0', other);
-    ends.crash();
+    holder.crash();
     cluster.run(0.3);
-    ends.restart();
+    holder.restart();
     cluster.run(1.5);
-    // Newer than the new holding: it can be nowhere yet, and needs no proof but its team's part of the limit.
+    // Newer than the new lease: it can be nowhere yet, and needs no proof but its team's part of the limit.
     cluster.isCloudDown = true;
     cluster.submit(job('run-green8', { ...gang, team: 'green', estimatedRunS: 5 }), other);
-    cluster.run(hangs);
+    cluster.run(hungForS);
     machine.hung = false;
     cluster.isCloudDown = false;
 
@@ -93,11 +93,11 @@
     },
     120,
   );
-  const told = cluster.trace.length;
+  const traceLength = cluster.trace.length;
 
   cluster.runUntil('gone', () => [0, 1, 2, 3].every((index) => cluster.machinesRunning(`run-b${index}`).length === 0), 36);
   assert.deepEqual(
-    cluster.trace.slice(told).filter((line) => line.includes('starts run-b')),
+    cluster.trace.slice(traceLength).filter((line) => line.includes('starts run-b')),
     [],
   );
   assertGoldenTrace(cluster, 'cancelled-while-a-share-changes-hands');
--- a/test/failover-partitions.test.ts
+++ b/test/failover-partitions.test.ts
@@ -31,38 +31,50 @@
   cluster.submit(job('run-q', { team: 'blue', shape: 'service', tasks: 10, priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-q') === 10);
   const shard = shardOf(cluster, 'run-q');
-  const home = holderOf(cluster, shard);
-  const zone = cluster.controller(home).controller.settings.zone;
-  const inside = (x: string) => x === home || cluster.workers.find((worker) => worker.name === x)?.zone === zone;
+  const preferredHolder = holderOf(cluster, shard);
+  const zone = cluster.controller(preferredHolder).controller.settings.zone;
+  const inside = (name: string) =>
+    name === preferredHolder || cluster.workers.find((worker) => worker.name === name)?.zone === zone;
 
   // Its home is cut off whole; a machine there dies, the others' work ends by its leases.
-  for (const node of cluster.controllers) if (node.name !== home && node.controller.settings.zone === zone) node.crash();
+  for (const node of cluster.controllers)
+    if (node.name !== preferredHolder && node.controller.settings.zone === zone) node.crash();
   cluster.isPartitioned = (a, b) => inside(a) !== inside(b);
-  cluster.controller(home).isRefusedByStateService = true;
-  const dead = cluster.workers.find((worker) => worker.zone === zone && cluster.machinesRunning('run-q').includes(worker.name));
-  if (dead) {
-    dead.dead = true;
-    dead.tasks.clear();
+  cluster.controller(preferredHolder).isRefusedByStateService = true;
+  const deadWorker = cluster.workers.find(
+    (worker) => worker.zone === zone && cluster.machinesRunning('run-q').includes(worker.name),
+  );
+  if (deadWorker) {
+    deadWorker.dead = true;
+    deadWorker.tasks.clear();
   }
-  const away = cluster.controllers.find((node) => node.up && node.name !== home) as SimulatedController;
-  cluster.runUntil('taken over', () => (away.controller.clusterState.leaseOf(shard)?.holder.controller ?? home) !== home, 40);
+  const otherController = cluster.controllers.find((node) => node.up && node.name !== preferredHolder) as SimulatedController;
+  cluster.runUntil(
+    'taken over',
+    () => (otherController.controller.clusterState.leaseOf(shard)?.holder.controller ?? preferredHolder) !== preferredHolder,
+    40,
+  );
   cluster.runUntil('its leases are over', () => !cluster.machinesRunning('run-q').some(inside), 40);
 
   // The cloud can't tell that the dead one is gone for a while: what may be on it waits.
   cluster.isCloudDown = true;
   cluster.isPartitioned = () => false;
-  cluster.controller(home).isRefusedByStateService = false;
+  cluster.controller(preferredHolder).isRefusedByStateService = false;
   for (const node of cluster.controllers) if (!node.up) node.restart();
   cluster.at(cluster.now + 15_000, () => {
     cluster.isCloudDown = false;
   });
 
-  cluster.runUntil('at home', () => away.controller.clusterState.leaseOf(shard)?.holder.controller === home, 90);
+  cluster.runUntil(
+    'at home',
+    () => otherController.controller.clusterState.leaseOf(shard)?.holder.controller === preferredHolder,
+    90,
+  );
   assert.equal(cluster.runningTasks('run-q'), 10);
 });
 
-/** All machines in one share, asked six at a time; those of the cut zone come first by name. */
-function oneShare(west: number, east: number): SimulatedCluster {
+/** All machines are in one shard, which is probed six at a time; those of the partitioned zone come first by name. */
+function clusterWithOneShard(west: number, east: number): SimulatedCluster {
   const cluster = new SimulatedCluster(['n0', 'n1', 'n2'], (settings) => ({
     ...settings,
     teams: settings.teams.slice(0, 1),
@@ -75,12 +87,12 @@
 }
 
 test('after a failover during a partition, machines that were not probed yet are not released', () => {
-  const cluster = oneShare(240, 40);
+  const cluster = clusterWithOneShard(240, 40);
   cluster.submit(job('run-x', { shape: 'service', tasks: 60, priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-x') === 60, 30);
 
-  const west = (x: string) => x === 'n1' || x.startsWith('m1');
-  cluster.isPartitioned = (a, b) => west(a) !== west(b);
+  const isWest = (name: string) => name === 'n1' || name.startsWith('m1');
+  cluster.isPartitioned = (a, b) => isWest(a) !== isWest(b);
   cluster.controller('n1').isRefusedByStateService = true;
   const shard = shardOf(cluster, 'run-x');
   assert.equal(holderOf(cluster, shard), 'n0');
@@ -90,11 +102,11 @@
   cluster.run(15);
 
   assert.deepEqual(
-    cluster.workers.filter((worker) => worker.dead && !west(worker.name)).map((worker) => worker.name),
+    cluster.workers.filter((worker) => worker.dead && !isWest(worker.name)).map((worker) => worker.name),
     [],
     'machines that can be reached',
   );
-  const seen = [...clusterState.machines.values()].filter((machine) => !west(machine.name));
+  const seen = [...clusterState.machines.values()].filter((machine) => !isWest(machine.name));
   assert.equal(seen.filter((machine) => machine.tenure.isVerified).length, 40, 'all of them have answered');
 });
 
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -44,16 +44,16 @@
 
 test('a late transaction of a dead holder changes nothing', () => {
   const cluster = smallCluster(6);
-  const late: (() => void)[] = [];
+  const lateWrites: (() => void)[] = [];
   cluster.submit(job('run-t', { tasks: 2, estimatedRunS: 3 }));
   const holder = holderOfJob(cluster, 'run-t');
 
-  cluster.losesTransactionAnswer = (e, apply) => {
-    if (!e.writes.some((write) => 'put' in write && /^a\/[jp]\/run-t/.test(write.put))) return false;
-    late.push(apply);
+  cluster.losesTransactionAnswer = (transaction, apply) => {
+    if (!transaction.writes.some((write) => 'put' in write && /^a\/[jp]\/run-t/.test(write.put))) return false;
+    lateWrites.push(apply);
     return true;
   };
-  cluster.runUntil('its end was to be written', () => late.length > 0, 30);
+  cluster.runUntil('its end was to be written', () => lateWrites.length > 0, 30);
   cluster.controller(holder).crash();
   cluster.losesTransactionAnswer = null;
   cluster.run(1);
@@ -61,7 +61,7 @@
   cluster.runUntil('done again', () => cluster.queryStatus('run-t') === 'done', 40);
 
   const before = JSON.stringify(cluster.stateService.rows());
-  for (const apply of late) apply();
+  for (const apply of lateWrites) apply();
 
   assert.equal(JSON.stringify(cluster.stateService.rows()), before);
   assertGoldenTrace(cluster, 'late-transaction');
@@ -139,7 +139,8 @@
     cluster.runUntil('one more ended', () => cluster.finished.size === index, 60);
     const owner = cluster.controller(holderOf(cluster, 0));
     // At once after the end, or when it is known and what was to be stored of it is lost.
-    cluster.losesTransactionAnswer = (e) => e.writes.some((write) => 'put' in write && /^a\/[pj]\//.test(write.put));
+    cluster.losesTransactionAnswer = (transaction) =>
+      transaction.writes.some((write) => 'put' in write && /^a\/[pj]\//.test(write.put));
     cluster.run(index === 1 ? 0 : 1.5);
     cluster.losesTransactionAnswer = null;
     owner.crash();
--- a/test/fencing.test.ts
+++ b/test/fencing.test.ts
@@ -52,23 +52,23 @@
   const { preferredHolder, currentHolder } = holdShardElsewhere(cluster);
 
   // Carried out at once; the old holder learns of it neither by the answer nor by its watch.
-  cluster.losesTransactionAnswer = (e, apply) => {
-    if (!e.writes.some((write) => 'del' in write && write.del === 'a/h/1')) return false;
+  cluster.losesTransactionAnswer = (transaction, apply) => {
+    if (!transaction.writes.some((write) => 'del' in write && write.del === 'a/h/1')) return false;
     currentHolder.isWatchLagging = true;
     apply();
     return true;
   };
   cluster.runUntil('claimed by its home', () => storedLeaseHolder(cluster, 1) === 'n1', 80);
   assert.ok(currentHolder.isWatchLagging);
-  const mine = [...currentHolder.controller.clusterState.machines.values()]
+  const machinesOfShard = [...currentHolder.controller.clusterState.machines.values()]
     .filter((machine) => machine.shard === 1)
     .map((machine) => machine.name);
-  assert.ok(mine.length >= 2);
+  assert.ok(machinesOfShard.length >= 2);
 
   // Each of them reaches one machine alone: what both start is started twice.
-  const last = mine.at(-1);
+  const last = machinesOfShard.at(-1);
   cluster.isPartitioned = (a, b) =>
-    (a === preferredHolder.name && b !== last && mine.includes(b)) || (a === currentHolder.name && b === last);
+    (a === preferredHolder.name && b !== last && machinesOfShard.includes(b)) || (a === currentHolder.name && b === last);
   cluster.submit(job('run-twice', { team: 'blue', estimatedRunS: 60 }), currentHolder);
   cluster.run(4);
 
@@ -111,14 +111,14 @@
   cluster.losesCommands = () => true;
   cluster.submit(job('run-a', { estimatedRunS: 60 }));
 
-  const token = () => Math.max(...cluster.workers.map((worker) => worker.fencingToken));
-  const before = token();
+  const highestToken = () => Math.max(...cluster.workers.map((worker) => worker.fencingToken));
+  const before = highestToken();
 
   cluster.run(1);
   cluster.losesCommands = () => false;
   cluster.runUntil('running', () => cluster.runningTasks('run-a') === 1, 20);
 
-  assert.ok(token() > before);
+  assert.ok(highestToken() > before);
 });
 
 test('direct commands to a machine are lost while the cloud is down: the answers to its heartbeats stop what is cancelled', () => {
@@ -128,7 +128,7 @@
   const machine = cluster.machinesRunning('run-c')[0];
 
   cluster.isCloudDown = true;
-  cluster.losesCommands = (_n, m) => m === machine;
+  cluster.losesCommands = (_controller, name) => name === machine;
   cluster.cancel('run-c');
 
   cluster.runUntil('gone', () => cluster.machinesRunning('run-c').length === 0, 36);
@@ -151,10 +151,10 @@
   const cluster = smallCluster(8);
   const worker = cluster.workers[0] as SimulatedWorker;
   cluster.run(5);
-  const r = { ...worker.heartbeat(), fencingToken: worker.fencingToken + 1_000 };
+  const heartbeat = { ...worker.heartbeat(), fencingToken: worker.fencingToken + 1_000 };
 
-  for (const node of cluster.controllers) assert.ok([503, 421].includes(deliverHeartbeatCopy(node, r)));
-  assert.ok(cluster.controllers.some((node) => deliverHeartbeatCopy(node, r) === 503));
+  for (const node of cluster.controllers) assert.ok([503, 421].includes(deliverHeartbeatCopy(node, heartbeat)));
+  assert.ok(cluster.controllers.some((node) => deliverHeartbeatCopy(node, heartbeat) === 503));
   assert.ok(cluster.controllers.some((node) => deliverHeartbeatCopy(node, worker.heartbeat()) === 200));
 });
 
