--- a/test/failure-detection.test.ts
+++ b/test/failure-detection.test.ts
@@ -2,9 +2,8 @@
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { dead } from './scenarios/on-call-scenarios.js';
-import { clusterOfEight, machineOf } from './scenarios/partition-scenarios.js';
-import { newCluster } from './scenarios/takeover-scenarios.js';
+import { deadWorkers } from './scenarios/on-call-scenarios.js';
+import { workerRunning } from './scenarios/partition-scenarios.js';
 import {
   assertGoldenTrace,
   holderOf,
@@ -16,7 +15,7 @@
 } from './simulation/index.js';
 
 test('a spot machine with a preemption notice is drained, and its service goes on elsewhere', () => {
-  const cluster = newCluster(6);
+  const cluster = smallCluster(6);
   cluster.submit(job('run-n', { shape: 'service', priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-n') === 1);
   const worker = cluster.workers.find((candidate) => candidate.name === cluster.machinesRunning('run-n')[0]);
@@ -30,10 +29,10 @@
 });
 
 test('a machine whose heartbeats come but that no command reaches is released, and its work goes on elsewhere', () => {
-  const cluster = clusterOfEight();
+  const cluster = smallCluster(8);
   cluster.submit(job('run-w', { shape: 'service', priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-w') === 1);
-  const worker = machineOf(cluster, 'run-w');
+  const worker = workerRunning(cluster, 'run-w');
   cluster.isDeaf = (_node, machine) => machine === worker.name;
   cluster.runUntil('given back', () => worker.dead, 40);
   cluster.runUntil('goes on elsewhere', () => cluster.runningTasks('run-w') === 1, 20);
@@ -45,7 +44,7 @@
 });
 
 test('a controller that can reach no worker hands its shards over, releases no machine, and gets them back once', () => {
-  const cluster = clusterOfEight(9);
+  const cluster = smallCluster(9);
   cluster.submit(job('run-v', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-v') === 2);
   const shard = shardOf(cluster, 'run-v');
@@ -71,7 +70,7 @@
 });
 
 test('in a zone partitioned from the state service too, work ends by its leases and goes on elsewhere once its machines are released', () => {
-  const cluster = clusterOfEight();
+  const cluster = smallCluster(8);
   cluster.submit(job('run-z', { shape: 'service', tasks: 6, priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-z') === 6);
   const west = (x: string) => x === 'n1' || cluster.workers.find((worker) => worker.name === x)?.zone === 'west';
@@ -142,7 +141,7 @@
   cluster.run(1);
   worker.hung = false;
   cluster.run(10);
-  assert.deepEqual(dead(cluster), []);
+  assert.deepEqual(deadWorkers(cluster), []);
 });
 
 // Each is in another session by then, which its first answer tells; while it waited for the second question it counted
@@ -173,7 +172,7 @@
   for (let index = 0; index < 60; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.run(300);
   for (const node of cluster.controllers) node.restart();
-  for (const worker of cluster.workers) worker.nextReport = cluster.now + 4000;
+  for (const worker of cluster.workers) worker.nextHeartbeatAt = cluster.now + 4000;
   cluster.runUntilSettled();
   cluster.run(20);
   assert.deepEqual(
