--- a/test/malformed-support/http-exchange.ts
+++ b/test/malformed-support/http-exchange.ts
@@ -8,7 +8,7 @@
 import { type SimulatedCluster, smallCluster } from '../simulation/index.js';
 import type { Table } from './recorded-results.js';
 
-/** Identifiers of requests to a controller in a simulated cluster: beyond those that the stand-ins give themselves. */
+/** Identifiers of requests to a controller in a simulated cluster: beyond those that the simulated users take. */
 const FIRST_REQUEST_ID = 1_000_000;
 
 /** Simulated seconds after which a request that has no answer fails the test. */
--- a/test/simulation/cluster.ts
+++ b/test/simulation/cluster.ts
@@ -227,7 +227,7 @@
   /** Runs until all machines are assigned and have answered; the trace begins anew. */
   runUntilSettled(): void {
     this.runUntil(
-      'all machines granted',
+      'all machines assigned',
       () =>
         this.workers.every(
           (worker) =>
--- a/test/simulation/large-fleet.ts
+++ b/test/simulation/large-fleet.ts
@@ -171,9 +171,9 @@
       worker.dead = true;
       worker.tasks.clear();
     }
-    const granted = () =>
+    const isAnyAssigned = () =>
       cluster.controllers.some((node) => lostWorkers.some((worker) => node.controller.clusterState.machines.has(worker.name)));
-    cluster.runUntil('what was lost is granted no more', () => !granted(), 120);
+    cluster.runUntil('what was lost is assigned no more', () => !isAnyAssigned(), 120);
     return (cluster.now - from) / 1000;
   }
 
