--- a/packages/cloud-client/src/cloud-client.ts
+++ b/packages/cloud-client/src/cloud-client.ts
@@ -96,6 +96,8 @@
   /** Ends all calls and connections; later calls are not made. */
   close(): void {
     this.isClosed = true;
+    this.budget.close();
+    this.listBudget.close();
     this.client.close();
   }
 
--- a/packages/http-client/src/request-budget.ts
+++ b/packages/http-client/src/request-budget.ts
@@ -1,6 +1,4 @@
 /** Keeps this process within the request limit of a service. */
-import { sleep } from './clock.js';
-
 /** The shortest wait for a token; timers fire in steps of a few milliseconds anyway. */
 const MIN_WAIT_MS = 5;
 
@@ -8,6 +6,9 @@
 export class RequestBudget {
   private tokens: number;
   private refilledAt: number;
+  /** ends the waits of callers */
+  private readonly waits = new Set<() => void>();
+  private isClosed = false;
 
   /**
    * @param perS requests a second
@@ -35,9 +36,27 @@
     return true;
   }
 
-  /** Waits until there is a token, and takes it. */
+  /** Waits until there is a token, and takes it. Resolves without one when the budget is or gets closed. */
   async take(): Promise<void> {
-    while (!this.tryTake()) await sleep(Math.max(MIN_WAIT_MS, ((1 - this.tokens) / this.perS) * 1000));
+    while (!this.isClosed && !this.tryTake()) await this.wait(Math.max(MIN_WAIT_MS, ((1 - this.tokens) / this.perS) * 1000));
+  }
+
+  /** Ends all waits, so that no timer outlives the owner. Callers must not send their requests any more. */
+  close(): void {
+    this.isClosed = true;
+    for (const endWait of this.waits) endWait();
+  }
+
+  private wait(milliseconds: number): Promise<void> {
+    return new Promise((resolve) => {
+      const endWait = () => {
+        clearTimeout(timer);
+        this.waits.delete(endWait);
+        resolve();
+      };
+      const timer = setTimeout(endWait, milliseconds);
+      this.waits.add(endWait);
+    });
   }
 
   private refill(): void {
--- a/packages/state-client/src/state-service-connection.ts
+++ b/packages/state-client/src/state-service-connection.ts
@@ -37,9 +37,10 @@
     return readResponse(response, parse, () => this.unreadable$.next(what));
   }
 
-  /** Ends all calls; later ones are not made. */
+  /** Ends all calls, and waits for the budget; later calls are not made. */
   close(): void {
     this.isClosed = true;
+    this.budget.close();
     this.client.close();
   }
 }
