--- a/test/loopback/cloud-server.ts
+++ b/test/loopback/cloud-server.ts
@@ -31,6 +31,8 @@
 
 export class CloudServer {
   readonly returned = new Set<string>();
+  /** requests so far */
+  requestCount = 0;
   private readonly server = serverFor((request) => this.handle(request));
 
   /** `machines`: in the order of their names */
@@ -46,6 +48,7 @@
   }
 
   private handle({ method, path, query, body }: LoopbackRequest): LoopbackAnswer {
+    this.requestCount++;
     if (path === '/machine_types') return { status: 200, body: { builds: TYPES.map(typeOnWire) } };
     if (path === '/machines' && method === 'GET') return this.list(query);
     if (path === '/machines') return { status: 503, body: { error: 'no capacity' } };
