--- a/packages/controller/src/controller-parts.ts
+++ b/packages/controller/src/controller-parts.ts
@@ -109,7 +109,7 @@
         emit: (effect) => this.effects.emit(effect),
         leaseId: () => this.stateLease.leaseId,
         afterBarrier: (now, run) => this.context.afterBarrier(now, run),
-        onLeaseLost: () => this.stateLease.lost(),
+        onLeaseLost: () => this.stateLease.invalidate(),
         onTooLarge: (key, bytes) => this.effects.log('warn', 'write rejected as too large or invalid', { key, bytes }),
       },
     );
@@ -117,7 +117,7 @@
 
   private makeStateLease(): StateLease {
     return new StateLease(this.effects, {
-      stateLeaseLost: () => this.shardLeases.dropAll(),
+      stateLeaseLost: () => this.shardLeases.stateLeaseExpired(),
       stateLeaseRenewedLate: (overdueMs, now) => this.shardController.processPaused(overdueMs, now),
     });
   }
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -156,7 +156,7 @@
     this.beginInput(now);
     const { stateLease, stateServiceFreshness } = this.parts;
     if (leaseId === null) {
-      stateLease.ended();
+      stateLease.expired();
       return;
     }
     stateLease.renewed(leaseId, validUntil, now);
--- a/packages/controller/src/leadership/shard-leases.ts
+++ b/packages/controller/src/leadership/shard-leases.ts
@@ -80,8 +80,8 @@
     else this.leaseNotHeld(lease, current?.holder.controller ?? null);
   }
 
-  /** The state lease has ended: nothing that was attached to it is held any more. */
-  dropAll(): void {
+  /** The state lease has expired: nothing that was attached to it is held any more. */
+  stateLeaseExpired(): void {
     for (const lease of [...this.heldLeases.keys()]) {
       this.heldLeases.delete(lease);
       this.context.leaseLost(lease);
--- a/packages/controller/src/leadership/state-lease.ts
+++ b/packages/controller/src/leadership/state-lease.ts
@@ -37,7 +37,7 @@
 
   /** The lease was granted or renewed: it is valid until `validUntil` at least. */
   renewed(leaseId: number, validUntil: Milliseconds, now: Milliseconds): void {
-    if (this.id !== null && this.id !== leaseId) this.lost();
+    if (this.id !== null && this.id !== leaseId) this.invalidate();
     // It was renewed, so it never ended, and nobody can have taken what is attached to it: what is held stays held. Treating
     // it as lost made every machine be probed anew after each outage that was longer than the lease.
     else if (this.id === leaseId && now >= this.validUntil) this.renewedLate(now - this.validUntil, now);
@@ -45,13 +45,13 @@
     this.validUntil = validUntil;
   }
 
-  /** The state service says that there is no lease. */
-  ended(): void {
-    if (this.id !== null) this.lost();
+  /** The state service says that the lease has expired, or that there is none. */
+  expired(): void {
+    if (this.id !== null) this.invalidate();
   }
 
   /** The lease has ended, or is not to be relied on any more. */
-  lost(): void {
+  invalidate(): void {
     this.context.log('warn', 'lease lost');
     this.id = null;
     this.validUntil = NEVER;
--- a/packages/http-client/src/request-budget.ts
+++ b/packages/http-client/src/request-budget.ts
@@ -1,4 +1,5 @@
 /** Keeps this process within the request limit of a service. */
+
 /** The shortest wait for a token; timers fire in steps of a few milliseconds anyway. */
 const MIN_WAIT_MS = 5;
 
