--- a/packages/controller/src/scheduling/gang-placement.ts
+++ b/packages/controller/src/scheduling/gang-placement.ts
@@ -48,12 +48,12 @@
 
 /** Puts `count` tasks into one domain, the machines with the highest score and then the fullest first; null: they don't fit. */
 function fillDomain(job: Job, count: number, domain: TopologyDomain, scoreOf: (free: FreeResources) => number): Machine[] | null {
-  const machines = domain
-    .map((free) => ({ ...free }))
-    .sort((a, b) => scoreOf(b) - scoreOf(a) || a.gpus - b.gpus || a.cpus - b.cpus);
+  const candidates = domain
+    .map((free) => ({ free: { ...free }, score: scoreOf(free) }))
+    .sort((a, b) => b.score - a.score || a.free.gpus - b.free.gpus || a.free.cpus - b.free.cpus);
   const result: Machine[] = [];
   const tasksInZones = new Map<number, number>();
-  for (const free of machines) {
+  for (const { free } of candidates) {
     const { machine } = free;
     while (result.length < count && fits(job.resources, free) && zoneAllowsTask(job, tasksInZones, machine.zoneIndex)) {
       subtract(free, job.resources);
