--- a/packages/http-client/src/request-budget.ts
+++ b/packages/http-client/src/request-budget.ts
@@ -1,4 +1,5 @@
 /** Keeps this process within the request limit of a service. */
+import { Delay } from './delay.js';
 
 /** The shortest wait for a token; timers fire in steps of a few milliseconds anyway. */
 const MIN_WAIT_MS = 5;
@@ -7,9 +8,8 @@
 export class RequestBudget {
   private tokens: number;
   private refilledAt: number;
-  /** ends the waits of callers */
-  private readonly waits = new Set<() => void>();
-  private isClosed = false;
+  /** the waits of callers */
+  private readonly delay = new Delay();
 
   /**
    * @param perS requests a second
@@ -39,25 +39,13 @@
 
   /** Waits until there is a token, and takes it. Resolves without one when the budget is or gets closed. */
   async take(): Promise<void> {
-    while (!this.isClosed && !this.tryTake()) await this.wait(Math.max(MIN_WAIT_MS, ((1 - this.tokens) / this.perS) * 1000));
+    while (!this.delay.isClosed && !this.tryTake())
+      await this.delay.wait(Math.max(MIN_WAIT_MS, ((1 - this.tokens) / this.perS) * 1000));
   }
 
   /** Ends all waits, so that no timer outlives the owner. Callers must not send their requests any more. */
   close(): void {
-    this.isClosed = true;
-    for (const endWait of this.waits) endWait();
-  }
-
-  private wait(milliseconds: number): Promise<void> {
-    return new Promise((resolve) => {
-      const endWait = () => {
-        clearTimeout(timer);
-        this.waits.delete(endWait);
-        resolve();
-      };
-      const timer = setTimeout(endWait, milliseconds);
-      this.waits.add(endWait);
-    });
+    this.delay.close();
   }
 
   private refill(): void {
--- a/packages/server/src/metrics-reporter.ts
+++ b/packages/server/src/metrics-reporter.ts
@@ -1,11 +1,11 @@
 /** Periodic figures of load: rejected requests and connections, processor time, memory, inputs. */
 import type { ConnectionLimiter, LoadShedder } from '@archpost/http-api';
+import { BYTES_PER_MB } from './heap-plan.js';
 import type { Inbox } from './inbox.js';
 import type { ProcessFigures, ServiceLog } from './service-log.js';
 
 const LOG_INTERVAL_MS = 10_000;
 
-const BYTES_PER_MB = 1024 * 1024;
 const MICROSECONDS_PER_S = 1e6;
 
 /** Where the figures come from, and the log that they go to. */
--- a/packages/state-client/src/lease-renewer.ts
+++ b/packages/state-client/src/lease-renewer.ts
@@ -1,8 +1,7 @@
 /** The lease of this controller at the state service, to which it attaches its keys. */
-import { type CallOutcome, monotonicMs } from '@archpost/http-client';
+import { type CallOutcome, Delay, monotonicMs } from '@archpost/http-client';
 import { encodeLeaseRequest, leaseRenewalPath, PATHS, pack, parseLease, unpackMap } from '@archpost/protocol';
 import { Subject } from 'rxjs';
-import { Delay } from './delay.js';
 import type { StateServiceConnection } from './state-service-connection.js';
 
 /** The lease that the controller has now. */
--- a/packages/state-client/src/read-barrier.ts
+++ b/packages/state-client/src/read-barrier.ts
@@ -1,6 +1,5 @@
 /** Read barriers: reads that begin after the moment at which they were requested. */
-import { monotonicMs } from '@archpost/http-client';
-import { Delay } from './delay.js';
+import { Delay, monotonicMs } from '@archpost/http-client';
 
 /** A request that is not urgent waits this long for the watch; users wait two seconds for a response. */
 const MAX_DELAY_MS = 350;
--- a/packages/state-client/src/replica-reader.ts
+++ b/packages/state-client/src/replica-reader.ts
@@ -1,5 +1,5 @@
 /** Feeds a replica of the controllers' keys: reads all keys once, and then their changes. */
-import { monotonicMs } from '@archpost/http-client';
+import { Delay, monotonicMs } from '@archpost/http-client';
 import {
   changesPath,
   type KeyChange,
@@ -10,7 +10,6 @@
   type StoredKey,
 } from '@archpost/protocol';
 import { Subject } from 'rxjs';
-import { Delay } from './delay.js';
 import { ReadBarrier } from './read-barrier.js';
 import type { StateServiceConnection } from './state-service-connection.js';
 
