--- a/packages/server/src/effect-executor.ts
+++ b/packages/server/src/effect-executor.ts
@@ -9,8 +9,6 @@
 import { type Inbox, PROCESS_PAUSE_MS } from './inbox.js';
 import type { ServiceLog } from './service-log.js';
 
-type EffectOf<Type extends Effect['type']> = Extract<Effect, { type: Type }>;
-
 /** What effects act on. */
 export interface EffectTargets {
   api: HttpApi;
@@ -81,26 +79,37 @@
   }
 
   private execute(effect: Effect): void {
-    const { api, stateService, peers, log } = this.targets;
+    const { controller } = this;
+    const { api, stateService, workers, cloud, peers, log } = this.targets;
     switch (effect.type) {
       case 'respond':
         return api.respond(effect.id, effect.status, effect.body, effect.retryAfterS);
       case 'readBarrier':
         return stateService.readBarrier(effect.urgent);
       case 'compareAndSwap':
-        return this.compareAndSwap(effect);
+        return this.enqueueOutcome(stateService.compareAndSwap(effect.conditions, effect.writes), (outcome, now) =>
+          controller.receiveCompareAndSwapOutcome(effect.id, outcome, now),
+        );
       case 'command':
-        return this.command(effect);
+        return this.enqueueOutcome(workers.sendCommands(effect), (outcome, now) =>
+          controller.receiveCommandOutcome(effect.id, outcome, now),
+        );
       case 'probe':
-        return this.probe(effect);
+        return this.enqueueOutcome(workers.probe(effect.address), (isAnswered, now) =>
+          controller.receiveProbeOutcome(effect.id, isAnswered, now),
+        );
       case 'provision':
-        return this.provision(effect);
+        return this.enqueueOutcome(cloud.provision(effect.request), (outcome, now) =>
+          controller.receiveProvisioningOutcome(effect.id, outcome, now),
+        );
       case 'release':
-        return this.release(effect);
+        return this.enqueueOutcome(cloud.releaseMachines(effect.machines), (isReleased, now) =>
+          controller.receiveReleaseOutcome(effect.id, isReleased, now),
+        );
       case 'listMachines':
-        return this.listMachines();
+        return this.enqueueOutcome(cloud.listMachines(), (machines, now) => controller.receiveMachineList(machines, now));
       case 'fetchMachineTypes':
-        return this.fetchMachineTypes();
+        return this.enqueueOutcome(cloud.fetchMachineTypes(), (types, now) => controller.receiveMachineTypes(types, now));
       case 'sendStatus':
         return peers.send({ node: this.nodeName, status: effect.status, heartbeat: null }, effect.to);
       case 'forwardHeartbeat':
@@ -113,52 +122,8 @@
     }
   }
 
-  private compareAndSwap({ id, conditions, writes }: EffectOf<'compareAndSwap'>): void {
-    const { controller, inbox, targets } = this;
-    void targets.stateService
-      .compareAndSwap(conditions, writes)
-      .then((outcome) => inbox.enqueueControlEvent(() => controller.receiveCompareAndSwapOutcome(id, outcome, monotonicMs())));
-  }
-
-  private command(effect: EffectOf<'command'>): void {
-    const { controller, inbox, targets } = this;
-    void targets.workers
-      .sendCommands(effect)
-      .then((outcome) => inbox.enqueueControlEvent(() => controller.receiveCommandOutcome(effect.id, outcome, monotonicMs())));
-  }
-
-  private probe({ id, address }: EffectOf<'probe'>): void {
-    const { controller, inbox, targets } = this;
-    void targets.workers
-      .probe(address)
-      .then((isAnswered) => inbox.enqueueControlEvent(() => controller.receiveProbeOutcome(id, isAnswered, monotonicMs())));
-  }
-
-  private provision({ id, request }: EffectOf<'provision'>): void {
-    const { controller, inbox, targets } = this;
-    void targets.cloud
-      .provision(request)
-      .then((outcome) => inbox.enqueueControlEvent(() => controller.receiveProvisioningOutcome(id, outcome, monotonicMs())));
-  }
-
-  private release({ id, machines }: EffectOf<'release'>): void {
-    const { controller, inbox, targets } = this;
-    void targets.cloud
-      .releaseMachines(machines)
-      .then((isReleased) => inbox.enqueueControlEvent(() => controller.receiveReleaseOutcome(id, isReleased, monotonicMs())));
-  }
-
-  private listMachines(): void {
-    const { controller, inbox, targets } = this;
-    void targets.cloud
-      .listMachines()
-      .then((machines) => inbox.enqueueControlEvent(() => controller.receiveMachineList(machines, monotonicMs())));
-  }
-
-  private fetchMachineTypes(): void {
-    const { controller, inbox, targets } = this;
-    void targets.cloud
-      .fetchMachineTypes()
-      .then((types) => inbox.enqueueControlEvent(() => controller.receiveMachineTypes(types, monotonicMs())));
+  /** Brings the controller the outcome of a call as a control event, with the time at which the event is taken. */
+  private enqueueOutcome<Outcome>(pending: Promise<Outcome>, receive: (outcome: Outcome, now: number) => void): void {
+    void pending.then((outcome) => this.inbox.enqueueControlEvent(() => receive(outcome, monotonicMs())));
   }
 }
