--- a/packages/controller/src/allocation/machine-schedulability.ts
+++ b/packages/controller/src/allocation/machine-schedulability.ts
@@ -15,9 +15,14 @@
 /** The same for heartbeats that another controller takes, which it reports with some delay. */
 const HEARD_BY_PEER_MS = 5000;
 
+/** Do the machine's heartbeats come to another controller? */
+export function isHeardByPeer(machine: Machine, now: Milliseconds): boolean {
+  return now - machine.heardByPeerAt < HEARD_BY_PEER_MS;
+}
+
 /** Do the machine's heartbeats come, here or to another controller? */
 export function isHeardRecently(machine: Machine, now: Milliseconds): boolean {
-  return now - machine.tenure.lastHeartbeatAt < HEARD_HERE_MS || now - machine.heardByPeerAt < HEARD_BY_PEER_MS;
+  return now - machine.tenure.lastHeartbeatAt < HEARD_HERE_MS || isHeardByPeer(machine, now);
 }
 
 /** Says which machines take starts. */
--- a/packages/controller/src/heartbeats/worker-routing.ts
+++ b/packages/controller/src/heartbeats/worker-routing.ts
@@ -5,7 +5,7 @@
  */
 import type { Heartbeat } from '@archpost/protocol';
 import type { PeerDirectory, SettingsView } from '../context/index.js';
-import { type Milliseconds, NEVER } from '../model/index.js';
+import { type Milliseconds, NEVER, shiftTimes } from '../model/index.js';
 
 /** A controller that answers this many workers is known to be reachable for them. */
 const MIN_HEARD_WORKERS = 3;
@@ -58,7 +58,7 @@
 
   /** This process was paused: workers that it did not hear meanwhile were not silent. */
   processPaused(pauseMs: Milliseconds): void {
-    for (const [machine, at] of this.servedAt) this.servedAt.set(machine, at + pauseMs);
+    shiftTimes(this.servedAt, pauseMs);
   }
 
   private dropOld(now: Milliseconds): void {
--- a/packages/controller/src/leadership/lease-claims.ts
+++ b/packages/controller/src/leadership/lease-claims.ts
@@ -13,10 +13,10 @@
   StateFreshness,
   StateWriting,
 } from '../context/index.js';
-import type { Milliseconds } from '../model/index.js';
+import { type Milliseconds, shiftTimes } from '../model/index.js';
 import { encodeHolder, encodePresence, isPresenceOf, NO_REVISION, StateKey, WritePriority } from '../state/index.js';
 import type { HolderSelection } from './holder-selection.js';
-import { type PauseListener, shiftTimes } from './process-pause.js';
+import type { PauseListener } from './process-pause.js';
 
 /** While its preferred holder is fit to hold a lease, the others leave it this long to claim it. */
 const PREFERRED_HOLDER_WAIT_MS = 3000;
--- a/packages/controller/src/leadership/process-pause.ts
+++ b/packages/controller/src/leadership/process-pause.ts
@@ -17,11 +17,6 @@
   processPaused(pausedMs: Milliseconds, now: Milliseconds): void;
 }
 
-/** Moves all times of the map by as much: they then are as old as they were before a pause of that length. */
-export function shiftTimes<Key>(times: Map<Key, Milliseconds>, byMs: Milliseconds): void {
-  for (const [key, at] of times) times.set(key, at + byMs);
-}
-
 /** Notifies the parts that keep ages of silences of a pause, in the order in which they are given. */
 export class ProcessPause {
   constructor(
--- a/packages/controller/src/leadership/shard-return.ts
+++ b/packages/controller/src/leadership/shard-return.ts
@@ -5,9 +5,9 @@
  * Owns since when each preferred holder has been waiting, and since when each shard has been settled.
  */
 import { LEADER_LEASE, type LeaseName, type SettingsView, type ShardHealth } from '../context/index.js';
-import type { Milliseconds } from '../model/index.js';
+import { type Milliseconds, shiftTimes } from '../model/index.js';
 import type { HolderSelection } from './holder-selection.js';
-import { type PauseListener, shiftTimes } from './process-pause.js';
+import type { PauseListener } from './process-pause.js';
 
 /** A shard is returned when it has been settled for this long. */
 const SETTLED_MS = 4000;
--- a/packages/controller/src/model/machine-load.ts
+++ b/packages/controller/src/model/machine-load.ts
@@ -22,8 +22,13 @@
   return machine.load;
 }
 
+/** A copy of the machine's capacity, from which the caller may subtract; nothing while its type is unknown. */
+export function capacityOf({ capacity }: Machine): Resources {
+  return { cpus: capacity?.cpus ?? 0, gpus: capacity?.gpus ?? 0, memory: capacity?.memory ?? 0 };
+}
+
 function computeLoad(machine: Machine): MachineLoad {
-  const free = { cpus: machine.capacity?.cpus ?? 0, gpus: machine.capacity?.gpus ?? 0, memory: machine.capacity?.memory ?? 0 };
+  const free = capacityOf(machine);
   const services: Allocation[] = [];
   const serviceUsage = { cpus: 0, memory: 0 };
   for (const allocation of machine.tenure.allocations.values()) {
--- a/packages/controller/src/model/time.ts
+++ b/packages/controller/src/model/time.ts
@@ -13,3 +13,8 @@
 export function toLoggedSeconds(durationMs: Milliseconds): number {
   return Math.round(durationMs / 100) / 10;
 }
+
+/** Moves all times of the map by as much: after a pause of that length they are as old as they were before it. */
+export function shiftTimes<Key>(times: Map<Key, Milliseconds>, byMs: Milliseconds): void {
+  for (const [key, at] of times) times.set(key, at + byMs);
+}
--- a/packages/controller/src/shards/machine-commands.ts
+++ b/packages/controller/src/shards/machine-commands.ts
@@ -4,7 +4,16 @@
  */
 import { type Command, MAX_COMMANDS_PER_BODY } from '@archpost/protocol';
 import type { TaskAllocations } from '../allocation/index.js';
-import { type Allocation, fits, type Job, type Machine, type Milliseconds, type Resources, subtract } from '../model/index.js';
+import {
+  type Allocation,
+  capacityOf,
+  fits,
+  type Job,
+  type Machine,
+  type Milliseconds,
+  type Resources,
+  subtract,
+} from '../model/index.js';
 import { clearOrphanedTask, forgetCommand, startCommand, stopCommand } from './task-commands.js';
 
 /** Starts are added to a message only while it has no more commands than this. */
@@ -28,10 +37,6 @@
   starts: Allocation[];
 }
 
-function capacityOf({ capacity }: Machine): Resources {
-  return { cpus: capacity?.cpus ?? 0, gpus: capacity?.gpus ?? 0, memory: capacity?.memory ?? 0 };
-}
-
 /**
  * What is due for the machine; null: nothing, or nothing that can't wait for more. Stops that it contains count as sent: the
  * caller must send them.
--- a/packages/controller/src/shards/machine-lifecycle.ts
+++ b/packages/controller/src/shards/machine-lifecycle.ts
@@ -3,7 +3,7 @@
  * cancelled work that does not end, which are empty and can move or go, and whose fencing token has to rise. Decides machine
  * by machine; the failure detector judges them together. Owns no state beside its parts' and the machines' tenures.
  */
-import { isEmpty, type TaskAllocations } from '../allocation/index.js';
+import { isEmpty, isHeardByPeer, type TaskAllocations } from '../allocation/index.js';
 import type {
   ClusterStateView,
   EffectSink,
@@ -25,9 +25,6 @@
 /** Overdue work must have been stopped this many heartbeat intervals ago, or for as long as the cancellation is overdue. */
 const STOP_SENT_INTERVALS = 2;
 
-/** A machine that another controller heard within this time isn't silent. */
-const HEARD_BY_PEER_MS = 5000;
-
 /** A machine whose spot preemption notice is over is given up after this many heartbeat intervals of silence. */
 const SILENT_INTERVALS_AFTER_NOTICE = 1.5;
 
@@ -89,7 +86,7 @@
   private checkSilence(machine: Machine, now: Milliseconds): void {
     const silentMs = isWaitedFor(machine) ? now - machine.tenure.lastHeartbeatAt : 0;
     if (!this.isSilent(machine, silentMs, now)) return;
-    if (machine.tenure.releaseReason !== null || now - machine.heardByPeerAt < HEARD_BY_PEER_MS) return;
+    if (machine.tenure.releaseReason !== null || isHeardByPeer(machine, now)) return;
     const hasOverdueCancellation =
       silentMs > this.overdueCancellationMs && this.machinesWithOverdueCancellation(now, 0).has(machine);
     if (hasOverdueCancellation) this.releases.mark(machine, 'silent with cancelled work');
--- a/packages/controller/src/state/lease-registry.ts
+++ b/packages/controller/src/state/lease-registry.ts
@@ -2,7 +2,7 @@
  * Who holds which lease, and which controllers are absent, by the records that are attached to the controllers' leases at
  * the state service. Owns both tables.
  */
-import type { Milliseconds } from '../model/index.js';
+import { type Milliseconds, shiftTimes } from '../model/index.js';
 import type { LeaseName } from './keys.js';
 import { type LeaseHolder, parseLeaseHolder } from './lease-record.js';
 import type { ReplicaEntry } from './replica.js';
@@ -35,7 +35,7 @@
 
   /** This process was paused for `pausedMs`: the absences that it saw are as old as before the pause. */
   processPaused(pausedMs: Milliseconds): void {
-    for (const [controller, since] of this.absentSince) this.absentSince.set(controller, since + pausedMs);
+    shiftTimes(this.absentSince, pausedMs);
   }
 
   /** The lease of a shard or of the leader; null while nobody holds it. */
