--- a/packages/controller/src/capacity/autoscaler.ts
+++ b/packages/controller/src/capacity/autoscaler.ts
@@ -13,7 +13,7 @@
 import { type Machine, type Milliseconds, NEVER } from '../model/index.js';
 import { BootMonitor } from './boot-monitor.js';
 import { requestsForDemands } from './demand-provisioning.js';
-import { type InstanceKind, type InstanceOption, instanceOptions } from './instance-kind.js';
+import { type InstanceKind, type InstanceOption, instanceKindOf, instanceOptions } from './instance-kind.js';
 import { InstancePools } from './instance-pools.js';
 import { MachineList } from './machine-list.js';
 import { Provisioner, type ProvisioningOutcome } from './provisioner.js';
@@ -126,9 +126,7 @@
 
   /** A machine is gone: the cloud may have capacity for another of its kind. */
   capacityFreed(machine: Machine, now: Milliseconds): void {
-    const { typeNames, zoneNames } = this.context.clusterState;
-    const kind = { type: typeNames.nameOf(machine.typeIndex), zone: zoneNames.nameOf(machine.zoneIndex), spot: machine.spot };
-    this.pools.capacityFreed(kind, now);
+    this.pools.capacityFreed(instanceKindOf(this.context, machine), now);
   }
 
   /** All kinds of machines that can be provisioned. */
--- a/packages/controller/src/capacity/demand-provisioning.ts
+++ b/packages/controller/src/capacity/demand-provisioning.ts
@@ -4,10 +4,10 @@
  */
 import type { MachineType, ResourceDemand } from '@archpost/protocol';
 import type { ClusterStateView } from '../context/index.js';
-import { countThatFit, HIGHEST_PRIORITY, type Machine, type Resources } from '../model/index.js';
+import { countThatFit, HIGHEST_PRIORITY, type Resources } from '../model/index.js';
 import { matchesDemand, subtractTasks, URGENT_PRIORITY } from './demand.js';
 import { cheapestOption, cheapestPricePerCpu } from './instance-choice.js';
-import { type InstanceKind, instanceKindKey, machineTypeNamed } from './instance-kind.js';
+import { type InstanceKind, instanceKindKey, instanceKindOf, machineTypeNamed } from './instance-kind.js';
 import type { ScaleOutRequest, ScaleOutSnapshot } from './scale-out.js';
 
 /** Work that has waited for less may yet be scheduled on existing machines. */
@@ -67,21 +67,17 @@
 }
 
 /** Idle machines will be moved to the shards whose work waits. */
-function addIdleOffers(offers: CapacityOffer[], { shards, clusterState }: ScaleOutSnapshot): void {
-  for (const shard of shards.values()) {
+function addIdleOffers(offers: CapacityOffer[], snapshot: ScaleOutSnapshot): void {
+  for (const shard of snapshot.shards.values()) {
     for (const summary of shard.machines) {
-      const machine = clusterState.machines.get(summary.name);
+      const machine = snapshot.clusterState.machines.get(summary.name);
       if (!machine?.capacity || machine.spot || machine.isRetired || summary.tasks > 0) continue;
       if (summary.protectedPriority >= 0 && machine.moveToShard === null) continue;
-      offers.push(offerOf(ordinaryKindOf(machine, machine.capacity, clusterState), machine.capacity, true));
+      offers.push(offerOf(instanceKindOf(snapshot, machine), machine.capacity, true));
     }
   }
 }
 
-function ordinaryKindOf(machine: Machine, type: MachineType, clusterState: ClusterStateView['clusterState']): InstanceKind {
-  return { type: type.name, zone: clusterState.zoneNames.nameOf(machine.zoneIndex), spot: false };
-}
-
 function offerOf(kind: InstanceKind, type: MachineType, isIdle: boolean): CapacityOffer {
   return { kind, type, isIdle, cpus: type.cpus, gpus: type.gpus, memory: type.memory };
 }
--- a/packages/controller/src/capacity/demand.ts
+++ b/packages/controller/src/capacity/demand.ts
@@ -29,6 +29,11 @@
   );
 }
 
+/** Does a task of the demand fit on an empty machine of this kind, and may it run there? */
+export function servesDemand(demand: ResourceDemand, type: MachineType, zone: string, spot: boolean): boolean {
+  return countThatFit(demand, type) >= 1 && matchesDemand(demand, type.name, zone, spot);
+}
+
 /** The demands of the shards, ordered by priority, then those within their quota, then by waiting time, longest first. */
 export function pendingDemands(shards: Iterable<ShardSummary>): PendingDemand[] {
   const pending: PendingDemand[] = [];
--- a/packages/controller/src/capacity/index.ts
+++ b/packages/controller/src/capacity/index.ts
@@ -3,7 +3,7 @@
  * acts on it. Owns what was requested of the cloud and hasn't come up, and which assignments and moves are under way.
  */
 export { Autoscaler } from './autoscaler.js';
-export { matchesDemand, pendingDemands } from './demand.js';
+export { pendingDemands, servesDemand } from './demand.js';
 export { MachineAssigner } from './machine-assigner.js';
 export type { UnassignedMachine } from './machine-assignment.js';
 export { MachineTypeCatalogue } from './machine-type-catalogue.js';
--- a/packages/controller/src/capacity/instance-kind.ts
+++ b/packages/controller/src/capacity/instance-kind.ts
@@ -1,6 +1,7 @@
 /** What the cloud sells: machine types, each by zone, ordinary or spot. Pure functions of the known machine types. */
 import type { MachineType } from '@archpost/protocol';
 import type { ClusterStateView, SettingsView } from '../context/index.js';
+import type { Machine } from '../model/index.js';
 
 /** A machine type in a zone, ordinary or spot. */
 export interface InstanceKind {
@@ -19,6 +20,15 @@
 /** The key of a kind in maps. It begins with the type's name and a slash. */
 export const instanceKindKey = (kind: InstanceKind): string => `${kind.type}/${kind.zone}/${kind.spot}`;
 
+/** The kind of a machine of the cluster. */
+export function instanceKindOf({ clusterState }: ClusterStateView, machine: Machine): InstanceKind {
+  return {
+    type: clusterState.typeNames.nameOf(machine.typeIndex),
+    zone: clusterState.zoneNames.nameOf(machine.zoneIndex),
+    spot: machine.spot,
+  };
+}
+
 /** The machine type of this name; null if the cloud has not listed it. */
 export function machineTypeNamed(context: ClusterStateView, name: string): MachineType | null {
   return context.clusterState.machineTypes[context.clusterState.typeNames.indexOf(name)] ?? null;
--- a/packages/controller/src/capacity/machine-assigner.ts
+++ b/packages/controller/src/capacity/machine-assigner.ts
@@ -4,10 +4,10 @@
  */
 import type { ShardSummary } from '@archpost/protocol';
 import type { ClusterStateView, PeerDirectory, SettingsView, StateWriting } from '../context/index.js';
-import { countThatFit, type Milliseconds } from '../model/index.js';
+import type { Milliseconds } from '../model/index.js';
 import { encodeAssignment, LEADER_LEASE, NO_REVISION, StateKey, WritePriority } from '../state/index.js';
 import type { Autoscaler } from './autoscaler.js';
-import { allocateToDemands, matchesDemand, type PendingDemand, pendingDemands } from './demand.js';
+import { allocateToDemands, type PendingDemand, pendingDemands, servesDemand } from './demand.js';
 import { machineTypeNamed } from './instance-kind.js';
 import type { RecentAssignment, UnassignedMachine } from './machine-assignment.js';
 import { ShardBalance } from './shard-balance.js';
@@ -137,7 +137,7 @@
     const capacity = machineTypeNamed(this.context, type);
     if (!capacity) return null;
     const isServed = ({ remainingTasks, demand }: PendingDemand) =>
-      remainingTasks > 0 && countThatFit(demand, capacity) >= 1 && matchesDemand(demand, type, zone, spot);
+      remainingTasks > 0 && servesDemand(demand, capacity, zone, spot);
     const needsGpus = (work: PendingDemand) => work.demand.gpus > 0 && isServed(work);
     const gpuWork = capacity.gpus > 0 && !spot ? pending.find(needsGpus) : undefined;
     const work = gpuWork ?? pending.find(isServed);
--- a/packages/controller/src/capacity/move-options.ts
+++ b/packages/controller/src/capacity/move-options.ts
@@ -5,7 +5,7 @@
 import type { MachineSummary, MachineType, ResourceDemand, ShardSummary } from '@archpost/protocol';
 import type { CapacityView, ClusterStateView, SettingsView } from '../context/index.js';
 import { countThatFit, HIGHEST_PRIORITY, type Machine, SCARCE_MACHINE_WAIT_S } from '../model/index.js';
-import { matchesDemand, type PendingDemand, URGENT_PRIORITY } from './demand.js';
+import { type PendingDemand, servesDemand, URGENT_PRIORITY } from './demand.js';
 
 /** Work of the highest priority that waited for this multiple of `planWaitS` gets machines that run protected work elsewhere. */
 const PRESSING_AFTER_PLAN_WAITS = 1.5;
@@ -73,8 +73,7 @@
   private canServe({ summary, capacity, zone, machine }: MovableMachine, demand: ResourceDemand): boolean {
     // Services are displaced rarely, and only for work that has waited.
     if (summary.services > 0 && (demand.waitS < SERVICE_DISPLACEMENT_WAIT_S || !this.mayDisplaceServices())) return false;
-    if (summary.protectedPriority >= demand.priority || countThatFit(demand, capacity) < 1) return false;
-    return matchesDemand(demand, capacity.name, zone, machine.spot);
+    return summary.protectedPriority < demand.priority && servesDemand(demand, capacity, zone, machine.spot);
   }
 
   /** Is the machine reserved for other work: what runs on it, or what can use no other kind? */
@@ -133,12 +132,7 @@
 
 /** Would the machine serve what its own shard waits for? */
 function servesOwnDemand({ shard, capacity, zone, machine }: MovableMachine, demand: ResourceDemand): boolean {
-  return shard.demands.some(
-    (own) =>
-      own.priority >= demand.priority &&
-      matchesDemand(own, capacity.name, zone, machine.spot) &&
-      countThatFit(own, capacity) >= 1,
-  );
+  return shard.demands.some((own) => own.priority >= demand.priority && servesDemand(own, capacity, zone, machine.spot));
 }
 
 /** What the move stops, and what it leaves unused, less the tasks that it serves. */
--- a/packages/controller/src/capacity/shard-rebalancer.ts
+++ b/packages/controller/src/capacity/shard-rebalancer.ts
@@ -6,6 +6,7 @@
 import type { CapacityView, ClusterStateView, SettingsView } from '../context/index.js';
 import { countThatFit, type Machine, type Milliseconds, NEVER } from '../model/index.js';
 import { allocateToDemands, type PendingDemand } from './demand.js';
+import { instanceKindOf } from './instance-kind.js';
 import { type MovableMachine, MoveOptions } from './move-options.js';
 
 /** An order that the cluster state doesn't show after this long was refused or has been carried out. */
@@ -103,8 +104,7 @@
     for (const name of this.orderedMoves.keys()) {
       const machine = clusterState.machines.get(name);
       if (!machine || machine.moveToShard === null || !machine.capacity) continue;
-      const kind = { type: machine.capacity.name, zone: clusterState.zoneNames.nameOf(machine.zoneIndex), spot: machine.spot };
-      allocateToDemands(pending, machine.moveToShard, kind, machine.capacity);
+      allocateToDemands(pending, machine.moveToShard, instanceKindOf(this.context, machine), machine.capacity);
       movingMachines.add(name);
     }
     return movingMachines;
--- a/packages/controller/src/capacity/spare-capacity.ts
+++ b/packages/controller/src/capacity/spare-capacity.ts
@@ -1,7 +1,6 @@
 /** Scaling out where price is no objective: holds spare capacity of each machine type. Pure functions of a snapshot. */
 import type { ClusterStateView } from '../context/index.js';
-import { countThatFit } from '../model/index.js';
-import { matchesDemand } from './demand.js';
+import { servesDemand } from './demand.js';
 import type { InstanceOption } from './instance-kind.js';
 import type { ScaleOutRequest, ScaleOutSnapshot } from './scale-out.js';
 
@@ -32,9 +31,7 @@
   for (const option of snapshot.options) {
     const { kind, type } = option;
     if (!snapshot.isRequestDue(kind)) continue;
-    const servedDemands = demands.filter(
-      (demand) => countThatFit(demand, type) >= 1 && matchesDemand(demand, kind.type, kind.zone, kind.spot),
-    );
+    const servedDemands = demands.filter((demand) => servesDemand(demand, type, kind.zone, kind.spot));
     const spare = spareFraction(option, capacities.get(kind.type) ?? NO_CAPACITY, snapshot);
     if (servedDemands.length === 0 && spare > MAX_SPARE_FRACTION) continue;
     const score = servedDemands.length * SCORE_PER_DEMAND - machinesInZone(option, snapshot) - (kind.spot ? 1 : 0);
--- a/packages/controller/src/leadership/idle-machine-scale-in.ts
+++ b/packages/controller/src/leadership/idle-machine-scale-in.ts
@@ -5,9 +5,9 @@
  * Owns no state: each round decides anew by the summaries of the shards.
  */
 import type { MachineSummary, MachineType, ResourceDemand, ShardSummary } from '@archpost/protocol';
-import { matchesDemand } from '../capacity/index.js';
+import { servesDemand } from '../capacity/index.js';
 import type { ClusterStateView, Logger, SettingsView, StateWriting } from '../context/index.js';
-import { countThatFit, type Machine, type Milliseconds } from '../model/index.js';
+import type { Machine, Milliseconds } from '../model/index.js';
 import { WritePriority } from '../state/index.js';
 import { writeAssignmentOrder } from './assignment-orders.js';
 
@@ -70,9 +70,7 @@
     const isExpensive = capacity.gpus > 0 && !spot;
     return demands.some(
       (demand) =>
-        countThatFit(demand, capacity) >= 1 &&
-        matchesDemand(demand, capacity.name, zone, spot) &&
-        (!isExpensive || demand.gpus > 0 || demand.priority > MAX_LOW_PRIORITY),
+        servesDemand(demand, capacity, zone, spot) && (!isExpensive || demand.gpus > 0 || demand.priority > MAX_LOW_PRIORITY),
     );
   }
 
