--- a/packages/controller/src/capacity/autoscaler.ts
+++ b/packages/controller/src/capacity/autoscaler.ts
@@ -124,6 +124,11 @@
     return this.pools.availableTypes();
   }
 
+  /** Is the type among `availableTypes`? */
+  isTypeAvailable(type: string): boolean {
+    return this.pools.isTypeAvailable(type);
+  }
+
   /** A machine is gone: the cloud may have capacity for another of its kind. */
   capacityFreed(machine: Machine, now: Milliseconds): void {
     this.pools.capacityFreed(instanceKindOf(this.context, machine), now);
--- a/packages/controller/src/capacity/instance-kind.ts
+++ b/packages/controller/src/capacity/instance-kind.ts
@@ -17,9 +17,12 @@
   type: MachineType;
 }
 
-/** The key of a kind in maps. It begins with the type's name and a slash. */
+/** The key of a kind in maps. */
 export const instanceKindKey = (kind: InstanceKind): string => `${kind.type}/${kind.zone}/${kind.spot}`;
 
+/** The type's name in a kind's key. */
+export const typeOfKey = (key: string): string => key.slice(0, key.indexOf('/'));
+
 /** The kind of a machine of the cluster. */
 export function instanceKindOf({ clusterState }: ClusterStateView, machine: Machine): InstanceKind {
   return {
--- a/packages/controller/src/capacity/instance-pools.ts
+++ b/packages/controller/src/capacity/instance-pools.ts
@@ -2,7 +2,7 @@
  * What the cloud answered to requests of each kind of machine, and when the next request may be sent. Owns the retry delays.
  */
 import type { Milliseconds } from '../model/index.js';
-import { type InstanceKind, instanceKindKey } from './instance-kind.js';
+import { type InstanceKind, instanceKindKey, typeOfKey } from './instance-kind.js';
 
 /** The retry delay after a machine of the pool was released. */
 const FREED_CAPACITY_RETRY_MS = 500;
@@ -36,10 +36,16 @@
   /** Types of which the cloud provisioned all ordinary machines of the last request. */
   availableTypes(): string[] {
     const types = new Set<string>();
-    for (const [key, pool] of this.pools) if (pool.wasFilled) types.add(key.slice(0, key.indexOf('/')));
+    for (const [key, pool] of this.pools) if (pool.wasFilled) types.add(typeOfKey(key));
     return [...types];
   }
 
+  /** Is the type among `availableTypes`? */
+  isTypeAvailable(type: string): boolean {
+    for (const [key, pool] of this.pools) if (pool.wasFilled && typeOfKey(key) === type) return true;
+    return false;
+  }
+
   /** A machine of the kind is gone: the cloud may have capacity for another. */
   capacityFreed(kind: InstanceKind, now: Milliseconds): void {
     const pool = this.pool(kind);
--- a/packages/controller/src/controller-context.ts
+++ b/packages/controller/src/controller-context.ts
@@ -160,6 +160,6 @@
 
   isTypeAvailable(type: string): boolean {
     const { leader, peerRegistry } = this.parts;
-    return leader.isLeading ? leader.autoscaler.availableTypes().includes(type) : peerRegistry.isTypeAvailable(type);
+    return leader.isLeading ? leader.autoscaler.isTypeAvailable(type) : peerRegistry.isTypeAvailable(type);
   }
 }
--- a/packages/controller/src/scheduling/machine-eligibility.ts
+++ b/packages/controller/src/scheduling/machine-eligibility.ts
@@ -75,6 +75,7 @@
 /** Which machines one job may use. Made when the job's turn comes; no machine may change while it is in use. */
 export class JobEligibility {
   private dedicatedMachines: readonly Machine[] | null = null;
+  private tooLateForNewMachine: boolean | null = null;
 
   constructor(
     private readonly dependencies: EligibilityDependencies,
@@ -140,7 +141,9 @@
     // Beside what keeps the machine here anyway, it costs nothing; alone it would keep it.
     const cpusWithTask = cpusWithoutGpus(machine, job.spec.cpus);
     if (cpusWithTask <= capacity.cpus - gpuDemand.cpus + RESOURCE_TOLERANCE && gpuMachines.isKeptBusy(machine)) return true;
-    return !hasWaitingGpuWork && this.isTooLateForNewMachine();
+    if (hasWaitingGpuWork) return false;
+    this.tooLateForNewMachine ??= this.isTooLateForNewMachine();
+    return this.tooLateForNewMachine;
   }
 
   private isTooLateForNewMachine(): boolean {
--- a/packages/controller/src/shards/shard-summary.ts
+++ b/packages/controller/src/shards/shard-summary.ts
@@ -3,7 +3,7 @@
  * that found no machine. Owns the summaries made last.
  */
 import type { MachineSummary, ResourceDemand, ShardSummary } from '@archpost/protocol';
-import { freeResourcesOf, type TaskAllocations, type UnmetDemand } from '../allocation/index.js';
+import type { TaskAllocations, UnmetDemand } from '../allocation/index.js';
 import type { ClusterStateView, SettingsView } from '../context/index.js';
 import { HIGHEST_PRIORITY, type Job, type Machine, type Milliseconds, machineLoadOf } from '../model/index.js';
 import { type QueueOrder, type QuotaStatuses, type Scheduler, tasksPerZone, zoneAllowsTask } from '../scheduling/index.js';
@@ -72,7 +72,7 @@
     const summaries: MachineSummary[] = [];
     for (const machine of this.context.clusterState.machines.values()) {
       if (machine.shard !== shard) continue;
-      const free = freeResourcesOf(machine);
+      const { free, services } = machineLoadOf(machine);
       summaries.push({
         name: machine.name,
         freeCpus: Math.max(0, free.cpus),
@@ -83,7 +83,7 @@
           ? this.protectedPriority(machine, quotaStatuses, evacuable)
           : UNMOVABLE_PRIORITY,
         idleS: machine.tenure.allocations.size === 0 ? (now - machine.idleSince) / 1000 : 0,
-        services: machineLoadOf(machine).services.length,
+        services: services.length,
       });
     }
     return summaries;
