--- a/packages/controller/src/heartbeats/heartbeat-forwarding.ts
+++ b/packages/controller/src/heartbeats/heartbeat-forwarding.ts
@@ -5,7 +5,7 @@
  */
 import type { Heartbeat, TaskStatus, UnchangedHeartbeat } from '@archpost/protocol';
 import type { ClusterStateView, EffectSink, PeerDirectory, SettingsView } from '../context/index.js';
-import { type Milliseconds, NEVER, NOTHING_HEARD } from '../model/index.js';
+import { appendTo, type Milliseconds, NEVER, NOTHING_HEARD } from '../model/index.js';
 import { isNewer } from './heartbeat-order.js';
 
 /** The status names machines heard within this time. */
@@ -122,10 +122,8 @@
     const machine = this.context.clusterState.machines.get(name);
     const holder = machine && this.context.clusterState.leaseOf(machine.shard)?.holder.controller;
     if (!holder) return;
-    const list = byHolder.get(holder) ?? [];
-    if (list.length === 0) byHolder.set(holder, list);
     const forwardedWhole = forwardedTo === holder ? forwardedSequence : heartbeat.sequence;
-    list.push({
+    appendTo(byHolder, holder, {
       machine: name,
       agentEpoch: heartbeat.agentEpoch,
       sequence: heartbeat.sequence,
--- a/packages/controller/src/heartbeats/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeats/heartbeat-reconciler.ts
@@ -10,13 +10,14 @@
 import type { ClusterStateView, Logger, ReplicaView, SettingsView } from '../context/index.js';
 import {
   CANCELLED_WORK_PRIORITY,
+  type HeartbeatPosition,
   LOWEST_REPORTED_PRIORITY,
   type Machine,
   type Milliseconds,
   NOTHING_HEARD,
   UNKNOWN_EPOCH,
 } from '../model/index.js';
-import type { HeartbeatReconciliation, ImageCacheWriter, KnownHeartbeat, ProgressWriter } from '../shards/index.js';
+import type { HeartbeatReconciliation, ImageCacheWriter, ProgressWriter } from '../shards/index.js';
 import { isNewer } from './heartbeat-order.js';
 import { isImplausible, judgeAnswer, judgeHeartbeat } from './heartbeat-verdict.js';
 import { TaskReconciler } from './task-reconciler.js';
@@ -44,7 +45,7 @@
    * Takes a heartbeat that the worker sent on its own, or, with `knownBefore`, the status in its answer to a command that was
    * sent when this was known. A start that is under way isn't refuted by either: it may have been made before it.
    */
-  reconcile(machine: Machine, heartbeat: Heartbeat, now: Milliseconds, knownBefore: KnownHeartbeat | null = null): void {
+  reconcile(machine: Machine, heartbeat: Heartbeat, now: Milliseconds, knownBefore: HeartbeatPosition | null = null): void {
     this.allocations.advanceTo(now);
     const { tenure } = machine;
     const verdict = knownBefore ? judgeAnswer(tenure, heartbeat, knownBefore) : judgeHeartbeat(tenure, heartbeat, now);
--- a/packages/controller/src/heartbeats/heartbeat-verdict.ts
+++ b/packages/controller/src/heartbeats/heartbeat-verdict.ts
@@ -3,8 +3,7 @@
  * is decided here guards against taking an old heartbeat for a new one. Pure; owns no state.
  */
 import type { Heartbeat } from '@archpost/protocol';
-import type { MachineTenure, Milliseconds } from '../model/index.js';
-import type { KnownHeartbeat } from '../shards/index.js';
+import type { HeartbeatPosition, MachineTenure, Milliseconds } from '../model/index.js';
 import { isNewer } from './heartbeat-order.js';
 
 /** A worker numbers its heartbeats, two a second at most, and its answers to probes and commands: together fewer than this. */
@@ -50,7 +49,7 @@
  * Judges the status in an answer. `knownBefore`: what was known when the command was sent that it answers. An answer is newer
  * than that, unless the agent has begun again.
  */
-export function judgeAnswer(tenure: MachineTenure, answer: Heartbeat, knownBefore: KnownHeartbeat): HeartbeatVerdict {
+export function judgeAnswer(tenure: MachineTenure, answer: Heartbeat, knownBefore: HeartbeatPosition): HeartbeatVerdict {
   if (!isNewer(answer, knownBefore)) return AGENT_RESTARTED;
   return isNewer(answer, tenure) ? ACCEPTED : STALE;
 }
--- a/packages/controller/src/model/index.ts
+++ b/packages/controller/src/model/index.ts
@@ -2,6 +2,7 @@
  * Model: the things that decisions are about (jobs, machines, allocations, resources), the settings, and the effects that
  * decisions ask for. Owns no state of its own: each field says which folder writes it.
  */
+export * from './append-to.js';
 export * from './effects.js';
 export * from './job.js';
 export * from './machine.js';
--- a/packages/controller/src/model/machine.ts
+++ b/packages/controller/src/model/machine.ts
@@ -16,6 +16,14 @@
 /** The sequence number before the first heartbeat of an agent. */
 export const NOTHING_HEARD = -1;
 
+/** The position of a heartbeat in the order of those of its worker. */
+export interface HeartbeatPosition {
+  /** rises each time that the worker's agent begins anew */
+  readonly agentEpoch: number;
+  /** numbers the messages of one epoch, heartbeats and answers alike */
+  readonly sequence: number;
+}
+
 /** Below every priority: a machine whose heartbeats name no job that is known. */
 export const LOWEST_REPORTED_PRIORITY = -1;
 
--- a/packages/controller/src/scheduling/array-postponement.ts
+++ b/packages/controller/src/scheduling/array-postponement.ts
@@ -5,8 +5,7 @@
  */
 import type { TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView } from '../context/index.js';
-import type { Job, Milliseconds } from '../model/index.js';
-import { appendTo } from './append-to.js';
+import { appendTo, type Job, type Milliseconds } from '../model/index.js';
 import { attainableDeadlines, type DeadlineJob } from './moore-hodgson.js';
 import type { QueuedJob } from './queued-job.js';
 import type { StartDeadlines } from './start-deadlines.js';
--- a/packages/controller/src/scheduling/gang-placement.ts
+++ b/packages/controller/src/scheduling/gang-placement.ts
@@ -2,8 +2,7 @@
  * Bin packing of a gang: all its tasks in the finest, smallest topology domain that holds them, or none. Pure functions; what
  * they are given is not changed.
  */
-import { type FreeResources, fits, type Job, type Machine, subtract } from '../model/index.js';
-import { appendTo } from './append-to.js';
+import { appendTo, type FreeResources, fits, type Job, type Machine, subtract } from '../model/index.js';
 import { countTaskInZone, zoneAllowsTask } from './placement-constraints.js';
 
 /** How a cluster is divided into domains, from the finest to the coarsest. */
--- a/packages/controller/src/scheduling/start-deadlines.ts
+++ b/packages/controller/src/scheduling/start-deadlines.ts
@@ -3,9 +3,8 @@
  * of the jobs that need it can still be met. Owns the objectives of the settings, sorted by job class.
  */
 import type { ClusterStateView, SettingsView } from '../context/index.js';
-import type { Job, Milliseconds, Objective } from '../model/index.js';
+import { appendTo, type Job, type Milliseconds, type Objective } from '../model/index.js';
 import { expectedDurationMs } from '../state/index.js';
-import { appendTo } from './append-to.js';
 
 /** An objective still counts as attainable for so long after its start deadline. */
 const ATTAINABLE_GRACE_MS = 1000;
--- a/packages/controller/src/scheduling/unschedulable-kinds.ts
+++ b/packages/controller/src/scheduling/unschedulable-kinds.ts
@@ -2,8 +2,7 @@
  * What found no machine in one scheduling run. Of hundreds of small jobs that are all alike, one is scored, not each: a job
  * that asks for at least as much as one of its kind that did not fit is passed over. Cleared when a run begins.
  */
-import type { Job, Resources } from '../model/index.js';
-import { appendTo } from './append-to.js';
+import { appendTo, type Job, type Resources } from '../model/index.js';
 
 /** The smallest requests that found no machine, by kind of job. */
 export class UnschedulableKinds {
--- a/packages/controller/src/shards/command-outcomes.ts
+++ b/packages/controller/src/shards/command-outcomes.ts
@@ -5,8 +5,8 @@
 import type { Heartbeat } from '@archpost/protocol';
 import { isHeardRecently, type TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, Logger } from '../context/index.js';
-import { type Allocation, type Machine, type Milliseconds, NEVER } from '../model/index.js';
-import type { HeartbeatReconciliation, KnownHeartbeat } from './heartbeat-reconciliation.js';
+import { type Allocation, type HeartbeatPosition, type Machine, type Milliseconds, NEVER } from '../model/index.js';
+import type { HeartbeatReconciliation } from './heartbeat-reconciliation.js';
 import type { WorkerAnswers } from './worker-answers.js';
 
 /** A machine that didn't answer is tried again after this long. */
@@ -23,7 +23,7 @@
   /** it carries no command, so nothing happens if it arrives late */
   isProbe: boolean;
   /** what was known of the worker when it was sent: the answer is newer */
-  knownBefore: KnownHeartbeat;
+  knownBefore: HeartbeatPosition;
 }
 
 /**
--- a/packages/controller/src/shards/index.ts
+++ b/packages/controller/src/shards/index.ts
@@ -3,7 +3,7 @@
  * and the lifecycle of machines. Owns what lasts for one tenure of a shard.
  */
 export type { CommandOutcome } from './command-outcomes.js';
-export type { HeartbeatReconciliation, KnownHeartbeat } from './heartbeat-reconciliation.js';
+export type { HeartbeatReconciliation } from './heartbeat-reconciliation.js';
 export { ImageCacheWriter } from './image-cache-writer.js';
 export { ProgressWriter } from './progress-writer.js';
 export { ShardController } from './shard-controller.js';
