--- a/packages/controller/src/state/job-record.ts
+++ b/packages/controller/src/state/job-record.ts
@@ -25,7 +25,7 @@
  */
 import { createHash } from 'node:crypto';
 import type { JobSpec } from '@archpost/protocol';
-import { z } from 'zod';
+import * as z from 'zod';
 import { encodeJobSpec, isStoredJobSpec, parseJobSpec, withoutMachineTypes } from './job-spec-record.js';
 import { encodedBytes } from './limits.js';
 import { UnreadableRecordError } from './unreadable-record-error.js';
--- a/packages/protocol/src/cloud/machine-list.ts
+++ b/packages/protocol/src/cloud/machine-list.ts
@@ -1,5 +1,5 @@
 /** The cloud's list of machines, which is read in pages and lags behind what the cloud does. */
-import { z } from 'zod';
+import * as z from 'zod';
 import type { MessagePackMap } from '../message-pack.js';
 import { PATHS } from '../paths.js';
 
--- a/packages/protocol/src/cloud/machine-types.ts
+++ b/packages/protocol/src/cloud/machine-types.ts
@@ -1,5 +1,5 @@
 /** The machine types that the cloud offers. */
-import { z } from 'zod';
+import * as z from 'zod';
 import type { MessagePackMap } from '../message-pack.js';
 
 /** A machine type and its current prices. Controllers store it under these field names. */
--- a/packages/protocol/src/cloud/provisioning.ts
+++ b/packages/protocol/src/cloud/provisioning.ts
@@ -1,5 +1,5 @@
 /** Requests by which the cloud's machines are provisioned and released. */
-import { z } from 'zod';
+import * as z from 'zod';
 import type { MessagePackMap } from '../message-pack.js';
 
 /** Most machines that the cloud provisions for one request. */
--- a/packages/protocol/src/jobs/submission.ts
+++ b/packages/protocol/src/jobs/submission.ts
@@ -1,5 +1,5 @@
 /** A user's request to run a job. */
-import { z } from 'zod';
+import * as z from 'zod';
 import type { MessagePackMap } from '../message-pack.js';
 import type { JobSpec, Shape } from './job-spec.js';
 
--- a/packages/protocol/src/state/key-reads.ts
+++ b/packages/protocol/src/state/key-reads.ts
@@ -1,5 +1,5 @@
 /** Reads of the state service's keys: all of them in pages, and the changes that follow a revision. */
-import { z } from 'zod';
+import * as z from 'zod';
 import type { MessagePackMap } from '../message-pack.js';
 import { PATHS } from '../paths.js';
 
--- a/packages/protocol/src/worker/heartbeat.ts
+++ b/packages/protocol/src/worker/heartbeat.ts
@@ -1,5 +1,5 @@
 /** Heartbeats of workers: a machine, its agent's epoch and all tasks on it. */
-import { z } from 'zod';
+import * as z from 'zod';
 import type { MessagePackMap } from '../message-pack.js';
 
 /** Fetching: waits for its image. Waiting: a gang's task that waits for the others. Saving: was stopped and saves. */
--- a/packages/server/src/settings/field-schemas.ts
+++ b/packages/server/src/settings/field-schemas.ts
@@ -1,5 +1,5 @@
 /** Schemas of single fields that both tables of settings are made of. */
-import { z } from 'zod';
+import * as z from 'zod';
 
 /** A text of at least one character, such as a name. */
 export const nonEmptyString = z.string().min(1);
--- a/packages/server/src/settings/operator-settings.ts
+++ b/packages/server/src/settings/operator-settings.ts
@@ -1,6 +1,6 @@
 /** The operators' settings (deploy/archpost.hcl): their schema, and the policy that the controller takes from them. */
 import type { Policy } from '@archpost/controller';
-import { z } from 'zod';
+import * as z from 'zod';
 import { positiveNumber } from './field-schemas.js';
 
 /** Unknown fields are refused: the operators' file is written for this version, so they are typing errors. */
--- a/packages/server/src/settings/platform-settings.ts
+++ b/packages/server/src/settings/platform-settings.ts
@@ -3,7 +3,7 @@
  * field names. Unknown fields are ignored, since new ones may appear at any time.
  */
 import type { ControllerSettings, Policy, StateLimits } from '@archpost/controller';
-import { z } from 'zod';
+import * as z from 'zod';
 import { nonEmptyString, nonNegative, positiveNumber, socketAddress } from './field-schemas.js';
 
 const peerSchema = z.object({ host_name: nonEmptyString, location: nonEmptyString, peer_addr: socketAddress });
