--- a/packages/controller/src/state/assignment-record.ts
+++ b/packages/controller/src/state/assignment-record.ts
@@ -9,20 +9,20 @@
  * | `t`, `z`, `sp` | machine type, zone, and whether it is a spot machine |
  * | `mv` | shard that the machine is to move to |
  * | `x` | the machine is to be released to the cloud |
- * | `n` | differs from what was stored before, so that a rewrite has a new revision |
+ * | `n` | in a rewrite of an unchanged assignment, its previous revision: the value differs, so the key gets a new revision |
  */
 import { UnreadableRecordError } from './unreadable-record-error.js';
 
-/** What is stored of a machine. */
+/** The stored assignment of a machine. */
 export interface MachineAssignment {
   shard: number;
   address: string;
   type: string;
   zone: string;
   spot: boolean;
-  /** the shard that it is to move to; null: it stays */
+  /** the shard that the machine is to move to; null: it stays in its shard */
   moveToShard: number | null;
-  /** to be released to the cloud */
+  /** whether the machine is to be released to the cloud */
   isRetired: boolean;
 }
 
@@ -37,7 +37,7 @@
   n?: number;
 }
 
-/** `rewriteOf`: revision of the same assignment, which is written again only to get a higher one. */
+/** `rewriteOf`: the stored revision, if an unchanged assignment is rewritten only to get a higher revision. */
 export function encodeAssignment(assignment: MachineAssignment, rewriteOf?: number): unknown {
   const stored: StoredAssignment = {
     s: assignment.shard,
@@ -52,7 +52,7 @@
   return stored;
 }
 
-/** Throws `UnreadableRecordError` on what names no shard, type or zone. Other fields are taken as they are. */
+/** Throws `UnreadableRecordError` if the shard, type or zone is missing. The other fields aren't validated. */
 export function parseAssignment(value: unknown): MachineAssignment {
   const stored = value as Partial<StoredAssignment> | null;
   if (typeof stored?.s !== 'number' || typeof stored.t !== 'string' || typeof stored.z !== 'string')
--- a/packages/controller/src/state/cluster-state.ts
+++ b/packages/controller/src/state/cluster-state.ts
@@ -1,7 +1,7 @@
 /**
- * The cluster state: a materialized view of what the state service's keys hold, in the shape that decisions use. Each kind of
- * record has one owner (leases, machine types, machines, image caches, jobs, accelerator demand); this module makes the
- * owners, routes each changed key to one of them, and is the interface to other folders.
+ * The cluster state: a materialized view of the state service's keys, in the form that scheduling decisions use. Each kind of
+ * record has one owner (leases, machine types, machines, image caches, jobs, accelerator demand); this module creates the
+ * owners, routes each changed key to its owner, and is the interface to other folders.
  */
 import type { JobSpec, MachineType } from '@archpost/protocol';
 import { ANY_ZONE, type ControllerSettings, Job, type Machine, type Milliseconds, NameInterner } from '../model/index.js';
@@ -20,10 +20,10 @@
 import type { ReplicaEntry } from './replica.js';
 import { assignTeamsToShards } from './team-sharding.js';
 
-/** What one changed key concerns. `none`: nothing that anyone has to be notified of. */
+/** What one changed key affects. `none`: no listener has to be notified. */
 export type AppliedChange = { kind: 'none' } | LeaseChange | MachineChange | JobsChange;
 
-/** The lease of a shard, or the leader's, changed its holder. */
+/** The lease of a shard, or the leader's lease, was acquired, changed its holder or ended. */
 export interface LeaseChange {
   kind: 'lease';
   /** the lease's name as text: a shard's number, or `LEADER_LEASE` */
@@ -32,31 +32,31 @@
 
 const NO_CHANGE: AppliedChange = { kind: 'none' };
 
-/** The view of the stored records. The maps and sets that it exposes are those of their owners: others only read them. */
+/** The view of the stored records. The exposed maps and sets belong to the record owners; other modules only read them. */
 export class ClusterState {
   readonly typeNames = new NameInterner();
   readonly zoneNames = new NameInterner();
   readonly imageNames = new NameInterner();
   readonly teamNames = new NameInterner();
-  /** the shard of each team, by the team's index */
+  /** the shard of each team, by team index */
   readonly shardOfTeam: number[];
   readonly sizeLimits: StateSizeLimits;
   readonly progressLayout: ProgressLayout;
-  /** by name; those whose assignment is gone are not in it */
+  /** by name, without machines whose assignment was removed */
   readonly machines: ReadonlyMap<string, Machine>;
   /** by the lease's name as text */
   readonly leaseHolders: ReadonlyMap<string, ShardLease>;
-  /** controllers whose presence was seen to end, and when */
+  /** by controller name: when this controller read that the presence record was removed */
   readonly absentSince: ReadonlyMap<string, Milliseconds>;
-  /** by the index of the type's name; null or absent where only the name is known */
+  /** by the index of the type's name; null or absent: only the name of the type is known */
   readonly machineTypes: readonly (MachineType | null)[];
-  /** the largest accelerator task seen that fits each type: what such a machine is wanted for */
+  /** by machine type index: the largest amount of each resource among the accelerator tasks that fit the type */
   readonly gpuDemandByType: ReadonlyMap<number, GpuDemand>;
-  /** shards whose teams have had accelerator work */
+  /** shards that have had startable accelerator jobs */
   readonly shardsWithGpuWork: ReadonlySet<number>;
-  /** by id; those that are over stay until nothing of them is on any machine */
+  /** by id; a done or cancelled job stays until none of its tasks is allocated */
   readonly jobs: Map<string, Job>;
-  /** how jobs ended, by id, also of those that were cancelled with one that they await */
+  /** how jobs ended, by id, including jobs that were cancelled because a dependency was */
   readonly finishedJobs: ReadonlyMap<string, FinalState>;
   private readonly leases = new LeaseRegistry();
   private readonly machineTypeRegistry: MachineTypeRegistry;
@@ -92,17 +92,17 @@
     this.finishedJobs = this.jobRegistry.finishedJobs;
   }
 
-  /** A list of machine types was read, from the cloud or from what is stored. */
+  /** Whether a list of machine types was read, from the cloud or from the stored records. */
   get machineTypesKnown(): boolean {
     return this.machineTypeRegistry.isKnown;
   }
 
-  /** Revision of the newest cancellation that is known. */
+  /** Revision of the newest cancellation that was read. */
   get cancellationRevision(): number {
     return this.jobRegistry.cancellationRevision;
   }
 
-  /** Time of day less the steady clock. */
+  /** Wall-clock time minus the time of the monotonic clock. */
   get wallClockOffsetMs(): Milliseconds {
     return this.jobRegistry.wallClockOffsetMs;
   }
@@ -111,7 +111,7 @@
     this.jobRegistry.wallClockOffsetMs = ms;
   }
 
-  /** Applies one key, which begins with the root. Returns what it concerns. Throws on a record that can't be read. */
+  /** Applies a change of one key, which begins with the root. Returns what it affects. Throws if the record can't be read. */
   apply(key: string, entry: ReplicaEntry | null, now: Milliseconds): AppliedChange {
     const { kind, name } = parseStateKey(key);
     switch (kind) {
@@ -143,56 +143,56 @@
     }
   }
 
-  /** This process was paused for `pausedMs`: the absences of controllers are as old as before the pause. */
+  /** Excludes a pause of this process, of `pausedMs`, from the time for which controllers count as absent. */
   processPaused(pausedMs: Milliseconds): void {
     this.leases.processPaused(pausedMs);
   }
 
-  /** Takes over the cloud's list of machine types. */
+  /** Sets the machine types from the cloud's list. */
   setMachineTypes(list: MachineType[]): void {
     this.machineTypeRegistry.setTypes(list);
     this.machineRegistry.refreshCapacities();
   }
 
-  /** How soon a new machine without accelerators can be up for the job; 0 if no type is known that would do. */
+  /** Shortest boot time of the known machine types without accelerators that can run the job; 0 if there is none. */
   bootTimeFor(job: Job): Milliseconds {
     return this.machineTypeRegistry.bootTimeFor(job);
   }
 
-  /** Replaces the machine's images by those that are stored, least recently used first. */
+  /** Replaces the machine's images with the stored list, least recently used first. */
   restoreImages(machine: Machine): void {
     this.imageCaches.restoreImages(machine);
   }
 
-  /** The machine's most recently used images, as many as fit a stored value. */
+  /** The machine's most recently used images, as many as fit into one stored value. */
   imagesToStore(machine: Machine): StoredImage[] {
     return this.imageCaches.imagesToStore(machine);
   }
 
-  /** The record of the machine's assignment to its shard as it stands, neither to move nor to be released. */
+  /** The machine's current assignment, without a requested move or release. */
   assignmentOf(machine: Machine): MachineAssignment {
     return this.machineRegistry.assignmentOf(machine);
   }
 
-  /** The lease of a shard or of the leader; null while nobody holds it. */
+  /** The lease of a shard or of the leader; null if no controller holds it. */
   leaseOf(lease: LeaseName): ShardLease | null {
     return this.leases.leaseOf(lease);
   }
 
   /**
-   * The fencing token for commands to the machine. Its agent obeys the largest that it has seen; the token rises at each
-   * takeover of the shard and at each rewrite of the assignment.
+   * The fencing token for commands to the machine. The machine's agent executes only commands with the highest token that it
+   * has seen. The token rises at each takeover of the shard and at each rewrite of the assignment.
    */
   fencingToken(machine: Machine): number {
     return Math.max(machine.assignmentRevision, this.leaseOf(machine.shard)?.revision ?? 0);
   }
 
-  /** The job with this id, from its record if it was forgotten; null if there is none to run or to stop. */
+  /** The job with this id, restored from its record if it was forgotten; null if there are no tasks to run or stop. */
   restoreJob(id: string, record: ReplicaEntry | null, now: Milliseconds): Job | null {
     return this.jobRegistry.restore(id, record, now);
   }
 
-  /** Forgets the job if it is over and nothing of it is on any machine. */
+  /** Forgets the job if it is done or cancelled and none of its tasks is allocated. */
   forgetIfFinished(job: Job): void {
     this.jobRegistry.forgetIfFinished(job);
   }
--- a/packages/controller/src/state/field-table.ts
+++ b/packages/controller/src/state/field-table.ts
@@ -1,12 +1,12 @@
-/** Records whose fields have other names in the state service than in the model, by a table of both. Owns no state. */
+/** Conversion of records whose stored field names differ from the model's, by a table of both names. Owns no state. */
 
-/** For each field of a model the name under which it is stored. */
+/** The stored name of each field of a model. */
 export type FieldTable<Model> = Readonly<Record<keyof Model, string>>;
 
-/** The fields of a record as they are stored, by name; nothing is known of their values. */
+/** The fields of a stored record, by stored name. Their values aren't validated. */
 export type StoredFields = Record<string, unknown>;
 
-/** A record with the fields of the model under their stored names, in the order of the table. */
+/** Returns the model's fields under their stored names, in the order of the table. */
 export function toStoredFields<Model extends object>(model: Model, fields: FieldTable<Model>): StoredFields {
   const stored: StoredFields = {};
   for (const field of Object.keys(fields) as (keyof Model)[]) stored[fields[field]] = model[field];
@@ -14,8 +14,8 @@
 }
 
 /**
- * The model of a stored record. What isn't a record is returned as it is, and a field that the record lacks stays undefined:
- * other versions write fewer fields, and a record is taken as far as it goes.
+ * Returns the model of a stored record. A value that isn't an object is returned unchanged. A field that is missing from the
+ * record stays undefined: other versions write fewer fields, and the fields that are present are still used.
  */
 export function fromStoredFields<Model extends object>(stored: unknown, fields: FieldTable<Model>): Model {
   if (typeof stored !== 'object' || stored === null) return stored as unknown as Model;
--- a/packages/controller/src/state/gpu-demand-history.ts
+++ b/packages/controller/src/state/gpu-demand-history.ts
@@ -1,6 +1,6 @@
 /**
- * What accelerator machines have been wanted for, by the jobs that became startable here. Scheduling keeps that much free
- * on them, and so other work from blocking accelerator work. Owns both tables; they only ever grow.
+ * The demand for accelerator machines, from the jobs that became startable on this controller. Scheduling keeps that much
+ * capacity free on accelerator machines, so that other work doesn't block accelerator work. Owns both tables, which only grow.
  */
 import type { MachineType } from '@archpost/protocol';
 import { fits, type Job, type Resources } from '../model/index.js';
@@ -10,16 +10,16 @@
   priority: number;
 }
 
-/** The demand for accelerators so far. */
+/** The demand for accelerators since the process started. */
 export class GpuDemandHistory {
   /** by the index of the machine type */
   readonly byType = new Map<number, GpuDemand>();
-  /** shards whose teams have had accelerator work */
+  /** shards that have had startable accelerator jobs */
   readonly shardsWithGpuWork = new Set<number>();
 
   constructor(private readonly machineTypes: readonly (MachineType | null)[]) {}
 
-  /** Records a job that may start. Recording it twice changes nothing. */
+  /** Records the demand of a startable job. A repeated call for the same job has no effect. */
   record(job: Job): void {
     if (job.spec.gpus <= 0) return;
     this.shardsWithGpuWork.add(job.shard);
--- a/packages/controller/src/state/index.ts
+++ b/packages/controller/src/state/index.ts
@@ -1,7 +1,6 @@
 /**
  * State: the replica of the state service's keys, the codecs of the stored records, the cluster state that is derived from
- * them, and the compare-and-swap writer with its queue. Owns everything that is stored; nothing else encodes or decodes a
- * record.
+ * them, and the compare-and-swap writer with its queue. Owns all stored formats: no other folder encodes or decodes a record.
  */
 export { encodeAssignment, type MachineAssignment } from './assignment-record.js';
 export { type AppliedChange, ClusterState } from './cluster-state.js';
--- a/packages/controller/src/state/job-dependencies.ts
+++ b/packages/controller/src/state/job-dependencies.ts
@@ -1,23 +1,23 @@
 /**
- * The dependency graph of jobs: which job awaits which, and what follows from it: when a job may start, that it is cancelled
- * with a job that it awaits, and the priority and deadline that it inherits from its dependents. Owns the edges, and of a job
- * its awaited jobs and its effective priority and deadline.
+ * The dependency graph of jobs. It determines when a job may start, that a job is cancelled when one of its dependencies is,
+ * and which priority and deadline a job inherits from its dependents. Owns the edges and, for each job, the unfinished
+ * dependencies and the effective priority and deadline.
  *
- * A user can only name jobs that were accepted before, so there are no cycles; a stored record that says
- * otherwise makes the jobs of its cycle wait for ever, and every traversal here still ends.
+ * A user can only name jobs that were accepted before, so the graph has no cycles. If stored records contain a cycle anyway,
+ * its jobs wait forever, and every traversal here still terminates.
  */
 import type { Job, Milliseconds } from '../model/index.js';
 import type { FinalState } from './job-record.js';
 
-/** What the end of a job means for its dependents. */
+/** The effect of a job's end on its dependents. */
 export interface DependencyOutcome {
-  /** they await nothing more */
+  /** jobs without unfinished dependencies now */
   released: Job[];
-  /** cancelled with it */
+  /** direct and indirect dependents that were cancelled because the job was */
   cancelled: Job[];
 }
 
-/** One job on the way of a depth-first traversal, and the jobs that it awaits and that weren't visited yet. */
+/** A job on the path of a depth-first traversal, and its dependencies that weren't visited yet. */
 interface TraversalStep {
   job: Job;
   unvisitedIds: string[];
@@ -26,24 +26,24 @@
 /** Assumed time to fetch a GB of an image. */
 const IMAGE_FETCH_MS_PER_GB = 1000;
 
-/** Time that a job takes once it may start: one of its tasks' run, and the fetching of its image. */
+/** Expected time from the start of a job to its end: the fetch of its image and the run of one task. */
 export function expectedDurationMs(job: Job): Milliseconds {
   return job.expectedRunMs + job.spec.imageSizeGb * IMAGE_FETCH_MS_PER_GB;
 }
 
-/** Time of day by which the job has to start to meet its effective deadline. */
+/** Wall-clock time by which the job has to start to meet its effective deadline. */
 function latestStartOf(job: Job): Milliseconds {
   return job.effectiveDeadlineAt - expectedDurationMs(job);
 }
 
 /**
- * The edges between jobs. Every controller derives the same from what is stored; nothing of this is written. Each
- * operation costs in proportion to the edges that it concerns.
+ * The edges between jobs. Every controller derives the same edges from the stored records; they aren't stored themselves. The
+ * cost of each operation is proportional to the number of edges that it affects.
  */
 export class JobDependencies {
-  /** jobs that still await a job, by that job's id */
+  /** by id of an unfinished job: the jobs that depend on it */
   private readonly dependents = new Map<string, Set<Job>>();
-  /** time of day when jobs that are done ended, by id */
+  /** wall-clock time when each done job ended, by id */
   private readonly endedAt = new Map<string, Milliseconds>();
 
   constructor(
@@ -51,7 +51,7 @@
     private readonly finishedJobs: Map<string, FinalState>,
   ) {}
 
-  /** Makes a job await others. Returns what is cancelled if one of these was: the job itself, and those that await it. */
+  /** Adds dependencies of a job. If one of them is cancelled, cancels the job and its dependents and returns them. */
   add(job: Job, awaitedIds: readonly string[]): Job[] {
     for (const id of awaitedIds) {
       const finalState = this.finishedJobs.get(id);
@@ -59,7 +59,7 @@
       if (finalState === 'done') this.recordDependencyDone(job, id);
       else this.link(job, id);
     }
-    // Its dependents may have been read before it.
+    // Dependents of the job may have been read before the job itself.
     this.recomputeOwnRequirements(job);
     this.propagateRequirements(job);
     return [];
@@ -72,7 +72,7 @@
     else this.dependents.set(id, new Set([job]));
   }
 
-  /** A job's stored state became final. `endedAt`: time of day; null if it isn't known. */
+  /** Handles the end of a job, by its stored state. `endedAt`: wall-clock time; null: unknown. */
   jobFinished(id: string, finalState: FinalState, endedAt: Milliseconds | null): DependencyOutcome {
     if (finalState === 'cancelled') return { released: [], cancelled: this.cancelDependents(id) };
     if (endedAt !== null) this.endedAt.set(id, endedAt);
@@ -86,12 +86,12 @@
     return { released, cancelled: [] };
   }
 
-  /** Removes the edges of a job that is over: the jobs that it awaited inherit nothing from it any more. */
+  /** Removes the edges from an ended job to its dependencies, which then no longer inherit from it. */
   unlink(job: Job): void {
     for (const awaited of this.removeEdges(job)) this.recomputeRequirements(awaited);
   }
 
-  /** Removes the edges to what a job awaits. Returns the jobs that it awaited. */
+  /** Removes the edges from a job to its dependencies. Returns the dependencies that are in the cluster state. */
   private removeEdges(job: Job): Job[] {
     const awaitedJobs = this.awaitedJobsOf(job);
     for (const id of job.awaitedJobs) {
@@ -103,20 +103,20 @@
     return awaitedJobs;
   }
 
-  /** Cancels all jobs that await this one, directly or through others. */
+  /** Cancels all direct and indirect dependents of a job. */
   private cancelDependents(id: string): Job[] {
     const dependents = [...(this.dependents.get(id) ?? [])];
     this.dependents.delete(id);
     return this.cancelAll(dependents);
   }
 
-  /** Cancels these and all that await them. What else they awaited is recomputed once, however many of them there are. */
+  /** Cancels these jobs and all their dependents. Other dependencies of the cancelled jobs are recomputed once, at the end. */
   private cancelAll(roots: readonly Job[]): Job[] {
     const cancelled: Job[] = [];
     const formerlyAwaited = new Set<Job>();
     const open = [...roots];
     for (let job = open.pop(); job !== undefined; job = open.pop()) {
-      // What is over has no edges; were one left, nothing that is over would become anything else.
+      // An ended job should have no edges. If one was left, the job's final state still must not change.
       if (job.state !== 'live') continue;
       job.state = 'cancelled';
       this.finishedJobs.set(job.spec.id, 'cancelled');
@@ -135,7 +135,7 @@
 
   // ---- inherited priority and deadline
 
-  /** New edges of a job can only raise what the jobs that it awaits inherit, so no other of their dependents is looked at. */
+  /** New edges of a job can only raise what its dependencies inherit, so their other dependents aren't examined. */
   private propagateRequirements(job: Job): void {
     const raised = new Set<Job>([job]);
     for (const next of this.dependentsFirst(job)) {
@@ -148,7 +148,7 @@
     return [...job.awaitedJobs].flatMap((id) => this.jobs.get(id) ?? []);
   }
 
-  /** The job gets the priority and the deadline of a dependent where these are higher and earlier. Returns whether one was. */
+  /** Raises the job's priority and moves up its deadline to those that the dependent requires. Returns whether one changed. */
   private inheritFromDependent(job: Job, dependent: Job): boolean {
     const startBy = latestStartOf(dependent);
     const isEarlier = startBy < job.effectiveDeadlineAt;
@@ -161,7 +161,7 @@
     return true;
   }
 
-  /** Computes anew what the job inherits from its dependents, and what the jobs that it awaits inherit from it. */
+  /** Recomputes what the job inherits from its dependents and, if that changed, what its dependencies inherit from it. */
   private recomputeRequirements(job: Job): void {
     const stale = new Set<Job>([job]);
     for (const next of this.dependentsFirst(job)) {
@@ -170,7 +170,7 @@
     }
   }
 
-  /** The job and all that it awaits, directly or through others, each after those of them that await it. */
+  /** The job and its direct and indirect dependencies, in topological order: each job comes after its dependents. */
   private dependentsFirst(job: Job): Job[] {
     const seen = new Set<Job>([job]);
     const order: Job[] = [];
@@ -190,7 +190,7 @@
     return order.reverse();
   }
 
-  /** The highest priority and the earliest deadline among the job's own and its dependents'. Returns whether one changed. */
+  /** Sets the highest priority and the earliest deadline of the job and its dependents. Returns whether one changed. */
   private recomputeOwnRequirements(job: Job): boolean {
     let priority = job.spec.priority;
     let deadlineAt = job.deadlineAt;
--- a/packages/controller/src/state/job-record.ts
+++ b/packages/controller/src/state/job-record.ts
@@ -1,27 +1,26 @@
 /**
- * The stored record of a job, and of the parts that hold its lists where these don't fit one value: the codec between what
- * the state service holds and what decisions use.
+ * The codec of the stored record of a job, and of the parts that hold its lists if these don't fit into one value.
  *
  * Stored field names are short and fixed: other versions read and write the same records.
  *
  * | field | meaning |
  * | --- | --- |
- * | `s` | 0 accepted, 1 done, 2 cancelled, 3 accepted and awaits other jobs |
- * | `t` | time of day of the submission, in ms |
- * | `sp` | the job as submitted |
+ * | `s` | 0 accepted, 1 done, 2 cancelled, 3 accepted with dependencies |
+ * | `t` | wall-clock time of the submission, in ms |
+ * | `sp` | the job specification as submitted |
  * | `n` | number of tasks, in the short record of a finished job |
- * | `e` | time of day when the job was seen done, in ms |
- * | `aw` | ids of the jobs that it awaits |
- * | `x` | `k`: name of the group of parts that hold the rest of its lists; `n`: their number |
+ * | `e` | wall-clock time when the job was observed to be done, in ms |
+ * | `aw` | ids of the jobs that it depends on |
+ * | `x` | `k`: name of the group of parts that hold the rest of its lists; `n`: number of parts |
  *
  * The fields of a part:
  *
  * | field | meaning |
  * | --- | --- |
- * | `aw` | ids of awaited jobs |
- * | `ty` | names of machine types |
+ * | `aw` | ids of jobs that the job depends on |
+ * | `ty` | names of machine types that the job allows |
  *
- * A version that knows no awaited jobs passes over a record with `s` 3, so it can't start the job's tasks too early.
+ * A version without support for dependencies skips a record with `s` 3, so it can't start the job's tasks too early.
  */
 import { createHash } from 'node:crypto';
 import type { JobSpec } from '@archpost/protocol';
@@ -30,7 +29,7 @@
 import { encodedBytes } from './limits.js';
 import { UnreadableRecordError } from './unreadable-record-error.js';
 
-/** How a job ended, as far as its record shows. */
+/** How a job ended, according to its record. */
 export type FinalState = 'done' | 'cancelled';
 
 const ACCEPTED = 0;
@@ -38,41 +37,41 @@
 const CANCELLED = 2;
 const ACCEPTED_WITH_AWAITS = 3;
 
-/** The parts that belong to one job record. */
+/** The reference from a job record to its parts. */
 export interface PartsReference {
-  /** a digest of what the parts hold, so that a repeated submission finds the parts that are stored already */
+  /** digest of the contents of the parts, so that a repeated submission finds the parts that are already stored */
   group: string;
   count: number;
 }
 
-/** A job's record as decisions use it. */
+/** A decoded job record. */
 export interface StoredJob {
   state: 'live' | FinalState;
-  /** time of day of the submission, in ms; 0: not stored */
+  /** wall-clock time of the submission, in ms; 0: not stored */
   submittedAt: number;
-  /** null: the short record of a finished job */
+  /** null in the short record of a finished job */
   spec: JobSpec | null;
   /** number of tasks */
   tasks: number;
-  /** time of day when the job was seen done, in ms; null: not done, or not stored */
+  /** wall-clock time when the job was observed to be done, in ms; null: not done, or not stored */
   endedAt: number | null;
-  /** ids in the record itself; null: there is a list, here or in parts, that can't be read */
+  /** dependency ids in the record itself; null: these or the reference to the parts can't be read */
   awaits: string[] | null;
-  /** null: the record holds its lists whole */
+  /** null: the record holds its complete lists */
   parts: PartsReference | null;
 }
 
-/** One stored part of a job's lists: ids of awaited jobs, and names of machine types. */
+/** One stored part of a job's lists: ids of dependencies, and names of machine types. */
 export interface JobPart {
   awaits: string[];
   types: string[];
 }
 
-/** What is written for an acceptance: the parts first, then the record that makes them valid. */
+/** The values to write for an accepted job: the parts first, then the record that makes them valid. */
 export interface EncodedJob {
   record: unknown;
   parts: unknown[];
-  /** the group of the parts; empty without parts */
+  /** the group of the parts; empty if there are no parts */
   group: string;
 }
 
@@ -90,13 +89,13 @@
 const partsReferenceSchema = z.object({ k: z.string(), n: z.number().int().min(1) });
 const partSchema = z.object({ aw: z.array(z.string()).nullish(), ty: z.array(z.string()).nullish() });
 
-// Most records have no lists, and thousands are read at a start: the schemas are spared for them.
+// Thousands of records are read at startup, and most have no lists: these skip the validation of the lists.
 const NO_AWAITS = { success: true, data: [] as string[] } as const;
 const NO_PARTS = { success: true, data: null } as const;
 
 const STATES = { [ACCEPTED]: 'live', [DONE]: 'done', [CANCELLED]: 'cancelled', [ACCEPTED_WITH_AWAITS]: 'live' } as const;
 
-/** Throws `UnreadableRecordError` on what is no job record, and on a job that isn't over and has no specification. */
+/** Throws `UnreadableRecordError` if the value is no job record, or if the record of a live job has no specification. */
 export function parseJobRecord(value: unknown): StoredJob {
   const parsed = recordSchema.safeParse(value);
   if (!parsed.success) throw new UnreadableRecordError('job', parsed.error);
@@ -117,7 +116,7 @@
   };
 }
 
-/** As `parseJobRecord`, but null for what is no job record. */
+/** Like `parseJobRecord`, but returns null if the record can't be read. */
 export function readJobRecord(value: unknown): StoredJob | null {
   try {
     return parseJobRecord(value);
@@ -127,14 +126,14 @@
   }
 }
 
-/** Throws `UnreadableRecordError` on what is no part of a job record. */
+/** Throws `UnreadableRecordError` if the value is no part of a job record. */
 export function parseJobPart(value: unknown): JobPart {
   const parsed = partSchema.safeParse(value);
   if (!parsed.success) throw new UnreadableRecordError('job part', parsed.error);
   return { awaits: parsed.data.aw ?? [], types: parsed.data.ty ?? [] };
 }
 
-/** How many of the names, from the first, fit `maxBytes` of a JSON list. */
+/** The number of leading names that fit into `maxBytes` of a JSON list. */
 function countNamesThatFit(names: readonly string[], maxBytes: number): number {
   let usedBytes = 0;
   let count = 0;
@@ -146,16 +145,16 @@
   return count;
 }
 
-/** Characters of a digest that name a group of parts. */
+/** Number of digest characters in the name of a group of parts. */
 const GROUP_LENGTH = 22;
 
-/** Stands for the number of parts before it is known: no job has so many, so the real number takes no more bytes. */
+/** Placeholder for the number of parts before it is known. No job has as many parts, so the number takes no more bytes. */
 const PART_COUNT_PLACEHOLDER = 1_000_000;
 
-/** Bytes that a part's key and its field names take. */
+/** Bytes reserved in each part for its key and its field names. */
 const PART_OVERHEAD_BYTES = 256;
 
-/** The records of the parts that hold these names, each within `maxWriteBytes`; `wrap` makes the record of one part. */
+/** Splits the names into records of parts, each within `maxWriteBytes`. `wrap` builds the record of one part. */
 function encodeParts(names: readonly string[], maxWriteBytes: number, wrap: (names: string[]) => unknown): unknown[] {
   const parts: unknown[] = [];
   for (let start = 0; start < names.length; ) {
@@ -170,28 +169,28 @@
   return createHash('sha256').update(JSON.stringify(parts)).digest('base64url').slice(0, GROUP_LENGTH);
 }
 
-/** A job as it is accepted. `submittedAt`: time of day, in ms. */
+/** An accepted job, to be encoded. `submittedAt`: wall-clock time, in ms. */
 interface AcceptedJob {
   spec: JobSpec;
-  /** ids of the jobs that it awaits */
+  /** ids of the jobs that it depends on */
   awaits: readonly string[];
   submittedAt: number;
 }
 
-/** The record of an accepted job; the field for awaited jobs is there only if the job has any. */
+/** Returns the record of an accepted job. The field `aw` is present only if the job has dependencies. */
 function acceptedRecord(spec: JobSpec, awaits: readonly string[], hasAwaits: boolean, submittedAt: number): object {
   return hasAwaits
     ? { s: ACCEPTED_WITH_AWAITS, t: submittedAt, sp: encodeJobSpec(spec), aw: awaits }
     : { s: ACCEPTED, t: submittedAt, sp: encodeJobSpec(spec) };
 }
 
-/** How many names of each list the record itself holds. */
+/** The number of names of each list that the record itself holds. */
 interface NamesInRecord {
   types: number;
   awaits: number;
 }
 
-/** Null if not even one machine type fits, or the rest of the record doesn't. */
+/** Returns null if the record doesn't fit without its lists, or if not even one machine type fits. */
 function countNamesInRecord(
   key: string,
   { spec, awaits, submittedAt }: AcceptedJob,
@@ -203,7 +202,7 @@
   const remainingBytes = maxWriteBytes - encodedBytes(key, emptyRecord);
   const types = spec.machineTypes ?? [];
   const typeCount = countNamesThatFit(types, remainingBytes);
-  // An empty list of types allows none, for a version that knows no parts; null would allow all.
+  // In a version without support for parts, an empty list of types would allow no type, and null would allow all types.
   if (remainingBytes < 0 || (types.length > 0 && typeCount === 0)) return null;
   const typesBytes = Buffer.byteLength(JSON.stringify(types.slice(0, typeCount)));
   const awaitsBytes = remainingBytes - typesBytes - Buffer.byteLength(',"aw":[]');
@@ -211,9 +210,10 @@
 }
 
 /**
- * Encodes an accepted job within `maxWriteBytes` a change; null if not even its names fit. Where a list is too long,
- * the record holds what fits of it and parts hold the rest. A version that knows no parts then reads a shorter
- * list of machine types, which allows less than the user did, never more; `types` are best ordered accordingly.
+ * Encodes an accepted job within `maxWriteBytes` per write; null if it doesn't fit even with its lists in parts. If a list is
+ * too long, the record holds the names that fit and parts hold the rest. A version without support for parts then reads a
+ * shorter list of machine types, which allows fewer types than the user did, never more. The most useful types should
+ * therefore come first in the specification.
  */
 export function encodeAcceptedJob(key: string, job: AcceptedJob, maxWriteBytes: number): EncodedJob | null {
   const { spec, awaits, submittedAt } = job;
@@ -233,15 +233,15 @@
   return { record: { ...shortRecord, x: { k: group, n: parts.length } }, parts, group };
 }
 
-/** The short record of a job whose tasks are all done. Times are times of day, in ms. */
+/** Returns the short record of a job whose tasks are all done. Times are wall-clock times, in ms. */
 export function encodeDoneJob(submittedAt: number, taskCount: number, endedAt: number): unknown {
   return { s: DONE, t: submittedAt, n: taskCount, e: Math.round(endedAt) };
 }
 
 /**
- * The record of a cancelled job: what is stored, without its lists if they are too long to be written again. Nothing of
- * it starts any more, so which machine types it was allowed is of no use; the resources that its running tasks take are.
- * Throws `UnreadableRecordError` if a record that has to be shortened can't be read.
+ * Returns the record of a cancelled job: the stored record, without its lists if the complete record is too large for one
+ * write. A cancelled job starts no tasks, so its machine types aren't needed, but the resources that its running tasks use
+ * are. Throws `UnreadableRecordError` if a record that has to be shortened can't be read.
  */
 export function encodeCancelledJob(key: string, stored: unknown, maxWriteBytes: number): unknown {
   const whole = { ...(stored as object), s: CANCELLED };
--- a/packages/controller/src/state/job-registry.ts
+++ b/packages/controller/src/state/job-registry.ts
@@ -1,6 +1,7 @@
 /**
- * The jobs that the state service's keys describe. Owns the table of jobs, how jobs ended, and what was read before the record
- * that it belongs to: parts of records that outgrew a value, and progress. Which job awaits which is JobDependencies' part.
+ * The jobs that the stored records describe. Owns the table of jobs, how jobs ended, and stored data that was read before the
+ * job record that it belongs to: progress, and the parts of records that are too large for one value. `JobDependencies` owns
+ * the dependency graph.
  */
 import type { JobSpec } from '@archpost/protocol';
 import type { Job, Milliseconds } from '../model/index.js';
@@ -9,12 +10,12 @@
 import type { ProgressLayout, StoredProgress } from './progress-layout.js';
 import type { ReplicaEntry } from './replica.js';
 
-/** Jobs changed with one key. */
+/** The jobs that the change of one key affects. */
 export interface JobsChange {
   kind: 'jobs';
-  /** the key's own job first, then others that are released or cancelled with it */
+  /** the key's own job first, then jobs that are unblocked or cancelled because of it */
   jobs: Job[];
-  /** what of the record can't be read, though the rest can; null: all can */
+  /** description of the part of the record that can't be read, if the rest can; null: all of it can be read */
   unreadablePart: string | null;
 }
 
@@ -24,41 +25,41 @@
   return { kind: 'jobs', jobs, unreadablePart };
 }
 
-/** A part's key below its prefix: job and group, and the part's number. */
+/** The key of a record part after the prefix: `job/group`, then the part's number. */
 const PART_KEY = /^([^/]+\/[^/]+)\/(\d+)$/;
 
-/** A job some of whose parts weren't read yet. */
+/** A job whose record parts weren't all read yet. */
 interface IncompleteRecord {
   job: Job;
   missingParts: Set<number>;
 }
 
-/** What the registry needs of the cluster state that it is part of. */
+/** The operations of the cluster state that the registry uses. */
 export interface JobRegistryHost {
   createJob(spec: JobSpec): Job;
-  /** the dense index of a machine type's name */
+  /** Returns the dense index of a machine type's name. */
   internTypeName(name: string): number;
-  /** Called when nothing is left that a job awaits; a second call for the same job changes nothing. */
+  /** Called when a job has no unfinished dependencies. A second call for the same job must have no effect. */
   jobStartable(job: Job): void;
 }
 
 /** The jobs, by id, as their stored records describe them. */
 export class JobRegistry {
   readonly jobs = new Map<string, Job>();
-  /** how jobs ended, also of those that were cancelled with one that they await */
+  /** how jobs ended, by id, including jobs that were cancelled because a dependency was */
   readonly finishedJobs = new Map<string, FinalState>();
-  /** revision of the newest cancellation that is known */
+  /** revision of the newest cancellation that was read */
   cancellationRevision = 0;
-  /** time of day less the steady clock */
+  /** wall-clock time minus the time of the monotonic clock */
   wallClockOffsetMs: Milliseconds = 0;
   private readonly dependencies = new JobDependencies(this.jobs, this.finishedJobs);
-  /** by job and group */
+  /** by `job/group` */
   private readonly incompleteRecords = new Map<string, IncompleteRecord>();
-  /** parts that were read before the job's record, by job and group, then by number */
+  /** parts that were read before the job's record, by `job/group`, then by part number */
   private readonly partsReadEarly = new Map<string, Map<number, JobPart>>();
-  /** progress that was read before the job's record, by job, then by the name of the progress part */
+  /** progress that was read before the job's record, by job id, then by the name of the progress part */
   private readonly progressReadEarly = new Map<string, Map<string, StoredProgress>>();
-  /** when each cancellation was first read here, also of jobs that were forgotten since */
+  /** by job id: when its cancellation was first read here, also for jobs that were forgotten since */
   private readonly cancellationReadAt = new Map<string, Milliseconds>();
 
   constructor(
@@ -68,14 +69,14 @@
 
   // ---- records
 
-  /** Applies a job's record. Throws on what is no job record; the removal of a record changes nothing. */
+  /** Applies a job's record. Throws if the record can't be read. The removal of a record has no effect. */
   applyRecord(id: string, entry: ReplicaEntry | null, now: Milliseconds): JobsChange {
     if (!entry) return NO_JOBS;
     const stored = parseJobRecord(entry.value);
     if (stored.state === 'cancelled') this.cancellationRevision = Math.max(this.cancellationRevision, entry.revision);
     const others = stored.state === 'live' ? [] : this.applyFinalState(id, stored.state, stored.endedAt, now);
     const known = this.jobs.get(id);
-    // Of a finished job nothing is left to do; of a cancelled one there may be tasks to stop.
+    // A done job has no tasks left to run or stop. A cancelled job may still have tasks to stop.
     const { spec } = stored;
     const hasNothingLeft = spec === null || stored.state === 'done';
     const job = known ?? (hasNothingLeft ? null : this.register(spec, stored, now, others));
@@ -91,26 +92,26 @@
     return jobsChange(jobs, stored.awaits === null ? 'the list of awaited jobs' : null);
   }
 
-  /** The job with this id, from its record if it was forgotten; null if there is none to run or to stop. */
+  /** The job with this id, restored from its record if it was forgotten; null if there are no tasks to run or stop. */
   restore(id: string, entry: ReplicaEntry | null, now: Milliseconds): Job | null {
     const known = this.jobs.get(id);
     if (known || !entry) return known ?? null;
     try {
       this.applyRecord(id, entry, now);
     } catch {
-      // Whatever is wrong with the record was logged when it was read first; its tasks are stopped like those of an unknown job.
+      // The error was logged when the record was first read. The job's tasks are stopped like those of an unknown job.
     }
     return this.jobs.get(id) ?? null;
   }
 
-  /** Forgets the job if it is over and nothing of it is on any machine. */
+  /** Forgets the job if it is done or cancelled and none of its tasks is allocated. */
   forgetIfFinished(job: Job): void {
     if (job.state !== 'live' && job.tenure.allocations.size === 0) this.jobs.delete(job.spec.id);
   }
 
   /**
-   * The only way into the table. The job is in it only once all that its record says is known of it: what it
-   * awaits, and whether it is over. What is cancelled by that is added to `others`.
+   * Adds a job to the table; no other function does. The job is added only after its record was applied: its dependencies and
+   * whether it has ended. Jobs that are cancelled by that are appended to `others`.
    */
   private register(spec: JobSpec, stored: StoredJob, now: Milliseconds, others: Job[]): Job {
     const job = this.host.createJob(spec);
@@ -125,7 +126,7 @@
     return job;
   }
 
-  /** A job is over. Returns those that awaited it and are released or cancelled by that. */
+  /** Records the end of a job. Returns its dependents that are unblocked or cancelled by it. */
   private applyFinalState(id: string, finalState: FinalState, endedAt: Milliseconds | null, now: Milliseconds): Job[] {
     this.finishedJobs.set(id, finalState);
     this.progressReadEarly.delete(id);
@@ -140,12 +141,12 @@
     this.host.jobStartable(job);
   }
 
-  /** Its waiting time counts from the moment when the last job that it awaited was done, whoever saw that. */
+  /** Counts the waiting time from the end of the last dependency, no matter which controller observed that end. */
   private restartWaitingTime(job: Job, now: Milliseconds): void {
     job.arrivedAt = job.dependenciesDoneAt > 0 ? Math.min(now, job.dependenciesDoneAt - this.wallClockOffsetMs) : now;
   }
 
-  /** The time within which a cancelled job must be gone counts from the first reading of its cancellation here. */
+  /** The time limit for stopping a cancelled job counts from when this controller first read the cancellation. */
   private recordCancellationTime(job: Job, now: Milliseconds): void {
     if (job.state !== 'cancelled') return;
     const readAt = this.cancellationReadAt.get(job.spec.id) ?? now;
@@ -153,9 +154,9 @@
     job.cancelledAt = readAt;
   }
 
-  // ---- lists of awaited jobs and machine types
+  // ---- lists of dependencies and machine types
 
-  /** The lists of a job that was read for the first time. Returns what is cancelled by them. */
+  /** Applies the lists of a job that was read for the first time. Returns the jobs that are cancelled by them. */
   private applyRecordLists(job: Job, stored: StoredJob, now: Milliseconds): Job[] {
     if (stored.awaits === null) {
       job.missingRecordParts = Number.POSITIVE_INFINITY;
@@ -168,7 +169,7 @@
     return [];
   }
 
-  /** The job stays blocked until all its parts are read. Returns what is cancelled by those that were read before. */
+  /** Blocks the job until all its parts are read. Returns the jobs that are cancelled by parts that were read before. */
   private expectParts(job: Job, groupKey: string, count: number, now: Milliseconds): Job[] {
     const missingParts = new Set<number>();
     for (let index = 0; index < count; index++) missingParts.add(index);
@@ -181,7 +182,7 @@
     return cancelled;
   }
 
-  /** Applies a part of a job's lists; `key` is job, group and number. Throws on what is no part. */
+  /** Applies a part of a job's lists. `key`: `job/group/number`. Throws if the part can't be read. */
   applyPart(key: string, entry: ReplicaEntry | null, now: Milliseconds): JobsChange {
     const [, groupKey, number] = PART_KEY.exec(key) ?? [];
     if (!entry || groupKey === undefined) return NO_JOBS;
@@ -197,7 +198,7 @@
     return NO_JOBS;
   }
 
-  /** Returns what is cancelled by the part: the job itself, and those that await it. */
+  /** Returns the jobs that are cancelled by the part: the job itself and its dependents. */
   private mergePart(groupKey: string, index: number, part: JobPart, now: Milliseconds): Job[] {
     const incomplete = this.incompleteRecords.get(groupKey);
     if (!incomplete?.missingParts.delete(index)) return [];
@@ -218,13 +219,13 @@
 
   // ---- progress
 
-  /** Applies a part of a job's progress; `key` is the job and the part's name. Throws on what is no progress. */
+  /** Applies a part of a job's progress. `key`: the job's id and the part's name, as `id/name`. Throws if it can't be read. */
   applyProgress(key: string, entry: ReplicaEntry | null): JobsChange {
     if (!entry) return NO_JOBS;
     const separator = key.lastIndexOf('/');
     const id = key.slice(0, separator);
     const partName = key.slice(separator + 1);
-    // Parsed before it is kept: progress that can't be read must not keep the job's record from being read.
+    // Parsed before it is buffered: unreadable progress must not prevent the job's record from being applied.
     const progress = this.progressLayout.parse(partName, entry.value);
     const job = this.jobs.get(id);
     if (job) {
@@ -246,7 +247,7 @@
   }
 }
 
-/** Keeps what was read before the record that it belongs to. */
+/** Buffers a value that was read before the record that it belongs to. */
 function keepEarly<Name, Value>(store: Map<string, Map<Name, Value>>, recordId: string, name: Name, value: Value): void {
   const early = store.get(recordId) ?? new Map<Name, Value>();
   store.set(recordId, early.set(name, value));
--- a/packages/controller/src/state/job-spec-record.ts
+++ b/packages/controller/src/state/job-spec-record.ts
@@ -1,13 +1,13 @@
 /**
- * The stored form of a job as its user described it, the field `sp` of a job's record. Stored field names are fixed: other
- * versions read and write the same records.
+ * The stored form of a job specification, the field `sp` of a job's record. Stored field names are fixed: other versions read
+ * and write the same records.
  *
- * Both directions are object literals rather than a loop over a table of names: V8 keeps an object with so many fields that
- * was built one by one as a hash table, and each decision about a job reads its spec (docs/results.md, "Readable code").
+ * Both directions are object literals rather than a loop over a table of names: V8 turns an object with this many fields that
+ * are added one by one into a hash table, and each decision about a job reads its spec (docs/results.md, "Readable code").
  */
 import type { JobSpec } from '@archpost/protocol';
 
-/** A job with its fields under their stored names, in their stored order. */
+/** A job specification with its fields under their stored names, in their stored order. */
 interface StoredJobSpec {
   id: JobSpec['id'];
   cls: JobSpec['jobClass'];
@@ -31,12 +31,12 @@
   deadlineS: JobSpec['deadlineS'];
 }
 
-/** Is the value the stored form of a job, as far as its id shows? */
+/** Whether the value is the stored form of a job specification. Only its id is validated. */
 export function isStoredJobSpec(value: unknown): value is object {
   return typeof value === 'object' && value !== null && 'id' in value && typeof value.id === 'string';
 }
 
-/** The stored form of a job. */
+/** Returns the stored form of a job specification. */
 export function encodeJobSpec(spec: JobSpec): object {
   const stored: StoredJobSpec = {
     id: spec.id,
@@ -63,7 +63,7 @@
   return stored;
 }
 
-/** The job of a stored form that has an id. Fields that the form lacks are undefined in the job too, as they always were. */
+/** Decodes a stored form that has an id. Fields that it lacks are undefined in the result, as in earlier versions. */
 export function parseJobSpec(value: object): JobSpec {
   const stored = value as StoredJobSpec;
   return {
@@ -90,7 +90,7 @@
   };
 }
 
-/** The same stored form with any machine type allowed, for a job that starts nothing any more. */
+/** Returns the stored form with all machine types allowed, for a job that starts no more tasks. */
 export function withoutMachineTypes(stored: object): object {
   const anyType: Pick<StoredJobSpec, 'types'> = { types: null };
   return { ...stored, ...anyType };
--- a/packages/controller/src/state/keys.ts
+++ b/packages/controller/src/state/keys.ts
@@ -1,37 +1,37 @@
 /**
- * The keys of the state service: how they are built, and what kind of record each holds. What is stored under a key is
- * described by the `*-record.ts` module of its kind. The key formats are fixed: other versions use the same keys.
+ * The keys of the state service: how they are built, and which kind of record each holds. The `*-record.ts` module of each
+ * kind describes the values. The key formats are fixed: other versions use the same keys.
  */
 
-/** The name of the leader's lease; it is part of a stored key. */
+/** The name of the leader's lease, which is part of a stored key. */
 export const LEADER_LEASE = 'lead';
 
-/** A lease that controllers compete for: the leader's, or that of the shard with this number. */
+/** The name of a lease that controllers compete for: the leader's lease, or the number of a shard. */
 export type LeaseName = typeof LEADER_LEASE | number;
 
 /** Builds the key of each kind of record. */
 export const StateKey = {
-  /** all keys of this program begin so */
+  /** prefix of all keys of this program */
   root: 'a/',
   shardLease: (lease: LeaseName) => `a/h/${lease}`,
   assignment: (machine: string) => `a/g/${machine}`,
   job: (id: string) => `a/j/${id}`,
   progress: (id: string, part: string) => `a/p/${id}/${part}`,
-  /** the whole list of machine types */
+  /** the complete list of machine types */
   machineTypes: 'a/types',
   /** a part of a list of machine types that is too long for one value */
   machineTypesPart: (index: number) => `a/types/${index}`,
   /** a part of a job's lists: see job-record.ts */
   jobPart: (id: string, group: string, index: number) => `a/x/${id}/${group}/${index}`,
-  /** a controller that is present: attached to its lease at the state service */
+  /** marks a controller as present; attached to the controller's lease at the state service */
   presence: (controller: string) => `a/n/${controller}`,
-  /** a controller's status, for the leader while the link between them is down */
+  /** a controller's status, for the leader while the link between the two is down */
   status: (controller: string) => `a/s/${controller}`,
-  /** the images in a machine's cache, for the next holder of its shard */
+  /** the images in a machine's cache, for the next lease holder of its shard */
   imageCache: (machine: string) => `a/c/${machine}`,
 };
 
-/** What a key's record is about; `other`: nothing that the cluster state is made of. */
+/** The kind of record that a key holds; `other`: not part of the cluster state. */
 export type StateKeyKind =
   | 'shardLease'
   | 'presence'
@@ -44,10 +44,10 @@
   | 'machineTypesPart'
   | 'other';
 
-/** A key taken apart. */
+/** The components of a key. */
 export interface ParsedStateKey {
   kind: StateKeyKind;
-  /** the key after the prefix of its kind, say a machine's name */
+  /** the key without the prefix of its kind, such as a machine's name */
   name: string;
 }
 
@@ -61,12 +61,12 @@
   ['c/', 'imageCache'],
 ]);
 
-/** Where the prefix of a kind ends; it begins after the root. */
+/** Index at which the prefix of a kind ends. The prefix follows the root. */
 const PREFIX_END = StateKey.root.length + 2;
 
 const MACHINE_TYPES_PART_PREFIX = `${StateKey.machineTypes}/`;
 
-/** Takes a key apart that begins with the root. */
+/** Parses a key that begins with the root. */
 export function parseStateKey(key: string): ParsedStateKey {
   const kind = KIND_BY_PREFIX.get(key.slice(StateKey.root.length, PREFIX_END));
   if (kind !== undefined) return { kind, name: key.slice(PREFIX_END) };
@@ -76,7 +76,7 @@
   return { kind: 'other', name: key };
 }
 
-/** The letter after the root, by which writes are counted in the log: `g` for assignments, `t` for machine types. */
+/** The letter after the root. The log counts writes by this letter, such as `g` for assignments, `t` for machine types. */
 export function keyKindLetter(key: string): string {
   return key.slice(StateKey.root.length, StateKey.root.length + 1);
 }
--- a/packages/controller/src/state/lease-record.ts
+++ b/packages/controller/src/state/lease-record.ts
@@ -1,13 +1,13 @@
 /**
- * The stored records that are attached to a controller's lease on the state service: who holds a shard's lease or the
- * leader's, and that a controller is present. The service removes both when that lease ends.
+ * The stored records that are attached to a controller's lease on the state service: the holder of a shard's lease or of the
+ * leader's lease, and the presence of a controller. The service removes both when the controller's lease ends.
  *
  * Stored field names are fixed: other versions read and write the same records.
  *
  * | key | field | meaning |
  * | --- | --- | --- |
  * | `a/h/` | `node` | name of the controller that holds the lease |
- * | `a/h/` | `boot` | incarnation of that controller: each start of its process has another |
+ * | `a/h/` | `boot` | incarnation of that controller: unique to each start of its process |
  * | `a/n/` | `boot` | incarnation of the controller that is present |
  */
 import { UnreadableRecordError } from './unreadable-record-error.js';
@@ -15,7 +15,7 @@
 /** The holder of a shard's lease, or of the leader's. */
 export interface LeaseHolder {
   controller: string;
-  /** each start of a controller's process has another, so an earlier process isn't taken for the present one */
+  /** unique to each start of a controller's process, so that an earlier process isn't mistaken for the current one */
   incarnation: string;
 }
 
@@ -28,26 +28,26 @@
   boot: string;
 }
 
-/** The record of a lease's holder. */
+/** Returns the record of a lease holder. */
 export function encodeHolder(holder: LeaseHolder): unknown {
   const stored: StoredHolder = { node: holder.controller, boot: holder.incarnation };
   return stored;
 }
 
-/** Throws `UnreadableRecordError` on what names no holder. */
+/** Throws `UnreadableRecordError` if the controller's name or incarnation is missing. */
 export function parseLeaseHolder(value: unknown): LeaseHolder {
   const stored = value as Partial<StoredHolder> | null;
   if (typeof stored?.node !== 'string' || typeof stored.boot !== 'string') throw new UnreadableRecordError('lease holder');
   return { controller: stored.node, incarnation: stored.boot };
 }
 
-/** The record that says that a controller is present. */
+/** Returns the record that marks a controller as present. */
 export function encodePresence(incarnation: string): unknown {
   const stored: StoredPresence = { boot: incarnation };
   return stored;
 }
 
-/** Is this the presence of the controller with that incarnation? The value must be a stored presence: it isn't checked. */
+/** Whether the presence record belongs to that incarnation. The value must be a presence record; it isn't validated. */
 export function isPresenceOf(value: unknown, incarnation: string): boolean {
   return (value as StoredPresence).boot === incarnation;
 }
--- a/packages/controller/src/state/lease-registry.ts
+++ b/packages/controller/src/state/lease-registry.ts
@@ -1,13 +1,13 @@
 /**
- * Who holds which lease, and which controllers are absent, by the records that are attached to the controllers' leases at
- * the state service. Owns both tables.
+ * The holders of the leases, and the controllers that are absent, from the records that are attached to the controllers'
+ * leases at the state service. Owns both tables.
  */
 import { type Milliseconds, shiftTimes } from '../model/index.js';
 import type { LeaseName } from './keys.js';
 import { type LeaseHolder, parseLeaseHolder } from './lease-record.js';
 import type { ReplicaEntry } from './replica.js';
 
-/** A shard's lease, or the leader's, as it is stored. */
+/** The stored lease of a shard, or of the leader. */
 export interface ShardLease {
   holder: LeaseHolder;
   /** revision at which it was acquired: the fencing token of its holder */
@@ -18,27 +18,27 @@
 export class LeaseRegistry {
   /** by the lease's name as text */
   readonly leaseHolders = new Map<string, ShardLease>();
-  /** controllers whose presence was seen to end, and when */
+  /** by controller name: when this controller read that the presence record was removed */
   readonly absentSince = new Map<string, Milliseconds>();
 
-  /** Applies the record of the lease with this name. Throws on what names no holder. */
+  /** Applies the record of the lease with this name. Throws if the record can't be read. */
   applyLease(name: string, entry: ReplicaEntry | null): void {
     if (entry) this.leaseHolders.set(name, { holder: parseLeaseHolder(entry.value), revision: entry.revision });
     else this.leaseHolders.delete(name);
   }
 
-  /** Applies the record that says that a controller is present. */
+  /** Applies a controller's presence record, or its removal. */
   applyPresence(controller: string, entry: ReplicaEntry | null, now: Milliseconds): void {
     if (entry) this.absentSince.delete(controller);
     else this.absentSince.set(controller, now);
   }
 
-  /** This process was paused for `pausedMs`: the absences that it saw are as old as before the pause. */
+  /** Excludes a pause of this process, of `pausedMs`, from the time for which controllers count as absent. */
   processPaused(pausedMs: Milliseconds): void {
     shiftTimes(this.absentSince, pausedMs);
   }
 
-  /** The lease of a shard or of the leader; null while nobody holds it. */
+  /** The lease of a shard or of the leader; null if no controller holds it. */
   leaseOf(lease: LeaseName): ShardLease | null {
     return this.leaseHolders.get(String(lease)) ?? null;
   }
--- a/packages/controller/src/state/machine-registry.ts
+++ b/packages/controller/src/state/machine-registry.ts
@@ -1,6 +1,6 @@
 /**
- * The machines that have an assignment to a shard. Owns the table of machines, and of each machine what is stored of it: its
- * shard, its address, the assignment's revision, and whether it is to move or to be released.
+ * The machines that have an assignment to a shard. Owns the table of machines and the stored fields of each machine: its shard,
+ * its address, the revision of its assignment, and whether it is to move or to be released.
  */
 import { Machine, type Milliseconds, type NameInterner, UNASSIGNED_SHARD } from '../model/index.js';
 import { type MachineAssignment, parseAssignment } from './assignment-record.js';
@@ -12,11 +12,11 @@
 export interface MachineChange {
   kind: 'machine';
   machine: Machine;
-  /** it belongs to another shard than before; not set for a machine whose assignment was removed */
+  /** whether the machine belongs to another shard than before; false if its assignment was removed */
   isShardChanged: boolean;
 }
 
-/** What a machine is made from and restored by. */
+/** The name tables and registries that the machine registry uses. */
 export interface MachineRegistryParts {
   typeNames: NameInterner;
   zoneNames: NameInterner;
@@ -30,7 +30,7 @@
 
   constructor(private readonly parts: MachineRegistryParts) {}
 
-  /** Applies a machine's assignment. Null: a machine that wasn't known is gone. Throws on what is no assignment. */
+  /** Applies an assignment or its removal; null if the removed machine was unknown. Throws if the record can't be read. */
   applyAssignment(name: string, entry: ReplicaEntry | null, now: Milliseconds): MachineChange | null {
     if (!entry) return this.remove(name);
     const assignment = parseAssignment(entry.value);
@@ -48,7 +48,7 @@
     return { kind: 'machine', machine, isShardChanged };
   }
 
-  /** The record of the machine's assignment to its shard as it stands, neither to move nor to be released. */
+  /** The machine's current assignment, without a requested move or release. */
   assignmentOf(machine: Machine): MachineAssignment {
     return {
       shard: machine.shard,
@@ -61,7 +61,7 @@
     };
   }
 
-  /** To be called when the machine types have changed. A machine whose type isn't known keeps the capacity that it has. */
+  /** Updates the machines' capacities after a change of the machine types. A machine of an unknown type keeps its capacity. */
   refreshCapacities(): void {
     for (const machine of this.machines.values()) {
       machine.capacity = this.parts.machineTypeRegistry.types[machine.typeIndex] ?? machine.capacity;
--- a/packages/controller/src/state/machine-type-registry.ts
+++ b/packages/controller/src/state/machine-type-registry.ts
@@ -1,6 +1,6 @@
 /**
- * The machine types that the cloud sells: from the cloud itself, or, at a start while its interface is down, from what is
- * stored. Owns the list of types and the parts of a stored list that was read so far.
+ * The machine types that the cloud offers, from the cloud itself or, at startup while the cloud's API is down, from the stored
+ * records. Owns the list of types and the parts of a stored list that were read so far.
  */
 import type { MachineType } from '@archpost/protocol';
 import { fits, type Job, type Milliseconds, type NameInterner } from '../model/index.js';
@@ -8,28 +8,28 @@
 
 /** The known machine types, by the dense indices of their names. */
 export class MachineTypeRegistry {
-  /** null or absent: a type that is known by its name alone */
+  /** null or absent: only the name of the type is known */
   readonly types: (MachineType | null)[] = [];
-  /** a list with at least one type was read */
+  /** whether a list with at least one type was read */
   isKnown = false;
   private readonly storedParts = new Map<string, MachineTypesPart>();
 
   constructor(private readonly typeNames: NameInterner) {}
 
-  /** Takes over a list from the cloud, or a stored one. Types that it lacks stay as they are. */
+  /** Sets the types of a list from the cloud, or of a stored one. Types that are not in the list are kept. */
   setTypes(list: MachineType[]): void {
     for (const machineType of list) this.types[this.typeNames.intern(machineType.name)] = machineType;
     this.isKnown = list.length > 0;
   }
 
-  /** Takes over a list that is stored whole. */
+  /** Applies a list that is stored in one value. */
   applyStoredList(value: unknown): void {
     this.setTypes(parseMachineTypesRecord(value));
   }
 
   /**
-   * Takes one part of a stored list. Once all parts are there, and no list is known yet, the types are set: then it returns
-   * true. Throws on what is no part.
+   * Applies one part of a stored list. Sets the types once all parts were read, unless a list is already known, and then
+   * returns true. Throws if the part can't be read.
    */
   applyStoredPart(name: string, value: unknown): boolean {
     const part = parseMachineTypesPart(value);
@@ -39,7 +39,7 @@
     return true;
   }
 
-  /** How soon a new machine without accelerators can be up for the job; 0 if no type is known that would do. */
+  /** Shortest boot time of the known machine types without accelerators that can run the job; 0 if there is none. */
   bootTimeFor(job: Job): Milliseconds {
     let bootS = Number.POSITIVE_INFINITY;
     for (const machineType of this.types)
--- a/packages/controller/src/state/progress-layout.ts
+++ b/packages/controller/src/state/progress-layout.ts
@@ -1,11 +1,11 @@
 /**
- * How the completed tasks of a job are laid out over keys of the state service, and the codec of what those keys hold.
+ * The layout of a job's completed tasks over keys of the state service, and the codec of the values of these keys.
  *
- * A chunk is a fixed number of tasks, one hex digit for four of them. Where chunks fit a value, a job has one key for each,
- * named by the chunk's number. Where a chunk doesn't fit a value, it is stored in parts, each named by the chunk's number
- * with a fraction (`0.0`, `0.125`): the first task of a part is its name times the chunk's size. Versions that know nothing
- * of parts compute the first task from the name in the same way, so they read parts too. Bits only ever go from 0 to 1, so
- * the progress of a job is the union of all its keys, of either kind.
+ * A chunk is a fixed number of tasks, with one hex digit for every four tasks. If a chunk fits into a value, a job has one key
+ * per chunk, named by the chunk's number. Otherwise a chunk is stored in parts, each named by the chunk's number with a
+ * fraction (`0.0`, `0.125`): the first task of a part is its name times the chunk's size. Versions without support for parts
+ * compute the first task from the name in the same way, so they can read parts. Bits only change from 0 to 1, so the progress
+ * of a job is the union of all its keys, of both chunks and parts.
  */
 
 import { BYTES_PER_KIB } from './limits.js';
@@ -13,21 +13,21 @@
 
 const TASKS_PER_DIGIT = 4;
 
-/** Half of a value is left free: the layout was chosen so by the first version, and stored keys depend on it. */
+/** A chunk uses half of the value limit. The first version introduced this layout, and stored keys depend on it. */
 const CHUNK_FRACTION_OF_VALUE = 0.5;
 
 const MIN_CHUNK_DIGITS = 128;
 
-/** Bytes of a progress change that are not digits: the longest key, and the quotes around the value. */
+/** Bytes of a progress write other than the digits: the longest key, and the quotes around the value. */
 const OVERHEAD_BYTES = 128;
 
 /**
- * Indices of the tasks that one stored key says are done. Decoded at each iteration, so that keeping it costs no more than its
+ * Indices of the tasks that one stored key marks as done. Decoded on each iteration, so that it uses no more memory than its
  * digits.
  */
 export type StoredProgress = Iterable<number>;
 
-/** Tasks whose completion one key holds. */
+/** The range of tasks whose completion one key holds. */
 export interface ProgressPart {
   /** the last element of the key */
   name: string;
@@ -43,8 +43,8 @@
   private readonly partsPerChunk: number;
 
   /**
-   * `valueKib` is the limit that the chunk's size was derived from when progress was first stored; it must not
-   * change while stored progress is in use. `maxWriteBytes` is the largest change that may be written, its key included.
+   * `valueKib` is the value limit from which the chunk size was derived when progress was first stored. It must not change
+   * while stored progress is in use. `maxWriteBytes` is the maximum size of a write, including the key.
    */
   constructor(valueKib: number, maxWriteBytes: number) {
     const digits = Math.floor(valueKib * BYTES_PER_KIB * CHUNK_FRACTION_OF_VALUE);
@@ -60,14 +60,14 @@
     return this.chunkDigits * TASKS_PER_DIGIT;
   }
 
-  /** The first digit of a part, counted from the start of its chunk. */
+  /** Index of a part's first digit within its chunk. */
   private partStart(part: number): number {
     return Math.floor((part * this.chunkDigits) / this.partsPerChunk);
   }
 
-  /** The parts that hold the progress of a job with `taskCount` tasks, in the order of their tasks. */
+  /** The parts that hold the progress of a job with `taskCount` tasks, ordered by task index. */
   parts(taskCount: number): ProgressPart[] {
-    // A job that fits the first part of a chunk is stored under the chunk's number, as versions without parts do.
+    // A job that fits into the first part of a chunk is stored under the chunk's number, as in versions without parts.
     const isSplit = this.partsPerChunk > 1 && taskCount > this.partStart(1) * TASKS_PER_DIGIT;
     const result: ProgressPart[] = [];
     for (let chunk = 0; chunk * this.chunkTasks < taskCount; chunk++) {
@@ -87,21 +87,21 @@
       const from = chunk * this.chunkTasks + this.partStart(part) * TASKS_PER_DIGIT;
       const to = chunk * this.chunkTasks + this.partStart(part + 1) * TASKS_PER_DIGIT;
       if (from >= taskCount) return;
-      // Never the name of a whole chunk, which another version may have stored under its number.
+      // A part must not have the name of a whole chunk, because another version may have stored the chunk under that name.
       const fraction = this.partStart(part) / this.chunkDigits;
       const name = fraction === 0 ? `${chunk}.0` : String(chunk + fraction);
       result.push({ name, from, to: Math.min(taskCount, to) });
     }
   }
 
-  /** Index of the first task that a key of this name covers; null if it names no part. */
+  /** Index of the first task that the part with this name covers; null if no part can have this name. */
   firstTask(name: string): number | null {
     const position = /^\d+(\.\d+)?$/.test(name) ? Number(name) : Number.NaN;
     const first = Math.round(position * this.chunkDigits) * TASKS_PER_DIGIT;
     return Number.isSafeInteger(first) ? first : null;
   }
 
-  /** Reads the value of the part `name`. Throws `UnreadableRecordError` on what is no part of progress. */
+  /** Decodes the value of the part `name`. Throws `UnreadableRecordError` if the name or the value is invalid. */
   parse(name: string, digits: unknown): StoredProgress {
     const from = this.firstTask(name);
     if (from === null || !isDigits(digits)) throw new UnreadableRecordError('progress part');
@@ -109,7 +109,7 @@
   }
 }
 
-/** The hex digits for the tasks from `from` to before `to`; a task whose byte in `done` isn't 0 is done. */
+/** Encodes the tasks from `from` up to, but not including, `to` as hex digits. A nonzero byte in `done` marks a done task. */
 export function packBits(done: Uint8Array, from: number, to: number): string {
   let digits = '';
   for (let index = from; index < to; index += TASKS_PER_DIGIT) {
@@ -124,7 +124,7 @@
   return typeof value === 'string' && /^[0-9a-f]*$/.test(value);
 }
 
-/** The tasks that the digits say are done. It can be iterated over again. */
+/** Returns the tasks that the digits mark as done. The result can be iterated more than once. */
 function doneTasks(digits: string, from: number): StoredProgress {
   return {
     *[Symbol.iterator]() {
--- a/packages/controller/src/state/read-barriers.ts
+++ b/packages/controller/src/state/read-barriers.ts
@@ -1,16 +1,17 @@
 /**
- * Read barriers: what waits until the replica is at least as new as the moment when the wait began. Owns the waiting callbacks.
+ * Read barriers: callbacks that wait until the replica is at least as fresh as the time of their request. Owns the waiting
+ * callbacks.
  */
 import type { Milliseconds } from '../model/index.js';
 
 /** A callback that waits for a fresh replica. */
 export interface PendingRead {
-  /** the replica must hold everything that was so at this time */
+  /** the replica must hold every change that was committed by this time */
   requestedAt: Milliseconds;
   run: (now: Milliseconds) => void;
-  /** given up after this time */
+  /** time after which the wait ends without `run` */
   expiresAt: Milliseconds;
-  /** called instead of `run` once it has expired */
+  /** called instead of `run` when the wait has expired */
   onExpired: (() => void) | undefined;
 }
 
@@ -26,17 +27,17 @@
     this.pending.push(read);
   }
 
-  /** The replica holds all changes up to `asOf`: runs what waited for no more than that. */
+  /** Runs the reads that were requested by `asOf`. Called when the replica holds all changes that were committed by then. */
   completeUpTo(asOf: Milliseconds, now: Milliseconds): void {
     for (const read of this.take((waiting) => waiting.requestedAt <= asOf)) read.run(now);
   }
 
-  /** Gives up on what has waited too long. */
+  /** Ends the reads that have expired, and calls their `onExpired`. */
   expire(now: Milliseconds): void {
     for (const read of this.take((waiting) => now > waiting.expiresAt)) read.onExpired?.();
   }
 
-  /** Removes the chosen ones before any of them runs: their callbacks may add others. */
+  /** Removes and returns the chosen reads. The caller runs them only afterwards, because their callbacks may add reads. */
   private take(isChosen: (read: PendingRead) => boolean): PendingRead[] {
     const chosen = this.pending.filter(isChosen);
     if (chosen.length > 0) this.pending = this.pending.filter((read) => !isChosen(read));
--- a/packages/controller/src/state/replica.ts
+++ b/packages/controller/src/state/replica.ts
@@ -1,6 +1,6 @@
 /**
- * The copy of the state service's keys that a controller decides by. It owns the entries, the revision up to which they are
- * complete, and the tombstones of keys that were removed ahead of that revision.
+ * The copy of the state service's keys on which a controller bases its decisions. Owns the entries, the revision up to which
+ * they are complete, and the tombstones of keys that were removed at a later revision.
  */
 import type { KeyChange, StoredKey } from '@archpost/protocol';
 
@@ -10,26 +10,26 @@
   revision: number;
 }
 
-/** `entry`: null when the key was removed. */
+/** `entry`: null if the key was removed. */
 type ChangeListener = (key: string, entry: ReplicaEntry | null) => void;
 
 type ListenerErrorHandler = (key: string, error: unknown) => void;
 
 /**
- * Holds the newest known entry of each key and notifies a listener of each change. A change may arrive twice and from two
- * sources at once (the watch, and our own transactions or a barrier read), so each key keeps the revision at which it was
- * last set or removed, and takes only newer changes.
+ * Holds the newest known entry of each key and notifies a listener of each change. A change may arrive more than once and from
+ * two sources concurrently (the watch, and this controller's own transactions or a barrier read), so each key keeps the
+ * revision at which it was last set or removed and accepts only newer changes.
  */
 export class Replica {
   /** every change up to this revision has been applied */
   revision = 0;
-  /** the first full read is complete */
+  /** whether the first full read is complete */
   loaded = false;
   private readonly entries = new Map<string, ReplicaEntry>();
-  /** revisions of removals newer than `revision`: an older set of the key that arrives later must not bring it back */
+  /** by key: revision of a removal newer than `revision`, so that an older set that arrives later doesn't restore the key */
   private readonly tombstones = new Map<string, number>();
 
-  /** `onListenerError`: `onChange` threw; the change itself stays applied. */
+  /** `onListenerError`: called if `onChange` throws; the change itself stays applied. */
   constructor(
     private readonly onChange: ChangeListener,
     private readonly onListenerError: ListenerErrorHandler,
@@ -45,7 +45,7 @@
     return this.entries.keys();
   }
 
-  /** Sets a key, unless something as new or newer is known of it. */
+  /** Sets a key, unless it was set or removed at the same or a later revision. */
   set(key: string, value: unknown, revision: number): void {
     const current = this.entries.get(key);
     if (current && current.revision >= revision) return;
@@ -78,8 +78,8 @@
   }
 
   /**
-   * Replaces everything by a full read (at the start, or after the service compacted the changes that we need).
-   * `revision` is that of the first page; what changed during the read is applied afterwards by `apply`.
+   * Replaces all entries with a full read (at startup, or after the service compacted changes that weren't read yet).
+   * `revision` is that of the first page. `apply` applies the changes that were made during the read afterwards.
    */
   reset(rows: StoredKey[], revision: number): void {
     const presentKeys = new Set(rows.map((row) => row.key));
@@ -94,7 +94,7 @@
     if (revision > this.revision) this.revision = revision;
   }
 
-  /** An error of the listener must not keep the other changes of a response from being applied: each arrives only once. */
+  /** Catches errors of the listener: the remaining changes of a response must still be applied, as each arrives only once. */
   private notify(key: string, entry: ReplicaEntry | null): void {
     try {
       this.onChange(key, entry);
--- a/packages/controller/src/state/state-writer.ts
+++ b/packages/controller/src/state/state-writer.ts
@@ -1,6 +1,6 @@
 /**
- * The writer: the one way in which this controller changes the state service's keys. It owns the queue of writes, decides when
- * a transaction is sent, and does with each write what the outcome of its transaction asks for.
+ * The writer: the only way in which this controller changes the state service's keys. Owns the queue of writes, decides when a
+ * transaction is sent, and handles each write according to the outcome of its transaction.
  */
 import { isDeepStrictEqual } from 'node:util';
 import type { CompareAndSwapOutcome } from '@archpost/protocol';
@@ -13,48 +13,48 @@
 import { type PendingWrite, type QueuedWrite, WritePriority, WriteQueue } from './write-queue.js';
 import { WriteStatistics } from './write-statistics.js';
 
-/** Transactions in flight at once. */
+/** Maximum number of transactions in flight. */
 const MAX_CONCURRENT_TRANSACTIONS = 3;
 
-/** Least time between two searches of the queue for writes that have expired. */
+/** Minimum time between two scans of the queue for expired writes. */
 const EXPIRY_CHECK_INTERVAL_MS = 100;
 
-/** Nothing is sent for so long after a transaction failed on keys that none of its writes names: retrying at once would spin. */
+/** Pause after a transaction failed and the response named no failed key. Immediate retries would be a busy loop. */
 const UNEXPLAINED_FAILURE_PAUSE_MS = 200;
 
-/** Nothing is sent for so long after the service refused a transaction, or didn't answer. */
+/** Pause after the service refused a transaction or didn't answer. */
 const REFUSAL_PAUSE_MS = 300;
 
-/** Sizes of writes and transactions, and this controller's part of the service's rate limit. */
+/** Size limits of writes and transactions, and this controller's part of the service's rate limit. */
 export interface StateWriterLimits extends StateSizeLimits {
   writesPerS: number;
 }
 
-/** What the writer needs of its controller. */
+/** The operations of the controller that the writer uses. */
 export interface StateWriterHost {
-  /** takes over what was written, before the watch reports it */
+  /** receives each written value before the watch reports it */
   readonly replica: Replica;
   emit(effect: Effect): void;
-  /** our lease at the state service; null: we have none */
+  /** Returns the id of this controller's lease at the state service; null: it has none. */
   leaseId(): number | null;
-  /** Runs `run` once the replica holds everything that was so at this call. */
+  /** Calls `run` once the replica holds every change that was committed by `now`. */
   afterBarrier(now: Milliseconds, run: (now: Milliseconds) => void): void;
-  /** The state service says that the lease that we have now has ended. */
+  /** Called when the state service reports that this controller's current lease has ended. */
   onLeaseLost(): void;
-  /** A write can't be taken by the service and was dropped. Called once for each key. */
+  /** Called when a write was dropped because the service can't accept it. Called once for each key. */
   onTooLarge(key: string, bytes: number): void;
 }
 
-/** A batch, and what was found on the way that no batch can hold. */
+/** A batch, and the writes found during its selection that are too large for any batch. */
 interface BatchSelection {
   batch: WriteBatch;
   oversize: QueuedWrite[];
 }
 
 /**
- * Groups writes into transactions within the rate limit. A transaction without an answer is sent again with the same
- * conditions: whichever copy arrives first succeeds and the other fails, so a late copy can't undo anything. When the second
- * copy fails, what the key holds shows whether the first was applied.
+ * Groups writes into transactions within the rate limit. A write without a response is sent again with the same conditions:
+ * the copy that arrives first succeeds and the other copy fails, so a late copy can't overwrite a later change. When the
+ * second copy fails, the value of the key shows whether the first copy was applied.
  */
 export class StateWriter {
   private readonly queue = new WriteQueue();
@@ -73,33 +73,33 @@
     this.budget = new WriteBudget(limits.writesPerS);
   }
 
-  /** Writes that wait to be sent. */
+  /** Number of writes that wait to be sent. */
   get length(): number {
     return this.queue.length;
   }
 
-  /** Writes a second that this controller could use: what waits, and what it wrote in the last few seconds. */
+  /** Writes per second that this controller could use: the waiting writes, and its average rate over the last few seconds. */
   wantedWritesPerS(now: Milliseconds): number {
     return this.queue.length + this.statistics.recentPerS(now);
   }
 
-  /** What of the service's rate limit this controller may use for now. */
+  /** Sets the part of the service's rate limit that this controller may use until the next call. */
   setRate(writesPerS: number): void {
     this.budget.setRate(writesPerS);
   }
 
-  /** How many writes of each kind were sent since the last call, and how many wait. */
+  /** Returns the number of writes of each kind that were sent since the last call, and the number of waiting writes. */
   takeWriteCounts(): Record<string, number> {
     return { waiting: this.queue.length, ...this.statistics.takeCounts() };
   }
 
-  /** Queues a write; it is sent by a later `flush`. */
+  /** Queues a write. A later `flush` sends it. */
   add(write: PendingWrite): void {
     const queued = { ...write, mayBeApplied: false, sendAlone: false, sentValue: undefined, queuedAt: this.flushedAt };
     this.queue.add(queued, this.flushedAt);
   }
 
-  /** Sends as much as the limits allow. Called after each input. */
+  /** Sends as many writes as the limits allow. Called after each input. */
   flush(now: Milliseconds): void {
     this.budget.refill(now);
     this.flushedAt = now;
@@ -113,7 +113,7 @@
     }
   }
 
-  /** What became of the transaction `id`. One that isn't in flight is passed over. */
+  /** Handles the outcome of the transaction `id`. The outcome of a transaction that isn't in flight is ignored. */
   handleOutcome(id: number, outcome: CompareAndSwapOutcome, now: Milliseconds): void {
     const transaction = this.inFlight.take(id);
     if (!transaction) return;
@@ -147,7 +147,7 @@
 
   // ---- sending
 
-  /** Takes from the queue what goes into the next transaction, and what is too large for any. */
+  /** Removes from the queue the writes for the next transaction, and the writes that are too large for any transaction. */
   private selectBatch(now: Milliseconds): BatchSelection {
     const waiting = this.queue.inOrder(now);
     const batch = this.createBatch();
@@ -155,7 +155,7 @@
     for (const write of waiting) {
       if (batch.isFull) break;
       if (!this.isSendable(write) || !batch.accepts(write)) continue;
-      // What may have been applied already is sent again as it was, so that its first copy is recognized by its value.
+      // A write that may already be applied is sent again with the same value, so that its first copy is recognized by it.
       if (!write.mayBeApplied) write.sentValue = write.value(now);
       const bytes = encodedBytes(write.key, write.sentValue);
       if (!write.mayBeApplied && bytes > this.limits.maxWriteBytes) oversize.push(write);
@@ -187,13 +187,13 @@
     this.host.emit(batch.toEffect(id, leaseId));
   }
 
-  /** Drops what has waited too long to be sent. */
+  /** Drops the queued writes that have expired. */
   private dropExpired(now: Milliseconds): void {
     this.expiryCheckedAt = now;
     for (const write of this.queue.takeExpired(now)) write.onOutcome('dropped');
   }
 
-  /** The service would refuse it, or has: reported once for each key, and not tried again. */
+  /** Drops a write that the service would reject, or has rejected. It is reported once for each key and not retried. */
   private dropTooLarge(write: QueuedWrite): void {
     if (!this.reportedTooLarge.has(write.key)) this.host.onTooLarge(write.key, encodedBytes(write.key, write.sentValue));
     this.reportedTooLarge.add(write.key);
@@ -202,7 +202,7 @@
 
   // ---- outcomes
 
-  /** The replica holds all writes before the first `onOutcome` is called. */
+  /** Updates the replica with all writes before the first `onOutcome` is called. */
   private handleSuccess(writes: readonly QueuedWrite[], revision: number): void {
     for (const write of writes) {
       if (write.sentValue === undefined) this.host.replica.remove(write.key, revision);
@@ -211,7 +211,7 @@
     for (const write of writes) write.onOutcome('ok');
   }
 
-  /** Those whose conditions failed are settled by a fresh read; the others go again. */
+  /** Writes whose conditions failed are resolved after a fresh read. The other writes are queued again. */
   private handleFailedConditions(writes: readonly QueuedWrite[], keys: readonly string[], now: Milliseconds): void {
     const failedKeys = new Set(keys);
     for (const write of writes) {
@@ -222,7 +222,7 @@
     if (failedKeys.size === 0) this.pausedUntil = now + UNEXPLAINED_FAILURE_PAUSE_MS;
   }
 
-  /** Whichever of them can't be taken must not hold the others up: each goes alone, and the one at fault is dropped. */
+  /** An invalid write must not block the others: each write is sent again alone, and the invalid one is dropped. */
   private handleInvalid(writes: readonly QueuedWrite[], now: Milliseconds): void {
     for (const write of writes) {
       if (writes.length > 1) this.queue.add({ ...write, sendAlone: true }, now);
@@ -232,7 +232,8 @@
   }
 
   /**
-   * The lease that the transaction named has ended. One that we have given up ourselves says nothing of the lease we have now.
+   * The lease that the transaction named has ended. If this controller has given up that lease itself, its current lease isn't
+   * affected.
    */
   private handleLeaseNotFound({ writes, leaseId }: SentTransaction, now: Milliseconds): void {
     if (leaseId !== null && leaseId === this.host.leaseId()) this.host.onLeaseLost();
@@ -247,21 +248,21 @@
     for (const write of writes) this.queue.add(write, now);
   }
 
-  /** The replica is as fresh as the failure: what it holds shows whether an earlier copy of the write was applied. */
+  /** The replica is at least as fresh as the failure, so its entry shows whether an earlier copy of the write was applied. */
   private settleFailedWrite(write: QueuedWrite): void {
     write.onOutcome(isAlreadyApplied(write, this.host.replica.get(write.key)) ? 'ok' : 'conflict');
   }
 }
 
-/** Does the key hold what an earlier copy of the write, whose outcome is unknown, would have left there? */
+/** Whether the entry matches the result of an earlier copy of the write whose outcome is unknown. */
 function isAlreadyApplied(write: QueuedWrite, entry: ReplicaEntry | null): boolean {
   if (!write.mayBeApplied) return false;
   if (write.sentValue === undefined) return entry === null;
-  // Compared as values, not as text: the service may return a map's fields in another order.
+  // Compared as values, not as text: the service may return an object's fields in another order.
   return entry !== null && isDeepStrictEqual(withoutUndefined(entry.value), withoutUndefined(write.sentValue));
 }
 
-/** The value as the state service returns it: without fields that are undefined. */
+/** Returns the value as the state service returns it, without undefined fields. */
 function withoutUndefined(value: unknown): unknown {
   return JSON.parse(JSON.stringify(value));
 }
--- a/packages/controller/src/state/status-record.ts
+++ b/packages/controller/src/state/status-record.ts
@@ -1,7 +1,7 @@
 /**
- * The stored status of a controller, for the leader while the link between them is down. Stored field names are fixed:
- * other versions read and write the same records under `a/s/`. The tables below give, for each field of the model, the name
- * under which it is stored; their order is the order of the stored fields.
+ * The stored status of a controller, for the leader while the link between the two is down. Stored field names are fixed:
+ * other versions read and write the same records under `a/s/`. The tables below map each field of the model to its stored
+ * name. Their order is the order of the stored fields.
  */
 import type { MachineSummary, PeerStatus, ResourceDemand, ShardSummary } from '@archpost/protocol';
 import { type FieldTable, fromStoredFields, type StoredFields, toStoredFields } from './field-table.js';
@@ -45,7 +45,7 @@
   spot: 'spot',
 };
 
-/** Running jobs and unchanged heartbeats aren't stored: their lists are empty in every stored status. */
+/** Running jobs and unchanged heartbeats aren't stored: their lists are empty in each stored status. */
 const STATUS_FIELDS: FieldTable<PeerStatus> = {
   node: 'node',
   shards: 'shares',
@@ -81,7 +81,7 @@
   return shard;
 }
 
-/** The record of a status, to be stored under `a/s/`. */
+/** Returns the record of a status, to be stored under `a/s/`. */
 export function encodeStatus(status: PeerStatus): unknown {
   return {
     ...toStoredFields(status, STATUS_FIELDS),
@@ -92,7 +92,7 @@
   };
 }
 
-/** The status that another controller stored; null if the value is no status. */
+/** Decodes the status that another controller stored; null if the value is no status. */
 export function parseStatus(value: unknown): PeerStatus | null {
   if (!isStoredStatus(value)) return null;
   const status = fromStoredFields<PeerStatus>(value, STATUS_FIELDS);
@@ -103,7 +103,7 @@
   return status;
 }
 
-/** Lists that each stored status has. */
+/** The stored names of the lists that each stored status has. */
 const STATUS_LISTS = [
   STATUS_FIELDS.shards,
   STATUS_FIELDS.runningJobs,
@@ -112,7 +112,7 @@
   STATUS_FIELDS.availableTypes,
 ];
 
-/** Has the value the name and the lists that each stored status has? Single fields aren't checked. */
+/** Whether the value has the controller name and the lists of a stored status. The other fields aren't validated. */
 function isStoredStatus(value: unknown): boolean {
   if (typeof value !== 'object' || value === null) return false;
   const stored = value as StoredFields;
--- a/packages/controller/src/state/team-sharding.ts
+++ b/packages/controller/src/state/team-sharding.ts
@@ -1,10 +1,10 @@
-/** Which shard each team's jobs belong to. Every controller derives the same from the settings; nothing of it is stored. */
+/** The assignment of teams, and so of their jobs, to shards. Each controller derives it from the settings; it isn't stored. */
 import type { ControllerSettings, Team } from '../model/index.js';
 
-/** Processor cores that weigh as much as one accelerator. */
+/** Number of CPU cores that have the weight of one accelerator. */
 const CPUS_PER_GPU = 8;
 
-/** Weight of a team without a quota, so that such teams are spread too. */
+/** Base weight of each team, so that teams without a quota are also spread over the shards. */
 const BASE_WEIGHT = 0.5;
 
 interface WeightedTeam {
@@ -16,7 +16,7 @@
   return team.gpus + team.cpus / CPUS_PER_GPU + BASE_WEIGHT;
 }
 
-/** The first of the shards with the least load. */
+/** Returns the shard with the lowest load; of several, the first. */
 function leastLoadedShard(loads: readonly number[]): number {
   let best = 0;
   let leastLoad = Number.POSITIVE_INFINITY;
@@ -24,7 +24,7 @@
   return best;
 }
 
-/** Spreads teams over the shards: largest quota first, each onto the shard with the least so far. Indexed as the teams are. */
+/** Assigns the teams, largest weight first, to the shard with the lowest load so far. Returns the shards by team index. */
 export function assignTeamsToShards({ shardCount, teams }: ControllerSettings): number[] {
   const loads = new Array<number>(shardCount).fill(0);
   const shardOfTeam = new Array<number>(teams.length).fill(0);
--- a/packages/controller/src/state/transactions-in-flight.ts
+++ b/packages/controller/src/state/transactions-in-flight.ts
@@ -1,14 +1,14 @@
-/** The transactions that were sent and have no outcome yet. Owns their numbers, and the keys that they write. */
+/** The transactions that were sent and have no outcome yet. Owns their ids, and the set of keys that they write. */
 import type { QueuedWrite } from './write-queue.js';
 
 /** A transaction that was sent. */
 export interface SentTransaction {
   writes: readonly QueuedWrite[];
-  /** our lease at the state service when it was sent; null: we had none */
+  /** this controller's lease at the state service when the transaction was sent; null: it had none */
   leaseId: number | null;
 }
 
-/** Transactions by their numbers. No two of them write the same key. */
+/** Transactions by id. No two of them write the same key. */
 export class TransactionsInFlight {
   private readonly transactions = new Map<number, SentTransaction>();
   private readonly keys = new Set<string>();
@@ -18,12 +18,12 @@
     return this.transactions.size;
   }
 
-  /** Does one of them write this key? */
+  /** Whether one of the transactions writes this key. */
   writesKey(key: string): boolean {
     return this.keys.has(key);
   }
 
-  /** Returns the transaction's number. */
+  /** Adds a transaction and returns its id. */
   add(transaction: SentTransaction): number {
     const id = this.nextId++;
     this.transactions.set(id, transaction);
@@ -31,7 +31,7 @@
     return id;
   }
 
-  /** Removes a transaction whose outcome came; null if there is none with this number. */
+  /** Removes and returns the transaction with this id, when its outcome has arrived; null if there is none. */
   take(id: number): SentTransaction | null {
     const transaction = this.transactions.get(id);
     if (!transaction) return null;
--- a/packages/controller/src/state/write-batch.ts
+++ b/packages/controller/src/state/write-batch.ts
@@ -1,28 +1,28 @@
 /**
- * One compare-and-swap transaction in the making: which writes may go into it together, and the conditions that they bring.
- * A batch lives from the choice of its writes to their sending.
+ * A compare-and-swap transaction that is being assembled: which writes may be sent together, and their conditions. A batch
+ * exists from the selection of its writes until it is sent.
  */
 import type { KeyWrite, RevisionCondition } from '@archpost/protocol';
 import type { Effect } from '../model/index.js';
 import { type QueuedWrite, WritePriority } from './write-queue.js';
 
-/** A transaction holds values of this size together, or a single larger one. */
+/** A batch accepts no more writes once it has reached this size. */
 const MAX_TRANSACTION_BYTES = 40_000;
 
-/** Conditions in a transaction for each write that it may hold; the service takes four. */
+/** Maximum number of conditions in a transaction for each write that it may hold. The service accepts four. */
 const CONDITIONS_PER_WRITE = 3;
 
-/** What a batch may hold. */
+/** The limits of a batch. */
 export interface WriteBatchLimits {
-  /** writes that the service takes in one transaction */
+  /** maximum number of writes that the service accepts in one transaction */
   writesPerTransaction: number;
-  /** writes that the rate limit leaves for this one; may have a fraction */
+  /** maximum number of writes in this batch, by the rate limit too; may have a fraction */
   maxWrites: number;
-  /** of these, acceptances of jobs */
+  /** maximum number of acceptances of jobs among the writes */
   maxAcceptances: number;
 }
 
-/** The conditions of a write: its own key's revision, and those of other keys that it depends on. */
+/** The conditions of a write: the revision of its own key, and the revisions of other keys that it depends on. */
 function conditionsOf(write: QueuedWrite): RevisionCondition[] {
   return [{ key: write.key, revision: write.expectedRevision }, ...(write.conditions ?? [])];
 }
@@ -31,7 +31,7 @@
 export class WriteBatch {
   readonly writes: QueuedWrite[] = [];
   private readonly keys = new Set<string>();
-  /** revisions that keys must still have */
+  /** by key: the revision that the key must still have */
   private readonly expectedRevisions = new Map<string, number>();
   private bytes = 0;
   private acceptancesLeft: number;
@@ -40,12 +40,12 @@
     this.acceptancesLeft = limits.maxAcceptances;
   }
 
-  /** No further write is to be looked at. */
+  /** Whether the batch accepts no further write. */
   get isFull(): boolean {
     return this.writes.length >= this.limits.maxWrites || this.bytes >= MAX_TRANSACTION_BYTES;
   }
 
-  /** May the write go into this transaction? Its size isn't looked at. */
+  /** Whether the write may be added to this batch. Its size isn't considered. */
   accepts(write: QueuedWrite): boolean {
     if (this.writes.length > 0 && (write.sendAlone || this.writes[0]?.sendAlone)) return false;
     if (write.priority === WritePriority.acceptance && this.acceptancesLeft < 1) return false;
@@ -53,7 +53,7 @@
     return this.acceptsConditions(conditionsOf(write));
   }
 
-  /** `bytes`: encoded size of the write, its key included. */
+  /** `bytes`: encoded size of the write, including the key. */
   add(write: QueuedWrite, bytes: number): void {
     if (write.priority === WritePriority.acceptance) this.acceptancesLeft--;
     this.bytes += bytes;
@@ -62,7 +62,7 @@
     this.writes.push(write);
   }
 
-  /** The effect that sends the batch. `leaseId`: our lease at the state service; null: we have none. */
+  /** Returns the effect that sends the batch. `leaseId`: this controller's lease at the state service; null: it has none. */
   toEffect(id: number, leaseId: number | null): Effect {
     return {
       type: 'compareAndSwap',
--- a/packages/controller/src/state/write-queue.ts
+++ b/packages/controller/src/state/write-queue.ts
@@ -1,74 +1,75 @@
 /**
  * The queue of writes that wait for the rate limit of the state service, in the order in which they are sent. A wave of lost
- * machines or a first start queues one for each machine; sorting all of them before each transaction took the leader most of
- * its processor time at 4,000 machines, so they are kept in order.
+ * machines or a first start queues one write for each machine. Sorting them before each transaction took most of the leader's
+ * CPU time at 4,000 machines, so the queue is kept sorted.
  */
 import type { RevisionCondition } from '@archpost/protocol';
 import sortedBTree from 'sorted-btree';
 import type { Milliseconds } from '../model/index.js';
 
 /**
- * Which writes go first: the smaller number. Clients wait for the responses to cancellations and submissions, so neither may
- * stand behind a hundred assignments; acceptances take half of a transaction at most while others wait.
+ * The priorities of writes: a smaller number is sent first. Clients wait for the responses to cancellations and submissions, so
+ * neither may wait behind a hundred assignments. Acceptances use at most half of a transaction while assignments or releases
+ * wait.
  */
 export const WritePriority = {
   shardLease: 0,
   cancellation: 1,
   acceptance: 2,
-  /** assignments, moves, and jobs that are done */
+  /** assignments and moves of machines, and completions of jobs */
   assignment: 3,
-  /** fencing tokens to raise, assignments to remove, a controller's presence: like assignments once they have waited */
+  /** raised fencing tokens, removals of assignments, a controller's presence; promoted to `assignment` after a wait */
   release: 4,
   progress: 5,
   images: 6,
 } as const;
 
-/** After this long a release counts as an assignment. */
+/** Waiting time after which a release has the priority of an assignment. */
 const RELEASE_PROMOTION_MS = 300;
 
-/** Stands for the revision of a key that doesn't exist. */
+/** The revision of a key that doesn't exist. */
 export const NO_REVISION = 0;
 
 /**
- * `ok`: the key holds the write's value. `conflict`: it doesn't, since a condition failed or the lease has ended.
- * `dropped`: the write was given up without being applied.
+ * `ok`: the key holds the write's value. `conflict`: it doesn't, because a condition failed or the lease has ended.
+ * `dropped`: the write was discarded without being applied.
  */
 export type WriteOutcome = 'ok' | 'conflict' | 'dropped';
 
-/** A write to one key, as it is requested. */
+/** A requested write to one key. */
 export interface PendingWrite {
   key: string;
-  /** evaluated when the write is sent first, and not again for a repeated send; undefined removes the key */
+  /** evaluated when the write is sent, but not again if an earlier send may have been applied; undefined removes the key */
   value: (now: Milliseconds) => unknown;
-  /** revision that the key must still have; `NO_REVISION`: it must not exist */
+  /** revision that the key must still have; `NO_REVISION`: the key must not exist */
   expectedRevision: number;
   /** revisions that other keys must still have */
   conditions?: RevisionCondition[];
-  /** attached to our lease at the state service, which removes the key when that lease ends */
+  /** whether the key is attached to this controller's lease at the state service, which removes the key when the lease ends */
   attachedToLease?: boolean;
   /** one of `WritePriority` */
   priority: number;
-  /** true once something that clients wait for depends on it: it then counts as a cancellation at least */
+  /** Returns true once a response to clients depends on the write, which then has at least the priority of a cancellation. */
   isUrgent?: () => boolean;
-  /** dropped if it wasn't sent by this time */
+  /** the write is dropped if it wasn't sent by this time */
   expiresAt?: Milliseconds;
-  /** Called once; the replica holds the write by then if it was applied. */
+  /** Called once. If the write was applied, the replica already holds it. */
   onOutcome: (outcome: WriteOutcome) => void;
 }
 
 /** A write that waits to be sent, or to be sent again. */
 export interface QueuedWrite extends PendingWrite {
-  /** an earlier send got no answer: it may be applied yet, or be applied already */
+  /** an earlier send got no response: that copy may be applied already, or may still be applied */
   mayBeApplied: boolean;
-  /** the state service did not take it together with others */
+  /** the state service rejected a transaction that contained this write and others */
   sendAlone: boolean;
-  /** when it was queued first */
+  /** when the write was first queued */
   queuedAt: Milliseconds;
   /** the value of the last send; undefined before the first, and for a removal */
   sentValue: unknown;
 }
 
-/** The order of writes: by their priority now, then the older first, then the one that was queued before. */
+/** The position of a write: by current priority, then by the time it was first queued, then by the order of insertion. */
 interface QueuePosition {
   priority: number;
   queuedAt: Milliseconds;
@@ -81,11 +82,11 @@
 
 const BTree = sortedBTree.default;
 
-/** The writes that wait. */
+/** The waiting writes, sorted by position. */
 export class WriteQueue {
   private readonly ordered = new BTree<QueuePosition, QueuedWrite>(undefined, comparePositions);
   private readonly positions = new Map<QueuedWrite, QueuePosition>();
-  /** those whose priority may change while they wait */
+  /** writes whose priority may change while they wait */
   private readonly withChangingPriority = new Set<QueuedWrite>();
   private readonly countByPriority = new Map<number, number>();
   private nextSequence = 1;
@@ -94,7 +95,7 @@
     return this.positions.size;
   }
 
-  /** Queues a write at the place that its priority now and the time of its first queueing give it. */
+  /** Queues a write at the position given by its current priority and the time when it was first queued. */
   add(write: QueuedWrite, now: Milliseconds): void {
     if (write.isUrgent !== undefined || write.priority === WritePriority.release) this.withChangingPriority.add(write);
     this.insert(write, currentPriorityOf(write, now));
@@ -105,12 +106,12 @@
     this.detach(write);
   }
 
-  /** How many wait that had this priority when the queue was last put in order. */
+  /** Number of waiting writes that had this priority when the queue was last reordered. */
   count(priority: number): number {
     return this.countByPriority.get(priority) ?? 0;
   }
 
-  /** All that wait, the first to be sent first, by their priority now. Nothing may be added or removed during the iteration. */
+  /** The waiting writes, ordered by their current priority. No write may be added or removed during the iteration. */
   inOrder(now: Milliseconds): IterableIterator<QueuedWrite> {
     for (const write of this.withChangingPriority) {
       const priority = currentPriorityOf(write, now);
@@ -121,7 +122,7 @@
     return this.ordered.values();
   }
 
-  /** Removes and returns those that must not be sent any more. What may have been applied never expires. */
+  /** Removes and returns the expired writes. A write that may have been applied never expires. */
   takeExpired(now: Milliseconds): QueuedWrite[] {
     const expired: QueuedWrite[] = [];
     for (const write of this.positions.keys())
--- a/packages/controller/src/state/write-rate-limit.ts
+++ b/packages/controller/src/state/write-rate-limit.ts
@@ -1,19 +1,19 @@
 /**
- * The rate of writes that the state service takes from all controllers together. The settings may announce a lower one that it
- * will have later, without saying when; only a refusal shows it.
+ * The rate of writes that the state service accepts from all controllers together. The settings may announce a lower future
+ * rate without a date; only a refusal shows that it is in effect.
  */
 import type { ControllerSettings, Milliseconds } from '../model/index.js';
 
-/** After a refusal for the rate, the higher rate is not tried again for this long. */
+/** Time after a refusal during which the rate isn't raised. */
 const RATE_PAUSE_MS = 10_000;
 
-/** Then the rate rises by this fraction of the highest one a second, until it is refused again. */
+/** Fraction of the highest rate by which the rate then rises each second, until the next refusal. */
 const RATE_RISE_PER_S = 0.02;
 
 /**
- * The rate of writes that the service takes now, as far as its refusals show. It starts at the present limit,
- * falls to the announced one when a write is refused for the rate, and rises again slowly while none is:
- * the service may go back to what it allowed before. Without an announced limit it stays as it is.
+ * The rate of writes that the service accepts now, estimated from its refusals. It starts at the present limit, falls to the
+ * announced limit when a write exceeds the rate, and then rises slowly until the next refusal, because the service may return
+ * to its previous limit. Without an announced limit the rate is constant.
  */
 export class WriteRateLimit {
   private readonly highestPerS: number;
@@ -25,12 +25,12 @@
     this.lowestPerS = Math.min(state.writesPerS, state.next?.writesPerS ?? state.writesPerS);
   }
 
-  /** A write was refused because there were too many. */
+  /** Records that the service refused a write because of its rate limit. */
   recordRefusal(now: Milliseconds): void {
     this.refusedAt = now;
   }
 
-  /** Writes a second that all controllers together may make. */
+  /** Writes per second that all controllers together may send. */
   perSecond(now: Milliseconds): number {
     if (this.refusedAt === null) return this.highestPerS;
     const quietS = Math.max(0, now - this.refusedAt - RATE_PAUSE_MS) / 1000;
--- a/packages/controller/src/state/write-statistics.ts
+++ b/packages/controller/src/state/write-statistics.ts
@@ -1,17 +1,17 @@
-/** What this controller has written: an average for the division of the rate limit, and counts for the log. */
+/** Statistics of this controller's writes: an average for dividing the rate limit among controllers, and counts for the log. */
 import type { Milliseconds } from '../model/index.js';
 import { keyKindLetter } from './keys.js';
 import type { QueuedWrite } from './write-queue.js';
 
-/** After this long a write counts for half. */
+/** Time after which a write counts half in the average. */
 const HALF_LIFE_S = 2;
 
-/** At a constant rate the decayed sum is about this many times the writes of a second. */
+/** At a constant rate the decayed sum is about this many times the number of writes per second. */
 const DECAYED_SUM_SECONDS = 3;
 
 /** Counts the writes that were sent. */
 export class WriteStatistics {
-  /** writes, each weighted by its age */
+  /** sum of the sent writes, each weighted by its age */
   private decayedWrites = 0;
   private decayedAt: Milliseconds = 0;
   private readonly sentByKind = new Map<string, number>();
@@ -26,13 +26,13 @@
     }
   }
 
-  /** Writes a second, averaged over the last few seconds. */
+  /** Writes per second, averaged over the last few seconds. */
   recentPerS(now: Milliseconds): number {
     this.decayTo(now);
     return this.decayedWrites / DECAYED_SUM_SECONDS;
   }
 
-  /** How many writes of each kind of key were sent since the last call. */
+  /** Returns the number of writes for each kind of key that were sent since the last call. */
   takeCounts(): Record<string, number> {
     const counts = Object.fromEntries(this.sentByKind);
     this.sentByKind.clear();
