--- a/packages/controller/src/capacity/machine-type-catalogue.ts
+++ b/packages/controller/src/capacity/machine-type-catalogue.ts
@@ -35,7 +35,7 @@
 
   /** Asks for the types when they are due. */
   tick(isLeading: boolean, now: Milliseconds): void {
-    const isKnown = this.context.clusterState.machineTypesKnown;
+    const isKnown = this.context.clusterState.areMachineTypesKnown;
     if (isKnown && !isLeading) return;
     if (now - this.requestedAt <= (isKnown ? KNOWN_TYPES_INTERVAL_MS : UNKNOWN_TYPES_INTERVAL_MS)) return;
     this.requestedAt = now;
@@ -47,7 +47,7 @@
     this.context.clusterState.setMachineTypes(types);
     const { replica } = this.context;
     const stored = replica.get(StateKey.machineTypes) ?? replica.get(StateKey.machineTypesPart(0));
-    if (!stored && replica.loaded) this.store(types, now);
+    if (!stored && replica.isLoaded) this.store(types, now);
   }
 
   /** In one value if the list fits it, else in parts. */
--- a/packages/controller/src/heartbeats/heartbeat-responder.ts
+++ b/packages/controller/src/heartbeats/heartbeat-responder.ts
@@ -100,7 +100,7 @@
    * state service this controller sends no command meanwhile, and no controller takes a worker's lease for expired.
    */
   mayAnswerWorkers(now: Milliseconds): boolean {
-    if (!this.context.replica.loaded) return false;
+    if (!this.context.replica.isLoaded) return false;
     const { cancelS, leaseS, heartbeatIntervalS: intervalS } = this.context.settings.workers;
     const confirmedAt = Math.max(this.context.replicaFreshAt, this.collaborators.cancellationFreshness.freshSince(now));
     return now - confirmedAt < (cancelS - leaseS - intervalS) * 1000;
--- a/packages/controller/src/jobs/client-responses.ts
+++ b/packages/controller/src/jobs/client-responses.ts
@@ -59,7 +59,7 @@
 
   /** Why nothing can be answered from the replica now, or null. */
   unavailableReason(now: Milliseconds): UnavailableReason | null {
-    if (!this.context.replica.loaded) return UnavailableReason.notReady;
+    if (!this.context.replica.isLoaded) return UnavailableReason.notReady;
     return this.context.stateServiceAnswers(now) ? null : UnavailableReason.stateServiceSilent;
   }
 
@@ -71,7 +71,7 @@
     const { settings, writer } = this.context;
     return (
       this.openRequests > settings.maxSockets / SOCKETS_PER_OPEN_REQUEST ||
-      writer.length > OVERLOAD_BACKLOG_S * settings.state.writesPerS
+      writer.queueLength > OVERLOAD_BACKLOG_S * settings.state.writesPerS
     );
   }
 
--- a/packages/controller/src/jobs/submissions.ts
+++ b/packages/controller/src/jobs/submissions.ts
@@ -31,7 +31,7 @@
     const job = submission.spec.id;
     const finalState = clusterState.finishedJobs.get(job);
     if (finalState) return this.responses.respondJobStatus(id, job, finalState);
-    const unavailable = clusterState.machineTypesKnown ? this.responses.unavailableReason(now) : UnavailableReason.notReady;
+    const unavailable = clusterState.areMachineTypesKnown ? this.responses.unavailableReason(now) : UnavailableReason.notReady;
     if (unavailable) return this.responses.respondUnavailable(id, unavailable);
     if (clusterState.jobs.has(job)) return this.respondWithStatusAfterBarrier(id, job, now);
     if (findRejection(this.context, submission)) return this.confirmRejection(id, submission, now, wallClockMs);
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -131,7 +131,7 @@
     const shards = this.shardSummaries(now);
     this.rebalance(shards, leaseRevision, now);
     // Without the types and the cloud's list neither the value of a machine nor which ones are being provisioned is known.
-    if (!this.context.clusterState.machineTypesKnown || !this.autoscaler.isListKnown) return;
+    if (!this.context.clusterState.areMachineTypesKnown || !this.autoscaler.isListKnown) return;
     this.autoscaler.scaleOut(shards, now);
     this.autoscaler.releaseOverdue(now);
     if (!this.context.settings.policy.holdSpareCapacity) this.retireIdleMachines(shards, leaseRevision, now);
--- a/packages/controller/src/leadership/peer-registry.ts
+++ b/packages/controller/src/leadership/peer-registry.ts
@@ -45,7 +45,7 @@
   receiveStoredStatus(stored: unknown, now: Milliseconds): void {
     const status = parseStatus(stored);
     if (status === null || status.node === this.context.settings.name || this.isPeerAlive(status.node, now)) return;
-    if (!this.context.replica.loaded) return;
+    if (!this.context.replica.isLoaded) return;
     this.registry.set(status.node, {
       status,
       runningJobs: this.registry.get(status.node)?.runningJobs ?? new Map(),
--- a/packages/controller/src/leadership/readiness.ts
+++ b/packages/controller/src/leadership/readiness.ts
@@ -10,7 +10,7 @@
  */
 export function isReadyForClients(context: ReadinessContext): boolean {
   const { replica, clusterState, peers, settings, now } = context;
-  if (!replica.loaded || !clusterState.machineTypesKnown) return false;
+  if (!replica.isLoaded || !clusterState.areMachineTypesKnown) return false;
   if (context.stateServiceAnswers(now)) return true;
   let isAnyPeerAlive = false;
   for (const [controller, { status }] of peers) {
--- a/packages/controller/src/leadership/shard-leases.ts
+++ b/packages/controller/src/leadership/shard-leases.ts
@@ -93,7 +93,7 @@
 
   /** Claims what is free and due, and releases what another controller should hold. Does nothing without a valid state lease. */
   tick(now: Milliseconds): void {
-    if (!this.context.replica.loaded || !this.context.isLeaseValid(now)) return;
+    if (!this.context.replica.isLoaded || !this.context.isLeaseValid(now)) return;
     if (!this.context.reachesWorkers()) this.releaseUnreachableShards(now);
     this.claims.announcePresence(now);
     for (const lease of this.leaseNames) this.claimIfDue(lease, now);
--- a/packages/controller/src/leadership/status-assembly.ts
+++ b/packages/controller/src/leadership/status-assembly.ts
@@ -46,7 +46,7 @@
       wantedWritesPerS: Math.round(context.writer.wantedWritesPerS(now)),
       stateServiceAnswers: context.stateServiceAnswers(now),
       heardWorkers: workerRouting.servedWorkers(now),
-      replicaLoaded: context.replica.loaded,
+      replicaLoaded: context.replica.isLoaded,
       cancellationRevision: context.clusterState.cancellationRevision,
       ping: '',
       echo: '',
--- a/packages/controller/src/leadership/stored-status-writer.ts
+++ b/packages/controller/src/leadership/stored-status-writer.ts
@@ -51,7 +51,7 @@
 
   private mayWrite(now: Milliseconds): boolean {
     const isDue = now - this.storedAt >= STORED_STATUS_INTERVAL_MS;
-    return this.context.replica.loaded && this.context.isLeaseValid(now) && !this.isWritePending && isDue;
+    return this.context.replica.isLoaded && this.context.isLeaseValid(now) && !this.isWritePending && isDue;
   }
 
   private write(now: Milliseconds): void {
--- a/packages/controller/src/model/job.ts
+++ b/packages/controller/src/model/job.ts
@@ -98,7 +98,7 @@
   /** when its cancellation was first read here; null: it isn't cancelled */
   cancelledAt: Milliseconds | null = null;
   /** ids of jobs that have to be stored as done before any task starts */
-  readonly awaitedJobs = new Set<string>();
+  readonly unfinishedDependencyIds = new Set<string>();
   /** parts of its record that were not read yet; infinite where a list can't be read */
   missingRecordParts = 0;
   /** time of day when the last job that it awaited was done; 0: it awaited none, or the time isn't known */
@@ -173,7 +173,7 @@
 
   /** It awaits others, or what it awaits isn't known yet: none of its tasks may start. */
   get isBlocked(): boolean {
-    return this.awaitedJobs.size > 0 || this.missingRecordParts > 0;
+    return this.unfinishedDependencyIds.size > 0 || this.missingRecordParts > 0;
   }
 
   /** Sets the time of day of the submission, from which its deadline counts. */
--- a/packages/controller/src/shards/image-cache-writer.ts
+++ b/packages/controller/src/shards/image-cache-writer.ts
@@ -44,7 +44,7 @@
 
   /** To be called at each tick. */
   writeDue(now: Milliseconds): void {
-    while (this.context.writer.length < MAX_QUEUED_WRITES) {
+    while (this.context.writer.queueLength < MAX_QUEUED_WRITES) {
       const next = this.dueWrites[0];
       if (next === undefined || next.dueAt > now) return;
       this.dueWrites.shift();
--- a/packages/controller/src/state/cluster-state.ts
+++ b/packages/controller/src/state/cluster-state.ts
@@ -45,7 +45,7 @@
   /** by name, without machines whose assignment was removed */
   readonly machines: ReadonlyMap<string, Machine>;
   /** by the lease's name as text */
-  readonly leaseHolders: ReadonlyMap<string, ShardLease>;
+  readonly leasesByName: ReadonlyMap<string, ShardLease>;
   /** by controller name: when this controller read that the presence record was removed */
   readonly absentSince: ReadonlyMap<string, Milliseconds>;
   /** by the index of the type's name; null or absent: only the name of the type is known */
@@ -58,7 +58,7 @@
   readonly jobs: Map<string, Job>;
   /** how jobs ended, by id, including jobs that were cancelled because a dependency was */
   readonly finishedJobs: ReadonlyMap<string, FinalState>;
-  private readonly leases = new LeaseRegistry();
+  private readonly leaseRegistry = new LeaseRegistry();
   private readonly machineTypeRegistry: MachineTypeRegistry;
   private readonly machineRegistry: MachineRegistry;
   private readonly imageCaches: ImageCaches;
@@ -79,12 +79,12 @@
     const jobHost: JobRegistryHost = {
       createJob: (spec) => this.createJob(spec),
       internTypeName: (name) => this.typeNames.intern(name),
-      jobStartable: (job) => this.gpuDemand.record(job),
+      onJobStartable: (job) => this.gpuDemand.record(job),
     };
     this.jobRegistry = new JobRegistry(jobHost, this.progressLayout);
     this.machines = this.machineRegistry.machines;
-    this.leaseHolders = this.leases.leaseHolders;
-    this.absentSince = this.leases.absentSince;
+    this.leasesByName = this.leaseRegistry.leasesByName;
+    this.absentSince = this.leaseRegistry.absentSince;
     this.machineTypes = this.machineTypeRegistry.types;
     this.gpuDemandByType = this.gpuDemand.byType;
     this.shardsWithGpuWork = this.gpuDemand.shardsWithGpuWork;
@@ -93,7 +93,7 @@
   }
 
   /** Whether a list of machine types was read, from the cloud or from the stored records. */
-  get machineTypesKnown(): boolean {
+  get areMachineTypesKnown(): boolean {
     return this.machineTypeRegistry.isKnown;
   }
 
@@ -116,10 +116,10 @@
     const { kind, name } = parseStateKey(key);
     switch (kind) {
       case 'shardLease':
-        this.leases.applyLease(name, entry);
+        this.leaseRegistry.applyLease(name, entry);
         return { kind: 'lease', lease: name };
       case 'presence':
-        this.leases.applyPresence(name, entry, now);
+        this.leaseRegistry.applyPresence(name, entry, now);
         return NO_CHANGE;
       case 'job':
         return this.jobRegistry.applyRecord(name, entry, now);
@@ -145,7 +145,7 @@
 
   /** Excludes a pause of this process, of `pausedMs`, from the time for which controllers count as absent. */
   processPaused(pausedMs: Milliseconds): void {
-    this.leases.processPaused(pausedMs);
+    this.leaseRegistry.processPaused(pausedMs);
   }
 
   /** Sets the machine types from the cloud's list. */
@@ -176,7 +176,7 @@
 
   /** The lease of a shard or of the leader; null if no controller holds it. */
   leaseOf(lease: LeaseName): ShardLease | null {
-    return this.leases.leaseOf(lease);
+    return this.leaseRegistry.leaseOf(lease);
   }
 
   /**
--- a/packages/controller/src/state/job-dependencies.ts
+++ b/packages/controller/src/state/job-dependencies.ts
@@ -66,7 +66,7 @@
   }
 
   private link(job: Job, id: string): void {
-    job.awaitedJobs.add(id);
+    job.unfinishedDependencyIds.add(id);
     const dependents = this.dependents.get(id);
     if (dependents) dependents.add(job);
     else this.dependents.set(id, new Set([job]));
@@ -78,7 +78,7 @@
     if (endedAt !== null) this.endedAt.set(id, endedAt);
     const released: Job[] = [];
     for (const job of this.dependents.get(id) ?? []) {
-      job.awaitedJobs.delete(id);
+      job.unfinishedDependencyIds.delete(id);
       this.recordDependencyDone(job, id);
       if (!job.isBlocked) released.push(job);
     }
@@ -93,13 +93,13 @@
 
   /** Removes the edges from a job to its dependencies. Returns the dependencies that are in the cluster state. */
   private removeEdges(job: Job): Job[] {
-    const awaitedJobs = this.awaitedJobsOf(job);
-    for (const id of job.awaitedJobs) {
+    const awaitedJobs = this.unfinishedDependenciesOf(job);
+    for (const id of job.unfinishedDependencyIds) {
       const dependents = this.dependents.get(id);
       dependents?.delete(job);
       if (dependents?.size === 0) this.dependents.delete(id);
     }
-    job.awaitedJobs.clear();
+    job.unfinishedDependencyIds.clear();
     return awaitedJobs;
   }
 
@@ -140,12 +140,12 @@
     const raised = new Set<Job>([job]);
     for (const next of this.dependentsFirst(job)) {
       if (!raised.has(next)) continue;
-      for (const awaited of this.awaitedJobsOf(next)) if (this.inheritFromDependent(awaited, next)) raised.add(awaited);
+      for (const awaited of this.unfinishedDependenciesOf(next)) if (this.inheritFromDependent(awaited, next)) raised.add(awaited);
     }
   }
 
-  private awaitedJobsOf(job: Job): Job[] {
-    return [...job.awaitedJobs].flatMap((id) => this.jobs.get(id) ?? []);
+  private unfinishedDependenciesOf(job: Job): Job[] {
+    return [...job.unfinishedDependencyIds].flatMap((id) => this.jobs.get(id) ?? []);
   }
 
   /** Raises the job's priority and moves up its deadline to those that the dependent requires. Returns whether one changed. */
@@ -166,7 +166,7 @@
     const stale = new Set<Job>([job]);
     for (const next of this.dependentsFirst(job)) {
       if (!stale.has(next)) continue;
-      if (this.recomputeOwnRequirements(next)) for (const awaited of this.awaitedJobsOf(next)) stale.add(awaited);
+      if (this.recomputeOwnRequirements(next)) for (const awaited of this.unfinishedDependenciesOf(next)) stale.add(awaited);
     }
   }
 
@@ -174,7 +174,7 @@
   private dependentsFirst(job: Job): Job[] {
     const seen = new Set<Job>([job]);
     const order: Job[] = [];
-    const stack: TraversalStep[] = [{ job, unvisitedIds: [...job.awaitedJobs] }];
+    const stack: TraversalStep[] = [{ job, unvisitedIds: [...job.unfinishedDependencyIds] }];
     for (let top = stack.at(-1); top !== undefined; top = stack.at(-1)) {
       const id = top.unvisitedIds.pop();
       if (id === undefined) {
@@ -185,7 +185,7 @@
       const next = this.jobs.get(id);
       if (!next || seen.has(next)) continue;
       seen.add(next);
-      stack.push({ job: next, unvisitedIds: [...next.awaitedJobs] });
+      stack.push({ job: next, unvisitedIds: [...next.unfinishedDependencyIds] });
     }
     return order.reverse();
   }
--- a/packages/controller/src/state/job-registry.ts
+++ b/packages/controller/src/state/job-registry.ts
@@ -40,7 +40,7 @@
   /** Returns the dense index of a machine type's name. */
   internTypeName(name: string): number;
   /** Called when a job has no unfinished dependencies. A second call for the same job must have no effect. */
-  jobStartable(job: Job): void;
+  onJobStartable(job: Job): void;
 }
 
 /** The jobs, by id, as their stored records describe them. */
@@ -86,7 +86,7 @@
       job.state = stored.state;
       this.dependencies.unlink(job);
     }
-    if (!known && !job.isBlocked) this.host.jobStartable(job);
+    if (!known && !job.isBlocked) this.host.onJobStartable(job);
     for (const other of [job, ...others]) this.recordCancellationTime(other, now);
     const jobs = [job, ...others.filter((other) => other !== job)];
     return jobsChange(jobs, stored.awaits === null ? 'the list of awaited jobs' : null);
@@ -138,7 +138,7 @@
 
   private release(job: Job, now: Milliseconds): void {
     this.restartWaitingTime(job, now);
-    this.host.jobStartable(job);
+    this.host.onJobStartable(job);
   }
 
   /** Counts the waiting time from the end of the last dependency, no matter which controller observed that end. */
--- a/packages/controller/src/state/lease-registry.ts
+++ b/packages/controller/src/state/lease-registry.ts
@@ -17,14 +17,14 @@
 /** The leases of the shards and of the leader, and the presence of controllers. */
 export class LeaseRegistry {
   /** by the lease's name as text */
-  readonly leaseHolders = new Map<string, ShardLease>();
+  readonly leasesByName = new Map<string, ShardLease>();
   /** by controller name: when this controller read that the presence record was removed */
   readonly absentSince = new Map<string, Milliseconds>();
 
   /** Applies the record of the lease with this name. Throws if the record can't be read. */
   applyLease(name: string, entry: ReplicaEntry | null): void {
-    if (entry) this.leaseHolders.set(name, { holder: parseLeaseHolder(entry.value), revision: entry.revision });
-    else this.leaseHolders.delete(name);
+    if (entry) this.leasesByName.set(name, { holder: parseLeaseHolder(entry.value), revision: entry.revision });
+    else this.leasesByName.delete(name);
   }
 
   /** Applies a controller's presence record, or its removal. */
@@ -40,6 +40,6 @@
 
   /** The lease of a shard or of the leader; null if no controller holds it. */
   leaseOf(lease: LeaseName): ShardLease | null {
-    return this.leaseHolders.get(String(lease)) ?? null;
+    return this.leasesByName.get(String(lease)) ?? null;
   }
 }
--- a/packages/controller/src/state/replica.ts
+++ b/packages/controller/src/state/replica.ts
@@ -24,7 +24,7 @@
   /** every change up to this revision has been applied */
   revision = 0;
   /** whether the first full read is complete */
-  loaded = false;
+  isLoaded = false;
   private readonly entries = new Map<string, ReplicaEntry>();
   /** by key: revision of a removal newer than `revision`, so that an older set that arrives later doesn't restore the key */
   private readonly tombstones = new Map<string, number>();
@@ -87,7 +87,7 @@
     for (const [key, entry] of [...this.entries])
       if (!presentKeys.has(key) && entry.revision <= revision) this.remove(key, revision);
     this.advanceTo(revision);
-    this.loaded = true;
+    this.isLoaded = true;
   }
 
   private advanceTo(revision: number): void {
--- a/packages/controller/src/state/state-writer.ts
+++ b/packages/controller/src/state/state-writer.ts
@@ -74,7 +74,7 @@
   }
 
   /** Number of writes that wait to be sent. */
-  get length(): number {
+  get queueLength(): number {
     return this.queue.length;
   }
 
--- a/test/client-responses.test.ts
+++ b/test/client-responses.test.ts
@@ -174,7 +174,7 @@
       cancelled.has(`run-s${index}`) ? 'aborted' : 'done',
     );
   // Queues are empty again: no write waits for ever, and no machine is out of use.
-  for (const node of cluster.controllers) assert.equal(node.controller.writer.length, 0);
+  for (const node of cluster.controllers) assert.equal(node.controller.writer.queueLength, 0);
   assert.deepEqual(
     cluster.workers.filter((worker) => worker.dead),
     [],
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -123,7 +123,7 @@
   );
   // Over the whole day: no more than leaves connections for commands.
   assert.ok(cluster.maxPendingProbes <= 1000 / 8, `${cluster.maxPendingProbes} questions at once`);
-  for (const node of cluster.controllers) assert.equal(node.controller.writer.length, 0);
+  for (const node of cluster.controllers) assert.equal(node.controller.writer.queueLength, 0);
 }
 
 /** Machines that answered whoever holds their share. */
--- a/test/mixed-versions.test.ts
+++ b/test/mixed-versions.test.ts
@@ -171,7 +171,7 @@
   assert.equal(clusterState.finishedJobs.get('run-kept-red-array'), 'done');
   assert.ok((clusterState.jobs.get('run-partly')?.doneCount ?? 0) > 0);
   assert.equal(clusterState.jobs.get('run-kept-service')?.state, 'live');
-  assert.equal(clusterState.machineTypesKnown, true);
+  assert.equal(clusterState.areMachineTypesKnown, true);
   assert.ok(messages.length >= 4);
   for (const hex of messages) {
     const bytes = Buffer.from(hex, 'hex');
--- a/test/recorded-support/controller-reader.ts
+++ b/test/recorded-support/controller-reader.ts
@@ -50,7 +50,7 @@
       images: machine.images.size,
     },
   ]);
-  const holders = [...clusterState.leaseHolders].map(([name, { holder, revision }]) => [
+  const holders = [...clusterState.leasesByName].map(([name, { holder, revision }]) => [
     name,
     `${holder.controller} ${holder.incarnation} ${revision}`,
   ]);
@@ -59,7 +59,7 @@
     ended: Object.fromEntries(clusterState.finishedJobs),
     machines: Object.fromEntries(machines),
     holders: Object.fromEntries(holders),
-    machineTypes: clusterState.machineTypesKnown ? clusterState.machineTypes.filter((type) => type).length : null,
+    machineTypes: clusterState.areMachineTypesKnown ? clusterState.machineTypes.filter((type) => type).length : null,
     heardOf: [...controller.peers.keys()],
   };
 }
--- a/test/state-service-limits.test.ts
+++ b/test/state-service-limits.test.ts
@@ -180,10 +180,10 @@
   for (const row of parts) assert.ok(encodedBytes(row.key, row.value) <= 2 * 1024 - 64);
   const some = new Controller(s, 'some');
   some.receiveSnapshot(parts.slice(1), 50, 0);
-  assert.equal(some.clusterState.machineTypesKnown, false, 'a job must not be refused by half a list');
+  assert.equal(some.clusterState.areMachineTypesKnown, false, 'a job must not be refused by half a list');
   const all = new Controller(s, 'all');
   all.receiveSnapshot(parts, 50, 0);
-  assert.equal(all.clusterState.machineTypesKnown, true);
+  assert.equal(all.clusterState.areMachineTypesKnown, true);
   assert.equal(all.clusterState.machineTypes.length, 20);
 });
 
