--- a/packages/controller/src/state/job-dependencies.ts
+++ b/packages/controller/src/state/job-dependencies.ts
@@ -140,7 +140,8 @@
     const raised = new Set<Job>([job]);
     for (const next of this.dependentsFirst(job)) {
       if (!raised.has(next)) continue;
-      for (const awaited of this.unfinishedDependenciesOf(next)) if (this.inheritFromDependent(awaited, next)) raised.add(awaited);
+      for (const awaited of this.unfinishedDependenciesOf(next))
+        if (this.inheritFromDependent(awaited, next)) raised.add(awaited);
     }
   }
 
--- a/test/randomized/randomized-simulation.ts
+++ b/test/randomized/randomized-simulation.ts
@@ -162,7 +162,8 @@
         if (!used) result.push(`${worker.name} is out of use`);
       }
       for (const node of cluster.controllers)
-        if (node.controller.writer.queueLength > 0) result.push(`${node.name} has ${node.controller.writer.queueLength} writes waiting`);
+        if (node.controller.writer.queueLength > 0)
+          result.push(`${node.name} has ${node.controller.writer.queueLength} writes waiting`);
       return result;
     };
     // A shard may be on its way to its preferred holder, and a machine between two shards.
