--- a/packages/controller/src/allocation/failure-attribution.ts
+++ b/packages/controller/src/allocation/failure-attribution.ts
@@ -1,51 +1,51 @@
 /**
- * Failure attribution: whose fault is it when a task fails? A faulty machine fails whatever comes to it, a job submitted with a
- * mistake fails wherever it goes. Failures of a job that ran well anywhere count against the machine; those of a job that fails
- * on several machines count against the job, and what it counted against machines before is taken back. Owns the failure
- * records of jobs and machines.
+ * Failure attribution: decides whether the machine or the job causes a task failure. A faulty machine fails the tasks of every
+ * job, and a faulty job fails on every machine. Failures of a job that ran without error anywhere count against the machine.
+ * Failures of a job that fails on several machines count against the job, and are then removed from the records of the machines.
+ * Owns the failure records of jobs and machines.
  */
 import type { ClusterStateView, Logger } from '../context/index.js';
 import type { Allocation, Job, Machine, Milliseconds } from '../model/index.js';
 
-/** A job that failed on this many machines, and never ran well, is taken to crash wherever it runs. */
+/** A job that failed on this many machines, and has never run without error, counts as crash-looping. */
 const CRASH_LOOP_MACHINES = 3;
 
-/** What runs for this long without an error runs well: mistakes show at the start. */
+/** A task that runs for this long counts as running without error, since faults of a job usually show right after the start. */
 const ERROR_FREE_RUN_MS = 10_000;
 
-/** A machine is faulty once this many tasks failed there of jobs whose other tasks get done elsewhere. */
+/** A machine is faulty once this many tasks failed on it whose jobs failed nowhere else and have completed tasks. */
 const FAULTY_MACHINE_TASKS = 3;
 
-/** A machine is doubtful once this many jobs failed there. */
+/** A machine is suspected of being faulty once this many jobs failed on it. */
 const SUSPICIOUS_MACHINE_JOBS = 2;
 
-/** A machine on which jobs failed that prove nothing yet takes no work meanwhile, for so long at most. */
+/** A suspected machine takes no starts for this long after its last failure, while the attribution is pending. */
 const ATTRIBUTION_PENDING_MS = 30_000;
 
-/** Jobs that failed on one machine alone count against it after this long: nothing of them has run elsewhere since. */
+/** Jobs that failed on only one machine count against that machine this long after its last failure. */
 const NO_COUNTEREVIDENCE_MS = ATTRIBUTION_PENDING_MS / 2;
 
-/** A gang that failed is tried again after this long. */
+/** Delay before a failed gang is retried. */
 const GANG_RETRY_DELAY_MS = 300;
 
-/** A crash-looping job is tried again after this long, twice as long each time, up to the maximum. */
+/** Bounds of the retry delay of a crash-looping job, which doubles with each retry. */
 const MIN_RETRY_DELAY_MS = 2000;
 const MAX_RETRY_DELAY_MS = 60_000;
 const MAX_RETRY_DOUBLINGS = 5;
 
-/** Tasks of a crash-looping job that are tried at once: those that never were, one by one afterwards. */
+/** Never-started tasks of a crash-looping job that are started per retry; once all were started, a retry starts one task. */
 const MAX_UNTRIED_TASKS_AT_ONCE = 8;
 
-/** Records failures and successes, and decides by them which machines are faulty and which jobs crash-loop. */
+/** Records task failures and successes, and derives from them which machines are faulty and which jobs are crash-looping. */
 export class FailureAttribution {
   constructor(private readonly context: ClusterStateView & Logger) {}
 
-  /** Does the job fail wherever it runs? Only a task that is done, or its user, ends that. */
+  /** Whether the job fails on every machine. Only a completed task, or a cancellation by the user, ends this state. */
   isCrashLooping(job: Job): boolean {
     return job.crashLoopingSince !== null;
   }
 
-  /** Do tasks fail there by the machine's fault? */
+  /** Whether the machine is the cause of the task failures on it. */
   isFaulty(machine: Machine, now: Milliseconds): boolean {
     if (machine.failedTaskCount >= FAULTY_MACHINE_TASKS) return true;
     if (machine.failedJobs.size < SUSPICIOUS_MACHINE_JOBS) return false;
@@ -59,12 +59,12 @@
     return jobsThatFailedOnlyHere >= SUSPICIOUS_MACHINE_JOBS && now - machine.lastErrorAt > NO_COUNTEREVIDENCE_MS;
   }
 
-  /** Did several jobs fail there recently, and isn't it known yet whose fault it is? */
+  /** Whether several jobs failed on the machine recently, so that it may be faulty. */
   isAttributionPending(machine: Machine, now: Milliseconds): boolean {
     return machine.failedJobs.size >= SUSPICIOUS_MACHINE_JOBS && now - machine.lastErrorAt < ATTRIBUTION_PENDING_MS;
   }
 
-  /** Has any of the job's tasks run well? It is remembered, also for when that task has ended. */
+  /** Whether any task of the job was completed or ran without error. The result is stored in the job and outlasts that task. */
   private hasRunWithoutError(job: Job, now: Milliseconds): boolean {
     if (job.doneCount > 0 || job.ranWithoutError) return true;
     for (const { phase, runningSince } of job.tenure.allocations.values()) {
@@ -75,7 +75,7 @@
     return false;
   }
 
-  /** A task ended with an error. */
+  /** Records a task that ended with an error, and marks its job as crash-looping where the limit is reached. */
   recordFailure({ job, machine, taskIndex }: Allocation, now: Milliseconds): void {
     job.failureCount++;
     job.failedOn.add(machine.name);
@@ -101,9 +101,12 @@
     this.context.log('info', 'job crash-looping', { job: job.spec.id, machines: job.failedOn.size });
   }
 
-  /** A task was done: its job runs well after all, and a task that began after a machine's last failure clears the machine. */
+  /**
+   * Records a completed task: its job is no longer crash-looping. If the task started after the machine's last failure, the
+   * failure record of the machine is cleared.
+   */
   recordSuccess({ job, machine, runningSince }: Allocation): void {
-    // One that was never seen running counts as begun before any error.
+    // A task that was never reported as running counts as started before any failure.
     if ((runningSince ?? 0) > machine.lastErrorAt) {
       machine.failedJobs.clear();
       machine.failedTaskCount = 0;
@@ -111,12 +114,12 @@
     if (!this.isCrashLooping(job)) return;
     job.crashLoopingSince = null;
     job.retryAt = 0;
-    // It was the machines' fault, then.
+    // The job can succeed, so its failures count against the machines.
     for (const name of job.failedOn) this.context.clusterState.machines.get(name)?.failedJobs.add(job.spec.id);
     this.context.log('info', 'job recovered from crash loop', { job: job.spec.id });
   }
 
-  /** A faulty machine is released: what failed there says nothing about the jobs. */
+  /** Removes failures on a faulty machine, which is being released, from the records of the jobs, and allows their retry now. */
   clearJobsOf(machine: Machine): void {
     for (const id of machine.failedJobs) {
       const job = this.context.clusterState.jobs.get(id);
@@ -126,7 +129,7 @@
     }
   }
 
-  /** Begins a retry of a crash-looping job: returns how many tasks are tried now, and puts off the next retry. */
+  /** Begins a retry of a crash-looping job: sets the time of the next one and returns how many tasks to start now. */
   beginRetry(job: Job, now: Milliseconds): number {
     const isGang = job.spec.shape === 'gang';
     const untriedTasks = job.spec.tasks - job.tenure.nextUntriedTask;
--- a/packages/controller/src/allocation/free-resources.ts
+++ b/packages/controller/src/allocation/free-resources.ts
@@ -1,7 +1,10 @@
-/** What is free on a machine beside its allocations. */
+/** The free resources of a machine: its capacity without the resources of its allocations. */
 import { type FreeResources, type Machine, machineLoadOf } from '../model/index.js';
 
-/** A copy that the caller may subtract from. Tasks that may still be there count, also those that are to stop. */
+/**
+ * Returns a copy, from which the caller may subtract. Every task that may still be on the machine counts as using resources,
+ * including tasks that are being stopped.
+ */
 export function freeResourcesOf(machine: Machine): FreeResources {
   return { machine, ...machineLoadOf(machine).free };
 }
--- a/packages/controller/src/allocation/held-shards.ts
+++ b/packages/controller/src/allocation/held-shards.ts
@@ -1,19 +1,19 @@
 /**
- * The shards held by this controller, each under the lease that was acquired last. Owns them, and the numbers of attempts that
- * were given out under their leases.
+ * The shards held by this controller, with the revisions at which their leases were last acquired. Owns the set of held shards
+ * and the counter of attempt numbers.
  */
 import type { RevisionCondition } from '@archpost/protocol';
 import { StateKey } from '../state/index.js';
 
-/** Attempt numbers begin with the lease's revision, so no two holders ever use the same one. */
+/** An attempt number is the lease's revision times this plus a counter, so no two lease holders ever use the same number. */
 const ATTEMPTS_PER_LEASE = 1_000_000;
 
-/** No key has this revision: a condition on it is never met. */
+/** A revision that no key has: a write conditional on it always fails. */
 const IMPOSSIBLE_REVISION = -1;
 
-/** Shards by their numbers, in the order in which their leases were acquired. */
+/** The held shards by number, in the order in which their leases were acquired. */
 export class HeldShards {
-  /** revision at which the shard's lease was acquired: the fencing token of what is done for the shard */
+  /** by shard: revision at which its lease was acquired, which serves as the fencing token of actions for the shard */
   private readonly leaseRevisions = new Map<number, number>();
   private attemptCounter = 1;
 
@@ -29,27 +29,27 @@
     return this.leaseRevisions.keys();
   }
 
-  /** Null: the shard is not held. */
+  /** The revision at which the shard's lease was acquired; null if the shard is not held. */
   leaseRevisionOf(shard: number): number | null {
     return this.leaseRevisions.get(shard) ?? null;
   }
 
-  /** The shard's lease was acquired at the revision. */
+  /** Records that the shard's lease was acquired at this revision. */
   add(shard: number, leaseRevision: number): void {
     this.leaseRevisions.set(shard, leaseRevision);
   }
 
-  /** The shard's lease was lost or released. */
+  /** Records that the shard's lease was lost or released. */
   delete(shard: number): void {
     this.leaseRevisions.delete(shard);
   }
 
-  /** An attempt number that no holder of the shard has used. */
+  /** Returns an attempt number that no lease holder of the shard has used. */
   nextAttempt(shard: number): number {
     return (this.leaseRevisions.get(shard) ?? 0) * ATTEMPTS_PER_LEASE + this.attemptCounter++;
   }
 
-  /** Conditions of a write for the shard: its lease is still the one that was acquired here. */
+  /** Conditions of a write for the shard: its lease must still be the one that this controller acquired. */
   leaseConditions(shard: number): RevisionCondition[] {
     return [{ key: StateKey.shardLease(shard), revision: this.leaseRevisions.get(shard) ?? IMPOSSIBLE_REVISION }];
   }
--- a/packages/controller/src/allocation/index.ts
+++ b/packages/controller/src/allocation/index.ts
@@ -1,6 +1,6 @@
 /**
- * Allocation: which task has which machine in the shards held here, whether machines take starts, and whose fault failures
- * are. Owns the allocations of jobs and machines.
+ * Allocation: which task is allocated to which machine in the shards held here, which machines accept starts, and whether task
+ * failures are attributed to jobs or to machines. Owns the allocations of jobs and machines.
  */
 export { freeResourcesOf } from './free-resources.js';
 export type { HeldShards } from './held-shards.js';
--- a/packages/controller/src/allocation/machine-schedulability.ts
+++ b/packages/controller/src/allocation/machine-schedulability.ts
@@ -1,38 +1,41 @@
 /**
- * Whether a machine takes starts: it answers, everything that runs there is known, and nothing is to be done with it first.
- * Reads the machine; owns nothing.
+ * Whether a machine accepts starts: it answers commands, every task on it is known, and it isn't about to move or be released.
+ * Owns no state.
  */
 import type { SettingsView } from '../context/index.js';
 import type { Machine, Milliseconds } from '../model/index.js';
 import type { FailureAttribution } from './failure-attribution.js';
 
-/** Two and a half heartbeat intervals, in milliseconds for each second of the interval. */
+/** Maximum age of the last heartbeat, in milliseconds per second of the heartbeat interval: two and a half intervals. */
 const MAX_HEARTBEAT_AGE_MS_PER_INTERVAL_S = 2500;
 
-/** A machine whose last heartbeat came so long ago is not heard here any more. */
+/** This controller has recent contact with a machine whose last heartbeat it processed less than this long ago. */
 const HEARD_HERE_MS = 4000;
 
-/** The same for heartbeats that another controller takes, which it reports with some delay. */
+/** The same for heartbeats that another controller processes; longer, since that controller reports them with some delay. */
 const HEARD_BY_PEER_MS = 5000;
 
-/** Do the machine's heartbeats come to another controller? */
+/** Whether another controller recently reported heartbeats of the machine. */
 export function isHeardByPeer(machine: Machine, now: Milliseconds): boolean {
   return now - machine.heardByPeerAt < HEARD_BY_PEER_MS;
 }
 
-/** Do the machine's heartbeats come, here or to another controller? */
+/** Whether heartbeats of the machine recently arrived at this controller or at another one. */
 export function isHeardRecently(machine: Machine, now: Milliseconds): boolean {
   return now - machine.tenure.lastHeartbeatAt < HEARD_HERE_MS || isHeardByPeer(machine, now);
 }
 
-/** Says which machines take starts. */
+/** Decides which machines accept starts. */
 export class MachineSchedulability {
   constructor(
     private readonly context: SettingsView,
     private readonly failureAttribution: FailureAttribution,
   ) {}
 
-  /** Does the machine take starts now? It may do so again without any input, once a suspicion has run out. */
+  /**
+   * Whether the machine accepts starts now. The result can become true through the passage of time alone, when a pending failure
+   * attribution expires.
+   */
   isSchedulable(machine: Machine, now: Milliseconds): boolean {
     const { tenure } = machine;
     const maxHeartbeatAgeMs = this.context.settings.workers.heartbeatIntervalS * MAX_HEARTBEAT_AGE_MS_PER_INTERVAL_S;
@@ -50,12 +53,12 @@
   }
 }
 
-/** It is to move to another shard, to be released, or to be taken by the cloud. */
+/** Whether the machine is about to move to another shard, to be released, or to be preempted by the cloud. */
 function isLeaving({ moveToShard, isRetired, tenure }: Machine): boolean {
   return moveToShard !== null || isRetired || tenure.releaseReason !== null || tenure.preemptionNoticeUntil !== null;
 }
 
-/** What runs there without an allocation here takes resources that aren't known. */
+/** Whether tasks without an allocation run on the machine: the resources that they use are unknown. */
 function hasOrphanedWork({ tenure }: Machine): boolean {
   return tenure.orphanedTasks.some((task) => task.state !== 'exited');
 }
--- a/packages/controller/src/allocation/machine-work.ts
+++ b/packages/controller/src/allocation/machine-work.ts
@@ -1,13 +1,13 @@
-/** What a machine's tenure says of the work on it. Pure functions of the machine. */
+/** Queries about the work on a machine, answered from its tenure. Pure functions of the machine. */
 import type { Machine } from '../model/index.js';
 
-/** Does something on the machine belong to a cancelled job? Such machines are attended to first. */
+/** Whether a task of a cancelled job may still run on the machine. Such machines are probed and released before others. */
 export function hasCancelledWork({ tenure }: Machine): boolean {
   for (const { job, phase } of tenure.allocations.values()) if (job.state === 'cancelled' && phase !== 'exited') return true;
   return false;
 }
 
-/** Has the machine no task, known or orphaned, and no command under way? */
+/** Whether the machine has no allocated task, no orphaned task and no pending command. */
 export function isEmpty({ tenure }: Machine): boolean {
   return tenure.allocations.size === 0 && tenure.orphanedTasks.length === 0 && tenure.pendingCommandId === null;
 }
--- a/packages/controller/src/allocation/start-freshness.ts
+++ b/packages/controller/src/allocation/start-freshness.ts
@@ -1,23 +1,23 @@
 /**
- * Freshness of starts: a task may start only while its job's state is known to be recent, since its user may have cancelled the
- * job. Reads how fresh the replica is; owns nothing.
+ * The freshness required for starts: a task may start only while the replica is recent, since the user may have cancelled the
+ * job in the meantime. Owns no state.
  */
 import type { PeerDirectory, SettingsView, StateFreshness } from '../context/index.js';
 import type { Job, Milliseconds } from '../model/index.js';
 
-/** The watch brings something, if only that nothing changed, more often than this. */
+/** The watch delivers changes, or a notification that nothing changed, at shorter intervals than this. */
 const MAX_WATCH_DELAY_MS = 4000;
 
-/** In an outage of the state service, starts go on for this part of the time in which cancelled work has to be gone. */
+/** In an outage of the state service, starts continue for this fraction of the time within which cancelled tasks must end. */
 const MAX_AGE_OF_CANCEL_TIME = 0.25;
 
-/** Says whether the state that is known here is recent enough for starts. */
+/** Decides whether the replica is recent enough for starts. */
 export class StartFreshness {
   constructor(private readonly context: SettingsView & StateFreshness & PeerDirectory) {}
 
   /**
-   * In an outage of all controllers nobody can confirm the jobs' state, so a while more is allowed; while another controller
-   * is answered by the state service and this one isn't, no longer than the watch takes.
+   * Whether the replica is recent enough for starts. If the state service answers no controller, none can read a newer state, so
+   * starts continue for a fraction of the cancellation time. If it answers another controller, they stop once the watch is late.
    */
   mayStart(now: Milliseconds): boolean {
     if (this.context.isCatchingUp()) return false;
@@ -33,7 +33,10 @@
     return false;
   }
 
-  /** Somebody else stopped one of the job's tasks: cancelled perhaps, which only a newer read can show. */
+  /**
+   * Whether one of the job's tasks was stopped by another controller after the replica was last fresh. The job may be cancelled,
+   * which only a newer state of the replica shows.
+   */
   isStateUnconfirmed(job: Job): boolean {
     return this.context.replicaFreshAt < job.stoppedByOthersAt;
   }
--- a/packages/controller/src/allocation/task-allocations.ts
+++ b/packages/controller/src/allocation/task-allocations.ts
@@ -1,7 +1,6 @@
 /**
- * Which task has which machine, in the shards held here: the allocations of jobs and machines with their phases, their stops,
- * and what happens to a gang that loses one of them. Owns the allocations, the set of shards held here, and what a scheduling
- * run found no machine for.
+ * The allocations of tasks to machines in the shards held here: their phases, requested stops, and the failure of a gang that
+ * loses a task. Owns the allocations, the set of held shards, and the unmet demand of the last scheduling run.
  */
 import type {
   ClusterStateView,
@@ -19,18 +18,18 @@
 import { StartFreshness } from './start-freshness.js';
 import { mayRunUnseen } from './unverified-takeovers.js';
 
-/** Tasks of a job that found no machine in the last scheduling run. */
+/** Tasks of a job for which the last scheduling run found no machine. */
 export interface UnmetDemand {
   readonly job: Job;
   readonly count: number;
-  /** whether the job is within its team's guarantee */
+  /** whether the job is within its team's guaranteed quota */
   readonly withinQuota: boolean;
 }
 
-/** What is said of an allocation when it is made. */
+/** The fields that the caller sets in a new allocation. */
 type NewAllocation = Pick<Allocation, 'job' | 'taskIndex' | 'attempt' | 'machine' | 'phase' | 'plannedAt'>;
 
-/** Names one attempt of one task among all that a machine may have. */
+/** Key of one attempt of a task, unique among the allocations of a machine. */
 export function taskKey(job: string, taskIndex: number, attempt: number): string {
   return `${job}/${taskIndex}/${attempt}`;
 }
@@ -39,7 +38,7 @@
   return taskKey(job.spec.id, taskIndex, attempt);
 }
 
-/** What the allocations need of their controller. */
+/** The parts of the controller's context that `TaskAllocations` uses. */
 type TaskAllocationsContext = SettingsView &
   ClusterStateView &
   StateFreshness &
@@ -48,10 +47,10 @@
   PeerDirectory &
   Logger;
 
-/** The allocations of the shards held here, and the steps that change them. */
+/** Holds the allocations of the shards held here, and changes them. */
 export class TaskAllocations {
   readonly heldShards = new HeldShards();
-  /** something happened that a scheduling run may make use of */
+  /** something changed that may let a scheduling run allocate more tasks */
   schedulingRequested = true;
   readonly failureAttribution: FailureAttribution;
   readonly startFreshness: StartFreshness;
@@ -65,39 +64,39 @@
     this.machineSchedulability = new MachineSchedulability(context, this.failureAttribution);
   }
 
-  /** The time of the last tick, heartbeat or pause. Other inputs leave it as it is: at most a tick behind. */
+  /** Time of the last processed tick, heartbeat or pause. Other inputs don't advance it, so it lags by at most one tick. */
   get now(): Milliseconds {
     return this.currentTime;
   }
 
-  /** What the last scheduling run found no machine for. */
+  /** The tasks for which the last scheduling run found no machine. */
   get unmetDemand(): readonly UnmetDemand[] {
     return this.lastUnmetDemand;
   }
 
-  /** A tick, heartbeat or pause is taken at this time. */
+  /** Sets the time at which a tick, heartbeat or pause is processed. */
   advanceTo(now: Milliseconds): void {
     this.currentTime = now;
   }
 
-  /** A scheduling run has ended, and found no machine for this. */
+  /** Records the tasks for which the scheduling run that just ended found no machine. */
   recordUnmetDemand(unmetDemand: readonly UnmetDemand[]): void {
     this.lastUnmetDemand = unmetDemand;
   }
 
-  /** Are the heartbeats of the shard's workers this controller's to take? */
+  /** Whether this controller processes the heartbeats of the shard's workers: it holds the shard under a valid lease. */
   holdsShard(shard: number, now: Milliseconds): boolean {
     return this.heldShards.has(shard) && this.context.isLeaseValid(now);
   }
 
-  /** The shards held here for which commands, allocations and releases may leave. */
+  /** The held shards for which this controller may send commands, allocate tasks and release machines. */
   actingShards(): ReadonlySet<number> {
     const shards = new Set<number>();
     for (const shard of this.heldShards.keys()) if (this.context.mayActFor(shard)) shards.add(shard);
     return shards;
   }
 
-  /** Gives the machine to the task, which must have no other allocation: an earlier one is freed first. */
+  /** Allocates the machine to the task. The task must have no other allocation: the caller frees an earlier one first. */
   allocate({ job, taskIndex, attempt, machine, phase, plannedAt }: NewAllocation): Allocation {
     const allocation: Allocation = {
       job,
@@ -118,7 +117,7 @@
     return allocation;
   }
 
-  /** The task is surely no longer on the machine, or was never sent there. */
+  /** Removes an allocation whose task is known to be gone from the machine, or was never sent to it. */
   free(allocation: Allocation): void {
     const { job, machine } = allocation;
     this.removeFromMachine(allocation);
@@ -135,7 +134,7 @@
     machine.allocationsChanged();
   }
 
-  /** Leaves the job alone if another allocation has taken the place of this one. */
+  /** Removes the allocation from its job, unless the task already has another allocation. */
   private removeFromJob(allocation: Allocation): void {
     const { job, taskIndex } = allocation;
     if (job.tenure.allocations.get(taskIndex) !== allocation) return;
@@ -143,7 +142,7 @@
     if (!job.done[taskIndex]) job.tenure.releasedTasks.push(taskIndex);
   }
 
-  /** The gang fails, unless it is over; with its last task its attempt ends. */
+  /** Fails the gang unless it is finished. When its last allocation is gone, its attempt ends. */
   private gangLostTask(gang: Job): void {
     if (gang.state === 'live' && gang.doneCount < gang.spec.tasks) this.failGang(gang);
     if (gang.tenure.allocations.size > 0) return;
@@ -152,8 +151,9 @@
   }
 
   /**
-   * A start that surely was not carried out: its machine is held on, unless the task is to stop meanwhile or its job is over.
-   * Such a start was sent again after the job's cancellation, and a gang that had failed kept its machines for good.
+   * Returns an allocation whose start was certainly not executed to the phase `planned`. It is freed instead if its stop was
+   * requested or its job is finished; otherwise the start would be sent again after the job's cancellation, and a failed gang
+   * would keep its machines forever.
    */
   startNotSent(allocation: Allocation): void {
     if (!this.isStartPending(allocation)) return;
@@ -162,12 +162,12 @@
     if (allocation.stopGraceS !== null || allocation.job.state !== 'live') this.free(allocation);
   }
 
-  /** Was its start sent, and neither answered nor reported since? */
+  /** Whether the start was sent and the task neither reported nor freed since. */
   isStartPending(allocation: Allocation): boolean {
     return allocation.phase === 'sent' && allocation.machine.tenure.allocations.get(taskKeyOf(allocation)) === allocation;
   }
 
-  /** A gang that lost a task is stopped whole and queued again. */
+  /** Stops all tasks of a gang that lost one of them, so that the gang is queued again as a whole. */
   failGang(job: Job): void {
     if (job.tenure.gangFailed) return;
     job.tenure.gangFailed = true;
@@ -175,8 +175,8 @@
   }
 
   /**
-   * Wants the task stopped within the grace, in seconds; a stop that is wanted already is only ever made sooner. What was not
-   * sent yet is freed at once.
+   * Requests a stop of the task with a grace period of `graceS` seconds. A later request can only shorten the grace period. An
+   * allocation whose start was not sent yet is freed at once.
    */
   stop(allocation: Allocation, graceS: number): void {
     if (allocation.phase === 'planned') {
@@ -191,39 +191,39 @@
     allocation.job.lastStopAt = this.now;
   }
 
-  /** A checkpointing task gets time to save; others lose nothing by going at once. */
+  /** Grace period for stops of the job's tasks: time to save for checkpointing tasks, zero for all others, which can't save. */
   stopGraceS(job: Job): number {
     return job.spec.checkpointIntervalS > 0 ? job.spec.checkpointSaveS + this.context.settings.workers.gangPeerS : 0;
   }
 
-  /** Stops all of the job's tasks, with time to save. */
+  /** Stops all of the job's tasks, with the grace period for saving. */
   stopJob(job: Job): void {
     for (const allocation of [...job.tenure.allocations.values()]) this.stop(allocation, this.stopGraceS(job));
   }
 
-  /** Stops the allocation, and with one task of a gang the whole gang. */
+  /** Stops the task or, if it belongs to a gang, all tasks of the gang. */
   stopWithGang(allocation: Allocation): void {
     if (allocation.job.spec.shape === 'gang') this.stopJob(allocation.job);
     else this.stop(allocation, this.stopGraceS(allocation.job));
   }
 
-  /** Stops what is on a machine that is to be cleared. */
+  /** Stops the tasks on a machine that is to become empty. */
   drain(machine: Machine): void {
     const isPreemptionNoticed = machine.tenure.preemptionNoticeUntil !== null;
     for (const allocation of [...machine.tenure.allocations.values()]) {
       if (allocation.phase === 'exited' || allocation.stopGraceS !== null) continue;
-      // Independent tasks may finish in the time of a notice; what has to move, moves now.
+      // Array tasks are independent and may finish within the notice period; other tasks are stopped now so that they can move.
       const mayFinish = isPreemptionNoticed && allocation.job.spec.shape === 'array' && allocation.phase !== 'planned';
       if (!mayFinish) this.stopWithGang(allocation);
     }
   }
 
-  /** Does it take starts? */
+  /** Whether the machine accepts starts now. */
   isSchedulable(machine: Machine, now: Milliseconds): boolean {
     return this.machineSchedulability.isSchedulable(machine, now);
   }
 
-  /** Could a task of this job be among those that nobody has reported? */
+  /** Whether a task of the job may run on a machine that has not reported its tasks since the shard was taken over. */
   mayRunUnseen(job: Job): boolean {
     return mayRunUnseen(job, this.heldShards.leaseRevisionOf(job.shard), this.context.clusterState.machines);
   }
--- a/packages/controller/src/allocation/unverified-takeovers.ts
+++ b/packages/controller/src/allocation/unverified-takeovers.ts
@@ -1,10 +1,10 @@
 /**
- * Machines that were taken over with a shard and have not answered yet. They may have tasks of the earlier holder that nobody
- * has reported. Pure functions of the cluster state.
+ * Machines that were taken over with a shard and have not answered a probe since. They may run tasks that the previous lease
+ * holder started and that have not been reported to this controller. Pure functions of the cluster state.
  */
 import type { Job, Machine } from '../model/index.js';
 
-/** The shards with such machines. */
+/** The shards that have machines without an answer since the takeover. */
 export function shardsAwaitingVerification(machines: ReadonlyMap<string, Machine>): Set<number> {
   const shards = new Set<number>();
   for (const machine of machines.values()) if (machine.tenure.isUnverifiedTakeover) shards.add(machine.shard);
@@ -12,8 +12,8 @@
 }
 
 /**
- * Could a task of the job run on one of them? Not of a job that was stored after the shard's lease was acquired: the earlier
- * holder never placed it. `leaseRevision`: null if the shard isn't held.
+ * Whether a task of the job may run on a machine that has not answered since the takeover. False for a job that was stored after
+ * the shard's lease was acquired, since the previous lease holder never placed it. `leaseRevision`: null if the shard isn't held.
  */
 export function mayRunUnseen(job: Job, leaseRevision: number | null, machines: ReadonlyMap<string, Machine>): boolean {
   if (leaseRevision === null || job.modRevision > leaseRevision) return false;
