--- a/packages/controller/src/shards/assignment-updates.ts
+++ b/packages/controller/src/shards/assignment-updates.ts
@@ -1,27 +1,27 @@
 /**
- * What the holder of a shard writes to the assignments of its machines: moves to another shard, fencing tokens that rise, and
- * removals. Each write is conditional on the lease of the shard. Owns no state beside the marks in the machine that a write is
- * queued.
+ * Updates that the lease holder of a shard writes to the stored assignments of its machines: moves to another shard, raised
+ * fencing tokens, and removals. Each write is conditional on the lease of the shard. Owns no state except the flags in the
+ * machine that mark a queued write.
  */
 import { hasCancelledWork, type TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, Logger, ReplicaView, StateWriting } from '../context/index.js';
 import type { Machine } from '../model/index.js';
 import { encodeAssignment, StateKey, WritePriority } from '../state/index.js';
 
-/** The stored images of a removed machine are removed within this time, or stay: nothing depends on it. */
+/** If the image cache record of a removed machine isn't deleted within this time, it stays: nothing depends on its removal. */
 const IMAGE_REMOVAL_TIMEOUT_MS = 15_000;
 
-/** What the assignment updates need of their controller. */
+/** The parts of the controller's context that `AssignmentUpdates` uses. */
 type AssignmentUpdatesContext = ClusterStateView & ReplicaView & StateWriting & Logger;
 
-/** Writes assignments; a machine has at most one such write queued at a time, removals aside. */
+/** Writes assignments. Apart from removals, at most one such write is queued per machine. */
 export class AssignmentUpdates {
   constructor(
     private readonly context: AssignmentUpdatesContext,
     private readonly allocations: TaskAllocations,
   ) {}
 
-  /** Hands the machine over to the shard that it is to move to. It has to be empty. */
+  /** Assigns the machine, which must be empty, to the shard given by its `moveToShard`. */
   moveToShard(machine: Machine): void {
     const targetShard = machine.moveToShard;
     if (machine.assignmentWriteQueued || targetShard === null) return;
@@ -41,8 +41,9 @@
   }
 
   /**
-   * Guards against a command that got no answer and that may be carried out late: the worker takes nothing older once it has
-   * seen the higher token, which is the revision of the assignment. Until the machine has answered under it, it is unverified.
+   * Raises the machine's fencing token, because an unanswered command may still be executed late. The new token is the revision
+   * of the rewritten assignment. Once the worker has received it, it rejects commands with a lower token. Until the machine has
+   * answered under the new token, it is unverified.
    */
   raiseFencingToken(machine: Machine): void {
     if (machine.assignmentWriteQueued) return;
@@ -58,7 +59,7 @@
       expectedRevision: machine.assignmentRevision,
       conditions: this.allocations.heldShards.leaseConditions(machine.shard),
       priority: WritePriority.release,
-      // No command to the machine leaves before this is stored, and so no stop.
+      // Until this is stored, no command is sent to the machine, and therefore no stop of its cancelled work.
       isUrgent: () => hasCancelledWork(machine),
       onOutcome: (outcome) => {
         machine.assignmentWriteQueued = false;
@@ -69,7 +70,10 @@
     });
   }
 
-  /** The machine is gone. Tried again until it is stored, for as long as the machine is known and its shard held here. */
+  /**
+   * Deletes the assignment and the image cache record of a released machine. The deletion of the assignment is retried until it
+   * succeeds, as long as the machine is in the cluster state and its shard is held here.
+   */
   removeAssignment(machine: Machine): void {
     this.removeStoredImages(machine);
     this.context.writer.add({
--- a/packages/controller/src/shards/command-dispatcher.ts
+++ b/packages/controller/src/shards/command-dispatcher.ts
@@ -1,6 +1,6 @@
 /**
- * Sends commands and probes to the workers of the shards that may be acted for here, one at a time to each machine, and
- * matches outcomes with them. Owns the commands that were not answered yet.
+ * Sends commands and probes to the workers of the held shards, at most one message at a time per machine, and matches their
+ * outcomes with them. Owns the pending commands.
  */
 import type { Command } from '@archpost/protocol';
 import type { TaskAllocations } from '../allocation/index.js';
@@ -12,13 +12,13 @@
 import { mayCommand, needsProbe, selectForProbing } from './probe-selection.js';
 import type { WorkerAnswers } from './worker-answers.js';
 
-/** What an agent that has not been heard is addressed with: it answers with its own epoch. */
+/** Epoch in messages to an agent whose epoch is unknown. The agent's response contains its actual epoch. */
 const FIRST_EPOCH = 1;
 
-/** What the command dispatcher needs of its controller. */
+/** The parts of the controller's context that `CommandDispatcher` uses. */
 type CommandDispatcherContext = SettingsView & ClusterStateView & EffectSink & Logger;
 
-/** Commands to workers, and the answers to them. */
+/** Sends commands and probes, and processes their outcomes. */
 export class CommandDispatcher {
   private readonly outcomes: CommandOutcomes;
   private readonly pendingCommands = new Map<number, PendingCommand>();
@@ -34,7 +34,7 @@
     this.outcomes = new CommandOutcomes(context, allocations, reconciler, workerAnswers);
   }
 
-  /** Commands the machines that are known well enough, and probes others, as many as there is capacity for. */
+  /** Sends the commands that are due to machines that need no probe, and probes as many of the others as the limits allow. */
   dispatchAll(now: Milliseconds): void {
     const { clusterState } = this.context;
     const toProbe: Machine[] = [];
@@ -47,17 +47,17 @@
     for (const machine of selectForProbing(toProbe, this.pendingProbes, this.context, now)) this.probe(machine, now);
   }
 
-  /** The outcome of the command or probe with this effect id. */
+  /** Processes the outcome of the command or probe with this effect id. */
   handleOutcome(id: number, outcome: CommandOutcome, now: Milliseconds): void {
     const pending = this.pendingCommands.get(id);
     if (!pending) return;
     this.pendingCommands.delete(id);
     const { machine, isProbe } = pending;
     if (isProbe) this.pendingProbes--;
-    // It was sent in an earlier tenure of the shard.
+    // The command was sent in an earlier tenure of the shard.
     if (machine.tenure.pendingCommandId !== id) return;
     machine.tenure.pendingCommandId = null;
-    // A probe that confirms what was known gives the scheduler nothing new to work with.
+    // An answer to a probe of a verified, responsive machine changes nothing for the scheduler.
     if (!isProbe || !machine.tenure.isVerified || machine.tenure.unansweredCommands > 0)
       this.allocations.schedulingRequested = true;
     if (this.allocations.heldShards.has(machine.shard)) this.outcomes.handle(pending, outcome, now);
@@ -71,7 +71,7 @@
   }
 
   private probe(machine: Machine, now: Milliseconds): void {
-    // Its silence counts from the first probe: until then it was not expected to answer.
+    // Silence counts from the first probe: until then the machine was not expected to answer.
     if (!machine.tenure.isProbed) {
       machine.tenure.isProbed = true;
       machine.tenure.lastHeartbeatAt = now;
@@ -84,7 +84,7 @@
   private send(machine: Machine, commands: Command[], starts: readonly Allocation[], isProbe: boolean): void {
     const { tenure } = machine;
     const id = this.context.nextEffectId();
-    // Marked before anything leaves: from here on the tasks may be there.
+    // Set before the effect is emitted: from now on the tasks may be on the machine.
     for (const allocation of starts) allocation.phase = 'sent';
     tenure.pendingCommandId = id;
     machine.lastCommandAt = this.allocations.now;
--- a/packages/controller/src/shards/command-outcomes.ts
+++ b/packages/controller/src/shards/command-outcomes.ts
@@ -1,6 +1,6 @@
 /**
- * What the outcome of a command or probe means for the machine and for the tasks whose starts it carried. Owns no state; it
- * writes to the tenure of the machine, and hands the status in an answer to the reconciliation of heartbeats.
+ * Applies the outcome of a command or probe to the machine and to the tasks whose starts the command contained. Owns no state:
+ * it writes to the tenure of the machine and passes the status in an answer to heartbeat reconciliation.
  */
 import type { Heartbeat } from '@archpost/protocol';
 import { isHeardRecently, type TaskAllocations } from '../allocation/index.js';
@@ -9,35 +9,38 @@
 import type { HeartbeatReconciliation } from './heartbeat-reconciliation.js';
 import type { WorkerAnswers } from './worker-answers.js';
 
-/** A machine that didn't answer is tried again after this long. */
+/** Delay before the next message to a machine that didn't answer. */
 const UNANSWERED_RETRY_MS = 700;
 
-/** A machine that knows a higher fencing token is tried again after this long: this controller has yet to read why. */
+/**
+ * Delay before the next message to a machine that has received a higher fencing token: this controller's replica doesn't contain
+ * the change that raised the token yet.
+ */
 const HIGHER_TOKEN_RETRY_MS = 1000;
 
-/** A command or probe that was not answered yet. */
+/** A command or probe that has no outcome yet. */
 export interface PendingCommand {
   machine: Machine;
-  /** the allocations whose starts it carries */
+  /** the allocations whose starts it contains */
   starts: readonly Allocation[];
-  /** it carries no command, so nothing happens if it arrives late */
+  /** whether it contains no commands, so that a late delivery has no effect */
   isProbe: boolean;
-  /** what was known of the worker when it was sent: the answer is newer */
+  /** position of the newest heartbeat that was processed before it was sent: the answer is newer */
   knownBefore: HeartbeatPosition;
 }
 
 /**
- * What became of a command. `ok`: it was carried out; `stale`: the worker rejected it, for its fencing token or for the agent's
- * epoch; `lost`: there was no answer, and it may be carried out yet; `refused`: the worker could not be connected to, so it
- * never left; `withheld`: this controller did not send it, since it was late itself. `heartbeat`: the worker's
- * status; null: it could not be read.
+ * The outcome of a command. `ok`: the worker executed it. `stale`: the worker rejected it because of its fencing token or agent
+ * epoch. `lost`: no answer arrived, and the command may still be executed. `refused`: no connection to the worker could be made,
+ * so the command was not sent. `withheld`: this controller did not send it because of its own delay. `heartbeat`: the worker's
+ * status in the answer; null if it could not be read.
  */
 export type CommandOutcome = { kind: 'ok' | 'stale'; heartbeat: Heartbeat | null } | { kind: 'lost' | 'refused' | 'withheld' };
 
-/** What the outcomes of commands need of their controller. */
+/** The parts of the controller's context that `CommandOutcomes` uses. */
 type CommandOutcomesContext = ClusterStateView & Logger;
 
-/** Takes the outcomes of commands to machines of shards that are held here. */
+/** Processes the outcomes of commands to machines of shards held here. */
 export class CommandOutcomes {
   constructor(
     private readonly context: CommandOutcomesContext,
@@ -46,7 +49,7 @@
     private readonly workerAnswers: WorkerAnswers,
   ) {}
 
-  /** `pending` is the machine's last command, and no longer counts as pending. */
+  /** Processes the outcome of `pending`, the machine's last command, which the caller has already removed from its tenure. */
   handle(pending: PendingCommand, outcome: CommandOutcome, now: Milliseconds): void {
     switch (outcome.kind) {
       case 'lost':
@@ -66,25 +69,28 @@
   private handleExecuted(pending: PendingCommand, heartbeat: Heartbeat | null, now: Milliseconds): void {
     const { machine, starts, isProbe, knownBefore } = pending;
     if (heartbeat === null) {
-      // Carried out, but what runs there now can't be read: as good as no answer.
+      // The commands were executed, but the machine's tasks are unknown, as without an answer.
       this.context.log('warn', 'unreadable worker response', { machine: machine.name });
       return this.handleUnanswered(pending, 'lost', now);
     }
     this.recordAnswer(machine, now);
     this.reconciler.reconcile(machine, heartbeat, now, knownBefore);
-    // A task that was started and isn't reported has run and is gone.
+    // A task that was started but is missing from the status has already ended.
     for (const allocation of starts) if (this.allocations.isStartPending(allocation)) this.allocations.free(allocation);
     if (isProbe && !machine.tenure.isVerified) this.recordVerified(machine);
   }
 
-  /** Under the new token no older start can be carried out any more: a task that the status lacks isn't there. */
+  /**
+   * Marks the machine as verified. Under its new fencing token no earlier start can be executed anymore, so a task that is
+   * missing from the status isn't on the machine.
+   */
   private recordVerified(machine: Machine): void {
     machine.tenure.recordVerified();
     for (const allocation of [...machine.tenure.allocations.values()])
       if (allocation.phase === 'sent') this.allocations.free(allocation);
   }
 
-  /** The worker's agent is in another epoch, or has seen a higher fencing token. */
+  /** Handles a command that the worker rejected: its agent is in another epoch, or has received a higher fencing token. */
   private handleRejected({ machine, starts, knownBefore }: PendingCommand, heartbeat: Heartbeat | null, now: Milliseconds): void {
     this.recordAnswer(machine, now);
     for (const allocation of starts) this.allocations.startNotSent(allocation);
@@ -94,14 +100,14 @@
       machine.tenure.retryAt = now + HIGHER_TOKEN_RETRY_MS;
   }
 
-  /** Some worker is reachable from here, and this machine is. */
+  /** Records that the machine answered, which also shows that workers can be reached from this controller. */
   private recordAnswer({ tenure }: Machine, now: Milliseconds): void {
     this.workerAnswers.recordAnswer(now);
     tenure.unansweredCommands = 0;
     tenure.unansweredSince = null;
   }
 
-  /** What was not sent says nothing of the machine. */
+  /** Makes the stops and starts of a command that was not sent due again. The machine doesn't count as unresponsive for it. */
   private handleWithheld({ machine: { tenure }, starts }: PendingCommand): void {
     for (const allocation of tenure.allocations.values()) allocation.stopSentAt = NEVER;
     for (const allocation of starts) this.allocations.startNotSent(allocation);
@@ -115,7 +121,7 @@
     tenure.retryAt = now + UNANSWERED_RETRY_MS;
     for (const allocation of tenure.allocations.values()) allocation.stopSentAt = NEVER;
     if (kind === 'refused') for (const allocation of starts) this.allocations.startNotSent(allocation);
-    // A command may be carried out late.
+    // Unlike a probe, a lost command may be executed late.
     else if (!isProbe) tenure.hasUncertainCommand = true;
   }
 }
--- a/packages/controller/src/shards/failure-detector.ts
+++ b/packages/controller/src/shards/failure-detector.ts
@@ -1,7 +1,7 @@
 /**
- * Which workers can be reached from here, as far as their answers and their silence show: whether a zone is cut off, and
- * whether the fault is this controller's own. A worker that is heard need not be reachable, and one that doesn't answer need
- * not be dead. Owns which zones count as cut off, and since when no worker answers.
+ * Infers from the answers and the silence of workers which of them this controller can reach: whether a zone is cut off from it,
+ * and whether it is itself cut off. A worker whose heartbeats arrive isn't necessarily reachable, and a worker that doesn't
+ * answer isn't necessarily dead. Owns the set of zones that are cut off, and the time since which no worker answers.
  */
 import { isHeardRecently, type TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, EffectSink, Logger, PeerDirectory, SettingsView } from '../context/index.js';
@@ -10,46 +10,52 @@
 import type { WorkerAnswers } from './worker-answers.js';
 import { healthNearby, isLossWidespread, isNearlyAllUnanswered, isZoneCutOff, type ZoneHealth } from './zone-health.js';
 
-/** No worker answers for this long, though some that are heard were probed for that: the fault is here. */
+/**
+ * If no worker answers for this long, although workers whose heartbeats arrive were probed, this controller counts as cut off
+ * from the workers.
+ */
 const NO_ANSWER_LIMIT_MS = 2000;
 
-/** No worker seems to answer once this many that are heard did not, and none has for this long. */
+/**
+ * No worker seems to answer once this many workers whose heartbeats arrive have not answered, and the last answer of any worker
+ * is older than the time below.
+ */
 const MIN_UNANSWERED_MACHINES = 3;
 const NO_ANSWER_SUSPICION_MS = 1500;
 
-/** A machine heard within this time counts as heard in its zone. */
+/** A machine whose last heartbeat is younger than this counts as in contact in the health of its zone. */
 const RECENTLY_HEARD_MS = 4000;
 
-/** A machine that did not answer this many commands in a row counts as unanswered in its zone. */
+/** A machine that did not answer this many commands in a row counts as unanswered in the health of its zone. */
 const UNANSWERED_COMMANDS = 2;
 
-/** Healthy machines probed at once. */
+/** Maximum number of healthy machines for which one check requests probes. */
 const MAX_HEALTHY_PROBES = 4;
 
-/** A healthy machine isn't probed more often than this. */
+/** Minimum interval between probes of a healthy machine. */
 const HEALTHY_PROBE_INTERVAL_MS = 1000;
 
 /** An answer of any worker within this many heartbeat intervals shows that this controller isn't cut off. */
 const ANSWER_FRESH_INTERVALS = 2;
 
-/** Where there is nobody to probe, silence is believed after this multiple of the time that a machine's silence is tolerated. */
+/** If there is no healthy machine to probe, a silence counts after this multiple of the tolerated silence. */
 const UNCONFIRMED_SILENCE_FACTOR = 2;
 
-/** What the failure detector needs of its controller. */
+/** The parts of the controller's context that `FailureDetector` uses. */
 type FailureDetectorContext = SettingsView & ClusterStateView & PeerDirectory & EffectSink & Logger;
 
-/** Judges the machines of the shards held here together; what follows for one of them is the machine lifecycle's to decide. */
+/** Evaluates the machines of the held shards as a group. The machine lifecycle decides about each single machine. */
 export class FailureDetector {
-  /** Can workers be reached from here? */
+  /** whether workers can be reached from this controller */
   reachesWorkers = true;
   private readonly recoveryProbes: RecoveryProbes;
-  /** indices of the zones that are cut off from here */
+  /** indices of the zones that are cut off from this controller */
   private readonly cutZones = new Set<number>();
   /** by zone index, as of the last tick */
   private zones: ReadonlyMap<number, ZoneHealth> = new Map();
-  /** since when this controller seems cut off from all workers; null: it doesn't */
+  /** since when this controller seems cut off from all workers; null if it doesn't */
   private unreachableSince: Milliseconds | null = null;
-  /** since when no worker at all has answered; null: some do */
+  /** since when no worker seems to answer; null if some do */
   private noAnswerSince: Milliseconds | null = null;
 
   constructor(
@@ -60,13 +66,13 @@
     this.recoveryProbes = new RecoveryProbes(context);
   }
 
-  /** What was suspected before a pause of this process has to show anew. */
+  /** Resets suspicions from before a pause of this process, since they may be due to the pause. */
   processPaused(): void {
     this.noAnswerSince = null;
     this.unreachableSince = null;
   }
 
-  /** To be called at each tick, before machines are judged one by one. */
+  /** Updates which zones are cut off and whether workers can be reached. Called at each tick, before machines are checked. */
   evaluate(now: Milliseconds): void {
     this.evaluateAnswers(now);
     this.zones = this.zoneHealths(now);
@@ -74,31 +80,31 @@
     this.evaluateReachability(now);
   }
 
-  /** Can many machines of the zone not be reached at once? Then the fault isn't theirs. */
+  /** Whether so many machines of the zone are unreachable at once that the cause is unlikely to be the machines. */
   isWidespreadLoss(zoneIndex: number): boolean {
     if (!this.reachesWorkers || this.cutZones.has(zoneIndex)) return true;
     const health = this.zones.get(zoneIndex);
     return health !== undefined && isLossWidespread(health);
   }
 
-  /** Is the machine in a zone that is cut off from here? */
+  /** Whether the machine is in a zone that is cut off from this controller. */
   isInCutZone(machine: Machine): boolean {
     return this.cutZones.has(machine.zoneIndex);
   }
 
-  /** Is the zone of this name cut off from here? */
+  /** Whether the zone with this name is cut off from this controller. */
   isZoneNameCut(zone: string): boolean {
     return this.cutZones.has(this.context.clusterState.zoneNames.indexOf(zone));
   }
 
-  /** To be called at each tick, with or without shards. */
+  /** Probes workers while none can be reached, to detect recovery. Called at each tick, even if no shard is held. */
   probeForRecovery(now: Milliseconds): void {
     if (this.reachesWorkers) return;
-    // Without machines nothing can be found out, and nothing is lost.
+    // Without machines to probe, recovery can't be detected, and there is no machine that could be lost.
     if (!this.recoveryProbes.tick(now)) this.reachesWorkers = true;
   }
 
-  /** The outcome of a probe for recovery: did the worker answer? */
+  /** Processes the outcome of a recovery probe. `isAnswered`: whether the worker answered. */
   handleProbeOutcome(id: number, isAnswered: boolean): void {
     const hasRecovered = this.recoveryProbes.handleOutcome(id, isAnswered);
     if (!hasRecovered || this.reachesWorkers) return;
@@ -111,9 +117,10 @@
   }
 
   /**
-   * May a machine that was silent for `silentMs` be given up for it? Only if some other worker answered recently: else it may
-   * be this controller that is cut off from all of them. One such cut of 30 s took 115 live machines. Until then some that are
-   * heard, by other controllers if need be, are probed; where there are none, it takes twice the silence.
+   * Whether a machine may be released for a silence of `silentMs`. Some worker must have answered recently; otherwise this
+   * controller may be cut off from all workers, and in one such partition, of 30 s, it released 115 live machines. Without a
+   * recent answer, it requests probes of machines whose heartbeats arrive here or at another controller. If there are none,
+   * twice the tolerated silence is required.
    */
   confirmSilence(now: Milliseconds, silentMs: Milliseconds): boolean {
     const { workers, policy } = this.context.settings;
@@ -122,18 +129,18 @@
     return this.probeHealthy(now) === 0 && silentMs > UNCONFIRMED_SILENCE_FACTOR * 1000 * policy.silentS;
   }
 
-  /** Several machines don't answer though they are heard, and no other has answered since. */
+  /** Tracks since when no worker answers, and restarts the silence of all machines when workers answer again. */
   private evaluateAnswers(now: Milliseconds): void {
     if (this.nobodyAnswers(now)) {
       if (this.noAnswerSince === null) this.noAnswerSince = now;
-      // At once: the suspicion ends sooner than an answer is too old to show anything, and healthy machines aren't probed
-      // otherwise.
+      // Probes are requested at once, because the suspicion is decided before `confirmSilence` considers the last answer too old,
+      // and healthy machines aren't probed otherwise.
       this.probeHealthy(now);
       return;
     }
     const lastedMs = this.noAnswerSince === null ? 0 : now - this.noAnswerSince;
     this.noAnswerSince = null;
-    // Where those that were probed answered at once, the silence of the others is their own.
+    // If probed machines answered promptly, this controller was not cut off, so the silence of other machines counts.
     if (lastedMs < NO_ANSWER_LIMIT_MS) return;
     for (const machine of this.context.clusterState.machines.values())
       if (this.allocations.heldShards.has(machine.shard)) this.restartSilence(machine, now);
@@ -147,7 +154,7 @@
   private zoneHealths(now: Milliseconds): ReadonlyMap<number, ZoneHealth> {
     const zones = new Map<number, ZoneHealth>();
     for (const { shard, zoneIndex, tenure } of this.context.clusterState.machines.values()) {
-      // A machine that was not probed yet after a takeover says nothing of its zone.
+      // A machine that was not probed since a takeover is no evidence about its zone.
       if (!this.allocations.heldShards.has(shard) || (!tenure.isVerified && !tenure.isProbed)) continue;
       let health = zones.get(zoneIndex);
       if (health === undefined) {
@@ -162,8 +169,8 @@
   }
 
   /**
-   * When a cut ends, workers need a moment to find their way back from the controller that answered them meanwhile: until then
-   * their silence says nothing.
+   * Updates which zones are cut off. When a partition ends, workers need a moment to return from the controller that answered
+   * them in the meantime, so the silence of the zone's machines restarts.
    */
   private evaluateZones(now: Milliseconds): void {
     const { clusterState } = this.context;
@@ -182,8 +189,8 @@
   }
 
   /**
-   * Where workers can't be reached from here, not even those of this controller's zone, the fault is its own and another
-   * controller can do better: the shards leave. Probes for recovery find out when it is over.
+   * Detects that this controller can't reach workers, not even those of its own zone. Its shards are then released, since another
+   * controller may reach the workers, and recovery probes detect when this controller can reach workers again.
    */
   private evaluateReachability(now: Milliseconds): void {
     if (!this.reachesWorkers) return;
@@ -201,7 +208,7 @@
     this.context.log('warn', 'workers unreachable', { lost: health.unanswered, of: health.total });
   }
 
-  /** Has a few machines probed that are heard and answered so far. Returns how many there are, up to a few. */
+  /** Requests probes of healthy machines, up to `MAX_HEALTHY_PROBES`. Returns how many healthy machines it found, up to that. */
   private probeHealthy(now: Milliseconds): number {
     let healthy = 0;
     for (const machine of this.context.clusterState.machines.values()) {
@@ -223,8 +230,8 @@
   }
 
   /**
-   * Its silence so far may have been this controller's. A machine that hasn't answered since the shard was taken over keeps the
-   * shard's work from going on: at most half of its silence is forgiven.
+   * Restarts the silence of a machine, because this controller may have caused it. For a machine that hasn't answered since its
+   * shard was taken over, up to half of the tolerated silence stays counted, because the machine blocks work of the shard.
    */
   private restartSilence({ tenure }: Machine, now: Milliseconds): void {
     const halfSilenceMs = (this.context.settings.policy.silentS * 1000) / 2;
--- a/packages/controller/src/shards/heartbeat-reconciliation.ts
+++ b/packages/controller/src/shards/heartbeat-reconciliation.ts
@@ -1,12 +1,13 @@
-/** What the shards need of the reconciliation of heartbeats, which depends on them and not the other way round. */
+/** The interface to heartbeat reconciliation. It is declared here because heartbeats/ depends on shards/, not vice versa. */
 import type { Heartbeat } from '@archpost/protocol';
 import type { HeartbeatPosition, Machine, Milliseconds } from '../model/index.js';
 
-/** Brings what a worker reports together with what is stored and intended. */
+/** Reconciles the status that a worker reports with the stored and the intended state. */
 export interface HeartbeatReconciliation {
   /**
-   * Takes a heartbeat, or the status in a worker's answer. `knownBefore`: the newest that was known when the command was sent
-   * that this answers, which is newer; null: the worker sent it on its own, and it may be a late copy.
+   * Processes a heartbeat, or the status in a worker's answer to a command. `knownBefore`: for an answer, the position of the
+   * newest heartbeat that was processed before the command was sent, which the answer is newer than; null for a heartbeat that
+   * the worker sent unprompted and that may be a delayed duplicate.
    */
   reconcile(machine: Machine, heartbeat: Heartbeat, now: Milliseconds, knownBefore: HeartbeatPosition | null): void;
 }
--- a/packages/controller/src/shards/image-cache-writer.ts
+++ b/packages/controller/src/shards/image-cache-writer.ts
@@ -1,33 +1,33 @@
 /**
- * Stores which images the machines have in their caches. A restarted controller would not know it otherwise, and a fetch can
- * take a minute. Owns the queue of machines whose images are to be stored.
+ * Stores which images the machines have in their caches. Otherwise a restarted controller would not know them, and fetching an
+ * image again can take a minute. Owns the queue of machines whose image caches are to be stored.
  */
 import type { TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, ReplicaView, StateWriting } from '../context/index.js';
 import type { Machine, Milliseconds } from '../model/index.js';
 import { encodeImageCache, NO_REVISION, StateKey, WritePriority } from '../state/index.js';
 
-/** A machine's images are stored this long after one was fetched: others may follow. */
+/** Delay between the fetch of an image and the write of the machine's image cache, so that one write covers several fetches. */
 const IMAGE_WRITE_DELAY_MS = 15_000;
 
-/** A write of images that waited longer than this is dropped: the next image brings another. */
+/** A write that has been queued for longer than this is dropped: the next fetch schedules another one. */
 const IMAGE_WRITE_TIMEOUT_MS = 5000;
 
-/** No images are written while so many writes wait, nearly all of which are more urgent. */
+/** Image caches are written only while fewer writes than this are queued, since nearly all other writes are more urgent. */
 const MAX_QUEUED_WRITES = 4;
 
-/** A machine whose images are to be stored. */
+/** A machine whose image cache is to be stored. */
 interface DueImageWrite {
   machine: Machine;
   dueAt: Milliseconds;
 }
 
-/** What the writer of image caches needs of its controller. */
+/** The parts of the controller's context that `ImageCacheWriter` uses. */
 type ImageCacheWriterContext = ClusterStateView & ReplicaView & StateWriting;
 
-/** Writes the images of machines, several of a machine in one write. */
+/** Writes the image caches of machines, with several new images of a machine in one write. */
 export class ImageCacheWriter {
-  /** in the order in which they are due */
+  /** ordered by `dueAt` */
   private readonly dueWrites: DueImageWrite[] = [];
 
   constructor(
@@ -35,14 +35,14 @@
     private readonly allocations: TaskAllocations,
   ) {}
 
-  /** The machine has an image that is not stored. */
+  /** Schedules a write of the image cache of a machine that has an image not yet stored. */
   schedule(machine: Machine): void {
     if (machine.imagesWriteQueued) return;
     machine.imagesWriteQueued = true;
     this.dueWrites.push({ machine, dueAt: this.allocations.now + IMAGE_WRITE_DELAY_MS });
   }
 
-  /** To be called at each tick. */
+  /** Queues the writes that are due. Called at each tick. */
   writeDue(now: Milliseconds): void {
     while (this.context.writer.queueLength < MAX_QUEUED_WRITES) {
       const next = this.dueWrites[0];
--- a/packages/controller/src/shards/index.ts
+++ b/packages/controller/src/shards/index.ts
@@ -1,6 +1,6 @@
 /**
- * Shards: what a controller does for the shards whose leases it holds: commands to workers, stored progress, failure detection,
- * and the lifecycle of machines. Owns what lasts for one tenure of a shard.
+ * Shards: the work of a controller for the shards whose leases it holds: commands to workers, stored progress, failure
+ * detection, and the lifecycle of machines. Owns the state that lasts for one tenure of a shard.
  */
 export type { CommandOutcome } from './command-outcomes.js';
 export type { HeartbeatReconciliation } from './heartbeat-reconciliation.js';
--- a/packages/controller/src/shards/job-checks.ts
+++ b/packages/controller/src/shards/job-checks.ts
@@ -1,19 +1,19 @@
 /**
- * What time alone brings to the jobs of the shards held here: completed tasks that are due to be stored, planned tasks that
- * waited for too long, and stops whose grace is over. Owns no state.
+ * Periodic checks of the jobs of the shards held here: stores completed tasks that are due, frees planned allocations that
+ * waited too long for their start, and ends tasks that exceeded their grace period. Owns no state.
  */
 import type { TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, Logger, SettingsView } from '../context/index.js';
 import type { Allocation, Job, Milliseconds } from '../model/index.js';
 import type { ProgressWriter } from './progress-writer.js';
 
-/** A task that still saves its state this long after its grace is ended at once. */
+/** A task that is still saving its state this long after its grace period is stopped without further grace. */
 const SAVE_OVERRUN_S = 8;
 
-/** What the checks of jobs need of their controller. */
+/** The parts of the controller's context that `JobChecks` uses. */
 type JobChecksContext = SettingsView & ClusterStateView & Logger;
 
-/** Has the task had its grace for saving, and more, since its first stop was sent? */
+/** Whether the grace period for saving, and the permitted overrun, have passed since the first stop of the task was sent. */
 function isSaveOverdue({ stopGraceS, firstStopSentAt }: Allocation, now: Milliseconds): boolean {
   return (
     stopGraceS !== null &&
@@ -23,7 +23,7 @@
   );
 }
 
-/** Checks all jobs of the shards held here; the shard controller says when. */
+/** Checks the jobs of the shards held here, at intervals that the shard controller sets. */
 export class JobChecks {
   constructor(
     private readonly context: JobChecksContext,
@@ -31,7 +31,7 @@
     private readonly progressWriter: ProgressWriter,
   ) {}
 
-  /** One round over all jobs. */
+  /** Checks each job of the shards held here once. */
   checkAll(now: Milliseconds): void {
     for (const job of this.context.clusterState.jobs.values()) {
       if (!this.allocations.heldShards.has(job.shard)) continue;
@@ -42,7 +42,10 @@
     }
   }
 
-  /** A gang is planned as a whole, so its plan is released as a whole. */
+  /**
+   * Releases all planned allocations of a gang if they waited too long, since a gang is planned as a whole. Fails a gang that was
+   * found partly started.
+   */
   private checkGang(job: Job, now: Milliseconds): void {
     const allocations = [...job.tenure.allocations.values()];
     const planned = allocations.filter((allocation) => allocation.phase === 'planned');
@@ -51,7 +54,7 @@
       if (this.isPlanOverdue(first, now)) this.releasePlan(job, planned);
       return;
     }
-    // Found partly started after a takeover, and the rest of it can't be on a machine that hasn't answered yet.
+    // The gang was found partly started after a takeover, and its missing tasks can't be on a machine that hasn't answered yet.
     if (allocations.length < job.spec.tasks && job.doneCount < job.spec.tasks && !this.allocations.mayRunUnseen(job))
       this.allocations.failGang(job);
   }
--- a/packages/controller/src/shards/job-completion-writer.ts
+++ b/packages/controller/src/shards/job-completion-writer.ts
@@ -1,13 +1,13 @@
 /**
- * Stores that a job is done, once all of its tasks are. Its users' status queries, and the jobs that depend on it, go by the
- * stored record. Owns no state beside the mark in the job's tenure that the write is queued.
+ * Stores that a job is done once all of its tasks are done. Status queries of users, and the jobs that depend on it, rely on the
+ * stored record. Owns no state except the flag in the job's tenure that marks a queued write.
  */
 import type { TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, InputClock, Logger, StateWriting } from '../context/index.js';
 import { type Job, type Milliseconds, toLoggedSeconds } from '../model/index.js';
 import { encodeDoneJob, StateKey, type WriteOutcome, WritePriority } from '../state/index.js';
 
-/** What the writer of completions needs of its controller. */
+/** The parts of the controller's context that `JobCompletionWriter` uses. */
 type JobCompletionWriterContext = InputClock & ClusterStateView & StateWriting & Logger;
 
 /** Writes the records of completed jobs. */
@@ -17,7 +17,7 @@
     private readonly allocations: TaskAllocations,
   ) {}
 
-  /** All tasks of the job have to be done, and its shard to be held here. */
+  /** Queues the write of the completion, unless one is queued. All tasks of the job must be done, and its shard held here. */
   write(job: Job): void {
     if (job.tenure.completionWriteQueued) return;
     job.tenure.completionWriteQueued = true;
@@ -44,7 +44,7 @@
       jobClass: job.spec.jobClass,
       sinceReady: toLoggedSeconds(now - job.arrivedAt),
       sinceSubmit: toLoggedSeconds(now + wallClockOffsetMs - job.submittedAt),
-      // Against its own deadline, or the earlier one that it has from the jobs that depend on it.
+      // The margin to the job's own deadline, or to an earlier one derived from the jobs that depend on it.
       spare: Number.isFinite(job.effectiveDeadlineAt) ? toLoggedSeconds(job.effectiveDeadlineAt - wallClockOffsetMs - now) : null,
       guess: job.spec.estimatedRunS,
       longestRun: toLoggedSeconds(job.longestRunS * 1000),
--- a/packages/controller/src/shards/local-health.ts
+++ b/packages/controller/src/shards/local-health.ts
@@ -1,39 +1,40 @@
 /**
- * Local health: for how much of a time this controller could not have read what reached it. A failure detector that is itself
- * slow must not hold its own delay against others (the local health awareness of Lifeguard, an extension of SWIM). So a silence
- * counts only for the time in which what had arrived was read, and each decision that rests on a silence asks here.
+ * Local health: how much of a period this controller was behind its inputs, so that heartbeats may have arrived without being
+ * read. A slow failure detector must not attribute its own delay to workers (the local health awareness of Lifeguard, an
+ * extension of SWIM). A silence therefore counts only for the time in which arrived inputs were read, and decisions that rest on
+ * a silence query that time here.
  *
- * Owns the account of that time, of a bounded window. The measurements come in as inputs: how long the oldest input waits, by how
- * much a timer was late, and pauses of the process.
+ * Owns the intervals of unread inputs within a bounded window. The measurements arrive as inputs: the age of the oldest input
+ * that waits, the delay of a timer, and pauses of the process.
  */
 import type { Logger } from '../context/index.js';
 import type { Milliseconds } from '../model/index.js';
 
-/** A shorter lag is the ordinary jitter of a process that has the processor time that it needs. */
+/** A shorter lag is ignored: it is normal jitter of a process that has sufficient CPU time. */
 const ORDINARY_LAG_MS = 100;
 
-/** Times that ended longer ago are forgotten: no silence is forgiven that far back. */
+/** Intervals that ended longer ago are discarded: no delay that old is subtracted from a silence. */
 const WINDOW_MS = 120_000;
 
-/** A time in which inputs that arrived were not read. */
+/** An interval in which arrived inputs may not have been read. */
 interface UnreadTime {
   from: Milliseconds;
   until: Milliseconds;
-  /** milliseconds of all earlier ones */
+  /** total length of all earlier intervals */
   beforeMs: Milliseconds;
 }
 
-/** Accounts for the time in which this controller fell behind its inputs. */
+/** Records the time in which this controller was behind its inputs. */
 export class LocalHealth {
-  /** in the order of time, apart from one another */
+  /** in chronological order, without overlaps */
   private unreadTimes: UnreadTime[] = [];
   private hasLoggedImplausible = false;
 
   constructor(private readonly context: Logger) {}
 
   /**
-   * What arrived within the last `lagMs` may not have been read by `now`. A measurement that can't be right (negative, not a
-   * number, or longer than the time that is measured) is passed over, and the first such one is logged.
+   * Records that inputs that arrived within the last `lagMs` may not have been read by `now`. An implausible measurement
+   * (negative, not a number, or greater than `now`) is skipped, and the first one is logged.
    */
   recordLag(lagMs: Milliseconds, now: Milliseconds): void {
     if (!(lagMs >= 0 && lagMs <= now)) return this.logImplausible(lagMs);
@@ -41,7 +42,7 @@
     this.addUnread(now - lagMs, now);
   }
 
-  /** For how long, since the time, inputs that arrived may not have been read. */
+  /** Returns for how long since `since` arrived inputs may not have been read. */
   unreadMsSince(since: Milliseconds): Milliseconds {
     const last = this.unreadTimes.at(-1);
     if (last === undefined || since >= last.until) return 0;
@@ -50,7 +51,7 @@
     return totalMs - beforeMs - Math.max(0, since - from);
   }
 
-  /** Intervals overlap, since the same input may wait through several measurements: they are merged. */
+  /** Adds an interval, merging overlapping ones: the same input may wait through several measurements. */
   private addUnread(from: Milliseconds, until: Milliseconds): void {
     if (from >= until) return;
     let mergedFrom = from;
@@ -64,7 +65,7 @@
     while (this.unreadTimes.length > 1 && (this.unreadTimes[0]?.until ?? until) < until - WINDOW_MS) this.unreadTimes.shift();
   }
 
-  /** The caller makes sure that there is one. */
+  /** Returns the first interval that ends after `time`. The caller ensures that there is one. */
   private firstEndingAfter(time: Milliseconds): UnreadTime {
     let low = 0;
     let high = this.unreadTimes.length - 1;
--- a/packages/controller/src/shards/machine-commands.ts
+++ b/packages/controller/src/shards/machine-commands.ts
@@ -1,6 +1,6 @@
 /**
- * What a machine is commanded: the tasks to clear away, to stop and to start, as far as one message takes them. Changes
- * nothing but when stops were sent; owns no state.
+ * Composes the commands of one message to a machine: the tasks to forget, to stop and to start, up to the message's limit.
+ * Changes only the times at which stops were sent; owns no state.
  */
 import { type Command, MAX_COMMANDS_PER_BODY } from '@archpost/protocol';
 import type { TaskAllocations } from '../allocation/index.js';
@@ -16,21 +16,21 @@
 } from '../model/index.js';
 import { clearOrphanedTask, forgetCommand, startCommand, stopCommand } from './task-commands.js';
 
-/** Starts are added to a message only while it has no more commands than this. */
+/** Starts are added to a message only while it has at most this many commands. */
 const MAX_COMMANDS_WITH_STARTS = 60;
 
-/** A stop is sent again after this long. */
+/** Interval after which a stop is sent again. */
 const STOP_RETRY_MS = 4000;
 
-/** Starts of the lowest priority go out this often to a machine. */
+/** Minimum interval between messages to a machine whose starts all have the lowest priority. */
 const LOW_PRIORITY_START_INTERVAL_MS = 1000;
 
-/** Tasks that are only to be cleared away go out this often to a machine that runs others. */
+/** Minimum interval between messages that only have a machine forget tasks, while it runs other tasks. */
 const FORGET_INTERVAL_MS = 3000;
 
 const NO_RESOURCES: Readonly<Resources> = { cpus: 0, gpus: 0, memory: 0 };
 
-/** One message to a machine. */
+/** The contents of one message to a machine. */
 export interface MachineCommands {
   commands: Command[];
   /** the allocations whose starts are among the commands */
@@ -38,8 +38,8 @@
 }
 
 /**
- * What is due for the machine; null: nothing, or nothing that can't wait for more. Stops that it contains count as sent: the
- * caller must send them.
+ * Returns the commands that are due for the machine; null if there are none, or if all can wait to be sent with later ones. The
+ * stops that it returns count as sent, so the caller must send them.
  */
 export function machineCommands(allocations: TaskAllocations, machine: Machine, now: Milliseconds): MachineCommands | null {
   const free = capacityOf(machine);
@@ -50,7 +50,7 @@
   return { commands, starts };
 }
 
-/** Is there anything that a command is due for, now or later, though nothing else happens? */
+/** Whether the machine has a task for which a command is due, now or later without a further change of its allocations. */
 export function hasCommandsDue({ tenure: { orphanedTasks, allocations } }: Machine): boolean {
   if (orphanedTasks.length > 0) return true;
   for (const { phase, stopGraceS } of allocations.values())
@@ -59,8 +59,8 @@
 }
 
 /**
- * Adds what is to be stopped or cleared away, up to what a message takes; the others come with the next one. Subtracts from
- * `free` what the tasks need that stay on the machine.
+ * Adds stop and forget commands up to the limit of a message; the remaining ones follow in the next message. Subtracts from
+ * `free` the resources of the tasks that stay on the machine.
  */
 function addStopsAndForgets(commands: Command[], machine: Machine, free: Resources, now: Milliseconds): void {
   for (const allocation of machine.tenure.allocations.values()) {
@@ -74,7 +74,7 @@
       commands.push(stopCommand(allocation, allocation.stopGraceS));
       recordStopSent(allocation, now);
     }
-    // A task that is stopped without grace is gone before the next command is carried out.
+    // A task that is stopped without a grace period has ended before the next command is executed.
     if (allocation.stopGraceS !== 0) subtract(free, allocation.job.resources);
   }
 }
@@ -84,12 +84,12 @@
   if (allocation.firstStopSentAt === null) allocation.firstStopSentAt = now;
 }
 
-/** The worker keeps the result of a completed task until it is stored. */
+/** Whether the task is completed but not stored as done. Until then the worker must keep its result. */
 function isResultUnstored({ status, job, taskIndex }: Allocation): boolean {
   return status?.exitReason === 'done' && job.state === 'live' && !job.storedDone[taskIndex];
 }
 
-/** Adds starts of planned tasks that fit into `free`, which it subtracts them from. Returns their allocations. */
+/** Adds starts of planned tasks that fit into `free`, from which it subtracts their resources. Returns their allocations. */
 function addStarts(commands: Command[], allocations: TaskAllocations, machine: Machine, free: Resources): Allocation[] {
   const limit = MAX_COMMANDS_WITH_STARTS - commands.length;
   const starts: Allocation[] = [];
@@ -106,7 +106,7 @@
   return starts;
 }
 
-/** A gang is started once all of its tasks are planned and each of their machines has free resources for them. */
+/** Whether a gang can be started: all of its tasks are allocated, and each machine has free resources for its planned tasks. */
 function isGangReady(job: Job): boolean {
   if (job.tenure.gangFailed || job.tenure.allocations.size < job.spec.tasks) return false;
   for (const { phase, machine } of job.tenure.allocations.values())
@@ -114,7 +114,10 @@
   return true;
 }
 
-/** Does what may run on the machine leave enough for the gang's tasks there? Other plans give way. */
+/**
+ * Whether the tasks that may run on the machine leave enough resources for the gang's tasks on it. Planned tasks of other jobs
+ * don't count.
+ */
 function isReadyForGang(machine: Machine, gang: Job): boolean {
   if (!machine.tenure.isVerified || machine.tenure.hasUncertainCommand || !machine.capacity) return false;
   const free = capacityOf(machine);
@@ -126,8 +129,8 @@
 }
 
 /**
- * Machines that run short tasks of low priority get several commands at once: with a message and its answer for each, the
- * tasks of one large array took all processor time that there was (docs/incidents/inc-3aa6-leith-ops.md).
+ * Whether the commands can wait to be sent together with later ones. With one message and answer per command, the short
+ * low-priority tasks of one large array took all of the CPU time (docs/incidents/inc-3aa6-leith-ops.md).
  */
 function canWait(machine: Machine, commands: readonly Command[], starts: readonly Allocation[], now: Milliseconds): boolean {
   if (commands.some((command) => command.type === 'stop') || starts.some((allocation) => allocation.job.priority > 0))
@@ -137,12 +140,15 @@
   return sinceCommandMs < FORGET_INTERVAL_MS && canForgetsWait(machine);
 }
 
-/** Not on a machine that would be empty without them, nor while one of them keeps a task from starting again. */
+/**
+ * Whether forget commands can wait. They can't on a machine that would otherwise be empty or is about to leave, nor if one of
+ * them is required before a task can restart.
+ */
 function canForgetsWait(machine: Machine): boolean {
   if (machine.moveToShard !== null || machine.isRetired || machine.tenure.preemptionNoticeUntil !== null) return false;
   let runsOthers = false;
   for (const { phase, status } of machine.tenure.allocations.values()) {
-    // A task that was stopped or failed can't start again before it is cleared away.
+    // A task that was stopped or failed can't restart until the worker has forgotten it.
     if (phase === 'exited' && status?.exitReason !== 'done') return false;
     runsOthers ||= phase === 'reported';
   }
--- a/packages/controller/src/shards/machine-lifecycle.ts
+++ b/packages/controller/src/shards/machine-lifecycle.ts
@@ -1,7 +1,7 @@
 /**
- * The life of the machines of the shards held here: which are given up for their silence, for not being reachable or for
- * cancelled work that does not end, which are empty and can move or go, and whose fencing token has to rise. Decides machine
- * by machine; the failure detector judges them together. Owns no state beside its parts' and the machines' tenures.
+ * Lifecycle of the machines of the shards held here: releases machines that are silent, unreachable, or have cancelled work that
+ * does not end; releases or moves empty machines; and raises fencing tokens. Decides about each machine separately, whereas the
+ * failure detector evaluates them as a group. Owns no state of its own: it uses its parts and the tenures of the machines.
  */
 import { isEmpty, isHeardByPeer, type TaskAllocations } from '../allocation/index.js';
 import type {
@@ -20,22 +20,25 @@
 import { isUnanswering, type MachineSilence } from './machine-silence.js';
 import type { WorkerAnswers } from './worker-answers.js';
 
-/** Cancelled work may stay for this part of the time within which a cancellation has to be carried out. */
+/** Cancelled work is overdue after this fraction of the time within which a cancellation must be completed. */
 const OVERDUE_CANCELLATION_FRACTION = 0.5;
 
-/** Overdue work must have been stopped this many heartbeat intervals ago, or for as long as the cancellation is overdue. */
+/**
+ * Cancelled work counts as overdue only if its stop was requested longer ago than this many heartbeat intervals, or than the
+ * permitted age of the cancellation where that is shorter.
+ */
 const STOP_SENT_INTERVALS = 2;
 
-/** A machine whose spot preemption notice is over is given up after this many heartbeat intervals of silence. */
+/** A machine whose spot preemption notice has expired is released after this many heartbeat intervals of silence. */
 const SILENT_INTERVALS_AFTER_NOTICE = 1.5;
 
-/** A worker's lease has surely expired once it was not heard for the lease and this many heartbeat intervals. */
+/** A worker's lease has certainly expired after a silence of the lease duration plus this many heartbeat intervals. */
 const LEASE_OVERRUN_INTERVALS = 2;
 
-/** What the machine lifecycle needs of its controller. */
+/** The parts of the controller's context that `MachineLifecycle` uses. */
 type MachineLifecycleContext = SettingsView & ClusterStateView & ReplicaView & StateWriting & PeerDirectory & EffectSink & Logger;
 
-/** Checks the machines of the shards held here, and carries out what follows. */
+/** Checks the machines of the shards held here, and releases, moves or fences them. */
 export class MachineLifecycle {
   readonly failureDetector: FailureDetector;
   private readonly assignmentUpdates: AssignmentUpdates;
@@ -52,7 +55,7 @@
     this.releases = new MachineReleases(context, allocations, this.assignmentUpdates, silence);
   }
 
-  /** To be called at each tick, unless this controller is catching up after a pause. */
+  /** Checks all machines of the held shards. Called at each tick, unless this controller is catching up after a pause. */
   checkMachines(now: Milliseconds): void {
     this.failureDetector.evaluate(now);
     const dueForRelease: Machine[] = [];
@@ -60,7 +63,7 @@
     const overdue = this.machinesWithOverdueCancellation(now, this.overdueCancellationMs);
     for (const machine of this.context.clusterState.machines.values()) {
       if (!actingShards.has(machine.shard)) continue;
-      // Cancelled work must be gone in time, whatever the reason for a silence, and however long that is thought to last.
+      // Cancelled work must end in time, whatever the cause of a silence and however much of the silence counts.
       if (machine.tenure.releaseReason === null && overdue.has(machine))
         this.releases.mark(machine, 'cancelled work does not end', now);
       this.checkSilence(machine, now);
@@ -72,7 +75,7 @@
     this.releases.request(dueForRelease, now);
   }
 
-  /** The outcome of the release request with this effect id. */
+  /** Processes the outcome of the release request with this effect id. */
   handleReleaseOutcome(id: number, isReleased: boolean, now: Milliseconds): void {
     this.releases.handleOutcome(id, isReleased, now);
   }
@@ -81,26 +84,26 @@
     return this.context.settings.workers.cancelS * 1000 * OVERDUE_CANCELLATION_FRACTION;
   }
 
-  /** A machine that nobody hears any more is given up, sooner if it has cancelled work. */
+  /** Marks a machine without recent heartbeats at any controller for release, sooner if it has cancelled work. */
   private checkSilence(machine: Machine, now: Milliseconds): void {
     const silentMs = now - machine.tenure.lastHeartbeatAt;
     if (!isWaitedFor(machine) || machine.tenure.releaseReason !== null) return;
-    // Pauses of this process move the time at which a peer heard it, too: for a machine that is really gone without end.
+    // Pauses of this process also shift the time of the last peer contact, so a lost machine could seem in contact indefinitely.
     if (isHeardByPeer(machine, now) && !this.silence.isBeyondForgiveness(machine, now)) return;
     if (this.isSilentWithCancelledWork(machine, silentMs, now)) this.releases.mark(machine, 'silent with cancelled work', now);
     else if (this.isSilent(machine, silentMs, now) && this.isOwnSilence(machine, silentMs, now))
       this.releases.mark(machine, 'silent', now);
   }
 
-  /** Cancelled work must be gone in time, so that no delay of this controller is taken off here. */
+  /** Whether a silent machine has cancelled work. The work must end in time, so delays of this controller aren't subtracted. */
   private isSilentWithCancelledWork(machine: Machine, silentMs: Milliseconds, now: Milliseconds): boolean {
     if (silentMs <= this.overdueCancellationMs || silentMs <= this.context.settings.policy.silentS * 1000) return false;
     return this.machinesWithOverdueCancellation(now, 0).has(machine);
   }
 
   /**
-   * Longer than silence is tolerated, or so that the cloud has most likely taken it at the end of its preemption notice, which
-   * doesn't wait for a slow controller.
+   * Whether the machine's silence exceeds what is tolerated, or suggests that the cloud preempted it at the end of its notice.
+   * The preemption doesn't wait for a slow controller, so delays of this controller aren't subtracted in that case.
    */
   private isSilent(machine: Machine, silentMs: Milliseconds, now: Milliseconds): boolean {
     if (this.silence.isBeyondTolerance(machine, now)) return true;
@@ -110,7 +113,7 @@
     return isNoticeOver && silentMs > heartbeatIntervalS * (SILENT_INTERVALS_AFTER_NOTICE * 1000);
   }
 
-  /** Is the silence the machine's, rather than that of its zone or of this controller? */
+  /** Whether the silence is caused by the machine rather than by a partition of its zone or of this controller. */
   private isOwnSilence(machine: Machine, silentMs: Milliseconds, now: Milliseconds): boolean {
     const { failureDetector } = this;
     return (
@@ -118,7 +121,7 @@
     );
   }
 
-  /** An empty machine can go or move; one that is to go or move is drained until it is empty. */
+  /** Releases or moves an empty machine where required, and drains a machine that is retired or is to move to another shard. */
   private checkEmpty(machine: Machine, now: Milliseconds): void {
     const { tenure } = machine;
     if (tenure.releaseReason !== null) return;
@@ -137,8 +140,8 @@
   }
 
   /**
-   * Its heartbeats come, but nothing reaches it: it would be taken for healthy for ever, though its lease runs out. Where many
-   * can't be reached at once, the fault isn't theirs.
+   * Marks a machine for release that can't be reached although its heartbeats arrive. Otherwise it would count as healthy
+   * forever, while its lease expires. If many machines are unreachable at once, the cause isn't the machines, and none is marked.
    */
   private checkReachability(machine: Machine, now: Milliseconds): void {
     const { failureDetector } = this;
@@ -152,9 +155,9 @@
   }
 
   /**
-   * Machines with work whose user cancelled it more than `overdueMs` ago, and that was stopped: the time counts from when
-   * the cancellation was read, not from when a new holder found the work. Goes by jobs: few are cancelled, and many machines
-   * have many tasks.
+   * Returns the machines with tasks of jobs that were cancelled more than `overdueMs` ago and whose tasks were stopped. The time
+   * counts from when this controller read the cancellation, not from when a new lease holder found the tasks. Iterates over jobs
+   * rather than machines, since few jobs are cancelled and many machines have many tasks.
    */
   private machinesWithOverdueCancellation(now: Milliseconds, overdueMs: Milliseconds): ReadonlySet<Machine> {
     const { heartbeatIntervalS } = this.context.settings.workers;
@@ -169,8 +172,9 @@
   }
 
   /**
-   * In a zone that is cut off from the state service too, its controllers stop answering workers, and the work there ends by
-   * their leases. From then on such a machine only keeps its work from going on elsewhere, which is worth its release.
+   * Whether the machine is in a zone that is also cut off from the state service, for longer than its lease. The controllers of
+   * such a zone stop answering workers, so the leases of the workers expire and their tasks end. The machine then only prevents
+   * its tasks from restarting elsewhere, so it is released.
    */
   private isCutOffBeyondLease(machine: Machine, now: Milliseconds): boolean {
     const { leaseS, heartbeatIntervalS } = this.context.settings.workers;
@@ -179,7 +183,7 @@
     return mayHoldUpWork(machine) && this.areZoneControllersAbsent(machine.zoneIndex, now);
   }
 
-  /** Have all controllers of the zone been absent from the state service for half of the time that a cancellation has? */
+  /** Whether all controllers of the zone have been absent from the state service for half of the cancellation time. */
   private areZoneControllersAbsent(zoneIndex: number, now: Milliseconds): boolean {
     const { clusterState, settings } = this.context;
     const zone = clusterState.zoneNames.nameOf(zoneIndex);
@@ -190,7 +194,7 @@
     });
   }
 
-  /** Several commands in a row without an answer, over longer than a machine's silence is tolerated. */
+  /** Whether the machine left several commands in a row unanswered, for longer than the tolerated silence. */
   private isUnreachable(machine: Machine, now: Milliseconds): boolean {
     const { unansweredSince } = machine.tenure;
     if (!isUnanswering(machine) || unansweredSince === null) return false;
@@ -199,23 +203,27 @@
 }
 
 /**
- * Whose silence counts: one that was probed since it was last heard, where only answers count. At a first start that outlasts
- * leases a machine's first answer shows its agent epoch alone, and those that were never probed come before it: within 90 s
- * 1,312 of 4,000 machines, all of which sent heartbeats, had been released as silent (docs/incidents/
- * first-start-of-a-large-fleet.md). Pauses of this process, which move the age of a silence, don't undo the probe.
+ * Whether the machine's silence counts: it is verified, or was probed after the last contact. Heartbeats of an unverified machine
+ * don't count, only its answers do. During a first start that takes longer than the worker leases, the first answer of a machine
+ * shows only its agent epoch, and machines that were never probed precede it in the probe order. Without this condition, 1,312 of
+ * 4,000 machines, all of which sent heartbeats, were released as silent within 90 s (docs/incidents/
+ * first-start-of-a-large-fleet.md). Pauses of this process shift the start of a silence, but don't invalidate the probe.
  */
 function isWaitedFor({ tenure, lastProbeAt }: Machine): boolean {
   return tenure.isVerified || (tenure.isProbed && lastProbeAt >= tenure.lastContactAt);
 }
 
-/** A command may be carried out late, and nothing else is to become of the machine. */
+/**
+ * Whether the machine's fencing token must be raised now: a lost command may still be executed, no rewrite of the assignment and
+ * no command is pending, and the machine isn't being released.
+ */
 function needsHigherToken({ tenure }: Machine): boolean {
   return (
     tenure.hasUncertainCommand && !tenure.isRaisingToken && tenure.pendingCommandId === null && tenure.releaseReason === null
   );
 }
 
-/** May the machine have work that can't go on elsewhere before it is gone? Tasks of an array are not worth a machine. */
+/** Whether the machine may have tasks that can't restart elsewhere until it is gone. Array tasks don't justify a release. */
 function mayHoldUpWork({ tenure }: Machine): boolean {
   if (tenure.isUnverifiedTakeover) return true;
   for (const { job } of tenure.allocations.values()) if (job.spec.shape !== 'array') return true;
--- a/packages/controller/src/shards/machine-releases.ts
+++ b/packages/controller/src/shards/machine-releases.ts
@@ -1,6 +1,6 @@
 /**
- * Releases of machines to the cloud, in batches, until the cloud confirms them. A machine that is marked is released whether or
- * not it recovers meanwhile, unless it was marked for its silence. Owns the requests that are pending.
+ * Releases machines to the cloud in batches, and retries until the cloud confirms. A marked machine is released even if it
+ * recovers in the meantime, unless it was marked as silent. Owns the pending requests.
  */
 import { MAX_MACHINES_PER_RELEASE } from '@archpost/protocol';
 import { hasCancelledWork, type TaskAllocations } from '../allocation/index.js';
@@ -9,18 +9,18 @@
 import type { AssignmentUpdates } from './assignment-updates.js';
 import type { MachineSilence } from './machine-silence.js';
 
-/** Requests are made this often at most. */
+/** Minimum interval between requests. */
 const RELEASE_INTERVAL_MS = 300;
 
-/** A release that failed is tried again after this long. */
+/** Delay before a failed release is retried. */
 const RELEASE_RETRY_MS = 1500;
 
-/** What the releases need of their controller. */
+/** The parts of the controller's context that `MachineReleases` uses. */
 type MachineReleasesContext = ClusterStateView & EffectSink & Logger;
 
 /** Releases machines of the shards held here. */
 export class MachineReleases {
-  /** by effect id */
+  /** the machines of each pending request, by effect id */
   private readonly pendingReleases = new Map<number, readonly Machine[]>();
   private nextRequestAt: Milliseconds = 0;
 
@@ -31,7 +31,7 @@
     private readonly silence: MachineSilence,
   ) {}
 
-  /** The machine is to be released; from now on it gets neither commands nor probes. */
+  /** Marks the machine for release. From then on it is sent neither commands nor probes. */
   mark(machine: Machine, reason: ReleaseReason, now: Milliseconds): void {
     const { tenure } = machine;
     tenure.releaseReason = reason;
@@ -41,19 +41,22 @@
       zone: this.context.clusterState.zoneNames.nameOf(machine.zoneIndex),
       reason,
       tasks: tenure.allocations.size,
-      // What the decision rests on: when it was heard last, how much of that time was readable here, and what it didn't answer.
+      // The evidence for the decision: age of the last contact, for how much of it inputs were read, and unanswered commands.
       contactAgeS: toLoggedSeconds(now - tenure.lastContactAt),
       readableS: toLoggedSeconds(this.silence.heardMsSince(tenure.lastContactAt, now)),
       unanswered: tenure.unansweredCommands,
     });
   }
 
-  /** Is the machine marked, and no request for it pending or just failed? */
+  /** Whether the machine is marked, no request for it is pending, and the delay after a failed one has passed. */
   isDue({ tenure, releaseRetryAt }: Machine, now: Milliseconds): boolean {
     return tenure.releaseReason !== null && !tenure.isReleasing && now >= releaseRetryAt;
   }
 
-  /** Releases as many of the machines, which are due, as a request takes, unless one was made a moment ago. */
+  /**
+   * Requests the release of the machines in `due`, up to the limit of a request and those with cancelled work first. Does nothing
+   * within `RELEASE_INTERVAL_MS` of the previous request.
+   */
   request(due: readonly Machine[], now: Milliseconds): void {
     if (due.length === 0 || now < this.nextRequestAt) return;
     const id = this.context.nextEffectId();
@@ -64,7 +67,7 @@
     this.context.emit({ type: 'release', id, machines: batch.map((machine) => machine.name) });
   }
 
-  /** The cloud has answered a request, or has not. `isReleased`: the machines, and everything on them, are gone. */
+  /** Processes the outcome of a request. `isReleased`: the cloud confirmed that the machines, and all tasks on them, are gone. */
   handleOutcome(id: number, isReleased: boolean, now: Milliseconds): void {
     const machines = this.pendingReleases.get(id);
     if (!machines) return;
@@ -76,7 +79,7 @@
     }
   }
 
-  /** Its tasks run nowhere now and can be placed anew. */
+  /** Frees the allocations of a released machine, so that its tasks can be placed again, and removes its assignment. */
   private recordReleased(machine: Machine): void {
     machine.tenure.isReleasing = true;
     machine.tenure.recordVerified();
--- a/packages/controller/src/shards/machine-silence.ts
+++ b/packages/controller/src/shards/machine-silence.ts
@@ -1,50 +1,51 @@
 /**
- * How long a machine has been silent, as far as this controller could have heard it. A silence counts from when the machine was
- * last heard, for the time in which what arrived was read. Since a controller may be slow for long, that is bounded: a machine
- * that has not been heard for a multiple of the tolerated time, whatever the reason, and does not answer several commands in a
- * row, is silent. Judgements alone; owns no state.
+ * How long a machine has been silent, excluding the time in which this controller could not have read its heartbeats. A silence
+ * counts from the last contact with the machine, for the time in which arrived inputs were read. Since a controller may be slow
+ * for long, the excluded time is bounded: a machine without contact for a multiple of the tolerated silence that also leaves
+ * several commands in a row unanswered is silent, whatever the cause. Owns no state.
  */
 import type { SettingsView } from '../context/index.js';
 import type { Machine, Milliseconds } from '../model/index.js';
 import type { LocalHealth } from './local-health.js';
 
 /**
- * Beyond this multiple of the time that a silence is tolerated, none of it is forgiven any more. With 7 s these are 21 s, which
- * with the commands that have to go unanswered are less than a cancellation has.
+ * Beyond this multiple of the tolerated silence, delays of this controller are no longer subtracted. With a tolerated silence of
+ * 7 s the limit is 21 s. Together with the commands that must go unanswered, that is less than the time of a cancellation.
  */
 const MAX_SILENCE_FACTOR = 3;
 
-/** A machine that did not answer this many commands in a row, each of which had its time, can't be reached. */
+/** A machine that left this many commands in a row unanswered, each until its timeout, counts as unresponsive. */
 const UNANSWERED_COMMANDS = 3;
 
-/** Judges silences by what this controller was able to hear. */
+/** Measures silences by the time in which this controller read its inputs. */
 export class MachineSilence {
   constructor(
     private readonly context: SettingsView,
     private readonly localHealth: LocalHealth,
   ) {}
 
-  /** Milliseconds since the time in which this controller read what arrived. */
+  /** Returns for how long since `since` this controller read arrived inputs. */
   heardMsSince(since: Milliseconds, now: Milliseconds): Milliseconds {
     return now - since - this.localHealth.unreadMsSince(since);
   }
 
   /**
-   * How long the machine has been silent while this controller read what arrived. `lastHeartbeatAt` leaves out pauses of this
-   * process and times in which nobody could be heard, the account all times in which it was behind: the shorter silence counts.
+   * Returns how long the machine has been silent while this controller read arrived inputs. `lastHeartbeatAt` excludes pauses of
+   * this process and times in which no worker could be reached; the local health excludes the time in which this controller was
+   * behind its inputs. The shorter of the two silences counts.
    */
   silentMs({ tenure }: Machine, now: Milliseconds): Milliseconds {
     return Math.min(now - tenure.lastHeartbeatAt, this.heardMsSince(tenure.lastContactAt, now));
   }
 
-  /** Has nobody heard the machine for so long that no delay of this controller is an excuse any more? */
+  /** Whether the last contact with the machine is so old that delays of this controller are no longer subtracted. */
   isBeyondForgiveness(machine: Machine, now: Milliseconds): boolean {
     return isBeyondForgiveness(machine, this.context, now);
   }
 
   /**
-   * Is the machine's silence longer than is tolerated? Where this controller was behind for most of it, the rest adds up from
-   * moments in which hardly anybody was heard, so commands without an answer have to confirm it.
+   * Whether the machine's silence exceeds the tolerated silence. If this controller was behind its inputs for most of that time,
+   * the rest consists of short periods in which hardly any heartbeat arrived, so unanswered commands must confirm the silence.
    */
   isBeyondTolerance(machine: Machine, now: Milliseconds): boolean {
     const silentMs = this.silentMs(machine, now);
@@ -58,12 +59,12 @@
   }
 }
 
-/** Did the machine not answer several commands in a row? */
+/** Whether the machine left several commands in a row unanswered. */
 export function isUnanswering({ tenure }: Machine): boolean {
   return tenure.unansweredCommands >= UNANSWERED_COMMANDS;
 }
 
-/** Has the machine been unheard for so long that no delay of this controller is an excuse any more? */
+/** Whether the last contact with the machine is so old that delays of this controller are no longer subtracted. */
 export function isBeyondForgiveness({ tenure }: Machine, { settings }: SettingsView, now: Milliseconds): boolean {
   return now - tenure.lastContactAt > MAX_SILENCE_FACTOR * settings.policy.silentS * 1000;
 }
--- a/packages/controller/src/shards/probe-selection.ts
+++ b/packages/controller/src/shards/probe-selection.ts
@@ -1,6 +1,6 @@
 /**
- * Which machines may be commanded, which are probed instead, and in which order. A probe is a command without contents: its
- * answer is the worker's status. Judgements alone; owns no state.
+ * Decides which machines may be sent commands, which are probed instead, and in which order. A probe is a message without
+ * commands; its answer is the worker's status. Owns no state.
  */
 import { hasCancelledWork, isHeardRecently } from '../allocation/index.js';
 import type { SettingsView } from '../context/index.js';
@@ -8,30 +8,30 @@
 import { isBeyondForgiveness, isUnanswering } from './machine-silence.js';
 
 /**
- * Machines that a whole core probes in one tick. After a takeover all have to be, and workers' heartbeats, whose leases run,
- * must not wait behind a hundred probes.
+ * Maximum number of probes per tick with a full CPU core. After a takeover all machines must be probed, but heartbeats of
+ * workers, whose leases are running, must not wait behind a hundred probes.
  */
 const MAX_PROBES_PER_TICK = 32;
 
-/** This many are probed in a tick however small the controller's part of a core is. */
+/** Lower bound of the maximum number of probes per tick, however small the controller's share of a core is. */
 const MIN_PROBES_PER_TICK = 2;
 
-/** A machine that is silent for this many heartbeat intervals is probed. */
+/** A machine is probed after a silence of this many heartbeat intervals. */
 const PROBE_AFTER_SILENT_INTERVALS = 2;
 
 /**
- * As many in a tick are for machines that have not been heard for so long that none of their silence is forgiven any more, until
- * it is known whether they answer. Else those that seem silent because this controller is slow come before them for ever.
+ * Probes per tick that are reserved for machines beyond the maximum silence, until it is known whether they answer. Otherwise
+ * machines that seem silent only because this controller is slow would precede them indefinitely.
  */
 const RESERVED_PROBES = 4;
 
-/** One probe at a time may be pending per this many sockets: the others are for commands and heartbeats. */
+/** One probe may be pending per this many sockets; the remaining sockets are for commands and heartbeats. */
 const SOCKETS_PER_PROBE = 12;
 
-/** The same where a healthy machine is probed, so that it doesn't wait behind those that do not answer. */
+/** The same for probes of healthy machines, so that they don't wait behind probes of unresponsive machines. */
 const SOCKETS_PER_HEALTHY_PROBE = 8;
 
-/** May a message leave for the machine now? */
+/** Whether a command or probe may be sent to the machine now. */
 export function mayCommand(machine: Machine, now: Milliseconds): boolean {
   const { tenure } = machine;
   return (
@@ -44,7 +44,10 @@
   );
 }
 
-/** Is the machine to be probed before it is commanded? It is silent, does not answer, or something about it is odd. */
+/**
+ * Whether the machine must be probed before it is sent commands: it is unverified, silent or doesn't answer, or a probe of it was
+ * requested.
+ */
 export function needsProbe(machine: Machine, context: SettingsView, now: Milliseconds): boolean {
   const { tenure } = machine;
   if (!tenure.isVerified || machine.probeRequested || tenure.unansweredCommands > 0) return true;
@@ -54,8 +57,9 @@
 }
 
 /**
- * Those of the machines that are probed now: as many as there is processor time for, and sockets beside the `pendingProbes`.
- * Probes to a silent zone must not take the sockets of live machines. Sorts `machines` where not all can be probed.
+ * Selects the machines to probe now, limited by the controller's CPU share and by the sockets that the `pendingProbes` leave:
+ * probes of a silent zone must not use up the sockets needed for live machines. Sorts `machines` in place if not all of them can
+ * be probed.
  */
 export function selectForProbing(
   machines: Machine[],
@@ -78,16 +82,17 @@
   return selected;
 }
 
-/** Is it heard, and did it answer so far? */
+/** Whether the machine is verified, has recent contact, and has left no command unanswered. */
 function isHealthy(machine: Machine, now: Milliseconds): boolean {
   const { tenure } = machine;
   return tenure.isVerified && tenure.unansweredCommands === 0 && isHeardRecently(machine, now);
 }
 
 /**
- * First those that answered so far; then those with cancelled work, or the most urgent work as far as is heard; then those
- * that were not probed for longest. In the order of their names, a hundred machines of a cut zone were probed again and
- * again, and 31 live ones, never probed, were released as silent (docs/incidents/zone-takeover.md).
+ * Sorts machines without unanswered commands first, then by cancelled work or the highest reported priority, then by the time of
+ * the last probe, oldest first. When machines were probed in the order of their names, a hundred machines of a zone that was cut
+ * off were probed repeatedly, and 31 live machines that were never probed were released as silent
+ * (docs/incidents/zone-takeover.md).
  */
 function sortForProbing(machines: Machine[]): void {
   const priorities = new Map<Machine, number>();
@@ -98,10 +103,10 @@
   );
 }
 
-/** Puts a few machines first whose silence isn't forgiven any more, and that have yet to show that they don't answer. */
+/** Moves up to `RESERVED_PROBES` machines beyond the maximum silence to the front that are not yet known to be unresponsive. */
 function moveUndecidedFirst(machines: Machine[], context: SettingsView, now: Milliseconds): void {
   const undecided = machines.filter((machine) => !isUnanswering(machine) && isBeyondForgiveness(machine, context, now));
-  // Those that have missed a command are nearest to a decision.
+  // Machines with more unanswered commands are closer to a decision.
   undecided.sort((a, b) => b.tenure.unansweredCommands - a.tenure.unansweredCommands || a.lastProbeAt - b.lastProbeAt);
   const first = new Set(undecided.slice(0, RESERVED_PROBES));
   if (first.size === 0) return;
@@ -113,7 +118,7 @@
   return hasCancelledWork(machine) ? CANCELLED_WORK_PRIORITY : machine.tenure.reportedPriority;
 }
 
-/** How often it did not answer makes no difference, only whether it did. */
+/** Sort key that only distinguishes whether the machine left a command unanswered, not how many. */
 function unansweredOrder({ tenure }: Machine): number {
   return Math.min(tenure.unansweredCommands, 1);
 }
--- a/packages/controller/src/shards/progress-writer.ts
+++ b/packages/controller/src/shards/progress-writer.ts
@@ -1,6 +1,6 @@
 /**
- * The progress of jobs, which must outlive this process: completed tasks are stored as checkpoints, and the job's record says
- * so once all of them are. Owns the marks of tasks that were reported as done.
+ * The progress of jobs, which must outlast this process: completed tasks are stored as checkpoints, and once all tasks are
+ * completed, the job's record is. Owns the marks of tasks that were reported as done.
  */
 import type { TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, InputClock, Logger, ReplicaView, StateWriting } from '../context/index.js';
@@ -8,10 +8,10 @@
 import { JobCompletionWriter } from './job-completion-writer.js';
 import { TaskCheckpointWriter } from './task-checkpoint-writer.js';
 
-/** What the progress writer needs of its controller. */
+/** The parts of the controller's context that `ProgressWriter` uses. */
 type ProgressWriterContext = InputClock & ClusterStateView & ReplicaView & StateWriting & Logger;
 
-/** Keeps the progress of the jobs of the shards that are held here. */
+/** Records and stores the progress of the jobs of the shards held here. */
 export class ProgressWriter {
   private readonly completions: JobCompletionWriter;
   private readonly checkpoints: TaskCheckpointWriter;
@@ -24,7 +24,7 @@
     this.checkpoints = new TaskCheckpointWriter(context, allocations);
   }
 
-  /** The task with this index was reported as done. */
+  /** Records that the task with this index was reported as done. */
   markDone(job: Job, index: number): void {
     if (!job.done[index]) {
       job.done[index] = 1;
@@ -39,7 +39,7 @@
     this.storeProgress(job);
   }
 
-  /** Stores what is due of a live job: that it is done, or which of its tasks are. A service is never done. */
+  /** Stores the progress of a live job: its completion, or else which of its tasks are done. A service never completes. */
   storeProgress(job: Job): void {
     if (!this.allocations.heldShards.has(job.shard) || job.state !== 'live') return;
     if (job.doneCount === job.spec.tasks && job.spec.shape !== 'service') this.completions.write(job);
--- a/packages/controller/src/shards/recovery-probes.ts
+++ b/packages/controller/src/shards/recovery-probes.ts
@@ -1,53 +1,53 @@
 /**
- * Finds out when workers can be reached from here again. A controller that can't reach them gives its shards away, and then has
- * no command whose answer would show it: so it probes a few machines, round by round. Owns the rounds.
+ * Detects when workers can be reached from this controller again. A controller that can't reach workers releases its shards and
+ * then sends no commands whose answers would show recovery, so it probes a few machines in rounds. Owns the state of the rounds.
  */
 import type { ClusterStateView, EffectSink, SettingsView } from '../context/index.js';
 import type { Machine, Milliseconds } from '../model/index.js';
 
-/** Machines probed in one round. */
+/** Maximum number of machines probed in one round. */
 const PROBES_PER_ROUND = 4;
 
-/** A round begins this long after the one before, once all of that one's probes have an outcome. */
+/** Minimum interval between the starts of rounds. A round also waits until all probes of the previous one have an outcome. */
 const PROBE_ROUND_INTERVAL_MS = 1500;
 
-/** This many answers in a row, more than one round gives, show recovery: a shard that comes back must not leave again at once. */
+/** Consecutive answers that count as recovery: more than in one round, so that reacquired shards aren't released again soon. */
 const ANSWERS_TO_RECOVER = 6;
 
-/** Machines of this controller's own zone are probed if there are this many. */
+/** If this controller's own zone has at least this many machines, only those are probed. */
 const MIN_MACHINES_OF_OWN_ZONE = 3;
 
-/** The machines that were probed at once, by their outcomes. */
+/** The outcomes of the probes of one round. */
 interface ProbeRound {
   answered: number;
   /** names of the machines that did not answer */
   silent: string[];
 }
 
-/** What the probes need of their controller. */
+/** The parts of the controller's context that `RecoveryProbes` uses. */
 type RecoveryProbesContext = SettingsView & ClusterStateView & EffectSink;
 
-/** Probes workers while none is known to be reachable from here. */
+/** Probes workers while none is known to be reachable from this controller. */
 export class RecoveryProbes {
-  /** names of the machines probed in this round that have no outcome yet, by effect id */
+  /** names of the machines whose probes in this round have no outcome yet, by effect id */
   private readonly pendingProbes = new Map<number, string>();
   private round: ProbeRound = { answered: 0, silent: [] };
   private roundCount = 0;
   private nextRoundAt: Milliseconds = 0;
   private consecutiveAnswers = 0;
-  /** machines that were silent while others of their round answered */
+  /** names of machines that did not answer in a round in which at least half of the others did */
   private readonly individuallySilent = new Set<string>();
 
   constructor(private readonly context: RecoveryProbesContext) {}
 
-  /** Workers can't be reached from here from now on: answers of before don't count. */
+  /** Begins probing because workers can't be reached any more. Earlier answers don't count. */
   begin(now: Milliseconds): void {
     this.consecutiveAnswers = 0;
     this.individuallySilent.clear();
     this.nextRoundAt = now;
   }
 
-  /** Begins a round if one is due. False: there is no machine that could be probed. */
+  /** Starts a round if one is due. Returns false if there is no machine to probe. */
   tick(now: Milliseconds): boolean {
     if (now < this.nextRoundAt || this.pendingProbes.size > 0) return true;
     this.nextRoundAt = now + PROBE_ROUND_INTERVAL_MS;
@@ -57,7 +57,7 @@
     return machines.length > 0;
   }
 
-  /** Returns whether enough machines have answered in a row. */
+  /** Processes the outcome of a probe. Returns whether enough consecutive probes were answered. */
   handleOutcome(id: number, isAnswered: boolean): boolean {
     const name = this.pendingProbes.get(id);
     if (name === undefined) return false;
@@ -77,7 +77,7 @@
     return ofOwnZone.length >= MIN_MACHINES_OF_OWN_ZONE ? ofOwnZone : all;
   }
 
-  /** Machines from all over the list, others each time. */
+  /** Probes machines spread evenly over the list, starting at a different offset in each round. */
   private startRound(machines: readonly Machine[]): void {
     this.round = { answered: 0, silent: [] };
     const offset = this.roundCount++;
@@ -92,9 +92,9 @@
   }
 
   /**
-   * Where others of its round answer, a machine's silence is its own, and it isn't probed again. With a third of all machines
-   * dead the same four were probed for ever, and nobody released the dead ones meanwhile (docs/incidents/
-   * a-third-lost-during-a-takeover.md).
+   * If at least half of the round's probes were answered, the machines that didn't answer are at fault themselves, and are
+   * excluded from later rounds while enough others remain. Without this, after a loss of a third of all machines, the same four
+   * were probed indefinitely and the dead machines were not released (docs/incidents/a-third-lost-during-a-takeover.md).
    */
   private endRound(): void {
     if (this.round.answered < this.round.silent.length) return;
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -1,7 +1,7 @@
 /**
- * What a controller does for the shards whose leases it holds: it begins and ends the tenure of a shard, takes changes of
- * machines and jobs, and at each tick has the parts act in an order that they rely on. Owns the tenures of machines and jobs,
- * and when jobs were last checked and summaries last logged.
+ * The work of a controller for the shards whose leases it holds: it begins and ends tenures of shards, processes changes of
+ * machines and jobs, and at each tick runs its parts in the order that they depend on. Owns the tenures of machines and jobs, and
+ * the times of the last job check and of the last logged summaries.
  */
 import type { ShardSummary } from '@archpost/protocol';
 import type { TaskAllocations } from '../allocation/index.js';
@@ -42,13 +42,13 @@
 import { ShardSummaries } from './shard-summary.js';
 import { WorkerAnswers } from './worker-answers.js';
 
-/** All jobs of the shards held here are checked this often. */
+/** Interval between checks of all jobs of the shards held here. */
 const JOB_CHECK_INTERVAL_MS = 300;
 
-/** A debug summary of each shard held here is logged this often. */
+/** Interval at which a debug summary of each shard held here is logged. */
 const SUMMARY_LOG_INTERVAL_MS = 10_000;
 
-/** What the shard controller shares with the reconciliation of heartbeats, and therefore does not make itself. */
+/** Objects that the shard controller shares with heartbeat reconciliation and therefore doesn't create itself. */
 export interface ShardCollaborators {
   allocations: TaskAllocations;
   progressWriter: ProgressWriter;
@@ -56,7 +56,7 @@
   reconciler: HeartbeatReconciliation;
 }
 
-/** What the shard controller needs of its controller. */
+/** The parts of the controller's context that `ShardController` and its parts use. */
 type ShardControllerContext = SettingsView &
   ClusterStateView &
   ReplicaView &
@@ -69,7 +69,7 @@
   EffectSink &
   Logger;
 
-/** The decisions for the shards held here: what starts where, what stops, and what is stored. */
+/** Decides for the shards held here which tasks start on which machines, which stop, and what is stored. */
 export class ShardController {
   readonly allocations: TaskAllocations;
   private readonly machineLifecycle: MachineLifecycle;
@@ -105,11 +105,14 @@
     return this.allocations.heldShards;
   }
 
-  /** Has every machine of the shard answered since the lease was acquired, and is all work of the highest priority placed? */
+  /**
+   * Whether every machine of the shard has answered since the lease was acquired, and all tasks of jobs of the highest priority
+   * that can be scheduled are allocated.
+   */
   isSettled(shard: number): boolean {
     for (const machine of this.context.clusterState.machines.values())
       if (machine.shard === shard && machine.tenure.isUnverifiedTakeover) return false;
-    // `unmetDemand` would not do: the scheduler leaves out of it what may run on a machine that has not answered yet.
+    // `unmetDemand` doesn't suffice: the scheduler omits tasks that may run on a machine that has not answered yet.
     for (const job of this.context.clusterState.jobs.values())
       if (
         job.shard === shard &&
@@ -123,7 +126,7 @@
     return true;
   }
 
-  /** A tenure begins: nothing that an earlier holder, or an earlier tenure of this one, knew or intended counts. */
+  /** Begins a tenure of the shard with new state: nothing from an earlier tenure, of this or another lease holder, is kept. */
   leaseAcquired(shard: number, revision: number, now: Milliseconds): void {
     this.allocations.heldShards.add(shard, revision);
     for (const machine of this.context.clusterState.machines.values()) {
@@ -135,7 +138,7 @@
     this.allocations.schedulingRequested = true;
   }
 
-  /** The tenure ends: the next holder learns of the shard's tasks from the workers. */
+  /** Ends the tenure of the shard. The next lease holder learns the shard's tasks from the workers. */
   leaseLost(shard: number): void {
     this.allocations.heldShards.delete(shard);
     this.shardSummaries.forget(shard);
@@ -152,23 +155,25 @@
     }
   }
 
-  /** The machine's stored assignment was written or removed. `hasChangedShard`: it came from another shard, or is new. */
+  /**
+   * Processes a written or removed assignment of a machine. `hasChangedShard`: the machine came from another shard, or is new.
+   */
   machineChanged(machine: Machine, hasChangedShard: boolean, now: Milliseconds): void {
-    // Not only `UNASSIGNED_SHARD`: a stored record is not refused for a shard that there isn't.
+    // Not only `UNASSIGNED_SHARD`: a stored record with a shard number that doesn't exist is not rejected.
     if (machine.shard < 0) {
       this.forgetAllocations(machine);
       return;
     }
     if (hasChangedShard) {
-      // What was known of it here counts no more. Only machines that were seen empty are handed over, so there is nothing
-      // on it that isn't known.
+      // Earlier state of the machine is no longer valid. Only machines seen to be empty move between shards, so it has no
+      // unknown tasks.
       this.forgetAllocations(machine);
       this.beginTenure(machine, false, now);
     }
     this.allocations.schedulingRequested = true;
   }
 
-  /** The job's stored record was written or removed. */
+  /** Processes a written or removed record of a job: stops the tasks of a cancelled one. */
   jobChanged(job: Job): void {
     if (!this.allocations.heldShards.has(job.shard)) {
       this.context.clusterState.forgetIfFinished(job);
@@ -182,37 +187,40 @@
     this.allocations.schedulingRequested = true;
   }
 
-  /** Can workers be reached from here, as far as their answers show? */
+  /** Whether this controller can reach workers, as far as their answers show. */
   get reachesWorkers(): boolean {
     return this.machineLifecycle.failureDetector.reachesWorkers;
   }
 
-  /** Is the zone of this name cut off from here? */
+  /** Whether the zone with this name is cut off from this controller. */
   isZoneCut(zone: string): boolean {
     return this.machineLifecycle.failureDetector.isZoneNameCut(zone);
   }
 
-  /** The outcome of the command or probe with this effect id. */
+  /** Processes the outcome of the command or probe with this effect id. */
   handleCommandOutcome(id: number, outcome: CommandOutcome, now: Milliseconds): void {
     this.commandDispatcher.handleOutcome(id, outcome, now);
   }
 
-  /** The outcome of a probe for recovery: did the worker answer? */
+  /** Processes the outcome of a recovery probe. `isAnswered`: whether the worker answered. */
   handleProbeOutcome(id: number, isAnswered: boolean): void {
     this.machineLifecycle.failureDetector.handleProbeOutcome(id, isAnswered);
   }
 
-  /** The outcome of the release request with this effect id. */
+  /** Processes the outcome of the release request with this effect id. */
   handleReleaseOutcome(id: number, isReleased: boolean, now: Milliseconds): void {
     this.machineLifecycle.handleReleaseOutcome(id, isReleased, now);
   }
 
-  /** What arrived within the last `lagMs` may not have been taken yet: see `LocalHealth`. */
+  /** Records that inputs that arrived within the last `lagMs` may not have been processed yet: see `LocalHealth`. */
   recordLag(lagMs: Milliseconds, now: Milliseconds): void {
     this.localHealth.recordLag(lagMs, now);
   }
 
-  /** This process was paused until `now`: workers that it did not hear meanwhile were not silent. */
+  /**
+   * Accounts for a pause of this process that lasted `pauseMs` and ended at `now`: heartbeats could not be read meanwhile, so the
+   * pause doesn't count as silence of workers.
+   */
   processPaused(pauseMs: Milliseconds, now: Milliseconds): void {
     this.allocations.advanceTo(now);
     this.localHealth.recordLag(pauseMs, now);
@@ -227,8 +235,8 @@
   }
 
   /**
-   * The order matters: jobs free what waited for too long before the scheduler plans, and the dispatcher sends what the
-   * machine lifecycle and the scheduler decided.
+   * Runs the periodic work. The order matters: the job checks free overdue allocations before the scheduler runs, and the
+   * dispatcher sends what the machine lifecycle and the scheduler decided.
    */
   tick(now: Milliseconds): void {
     this.allocations.advanceTo(now);
@@ -248,14 +256,14 @@
     this.commandDispatcher.dispatchAll(now);
   }
 
-  /** The shard's summary for the leader and the status exchange; at most a moment old. */
+  /** The shard's summary for the leader and the status exchange. It may be cached for a short time. */
   shardSummary(shard: number, now: Milliseconds): ShardSummary {
     return this.shardSummaries.summaryOf(shard, now);
   }
 
   /**
-   * How far the jobs of the shards held here are, by id, for the status queries of other controllers. Jobs without running,
-   * completed or failed tasks are left out.
+   * Task counts of the jobs of the shards held here, by job id, for status queries at other controllers. Jobs without running,
+   * completed or failed tasks are omitted.
    */
   runningJobs(): Map<string, RunningTasks> {
     const result = new Map<string, RunningTasks>();
@@ -273,7 +281,7 @@
     machine.allocationsChanged();
   }
 
-  /** It went to another shard, or its assignment is gone: none of our tasks is on it. */
+  /** Frees the allocations of a machine whose shard changed or whose assignment was removed: no task of this shard is on it. */
   private forgetAllocations(machine: Machine): void {
     for (const allocation of [...machine.tenure.allocations.values()]) this.allocations.free(allocation);
     machine.tenure.allocations.clear();
--- a/packages/controller/src/shards/shard-debug-summary.ts
+++ b/packages/controller/src/shards/shard-debug-summary.ts
@@ -1,40 +1,37 @@
-/**
- * The line that a log at level debug shows of each shard held here, every few seconds: what somebody who reads the log wants to
- * know first. Owns no state.
- */
+/** The debug log line about a shard held here, which is logged every few seconds for readers of the log. Owns no state. */
 import type { MachineSummary } from '@archpost/protocol';
 import type { TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView } from '../context/index.js';
 import type { AllocationPhase, Machine, Milliseconds } from '../model/index.js';
 
-/** The phases of allocations as the log line has them; the words are part of the log's format. */
+/** Names of allocation phases in the log line; they are part of the log format. */
 const LOGGED_PHASES: Record<AllocationPhase, string> = { planned: 'planned', sent: 'sent', reported: 'there', exited: 'exited' };
 
-/** The fields of the log line; their names are part of the log's format. */
+/** The fields of the log line; their names are part of the log format. */
 export interface ShardDebugSummary {
   shard: number;
-  /** by machine type (`*`: spot): how many machines there are, how many are idle and how many can't be scheduled on */
+  /** by machine type (with `*` if spot): number of machines, and how many of them are idle or not schedulable */
   machines: Record<string, string>;
-  /** by machine with accelerators: how many tasks of which class of jobs are in which phase there */
+  /** by machine with accelerators (with `*` if spot): number of its tasks by job class and phase */
   accelerated: Record<string, string>;
-  /** tasks that found no machine, with how long their job has waited */
+  /** tasks for which no machine was found, with the waiting time of their job */
   waiting: string[];
 }
 
-/** Machines of one type, all spot or all on demand. */
+/** Counts of the machines of one type that are all spot or all on-demand. */
 interface MachineCounts {
   total: number;
   idle: number;
   unschedulable: number;
 }
 
-/** What it is made of. */
+/** The sources of a debug summary. */
 export interface ShardDebugSources {
   clusterState: ClusterStateView['clusterState'];
   allocations: TaskAllocations;
 }
 
-/** `machineSummaries`: those of the summary that other controllers are sent. */
+/** Creates the debug summary. `machineSummaries`: those of the shard's summary for other controllers. */
 export function shardDebugSummary(
   sources: ShardDebugSources,
   shard: number,
@@ -49,7 +46,7 @@
   };
 }
 
-/** A mark behind the name of what may be preempted by the cloud. */
+/** Suffix that marks spot machines. */
 function spotMark(machine: Machine | undefined): string {
   return machine?.spot ? '*' : '';
 }
--- a/packages/controller/src/shards/shard-summary.ts
+++ b/packages/controller/src/shards/shard-summary.ts
@@ -1,6 +1,6 @@
 /**
- * The summary of a shard that its holder sends to the leader: the machines with what is free on them, and the demand of tasks
- * that found no machine. Owns the summaries made last.
+ * The summary of a shard that its lease holder sends to the leader: the machines with their free resources, and the demand of
+ * tasks for which no machine was found. Owns the cached summaries.
  */
 import type { MachineSummary, ResourceDemand, ShardSummary } from '@archpost/protocol';
 import type { TaskAllocations, UnmetDemand } from '../allocation/index.js';
@@ -8,19 +8,19 @@
 import { HIGHEST_PRIORITY, type Job, type Machine, type Milliseconds, machineLoadOf } from '../model/index.js';
 import { type QueueOrder, type QuotaStatuses, type Scheduler, tasksPerZone, zoneAllowsTask } from '../scheduling/index.js';
 
-/** A summary is made anew after this long. */
+/** Maximum age of a cached summary. */
 const SUMMARY_MAX_AGE_MS = 400;
 
-/** Demands in a summary; further kinds of waiting tasks are left out. */
+/** Maximum number of demands in a summary; the demands of further waiting tasks are omitted. */
 const MAX_DEMANDS = 32;
 
-/** The protected priority of a machine whose work may all be preempted; lower than any. */
+/** The protected priority of a machine whose tasks may all be preempted; lower than every priority. */
 const NOTHING_PROTECTED = -1;
 
-/** Higher than any priority: the machine can't be made free for other work. */
+/** The protected priority of a machine that can't be freed for other tasks; higher than every priority. */
 const UNMOVABLE_PRIORITY = 9;
 
-/** Slack is limited to this in both directions: without a deadline it would be infinite. */
+/** Maximum absolute slack in seconds. Without a deadline the slack would be infinite. */
 const MAX_SLACK_S = 1e4;
 
 interface CachedSummary {
@@ -28,20 +28,20 @@
   summary: ShardSummary;
 }
 
-/** Demands with equal keys are added up. */
+/** Key of a demand; demands with equal keys are merged. */
 function demandKey(demand: ResourceDemand, shape: Job['spec']['shape']): string {
   const { cpus, gpus, memory, types, zone, spot, priority, withinQuota, excludedZones } = demand;
   return [cpus, gpus, memory, types, zone, spot, priority, withinQuota, shape, excludedZones].join('/');
 }
 
-/** Adds a demand with the same key: the longest wait and the least slack count. */
+/** Merges a demand with the same key into `existing`: adds the counts and keeps the longest wait and the smallest slack. */
 function addTo(existing: ResourceDemand, demand: ResourceDemand): void {
   existing.count += demand.count;
   existing.waitS = Math.max(existing.waitS, demand.waitS);
   existing.slackS = Math.min(existing.slackS, demand.slackS);
 }
 
-/** Makes the summaries of the shards held here. */
+/** Creates and caches the summaries of the shards held here. */
 export class ShardSummaries {
   private readonly summaries = new Map<number, CachedSummary>();
 
@@ -52,7 +52,7 @@
     private readonly scheduler: Scheduler,
   ) {}
 
-  /** At most `SUMMARY_MAX_AGE_MS` old: the leader and the status exchange both ask. */
+  /** Returns a summary at most `SUMMARY_MAX_AGE_MS` old. It is cached because the leader and the status exchange both use it. */
   summaryOf(shard: number, now: Milliseconds): ShardSummary {
     const cached = this.summaries.get(shard);
     if (cached && now - cached.madeAt < SUMMARY_MAX_AGE_MS && this.allocations.heldShards.has(shard)) return cached.summary;
@@ -61,7 +61,7 @@
     return summary;
   }
 
-  /** The shard isn't held any more. */
+  /** Removes the cached summary of a shard that is no longer held. */
   forget(shard: number): void {
     this.summaries.delete(shard);
   }
@@ -89,19 +89,19 @@
     return summaries;
   }
 
-  /** Only work of a higher priority than this may preempt all that is on the machine. */
+  /** The priority that a task must exceed to preempt all tasks on the machine. */
   private protectedPriority(machine: Machine, quotaStatuses: QuotaStatuses, evacuable: Set<Machine>): number {
     let priority = NOTHING_PROTECTED;
     for (const { job, phase } of machine.tenure.allocations.values()) {
       if (phase === 'exited' || (job.spec.shape === 'service' && evacuable.has(machine))) continue;
       priority = Math.max(priority, job.priority);
-      // Work within its team's quota is preempted by the highest priority only.
+      // Tasks within their team's quota can only be preempted by the highest priority.
       if (quotaStatuses.get(job)?.isProtected) priority = Math.max(priority, HIGHEST_PRIORITY - 1);
     }
     return priority;
   }
 
-  /** Tasks that need the same are one demand. */
+  /** The demands of the shard's tasks for which no machine was found, merged by key. */
   private demands(shard: number, now: Milliseconds): ResourceDemand[] {
     const demands = new Map<string, ResourceDemand>();
     for (const unmet of this.allocations.unmetDemand) {
@@ -136,7 +136,7 @@
     };
   }
 
-  /** Zones where the job's constraints allow no further task beside those that it has. */
+  /** Zones in which the job's placement constraints allow no further task. */
   private excludedZones(job: Job): string[] {
     const { settings, clusterState } = this.context;
     const counts = tasksPerZone(job);
--- a/packages/controller/src/shards/task-checkpoint-writer.ts
+++ b/packages/controller/src/shards/task-checkpoint-writer.ts
@@ -1,25 +1,25 @@
 /**
- * Stores which tasks of a job are done, so that none of them runs again under another holder of the shard. Owns no state beside
- * the marks in the job and its tenure: what is stored, what is queued, and when a checkpoint was last written.
+ * Stores which tasks of a job are done, so that none of them runs again under another lease holder of the shard. Owns no state
+ * except fields of the job and its tenure: which tasks are stored, whether a write is queued, and the time of the last write.
  */
 import type { TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, ReplicaView, StateWriting } from '../context/index.js';
 import type { Job } from '../model/index.js';
 import { NO_REVISION, type ProgressPart, packBits, StateKey, WritePriority } from '../state/index.js';
 
-/** The completed tasks of a job are stored this often at most. */
+/** Minimum interval between checkpoint writes of a job. */
 const CHECKPOINT_INTERVAL_MS = 3000;
 
-/** What the writer of checkpoints needs of its controller. */
+/** The parts of the controller's context that `TaskCheckpointWriter` uses. */
 type TaskCheckpointWriterContext = ClusterStateView & ReplicaView & StateWriting;
 
-/** Is a task of this part done that isn't stored as done? */
+/** Whether the part has a completed task that isn't stored as done. */
 function hasUnstoredTask(job: Job, part: ProgressPart): boolean {
   for (let index = part.from; index < part.to; index++) if (job.done[index] && !job.storedDone[index]) return true;
   return false;
 }
 
-/** Writes the completed tasks of jobs, several completions in one write. */
+/** Writes the completed tasks of jobs, with several completions in one write. */
 export class TaskCheckpointWriter {
   constructor(
     private readonly context: TaskCheckpointWriterContext,
@@ -27,8 +27,8 @@
   ) {}
 
   /**
-   * Writes the first part of the job's progress in which a completed task isn't stored, unless a part was written a moment ago.
-   * The job's shard has to be held here. Until a completion is stored, the worker keeps the result.
+   * Writes the first part of the job's progress that has a completed task not yet stored, at most one part per checkpoint
+   * interval. The job's shard must be held here. Until a completion is stored, the worker keeps the result.
    */
   write(job: Job): void {
     const { tenure } = job;
@@ -47,7 +47,7 @@
     job.progressWrittenAt = this.allocations.now;
     this.context.writer.add({
       key,
-      // More tasks may be done by the time that it is sent.
+      // Encoded only when the write is sent, since more tasks may be done by then.
       value: () => {
         writtenDone = job.done.slice(part.from, part.to);
         return packBits(job.done, part.from, part.to);
@@ -63,7 +63,7 @@
   }
 }
 
-/** `writtenDone`: the part's tasks as they were written, 1 for one that was done. */
+/** Marks the tasks of a written part as stored. `writtenDone`: the part as it was written, with 1 for each completed task. */
 function recordStored(job: Job, part: ProgressPart, writtenDone: Uint8Array): void {
   for (let index = 0; index < writtenDone.length; index++) if (writtenDone[index]) job.storedDone[part.from + index] = 1;
 }
--- a/packages/controller/src/shards/task-commands.ts
+++ b/packages/controller/src/shards/task-commands.ts
@@ -1,8 +1,8 @@
-/** Commands about single tasks, as a worker takes them. Owns no state. */
+/** Creates the commands about single tasks that are sent to workers. Owns no state. */
 import type { Command, TaskStatus } from '@archpost/protocol';
 import type { Allocation } from '../model/index.js';
 
-/** Which attempt of which task a command is about. */
+/** Identifies the attempt of a task that a command applies to. */
 interface TaskAttempt {
   job: string;
   index: number;
@@ -10,8 +10,8 @@
 }
 
 /**
- * The only place where a start is made, as the command leaves. Whatever was true when the task was planned, its job must be
- * live and not blocked now, and no stop of the task may have been requested meanwhile; null: it may not start.
+ * Creates the start command of an allocation. It is the only place where starts are created, immediately before they are sent.
+ * Returns null if the task may no longer start: its job is not live or is blocked, or a stop of the task was requested.
  */
 export function startCommand(allocation: Allocation): Command | null {
   const { job, stopGraceS } = allocation;
@@ -19,22 +19,22 @@
   return { type: 'start', ...attemptOf(allocation) };
 }
 
-/** Ends the task. `graceS`: seconds that it has for saving its state. */
+/** Creates the command that stops a task. `graceS`: grace period for saving its state, in seconds. */
 export function stopCommand(allocation: Allocation, graceS: number): Command {
   return { type: 'stop', ...attemptOf(allocation), graceS };
 }
 
-/** Has the worker drop an exited task from its status. */
+/** Creates the command that makes the worker remove an exited task from its status. */
 export function forgetCommand(allocation: Allocation): Command {
   return { type: 'forget', ...attemptOf(allocation) };
 }
 
-/** Ends a reported task that is not allocated, or whose job is finished, without time for saving. */
+/** Creates the command that stops, without grace, a reported task that has no allocation or whose job is finished. */
 export function stopReportedTask({ job, index, attempt }: TaskStatus): Command {
   return { type: 'stop', job, index, attempt, graceS: 0 };
 }
 
-/** A reported task that is not allocated is stopped, and cleared away once it has exited. */
+/** Creates the command for a reported task without an allocation: a stop or, if the task has exited, a forget command. */
 export function clearOrphanedTask(task: TaskStatus): Command {
   if (task.state !== 'exited') return stopReportedTask(task);
   return { type: 'forget', job: task.job, index: task.index, attempt: task.attempt };
--- a/packages/controller/src/shards/worker-answers.ts
+++ b/packages/controller/src/shards/worker-answers.ts
@@ -1,37 +1,37 @@
 /**
- * Whether workers answer commands and probes at all: what the failure detector needs to tell a fault of this controller from
- * one of a machine. Owns the time of the last answer, and the machines that have not answered since.
+ * Tracks whether workers answer commands and probes, which the failure detector uses to distinguish a fault of this controller
+ * from a fault of a machine. Owns the time of the last answer and the set of machines that have not answered since.
  */
 import type { Machine, Milliseconds } from '../model/index.js';
 
-/** The answers of all workers together. */
+/** Tracks the answers of all workers as a group. */
 export class WorkerAnswers {
   private lastAnswerTime: Milliseconds = 0;
-  /** names of machines that have not answered since, though their heartbeats come */
+  /** names of machines that left a command unanswered since `lastAnswerTime`, although their heartbeats arrive */
   private readonly unansweredMachines = new Set<string>();
 
-  /** When a worker last answered a command or probe. */
+  /** Time of the last answer of any worker to a command or probe. */
   get lastAnswerAt(): Milliseconds {
     return this.lastAnswerTime;
   }
 
-  /** Machines that have not answered since the last answer of any worker, though their heartbeats come. */
+  /** Number of machines that left a command unanswered since the last answer of any worker, although their heartbeats arrive. */
   get unansweredCount(): number {
     return this.unansweredMachines.size;
   }
 
-  /** A worker answered, or a pause of this process ended: until `now` nothing is held against those that didn't answer. */
+  /** Records an answer of a worker, or the end of a pause of this process. Missing answers before `now` no longer count. */
   recordAnswer(now: Milliseconds): void {
     this.lastAnswerTime = now;
     this.unansweredMachines.clear();
   }
 
-  /** The machine did not answer, though its heartbeats come. */
+  /** Records that a machine left a command unanswered although its heartbeats arrive. */
   recordUnanswered(machine: Machine): void {
     this.unansweredMachines.add(machine.name);
   }
 
-  /** Workers can be reached again, as a probe for recovery shows. */
+  /** Discards missing answers, because recovery probes show that workers can be reached again. */
   forgetUnanswered(): void {
     this.unansweredMachines.clear();
   }
--- a/packages/controller/src/shards/zone-health.ts
+++ b/packages/controller/src/shards/zone-health.ts
@@ -1,38 +1,41 @@
 /**
- * What the silence of a zone's machines says: that the zone is cut off, that many can't be reached, or that this controller
- * itself is cut off. Pure judgements of one tick's counts; owns no state.
+ * Evaluates the machine counts of a zone: whether the zone is cut off, whether many of its machines are unreachable, or whether
+ * this controller itself is cut off. Pure functions of the counts of one tick; owns no state.
  */
 import type { PeerDirectory, SettingsView } from '../context/index.js';
 import type { Milliseconds } from '../model/index.js';
 
-/** With fewer machines than this nothing is concluded from most of them not answering. */
+/** Minimum number of machines for a conclusion from their silence or missing answers. */
 const MIN_MACHINES_TO_JUDGE = 3;
 
-/** In another zone without controllers that could be missed, this many silent machines are enough. */
+/** The same for the silence of another zone that has no other controllers whose silence could confirm it. */
 const MIN_MACHINES_OF_REMOTE_ZONE = 2;
 
-/** What is seen of those machines of a zone that belong to shards held here. */
+/** Counts of the machines of a zone that belong to shards held here. */
 export interface ZoneHealth {
   total: number;
-  /** machines whose heartbeats came here recently */
+  /** machines whose heartbeats recently arrived at this controller */
   heard: number;
-  /** machines that did not answer the last commands; a machine that is heard may be unreachable all the same */
+  /** machines that did not answer their last commands, including machines whose heartbeats arrive */
   unanswered: number;
 }
 
-/** Are so many of the zone's machines unreachable that the cause isn't theirs? More than one, and over a quarter. */
+/**
+ * Whether so many machines of the zone are unreachable that the machines are unlikely to be the cause: more than one, and more
+ * than a quarter.
+ */
 export function isLossWidespread({ total, unanswered }: ZoneHealth): boolean {
   return unanswered > 1 && unanswered * 4 > total;
 }
 
-/** Are nearly all machines unreachable, three quarters or more? */
+/** Whether at least three quarters of the machines are unreachable. */
 export function isNearlyAllUnanswered({ total, unanswered }: ZoneHealth): boolean {
   return total >= MIN_MACHINES_TO_JUDGE && unanswered * 4 >= total * 3;
 }
 
 /**
- * The machines by which this controller judges whether the fault is its own: those of its own zone where there are enough of
- * them, or else all.
+ * The counts from which this controller concludes whether it is itself cut off: those of its own zone if that has enough
+ * machines, or else those of all zones together.
  */
 export function healthNearby(zones: ReadonlyMap<number, ZoneHealth>, ownZoneIndex: number): ZoneHealth {
   const own = zones.get(ownZoneIndex);
@@ -46,7 +49,10 @@
   return all;
 }
 
-/** A zone whose machines are all silent, or half of them and all of its controllers too, is cut off from here. */
+/**
+ * Whether the zone is cut off from this controller: all of its machines are silent, or at least half of its machines and all of
+ * its controllers.
+ */
 export function isZoneCutOff(
   zone: string,
   { total, heard }: ZoneHealth,
