--- a/packages/controller/src/allocation/start-freshness.ts
+++ b/packages/controller/src/allocation/start-freshness.ts
@@ -34,8 +34,8 @@
   }
 
   /**
-   * Whether one of the job's tasks was stopped by another controller after the replica was last fresh. The job may be cancelled,
-   * which only a newer state of the replica shows.
+   * Whether one of the job's tasks was stopped, without a stop from this controller, after the replica was last fresh. The job
+   * may be cancelled, which only a newer state of the replica shows.
    */
   isStateUnconfirmed(job: Job): boolean {
     return this.context.replicaFreshAt < job.stoppedByOthersAt;
