--- a/packages/controller/src/allocation/index.ts
+++ b/packages/controller/src/allocation/index.ts
@@ -4,7 +4,7 @@
  */
 export { freeResourcesOf } from './free-resources.js';
 export type { HeldShards } from './held-shards.js';
-export { isHeardByPeer, isHeardRecently } from './machine-schedulability.js';
+export { hasRecentContact, hasRecentPeerContact } from './machine-schedulability.js';
 export { hasCancelledWork, isEmpty } from './machine-work.js';
 export { TaskAllocations, taskKey, type UnmetDemand } from './task-allocations.js';
 export { shardsAwaitingVerification } from './unverified-takeovers.js';
--- a/packages/controller/src/allocation/machine-schedulability.ts
+++ b/packages/controller/src/allocation/machine-schedulability.ts
@@ -16,13 +16,13 @@
 const HEARD_BY_PEER_MS = 5000;
 
 /** Whether another controller recently reported heartbeats of the machine. */
-export function isHeardByPeer(machine: Machine, now: Milliseconds): boolean {
+export function hasRecentPeerContact(machine: Machine, now: Milliseconds): boolean {
   return now - machine.heardByPeerAt < HEARD_BY_PEER_MS;
 }
 
 /** Whether heartbeats of the machine recently arrived at this controller or at another one. */
-export function isHeardRecently(machine: Machine, now: Milliseconds): boolean {
-  return now - machine.tenure.lastHeartbeatAt < HEARD_HERE_MS || isHeardByPeer(machine, now);
+export function hasRecentContact(machine: Machine, now: Milliseconds): boolean {
+  return now - machine.tenure.lastHeartbeatAt < HEARD_HERE_MS || hasRecentPeerContact(machine, now);
 }
 
 /** Decides which machines accept starts. */
--- a/packages/controller/src/allocation/task-allocations.ts
+++ b/packages/controller/src/allocation/task-allocations.ts
@@ -16,7 +16,7 @@
 import { HeldShards } from './held-shards.js';
 import { MachineSchedulability } from './machine-schedulability.js';
 import { StartFreshness } from './start-freshness.js';
-import { mayRunUnseen } from './unverified-takeovers.js';
+import { mayRunUnreported } from './unverified-takeovers.js';
 
 /** Tasks of a job for which the last scheduling run found no machine. */
 export interface UnmetDemand {
@@ -224,7 +224,7 @@
   }
 
   /** Whether a task of the job may run on a machine that has not reported its tasks since the shard was taken over. */
-  mayRunUnseen(job: Job): boolean {
-    return mayRunUnseen(job, this.heldShards.leaseRevisionOf(job.shard), this.context.clusterState.machines);
+  mayRunUnreported(job: Job): boolean {
+    return mayRunUnreported(job, this.heldShards.leaseRevisionOf(job.shard), this.context.clusterState.machines);
   }
 }
--- a/packages/controller/src/allocation/unverified-takeovers.ts
+++ b/packages/controller/src/allocation/unverified-takeovers.ts
@@ -15,7 +15,7 @@
  * Whether a task of the job may run on a machine that has not answered since the takeover. False for a job that was stored after
  * the shard's lease was acquired, since the previous lease holder never placed it. `leaseRevision`: null if the shard isn't held.
  */
-export function mayRunUnseen(job: Job, leaseRevision: number | null, machines: ReadonlyMap<string, Machine>): boolean {
+export function mayRunUnreported(job: Job, leaseRevision: number | null, machines: ReadonlyMap<string, Machine>): boolean {
   if (leaseRevision === null || job.modRevision > leaseRevision) return false;
   for (const machine of machines.values()) if (machine.shard === job.shard && machine.tenure.isUnverifiedTakeover) return true;
   return false;
--- a/packages/controller/src/controller-context.ts
+++ b/packages/controller/src/controller-context.ts
@@ -142,12 +142,12 @@
 
   leaseAcquired(lease: LeaseName, revision: number): void {
     if (lease === LEADER_LEASE) this.parts.leader.leaseAcquired(revision, this.now);
-    else this.parts.shardController.leaseAcquired(lease, revision, this.now);
+    else this.parts.shardController.onLeaseAcquired(lease, revision, this.now);
   }
 
   leaseLost(lease: LeaseName): void {
     if (lease === LEADER_LEASE) this.parts.leader.leaseLost();
-    else this.parts.shardController.leaseLost(lease);
+    else this.parts.shardController.onLeaseLost(lease);
   }
 
   isShardSettled(shard: number): boolean {
--- a/packages/controller/src/leadership/replica-listener.ts
+++ b/packages/controller/src/leadership/replica-listener.ts
@@ -76,12 +76,12 @@
       leader.machineRemoved(machine.name, now);
       leader.autoscaler.capacityFreed(machine, now);
     }
-    shardController.machineChanged(machine, isShardChanged, now);
+    shardController.onMachineChanged(machine, isShardChanged, now);
   }
 
   private jobsChanged(key: string, { jobs, unreadablePart }: JobsChange): void {
     if (unreadablePart !== null)
       this.context.log('warn', 'unreadable stored record', { key, error: `${unreadablePart} can not be read` });
-    for (const job of jobs) this.collaborators.shardController.jobChanged(job);
+    for (const job of jobs) this.collaborators.shardController.onJobChanged(job);
   }
 }
--- a/packages/controller/src/scheduling/scheduler.ts
+++ b/packages/controller/src/scheduling/scheduler.ts
@@ -169,7 +169,7 @@
 
   private readinessOf(job: Job, unverifiedShards: ReadonlySet<number>, now: Milliseconds): Readiness {
     if (now < job.retryAt) return 'postponed';
-    if (unverifiedShards.has(job.shard) && this.allocations.mayRunUnseen(job)) return 'unverified';
+    if (unverifiedShards.has(job.shard) && this.allocations.mayRunUnreported(job)) return 'unverified';
     if (this.allocations.startFreshness.isStateUnconfirmed(job)) return 'postponed';
     if (this.allocations.failureAttribution.isCrashLooping(job)) return 'crash-looping';
     return 'ready';
--- a/packages/controller/src/shards/command-dispatcher.ts
+++ b/packages/controller/src/shards/command-dispatcher.ts
@@ -89,8 +89,8 @@
     tenure.pendingCommandId = id;
     machine.lastCommandAt = this.allocations.now;
     machine.probeRequested = false;
-    const knownBefore = { agentEpoch: tenure.agentEpoch, sequence: tenure.sequence };
-    this.pendingCommands.set(id, { machine, starts, isProbe, knownBefore });
+    const positionAtSend = { agentEpoch: tenure.agentEpoch, sequence: tenure.sequence };
+    this.pendingCommands.set(id, { machine, starts, isProbe, positionAtSend });
     this.context.emit({
       type: 'command',
       id,
--- a/packages/controller/src/shards/command-outcomes.ts
+++ b/packages/controller/src/shards/command-outcomes.ts
@@ -3,7 +3,7 @@
  * it writes to the tenure of the machine and passes the status in an answer to heartbeat reconciliation.
  */
 import type { Heartbeat } from '@archpost/protocol';
-import { isHeardRecently, type TaskAllocations } from '../allocation/index.js';
+import { hasRecentContact, type TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, Logger } from '../context/index.js';
 import { type Allocation, type HeartbeatPosition, type Machine, type Milliseconds, NEVER } from '../model/index.js';
 import type { HeartbeatReconciliation } from './heartbeat-reconciliation.js';
@@ -26,7 +26,7 @@
   /** whether it contains no commands, so that a late delivery has no effect */
   isProbe: boolean;
   /** position of the newest heartbeat that was processed before it was sent: the answer is newer */
-  knownBefore: HeartbeatPosition;
+  positionAtSend: HeartbeatPosition;
 }
 
 /**
@@ -67,14 +67,14 @@
   }
 
   private handleExecuted(pending: PendingCommand, heartbeat: Heartbeat | null, now: Milliseconds): void {
-    const { machine, starts, isProbe, knownBefore } = pending;
+    const { machine, starts, isProbe, positionAtSend } = pending;
     if (heartbeat === null) {
       // The commands were executed, but the machine's tasks are unknown, as without an answer.
       this.context.log('warn', 'unreadable worker response', { machine: machine.name });
       return this.handleUnanswered(pending, 'lost', now);
     }
     this.recordAnswer(machine, now);
-    this.reconciler.reconcile(machine, heartbeat, now, knownBefore);
+    this.reconciler.reconcile(machine, heartbeat, now, positionAtSend);
     // A task that was started but is missing from the status has already ended.
     for (const allocation of starts) if (this.allocations.isStartPending(allocation)) this.allocations.free(allocation);
     if (isProbe && !machine.tenure.isVerified) this.recordVerified(machine);
@@ -91,11 +91,15 @@
   }
 
   /** Handles a command that the worker rejected: its agent is in another epoch, or has received a higher fencing token. */
-  private handleRejected({ machine, starts, knownBefore }: PendingCommand, heartbeat: Heartbeat | null, now: Milliseconds): void {
+  private handleRejected(
+    { machine, starts, positionAtSend }: PendingCommand,
+    heartbeat: Heartbeat | null,
+    now: Milliseconds,
+  ): void {
     this.recordAnswer(machine, now);
     for (const allocation of starts) this.allocations.startNotSent(allocation);
     if (heartbeat === null) return;
-    this.reconciler.reconcile(machine, heartbeat, now, knownBefore);
+    this.reconciler.reconcile(machine, heartbeat, now, positionAtSend);
     if (heartbeat.fencingToken > this.context.clusterState.fencingToken(machine))
       machine.tenure.retryAt = now + HIGHER_TOKEN_RETRY_MS;
   }
@@ -115,7 +119,7 @@
 
   private handleUnanswered({ machine, starts, isProbe }: PendingCommand, kind: 'lost' | 'refused', now: Milliseconds): void {
     const { tenure } = machine;
-    if (isHeardRecently(machine, now)) this.workerAnswers.recordUnanswered(machine);
+    if (hasRecentContact(machine, now)) this.workerAnswers.recordUnanswered(machine);
     tenure.unansweredCommands++;
     if (tenure.unansweredSince === null) tenure.unansweredSince = now;
     tenure.retryAt = now + UNANSWERED_RETRY_MS;
--- a/packages/controller/src/shards/failure-detector.ts
+++ b/packages/controller/src/shards/failure-detector.ts
@@ -3,7 +3,7 @@
  * and whether it is itself cut off. A worker whose heartbeats arrive isn't necessarily reachable, and a worker that doesn't
  * answer isn't necessarily dead. Owns the set of zones that are cut off, and the time since which no worker answers.
  */
-import { isHeardRecently, type TaskAllocations } from '../allocation/index.js';
+import { hasRecentContact, type TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, EffectSink, Logger, PeerDirectory, SettingsView } from '../context/index.js';
 import type { Machine, Milliseconds } from '../model/index.js';
 import { RecoveryProbes } from './recovery-probes.js';
@@ -225,7 +225,7 @@
       this.allocations.heldShards.has(machine.shard) &&
       machine.tenure.unansweredCommands === 0 &&
       machine.tenure.releaseReason === null &&
-      isHeardRecently(machine, now)
+      hasRecentContact(machine, now)
     );
   }
 
--- a/packages/controller/src/shards/job-checks.ts
+++ b/packages/controller/src/shards/job-checks.ts
@@ -55,7 +55,7 @@
       return;
     }
     // The gang was found partly started after a takeover, and its missing tasks can't be on a machine that hasn't answered yet.
-    if (allocations.length < job.spec.tasks && job.doneCount < job.spec.tasks && !this.allocations.mayRunUnseen(job))
+    if (allocations.length < job.spec.tasks && job.doneCount < job.spec.tasks && !this.allocations.mayRunUnreported(job))
       this.allocations.failGang(job);
   }
 
--- a/packages/controller/src/shards/machine-lifecycle.ts
+++ b/packages/controller/src/shards/machine-lifecycle.ts
@@ -3,7 +3,7 @@
  * does not end; releases or moves empty machines; and raises fencing tokens. Decides about each machine separately, whereas the
  * failure detector evaluates them as a group. Owns no state of its own: it uses its parts and the tenures of the machines.
  */
-import { isEmpty, isHeardByPeer, type TaskAllocations } from '../allocation/index.js';
+import { hasRecentPeerContact, isEmpty, type TaskAllocations } from '../allocation/index.js';
 import type {
   ClusterStateView,
   EffectSink,
@@ -89,7 +89,7 @@
     const silentMs = now - machine.tenure.lastHeartbeatAt;
     if (!isWaitedFor(machine) || machine.tenure.releaseReason !== null) return;
     // Pauses of this process also shift the time of the last peer contact, so a lost machine could seem in contact indefinitely.
-    if (isHeardByPeer(machine, now) && !this.silence.isBeyondForgiveness(machine, now)) return;
+    if (hasRecentPeerContact(machine, now) && !this.silence.isBeyondForgiveness(machine, now)) return;
     if (this.isSilentWithCancelledWork(machine, silentMs, now)) this.releases.mark(machine, 'silent with cancelled work', now);
     else if (this.isSilent(machine, silentMs, now) && this.isOwnSilence(machine, silentMs, now))
       this.releases.mark(machine, 'silent', now);
--- a/packages/controller/src/shards/probe-selection.ts
+++ b/packages/controller/src/shards/probe-selection.ts
@@ -2,7 +2,7 @@
  * Decides which machines may be sent commands, which are probed instead, and in which order. A probe is a message without
  * commands; its answer is the worker's status. Owns no state.
  */
-import { hasCancelledWork, isHeardRecently } from '../allocation/index.js';
+import { hasCancelledWork, hasRecentContact } from '../allocation/index.js';
 import type { SettingsView } from '../context/index.js';
 import { CANCELLED_WORK_PRIORITY, LOWEST_REPORTED_PRIORITY, type Machine, type Milliseconds } from '../model/index.js';
 import { isBeyondForgiveness, isUnanswering } from './machine-silence.js';
@@ -85,7 +85,7 @@
 /** Whether the machine is verified, has recent contact, and has left no command unanswered. */
 function isHealthy(machine: Machine, now: Milliseconds): boolean {
   const { tenure } = machine;
-  return tenure.isVerified && tenure.unansweredCommands === 0 && isHeardRecently(machine, now);
+  return tenure.isVerified && tenure.unansweredCommands === 0 && hasRecentContact(machine, now);
 }
 
 /**
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -127,7 +127,7 @@
   }
 
   /** Begins a tenure of the shard with new state: nothing from an earlier tenure, of this or another lease holder, is kept. */
-  leaseAcquired(shard: number, revision: number, now: Milliseconds): void {
+  onLeaseAcquired(shard: number, revision: number, now: Milliseconds): void {
     this.allocations.heldShards.add(shard, revision);
     for (const machine of this.context.clusterState.machines.values()) {
       if (machine.shard !== shard) continue;
@@ -139,7 +139,7 @@
   }
 
   /** Ends the tenure of the shard. The next lease holder learns the shard's tasks from the workers. */
-  leaseLost(shard: number): void {
+  onLeaseLost(shard: number): void {
     this.allocations.heldShards.delete(shard);
     this.shardSummaries.forget(shard);
     for (const machine of this.context.clusterState.machines.values()) {
@@ -158,7 +158,7 @@
   /**
    * Processes a written or removed assignment of a machine. `hasChangedShard`: the machine came from another shard, or is new.
    */
-  machineChanged(machine: Machine, hasChangedShard: boolean, now: Milliseconds): void {
+  onMachineChanged(machine: Machine, hasChangedShard: boolean, now: Milliseconds): void {
     // Not only `UNASSIGNED_SHARD`: a stored record with a shard number that doesn't exist is not rejected.
     if (machine.shard < 0) {
       this.forgetAllocations(machine);
@@ -174,7 +174,7 @@
   }
 
   /** Processes a written or removed record of a job: stops the tasks of a cancelled one. */
-  jobChanged(job: Job): void {
+  onJobChanged(job: Job): void {
     if (!this.allocations.heldShards.has(job.shard)) {
       this.context.clusterState.forgetIfFinished(job);
       return;
