--- a/packages/controller/src/jobs/acceptance-writer.ts
+++ b/packages/controller/src/jobs/acceptance-writer.ts
@@ -1,34 +1,37 @@
 /**
- * Stores accepted jobs: encodes the record, writes its parts and then the record itself, each under the condition that its key
- * doesn't exist. Owns no state; pending writes are the state writer's.
+ * Stores accepted jobs: encodes the record, then writes its parts and finally the record itself, each on the condition that
+ * its key doesn't exist. Owns no state; the state writer owns the pending writes.
  */
 import type { Submission } from '@archpost/protocol';
 import type { ClusterStateView, InputClock, ReplicaView, StateWriting } from '../context/index.js';
 import type { Milliseconds } from '../model/index.js';
 import { type EncodedJob, encodeAcceptedJob, NO_REVISION, StateKey, WritePriority } from '../state/index.js';
 
-/** What became of the acceptance of a job. */
+/** The outcome of storing an accepted job. */
 export type AcceptanceOutcome =
   /** `sentAt`: when the write was sent */
   | { kind: 'stored'; sentAt: Milliseconds }
-  /** the job has a record already */
+  /** the job already has a record */
   | { kind: 'conflict' }
-  /** the state service gave no answer in time: the job may be stored or not */
+  /** the state service did not answer in time: the job may or may not be stored */
   | { kind: 'unknown' };
 
-/** What the acceptance writer needs of its controller. */
+/** The parts of the controller's context that the acceptance writer uses. */
 type AcceptanceWriterContext = InputClock & ClusterStateView & ReplicaView & StateWriting;
 
-/** Writes what makes a job accepted. A job is accepted as soon as its record is stored, whoever reads it. */
+/**
+ * Writes the records that make a job accepted. A job is accepted as soon as its record is stored, whichever controller reads
+ * it.
+ */
 export class AcceptanceWriter {
   constructor(private readonly context: AcceptanceWriterContext) {}
 
-  /** The record and its parts; null if the job's names are too long to be stored. */
+  /** Encodes the record and its parts; null if the job's names are too long to be stored. */
   encode({ spec, awaits }: Submission, wallClockMs: number): EncodedJob | null {
     const { finishedJobs, sizeLimits } = this.context.clusterState;
     const key = StateKey.job(spec.id);
     const ordered = spec.machineTypes === null ? spec : { ...spec, machineTypes: this.knownTypesFirst(spec.machineTypes) };
-    // What is stored as done needs no edge.
+    // A job that is stored as done needs no dependency edge.
     const openAwaits = awaits.filter((job) => finishedJobs.get(job) !== 'done');
     const encoded = encodeAcceptedJob(
       key,
@@ -36,11 +39,11 @@
       sizeLimits.maxWriteBytes,
     );
     if (encoded === null || encoded.parts.length === 0) return encoded;
-    // In parts the whole list is stored, so that a repeated submission finds the same parts.
+    // If the list is stored in parts, it is stored whole, so that a repeated submission finds the same parts.
     return encodeAcceptedJob(key, { spec: ordered, awaits, submittedAt: wallClockMs }, sizeLimits.maxWriteBytes);
   }
 
-  /** Writes until `expiresAt`, and calls `onOutcome` once. */
+  /** Writes the parts and then the record, gives up at `expiresAt`, and calls `onOutcome` once. */
   store(job: string, encoded: EncodedJob, expiresAt: Milliseconds, onOutcome: (outcome: AcceptanceOutcome) => void): void {
     this.storeParts(job, encoded, expiresAt, (areStored) => {
       if (areStored) this.storeRecord(job, encoded.record, expiresAt, onOutcome);
@@ -48,13 +51,15 @@
     });
   }
 
-  /** An older version reads only the machine types that come first: those that it knows serve it best. */
+  /**
+   * Moves the known machine types to the front: an older version reads only the first types, preferably ones that it knows.
+   */
   private knownTypesFirst(types: string[]): string[] {
     const known = new Set(this.context.clusterState.machineTypes.flatMap((type) => (type ? [type.name] : [])));
     return [...types.filter((type) => known.has(type)), ...types.filter((type) => !known.has(type))];
   }
 
-  /** The parts come before the record that makes them valid: what is left of a submission that fails is never read. */
+  /** Writes the parts before the record that makes them valid, so that the parts of a failed submission are never read. */
   private storeParts(
     job: string,
     { parts, group }: EncodedJob,
@@ -76,7 +81,7 @@
         priority: WritePriority.acceptance,
         expiresAt,
         onOutcome: () => {
-          // A key of this name holds the same, whoever wrote it.
+          // The key includes a digest of the parts, so an existing key holds the same part, whichever controller wrote it.
           hasFailed ||= replica.get(key) === null;
           pendingCount--;
           if (pendingCount === 0) onOutcome(!hasFailed);
--- a/packages/controller/src/jobs/cancellations.ts
+++ b/packages/controller/src/jobs/cancellations.ts
@@ -1,6 +1,6 @@
 /**
- * Cancellations by users: stored, then answered. What follows for jobs that await the cancelled one is derived from the record,
- * not written. Owns no state.
+ * Cancellations by users: stored, then answered. The consequences for dependents of the cancelled job are derived from its
+ * record, not written. Owns no state.
  */
 import { JOB_ID_PATTERN } from '@archpost/protocol';
 import type { ClusterStateView, ReplicaView, StateWriting } from '../context/index.js';
@@ -9,10 +9,10 @@
 import { type ClientResponses, REQUEST_TIMEOUT_MS } from './client-responses.js';
 import { UnavailableReason } from './response-bodies.js';
 
-/** What cancellations need of the controller. */
+/** The parts of the controller's context that cancellations use. */
 type CancellationsContext = ClusterStateView & ReplicaView & StateWriting;
 
-/** Answers each cancellation once. A job that is finished already is answered with its final state. */
+/** Answers each cancellation once. The answer for a job that is already finished is its final state. */
 export class Cancellations {
   constructor(
     private readonly context: CancellationsContext,
@@ -25,13 +25,13 @@
     if (unavailable) return this.responses.respondUnavailable(id, unavailable);
     const expiresAt = now + REQUEST_TIMEOUT_MS;
     if (this.tryCancel(id, job, expiresAt)) return;
-    // It may have been accepted elsewhere a moment ago.
+    // Another controller may have accepted the job a moment ago.
     this.responses.afterBarrier(id, now, expiresAt, () => {
       if (!this.tryCancel(id, job, expiresAt)) this.responses.respondNoSuchJob(id);
     });
   }
 
-  /** Cancels the job, or answers with its final state. False if no record of it is known here. */
+  /** Cancels the job, or responds with its final state. Returns false if the replica has no record of the job. */
   private tryCancel(id: number, job: string, expiresAt: Milliseconds): boolean {
     const finalState = this.context.clusterState.finishedJobs.get(job);
     if (finalState) {
@@ -55,7 +55,7 @@
       priority: WritePriority.cancellation,
       expiresAt,
       onOutcome: (outcome) => {
-        // Unless it is stored, somebody else wrote first: the replica has it by now.
+        // If the cancellation isn't stored, another write preceded it, which the replica contains by now.
         const finalState = outcome === 'ok' ? 'cancelled' : clusterState.finishedJobs.get(job);
         respondOnce(() => {
           if (finalState) this.responses.respondJobStatus(id, job, finalState);
--- a/packages/controller/src/jobs/client-requests.ts
+++ b/packages/controller/src/jobs/client-requests.ts
@@ -1,5 +1,5 @@
 /**
- * The requests of users, which any controller answers: counts each, parses its body, and hands it to the module for its kind.
+ * User requests, which any controller answers: counts each request, parses its body, and passes it to the module for its kind.
  * Owns these modules.
  */
 import type { MessagePackMap } from '@archpost/protocol';
@@ -22,7 +22,7 @@
 import { malformedSubmissionBody, readSubmissionRequest } from './submission-request.js';
 import { Submissions } from './submissions.js';
 
-/** What requests of users need of the controller. */
+/** The parts of the controller's context that user requests use. */
 type ClientRequestsContext = SettingsView &
   InputClock &
   ClusterStateView &
@@ -33,7 +33,7 @@
   PeerDirectory &
   EffectSink;
 
-/** The entry point for requests of users. */
+/** The entry point for user requests. */
 export class ClientRequests {
   private readonly responses: ClientResponses;
   private readonly submissions: Submissions;
@@ -55,7 +55,7 @@
     else this.responses.respond(id, HttpStatus.badRequest, malformedSubmissionBody(request));
   }
 
-  /** `job`: as the user wrote it; an id that no job can have is answered like one that isn't known. */
+  /** `job`: as the user wrote it; an id that no job can have is answered like an unknown one. */
   cancel(id: number, job: string, now: Milliseconds): void {
     this.responses.requestOpened();
     this.cancellations.cancel(id, job, now);
@@ -67,17 +67,17 @@
     this.statusQueries.query(id, job, now);
   }
 
-  /** Do status queries wait for a newer read? */
+  /** Whether status queries wait for a newer read. */
   get hasPendingQueries(): boolean {
     return this.statusQueries.hasPending;
   }
 
-  /** Answers the status queries up to `asOf`: the replica holds the state as of this time, or a newer one. */
+  /** Answers the status queries that arrived up to `asOf`. The replica holds the state as of this time or a newer one. */
   replicaFreshUpTo(asOf: Milliseconds): void {
     this.statusQueries.answerUpTo(asOf);
   }
 
-  /** Refuses what is out of time. */
+  /** Refuses requests that have timed out. */
   tick(now: Milliseconds): void {
     this.responses.tick(now);
     this.statusQueries.tick(now);
--- a/packages/controller/src/jobs/job-status.ts
+++ b/packages/controller/src/jobs/job-status.ts
@@ -1,4 +1,6 @@
-/** The status of a job for its user, from the replica and from the last statuses of the other controllers. Owns no state. */
+/**
+ * The job status that users see, derived from the replica and from the last statuses of the other controllers. Owns no state.
+ */
 import { encodeJobStatus, type JobState, type TaskCounts } from '@archpost/protocol';
 import type { ClusterStateView, PeerDirectory, ReplicaView } from '../context/index.js';
 import type { Job } from '../model/index.js';
@@ -7,10 +9,10 @@
 /** The body of a response with a job's status. */
 export type JobStatusBody = ReturnType<typeof encodeJobStatus>;
 
-/** What the status of a job with counts of its tasks needs of the controller. */
+/** The parts of the controller's context that a job status with task counts uses. */
 type JobStatusContext = ClusterStateView & ReplicaView & PeerDirectory;
 
-/** The job's state; null if it isn't known here. */
+/** Returns the job's state; null if the job isn't in the cluster state. */
 export function statusOf(context: ClusterStateView & PeerDirectory, id: string): JobState | null {
   const finalState = context.clusterState.finishedJobs.get(id);
   if (finalState) return finalState;
@@ -19,7 +21,7 @@
   return countTasks(context, job).running > 0 ? 'running' : 'queued';
 }
 
-/** A response with counts of tasks; null if the job isn't known here. */
+/** Returns the job's status with task counts; null if the job isn't in the cluster state. */
 export function describeJob(context: JobStatusContext, id: string): JobStatusBody | null {
   const finalState = context.clusterState.finishedJobs.get(id);
   if (finalState) return describeFinishedJob(context, id, finalState);
@@ -29,14 +31,15 @@
   return encodeJobStatus(id, counts.running > 0 ? 'running' : 'queued', counts);
 }
 
-/** A response for a job that is done or cancelled. The tasks of a cancelled one aren't counted. */
+/** Returns the status of a job that is done or cancelled. The tasks of a cancelled job aren't counted. */
 export function describeFinishedJob(context: ReplicaView, id: string, finalState: FinalState): JobStatusBody {
   const tasks = readJobRecord(context.replica.get(StateKey.job(id))?.value)?.tasks ?? 0;
   return encodeJobStatus(id, finalState, { done: finalState === 'done' ? tasks : 0, running: 0 });
 }
 
 /**
- * By what runs here; if nothing does, by what the other controllers reported last. `failed` is 0 unless tasks fail everywhere.
+ * Counts the tasks that this controller's workers report; if none of them runs, also uses the counts that the other
+ * controllers reported last. `failed` is 0 unless the job is crash-looping.
  */
 function countTasks(context: PeerDirectory, job: Job): TaskCounts {
   let running = job.runningCount();
--- a/packages/controller/src/jobs/response-bodies.ts
+++ b/packages/controller/src/jobs/response-bodies.ts
@@ -1,6 +1,6 @@
-/** What users are answered beside the status of a job: HTTP statuses, reasons and bodies. Constants and pure functions. */
+/** Responses to users other than job statuses: HTTP status codes, reasons and error bodies. Constants and pure functions. */
 
-/** The HTTP statuses of responses to users. */
+/** The HTTP status codes of responses to users. */
 export const HttpStatus = {
   ok: 200,
   created: 201,
@@ -13,7 +13,7 @@
 /** One of the status codes of `HttpStatus`. */
 export type HttpStatus = (typeof HttpStatus)[keyof typeof HttpStatus];
 
-/** Why a request can't be served now and is to be repeated. The texts are part of the responses. */
+/** Why a request can't be served now and should be repeated. The texts are part of the responses. */
 export const UnavailableReason = {
   notReady: 'not ready',
   stateServiceSilent: 'the state service does not answer',
@@ -32,8 +32,8 @@
 /** There is neither a job with this id nor a record of one. */
 export const NO_SUCH_JOB: ErrorBody = { error: 'no such job' };
 
-/** The submission is rejected: a key or record with these names would exceed the state service's limits. */
+/** The submission is rejected because a key or record with its names would exceed the state service's limits. */
 export const NAMES_TOO_LONG: ErrorBody = { error: 'its names are too long to be stored' };
 
-/** The body of a response with this error. */
+/** Returns the body of a response with this error text. */
 export const errorBody = (error: string): ErrorBody => ({ error });
--- a/packages/controller/src/jobs/status-queries.ts
+++ b/packages/controller/src/jobs/status-queries.ts
@@ -1,6 +1,5 @@
 /**
- * Users' queries for the status of a job. One read of the state service answers all that came before it. Owns the queries that
- * wait for it.
+ * Status queries of users. One read of the state service answers all queries that arrived before it. Owns the pending queries.
  */
 import { JOB_ID_PATTERN } from '@archpost/protocol';
 import type { ClusterStateView, EffectSink, PeerDirectory, ReplicaView } from '../context/index.js';
@@ -9,7 +8,7 @@
 import { describeFinishedJob, describeJob, type JobStatusBody } from './job-status.js';
 import { HttpStatus, UnavailableReason } from './response-bodies.js';
 
-/** Users wait 2 s for an answer to a query. */
+/** The timeout of a query: users wait 2 s for a response. */
 const QUERY_TIMEOUT_MS = 1700;
 
 interface StatusQuery {
@@ -18,12 +17,12 @@
   at: Milliseconds;
 }
 
-/** What status queries need of the controller. */
+/** The parts of the controller's context that status queries use. */
 type StatusQueriesContext = ClusterStateView & ReplicaView & PeerDirectory & EffectSink;
 
-/** Answers queries linearizably: a job that is finished at once, others after a read that is newer than the query. */
+/** Answers queries linearizably: for a finished job at once, for any other after a read that is newer than the query. */
 export class StatusQueries {
-  /** those that wait for the replica to be as new as they are, in the order in which they came */
+  /** queries that wait until the replica is as new as they are, in order of arrival */
   private readonly pending: StatusQuery[] = [];
 
   constructor(
@@ -46,8 +45,8 @@
   }
 
   /**
-   * Answers the queries that came up to `asOf`, a time whose state the replica holds. A job is described once, however many
-   * queries ask for it.
+   * Answers the queries that arrived up to `asOf`, a time whose state the replica holds. Each job is described once,
+   * regardless of the number of queries for it.
    */
   answerUpTo(asOf: Milliseconds): void {
     const descriptions = new Map<string, JobStatusBody | null>();
@@ -62,13 +61,13 @@
     }
   }
 
-  /** Refuses the queries that are out of time. */
+  /** Refuses queries that have timed out. */
   tick(now: Milliseconds): void {
     for (const { id } of this.takeWhile((query) => now > query.at + QUERY_TIMEOUT_MS))
       this.responses.respondUnavailable(id, UnavailableReason.stateServiceSilent);
   }
 
-  /** Removes the first queries, up to one for which the condition doesn't hold. */
+  /** Removes and returns the first queries, up to the first one that doesn't satisfy the predicate. */
   private takeWhile(holds: (query: StatusQuery) => boolean): StatusQuery[] {
     const end = this.pending.findIndex((query) => !holds(query));
     return this.pending.splice(0, end < 0 ? this.pending.length : end);
--- a/packages/controller/src/jobs/submission-request.ts
+++ b/packages/controller/src/jobs/submission-request.ts
@@ -1,15 +1,15 @@
-/** The body of a submission, parsed: what comes after works with a typed `Submission`. Pure functions. */
+/** Parses the body of a submission, so that all later steps work with a typed `Submission`. Pure functions. */
 import { type MessagePackMap, parseSubmission, type Submission } from '@archpost/protocol';
 import { type ErrorBody, errorBody } from './response-bodies.js';
 
-/** A submission as its user sent it, or why it can't be read. */
+/** A parsed submission, or why its body can't be parsed. */
 export type SubmissionRequest =
   | { kind: 'valid'; submission: Submission }
   | { kind: 'notAMap' }
-  /** `field`: the path of the first field at fault, in the names of the wire */
+  /** `field`: the path of the first invalid field, in wire names */
   | { kind: 'invalidField'; field: string };
 
-/** Parses the body of a submission; `body` is null if it isn't a MessagePack map. */
+/** Parses the body of a submission. `body` is null if it isn't a MessagePack map. */
 export function readSubmissionRequest(body: MessagePackMap | null): SubmissionRequest {
   if (!body) return { kind: 'notAMap' };
   const parsed = parseSubmission(body);
@@ -17,7 +17,7 @@
   return { kind: 'valid', submission: parsed };
 }
 
-/** The body of the response to a submission that can't be read. */
+/** Returns the body of the response to a submission that can't be parsed. */
 export function malformedSubmissionBody(request: Exclude<SubmissionRequest, { kind: 'valid' }>): ErrorBody {
   switch (request.kind) {
     case 'notAMap':
--- a/packages/controller/src/jobs/submission-validation.ts
+++ b/packages/controller/src/jobs/submission-validation.ts
@@ -1,31 +1,31 @@
 /**
- * Whether a submission can be accepted, by what is known here. A rejection holds only as long as nothing newer is read: another
- * controller may have accepted a job that is awaited. Pure functions of the replica and the cluster state.
+ * Validates submissions against the replica and the cluster state. A rejection holds only until a newer read: another
+ * controller may have accepted a job that the submission depends on. Pure functions.
  */
 import type { JobSpec, MachineType, Submission } from '@archpost/protocol';
 import type { ClusterStateView, ReplicaView, SettingsView } from '../context/index.js';
 import { countThatFit, RESOURCE_TOLERANCE, type Team } from '../model/index.js';
 import { StateKey } from '../state/index.js';
 
-/** Why a submission that can be read is rejected. */
+/** Why a well-formed submission is rejected. */
 export type SubmissionRejection =
   | { reason: 'unknownTeam'; team: string }
   | { reason: 'fitsNoMachineType' }
   | { reason: 'exceedsTeamCpus' }
   | { reason: 'exceedsTeamGpus' }
   | { reason: 'awaitsItself' }
-  /** `job`: the first awaited job that was never accepted */
+  /** `job`: the first dependency that was never accepted */
   | { reason: 'awaitsUnknownJob'; job: string };
 
-/** What the validation needs of the controller. */
+/** The parts of the controller's context that the validation uses. */
 type ValidationContext = SettingsView & ClusterStateView & ReplicaView;
 
-/** The first reason to reject the submission, or null. */
+/** Returns the first reason to reject the submission, or null. */
 export function findRejection(context: ValidationContext, { spec, awaits }: Submission): SubmissionRejection | null {
   return findInfeasibility(context, spec) ?? findAwaitsRejection(context, spec.id, awaits);
 }
 
-/** The text of the response to the client. */
+/** Returns the error text of the response to the user. */
 export function rejectionText(rejection: SubmissionRejection): string {
   switch (rejection.reason) {
     case 'unknownTeam':
@@ -45,7 +45,7 @@
   }
 }
 
-/** Why the job could never run, or null. */
+/** Returns why the job could never run, or null. */
 function findInfeasibility(context: SettingsView & ClusterStateView, spec: JobSpec): SubmissionRejection | null {
   const { clusterState, settings } = context;
   const team = settings.teams.find(({ name }) => name === spec.team);
@@ -55,7 +55,7 @@
   return findLimitRejection(team, spec);
 }
 
-/** Does a task fit a machine of this type, where the job may run? */
+/** Whether the job may run on machines of this type, and a task fits on one. */
 function mayRunOn(spec: JobSpec, type: MachineType, zones: readonly string[]): boolean {
   if (spec.machineTypes !== null && !spec.machineTypes.includes(type.name)) return false;
   if (countThatFit(spec, type) < 1) return false;
@@ -63,7 +63,10 @@
   return zones.includes(spec.zone) && (type.zones.length === 0 || type.zones.includes(spec.zone));
 }
 
-/** Tasks that run at once may not exceed the team's limits; 0 is no limit. Those of an array may run one after another. */
+/**
+ * Checks the tasks that have to run at once against the team's limits, where 0 is no limit. An array's tasks may run one by
+ * one.
+ */
 function findLimitRejection(team: Team, spec: JobSpec): SubmissionRejection | null {
   const count = spec.shape === 'array' ? 1 : spec.tasks;
   if (team.maxCpus > 0 && spec.cpus * count > team.maxCpus + RESOURCE_TOLERANCE) return { reason: 'exceedsTeamCpus' };
--- a/packages/controller/src/jobs/submissions.ts
+++ b/packages/controller/src/jobs/submissions.ts
@@ -8,13 +8,13 @@
 import { errorBody, HttpStatus, NAMES_TOO_LONG, UnavailableReason } from './response-bodies.js';
 import { findRejection, rejectionText } from './submission-validation.js';
 
-/** Within this time of a job's acceptance no other response can have reported its end. */
+/** Within this time after a job's acceptance, no other response can have reported the job's end. */
 const PROMPT_RESPONSE_MS = 150;
 
 /** What submissions need of the controller. */
 type SubmissionsContext = SettingsView & InputClock & ClusterStateView & ReplicaView & StateWriting & PeerDirectory;
 
-/** Answers each submission once. A repeated submission is answered with the status of the job, and stores nothing. */
+/** Answers each submission once. The answer to a repeated submission is the job's status, and nothing is stored. */
 export class Submissions {
   private readonly acceptanceWriter: AcceptanceWriter;
 
@@ -25,7 +25,7 @@
     this.acceptanceWriter = new AcceptanceWriter(context);
   }
 
-  /** `wallClockMs`: the time of day, which is stored with the job. */
+  /** `wallClockMs`: time of day, which is stored with the job. */
   submit(id: number, submission: Submission, now: Milliseconds, wallClockMs: number): void {
     const { clusterState } = this.context;
     const job = submission.spec.id;
@@ -38,7 +38,10 @@
     this.accept(id, submission, wallClockMs, now + REQUEST_TIMEOUT_MS);
   }
 
-  /** The job, or one that it awaits, may have been accepted elsewhere a moment ago: only a newer read shows it. */
+  /**
+   * Rejects the submission only after a newer read: another controller may have accepted the job or one of its dependencies a
+   * moment ago.
+   */
   private confirmRejection(id: number, submission: Submission, now: Milliseconds, wallClockMs: number): void {
     const job = submission.spec.id;
     const expiresAt = now + REQUEST_TIMEOUT_MS;
@@ -51,7 +54,7 @@
     });
   }
 
-  /** Stores the job, and answers once it is stored. */
+  /** Stores the job, and responds once it is stored. */
   private accept(id: number, submission: Submission, wallClockMs: number, expiresAt: Milliseconds): void {
     if (this.responses.isOverloaded) return this.responses.respondUnavailable(id, UnavailableReason.overloaded);
     const job = submission.spec.id;
@@ -75,8 +78,8 @@
   }
 
   /**
-   * The answer to the transaction may have been long on its way, and the job have run to its end, or been cancelled at another
-   * controller, which has responded with that: then the response may not name an older status.
+   * The state service's answer to the transaction may be delayed. Meanwhile the job may have finished, or been cancelled at
+   * another controller, which has reported that: the response must not contain an older status.
    */
   private respondAccepted(id: number, job: string, sentAt: Milliseconds): void {
     const { now } = this.context;
@@ -84,7 +87,7 @@
     this.responses.respondJobStatus(id, job, statusOf(this.context, job) ?? 'queued', HttpStatus.created);
   }
 
-  /** Accepted before: answered with its status after a read that is newer than the request. */
+  /** Responds with the status of an accepted job, after a read that is newer than `now`. */
   private respondWithStatusAfterBarrier(id: number, job: string, now: Milliseconds): void {
     this.responses.afterBarrier(id, now, now + REQUEST_TIMEOUT_MS, () => this.respondWithCurrentStatus(id, job));
   }
--- a/packages/controller/src/scheduling/aged-gang-reservation.ts
+++ b/packages/controller/src/scheduling/aged-gang-reservation.ts
@@ -1,13 +1,16 @@
 /**
- * Reservation for aged gangs: free machines that such a gang could use are kept for it, up to what it lacks. Smaller work
- * would take each of them as it comes free, and the gang would never see enough at once. The oldest gang reserves first, so
- * two gangs don't wait for each other's machines.
+ * Reservation for aged gangs: free machines that an aged gang could use are reserved for it, up to the capacity that it lacks.
+ * Otherwise smaller jobs would take each machine as it becomes free, and the gang would never find enough of them free at
+ * once. The oldest gang reserves first, so that two gangs don't wait for each other's machines.
  */
 import { countThatFit, type FreeResources, type Job } from '../model/index.js';
 import { isCandidateFor } from './placement-constraints.js';
 import type { SchedulingRun } from './scheduling-run.js';
 
-/** Takes the machines that the gang could use out of the run's unreserved ones, and its tasks off its team's limit. */
+/**
+ * Removes machines that the gang could use from the run's unreserved ones, unless the gang exceeds its team's limits. Counts
+ * the gang's tasks against these limits in either case.
+ */
 export function reserveForAgedGang(gang: Job, run: SchedulingRun): void {
   const { tasks } = gang.spec;
   const isWithinLimit = run.usage.remainingTasks(gang) >= tasks;
@@ -17,7 +20,10 @@
   if (reserved.size > 0) run.unreserved = run.unreserved.filter((free) => !reserved.has(free));
 }
 
-/** The first machines on which all the gang's tasks fit together, or all on which one fits. */
+/**
+ * Returns the first candidates on which all of the gang's tasks fit together; if there are too few, all on which at least one
+ * fits.
+ */
 function machinesToReserve(gang: Job, candidates: readonly FreeResources[]): Set<FreeResources> {
   const reserved = new Set<FreeResources>();
   let missing = gang.spec.tasks;
--- a/packages/controller/src/scheduling/array-postponement.ts
+++ b/packages/controller/src/scheduling/array-postponement.ts
@@ -1,7 +1,8 @@
 /**
- * Postponement of large arrays. When more arrays wait than can be started in time, going by their start deadlines makes
- * nearly all of them late. The largest are put off to their next deadline until the rest can be met. Tried on days when three
- * times as many jobs came as usual: a fifth of the arrays missed their times, and less was in the way than that.
+ * Postponement of large arrays. When more arrays wait than can start in time, scheduling them by start deadline makes nearly
+ * all of them late. Instead, the largest arrays are postponed to their next deadline until the others can meet theirs. On days
+ * with three times the usual number of jobs, a fifth of the arrays missed their deadlines, although fewer arrays than that
+ * stood in the way of the others.
  */
 import type { TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView } from '../context/index.js';
@@ -10,13 +11,18 @@
 import type { QueuedJob } from './queued-job.js';
 import type { StartDeadlines } from './start-deadlines.js';
 
-/** An array of which nothing has begun for this long comes before others: users wait four minutes at most. */
+/**
+ * An array none of whose tasks has started for this long is scheduled before other arrays: users wait four minutes at most.
+ */
 const MAX_ARRAY_WAIT_MS = 180_000;
 
-/** An array that can meet none of its deadlines is due so long after now, and the longer its tasks take the later. */
+/**
+ * Time from now to the start deadline of an array that can meet none of its deadlines. The expected time for its tasks is
+ * added.
+ */
 const MISSED_ALL_DEADLINES_MS = 1e7;
 
-/** Sets the start deadlines of waiting arrays to those that can be met together. */
+/** Sets the start deadlines of waiting arrays to deadlines that they can meet together. */
 export class ArrayPostponement {
   constructor(
     private readonly context: ClusterStateView,
@@ -24,7 +30,7 @@
     private readonly startDeadlines: StartDeadlines,
   ) {}
 
-  /** Changes `startDeadline` of the arrays in the queue, and nothing else. */
+  /** Sets `startDeadline` of the arrays in the queue. Changes nothing else. */
   apply(queue: readonly QueuedJob[], now: Milliseconds): void {
     for (const arrays of this.competingArrays(queue)) {
       const [first] = arrays;
@@ -34,7 +40,10 @@
     }
   }
 
-  /** Arrays that wait for the same machines: of one shard and priority, and all within quota or all beyond it. */
+  /**
+   * Groups the arrays that compete for the same machines: those of one shard and priority that are all within quota or all
+   * beyond it.
+   */
   private competingArrays(queue: readonly QueuedJob[]): Iterable<QueuedJob[]> {
     const groups = new Map<string, QueuedJob[]>();
     for (const queued of queue) {
@@ -44,7 +53,10 @@
     return groups.values();
   }
 
-  /** Of the lowest priority there may be hundreds, and they wait for what others leave free: first come, first served. */
+  /**
+   * Whether postponement applies to the job. Arrays of the lowest priority are exempt: there may be hundreds of them, they use
+   * only the capacity that other jobs leave free, and they are scheduled first come, first served.
+   */
   private mayBePostponed(job: Job): boolean {
     const { shape, gpus } = job.spec;
     const isCpuArray = shape === 'array' && gpus <= 0;
@@ -59,13 +71,14 @@
     const deadlines = attainableDeadlines(jobs, now);
     arrays.forEach((queued, index) => {
       const { durationMs } = jobs[index] as DeadlineJob;
-      // What can meet none of its deadlines comes last, the shortest first. Last must not mean never, though.
+      // An array that can meet none of its deadlines is scheduled last, the shortest first. An array that has waited too long
+      // is scheduled first, so that none waits forever.
       const startDeadline = deadlines[index] ?? now + MISSED_ALL_DEADLINES_MS + durationMs;
       queued.startDeadline = hasWaitedTooLong(queued.job, now) ? queued.job.arrivedAt : startDeadline;
     });
   }
 
-  /** Processor cores that arrays of the job's shard and priority use: about what comes free for more of them. */
+  /** Processor cores that CPU arrays of the job's shard and priority use. About as many become free for waiting arrays. */
   private cpusInUseByPeers(job: Job): number {
     let cpus = 0;
     for (const other of this.context.clusterState.jobs.values()) {
--- a/packages/controller/src/scheduling/binding.ts
+++ b/packages/controller/src/scheduling/binding.ts
@@ -1,13 +1,13 @@
-/** Binding: carries out what was chosen, by planned allocations. The command dispatcher sends the starts later. */
+/** Binding: records placement decisions as planned allocations. The command dispatcher sends the starts later. */
 import type { TaskAllocations } from '../allocation/index.js';
 import { type FreeResources, type Job, type Machine, subtract } from '../model/index.js';
 import type { SchedulingRun } from './scheduling-run.js';
 
-/** Turns choices into allocations, and counts them in the run and on the machines' free resources. */
+/** Allocates machines to tasks, and counts each allocation in the run's team usage and in the machine's free resources. */
 export class Binder {
   constructor(private readonly allocations: TaskAllocations) {}
 
-  /** Gives the machine to one task of an array or service. */
+  /** Allocates the machine to one task of an array or service. */
   bindTask(job: Job, taskIndex: number, free: FreeResources, run: SchedulingRun): void {
     subtract(free, job.resources);
     this.allocations.allocate({
@@ -21,7 +21,10 @@
     run.usage.add(job);
   }
 
-  /** Gives one machine each to the gang's tasks, in one attempt. None of them may have a machine yet. */
+  /**
+   * Allocates one element of `machines` to each pending task of the gang, all under one attempt. No task may have an
+   * allocation yet.
+   */
   bindGang(job: Job, machines: readonly Machine[], candidates: readonly FreeResources[], run: SchedulingRun): void {
     const attempt = this.allocations.heldShards.nextAttempt(job.shard);
     job.tenure.gangAttempt = attempt;
--- a/packages/controller/src/scheduling/candidate-machines.ts
+++ b/packages/controller/src/scheduling/candidate-machines.ts
@@ -1,27 +1,27 @@
 /**
- * The machines that a job's tasks may use, the best first. Sorting all of them for each waiting job was most of a run's cost
- * on a full fleet, where the task fits on hardly any: the others are scored and sorted only once something may be stopped for the
- * job.
+ * The machines that a job's tasks may use, the best first. On a full fleet a task fits on hardly any machine, and sorting all
+ * of them for each waiting job took most of a run's time. The machines on which the task doesn't fit are therefore scored and
+ * sorted only when preemption may free resources on them.
  */
 import { type FreeResources, fits, type Job } from '../model/index.js';
 import { zoneAllowsTask } from './placement-constraints.js';
 
-/** A machine with its score and free cores of when it was first looked at for the job. */
+/** A machine with its score and its free processor cores, both as of when it was first considered for the job. */
 interface Candidate {
   readonly free: FreeResources;
   readonly score: number;
   readonly cpus: number;
 }
 
-/** Of equal scores the fuller machine comes first. */
+/** Orders by descending score. Of equal scores, the machine with fewer free processor cores comes first. */
 function compareCandidates(a: Candidate, b: Candidate): number {
   return b.score - a.score || a.cpus - b.cpus;
 }
 
-/** Candidates of one job, during its turn in one scheduling run. What is free on them may change meanwhile. */
+/** The candidates of one job during its turn in one scheduling run. Their free resources may change meanwhile. */
 export class CandidateMachines {
   private sorted: Candidate[];
-  /** whether `sorted` has all machines, or those alone on which the task fitted at first */
+  /** whether `sorted` contains all machines, or only those on which the task initially fitted */
   private isComplete = false;
 
   constructor(
@@ -33,7 +33,7 @@
     this.sorted.sort(compareCandidates);
   }
 
-  /** The best one on which a task fits, given how many tasks there are in each zone. */
+  /** Returns the best machine on which a task fits, or null. `tasksInZones`: number of the job's tasks by zone index. */
   best(tasksInZones: ReadonlyMap<number, number>): { readonly free: FreeResources; readonly score: number } | null {
     for (const candidate of this.sorted) {
       const { free } = candidate;
@@ -42,14 +42,17 @@
     return null;
   }
 
-  /** All with a higher score, whether or not the task fits, the best first. */
+  /** Returns all machines with a score above `minScore`, the best first, whether or not the task fits on them. */
   withHigherScore(minScore: number, tasksInZones: ReadonlyMap<number, number>): FreeResources[] {
     return this.allSorted()
       .filter(({ free, score }) => score > minScore && zoneAllowsTask(this.job, tasksInZones, free.machine.zoneIndex))
       .map(({ free }) => free);
   }
 
-  /** Where something was stopped one more task may fit: from now on all machines are looked at. */
+  /**
+   * Adds the machines on which the task didn't fit at first. Preemption may free resources on them for further tasks, so from
+   * now on `best` considers them, too.
+   */
   private allSorted(): Candidate[] {
     if (this.isComplete) return this.sorted;
     const known = new Map(this.sorted.map((candidate) => [candidate.free, candidate]));
--- a/packages/controller/src/scheduling/crash-loop-retries.ts
+++ b/packages/controller/src/scheduling/crash-loop-retries.ts
@@ -1,6 +1,6 @@
 /**
- * Retries of crash-looping jobs: what fails everywhere is tried now and then, after all other work and only where it
- * fits. Nothing is stopped, moved or provisioned for it.
+ * Retries of crash-looping jobs: a job that fails on every machine is retried from time to time, after all other jobs and only
+ * where it fits. No work is stopped or moved for it, and no machine is provisioned.
  */
 import type { TaskAllocations } from '../allocation/index.js';
 import { type FreeResources, fits, type Job } from '../model/index.js';
@@ -18,7 +18,7 @@
     private readonly binder: Binder,
   ) {}
 
-  /** The job's next retry is put off whether or not a task fits. */
+  /** Retries some of the job's tasks. The job's next retry is delayed whether or not a task fits. */
   retry(job: Job, run: SchedulingRun): void {
     const candidates = run.unreserved.filter(({ machine }) => {
       const hasGpus = (machine.capacity?.gpus ?? 0) > 0;
@@ -36,7 +36,7 @@
     if (machines) this.binder.bindGang(job, machines, candidates, run);
   }
 
-  /** Machines that have the image come first: a retry should not cost others a fetch. */
+  /** Prefers machines that have the job's image, so that a retry causes no image fetch at the expense of other jobs. */
   private retryTasks(job: Job, count: number, candidates: FreeResources[], run: SchedulingRun): void {
     const tasksInZones = tasksPerZone(job);
     candidates.sort((a, b) => Number(b.machine.images.has(job.imageIndex)) - Number(a.machine.images.has(job.imageIndex)));
--- a/packages/controller/src/scheduling/gang-placement.ts
+++ b/packages/controller/src/scheduling/gang-placement.ts
@@ -1,25 +1,25 @@
 /**
- * Bin packing of a gang: all its tasks in the finest, smallest topology domain that holds them, or none. Pure functions; what
- * they are given is not changed.
+ * Bin packing of a gang: all of its tasks in the smallest topology domain of the finest layer that holds them, or none of
+ * them. Pure functions, which don't modify their arguments.
  */
 import { appendTo, type FreeResources, fits, type Job, type Machine, subtract } from '../model/index.js';
 import { countTaskInZone, zoneAllowsTask } from './placement-constraints.js';
 
-/** How a cluster is divided into domains, from the finest to the coarsest. */
+/** How the cluster is divided into topology domains, from the finest layer to the coarsest. */
 type TopologyLayer = 'machine type within zone' | 'zone' | 'cluster';
 
 const LAYERS: readonly TopologyLayer[] = ['machine type within zone', 'zone', 'cluster'];
 
-/** Type indices are smaller than this, so that zone and type make one number. */
+/** Exclusive upper bound of type indices, so that zone index and type index combine into one number. */
 const MAX_MACHINE_TYPES = 4096;
 
-/** The machines of one domain with what is free on them. */
+/** The machines of one domain, with their free resources. */
 type TopologyDomain = FreeResources[];
 
 /**
- * The domains that may hold the gang, in the order in which they are tried: the finest layer first (DESIGN: one machine type
- * within one zone, one zone, all zones), in a layer by rising machine count, then by key. A layer is divided only once it is
- * reached.
+ * Yields the domains that may hold the gang, in the order in which they are tried: the finest layer first (DESIGN: one machine
+ * type within one zone, one zone, all zones), and within a layer by ascending machine count, then by key. A layer is divided
+ * into domains only once it is reached.
  */
 export function* domainsFor(job: Job, candidates: readonly FreeResources[]): Generator<TopologyDomain> {
   for (const layer of LAYERS) if (layer !== 'cluster' || !job.spec.oneZone) yield* domainsOfLayer(candidates, layer);
@@ -45,7 +45,10 @@
   }
 }
 
-/** Puts `count` tasks into one domain, the machines with the highest score and then the fullest first; null: they don't fit. */
+/**
+ * Assigns `count` tasks to machines of the domain: by descending score, then by ascending free accelerators and processor
+ * cores. Returns the machine of each task; null if the tasks don't all fit.
+ */
 function fillDomain(job: Job, count: number, domain: TopologyDomain, scoreOf: (free: FreeResources) => number): Machine[] | null {
   const candidates = domain
     .map((free) => ({ free: { ...free }, score: scoreOf(free) }))
@@ -65,8 +68,8 @@
 }
 
 /**
- * The machine of each of the gang's tasks, in the finest layer's smallest domain that holds all `count` of them; null: none
- * does. `scoreOf`: the machine with the larger score is filled first.
+ * Returns the machine of each of the gang's tasks, in the smallest domain of the finest layer that holds all `count` of them;
+ * null if no domain does. `scoreOf`: machines with a higher score are filled first.
  */
 export function placeGang(
   job: Job,
--- a/packages/controller/src/scheduling/gang-preemption.ts
+++ b/packages/controller/src/scheduling/gang-preemption.ts
@@ -1,6 +1,6 @@
 /**
- * Preemption for gangs: the finest, smallest topology domain that would hold the gang if all that may be stopped there were
- * gone; in it, the machines on which least has to be stopped.
+ * Preemption for gangs: chooses the smallest topology domain of the finest layer that holds the gang once all possible victims
+ * there are stopped, and in this domain the machines on which preemption costs least.
  */
 import type { FreeResources, Machine } from '../model/index.js';
 import { domainsFor, placeGang } from './gang-placement.js';
@@ -8,16 +8,16 @@
 import type { QueuedJob } from './queued-job.js';
 import type { SchedulingRun } from './scheduling-run.js';
 
-/** Costs more than any choice of victims: on this machine not even one task fits. */
+/** Cost of a machine on which not even one task fits after preemption: higher than that of any set of victims. */
 const COST_WITHOUT_ROOM_S = 1e9;
 
-/** Preempts work so that whole gangs fit. */
+/** Preempts work so that a whole gang fits. */
 export class GangPreemption {
   constructor(private readonly preemption: Preemption) {}
 
   /**
-   * Stops what is in the way of the gang, counts it as free on the candidates, and returns the machine of each task; null:
-   * the whole gang doesn't fit.
+   * Stops the work that blocks the gang, adds its resources to the candidates' free resources, and returns the machine of each
+   * task; null if the whole gang doesn't fit.
    */
   preemptFor(queued: QueuedJob, candidates: readonly FreeResources[], run: SchedulingRun): Machine[] | null {
     const machines = this.chooseMachines(queued, candidates, run);
@@ -44,7 +44,7 @@
     return result;
   }
 
-  /** What it costs to preempt enough for one of the gang's tasks on each machine. */
+  /** Returns the cost of preempting enough work for one of the gang's tasks, by machine. */
   private costsOf(domain: readonly FreeResources[], queued: QueuedJob, run: SchedulingRun): Map<Machine, number> {
     const costs = new Map<Machine, number>();
     for (const free of domain) {
@@ -54,7 +54,10 @@
     return costs;
   }
 
-  /** Stops what is in the way of the tasks on each machine; false: on one of them they don't fit even so. */
+  /**
+   * Stops enough victims on each machine for the gang's tasks there. Returns false if the tasks don't fit on one of the
+   * machines even then.
+   */
   private clear(
     machines: readonly Machine[],
     queued: QueuedJob,
--- a/packages/controller/src/scheduling/gang-service-eviction.ts
+++ b/packages/controller/src/scheduling/gang-service-eviction.ts
@@ -1,6 +1,6 @@
 /**
- * Eviction of services for gangs: clears machines with accelerators of their services when a gang doesn't fit otherwise, as many
- * machines as it lacks or none. Owns when that was last done.
+ * Eviction of services for gangs: when a gang doesn't fit otherwise, machines with accelerators are cleared of their services,
+ * as many machines as the gang lacks or none. Owns the time of the last eviction.
  */
 import { freeResourcesOf, type TaskAllocations, type UnmetDemand } from '../allocation/index.js';
 import type { ClusterStateView, Logger, SettingsView } from '../context/index.js';
@@ -18,17 +18,17 @@
 import { isAllowedOn } from './placement-constraints.js';
 import type { ServiceEvacuation } from './service-evacuation.js';
 
-/** Machines are cleared for one gang at a time, and the next gang waits this long. */
+/** Machines are cleared for one gang at a time. The next gang has to wait for this long. */
 const EVICTION_INTERVAL_MS = 5000;
 
-/** A machine that was cleared takes no work without accelerators for this many plan waits. */
+/** A cleared machine accepts no work without accelerators for this many plan waits. */
 const RESERVED_PLAN_WAITS = 2;
 
-/** What a gang finds in its shard. */
+/** How much of a gang fits in its shard, and which machines could be cleared for the rest. */
 interface GangCandidates {
-  /** how many of its tasks fit as it is */
+  /** how many of the gang's tasks fit without an eviction */
   tasksThatFit: number;
-  /** machines where it doesn't fit for their services alone, and these fit elsewhere */
+  /** machines on which no task fits because of their services alone, and whose services fit on other machines */
   readonly clearable: ClearableMachine[];
 }
 
@@ -36,11 +36,11 @@
   readonly machine: Machine;
   /** processor cores that its services use */
   readonly serviceCpus: number;
-  /** how many of the gang's tasks fit once it is cleared */
+  /** how many of the gang's tasks fit once the machine is cleared */
   readonly tasksOnceCleared: number;
 }
 
-/** Clears machines for gangs that didn't fit in a run. */
+/** Clears machines for gangs that didn't fit in a scheduling run. */
 export class GangServiceEviction {
   private evictedAt: Milliseconds = NEVER;
 
@@ -50,7 +50,10 @@
     private readonly evacuation: ServiceEvacuation,
   ) {}
 
-  /** Clears machines for the first gang of the unmet demand that then fits, unless that was done a short time ago. */
+  /**
+   * Clears machines for the first gang of the unmet demand that fits afterward, unless the last eviction was less than
+   * `EVICTION_INTERVAL_MS` ago.
+   */
   evictFor(unmetDemand: readonly UnmetDemand[], now: Milliseconds): void {
     if (now - this.evictedAt < EVICTION_INTERVAL_MS) return;
     for (const { job } of unmetDemand) {
@@ -88,7 +91,7 @@
   }
 }
 
-/** Is it for services alone that none of the gang's tasks fits? */
+/** Whether the machine's services alone prevent the gang's tasks from fitting. */
 function isBlockedByServices(gang: Job, machine: Machine, capacity: Resources): boolean {
   if (hasGpuWork(machine)) return false;
   const usage = machineLoadOf(machine).serviceUsage;
@@ -100,7 +103,10 @@
   return usage.cpus > 0 && !fits(gang.resources, besideServices);
 }
 
-/** Those with the least services first, as many as the gang lacks; null: it lacks none, or they are not enough. */
+/**
+ * Chooses as many machines as the gang lacks, those with the fewest processor cores used by services first; null if the gang
+ * lacks none, or if the machines are not enough.
+ */
 function chooseMachines(gang: Job, { tasksThatFit, clearable }: GangCandidates): Machine[] | null {
   let missing = gang.spec.tasks - tasksThatFit;
   if (missing <= 0) return null;
--- a/packages/controller/src/scheduling/index.ts
+++ b/packages/controller/src/scheduling/index.ts
@@ -1,6 +1,6 @@
 /**
- * Scheduling: the order of the queue, quota, bin packing by topology domain, scoring of machines, preemption and the eviction
- * of services. Owns no stored state: what it decides are planned allocations.
+ * Scheduling: queue order, quota, bin packing by topology domain, machine scoring, preemption and the eviction of services.
+ * Owns no stored state: its decisions are planned allocations.
  */
 export { placeGang } from './gang-placement.js';
 export { tasksPerZone, zoneAllowsTask } from './placement-constraints.js';
--- a/packages/controller/src/scheduling/machine-eligibility.ts
+++ b/packages/controller/src/scheduling/machine-eligibility.ts
@@ -1,6 +1,6 @@
 /**
- * Eligibility: which machines a job may use at all for now, beyond what its own constraints say. Machines with accelerators
- * are kept for the work that needs them, for a while or as long as it waits. Owns which shards have accelerator work that
+ * Eligibility: which machines a job may use at present, beyond its own constraints. Machines with accelerators are kept for
+ * work that needs them, for a limited time or for as long as such work waits. Owns the set of shards whose accelerator work
  * didn't fit.
  */
 import type { MachineType } from '@archpost/protocol';
@@ -11,31 +11,31 @@
 import { isAllowedOn } from './placement-constraints.js';
 import type { QueueOrder } from './queue-order.js';
 
-/** How long a service waits for other machines before it takes one with accelerators of a type that can't be provisioned. */
+/** How long a service waits for other machines before it may use one with accelerators of a type that can't be provisioned. */
 const SERVICE_WAIT_MS = {
   /** the machine is dedicated to services */
   dedicatedMachine: 800,
   /** accelerator work still fits beside the service */
   spareRoom: 1500,
-  /** the service fits on another machine that is dedicated to services, which it should take instead */
+  /** the service fits on another machine that is dedicated to services, which it should use instead */
   whileDedicatedMachineHasRoom: 30_000,
-  /** none of these */
+  /** none of the above */
   scarceMachine: SCARCE_MACHINE_WAIT_S * 1000,
 } as const;
 
-/** Two are enough to find one other than the machine that is looked at. */
+/** Two are enough to find one other than the machine under consideration. */
 const MAX_DEDICATED_MACHINES = 2;
 
-/** A new machine is expected within this multiple of the boot time of its type. */
+/** A new machine is expected within this multiple of its type's boot time. */
 const BOOT_TIME_MARGIN = 1.5;
 
-/** Estimates of runs are often wrong by as much as half of the run, which is allowed on top. */
+/** Run time estimates are often wrong by as much as half of the run, so this fraction of the run is added as a margin. */
 const RUN_TIME_MARGIN = 0.5;
 
-/** A start deadline farther off than this is that of a job that has missed all that it had. */
+/** A start deadline further away than this belongs to a job that has missed all of its deadlines. */
 const MISSED_ALL_DEADLINES_MS = 1e6;
 
-/** What eligibility asks. */
+/** The components that eligibility decisions depend on. */
 interface EligibilityDependencies {
   readonly context: ClusterStateView & CapacityView;
   readonly allocations: TaskAllocations;
@@ -43,36 +43,36 @@
   readonly gpuMachines: GpuMachines;
 }
 
-/** Says which machines a job may use for now. */
+/** Determines which machines a job may use at present. */
 export class MachineEligibility {
   private readonly shardsWithWaitingGpuWork = new Set<number>();
 
   constructor(private readonly dependencies: EligibilityDependencies) {}
 
-  /** What didn't fit in a run; it holds for the next run. */
+  /** Records the work that didn't fit in a scheduling run. It affects eligibility in the next run. */
   recordUnmetDemand(unmetDemand: readonly UnmetDemand[]): void {
     this.shardsWithWaitingGpuWork.clear();
     for (const { job } of unmetDemand) if (job.spec.gpus > 0) this.shardsWithWaitingGpuWork.add(job.shard);
   }
 
-  /** `waitedMs`: for how long some of the job's tasks have had no machine. */
+  /** Returns the eligibility of machines for the job. `waitedMs`: how long some of the job's tasks have had no machine. */
   forJob(job: Job, waitedMs: Milliseconds, now: Milliseconds): JobEligibility {
     const hasWaitingGpuWork = this.shardsWithWaitingGpuWork.has(job.shard);
     return new JobEligibility(this.dependencies, { job, waitedMs, now, hasWaitingGpuWork });
   }
 }
 
-/** The job that asks, and when. */
+/** The job for which eligibility is determined, and the time. */
 interface EligibilityRequest {
   readonly job: Job;
-  /** for how long some of its tasks have had no machine */
+  /** how long some of the job's tasks have had no machine */
   readonly waitedMs: Milliseconds;
   readonly now: Milliseconds;
-  /** whether accelerator work of its shard didn't fit in the last run */
+  /** whether accelerator work of the job's shard didn't fit in the last run */
   readonly hasWaitingGpuWork: boolean;
 }
 
-/** Which machines one job may use. Made when the job's turn comes; no machine may change while it is in use. */
+/** Determines which machines one job may use. Created at the job's turn; no machine may change while it is in use. */
 export class JobEligibility {
   private dedicatedMachines: readonly Machine[] | null = null;
   private tooLateForNewMachine: boolean | null = null;
@@ -82,12 +82,12 @@
     private readonly request: EligibilityRequest,
   ) {}
 
-  /** May the job use the machine, if its constraints allow it and a task fits? */
+  /** Whether the job may use the machine, provided that its constraints allow the machine and a task fits. */
   mayUse(machine: Machine): boolean {
     const { job, waitedMs, now } = this.request;
     if (job.spec.gpus > 0) return true;
     if (now < machine.reservedUntil) return false;
-    // Fetches share a machine's rate: a small image would hold up a gang's large one.
+    // Image fetches share the machine's fetch rate: a small image would delay a gang's large one.
     if (!machine.images.has(job.imageIndex) && isFetchingForGpuWork(machine)) return false;
     if (!machine.capacity || machine.capacity.gpus === 0 || machine.spot) return true;
     if (job.spec.shape !== 'service') return this.arrayMayUseGpuMachine(machine, machine.capacity);
@@ -96,9 +96,9 @@
   }
 
   /**
-   * Where no more of them can be had, services keep off machines with accelerators until nothing else has come free for a
-   * while: there they would be in the way for hours. One machine dedicated to services leaves the others to the work that
-   * they are made for.
+   * Returns how long the service has to wait before it may use the machine, of whose type no more can be provisioned. Services
+   * would block accelerator work on it for hours, so they avoid it until no other machine has become free for a while. One
+   * machine dedicated to services leaves the others to accelerator work.
    */
   private serviceWaitMs(machine: Machine): Milliseconds {
     const { gpuMachines } = this.dependencies;
@@ -109,7 +109,9 @@
     return isOtherDedicated ? SERVICE_WAIT_MS.whileDedicatedMachineHasRoom : SERVICE_WAIT_MS.scarceMachine;
   }
 
-  /** Machines that are dedicated to services and on which the job's next task fits, a few at most. */
+  /**
+   * Returns machines that are dedicated to services and on which the job's next task fits, at most `MAX_DEDICATED_MACHINES`.
+   */
   private findDedicatedMachines(): Machine[] {
     const result: Machine[] = [];
     for (const machine of this.dependencies.context.clusterState.machines.values()) {
@@ -130,15 +132,19 @@
     );
   }
 
-  /** Independent tasks take an expensive machine whole only when their time runs out. */
+  /**
+   * Whether independent tasks without accelerators may use the machine. They may occupy an expensive machine alone only when
+   * waiting for a new machine would make them late.
+   */
   private arrayMayUseGpuMachine(machine: Machine, capacity: MachineType): boolean {
     const { context, gpuMachines } = this.dependencies;
     const { job, hasWaitingGpuWork } = this.request;
     const gpuDemand = context.clusterState.gpuDemandByType.get(machine.typeIndex);
     if (!gpuDemand) return true;
-    // Where no more can be had and what needs them has a higher priority, which may stop it, it does no harm there.
+    // No more machines of this type can be provisioned, but the accelerator work has a higher priority and can preempt the
+    // job: the job does no harm there.
     if (gpuDemand.priority > job.priority && !context.isTypeAvailable(capacity.name)) return true;
-    // Beside what keeps the machine here anyway, it costs nothing; alone it would keep it.
+    // Beside other work that prevents the machine's release the job costs nothing; alone it would prevent the release.
     const cpusWithTask = cpusWithoutGpus(machine, job.spec.cpus);
     if (cpusWithTask <= capacity.cpus - gpuDemand.cpus + RESOURCE_TOLERANCE && gpuMachines.isKeptBusy(machine)) return true;
     if (hasWaitingGpuWork) return false;
@@ -155,7 +161,7 @@
   }
 }
 
-/** Is an image on its way to the machine that accelerator work there waits for? */
+/** Whether an image that accelerator work on the machine waits for is being fetched, or is about to be. */
 function isFetchingForGpuWork(machine: Machine): boolean {
   for (const { job, phase, stopGraceS, status } of machine.tenure.allocations.values()) {
     if (job.spec.gpus === 0 || phase === 'exited' || stopGraceS !== null || machine.images.has(job.imageIndex)) continue;
@@ -164,7 +170,7 @@
   return false;
 }
 
-/** Adds to `cpus` what work without accelerators takes on the machine. */
+/** Returns `cpus` plus the processor cores that work without accelerators uses on the machine. */
 function cpusWithoutGpus(machine: Machine, cpus: number): number {
   let sum = cpus;
   for (const allocation of machine.tenure.allocations.values())
--- a/packages/controller/src/scheduling/machine-scoring.ts
+++ b/packages/controller/src/scheduling/machine-scoring.ts
@@ -1,42 +1,42 @@
 /**
- * Scoring: how good a machine is for a task. A score is about in seconds of the task's waiting: what the fetch of the image
- * takes counts as it is, everything else by how long a wait it is worth. Owns nothing.
+ * Scoring: how suitable a machine is for a task. A score is roughly in seconds of the task's waiting time: an image fetch
+ * counts with its duration, everything else with the waiting time that it is worth. Owns nothing.
  */
 import type { CapacityView, ClusterStateView } from '../context/index.js';
 import { type FreeResources, type Job, type Machine, machineLoadOf } from '../model/index.js';
 import type { GpuMachines } from './gpu-machines.js';
 
-/** A machine of unknown capacity comes after all others. */
+/** A machine of unknown capacity ranks below all others. */
 const UNKNOWN_CAPACITY_SCORE = -100;
 
-/** An image that is being fetched for other work is there, on average, after half of its time. */
+/** An image fetch that is already in progress for other work completes, on average, after half of the full fetch time. */
 const FETCH_UNDER_WAY_FACTOR = 0.5;
 
-/** A spot machine is cheaper, and an array loses little with it. */
+/** A spot machine is cheaper, and an array loses little work when the machine is reclaimed. */
 const SPOT_ARRAY_BONUS = 1;
 
-/** Services stand together, so that whole machines stay free for others. */
+/** Services are placed together, so that whole machines stay free for other work. */
 const COLOCATED_SERVICE_BONUS = 0.6;
 
-/** What it costs to put work without accelerators on a machine that has them, in seconds of waiting. */
+/** Penalty for placing work without accelerators on a machine that has them, in seconds of waiting time. */
 const GPU_MACHINE_PENALTY = {
-  /** a spot machine: it does not last anyway */
+  /** a spot machine, which is reclaimed sooner or later anyway */
   spot: 1,
-  /** no accelerator work has been seen that fits the machine */
+  /** no accelerator work that fits on the machine has been recorded */
   unwanted: 5,
-  /** resources that accelerator work leaves free, on a type of which no more can be provisioned */
+  /** resources that accelerator work leaves free, on a machine of a type of which no more can be provisioned */
   spareRoomOfScarceType: 6,
-  /** resources beside accelerator work: a service may keep the machine from being released when that ends */
+  /** resources beside accelerator work: a service may prevent the machine's release when that work ends */
   serviceBesideGpuWork: 1.5,
   /** resources beside accelerator work: an array ends soon enough */
   arrayBesideGpuWork: 0,
   /** an otherwise empty machine, which would be kept for this work alone */
   emptyMachine: 20,
-  /** one more service, where services are in the way of accelerator work already */
+  /** another service on a machine whose services block accelerator work already */
   dedicatedToServices: 2,
-  /** in the way of accelerator work of a higher priority, which may stop it */
+  /** blocks accelerator work of a higher priority, which can preempt it */
   belowGpuWork: 8,
-  /** in the way of accelerator work that can't stop it */
+  /** blocks accelerator work that can't preempt it */
   blockingGpuWork: 40,
 } as const;
 
@@ -47,7 +47,7 @@
     private readonly gpuMachines: GpuMachines,
   ) {}
 
-  /** Larger is better. */
+  /** Returns the machine's score for the job; a higher score is better. */
   score(job: Job, free: FreeResources): number {
     const { machine } = free;
     if (!machine.capacity) return UNKNOWN_CAPACITY_SCORE;
@@ -59,7 +59,7 @@
     return score;
   }
 
-  /** For a job without accelerators on a machine that has them. */
+  /** Returns the penalty of a job without accelerators on a machine that has them. */
   private gpuMachinePenalty(job: Job, machine: Machine): number {
     if (machine.spot) return GPU_MACHINE_PENALTY.spot;
     const gpuDemand = this.context.clusterState.gpuDemandByType.get(machine.typeIndex);
@@ -75,7 +75,7 @@
   }
 }
 
-/** How long the machine will take until it has the job's image, which it has not yet, in seconds. */
+/** Returns the time in seconds until the machine has the job's image. The image must not be in the machine's cache. */
 function fetchTimeS(job: Job, machine: Machine, fetchGbPerS: number): number {
   let isUnderWay = false;
   for (const allocation of machine.tenure.allocations.values())
--- a/packages/controller/src/scheduling/moore-hodgson.ts
+++ b/packages/controller/src/scheduling/moore-hodgson.ts
@@ -1,29 +1,29 @@
 /**
- * Moore and Hodgson's rule for the fewest late jobs on one processor, for jobs that have several deadlines each: jobs run by
- * rising deadline, and whenever one would end late, the longest of those so far is put off to its next deadline. Pure
- * functions, which know nothing of the cluster.
+ * The Moore-Hodgson algorithm, which minimizes the number of late jobs on one processor, for jobs that have several deadlines
+ * each: jobs run by ascending deadline, and whenever one would finish late, the longest job so far is postponed to its next
+ * deadline. Pure functions, independent of the cluster.
  */
 import type { Milliseconds } from '../model/index.js';
 
-/** A job for one processor. */
+/** A job that runs on the processor and has to finish by one of its deadlines. */
 export interface DeadlineJob {
-  /** its deadlines, soonest first */
+  /** in ascending order */
   readonly deadlines: readonly Milliseconds[];
-  /** how long it keeps the processor */
+  /** how long the job occupies the processor */
   readonly durationMs: Milliseconds;
 }
 
-/** Works on a job until a deadline is chosen that it can meet. */
+/** A job while its deadline is being chosen. */
 interface Entry {
   readonly job: DeadlineJob;
-  /** how many of its deadlines were given up */
+  /** how many of the job's deadlines have been given up */
   missed: number;
 }
 
 /**
- * The soonest deadline of each job, in the order of the jobs, such that all jobs that have one meet it, each run by rising
- * deadline from `now` on; null: the job gave up all of its deadlines. Of equally long jobs the one with the soonest deadline
- * is put off; ties of deadlines go by the order of the jobs.
+ * Returns for each job, in the order of `jobs`, the soonest deadline such that all jobs with a deadline meet it if they run by
+ * ascending deadline from `now` on; null if the job gave up all of its deadlines. Of equally long jobs, the one with the
+ * soonest deadline is postponed; ties between deadlines are resolved by the order of `jobs`.
  */
 export function attainableDeadlines(jobs: readonly DeadlineJob[], now: Milliseconds): (Milliseconds | null)[] {
   const entries: Entry[] = jobs.map((job) => ({ job, missed: 0 }));
@@ -32,7 +32,10 @@
   return entries.map(currentDeadline);
 }
 
-/** One pass over the jobs by rising deadline; true if any was put off, which may change the order of the next pass. */
+/**
+ * Makes one pass over the jobs by ascending deadline. Returns whether any was postponed, which may change the order of the
+ * next pass.
+ */
 function putOffLateJobs(entries: readonly Entry[], now: Milliseconds): boolean {
   const scheduled: Entry[] = [];
   let endsAt = now;
@@ -49,7 +52,10 @@
   return anyPutOff;
 }
 
-/** The deadlines are those that stand when a pass begins: putting a job off shows in the next pass. */
+/**
+ * Returns the entries that have a deadline left, sorted by it. The deadlines are those at the start of a pass: a postponement
+ * takes effect in the next pass.
+ */
 function byDeadline(entries: readonly Entry[]): { entry: Entry; deadline: Milliseconds }[] {
   const result: { entry: Entry; deadline: Milliseconds }[] = [];
   for (const entry of entries) {
@@ -59,7 +65,7 @@
   return result.sort((a, b) => a.deadline - b.deadline);
 }
 
-/** `entries` is not empty. Of equally long ones the first is removed. */
+/** Removes and returns the longest entry, the first of equally long ones. `entries` must not be empty. */
 function removeLongest(entries: Entry[]): Entry {
   let longest = 0;
   for (let index = 1; index < entries.length; index++)
--- a/packages/controller/src/scheduling/placement-constraints.ts
+++ b/packages/controller/src/scheduling/placement-constraints.ts
@@ -1,7 +1,9 @@
-/** Where a job allows its tasks: machine types, zones, spot machines, and how they spread over zones. Pure functions. */
+/** Placement constraints of jobs: machine types, zones, spot machines, and the spread of tasks over zones. Pure functions. */
 import type { Job, Machine } from '../model/index.js';
 
-/** Do the job's types, its zone and its consent to spot machines allow the machine, whatever is free there? */
+/**
+ * Whether the job's machine types, its zone and its consent to spot machines allow the machine, regardless of free resources.
+ */
 export function isAllowedOn(job: Job, machine: Machine): boolean {
   return (
     (!machine.spot || job.spec.allowsSpot) &&
@@ -10,12 +12,12 @@
   );
 }
 
-/** Is the machine allowed, in the job's shard, and one that the job has not failed on? */
+/** Whether the machine is in the job's shard, the job's constraints allow it, and none of the job's tasks has failed there. */
 export function isCandidateFor(job: Job, machine: Machine): boolean {
   return machine.shard === job.shard && isAllowedOn(job, machine) && !job.failedOn.has(machine.name);
 }
 
-/** The job's tasks that are, or may be, on a machine, by zone index. */
+/** Returns the number of the job's tasks that are, or may be, on a machine, by zone index. */
 export function tasksPerZone(job: Job): Map<number, number> {
   const counts = new Map<number, number>();
   for (const allocation of job.tenure.allocations.values())
@@ -28,7 +30,7 @@
   counts.set(zoneIndex, (counts.get(zoneIndex) ?? 0) + 1);
 }
 
-/** May one more task of the job run in the zone, given how many there are in each? */
+/** Whether one more task of the job may run in the zone. `counts`: number of the job's tasks by zone index. */
 export function zoneAllowsTask(job: Job, counts: ReadonlyMap<number, number>, zoneIndex: number): boolean {
   if (job.spec.oneZone) {
     for (const [otherZone, count] of counts) if (otherZone !== zoneIndex && count > 0) return false;
@@ -36,7 +38,7 @@
   return (counts.get(zoneIndex) ?? 0) < maxTasksPerZone(job);
 }
 
-/** A job that is to be spread has half of its tasks in one zone at most. */
+/** A job that is spread over zones has at most half of its tasks, rounded up, in one zone. */
 function maxTasksPerZone(job: Job): number {
   return job.spec.spread ? Math.ceil(job.spec.tasks / 2) : Number.POSITIVE_INFINITY;
 }
--- a/packages/controller/src/scheduling/preemption.ts
+++ b/packages/controller/src/scheduling/preemption.ts
@@ -1,6 +1,6 @@
 /**
- * Preemption: which work may be stopped for which job, what it costs to stop it, and the cheapest choice on one machine.
- * Owns what one scheduling run knows of waiting services and of the work that has machines.
+ * Preemption: which work may be stopped for which job, the cost of stopping it, and the cheapest choice of victims on one
+ * machine. Owns, for one scheduling run, the number of overdue service tasks and the lowest allocated priority of each shard.
  */
 import type { TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, SettingsView } from '../context/index.js';
@@ -20,26 +20,28 @@
 import type { QuotaStatuses } from './quota-status.js';
 import type { SchedulingRun } from './scheduling-run.js';
 
-/** Costs of stopping are in seconds of a task's run. A priority outweighs any difference of up to this many. */
+/**
+ * Costs of stopping work are in seconds of a task's run. A priority level outweighs any difference of up to this many seconds.
+ */
 const COST_OF_PRIORITY_S = 1000;
 
-/** Stopping one task stops its whole gang. */
+/** Added for a task of a gang, since stopping the task stops the whole gang. */
 const COST_OF_GANG_S = 500;
 
-/** What has not been started yet is stopped before anything else of its priority. */
+/** A task that has not been started yet is stopped before any other task of its priority. */
 const COST_OF_PLANNED_S = -1;
 
-/** A second of a machine's score is worth as much as this many seconds of the stopped tasks' runs. */
+/** A second of a machine's score is worth this many seconds of the victims' runs. */
 const COST_PER_SCORE = 20;
 
-/** What has to be stopped on a machine for one more task. */
+/** The victims to stop on a machine so that one more task fits. */
 interface EvictionPlan {
   free: FreeResources;
   victims: Allocation[];
   costS: number;
 }
 
-/** Adds to what is free what stopping the allocation will release. */
+/** Adds to `free` the resources that stopping the allocation releases. */
 export function releaseResources(free: Resources, allocation: Allocation): void {
   const { spec } = allocation.job;
   free.cpus += spec.cpus;
@@ -47,14 +49,14 @@
   free.memory += spec.memory;
 }
 
-/** Is there work on the machine that its team's guarantee protects? */
+/** Whether the machine has work that its team's guarantee protects. */
 export function hasProtectedWork(machine: Machine, quotaStatuses: QuotaStatuses): boolean {
   for (const allocation of machine.tenure.allocations.values())
     if (allocation.phase !== 'exited' && quotaStatuses.get(allocation.job)?.isProtected) return true;
   return false;
 }
 
-/** What is lost by stopping the allocations, in seconds of run. */
+/** Returns the cost of stopping the allocations, in seconds of a task's run. */
 export function stopCostS(allocations: readonly Allocation[], now: Milliseconds): number {
   return allocations.reduce((sum, allocation) => sum + stopCostOfTaskS(allocation, now), 0);
 }
@@ -68,11 +70,11 @@
   );
 }
 
-/** Chooses and stops victims. `beginRun` comes before all else in a scheduling run. */
+/** Chooses victims and stops them. `beginRun` must be called first in each scheduling run. */
 export class Preemption {
-  /** tasks without a machine of services that have waited too long, by shard */
+  /** number of unallocated tasks of overdue services, by shard */
   private readonly overdueServiceTasks = new Map<number, number>();
-  /** the lowest priority of work that had machines when the run began, by shard */
+  /** lowest priority of the jobs that had allocations when the run began, by shard */
   private readonly lowestPriority = new Map<number, number>();
 
   constructor(
@@ -81,7 +83,7 @@
     private readonly machineScoring: MachineScoring,
   ) {}
 
-  /** Forgets what the last run found, and looks at the queue of this one. */
+  /** Replaces the figures of the last run by those for this run and its queue. */
   beginRun(queue: readonly QueuedJob[], now: Milliseconds): void {
     this.lowestPriority.clear();
     for (const job of this.context.clusterState.jobs.values()) {
@@ -94,7 +96,7 @@
         this.addOverdueTasks(job, job.pendingCount());
   }
 
-  /** One of the job's waiting tasks was given a machine. */
+  /** Records that one of the job's waiting tasks was allocated. */
   taskPlaced(job: Job, now: Milliseconds): void {
     if (this.isOverdueService(job, now)) this.addOverdueTasks(job, -1);
   }
@@ -104,8 +106,8 @@
   }
 
   /**
-   * Can there be anything at all that may be stopped for the job? What the run itself has placed so far is of the job's
-   * priority or a higher one.
+   * Whether any work may be preempted for the job at all. Work that the run itself has placed so far needs no check: its
+   * priority is the job's or a higher one.
    */
   hasVictims({ job, quota }: QueuedJob): boolean {
     if (quota.withinQuota && job.spec.gpus > 0) return true;
@@ -113,9 +115,9 @@
   }
 
   /**
-   * May the allocation be stopped for the job? A higher priority may stop a lower one (PROTOCOL), and a team within its
-   * guarantee may stop other teams' work that is above theirs (DESIGN). Protected work is stopped for a pressing service
-   * alone.
+   * Whether the allocation may be stopped for the job. A higher priority may preempt a lower one (PROTOCOL), and a team within
+   * its guarantee may preempt other teams' work that exceeds theirs (DESIGN). Protected work is preempted only as
+   * `mayPreemptProtectedWork` allows.
    */
   isVictim(allocation: Allocation, { job, quota }: QueuedJob, run: SchedulingRun): boolean {
     if (allocation.stopGraceS !== null || allocation.phase === 'exited' || allocation.job === job) return false;
@@ -128,9 +130,10 @@
   }
 
   /**
-   * When many machines are gone at once, services of the highest priority that found no machine for a plan wait come before
-   * gangs that stand within a guarantee: where so many tasks wait that they fill half of the machine at least. Without this,
-   * 176 replicas waited out a cut of 90 s while 24 machines trained on; for a few replicas, gangs that were stopped cost more.
+   * Whether the job may preempt protected work on the machine. When many machines are lost at once, services of the highest
+   * priority that have waited for longer than the plan wait take precedence over gangs within a guarantee, provided that the
+   * waiting tasks fill at least half of the machine. Without this rule, 176 replicas waited throughout a network partition of
+   * 90 s while gangs kept training on 24 machines. For only a few replicas, stopping gangs costs more.
    */
   private isPressing(job: Job, machine: Machine, now: Milliseconds): boolean {
     return (
@@ -140,7 +143,7 @@
     );
   }
 
-  /** A service of the highest priority that has waited for longer than the plan wait. */
+  /** Whether the job is a service of the highest priority that has waited for longer than the plan wait. */
   private isOverdueService(job: Job, now: Milliseconds): boolean {
     return (
       job.priority === HIGHEST_PRIORITY &&
@@ -151,8 +154,8 @@
   }
 
   /**
-   * The cheapest allocations to stop on one machine so that `count` tasks of the job fit; empty if they fit as it is, null
-   * if they don't fit whatever is stopped.
+   * Returns the cheapest allocations to stop on one machine so that `count` tasks of the job fit; empty if the tasks fit
+   * already, null if they don't fit even after all possible victims are stopped.
    */
   victimsOn(candidate: FreeResources, queued: QueuedJob, run: SchedulingRun, count = 1): Allocation[] | null {
     const { cpus, gpus, memory } = queued.job.spec;
@@ -170,7 +173,10 @@
     return fits(request, free) ? victims : null;
   }
 
-  /** Preempts enough for one task on the machine where that costs least, and returns the machine; null: there is none. */
+  /**
+   * Preempts enough work for one task on the machine where that costs least, and returns the machine; null if no machine is
+   * suitable.
+   */
   preemptFor(queued: QueuedJob, candidates: readonly FreeResources[], run: SchedulingRun): FreeResources | null {
     const plan = this.cheapestEviction(queued, candidates, run);
     if (!plan) return null;
@@ -178,7 +184,7 @@
     return plan.free;
   }
 
-  /** Of equal costs the first candidate wins. */
+  /** Returns the plan with the lowest cost, of equal costs the first. */
   private cheapestEviction(queued: QueuedJob, candidates: readonly FreeResources[], run: SchedulingRun): EvictionPlan | null {
     let best: EvictionPlan | null = null;
     for (const free of candidates) {
@@ -190,7 +196,7 @@
     return best;
   }
 
-  /** Stops the victims, and counts what they hold on the machine as free. A gang is stopped whole. */
+  /** Stops the victims and adds their resources to `free`. A gang is stopped as a whole. */
   preempt(victims: readonly Allocation[], free: FreeResources): void {
     for (const allocation of victims) {
       releaseResources(free, allocation);
--- a/packages/controller/src/scheduling/queue-order.ts
+++ b/packages/controller/src/scheduling/queue-order.ts
@@ -1,6 +1,6 @@
 /**
- * The queue: which jobs wait for machines, and in which order they get them. Priority comes first, then aged gangs, then work
- * within its team's quota, then the start deadline. Owns no state; the objectives are those of the settings.
+ * The queue: which jobs wait for machines, and the order in which they are placed: by priority, then aged gangs, then work
+ * within its team's quota, then by start deadline. Owns no state; the objectives are those of the settings.
  */
 import type { TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, SettingsView } from '../context/index.js';
@@ -10,10 +10,10 @@
 import { type QuotaStatuses, quotaStatusesOf, WITHOUT_QUOTA } from './quota-status.js';
 import { StartDeadlines } from './start-deadlines.js';
 
-/** A gang that has waited for this many plan waits is aged. */
+/** A gang that has waited for more than this many plan waits is aged. */
 const AGED_GANG_PLAN_WAITS = 6;
 
-/** Orders the waiting jobs of the shards held here. */
+/** Orders the waiting jobs of the shards held by this controller. */
 export class QueueOrder {
   private readonly startDeadlines: StartDeadlines;
   private readonly arrayPostponement: ArrayPostponement;
@@ -26,17 +26,20 @@
     this.arrayPostponement = new ArrayPostponement(context, allocations, this.startDeadlines);
   }
 
-  /** Which jobs are within their team's guarantee, and which are protected by it. */
+  /** Returns which jobs are within their team's guarantee, and which are protected by it. */
   quotaStatuses(): QuotaStatuses {
     return quotaStatusesOf(this.context, this.allocations.heldShards);
   }
 
-  /** By when the job should start to meet the first of its objectives that can still be met. */
+  /** Returns the time by which the job should start to meet the first of its objectives that can still be met. */
   startDeadlineOf(job: Job, now: Milliseconds): Milliseconds {
     return this.startDeadlines.startDeadlineOf(job, now);
   }
 
-  /** All jobs held here that have tasks without a machine, in the order in which they are placed. */
+  /**
+   * Returns the jobs of the shards held by this controller that have unallocated tasks and may start, in the order in which
+   * they are placed.
+   */
   queue(quotaStatuses: QuotaStatuses, now: Milliseconds): QueuedJob[] {
     const result: QueuedJob[] = [];
     for (const job of this.context.clusterState.jobs.values()) {
@@ -62,7 +65,7 @@
   }
 }
 
-/** Aged gangs go by their age alone, so that one that can't be placed yet keeps its turn. */
+/** Aged gangs are ordered by age alone, so that one that can't be placed yet keeps its position. */
 function compareQueuedJobs(a: QueuedJob, b: QueuedJob): number {
   return (
     b.job.priority - a.job.priority ||
--- a/packages/controller/src/scheduling/quota-status.ts
+++ b/packages/controller/src/scheduling/quota-status.ts
@@ -1,23 +1,26 @@
-/** Guarantees: which jobs are within their team's quota, and which are protected by it. */
+/** Guaranteed quotas: which jobs are within their team's quota, and which are protected by it. */
 import type { HeldShards } from '../allocation/index.js';
 import type { ClusterStateView, SettingsView } from '../context/index.js';
 import { type Job, RESOURCE_TOLERANCE, type Team } from '../model/index.js';
 
-/** Where a job stands relative to its team's guaranteed quota. */
+/** The status of a job relative to its team's guaranteed quota. */
 export interface QuotaStatus {
-  /** the job, and all jobs of its team that came before it, fit into the guarantee */
+  /** the job and all earlier jobs of its team fit into the guarantee together */
   readonly withinQuota: boolean;
-  /** within quota, and the guarantee covers a resource that the job uses: it may not be preempted by quota */
+  /** within quota, and the guarantee covers a resource that the job uses, which protects the job from preemption */
   readonly isProtected: boolean;
 }
 
-/** The status of each live job that waits for no other. */
+/** The status of each live job without unfinished dependencies. */
 export type QuotaStatuses = ReadonlyMap<Job, QuotaStatus>;
 
-/** The status of a job that has none: nothing is guaranteed to it. */
+/** The status of a job that has no entry in `QuotaStatuses`: nothing is guaranteed to it. */
 export const WITHOUT_QUOTA: QuotaStatus = { withinQuota: false, isProtected: false };
 
-/** Sums up each team's jobs of the shards held here, in the order in which they were stored. */
+/**
+ * Determines each job's status from the accumulated demand of its team's jobs in the shards held by this controller, in the
+ * order in which the jobs were stored.
+ */
 export function quotaStatusesOf(
   { settings, clusterState }: SettingsView & ClusterStateView,
   heldShards: HeldShards,
@@ -39,14 +42,14 @@
   return result;
 }
 
-/** `demand`: what the job and all jobs of its team before it ask for. */
+/** `demand`: the resources requested by the job and all earlier jobs of its team. */
 function quotaStatusOf(job: Job, team: Team, demand: { cpus: number; gpus: number }): QuotaStatus {
-  // A team without any guarantee has none to be within: its work gives way to all others'.
+  // Jobs of a team without any guarantee are never within quota: they yield to the work of all other teams.
   const hasGuarantee = team.cpus > 0 || team.gpus > 0;
   const cpusCovered = team.cpus <= 0 || demand.cpus <= team.cpus + RESOURCE_TOLERANCE;
   const gpusCovered = team.gpus <= 0 || demand.gpus <= team.gpus + RESOURCE_TOLERANCE;
   const withinQuota = hasGuarantee && cpusCovered && gpusCovered;
-  // A team without a guarantee in what a job uses has nothing to protect the job with.
+  // A guarantee protects a job only if it covers a resource that the job uses.
   const usesGuaranteedResource = (team.cpus > 0 && job.spec.cpus > 0) || (team.gpus > 0 && job.spec.gpus > 0);
   return { withinQuota, isProtected: withinQuota && usesGuaranteedResource };
 }
--- a/packages/controller/src/scheduling/relocation-targets.ts
+++ b/packages/controller/src/scheduling/relocation-targets.ts
@@ -1,27 +1,30 @@
 /**
- * Where the services of a machine could move to within their shard. This is computed for each machine of a shard in one round:
- * going over all targets for each of them cost the square of the machines (eleven of each thirty milliseconds of a tick at
- * 1,333 machines a shard), so the targets are sorted out once for each kind of service.
+ * Where the services of a machine could move to within their shard. This is computed for every machine of a shard in one
+ * round. Checking all targets for each machine takes time quadratic in the number of machines (11 of every 30 ms of a tick at
+ * 1,333 machines per shard), so the targets are filtered once for each kind of service.
  */
 import { type Allocation, type FreeResources, fits, type Job, type Machine, subtract } from '../model/index.js';
 import { isAllowedOn } from './placement-constraints.js';
 
-/** The machines of one shard that services may move to. Made for one round; nothing may change meanwhile. */
+/** The machines of one shard that services may move to. Created for one round, during which no machine may change. */
 export class RelocationTargets {
-  /** the targets with enough free resources for one service of the kind that the service may use, by kind */
+  /** the targets that a service of the kind may use and that have enough free resources for one, by kind */
   private readonly targetsByKind = new Map<string, FreeResources[]>();
   private readonly serviceCpus = new Map<Machine, number>();
 
   /**
-   * `freeResources`: the targets, in the order in which they are tried; `measureServiceCpus`: the processor cores that services
-   * use on a machine, evaluated once for each.
+   * `freeResources`: the targets, in the order in which they are tried; `measureServiceCpus`: returns the processor cores that
+   * services use on a machine, called at most once per machine.
    */
   constructor(
     private readonly freeResources: readonly FreeResources[],
     private readonly measureServiceCpus: (machine: Machine) => number,
   ) {}
 
-  /** Do all these services of the machine fit on other machines at once? The first target that fits is taken. */
+  /**
+   * Whether all of these services of the source machine fit on other machines at once. Each service uses the first target that
+   * fits.
+   */
   canHost(source: Machine, services: readonly Allocation[]): boolean {
     const remaining = new Map<FreeResources, FreeResources>();
     for (const { job } of services) {
@@ -34,7 +37,7 @@
     return true;
   }
 
-  /** `remaining`: what the services before this one have left of the targets that they took. */
+  /** `remaining`: the free resources of targets that are used by earlier services of the source machine. */
   private canTake(
     target: FreeResources,
     source: Machine,
@@ -46,7 +49,10 @@
     return rest === undefined || fits(job.resources, rest);
   }
 
-  /** From one machine with accelerators services move only to one that has more of them: else they could move back. */
+  /**
+   * Between machines with accelerators, services move only to one whose services use more processor cores than the source's;
+   * otherwise they could move back.
+   */
   private isMoveAllowed(source: Machine, target: Machine): boolean {
     if (source.capacity?.gpus === 0 || target.capacity?.gpus === 0) return true;
     return this.serviceCpusOf(target) > this.serviceCpusOf(source);
@@ -70,7 +76,7 @@
   }
 }
 
-/** Services of one kind fit the same machines. */
+/** Returns the kind of the service. Services of one kind fit on the same machines. */
 function kindOf(job: Job): string {
   const { cpus, gpus, memory } = job.resources;
   return [cpus, gpus, memory, job.zoneIndex, job.spec.allowsSpot, job.typeIndices?.join(',') ?? ''].join('/');
--- a/packages/controller/src/scheduling/scheduler.ts
+++ b/packages/controller/src/scheduling/scheduler.ts
@@ -1,6 +1,6 @@
 /**
- * The scheduler: decides when a scheduling run is due, takes the snapshot that it decides on, and goes through the queue.
- * Owns the times of the runs; what it decides are planned allocations and the unmet demand in `TaskAllocations`.
+ * The scheduler: decides when a scheduling run is due, takes the snapshot that the run works on, and processes the queue. Owns
+ * the times of the runs; its decisions are planned allocations and the unmet demand in `TaskAllocations`.
  */
 import { freeResourcesOf, shardsAwaitingVerification, type TaskAllocations, type UnmetDemand } from '../allocation/index.js';
 import type { CapacityView, ClusterStateView, Logger, SettingsView, ShardOwnership } from '../context/index.js';
@@ -25,42 +25,42 @@
 import { measureTeamUsage } from './team-usage.js';
 import { UnschedulableKinds } from './unschedulable-kinds.js';
 
-/** What didn't fit is tried again after this long, if nothing else happens. */
+/** Jobs that didn't fit are tried again after this long if nothing else triggers a run. */
 const RESCHEDULE_INTERVAL_MS = 600;
 
-/** After a run scheduling pauses for a millisecond per this many machines considered, up to `RESCHEDULE_INTERVAL_MS`. */
+/** The pause after a run is one millisecond per this many machines considered, up to `RESCHEDULE_INTERVAL_MS`. */
 const MACHINES_PER_PAUSE_MS = 25;
 
-/** Machines that a whole processor core looks at in a millisecond (docs/results.md). */
+/** Machines that a run considers in one millisecond of a whole processor core (docs/results.md). */
 const MACHINES_PER_CORE_MS = 2000;
 
-/** The part of this controller's processor time that is left to scheduling. */
+/** The share of this controller's processor time that scheduling may use. */
 const SCHEDULING_CPU_SHARE = 0.25;
 
-/** What the scheduler needs of its controller. */
+/** The parts of the controller's context that the scheduler uses. */
 type SchedulerContext = SettingsView & ClusterStateView & CapacityView & ShardOwnership & Logger;
 
-/** What a run does with a job of the queue. */
+/** How a run handles a job in the queue. */
 type Readiness =
-  /** it is placed, as far as it fits */
+  /** placed as far as it fits */
   | 'ready'
-  /** its turn comes in a later run, which is due even if nothing else happens */
+  /** left to a later run, which takes place even if nothing else triggers one */
   | 'postponed'
-  /** one of its tasks may run on a machine that has not answered yet: the answer starts another run */
+  /** one of its tasks may run on a machine that has not answered yet; the answer triggers another run */
   | 'unverified'
-  /** it is retried after all others */
+  /** retried after all other jobs */
   | 'crash-looping';
 
-/** What a run leaves behind. */
+/** The outcome of a scheduling run. */
 interface RunOutcome {
   readonly unmetDemand: UnmetDemand[];
   readonly crashLoopingJobs: Job[];
   hasPostponedJobs: boolean;
-  /** machines looked at, counted once for each job that looked at them */
+  /** machines considered, counted once for each job that considered them */
   machinesConsidered: number;
 }
 
-/** Places the tasks of waiting jobs on the machines of the shards held here. */
+/** Places the tasks of waiting jobs on the machines of the shards held by this controller. */
 export class Scheduler {
   private hasUnfinishedWork = false;
   private lastRunAt: Milliseconds = NEVER;
@@ -95,14 +95,14 @@
     this.serviceConsolidation = new ServiceConsolidation(context, allocations, gpuMachines);
   }
 
-  /** Machines of the shard whose services fit on others. */
+  /** Returns the machines of the shard whose services fit on other machines. */
   evacuableMachines(shard: number, now: Milliseconds): Set<Machine> {
     return this.serviceEvacuation.evacuableMachines(shard, now);
   }
 
   /**
-   * Runs soon after something has happened, and now and then while anything waits. A run that looks at many machines is
-   * followed by a longer pause, so that heartbeats never wait long.
+   * Starts a run soon after one is requested, and at intervals while work remains unplaced. A run that considers many machines
+   * is followed by a longer pause, so that heartbeats never wait long.
    */
   tick(now: Milliseconds): void {
     const isRetryDue = this.hasUnfinishedWork && now - this.lastRunAt >= RESCHEDULE_INTERVAL_MS;
@@ -140,7 +140,7 @@
     };
   }
 
-  /** Places what fits, in the queue's order. */
+  /** Places jobs in queue order, as far as they fit. */
   private placeQueue(queue: readonly QueuedJob[], run: SchedulingRun): RunOutcome {
     const outcome: RunOutcome = { unmetDemand: [], crashLoopingJobs: [], hasPostponedJobs: false, machinesConsidered: 0 };
     this.preemption.beginRun(queue, run.now);
@@ -193,7 +193,7 @@
     if (isAged && job.tenure.allocations.size === 0) reserveForAgedGang(job, run);
   }
 
-  /** Places the gang whole or not at all; returns how many of its tasks didn't fit. */
+  /** Places the gang as a whole or not at all. Returns how many of its tasks didn't fit. */
   private placeGangJob(queued: QueuedJob, candidates: readonly FreeResources[], run: SchedulingRun): number {
     const { job } = queued;
     const { tasks } = job.spec;
@@ -207,7 +207,10 @@
     return 0;
   }
 
-  /** In proportion to the machines looked at; with thousands of them and a long queue longer than the usual interval. */
+  /**
+   * Returns the pause after a run, which is proportional to the machines considered. With thousands of machines and a long
+   * queue it exceeds `RESCHEDULE_INTERVAL_MS`.
+   */
   private pauseAfter(machinesConsidered: number): Milliseconds {
     const runMs = machinesConsidered / MACHINES_PER_CORE_MS;
     const minPauseMs = runMs / (SCHEDULING_CPU_SHARE * this.context.settings.cpuShare);
--- a/packages/controller/src/scheduling/service-consolidation.ts
+++ b/packages/controller/src/scheduling/service-consolidation.ts
@@ -1,7 +1,7 @@
 /**
- * Consolidation of services: a few services keep a machine with accelerators from being released. Where other machines have
- * enough free resources for them and their images in the cache, they move there, one machine of a shard at a time. Owns when
- * that was last tried.
+ * Consolidation of services: a few services prevent the release of a machine with accelerators. If other machines have enough
+ * free resources for these services and have their images in the cache, the services move there, one machine per shard at a
+ * time. Owns the time of the last attempt.
  */
 import { freeResourcesOf, type TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, Logger, SettingsView } from '../context/index.js';
@@ -18,13 +18,16 @@
 import { type GpuMachines, hasGpuWork } from './gpu-machines.js';
 import { isAllowedOn, tasksPerZone, zoneAllowsTask } from './placement-constraints.js';
 
-/** How often it is tried. */
+/** Minimum interval between attempts. */
 const CONSOLIDATION_INTERVAL_MS = 4000;
 
-/** A service that has run for this long may be moved; a machine that was cleared takes none for as long. */
+/**
+ * A service may be moved once it has run for this long. A cleared machine accepts no work without accelerators for the same
+ * time.
+ */
 const SETTLED_MS = 40_000;
 
-/** A machine whose services use a larger part of its processor cores is left as it is. */
+/** A machine whose services use more than this fraction of its processor cores is not cleared. */
 const MAX_CPU_FRACTION = 0.5;
 
 /** A machine that may be cleared, with its services. */
@@ -33,7 +36,7 @@
   readonly services: readonly Allocation[];
 }
 
-/** Moves services together where no spare capacity is to be held. */
+/** Consolidates services unless the policy is to hold spare capacity. */
 export class ServiceConsolidation {
   private consolidatedAt: Milliseconds = NEVER;
 
@@ -43,7 +46,7 @@
     private readonly gpuMachines: GpuMachines,
   ) {}
 
-  /** Stops the services of at most one machine of each shard; the scheduler then places them anew. */
+  /** Stops the services of at most one machine per shard. The scheduler then places them again. */
   consolidate(now: Milliseconds): void {
     if (this.context.settings.policy.holdSpareCapacity || now - this.consolidatedAt < CONSOLIDATION_INTERVAL_MS) return;
     this.consolidatedAt = now;
@@ -63,7 +66,10 @@
     return result;
   }
 
-  /** The machine with the fewest services, of equal ones the first; null: there is none, or it is used too much. */
+  /**
+   * Returns the machine with the fewest services, of equal ones the first; null if there is none, or if its services use too
+   * much of it.
+   */
   private chooseSource(machines: readonly Machine[], now: Milliseconds): ConsolidationSource | null {
     let best: ConsolidationSource | null = null;
     for (const machine of machines) {
@@ -78,7 +84,7 @@
     return machineLoadOf(best.machine).serviceUsage.cpus > cpus * MAX_CPU_FRACTION ? null : best;
   }
 
-  /** Could all services move at once to machines that have their images? */
+  /** Whether all services of the source could move at once to machines that have their images. */
   private haveRoomElsewhere({ machine, services }: ConsolidationSource, machines: readonly Machine[]): boolean {
     const targets = this.targetsFor(machine, machines);
     return services.every(({ job }) => {
@@ -96,7 +102,10 @@
     });
   }
 
-  /** Machines that are kept anyway or have more services than the one to be cleared, the fullest first. */
+  /**
+   * Returns the machines that stay in use anyway, or whose services use more processor cores than the source's; the fullest
+   * first.
+   */
   private targetsFor(source: Machine, machines: readonly Machine[]): FreeResources[] {
     const sourceCpus = machineLoadOf(source).serviceUsage.cpus;
     const mayTakeServices = (machine: Machine) =>
--- a/packages/controller/src/scheduling/service-evacuation.ts
+++ b/packages/controller/src/scheduling/service-evacuation.ts
@@ -1,6 +1,6 @@
 /**
- * Evacuation of services: on which machines of a shard all services fit elsewhere in the shard, so that the machine can
- * be cleared for accelerator work or for another shard. Decides only; owns nothing.
+ * Evacuation of services: finds the machines of a shard whose services all fit elsewhere in the shard, so that the machine can
+ * be cleared for accelerator work or for another shard. Stops nothing itself; owns nothing.
  */
 import { freeResourcesOf, type TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView } from '../context/index.js';
@@ -8,10 +8,10 @@
 import type { GpuMachines } from './gpu-machines.js';
 import { RelocationTargets } from './relocation-targets.js';
 
-/** A service that was stopped this recently stays where it is: moving it on would keep it from running. */
+/** A service that was stopped this recently is not moved: moving it again would keep it from running. */
 const RECENT_MOVE_MS = 60_000;
 
-/** A machine without accelerators that has more services is not worth clearing. */
+/** A machine without accelerators that has more services than this is not worth clearing. */
 const MAX_SERVICES_ON_CPU_MACHINE = 4;
 
 /** Finds machines that can be cleared of their services. */
@@ -22,7 +22,10 @@
     private readonly gpuMachines: GpuMachines,
   ) {}
 
-  /** Machines of the shard whose services fit on others. It holds for each of them by itself, not for all at once. */
+  /**
+   * Returns the machines of the shard whose services fit on other machines. This holds for each machine by itself, not for all
+   * at once.
+   */
   evacuableMachines(shard: number, now: Milliseconds): Set<Machine> {
     const targets = new RelocationTargets(this.targetsIn(shard, now), (machine) => machineLoadOf(machine).serviceUsage.cpus);
     const result = new Set<Machine>();
@@ -31,7 +34,7 @@
     return result;
   }
 
-  /** Machines in use that take services; what arrays hold there counts as free, since services come first. */
+  /** Returns machines in use that accept services. Resources used by arrays count as free, since services take precedence. */
   private targetsIn(shard: number, now: Milliseconds): FreeResources[] {
     const result: FreeResources[] = [];
     for (const machine of this.context.clusterState.machines.values()) {
--- a/packages/controller/src/scheduling/start-deadlines.ts
+++ b/packages/controller/src/scheduling/start-deadlines.ts
@@ -1,33 +1,36 @@
 /**
- * Start deadlines: by when a job should start, so that the service-level objectives of its class, its own deadline and those
- * of the jobs that need it can still be met. Owns the objectives of the settings, sorted by job class.
+ * Start deadlines: the time by which a job should start so that the service-level objectives of its class, its own deadline
+ * and the deadlines of its dependents can still be met. Owns the objectives of the settings, grouped by job class.
  */
 import type { ClusterStateView, SettingsView } from '../context/index.js';
 import { appendTo, type Job, type Milliseconds, type Objective } from '../model/index.js';
 import { expectedDurationMs } from '../state/index.js';
 
-/** An objective still counts as attainable for so long after its start deadline. */
+/** An objective still counts as attainable for this long after its start deadline. */
 const ATTAINABLE_GRACE_MS = 1000;
 
-/** Jobs of a class with objectives that have missed them all are due so long after they arrived: after all others. */
+/**
+ * Time from arrival to the start deadline of a job that has missed all objectives of its class: such a job comes after all
+ * others.
+ */
 const MISSED_ALL_OBJECTIVES_MS = 1e7;
 
 /** The deadline, in seconds, of a job that has neither objectives nor a deadline of its own. */
 const DEFAULT_DEADLINE_S = 600;
 
-/** An objective about the time from a job's arrival. */
+/** An objective for the time since a job's arrival. */
 interface TimeObjective {
-  /** `wait`: the job's tasks run by then; `finished`: they are done by then */
+  /** `wait`: the job's tasks run within the time; `finished`: they are done within the time */
   readonly kind: 'wait' | 'finished';
   readonly withinMs: Milliseconds;
 }
 
-/** Computes start deadlines by the objectives in the settings. */
+/** Computes start deadlines from the objectives in the settings. */
 export class StartDeadlines {
   private readonly timeObjectives = new Map<string, TimeObjective[]>();
-  /** for each objective about deadlines, how many times its deadline's time a job may take, by job class */
+  /** by job class, one for each objective about deadlines: how many times the time to its deadline a job may take */
   private readonly deadlineMultiples = new Map<string, number[]>();
-  /** those of all classes: which class a deadline was inherited from isn't known */
+  /** the multiples of all classes, since the class of the job that a deadline is inherited from isn't known */
   private readonly inheritedMultiples: readonly number[];
 
   constructor(private readonly context: SettingsView & ClusterStateView) {
@@ -43,12 +46,15 @@
       appendTo(this.timeObjectives, jobClass, { kind, withinMs: withinS * 1000 });
   }
 
-  /** The first of the job's start deadlines that can still be met. A job that has missed them all is due after the others. */
+  /**
+   * Returns the first of the job's start deadlines that can still be met. A job that has missed them all is due after the
+   * others.
+   */
   startDeadlineOf(job: Job, now: Milliseconds): Milliseconds {
     return this.attainableStartDeadlines(job, now)[0] ?? this.fallbackDeadline(job);
   }
 
-  /** By when the job's last task should start, for each objective that can still be met, soonest first. */
+  /** Returns the time by which the job's last task should start, for each objective that can still be met, soonest first. */
   attainableStartDeadlines(job: Job, now: Milliseconds): Milliseconds[] {
     const imageFetchMs = job.spec.imageSizeGb * 1000;
     const runMs = job.expectedRunMs;
@@ -63,8 +69,8 @@
   }
 
   /**
-   * By when the job should start for its own deadline, if its class has objectives about deadlines, or for those of the jobs
-   * that need it. Stored deadlines are times of day; the result is on the clock of the inputs.
+   * Returns the times by which the job should start to meet its own deadline, if its class has objectives about deadlines, or
+   * the deadlines of its dependents. Stored deadlines are times of day; the result is on the clock of the inputs.
    */
   private startsForDeadlines(job: Job): Milliseconds[] {
     const ownMultiples = this.deadlineMultiples.get(job.spec.jobClass);
--- a/packages/controller/src/scheduling/task-placement.ts
+++ b/packages/controller/src/scheduling/task-placement.ts
@@ -1,4 +1,4 @@
-/** Placement of arrays and services: each task by itself, on the machine with the highest score. */
+/** Placement of arrays and services: each task separately, on the machine with the highest score. */
 import type { FreeResources, Job, Milliseconds } from '../model/index.js';
 import type { Binder } from './binding.js';
 import { CandidateMachines } from './candidate-machines.js';
@@ -9,13 +9,13 @@
 import type { QueuedJob } from './queued-job.js';
 import type { SchedulingRun } from './scheduling-run.js';
 
-/** A service whose best machine has a lower score than this, in seconds, may get a better one by preemption. */
+/** A service whose best machine has a lower score than this, in seconds, may get a better machine by preemption. */
 const MIN_SERVICE_SCORE = -1;
 
-/** A better machine has to gain a service this much, in seconds, for other work to be stopped. */
+/** Other work is stopped for a better machine only if the service's score improves by at least this much, in seconds. */
 const MIN_SCORE_GAIN = 1;
 
-/** Places independent tasks, with preemption where that is allowed. */
+/** Places independent tasks, with preemption where it is allowed. */
 export class TaskPlacement {
   constructor(
     private readonly machineEligibility: MachineEligibility,
@@ -24,7 +24,7 @@
     private readonly binder: Binder,
   ) {}
 
-  /** Places as many tasks as fit; returns how many are left that the team's quota allows. */
+  /** Places as many tasks as fit. Returns how many of the tasks that the team's quota allows didn't fit. */
   place(queued: QueuedJob, freeResources: readonly FreeResources[], run: SchedulingRun): number {
     const { job } = queued;
     const pending = job.pendingCount();
@@ -43,7 +43,7 @@
     return new CandidateMachines(job, usable, (free) => this.machineScoring.score(job, free));
   }
 
-  /** Returns how many of the `count` tasks were placed. */
+  /** Places up to `count` tasks. Returns how many were placed. */
   private placeOnCandidates(queued: QueuedJob, count: number, candidates: CandidateMachines, run: SchedulingRun): number {
     const { job } = queued;
     const tasksInZones = tasksPerZone(job);
@@ -58,7 +58,10 @@
     return Math.max(0, count);
   }
 
-  /** The best machine on which one more task fits; what has to be stopped there is stopped. */
+  /**
+   * Returns the best machine on which one more task fits, and stops the victims there if preemption is needed; null if there
+   * is none.
+   */
   private chooseMachine(
     queued: QueuedJob,
     candidates: CandidateMachines,
@@ -70,7 +73,7 @@
     if (!mayGainByPreemption || !this.preemption.hasVictims(queued)) return best?.free ?? null;
     const minScore = best ? best.score + MIN_SCORE_GAIN : Number.NEGATIVE_INFINITY;
     const better = candidates.withHigherScore(minScore, tasksInZones);
-    // Protected work is not stopped for a better machine, only for any machine at all.
+    // Protected work is preempted only if the task fits on no machine otherwise, not for a better machine.
     const preemptible = best ? better.filter(({ machine }) => !hasProtectedWork(machine, run.quotaStatuses)) : better;
     return this.preemption.preemptFor(queued, preemptible, run) ?? best?.free ?? null;
   }
--- a/packages/controller/src/scheduling/team-usage.ts
+++ b/packages/controller/src/scheduling/team-usage.ts
@@ -1,6 +1,6 @@
 /**
  * Quota accounting of one scheduling run: what each team uses, and how much more its limits allow. A new `TeamUsage` is
- * measured for each run, and the run adds to it whatever it places or reserves.
+ * measured for each run, and the run adds whatever it places or reserves.
  */
 import type { HeldShards } from '../allocation/index.js';
 import type { ClusterStateView, SettingsView } from '../context/index.js';
@@ -12,7 +12,7 @@
   gpus: number;
 }
 
-/** What each team uses. Teams are known by their index in the settings. */
+/** Resource usage of each team. Teams are identified by their index in the settings. */
 export class TeamUsage {
   private readonly usageByTeam: Usage[];
 
@@ -20,7 +20,7 @@
     this.usageByTeam = teams.map(() => ({ cpus: 0, gpus: 0 }));
   }
 
-  /** How many of the job's tasks its team's limits still allow; 0 if the team is unknown. */
+  /** Returns how many of the job's tasks its team's limits still allow; 0 if the team is unknown. */
   remainingTasks(job: Job): number {
     const team = this.teams[job.teamIndex];
     const usage = this.usageByTeam[job.teamIndex];
@@ -39,7 +39,7 @@
     this.addResources(job.teamIndex, job.spec);
   }
 
-  /** Adds a whole machine, for a team that may have any amount of work on it. */
+  /** Adds the whole capacity of a machine on which the team may have any amount of work. */
   addMachine(teamIndex: number, machine: Machine): void {
     if (machine.capacity) this.addResources(teamIndex, machine.capacity);
   }
@@ -52,7 +52,7 @@
   }
 }
 
-/** Measures what is, or may be, on a machine of the shards held here. */
+/** Measures the usage by work that is, or may be, on machines of the shards held by this controller. */
 export function measureTeamUsage(context: SettingsView & ClusterStateView, heldShards: HeldShards): TeamUsage {
   const usage = new TeamUsage(context.settings.teams);
   addAllocations(usage, context, heldShards);
@@ -67,7 +67,10 @@
   }
 }
 
-/** Any team of the shard may have work on a machine that has not answered yet. */
+/**
+ * Counts each unverified machine as a whole for every team of its shard: any of them may have work on a machine that has not
+ * answered yet.
+ */
 function addUnverifiedMachines(
   usage: TeamUsage,
   { settings, clusterState }: SettingsView & ClusterStateView,
--- a/packages/controller/src/scheduling/unschedulable-kinds.ts
+++ b/packages/controller/src/scheduling/unschedulable-kinds.ts
@@ -1,6 +1,6 @@
 /**
- * What found no machine in one scheduling run. Of hundreds of small jobs that are all alike, one is scored, not each: a job
- * that asks for at least as much as one of its kind that did not fit is passed over. Cleared when a run begins.
+ * Jobs that found no machine in one scheduling run. Of hundreds of similar small jobs only one is scored: a job that requests
+ * at least as much as a job of its kind that didn't fit is skipped. Cleared when a run begins.
  */
 import { appendTo, type Job, type Resources } from '../model/index.js';
 
@@ -12,7 +12,7 @@
     this.requestsByKind.clear();
   }
 
-  /** Has a job of the same kind that asks for no more found no machine in this run? */
+  /** Whether a job of the same kind that requests no more than this job found no machine in this run. */
   includes(job: Job, withinQuota: boolean): boolean {
     const kind = interchangeableKind(job, withinQuota);
     if (kind === null) return false;
@@ -20,7 +20,7 @@
     return requests?.some(({ cpus, memory }) => cpus <= job.spec.cpus && memory <= job.spec.memory) ?? false;
   }
 
-  /** Remembers that the job found no machine. */
+  /** Records that the job found no machine. */
   add(job: Job, withinQuota: boolean): void {
     const kind = interchangeableKind(job, withinQuota);
     if (kind !== null) appendTo(this.requestsByKind, kind, job.resources);
@@ -28,8 +28,8 @@
 }
 
 /**
- * Jobs of one kind may use the same machines and preempt nothing; null: the job has to be looked at by itself. Only arrays
- * of the lowest priority beyond their quota have a kind.
+ * Returns the job's kind; null if the job has to be considered by itself. Jobs of one kind may use the same machines and
+ * preempt nothing. Only arrays of the lowest priority beyond their quota have a kind.
  */
 function interchangeableKind(job: Job, withinQuota: boolean): string | null {
   const { shape, gpus, oneZone, spread, allowsSpot: spot } = job.spec;
