--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -143,7 +143,7 @@
     parts.replica.apply(changes, revision);
     parts.stateServiceFreshness.replicaRead(asOf, now);
     parts.readBarriers.completeUpTo(asOf, now);
-    parts.clientRequests.replicaFreshUpTo(asOf);
+    parts.clientRequests.answerQueriesUpTo(asOf);
     this.flushWrites(now);
   }
 
--- a/packages/controller/src/jobs/client-requests.ts
+++ b/packages/controller/src/jobs/client-requests.ts
@@ -73,7 +73,7 @@
   }
 
   /** Answers the status queries that arrived up to `asOf`. The replica holds the state as of this time or a newer one. */
-  replicaFreshUpTo(asOf: Milliseconds): void {
+  answerQueriesUpTo(asOf: Milliseconds): void {
     this.statusQueries.answerUpTo(asOf);
   }
 
