--- a/packages/controller/src/jobs/acceptance-writer.ts
+++ b/packages/controller/src/jobs/acceptance-writer.ts
@@ -30,17 +30,17 @@
   encode({ spec, awaits }: Submission, wallClockMs: number): EncodedJob | null {
     const { finishedJobs, sizeLimits } = this.context.clusterState;
     const key = StateKey.job(spec.id);
-    const ordered = spec.machineTypes === null ? spec : { ...spec, machineTypes: this.knownTypesFirst(spec.machineTypes) };
+    const orderedSpec = spec.machineTypes === null ? spec : { ...spec, machineTypes: this.knownTypesFirst(spec.machineTypes) };
     // A job that is stored as done needs no dependency edge.
-    const openAwaits = awaits.filter((job) => finishedJobs.get(job) !== 'done');
+    const unfinishedDependencyIds = awaits.filter((job) => finishedJobs.get(job) !== 'done');
     const encoded = encodeAcceptedJob(
       key,
-      { spec: ordered, awaits: openAwaits, submittedAt: wallClockMs },
+      { spec: orderedSpec, awaits: unfinishedDependencyIds, submittedAt: wallClockMs },
       sizeLimits.maxWriteBytes,
     );
     if (encoded === null || encoded.parts.length === 0) return encoded;
     // If the list is stored in parts, it is stored whole, so that a repeated submission finds the same parts.
-    return encodeAcceptedJob(key, { spec: ordered, awaits, submittedAt: wallClockMs }, sizeLimits.maxWriteBytes);
+    return encodeAcceptedJob(key, { spec: orderedSpec, awaits, submittedAt: wallClockMs }, sizeLimits.maxWriteBytes);
   }
 
   /** Writes the parts and then the record, gives up at `expiresAt`, and calls `onOutcome` once. */
--- a/packages/controller/src/jobs/client-requests.ts
+++ b/packages/controller/src/jobs/client-requests.ts
@@ -49,7 +49,7 @@
 
   /** `body`: null if it isn't a MessagePack map; `wallClockMs`: the time of day. */
   submit(id: number, body: MessagePackMap | null, now: Milliseconds, wallClockMs: number): void {
-    this.responses.requestOpened();
+    this.responses.recordRequestOpened();
     const request = readSubmissionRequest(body);
     if (request.kind === 'valid') this.submissions.submit(id, request.submission, now, wallClockMs);
     else this.responses.respond(id, HttpStatus.badRequest, malformedSubmissionBody(request));
@@ -57,13 +57,13 @@
 
   /** `job`: as the user wrote it; an id that no job can have is answered like an unknown one. */
   cancel(id: number, job: string, now: Milliseconds): void {
-    this.responses.requestOpened();
+    this.responses.recordRequestOpened();
     this.cancellations.cancel(id, job, now);
   }
 
   /** `job`: as for `cancel`. */
   queryStatus(id: number, job: string, now: Milliseconds): void {
-    this.responses.requestOpened();
+    this.responses.recordRequestOpened();
     this.statusQueries.query(id, job, now);
   }
 
--- a/packages/controller/src/jobs/client-responses.ts
+++ b/packages/controller/src/jobs/client-responses.ts
@@ -32,7 +32,7 @@
   constructor(private readonly context: ClientResponsesContext) {}
 
   /** Records that a request arrived. `respond` must be called for it exactly once. */
-  requestOpened(): void {
+  recordRequestOpened(): void {
     this.openRequests++;
   }
 
--- a/packages/controller/src/jobs/status-queries.ts
+++ b/packages/controller/src/jobs/status-queries.ts
@@ -68,8 +68,8 @@
   }
 
   /** Removes and returns the first queries, up to the first one that doesn't satisfy the predicate. */
-  private takeWhile(holds: (query: StatusQuery) => boolean): StatusQuery[] {
-    const end = this.pending.findIndex((query) => !holds(query));
+  private takeWhile(predicate: (query: StatusQuery) => boolean): StatusQuery[] {
+    const end = this.pending.findIndex((query) => !predicate(query));
     return this.pending.splice(0, end < 0 ? this.pending.length : end);
   }
 }
--- a/packages/controller/src/scheduling/array-postponement.ts
+++ b/packages/controller/src/scheduling/array-postponement.ts
@@ -20,7 +20,7 @@
  * Time from now to the start deadline of an array that can meet none of its deadlines. The expected time for its tasks is
  * added.
  */
-const MISSED_ALL_DEADLINES_MS = 1e7;
+const MISSED_ALL_DEADLINES_DELAY_MS = 1e7;
 
 /** Sets the start deadlines of waiting arrays to deadlines that they can meet together. */
 export class ArrayPostponement {
@@ -35,7 +35,7 @@
     for (const arrays of this.competingArrays(queue)) {
       const [first] = arrays;
       if (!first || arrays.length < 2) continue;
-      const cpusInUse = this.cpusInUseByPeers(first.job);
+      const cpusInUse = this.cpusInUseByArrays(first.job);
       if (cpusInUse > 0) this.postpone(arrays, cpusInUse, now);
     }
   }
@@ -73,17 +73,17 @@
       const { durationMs } = jobs[index] as DeadlineJob;
       // An array that can meet none of its deadlines is scheduled last, the shortest first. An array that has waited too long
       // is scheduled first, so that none waits forever.
-      const startDeadline = deadlines[index] ?? now + MISSED_ALL_DEADLINES_MS + durationMs;
+      const startDeadline = deadlines[index] ?? now + MISSED_ALL_DEADLINES_DELAY_MS + durationMs;
       queued.startDeadline = hasWaitedTooLong(queued.job, now) ? queued.job.arrivedAt : startDeadline;
     });
   }
 
   /** Processor cores that CPU arrays of the job's shard and priority use. About as many become free for waiting arrays. */
-  private cpusInUseByPeers(job: Job): number {
+  private cpusInUseByArrays(job: Job): number {
     let cpus = 0;
     for (const other of this.context.clusterState.jobs.values()) {
-      const isPeer = other.shard === job.shard && other.priority === job.priority;
-      if (!isPeer || other.spec.shape !== 'array' || other.spec.gpus > 0) continue;
+      const isCompeting = other.shard === job.shard && other.priority === job.priority;
+      if (!isCompeting || other.spec.shape !== 'array' || other.spec.gpus > 0) continue;
       cpus += other.tenure.allocations.size * other.spec.cpus;
     }
     return cpus;
--- a/packages/controller/src/scheduling/candidate-machines.ts
+++ b/packages/controller/src/scheduling/candidate-machines.ts
@@ -29,7 +29,7 @@
     private readonly freeResources: readonly FreeResources[],
     private readonly scoreOf: (free: FreeResources) => number,
   ) {
-    this.sorted = freeResources.filter((free) => fits(job.resources, free)).map((free) => this.candidate(free));
+    this.sorted = freeResources.filter((free) => fits(job.resources, free)).map((free) => this.createCandidate(free));
     this.sorted.sort(compareCandidates);
   }
 
@@ -55,13 +55,13 @@
    */
   private allSorted(): Candidate[] {
     if (this.isComplete) return this.sorted;
-    const known = new Map(this.sorted.map((candidate) => [candidate.free, candidate]));
-    this.sorted = this.freeResources.map((free) => known.get(free) ?? this.candidate(free)).sort(compareCandidates);
+    const scored = new Map(this.sorted.map((candidate) => [candidate.free, candidate]));
+    this.sorted = this.freeResources.map((free) => scored.get(free) ?? this.createCandidate(free)).sort(compareCandidates);
     this.isComplete = true;
     return this.sorted;
   }
 
-  private candidate(free: FreeResources): Candidate {
+  private createCandidate(free: FreeResources): Candidate {
     return { free, score: this.scoreOf(free), cpus: free.cpus };
   }
 }
--- a/packages/controller/src/scheduling/gang-preemption.ts
+++ b/packages/controller/src/scheduling/gang-preemption.ts
@@ -9,7 +9,7 @@
 import type { SchedulingRun } from './scheduling-run.js';
 
 /** Cost of a machine on which not even one task fits after preemption: higher than that of any set of victims. */
-const COST_WITHOUT_ROOM_S = 1e9;
+const INFEASIBLE_COST_S = 1e9;
 
 /** Preempts work so that a whole gang fits. */
 export class GangPreemption {
@@ -22,22 +22,22 @@
   preemptFor(queued: QueuedJob, candidates: readonly FreeResources[], run: SchedulingRun): Machine[] | null {
     const machines = this.chooseMachines(queued, candidates, run);
     if (!machines) return null;
-    const isCleared = this.clear(machines, queued, candidates, run);
-    return isCleared ? machines : null;
+    const isFeasible = this.preemptVictims(machines, queued, candidates, run);
+    return isFeasible ? machines : null;
   }
 
   private chooseMachines(queued: QueuedJob, candidates: readonly FreeResources[], run: SchedulingRun): Machine[] | null {
     const { job } = queued;
     for (const domain of domainsFor(job, candidates)) {
-      const afterEviction = domain.map((free) => this.withVictimsGone(free, queued, run));
+      const afterPreemption = domain.map((free) => this.freeAfterPreemption(free, queued, run));
       const costs = this.costsOf(domain, queued, run);
-      const machines = placeGang(job, job.spec.tasks, afterEviction, ({ machine }) => -(costs.get(machine) ?? 0));
+      const machines = placeGang(job, job.spec.tasks, afterPreemption, ({ machine }) => -(costs.get(machine) ?? 0));
       if (machines) return machines;
     }
     return null;
   }
 
-  private withVictimsGone(free: FreeResources, queued: QueuedJob, run: SchedulingRun): FreeResources {
+  private freeAfterPreemption(free: FreeResources, queued: QueuedJob, run: SchedulingRun): FreeResources {
     const result = { ...free };
     for (const allocation of free.machine.tenure.allocations.values())
       if (this.preemption.isVictim(allocation, queued, run)) releaseResources(result, allocation);
@@ -49,7 +49,7 @@
     const costs = new Map<Machine, number>();
     for (const free of domain) {
       const victims = this.preemption.victimsOn(free, queued, run);
-      costs.set(free.machine, victims ? stopCostS(victims, run.now) : COST_WITHOUT_ROOM_S);
+      costs.set(free.machine, victims ? stopCostS(victims, run.now) : INFEASIBLE_COST_S);
     }
     return costs;
   }
@@ -58,7 +58,7 @@
    * Stops enough victims on each machine for the gang's tasks there. Returns false if the tasks don't fit on one of the
    * machines even then.
    */
-  private clear(
+  private preemptVictims(
     machines: readonly Machine[],
     queued: QueuedJob,
     candidates: readonly FreeResources[],
--- a/packages/controller/src/scheduling/gang-service-eviction.ts
+++ b/packages/controller/src/scheduling/gang-service-eviction.ts
@@ -22,7 +22,7 @@
 const EVICTION_INTERVAL_MS = 5000;
 
 /** A cleared machine accepts no work without accelerators for this many plan waits. */
-const RESERVED_PLAN_WAITS = 2;
+const RESERVATION_PLAN_WAITS = 2;
 
 /** How much of a gang fits in its shard, and which machines could be cleared for the rest. */
 interface GangCandidates {
@@ -42,7 +42,7 @@
 
 /** Clears machines for gangs that didn't fit in a scheduling run. */
 export class GangServiceEviction {
-  private evictedAt: Milliseconds = NEVER;
+  private lastEvictionAt: Milliseconds = NEVER;
 
   constructor(
     private readonly context: SettingsView & ClusterStateView & Logger,
@@ -55,12 +55,12 @@
    * `EVICTION_INTERVAL_MS` ago.
    */
   evictFor(unmetDemand: readonly UnmetDemand[], now: Milliseconds): void {
-    if (now - this.evictedAt < EVICTION_INTERVAL_MS) return;
+    if (now - this.lastEvictionAt < EVICTION_INTERVAL_MS) return;
     for (const { job } of unmetDemand) {
       if (job.spec.gpus === 0 || job.spec.shape !== 'gang') continue;
       const machines = chooseMachines(job, this.candidatesFor(job, now));
       if (!machines) continue;
-      this.evictedAt = now;
+      this.lastEvictionAt = now;
       for (const machine of machines) this.evictFrom(machine, now);
       return;
     }
@@ -86,7 +86,7 @@
 
   private evictFrom(machine: Machine, now: Milliseconds): void {
     this.context.log('info', 'evicting services from a GPU machine', { machine: machine.name });
-    machine.reservedUntil = now + RESERVED_PLAN_WAITS * this.context.settings.policy.planWaitS * 1000;
+    machine.reservedUntil = now + RESERVATION_PLAN_WAITS * this.context.settings.policy.planWaitS * 1000;
     for (const allocation of machineLoadOf(machine).services) this.allocations.stop(allocation, 0);
   }
 }
@@ -95,12 +95,12 @@
 function isBlockedByServices(gang: Job, machine: Machine, capacity: Resources): boolean {
   if (hasGpuWork(machine)) return false;
   const usage = machineLoadOf(machine).serviceUsage;
-  const besideServices: Resources = {
+  const capacityBesideServices: Resources = {
     cpus: capacity.cpus - usage.cpus,
     gpus: capacity.gpus,
     memory: capacity.memory - usage.memory,
   };
-  return usage.cpus > 0 && !fits(gang.resources, besideServices);
+  return usage.cpus > 0 && !fits(gang.resources, capacityBesideServices);
 }
 
 /**
--- a/packages/controller/src/scheduling/gpu-machines.ts
+++ b/packages/controller/src/scheduling/gpu-machines.ts
@@ -25,28 +25,28 @@
   isDedicatedToServices(machine: Machine): boolean {
     if (!machine.capacity || machine.capacity.gpus === 0 || machine.spot) return false;
     if (!this.context.clusterState.shardsWithGpuWork.has(machine.shard)) return true;
-    return !this.leavesRoomForGpuWork(machine);
+    return !this.leavesCapacityForGpuWork(machine);
   }
 
   /**
    * Whether the machine has accelerator work, or its services leave too few resources for any. More work on the machine then
    * doesn't prevent its release.
    */
-  isKeptBusy(machine: Machine): boolean {
-    return hasGpuWork(machine) || !this.leavesRoomForGpuWork(machine);
+  isOccupied(machine: Machine): boolean {
+    return hasGpuWork(machine) || !this.leavesCapacityForGpuWork(machine);
   }
 
   /**
    * Whether the largest accelerator task recorded for the machine's type would fit beside the machine's services and
    * `additional`. True if no such task is recorded.
    */
-  leavesRoomForGpuWork(machine: Machine, more: Resources = NO_RESOURCES): boolean {
+  leavesCapacityForGpuWork(machine: Machine, additional: Resources = NO_RESOURCES): boolean {
     const gpuDemand = this.context.clusterState.gpuDemandByType.get(machine.typeIndex);
     if (!gpuDemand || !machine.capacity) return true;
     const used = machineLoadOf(machine).serviceUsage;
     return (
-      used.cpus + more.cpus <= machine.capacity.cpus - gpuDemand.cpus + RESOURCE_TOLERANCE &&
-      used.memory + more.memory <= machine.capacity.memory - gpuDemand.memory + RESOURCE_TOLERANCE
+      used.cpus + additional.cpus <= machine.capacity.cpus - gpuDemand.cpus + RESOURCE_TOLERANCE &&
+      used.memory + additional.memory <= machine.capacity.memory - gpuDemand.memory + RESOURCE_TOLERANCE
     );
   }
 }
--- a/packages/controller/src/scheduling/machine-eligibility.ts
+++ b/packages/controller/src/scheduling/machine-eligibility.ts
@@ -16,9 +16,9 @@
   /** the machine is dedicated to services */
   dedicatedMachine: 800,
   /** accelerator work still fits beside the service */
-  spareRoom: 1500,
+  spareCapacity: 1500,
   /** the service fits on another machine that is dedicated to services, which it should use instead */
-  whileDedicatedMachineHasRoom: 30_000,
+  fitsOnOtherDedicatedMachine: 30_000,
   /** none of the above */
   scarceMachine: SCARCE_MACHINE_WAIT_S * 1000,
 } as const;
@@ -33,7 +33,7 @@
 const RUN_TIME_MARGIN = 0.5;
 
 /** A start deadline further away than this belongs to a job that has missed all of its deadlines. */
-const MISSED_ALL_DEADLINES_MS = 1e6;
+const MISSED_ALL_DEADLINES_SLACK_MS = 1e6;
 
 /** The components that eligibility decisions depend on. */
 interface EligibilityDependencies {
@@ -103,10 +103,10 @@
   private serviceWaitMs(machine: Machine): Milliseconds {
     const { gpuMachines } = this.dependencies;
     if (gpuMachines.isDedicatedToServices(machine)) return SERVICE_WAIT_MS.dedicatedMachine;
-    if (gpuMachines.leavesRoomForGpuWork(machine, this.request.job.resources)) return SERVICE_WAIT_MS.spareRoom;
+    if (gpuMachines.leavesCapacityForGpuWork(machine, this.request.job.resources)) return SERVICE_WAIT_MS.spareCapacity;
     this.dedicatedMachines ??= this.findDedicatedMachines();
-    const isOtherDedicated = this.dedicatedMachines.some((other) => other !== machine);
-    return isOtherDedicated ? SERVICE_WAIT_MS.whileDedicatedMachineHasRoom : SERVICE_WAIT_MS.scarceMachine;
+    const hasOtherDedicated = this.dedicatedMachines.some((other) => other !== machine);
+    return hasOtherDedicated ? SERVICE_WAIT_MS.fitsOnOtherDedicatedMachine : SERVICE_WAIT_MS.scarceMachine;
   }
 
   /**
@@ -116,12 +116,12 @@
     const result: Machine[] = [];
     for (const machine of this.dependencies.context.clusterState.machines.values()) {
       if (result.length === MAX_DEDICATED_MACHINES) break;
-      if (this.isDedicatedWithRoom(machine)) result.push(machine);
+      if (this.isDedicatedWithCapacity(machine)) result.push(machine);
     }
     return result;
   }
 
-  private isDedicatedWithRoom(machine: Machine): boolean {
+  private isDedicatedWithCapacity(machine: Machine): boolean {
     const { job, now } = this.request;
     return (
       machine.shard === job.shard &&
@@ -145,8 +145,8 @@
     // job: the job does no harm there.
     if (gpuDemand.priority > job.priority && !context.isTypeAvailable(capacity.name)) return true;
     // Beside other work that prevents the machine's release the job costs nothing; alone it would prevent the release.
-    const cpusWithTask = cpusWithoutGpus(machine, job.spec.cpus);
-    if (cpusWithTask <= capacity.cpus - gpuDemand.cpus + RESOURCE_TOLERANCE && gpuMachines.isKeptBusy(machine)) return true;
+    const cpusWithTask = addNonGpuCpus(machine, job.spec.cpus);
+    if (cpusWithTask <= capacity.cpus - gpuDemand.cpus + RESOURCE_TOLERANCE && gpuMachines.isOccupied(machine)) return true;
     if (hasWaitingGpuWork) return false;
     this.tooLateForNewMachine ??= this.isTooLateForNewMachine();
     return this.tooLateForNewMachine;
@@ -157,7 +157,7 @@
     const { job, now } = this.request;
     const slackMs = queueOrder.startDeadlineOf(job, now) - now;
     const newMachineMs = context.clusterState.bootTimeFor(job) * BOOT_TIME_MARGIN + job.expectedRunMs * RUN_TIME_MARGIN;
-    return slackMs < newMachineMs || slackMs > MISSED_ALL_DEADLINES_MS;
+    return slackMs < newMachineMs || slackMs > MISSED_ALL_DEADLINES_SLACK_MS;
   }
 }
 
@@ -171,7 +171,7 @@
 }
 
 /** Returns `cpus` plus the processor cores that work without accelerators uses on the machine. */
-function cpusWithoutGpus(machine: Machine, cpus: number): number {
+function addNonGpuCpus(machine: Machine, cpus: number): number {
   let sum = cpus;
   for (const allocation of machine.tenure.allocations.values())
     if (allocation.phase !== 'exited' && allocation.job.spec.gpus === 0) sum += allocation.job.spec.cpus;
--- a/packages/controller/src/scheduling/machine-scoring.ts
+++ b/packages/controller/src/scheduling/machine-scoring.ts
@@ -10,7 +10,7 @@
 const UNKNOWN_CAPACITY_SCORE = -100;
 
 /** An image fetch that is already in progress for other work completes, on average, after half of the full fetch time. */
-const FETCH_UNDER_WAY_FACTOR = 0.5;
+const FETCH_IN_PROGRESS_FACTOR = 0.5;
 
 /** A spot machine is cheaper, and an array loses little work when the machine is reclaimed. */
 const SPOT_ARRAY_BONUS = 1;
@@ -23,9 +23,9 @@
   /** a spot machine, which is reclaimed sooner or later anyway */
   spot: 1,
   /** no accelerator work that fits on the machine has been recorded */
-  unwanted: 5,
+  noGpuDemand: 5,
   /** resources that accelerator work leaves free, on a machine of a type of which no more can be provisioned */
-  spareRoomOfScarceType: 6,
+  spareCapacityOfScarceType: 6,
   /** resources beside accelerator work: a service may prevent the machine's release when that work ends */
   serviceBesideGpuWork: 1.5,
   /** resources beside accelerator work: an array ends soon enough */
@@ -35,7 +35,7 @@
   /** another service on a machine whose services block accelerator work already */
   dedicatedToServices: 2,
   /** blocks accelerator work of a higher priority, which can preempt it */
-  belowGpuWork: 8,
+  preemptibleByGpuWork: 8,
   /** blocks accelerator work that can't preempt it */
   blockingGpuWork: 40,
 } as const;
@@ -63,22 +63,22 @@
   private gpuMachinePenalty(job: Job, machine: Machine): number {
     if (machine.spot) return GPU_MACHINE_PENALTY.spot;
     const gpuDemand = this.context.clusterState.gpuDemandByType.get(machine.typeIndex);
-    if (!gpuDemand || !machine.capacity) return GPU_MACHINE_PENALTY.unwanted;
+    if (!gpuDemand || !machine.capacity) return GPU_MACHINE_PENALTY.noGpuDemand;
     const isService = job.spec.shape === 'service';
-    if (this.gpuMachines.leavesRoomForGpuWork(machine, job.resources)) {
-      if (!this.context.isTypeAvailable(machine.capacity.name)) return GPU_MACHINE_PENALTY.spareRoomOfScarceType;
-      if (!this.gpuMachines.isKeptBusy(machine)) return GPU_MACHINE_PENALTY.emptyMachine;
+    if (this.gpuMachines.leavesCapacityForGpuWork(machine, job.resources)) {
+      if (!this.context.isTypeAvailable(machine.capacity.name)) return GPU_MACHINE_PENALTY.spareCapacityOfScarceType;
+      if (!this.gpuMachines.isOccupied(machine)) return GPU_MACHINE_PENALTY.emptyMachine;
       return isService ? GPU_MACHINE_PENALTY.serviceBesideGpuWork : GPU_MACHINE_PENALTY.arrayBesideGpuWork;
     }
     if (isService && this.gpuMachines.isDedicatedToServices(machine)) return GPU_MACHINE_PENALTY.dedicatedToServices;
-    return job.priority < gpuDemand.priority ? GPU_MACHINE_PENALTY.belowGpuWork : GPU_MACHINE_PENALTY.blockingGpuWork;
+    return job.priority < gpuDemand.priority ? GPU_MACHINE_PENALTY.preemptibleByGpuWork : GPU_MACHINE_PENALTY.blockingGpuWork;
   }
 }
 
 /** Returns the time in seconds until the machine has the job's image. The image must not be in the machine's cache. */
 function fetchTimeS(job: Job, machine: Machine, fetchGbPerS: number): number {
-  let isUnderWay = false;
+  let isInProgress = false;
   for (const allocation of machine.tenure.allocations.values())
-    if (allocation.job.imageIndex === job.imageIndex && allocation.phase !== 'exited') isUnderWay = true;
-  return (job.spec.imageSizeGb / fetchGbPerS) * (isUnderWay ? FETCH_UNDER_WAY_FACTOR : 1);
+    if (allocation.job.imageIndex === job.imageIndex && allocation.phase !== 'exited') isInProgress = true;
+  return (job.spec.imageSizeGb / fetchGbPerS) * (isInProgress ? FETCH_IN_PROGRESS_FACTOR : 1);
 }
--- a/packages/controller/src/scheduling/moore-hodgson.ts
+++ b/packages/controller/src/scheduling/moore-hodgson.ts
@@ -17,7 +17,7 @@
 interface Entry {
   readonly job: DeadlineJob;
   /** how many of the job's deadlines have been given up */
-  missed: number;
+  abandonedCount: number;
 }
 
 /**
@@ -26,9 +26,9 @@
  * soonest deadline is postponed; ties between deadlines are resolved by the order of `jobs`.
  */
 export function attainableDeadlines(jobs: readonly DeadlineJob[], now: Milliseconds): (Milliseconds | null)[] {
-  const entries: Entry[] = jobs.map((job) => ({ job, missed: 0 }));
+  const entries: Entry[] = jobs.map((job) => ({ job, abandonedCount: 0 }));
   let isSettled = false;
-  while (!isSettled) isSettled = !putOffLateJobs(entries, now);
+  while (!isSettled) isSettled = !postponeLateJobs(entries, now);
   return entries.map(currentDeadline);
 }
 
@@ -36,20 +36,20 @@
  * Makes one pass over the jobs by ascending deadline. Returns whether any was postponed, which may change the order of the
  * next pass.
  */
-function putOffLateJobs(entries: readonly Entry[], now: Milliseconds): boolean {
+function postponeLateJobs(entries: readonly Entry[], now: Milliseconds): boolean {
   const scheduled: Entry[] = [];
   let endsAt = now;
-  let anyPutOff = false;
+  let anyPostponed = false;
   for (const { entry, deadline } of byDeadline(entries)) {
     scheduled.push(entry);
     endsAt += entry.job.durationMs;
     if (endsAt <= deadline) continue;
     const longest = removeLongest(scheduled);
-    longest.missed++;
+    longest.abandonedCount++;
     endsAt -= longest.job.durationMs;
-    anyPutOff = true;
+    anyPostponed = true;
   }
-  return anyPutOff;
+  return anyPostponed;
 }
 
 /**
@@ -73,6 +73,6 @@
   return entries.splice(longest, 1)[0] as Entry;
 }
 
-function currentDeadline({ job, missed }: Entry): Milliseconds | null {
-  return job.deadlines[missed] ?? null;
+function currentDeadline({ job, abandonedCount }: Entry): Milliseconds | null {
+  return job.deadlines[abandonedCount] ?? null;
 }
--- a/packages/controller/src/scheduling/preemption.ts
+++ b/packages/controller/src/scheduling/preemption.ts
@@ -23,7 +23,7 @@
 /**
  * Costs of stopping work are in seconds of a task's run. A priority level outweighs any difference of up to this many seconds.
  */
-const COST_OF_PRIORITY_S = 1000;
+const COST_PER_PRIORITY_S = 1000;
 
 /** Added for a task of a gang, since stopping the task stops the whole gang. */
 const COST_OF_GANG_S = 500;
@@ -35,7 +35,7 @@
 const COST_PER_SCORE = 20;
 
 /** The victims to stop on a machine so that one more task fits. */
-interface EvictionPlan {
+interface PreemptionPlan {
   free: FreeResources;
   victims: Allocation[];
   costS: number;
@@ -64,7 +64,7 @@
 function stopCostOfTaskS({ job, phase, runningSince }: Allocation, now: Milliseconds): number {
   const ranS = runningSince !== null ? (now - runningSince) / 1000 : 0;
   return (
-    job.priority * COST_OF_PRIORITY_S +
+    job.priority * COST_PER_PRIORITY_S +
     (phase === 'planned' ? COST_OF_PLANNED_S : ranS) +
     (job.spec.shape === 'gang' ? COST_OF_GANG_S : 0)
   );
@@ -97,7 +97,7 @@
   }
 
   /** Records that one of the job's waiting tasks was allocated. */
-  taskPlaced(job: Job, now: Milliseconds): void {
+  recordTaskPlaced(job: Job, now: Milliseconds): void {
     if (this.isOverdueService(job, now)) this.addOverdueTasks(job, -1);
   }
 
@@ -109,7 +109,7 @@
    * Whether any work may be preempted for the job at all. Work that the run itself has placed so far needs no check: its
    * priority is the job's or a higher one.
    */
-  hasVictims({ job, quota }: QueuedJob): boolean {
+  mayHaveVictims({ job, quota }: QueuedJob): boolean {
     if (quota.withinQuota && job.spec.gpus > 0) return true;
     return (this.lowestPriority.get(job.shard) ?? job.priority) < job.priority;
   }
@@ -122,7 +122,7 @@
   isVictim(allocation: Allocation, { job, quota }: QueuedJob, run: SchedulingRun): boolean {
     if (allocation.stopGraceS !== null || allocation.phase === 'exited' || allocation.job === job) return false;
     const victimQuota = run.quotaStatuses.get(allocation.job);
-    if (victimQuota?.isProtected && !this.isPressing(job, allocation.machine, run.now)) return false;
+    if (victimQuota?.isProtected && !this.mayPreemptProtectedWork(job, allocation.machine, run.now)) return false;
     if (allocation.job.priority < job.priority) return true;
     if (!quota.withinQuota || allocation.job.teamIndex === job.teamIndex || victimQuota === undefined || job.spec.gpus === 0)
       return false;
@@ -135,7 +135,7 @@
    * waiting tasks fill at least half of the machine. Without this rule, 176 replicas waited throughout a network partition of
    * 90 s while gangs kept training on 24 machines. For only a few replicas, stopping gangs costs more.
    */
-  private isPressing(job: Job, machine: Machine, now: Milliseconds): boolean {
+  private mayPreemptProtectedWork(job: Job, machine: Machine, now: Milliseconds): boolean {
     return (
       machine.capacity !== null &&
       this.isOverdueService(job, now) &&
@@ -178,15 +178,15 @@
    * suitable.
    */
   preemptFor(queued: QueuedJob, candidates: readonly FreeResources[], run: SchedulingRun): FreeResources | null {
-    const plan = this.cheapestEviction(queued, candidates, run);
+    const plan = this.cheapestPreemption(queued, candidates, run);
     if (!plan) return null;
     this.preempt(plan.victims, plan.free);
     return plan.free;
   }
 
   /** Returns the plan with the lowest cost, of equal costs the first. */
-  private cheapestEviction(queued: QueuedJob, candidates: readonly FreeResources[], run: SchedulingRun): EvictionPlan | null {
-    let best: EvictionPlan | null = null;
+  private cheapestPreemption(queued: QueuedJob, candidates: readonly FreeResources[], run: SchedulingRun): PreemptionPlan | null {
+    let best: PreemptionPlan | null = null;
     for (const free of candidates) {
       const victims = this.victimsOn(free, queued, run);
       if (!victims) continue;
--- a/packages/controller/src/scheduling/relocation-targets.ts
+++ b/packages/controller/src/scheduling/relocation-targets.ts
@@ -28,7 +28,7 @@
   canHost(source: Machine, services: readonly Allocation[]): boolean {
     const remaining = new Map<FreeResources, FreeResources>();
     for (const { job } of services) {
-      const target = this.targetsFor(job).find((free) => this.canTake(free, source, job, remaining));
+      const target = this.targetsFor(job).find((free) => this.isUsableTarget(free, source, job, remaining));
       if (!target) return false;
       const rest = remaining.get(target) ?? { ...target };
       subtract(rest, job.resources);
@@ -38,7 +38,7 @@
   }
 
   /** `remaining`: the free resources of targets that are used by earlier services of the source machine. */
-  private canTake(
+  private isUsableTarget(
     target: FreeResources,
     source: Machine,
     job: Job,
@@ -59,8 +59,8 @@
   }
 
   private serviceCpusOf(machine: Machine): number {
-    const known = this.serviceCpus.get(machine);
-    if (known !== undefined) return known;
+    const cached = this.serviceCpus.get(machine);
+    if (cached !== undefined) return cached;
     const cpus = this.measureServiceCpus(machine);
     this.serviceCpus.set(machine, cpus);
     return cpus;
@@ -68,8 +68,8 @@
 
   private targetsFor(job: Job): readonly FreeResources[] {
     const kind = kindOf(job);
-    const known = this.targetsByKind.get(kind);
-    if (known) return known;
+    const cached = this.targetsByKind.get(kind);
+    if (cached) return cached;
     const targets = this.freeResources.filter((free) => fits(job.resources, free) && isAllowedOn(job, free.machine));
     this.targetsByKind.set(kind, targets);
     return targets;
--- a/packages/controller/src/scheduling/scheduler.ts
+++ b/packages/controller/src/scheduling/scheduler.ts
@@ -62,7 +62,7 @@
 
 /** Places the tasks of waiting jobs on the machines of the shards held by this controller. */
 export class Scheduler {
-  private hasUnfinishedWork = false;
+  private hasUnplacedJobs = false;
   private lastRunAt: Milliseconds = NEVER;
   private nextRunAt: Milliseconds = NEVER;
   private readonly machineScoring: MachineScoring;
@@ -105,7 +105,7 @@
    * is followed by a longer pause, so that heartbeats never wait long.
    */
   tick(now: Milliseconds): void {
-    const isRetryDue = this.hasUnfinishedWork && now - this.lastRunAt >= RESCHEDULE_INTERVAL_MS;
+    const isRetryDue = this.hasUnplacedJobs && now - this.lastRunAt >= RESCHEDULE_INTERVAL_MS;
     const isDue = (this.allocations.schedulingRequested || isRetryDue) && now >= this.nextRunAt;
     if (!isDue || !this.allocations.startFreshness.mayStart(now)) return;
     this.allocations.schedulingRequested = false;
@@ -119,7 +119,7 @@
     const outcome = this.placeQueue(queue, run);
     for (const job of outcome.crashLoopingJobs) this.crashLoopRetries.retry(job, run);
     this.nextRunAt = now + this.pauseAfter(outcome.machinesConsidered);
-    this.hasUnfinishedWork = outcome.hasPostponedJobs || outcome.crashLoopingJobs.length > 0 || outcome.unmetDemand.length > 0;
+    this.hasUnplacedJobs = outcome.hasPostponedJobs || outcome.crashLoopingJobs.length > 0 || outcome.unmetDemand.length > 0;
     this.allocations.recordUnmetDemand(outcome.unmetDemand);
     this.machineEligibility.recordUnmetDemand(outcome.unmetDemand);
     this.gangServiceEviction.evictFor(outcome.unmetDemand, now);
@@ -184,10 +184,10 @@
     }
     outcome.machinesConsidered += run.freeResources.length;
     const candidates = run.unreserved.filter((free) => isCandidateFor(job, free.machine));
-    const unplaced =
+    const unplacedCount =
       job.spec.shape === 'gang' ? this.placeGangJob(queued, candidates, run) : this.taskPlacement.place(queued, candidates, run);
-    if (unplaced > 0) {
-      outcome.unmetDemand.push({ job, count: unplaced, withinQuota });
+    if (unplacedCount > 0) {
+      outcome.unmetDemand.push({ job, count: unplacedCount, withinQuota });
       this.unschedulableKinds.add(job, withinQuota);
     }
     if (isAged && job.tenure.allocations.size === 0) reserveForAgedGang(job, run);
--- a/packages/controller/src/scheduling/service-consolidation.ts
+++ b/packages/controller/src/scheduling/service-consolidation.ts
@@ -25,7 +25,7 @@
  * A service may be moved once it has run for this long. A cleared machine accepts no work without accelerators for the same
  * time.
  */
-const SETTLED_MS = 40_000;
+const STABILIZATION_MS = 40_000;
 
 /** A machine whose services use more than this fraction of its processor cores is not cleared. */
 const MAX_CPU_FRACTION = 0.5;
@@ -38,7 +38,7 @@
 
 /** Consolidates services unless the policy is to hold spare capacity. */
 export class ServiceConsolidation {
-  private consolidatedAt: Milliseconds = NEVER;
+  private lastAttemptAt: Milliseconds = NEVER;
 
   constructor(
     private readonly context: SettingsView & ClusterStateView & Logger,
@@ -48,12 +48,12 @@
 
   /** Stops the services of at most one machine per shard. The scheduler then places them again. */
   consolidate(now: Milliseconds): void {
-    if (this.context.settings.policy.holdSpareCapacity || now - this.consolidatedAt < CONSOLIDATION_INTERVAL_MS) return;
-    this.consolidatedAt = now;
+    if (this.context.settings.policy.holdSpareCapacity || now - this.lastAttemptAt < CONSOLIDATION_INTERVAL_MS) return;
+    this.lastAttemptAt = now;
     for (const shard of this.allocations.heldShards.keys()) {
       const machines = this.usableMachines(shard, now);
       const source = this.chooseSource(machines, now);
-      if (source && this.haveRoomElsewhere(source, machines)) this.clear(source, now);
+      if (source && this.canRelocate(source, machines)) this.evictServices(source, now);
     }
   }
 
@@ -76,7 +76,7 @@
       if (machine.capacity?.gpus === 0) continue;
       const services = machineLoadOf(machine).services;
       if (services.length === 0 || (best && services.length >= best.services.length)) continue;
-      if (services.every((service) => isSettled(service, now)) && !hasGpuWork(machine) && !hasPlannedWork(machine))
+      if (services.every((service) => isStable(service, now)) && !hasGpuWork(machine) && !hasPlannedWork(machine))
         best = { machine, services };
     }
     if (!best) return null;
@@ -85,7 +85,7 @@
   }
 
   /** Whether all services of the source could move at once to machines that have their images. */
-  private haveRoomElsewhere({ machine, services }: ConsolidationSource, machines: readonly Machine[]): boolean {
+  private canRelocate({ machine, services }: ConsolidationSource, machines: readonly Machine[]): boolean {
     const targets = this.targetsFor(machine, machines);
     return services.every(({ job }) => {
       const tasksInZones = tasksPerZone(job);
@@ -108,11 +108,11 @@
    */
   private targetsFor(source: Machine, machines: readonly Machine[]): FreeResources[] {
     const sourceCpus = machineLoadOf(source).serviceUsage.cpus;
-    const mayTakeServices = (machine: Machine) =>
+    const mayReceiveServices = (machine: Machine) =>
       machine.capacity?.gpus === 0 ||
-      (this.hasWork(machine) && (this.gpuMachines.isKeptBusy(machine) || machineLoadOf(machine).serviceUsage.cpus > sourceCpus));
+      (this.hasWork(machine) && (this.gpuMachines.isOccupied(machine) || machineLoadOf(machine).serviceUsage.cpus > sourceCpus));
     return machines
-      .filter((machine) => machine !== source && mayTakeServices(machine))
+      .filter((machine) => machine !== source && mayReceiveServices(machine))
       .map(freeResourcesOf)
       .sort((a, b) => a.cpus - b.cpus);
   }
@@ -121,18 +121,18 @@
     return machineLoadOf(machine).services.length > 0 || hasGpuWork(machine);
   }
 
-  private clear({ machine, services }: ConsolidationSource, now: Milliseconds): void {
+  private evictServices({ machine, services }: ConsolidationSource, now: Milliseconds): void {
     this.context.log('debug', 'consolidating services on other machines', {
       machine: machine.name,
       services: services.length,
     });
-    machine.reservedUntil = now + SETTLED_MS;
+    machine.reservedUntil = now + STABILIZATION_MS;
     for (const allocation of services) this.allocations.stop(allocation, 0);
   }
 }
 
-function isSettled({ stopGraceS, runningSince }: Allocation, now: Milliseconds): boolean {
-  return stopGraceS === null && runningSince !== null && now - runningSince >= SETTLED_MS;
+function isStable({ stopGraceS, runningSince }: Allocation, now: Milliseconds): boolean {
+  return stopGraceS === null && runningSince !== null && now - runningSince >= STABILIZATION_MS;
 }
 
 function hasPlannedWork(machine: Machine): boolean {
--- a/packages/controller/src/scheduling/start-deadlines.ts
+++ b/packages/controller/src/scheduling/start-deadlines.ts
@@ -13,7 +13,7 @@
  * Time from arrival to the start deadline of a job that has missed all objectives of its class: such a job comes after all
  * others.
  */
-const MISSED_ALL_OBJECTIVES_MS = 1e7;
+const MISSED_ALL_OBJECTIVES_DELAY_MS = 1e7;
 
 /** The deadline, in seconds, of a job that has neither objectives nor a deadline of its own. */
 const DEFAULT_DEADLINE_S = 600;
@@ -82,7 +82,7 @@
   }
 
   private fallbackDeadline(job: Job): Milliseconds {
-    if (this.timeObjectives.has(job.spec.jobClass)) return job.arrivedAt + MISSED_ALL_OBJECTIVES_MS;
+    if (this.timeObjectives.has(job.spec.jobClass)) return job.arrivedAt + MISSED_ALL_OBJECTIVES_DELAY_MS;
     return job.arrivedAt + (job.spec.deadlineS ?? DEFAULT_DEADLINE_S) * 1000;
   }
 }
--- a/packages/controller/src/scheduling/task-placement.ts
+++ b/packages/controller/src/scheduling/task-placement.ts
@@ -53,7 +53,7 @@
       if (!free || taskIndex < 0) return placed;
       this.binder.bindTask(job, taskIndex, free, run);
       countTaskInZone(tasksInZones, free.machine.zoneIndex);
-      this.preemption.taskPlaced(job, run.now);
+      this.preemption.recordTaskPlaced(job, run.now);
     }
     return Math.max(0, count);
   }
@@ -70,7 +70,7 @@
   ): FreeResources | null {
     const best = candidates.best(tasksInZones);
     const mayGainByPreemption = !best || (queued.job.spec.shape === 'service' && best.score < MIN_SERVICE_SCORE);
-    if (!mayGainByPreemption || !this.preemption.hasVictims(queued)) return best?.free ?? null;
+    if (!mayGainByPreemption || !this.preemption.mayHaveVictims(queued)) return best?.free ?? null;
     const minScore = best ? best.score + MIN_SCORE_GAIN : Number.NEGATIVE_INFINITY;
     const better = candidates.withHigherScore(minScore, tasksInZones);
     // Protected work is preempted only if the task fits on no machine otherwise, not for a better machine.
