--- a/packages/controller/src/state/gpu-demand-history.ts
+++ b/packages/controller/src/state/gpu-demand-history.ts
@@ -26,16 +26,16 @@
     this.machineTypes.forEach((machineType, index) => {
       if (!machineType || !fits(job.spec, machineType)) return;
       if (job.typeIndices !== null && !job.typeIndices.includes(index)) return;
-      this.byType.set(index, largerDemand(this.byType.get(index), job));
+      this.byType.set(index, maxDemand(this.byType.get(index), job));
     });
   }
 }
 
-function largerDemand(known: GpuDemand | undefined, { spec }: Job): GpuDemand {
+function maxDemand(current: GpuDemand | undefined, { spec }: Job): GpuDemand {
   return {
-    cpus: Math.max(known?.cpus ?? 0, spec.cpus),
-    gpus: Math.max(known?.gpus ?? 0, spec.gpus),
-    memory: Math.max(known?.memory ?? 0, spec.memory),
-    priority: Math.max(known?.priority ?? 0, spec.priority),
+    cpus: Math.max(current?.cpus ?? 0, spec.cpus),
+    gpus: Math.max(current?.gpus ?? 0, spec.gpus),
+    memory: Math.max(current?.memory ?? 0, spec.memory),
+    priority: Math.max(current?.priority ?? 0, spec.priority),
   };
 }
--- a/packages/controller/src/state/job-dependencies.ts
+++ b/packages/controller/src/state/job-dependencies.ts
@@ -12,7 +12,7 @@
 /** The effect of a job's end on its dependents. */
 export interface DependencyOutcome {
   /** jobs without unfinished dependencies now */
-  released: Job[];
+  unblocked: Job[];
   /** direct and indirect dependents that were cancelled because the job was */
   cancelled: Job[];
 }
@@ -52,8 +52,8 @@
   ) {}
 
   /** Adds dependencies of a job. If one of them is cancelled, cancels the job and its dependents and returns them. */
-  add(job: Job, awaitedIds: readonly string[]): Job[] {
-    for (const id of awaitedIds) {
+  add(job: Job, dependencyIds: readonly string[]): Job[] {
+    for (const id of dependencyIds) {
       const finalState = this.finishedJobs.get(id);
       if (finalState === 'cancelled') return this.cancelAll([job]);
       if (finalState === 'done') this.recordDependencyDone(job, id);
@@ -73,34 +73,34 @@
   }
 
   /** Handles the end of a job, by its stored state. `endedAt`: wall-clock time; null: unknown. */
-  jobFinished(id: string, finalState: FinalState, endedAt: Milliseconds | null): DependencyOutcome {
-    if (finalState === 'cancelled') return { released: [], cancelled: this.cancelDependents(id) };
+  recordJobFinished(id: string, finalState: FinalState, endedAt: Milliseconds | null): DependencyOutcome {
+    if (finalState === 'cancelled') return { unblocked: [], cancelled: this.cancelDependents(id) };
     if (endedAt !== null) this.endedAt.set(id, endedAt);
-    const released: Job[] = [];
+    const unblocked: Job[] = [];
     for (const job of this.dependents.get(id) ?? []) {
       job.unfinishedDependencyIds.delete(id);
       this.recordDependencyDone(job, id);
-      if (!job.isBlocked) released.push(job);
+      if (!job.isBlocked) unblocked.push(job);
     }
     this.dependents.delete(id);
-    return { released, cancelled: [] };
+    return { unblocked, cancelled: [] };
   }
 
   /** Removes the edges from an ended job to its dependencies, which then no longer inherit from it. */
   unlink(job: Job): void {
-    for (const awaited of this.removeEdges(job)) this.recomputeRequirements(awaited);
+    for (const dependency of this.removeEdges(job)) this.recomputeRequirements(dependency);
   }
 
   /** Removes the edges from a job to its dependencies. Returns the dependencies that are in the cluster state. */
   private removeEdges(job: Job): Job[] {
-    const awaitedJobs = this.unfinishedDependenciesOf(job);
+    const dependencies = this.unfinishedDependenciesOf(job);
     for (const id of job.unfinishedDependencyIds) {
       const dependents = this.dependents.get(id);
       dependents?.delete(job);
       if (dependents?.size === 0) this.dependents.delete(id);
     }
     job.unfinishedDependencyIds.clear();
-    return awaitedJobs;
+    return dependencies;
   }
 
   /** Cancels all direct and indirect dependents of a job. */
@@ -113,19 +113,19 @@
   /** Cancels these jobs and all their dependents. Other dependencies of the cancelled jobs are recomputed once, at the end. */
   private cancelAll(roots: readonly Job[]): Job[] {
     const cancelled: Job[] = [];
-    const formerlyAwaited = new Set<Job>();
-    const open = [...roots];
-    for (let job = open.pop(); job !== undefined; job = open.pop()) {
+    const formerDependencies = new Set<Job>();
+    const pending = [...roots];
+    for (let job = pending.pop(); job !== undefined; job = pending.pop()) {
       // An ended job should have no edges. If one was left, the job's final state still must not change.
       if (job.state !== 'live') continue;
       job.state = 'cancelled';
       this.finishedJobs.set(job.spec.id, 'cancelled');
       cancelled.push(job);
-      for (const awaited of this.removeEdges(job)) formerlyAwaited.add(awaited);
-      for (const dependent of this.dependents.get(job.spec.id) ?? []) open.push(dependent);
+      for (const dependency of this.removeEdges(job)) formerDependencies.add(dependency);
+      for (const dependent of this.dependents.get(job.spec.id) ?? []) pending.push(dependent);
       this.dependents.delete(job.spec.id);
     }
-    for (const awaited of formerlyAwaited) if (awaited.state === 'live') this.recomputeRequirements(awaited);
+    for (const dependency of formerDependencies) if (dependency.state === 'live') this.recomputeRequirements(dependency);
     return cancelled;
   }
 
@@ -140,8 +140,8 @@
     const raised = new Set<Job>([job]);
     for (const next of this.dependentsFirst(job)) {
       if (!raised.has(next)) continue;
-      for (const awaited of this.unfinishedDependenciesOf(next))
-        if (this.inheritFromDependent(awaited, next)) raised.add(awaited);
+      for (const dependency of this.unfinishedDependenciesOf(next))
+        if (this.inheritFromDependent(dependency, next)) raised.add(dependency);
     }
   }
 
@@ -167,7 +167,8 @@
     const stale = new Set<Job>([job]);
     for (const next of this.dependentsFirst(job)) {
       if (!stale.has(next)) continue;
-      if (this.recomputeOwnRequirements(next)) for (const awaited of this.unfinishedDependenciesOf(next)) stale.add(awaited);
+      if (this.recomputeOwnRequirements(next))
+        for (const dependency of this.unfinishedDependenciesOf(next)) stale.add(dependency);
     }
   }
 
--- a/packages/controller/src/state/job-record.ts
+++ b/packages/controller/src/state/job-record.ts
@@ -85,7 +85,7 @@
   x: z.unknown().optional(),
 });
 
-const awaitedIdsSchema = z.array(z.string());
+const dependencyIdsSchema = z.array(z.string());
 const partsReferenceSchema = z.object({ k: z.string(), n: z.number().int().min(1) });
 const partSchema = z.object({ aw: z.array(z.string()).nullish(), ty: z.array(z.string()).nullish() });
 
@@ -93,17 +93,17 @@
 const NO_AWAITS = { success: true, data: [] as string[] } as const;
 const NO_PARTS = { success: true, data: null } as const;
 
-const STATES = { [ACCEPTED]: 'live', [DONE]: 'done', [CANCELLED]: 'cancelled', [ACCEPTED_WITH_AWAITS]: 'live' } as const;
+const STATE_BY_CODE = { [ACCEPTED]: 'live', [DONE]: 'done', [CANCELLED]: 'cancelled', [ACCEPTED_WITH_AWAITS]: 'live' } as const;
 
 /** Throws `UnreadableRecordError` if the value is no job record, or if the record of a live job has no specification. */
 export function parseJobRecord(value: unknown): StoredJob {
   const parsed = recordSchema.safeParse(value);
   if (!parsed.success) throw new UnreadableRecordError('job', parsed.error);
   const { s, t: submittedAt, sp, n: taskCount, e: endedAt, aw, x } = parsed.data;
-  const state = STATES[s];
+  const state = STATE_BY_CODE[s];
   const spec = sp ? parseJobSpec(sp) : null;
   if (state === 'live' && spec === null) throw new UnreadableRecordError('job');
-  const awaits = aw === undefined ? NO_AWAITS : awaitedIdsSchema.safeParse(aw);
+  const awaits = aw === undefined ? NO_AWAITS : dependencyIdsSchema.safeParse(aw);
   const parts = x === undefined ? NO_PARTS : partsReferenceSchema.safeParse(x);
   return {
     state,
--- a/packages/controller/src/state/job-registry.ts
+++ b/packages/controller/src/state/job-registry.ts
@@ -56,10 +56,10 @@
   /** by `job/group` */
   private readonly incompleteRecords = new Map<string, IncompleteRecord>();
   /** parts that were read before the job's record, by `job/group`, then by part number */
-  private readonly partsReadEarly = new Map<string, Map<number, JobPart>>();
+  private readonly bufferedParts = new Map<string, Map<number, JobPart>>();
   /** progress that was read before the job's record, by job id, then by the name of the progress part */
-  private readonly progressReadEarly = new Map<string, Map<string, StoredProgress>>();
-  /** by job id: when its cancellation was first read here, also for jobs that were forgotten since */
+  private readonly bufferedProgress = new Map<string, Map<string, StoredProgress>>();
+  /** by job id: when this controller first read its cancellation, also for jobs that were forgotten since */
   private readonly cancellationReadAt = new Map<string, Milliseconds>();
 
   constructor(
@@ -74,28 +74,28 @@
     if (!entry) return NO_JOBS;
     const stored = parseJobRecord(entry.value);
     if (stored.state === 'cancelled') this.cancellationRevision = Math.max(this.cancellationRevision, entry.revision);
-    const others = stored.state === 'live' ? [] : this.applyFinalState(id, stored.state, stored.endedAt, now);
-    const known = this.jobs.get(id);
+    const affectedJobs = stored.state === 'live' ? [] : this.applyFinalState(id, stored.state, stored.endedAt, now);
+    const existing = this.jobs.get(id);
     // A done job has no tasks left to run or stop. A cancelled job may still have tasks to stop.
     const { spec } = stored;
-    const hasNothingLeft = spec === null || stored.state === 'done';
-    const job = known ?? (hasNothingLeft ? null : this.register(spec, stored, now, others));
-    if (job === null) return jobsChange(others);
+    const hasNoTasksLeft = spec === null || stored.state === 'done';
+    const job = existing ?? (hasNoTasksLeft ? null : this.register(spec, stored, now, affectedJobs));
+    if (job === null) return jobsChange(affectedJobs);
     job.modRevision = entry.revision;
     if (stored.state !== 'live') {
       job.state = stored.state;
       this.dependencies.unlink(job);
     }
-    if (!known && !job.isBlocked) this.host.onJobStartable(job);
-    for (const other of [job, ...others]) this.recordCancellationTime(other, now);
-    const jobs = [job, ...others.filter((other) => other !== job)];
+    if (!existing && !job.isBlocked) this.host.onJobStartable(job);
+    for (const other of [job, ...affectedJobs]) this.recordCancellationTime(other, now);
+    const jobs = [job, ...affectedJobs.filter((other) => other !== job)];
     return jobsChange(jobs, stored.awaits === null ? 'the list of awaited jobs' : null);
   }
 
   /** The job with this id, restored from its record if it was forgotten; null if there are no tasks to run or stop. */
   restore(id: string, entry: ReplicaEntry | null, now: Milliseconds): Job | null {
-    const known = this.jobs.get(id);
-    if (known || !entry) return known ?? null;
+    const existing = this.jobs.get(id);
+    if (existing || !entry) return existing ?? null;
     try {
       this.applyRecord(id, entry, now);
     } catch {
@@ -111,32 +111,32 @@
 
   /**
    * Adds a job to the table; no other function does. The job is added only after its record was applied: its dependencies and
-   * whether it has ended. Jobs that are cancelled by that are appended to `others`.
+   * whether it has ended. Jobs that are cancelled by that are appended to `cancelledJobs`.
    */
-  private register(spec: JobSpec, stored: StoredJob, now: Milliseconds, others: Job[]): Job {
+  private register(spec: JobSpec, stored: StoredJob, now: Milliseconds, cancelledJobs: Job[]): Job {
     const job = this.host.createJob(spec);
     job.arrivedAt = now;
     job.setSubmittedAt(stored.submittedAt);
     const finalState = this.finishedJobs.get(spec.id);
     if (finalState) job.state = finalState;
-    else others.push(...this.applyRecordLists(job, stored, now));
+    else cancelledJobs.push(...this.applyRecordLists(job, stored, now));
     this.jobs.set(spec.id, job);
-    for (const progress of this.progressReadEarly.get(spec.id)?.values() ?? []) this.mergeProgress(job, progress);
-    this.progressReadEarly.delete(spec.id);
+    for (const progress of this.bufferedProgress.get(spec.id)?.values() ?? []) this.mergeProgress(job, progress);
+    this.bufferedProgress.delete(spec.id);
     return job;
   }
 
   /** Records the end of a job. Returns its dependents that are unblocked or cancelled by it. */
   private applyFinalState(id: string, finalState: FinalState, endedAt: Milliseconds | null, now: Milliseconds): Job[] {
     this.finishedJobs.set(id, finalState);
-    this.progressReadEarly.delete(id);
-    const { released, cancelled } = this.dependencies.jobFinished(id, finalState, endedAt);
-    for (const job of released) this.release(job, now);
+    this.bufferedProgress.delete(id);
+    const { unblocked, cancelled } = this.dependencies.recordJobFinished(id, finalState, endedAt);
+    for (const job of unblocked) this.unblock(job, now);
     for (const job of cancelled) this.recordCancellationTime(job, now);
-    return [...released, ...cancelled];
+    return [...unblocked, ...cancelled];
   }
 
-  private release(job: Job, now: Milliseconds): void {
+  private unblock(job: Job, now: Milliseconds): void {
     this.restartWaitingTime(job, now);
     this.host.onJobStartable(job);
   }
@@ -175,10 +175,10 @@
     for (let index = 0; index < count; index++) missingParts.add(index);
     job.missingRecordParts = missingParts.size;
     this.incompleteRecords.set(groupKey, { job, missingParts });
-    const early = this.partsReadEarly.get(groupKey) ?? new Map<number, JobPart>();
-    this.partsReadEarly.delete(groupKey);
+    const buffered = this.bufferedParts.get(groupKey) ?? new Map<number, JobPart>();
+    this.bufferedParts.delete(groupKey);
     const cancelled: Job[] = [];
-    for (const [index, part] of early) cancelled.push(...this.mergePart(groupKey, index, part, now));
+    for (const [index, part] of buffered) cancelled.push(...this.mergePart(groupKey, index, part, now));
     return cancelled;
   }
 
@@ -194,7 +194,7 @@
       return jobsChange([job, ...cancelled.filter((other) => other !== job)]);
     }
     const id = groupKey.slice(0, groupKey.indexOf('/'));
-    if (!this.jobs.has(id) && !this.finishedJobs.has(id)) keepEarly(this.partsReadEarly, groupKey, index, part);
+    if (!this.jobs.has(id) && !this.finishedJobs.has(id)) bufferValue(this.bufferedParts, groupKey, index, part);
     return NO_JOBS;
   }
 
@@ -212,7 +212,7 @@
     job.missingRecordParts = missingParts.size;
     const cancelled = this.dependencies.add(job, part.awaits);
     if (missingParts.size === 0 || cancelled.length > 0) this.incompleteRecords.delete(groupKey);
-    if (cancelled.length === 0 && !job.isBlocked) this.release(job, now);
+    if (cancelled.length === 0 && !job.isBlocked) this.unblock(job, now);
     for (const other of cancelled) this.recordCancellationTime(other, now);
     return cancelled;
   }
@@ -232,7 +232,7 @@
       this.mergeProgress(job, progress);
       return jobsChange([job]);
     }
-    if (!this.finishedJobs.has(id)) keepEarly(this.progressReadEarly, id, partName, progress);
+    if (!this.finishedJobs.has(id)) bufferValue(this.bufferedProgress, id, partName, progress);
     return NO_JOBS;
   }
 
@@ -248,7 +248,7 @@
 }
 
 /** Buffers a value that was read before the record that it belongs to. */
-function keepEarly<Name, Value>(store: Map<string, Map<Name, Value>>, recordId: string, name: Name, value: Value): void {
-  const early = store.get(recordId) ?? new Map<Name, Value>();
-  store.set(recordId, early.set(name, value));
+function bufferValue<Name, Value>(buffer: Map<string, Map<Name, Value>>, recordId: string, name: Name, value: Value): void {
+  const values = buffer.get(recordId) ?? new Map<Name, Value>();
+  buffer.set(recordId, values.set(name, value));
 }
--- a/packages/controller/src/state/limits.ts
+++ b/packages/controller/src/state/limits.ts
@@ -5,7 +5,7 @@
 import type { ControllerSettings } from '../model/index.js';
 
 /** Safety margin below the service's value limit: the service may also count a field or two that it adds to the value. */
-const VALUE_SPARE_BYTES = 64;
+const VALUE_MARGIN_BYTES = 64;
 
 /** The settings give size limits in KiB. */
 export const BYTES_PER_KIB = 1024;
@@ -28,7 +28,7 @@
 export function stateSizeLimits(state: ControllerSettings['state']): StateSizeLimits {
   const valueKib = Math.min(state.valueKib, state.next?.valueKib ?? state.valueKib);
   return {
-    maxWriteBytes: Math.floor(valueKib * BYTES_PER_KIB) - VALUE_SPARE_BYTES,
+    maxWriteBytes: Math.floor(valueKib * BYTES_PER_KIB) - VALUE_MARGIN_BYTES,
     writesPerTransaction: Math.min(state.writesPerTransaction, state.next?.writesPerTransaction ?? state.writesPerTransaction),
   };
 }
--- a/packages/controller/src/state/progress-layout.ts
+++ b/packages/controller/src/state/progress-layout.ts
@@ -105,7 +105,7 @@
   parse(name: string, digits: unknown): StoredProgress {
     const from = this.firstTask(name);
     if (from === null || !isDigits(digits)) throw new UnreadableRecordError('progress part');
-    return doneTasks(digits, from);
+    return decodeDoneTasks(digits, from);
   }
 }
 
@@ -125,7 +125,7 @@
 }
 
 /** Returns the tasks that the digits mark as done. The result can be iterated more than once. */
-function doneTasks(digits: string, from: number): StoredProgress {
+function decodeDoneTasks(digits: string, from: number): StoredProgress {
   return {
     *[Symbol.iterator]() {
       for (let index = 0; index < digits.length; index++) {
--- a/packages/controller/src/state/state-writer.ts
+++ b/packages/controller/src/state/state-writer.ts
@@ -169,8 +169,8 @@
   private createBatch(): WriteBatch {
     const { writesPerTransaction } = this.limits;
     const maxWrites = Math.min(writesPerTransaction, this.budget.available);
-    const othersWait = this.queue.count(WritePriority.assignment) + this.queue.count(WritePriority.release) > 0;
-    const maxAcceptances = othersWait ? Math.max(1, Math.floor(maxWrites / 2)) : maxWrites;
+    const hasWaitingAssignments = this.queue.count(WritePriority.assignment) + this.queue.count(WritePriority.release) > 0;
+    const maxAcceptances = hasWaitingAssignments ? Math.max(1, Math.floor(maxWrites / 2)) : maxWrites;
     return new WriteBatch({ writesPerTransaction, maxWrites, maxAcceptances });
   }
 
@@ -216,7 +216,7 @@
     const failedKeys = new Set(keys);
     for (const write of writes) {
       const isFailed = failedKeys.has(write.key) || (write.conditions ?? []).some(({ key }) => failedKeys.has(key));
-      if (isFailed) this.host.afterBarrier(now, () => this.settleFailedWrite(write));
+      if (isFailed) this.host.afterBarrier(now, () => this.resolveFailedWrite(write));
       else this.queue.add(write, now);
     }
     if (failedKeys.size === 0) this.pausedUntil = now + UNEXPLAINED_FAILURE_PAUSE_MS;
@@ -226,7 +226,7 @@
   private handleInvalid(writes: readonly QueuedWrite[], now: Milliseconds): void {
     for (const write of writes) {
       if (writes.length > 1) this.queue.add({ ...write, sendAlone: true }, now);
-      else if (write.mayBeApplied) this.host.afterBarrier(now, () => this.settleFailedWrite(write));
+      else if (write.mayBeApplied) this.host.afterBarrier(now, () => this.resolveFailedWrite(write));
       else this.dropTooLarge(write);
     }
   }
@@ -249,7 +249,7 @@
   }
 
   /** The replica is at least as fresh as the failure, so its entry shows whether an earlier copy of the write was applied. */
-  private settleFailedWrite(write: QueuedWrite): void {
+  private resolveFailedWrite(write: QueuedWrite): void {
     write.onOutcome(isAlreadyApplied(write, this.host.replica.get(write.key)) ? 'ok' : 'conflict');
   }
 }
--- a/packages/controller/src/state/write-budget.ts
+++ b/packages/controller/src/state/write-budget.ts
@@ -30,8 +30,8 @@
 
   /** Adds tokens for the time since the last call. */
   refill(now: Milliseconds): void {
-    const earned = ((now - this.refilledAt) / 1000) * this.writesPerS;
-    this.availableWrites = Math.min(Math.max(this.maxWritesPerS, MIN_BURST_WRITES), this.availableWrites + earned);
+    const newTokens = ((now - this.refilledAt) / 1000) * this.writesPerS;
+    this.availableWrites = Math.min(Math.max(this.maxWritesPerS, MIN_BURST_WRITES), this.availableWrites + newTokens);
     this.refilledAt = now;
   }
 
--- a/packages/controller/src/state/write-rate-limit.ts
+++ b/packages/controller/src/state/write-rate-limit.ts
@@ -33,7 +33,7 @@
   /** Writes per second that all controllers together may send. */
   perSecond(now: Milliseconds): number {
     if (this.refusedAt === null) return this.highestPerS;
-    const quietS = Math.max(0, now - this.refusedAt - RATE_PAUSE_MS) / 1000;
-    return Math.min(this.highestPerS, this.lowestPerS + quietS * RATE_RISE_PER_S * this.highestPerS);
+    const recoveryS = Math.max(0, now - this.refusedAt - RATE_PAUSE_MS) / 1000;
+    return Math.min(this.highestPerS, this.lowestPerS + recoveryS * RATE_RISE_PER_S * this.highestPerS);
   }
 }
