--- a/packages/controller/src/capacity/autoscaler.ts
+++ b/packages/controller/src/capacity/autoscaler.ts
@@ -1,7 +1,7 @@
 /**
  * The autoscaler: provisions machines for pending work, and releases machines that never came up. It acts on the leader only.
- * Owns when this controller's leadership began. Machine lists, requests, pools, releases and boot times have a module each; what
- * to request is decided by `demand-provisioning` or `spare-capacity`.
+ * Owns the start time of this controller's leadership. Machine lists, requests, pools, releases and boot times have a module
+ * each; `demand-provisioning` or `spare-capacity` decides which machines to request.
  */
 import {
   type ListedMachine,
@@ -22,39 +22,39 @@
 import type { ScaleOutRequest, ScaleOutSnapshot } from './scale-out.js';
 import { requestsToHoldSpare } from './spare-capacity.js';
 
-/** Machines in one request for a kind that fails to boot. */
+/** The limit of machines in one request for a kind that fails to boot. */
 const MAX_MACHINES_OF_FAILING_KIND = 2;
 
-/** Added to the lag of lists: after both, a list shows what an earlier leader requested. */
+/** Added to the lag of machine lists: after both, a list shows the machines that an earlier leader requested. */
 const LIST_LAG_MARGIN_MS = 2000;
 
-/** A running machine that has sent no heartbeat is released only after the leadership has lasted this long. */
+/** A running machine from which no heartbeat has arrived is released only after the leadership has lasted this long. */
 const UNHEARD_GRACE_MS = 60_000;
 
-/** A machine is released when it isn't up after this multiple of the boot time limit of its type. */
+/** A machine is released if it isn't up after this multiple of the boot time limit of its type. */
 const RELEASE_AFTER_BOOT_LIMITS = 2;
 
-/** What the autoscaler needs of its controller. */
+/** The parts of the controller's context that the autoscaler uses. */
 type AutoscalerContext = SettingsView & ClusterStateView & EffectSink & Logger;
 
-/** What the autoscaler asks of the parts beside it. */
+/** The queries that other parts of the controller answer for the autoscaler. */
 export interface AutoscalerDependencies {
-  /** Is an assignment of the machine being written? */
+  /** Reports whether a write of the machine's assignment is pending. */
   isAssignmentPending(machine: string): boolean;
-  /** Machines assigned a moment ago: the demands of their shards don't reflect them yet. */
+  /** Returns machines that were assigned so recently that the demands of their shards may not reflect them yet. */
   recentlyAssigned(now: Milliseconds): InstanceKind[];
-  /** Is the zone cut off from this controller? */
+  /** Reports whether the zone is cut off from this controller. */
   isZoneCut(zone: string): boolean;
 }
 
-/** What lasts for one leadership of this controller. */
+/** One leadership of this controller. */
 interface LeadershipTerm {
   since: Milliseconds;
-  /** machines were assigned before it began */
+  /** the cluster had machines before the leadership began */
   isTakeover: boolean;
 }
 
-/** Scales the cluster out, and releases what never came up. Every controller has one; it acts while its controller leads. */
+/** Scales the cluster out, and releases machines that never came up. Every controller has one; only the leader's is active. */
 export class Autoscaler {
   private term: LeadershipTerm = { since: NEVER, isTakeover: false };
   private readonly machineList: MachineList;
@@ -74,14 +74,14 @@
     this.provisioner = new Provisioner(context, { tracker, pools, machineList, bootMonitor });
   }
 
-  /** This controller leads from now on; `revision` is that of the leader's lease. */
+  /** Called when this controller becomes the leader; `revision` is that of the leader lease. */
   leaseAcquired(revision: number, now: Milliseconds): void {
     this.term = { since: now, isTakeover: this.context.clusterState.machines.size > 0 };
     this.provisioner.leaseAcquired(revision);
     this.machineList.leaseAcquired();
   }
 
-  /** Has a list of the cloud's machines been received since this leadership began? */
+  /** Whether a list of the cloud's machines has been received since this leadership began. */
   get isListKnown(): boolean {
     return this.machineList.isKnown;
   }
@@ -91,58 +91,58 @@
     this.machineList.request(now);
   }
 
-  /** The outcome of a list request; `machines` is null if it failed. */
+  /** Handles the outcome of a list request; `machines` is null if it failed. */
   receiveMachineList(machines: ListedMachine[] | null, isLeading: boolean, now: Milliseconds): void {
     if (!this.machineList.receive(machines, isLeading, now)) return;
     for (const { machine } of this.machineList.values()) this.tracker.forget(machine);
   }
 
-  /** A heartbeat came from a machine without an assignment: how long its boot took says how long others may take. */
+  /** Records the boot time of an unassigned machine that has sent a heartbeat, for the estimate of later boot times. */
   machineStarted(machine: string, kind: InstanceKind, now: Milliseconds): void {
     const ageMs = this.ageMs(machine, now);
     if (ageMs !== null) this.bootMonitor.recordBoot(kind, ageMs, now);
   }
 
-  /** The write of the machine's assignment ended: its shard accounts for it. */
+  /** Called when the write of the machine's assignment has completed: from then on its shard accounts for the machine. */
   machineAssigned(machine: string): void {
     this.tracker.forget(machine);
   }
 
-  /** Was the machine released recently, so that a heartbeat in its name may be out of date? */
+  /** Reports whether the machine was released so recently that a heartbeat from it may be out of date. */
   isRecentlyReleased(machine: string, now: Milliseconds): boolean {
     return this.releases.isRecent(machine, now);
   }
 
-  /** The machine was released, by whichever part of this controller or of another. */
+  /** Called when the machine was released, by any part of this or another controller. */
   machineReleased(machine: string, now: Milliseconds): void {
     this.releases.released(machine, now);
     this.tracker.forget(machine);
   }
 
-  /** Machine types of which the cloud provisioned all that was last requested. */
+  /** Returns the machine types of which the cloud provisioned all machines of the last request. */
   availableTypes(): string[] {
     return this.pools.availableTypes();
   }
 
-  /** Is the type among `availableTypes`? */
+  /** Reports whether `availableTypes` includes the type. */
   isTypeAvailable(type: string): boolean {
     return this.pools.isTypeAvailable(type);
   }
 
-  /** A machine is gone: the cloud may have capacity for another of its kind. */
+  /** Called when a machine is gone: the cloud may have capacity for another one of its kind. */
   capacityFreed(machine: Machine, now: Milliseconds): void {
     this.pools.capacityFreed(instanceKindOf(this.context, machine), now);
   }
 
-  /** All kinds of machines that can be provisioned. */
+  /** Returns all kinds of machines that can be provisioned. */
   instanceOptions(): InstanceOption[] {
     return instanceOptions(this.context);
   }
 
   /**
-   * Sends the provisioning requests of a round. Urgent requests are sent together: after a wave of losses, one kind a round would
-   * add seconds to the boot time that services wait for. Of the others only the first is sent, since capacity that comes free
-   * meanwhile need not be provisioned.
+   * Sends the provisioning requests of a round. All urgent requests are sent: after a wave of machine losses, one kind per round
+   * would add seconds to the boot time that services wait for. Of the other requests only the first is sent, since capacity that
+   * becomes free in the meantime need not be provisioned.
    */
   scaleOut(shards: Map<number, ShardSummary>, now: Milliseconds): void {
     if (this.mayMissEarlierRequests(now) || !this.provisioner.isRequestDue(now)) return;
@@ -161,7 +161,7 @@
     }
   }
 
-  /** After a takeover: requests of the previous leader aren't known until a list shows their machines. */
+  /** Reports whether a list may not show the machines yet that a previous leader requested before the takeover. */
   private mayMissEarlierRequests(now: Milliseconds): boolean {
     const untilListedMs = this.machineList.maxLagMs + LIST_LAG_MARGIN_MS;
     return this.term.isTakeover && now - this.term.since < untilListedMs;
@@ -181,7 +181,10 @@
     return requestsForDemands(snapshot, this.dependencies.recentlyAssigned(now));
   }
 
-  /** Machines in one request: what the cloud and the policy permit, and few of a kind that fails to boot. At least one. */
+  /**
+   * Returns the number of machines to request: limited by the cloud and the policy, and to a few machines for a kind that fails
+   * to boot. At least one.
+   */
   private requestSize(request: ScaleOutRequest, machineCount: number, now: Milliseconds): number {
     const { maxMachines } = this.context.settings.policy;
     const limit = this.bootMonitor.isFailing(request, now) ? MAX_MACHINES_OF_FAILING_KIND : MAX_MACHINES_PER_PROVISIONING;
@@ -189,14 +192,14 @@
     return Math.max(1, Math.min(request.count, limit, permitted));
   }
 
-  /** Takes the outcome of a provisioning request; one of an earlier leadership is ignored. */
+  /** Handles the outcome of a provisioning request; outcomes of an earlier leadership's requests are ignored. */
   handleProvisioningOutcome(id: number, outcome: ProvisioningOutcome, now: Milliseconds): void {
     this.provisioner.handleOutcome(id, outcome, now);
   }
 
   /**
-   * The kind of each machine that is requested, boots, or is up and not assigned yet. Overdue machines are left out, since they
-   * may never come up; the boot monitor is notified of them.
+   * Returns the kind of each machine that is requested, booting, or up but not assigned yet. Overdue machines are excluded, since
+   * they may never come up, and passed to the boot monitor.
    */
   private arrivingMachines(now: Milliseconds): InstanceKind[] {
     const arriving = this.tracker.arrivingKinds();
@@ -212,7 +215,7 @@
     return arriving;
   }
 
-  /** Releases machines that never came up, or that failed before they were assigned. One request at a time. */
+  /** Releases machines that never came up, or that failed before they were assigned. One request is pending at a time. */
   releaseOverdue(now: Milliseconds): void {
     if (this.releases.hasPending) return;
     const overdue: string[] = [];
@@ -233,9 +236,9 @@
   }
 
   /**
-   * Has the machine failed, or exceeded the boot time limit of its type twice over? A running machine has a worker whose
-   * heartbeats may not have reached this leader yet: once, a new leader released all long-running machines that had not reported
-   * within its first second.
+   * Reports whether the machine failed, or exceeded twice the boot time limit of its type. Running machines get a grace period
+   * after a leadership begins, since heartbeats of their workers may not have reached the new leader yet. Without it, a new
+   * leader released all long-running machines that had not reported within its first second.
    */
   private isOverdue(listed: ListedMachine, now: Milliseconds): boolean {
     if (listed.state === 'failed') return true;
@@ -244,7 +247,7 @@
     return listed.state !== 'running' || now - this.term.since > UNHEARD_GRACE_MS;
   }
 
-  /** Takes the outcome of a release. Returns false if the release isn't one of the autoscaler's. */
+  /** Handles the outcome of a release. Returns false if the autoscaler didn't request this release. */
   handleReleaseOutcome(id: number, isReleased: boolean, now: Milliseconds): boolean {
     const machines = this.releases.requestEnded(id);
     if (!machines) return false;
@@ -252,7 +255,7 @@
     return true;
   }
 
-  /** How long ago the machine was provisioned or requested, as far as is known; else null. */
+  /** Returns the time since the machine was provisioned or requested; null if unknown. */
   private ageMs(machine: string, now: Milliseconds): Milliseconds | null {
     const bootingForMs = this.tracker.bootingForMs(machine, now);
     if (bootingForMs !== null) return bootingForMs;
--- a/packages/controller/src/capacity/boot-time-estimator.ts
+++ b/packages/controller/src/capacity/boot-time-estimator.ts
@@ -1,29 +1,29 @@
 /**
- * Estimates boot times from recent boots of the same type: all boots may be slow for a while, or some, or some may never end.
- * Owns the boots of the last minutes and the number of overdue machines of each kind.
+ * Estimates boot times from recent boots of the same type: boots may be slow for some time, all or only some of them, or may
+ * never complete. Owns the boots of the last minutes and the number of overdue machines of each kind.
  */
 import { type Milliseconds, NEVER } from '../model/index.js';
 import { type InstanceKind, instanceKindKey } from './instance-kind.js';
 
-/** PROTOCOL: boots usually take up to one and a half times what the cloud names. */
+/** PROTOCOL: boots usually take up to 1.5 times the boot time that the cloud states. */
 const EXPECTED_BOOT_FACTOR = 1.6;
 
-/** Margin on the longest recent boot of a type. */
+/** The margin on the longest recent boot of a type. */
 const OBSERVED_BOOT_FACTOR = 1.3;
 
 /** The limit is at most this multiple of the expected boot time. */
 const MAX_LIMIT_FACTOR = 3;
 
-/** Older boots aren't considered: the type may be faster again. */
+/** Older boots are ignored, since the type may boot faster again. */
 const OBSERVATION_WINDOW_MS = 180_000;
 
-/** The number of boots remembered of each type. */
+/** The number of recent boots kept for each type. */
 const MAX_OBSERVATIONS = 20;
 
 /** A kind fails to boot when at least this many of its machines are overdue and none has come up. */
 const MIN_OVERDUE_TO_FAIL = 2;
 
-/** A machine that came up. */
+/** The boot of a machine that came up. */
 interface ObservedBoot {
   at: Milliseconds;
   durationMs: Milliseconds;
@@ -37,7 +37,7 @@
   private readonly lastBootAt = new Map<string, Milliseconds>();
   private readonly overdueByKind = new Map<string, number>();
 
-  /** A machine of the kind came up, `durationMs` after it was requested. */
+  /** Records that a machine of the kind came up `durationMs` after it was requested. */
   recordBoot(kind: InstanceKind, durationMs: Milliseconds, now: Milliseconds): void {
     const boots = (this.recentBoots.get(kind.type) ?? []).filter((boot) => now - boot.at < OBSERVATION_WINDOW_MS);
     boots.push({ at: now, durationMs });
@@ -46,8 +46,8 @@
   }
 
   /**
-   * The boot time limit of the type: a machine that isn't up by then is overdue. `bootS` is the boot time that the cloud names
-   * for the type, in seconds.
+   * Returns the boot time limit of the type: a machine that isn't up after this time is overdue. `bootS` is the boot time that
+   * the cloud states for the type, in seconds.
    */
   limitMs(type: string, bootS: number, now: Milliseconds): Milliseconds {
     let limitMs = EXPECTED_BOOT_FACTOR * bootS * 1000;
@@ -56,7 +56,7 @@
     return Math.min(limitMs, MAX_LIMIT_FACTOR * EXPECTED_BOOT_FACTOR * bootS * 1000);
   }
 
-  /** Replaces what is known of overdue machines; `kinds` has the kind of each. */
+  /** Replaces the set of overdue machines: `kinds` contains the kind of each. */
   setOverdue(kinds: InstanceKind[]): void {
     this.overdueByKind.clear();
     for (const kind of kinds) {
@@ -65,7 +65,7 @@
     }
   }
 
-  /** Are several machines of the kind overdue, while none has come up within `limitMs`? */
+  /** Reports whether several machines of the kind are overdue and none has come up within the last `limitMs`. */
   isFailing(kind: InstanceKind, limitMs: Milliseconds, now: Milliseconds): boolean {
     const key = instanceKindKey(kind);
     if ((this.overdueByKind.get(key) ?? 0) < MIN_OVERDUE_TO_FAIL) return false;
--- a/packages/controller/src/capacity/demand-provisioning.ts
+++ b/packages/controller/src/capacity/demand-provisioning.ts
@@ -1,6 +1,7 @@
 /**
- * Scaling out where price is an objective: requests the machines that serve pending work for the lowest price per task. Pure
- * functions of a snapshot. Tasks are first allocated, tentatively, to machines that arrive anyway or are idle.
+ * Scaling out where price is an objective: requests the machines that serve pending work at the lowest price per task. Pure
+ * functions of a snapshot. Tasks are first allocated, tentatively, to idle machines and to machines that are already requested,
+ * booting or recently assigned.
  */
 import type { MachineType, ResourceDemand } from '@archpost/protocol';
 import type { ClusterStateView } from '../context/index.js';
@@ -10,21 +11,21 @@
 import { type InstanceKind, instanceKindKey, instanceKindOf, machineTypeNamed } from './instance-kind.js';
 import type { ScaleOutRequest, ScaleOutSnapshot } from './scale-out.js';
 
-/** Work that has waited for less may yet be scheduled on existing machines. */
+/** Work that has waited for less time may still be scheduled on existing machines. */
 const MIN_WAIT_S = 1;
 
-/** The machines that one demand may request in a round: the minimum limit, or a fraction of the cluster if that is larger. */
+/** The limit of machines that one demand may request in a round: the minimum, or a fraction of the cluster if that is more. */
 const MIN_REQUEST_LIMIT = 40;
 const CLUSTER_MACHINES_PER_REQUESTED_MACHINE = 25;
 
-/** What is free on a machine that arrives, or that is idle and may be moved to another shard. */
+/** The free resources of a machine that is arriving, or that is idle and may be moved to another shard. */
 interface CapacityOffer extends Resources {
   kind: InstanceKind;
   type: MachineType;
   isIdle: boolean;
 }
 
-/** The machines to request for what waits, one request for each kind, in the order in which the kinds were first needed. */
+/** Returns the machines to request for pending work, one request per kind, in the order in which the kinds were first needed. */
 export function requestsForDemands(snapshot: ScaleOutSnapshot, recentlyAssigned: readonly InstanceKind[]): ScaleOutRequest[] {
   const offers = currentOffers(snapshot, recentlyAssigned);
   const requests = new Map<string, ScaleOutRequest>();
@@ -45,7 +46,7 @@
   return [...requests.values()];
 }
 
-/** A wave of losses takes a fraction of all machines, so the limit grows with the cluster. */
+/** The limit of machines per demand. It grows with the cluster, since a wave of losses affects a fraction of all machines. */
 function requestLimit(machineCount: number): number {
   return Math.max(MIN_REQUEST_LIMIT, machineCount / CLUSTER_MACHINES_PER_REQUESTED_MACHINE);
 }
@@ -55,7 +56,7 @@
   return demands.sort((a, b) => b.priority - a.priority || b.waitS - a.waitS);
 }
 
-/** Arriving machines, then recently assigned ones, then idle ones: tasks are allocated in this order. */
+/** Returns arriving machines, then recently assigned ones, then idle ones. Tasks are allocated to them in this order. */
 function currentOffers(snapshot: ScaleOutSnapshot, recentlyAssigned: readonly InstanceKind[]): CapacityOffer[] {
   const offers: CapacityOffer[] = [];
   for (const kind of [...snapshot.arriving, ...recentlyAssigned]) {
@@ -66,7 +67,7 @@
   return offers;
 }
 
-/** Idle machines will be moved to the shards whose work waits. */
+/** Adds idle ordinary machines: rebalancing will move them to the shards with pending work. */
 function addIdleOffers(offers: CapacityOffer[], snapshot: ScaleOutSnapshot): void {
   for (const shard of snapshot.shards.values()) {
     for (const summary of shard.machines) {
@@ -82,7 +83,7 @@
   return { kind, type, isIdle, cpus: type.cpus, gpus: type.gpus, memory: type.memory };
 }
 
-/** Allocates tasks of the demand to the offers, which shrink by them. Returns how many tasks fit nowhere. */
+/** Allocates tasks of the demand to the offers, and subtracts their resources. Returns the number of tasks that fit nowhere. */
 function allocateToOffers(demand: ResourceDemand, taskCount: number, offers: CapacityOffer[]): number {
   let remainingTasks = taskCount;
   for (const offer of offers) {
@@ -96,7 +97,10 @@
   return remainingTasks;
 }
 
-/** Idle machines are for work that needs accelerators, and those without any for other urgent work too. */
+/**
+ * Reports whether the offer is reserved for other work. Idle machines serve only work that needs accelerators; those without
+ * accelerators also serve other urgent work.
+ */
 function isKeptFromDemand(offer: CapacityOffer, demand: ResourceDemand): boolean {
   return offer.isIdle && demand.gpus === 0 && (demand.priority < URGENT_PRIORITY || offer.type.gpus > 0);
 }
--- a/packages/controller/src/capacity/index.ts
+++ b/packages/controller/src/capacity/index.ts
@@ -1,6 +1,6 @@
 /**
- * Capacity: demand, the autoscaler, boot times, assignment of machines to shards and rebalancing between shards. Only the leader
- * acts on it. Owns what was requested of the cloud and hasn't come up, and which assignments and moves are under way.
+ * Capacity: demand, the autoscaler, boot times, assignment of machines to shards, and rebalancing between shards. Only the leader
+ * acts on it. Owns the provisioning requests and machines that have not come up, and the assignments and moves in progress.
  */
 export { Autoscaler } from './autoscaler.js';
 export { pendingDemands, servesDemand } from './demand.js';
--- a/packages/controller/src/capacity/instance-kind.ts
+++ b/packages/controller/src/capacity/instance-kind.ts
@@ -1,4 +1,4 @@
-/** What the cloud sells: machine types, each by zone, ordinary or spot. Pure functions of the known machine types. */
+/** The offers of the cloud: machine types by zone, ordinary or spot. Pure functions of the known machine types. */
 import type { MachineType } from '@archpost/protocol';
 import type { ClusterStateView, SettingsView } from '../context/index.js';
 import type { Machine } from '../model/index.js';
@@ -11,19 +11,19 @@
   spot: boolean;
 }
 
-/** A kind of machine that can be provisioned, with its type's resources and prices. */
+/** A machine kind that can be provisioned, with the resources and prices of its type. */
 export interface InstanceOption {
   kind: InstanceKind;
   type: MachineType;
 }
 
-/** The key of a kind in maps. */
+/** Returns the map key of a kind. */
 export const instanceKindKey = (kind: InstanceKind): string => `${kind.type}/${kind.zone}/${kind.spot}`;
 
-/** The type's name in a kind's key. */
+/** Returns the type's name in the map key of a kind. */
 export const typeOfKey = (key: string): string => key.slice(0, key.indexOf('/'));
 
-/** The kind of a machine of the cluster. */
+/** Returns the kind of a machine of the cluster. */
 export function instanceKindOf({ clusterState }: ClusterStateView, machine: Machine): InstanceKind {
   return {
     type: clusterState.typeNames.nameOf(machine.typeIndex),
@@ -32,14 +32,14 @@
   };
 }
 
-/** The machine type of this name; null if the cloud has not listed it. */
+/** Returns the machine type with this name; null if the cloud has not listed it. */
 export function machineTypeNamed(context: ClusterStateView, name: string): MachineType | null {
   return context.clusterState.machineTypes[context.clusterState.typeNames.indexOf(name)] ?? null;
 }
 
 /**
- * Every kind that can be provisioned: by type, then by zone, ordinary before spot. The order decides ties between equally good
- * options. A type that names no zones is offered in all of them.
+ * Returns every kind that can be provisioned, ordered by type, then by zone, ordinary before spot. The order breaks ties between
+ * equally good options. A type that lists no zones is offered in all zones.
  */
 export function instanceOptions(context: SettingsView & ClusterStateView): InstanceOption[] {
   const options: InstanceOption[] = [];
--- a/packages/controller/src/capacity/instance-pools.ts
+++ b/packages/controller/src/capacity/instance-pools.ts
@@ -1,5 +1,6 @@
 /**
- * What the cloud answered to requests of each kind of machine, and when the next request may be sent. Owns the retry delays.
+ * The cloud's latest responses to the requests for each kind of machine, and when the next request may be sent. Owns the retry
+ * delays.
  */
 import type { Milliseconds } from '../model/index.js';
 import { type InstanceKind, instanceKindKey, typeOfKey } from './instance-kind.js';
@@ -7,53 +8,53 @@
 /** The retry delay after a machine of the pool was released. */
 const FREED_CAPACITY_RETRY_MS = 500;
 
-/** The retry delay after a request that was filled in part. */
+/** The retry delay after a request that was fulfilled in part. */
 const PARTIAL_RETRY_MS = 15_000;
 
-/** The retry delay after a refusal is this, doubled with every refusal in a row up to a limit. */
+/** The base of the retry delay after a refusal; every consecutive refusal doubles it, up to a limit. */
 const REFUSAL_RETRY_MS = 10_000;
 const MAX_DOUBLINGS = 4;
 
-/** The cloud's capacity of one kind, as far as its answers show. */
+/** The cloud's capacity of one kind, according to its responses. */
 interface InstancePool {
-  /** no request is sent before */
+  /** no request is sent before this time */
   retryAt: Milliseconds;
-  /** refusals in a row */
+  /** consecutive refusals */
   refusals: number;
-  /** the last request for ordinary machines was filled */
+  /** the last request was for ordinary machines and was fulfilled completely */
   wasFilled: boolean;
 }
 
-/** The pools of all kinds that were considered, in the order in which they first were: `availableTypes` keeps it. */
+/** The pools of all kinds, in the order in which they were first considered; `availableTypes` keeps this order. */
 export class InstancePools {
   private readonly pools = new Map<string, InstancePool>();
 
-  /** Has the retry delay of the kind passed? */
+  /** Reports whether the retry delay of the kind has passed. */
   isRequestDue(kind: InstanceKind, now: Milliseconds): boolean {
     return now >= this.pool(kind).retryAt;
   }
 
-  /** Types of which the cloud provisioned all ordinary machines of the last request. */
+  /** Returns the types of which the cloud provisioned all ordinary machines of the last request. */
   availableTypes(): string[] {
     const types = new Set<string>();
     for (const [key, pool] of this.pools) if (pool.wasFilled) types.add(typeOfKey(key));
     return [...types];
   }
 
-  /** Is the type among `availableTypes`? */
+  /** Reports whether `availableTypes` includes the type. */
   isTypeAvailable(type: string): boolean {
     for (const [key, pool] of this.pools) if (pool.wasFilled && typeOfKey(key) === type) return true;
     return false;
   }
 
-  /** A machine of the kind is gone: the cloud may have capacity for another. */
+  /** Records that a machine of the kind is gone: the cloud may have capacity for another one, so the retry delay is shortened. */
   capacityFreed(kind: InstanceKind, now: Milliseconds): void {
     const pool = this.pool(kind);
     pool.retryAt = Math.min(pool.retryAt, now + FREED_CAPACITY_RETRY_MS);
     pool.refusals = 0;
   }
 
-  /** The cloud provisioned `provisionedCount` of the `requestedCount` machines. */
+  /** Records that the cloud provisioned `provisionedCount` of the `requestedCount` machines. */
   requestFulfilled(kind: InstanceKind, requestedCount: number, provisionedCount: number, now: Milliseconds): void {
     const pool = this.pool(kind);
     const isFilled = provisionedCount >= requestedCount;
@@ -62,7 +63,7 @@
     pool.retryAt = isFilled ? now : now + PARTIAL_RETRY_MS;
   }
 
-  /** The cloud provisioned none. The delay grows with every refusal in a row, up to `maxDelayMs`. */
+  /** Records that the cloud provisioned no machine. The delay grows with every consecutive refusal, up to `maxDelayMs`. */
   requestRefused(kind: InstanceKind, maxDelayMs: Milliseconds, now: Milliseconds): void {
     const pool = this.pool(kind);
     pool.refusals++;
@@ -70,7 +71,7 @@
     pool.retryAt = now + Math.min(maxDelayMs, REFUSAL_RETRY_MS * 2 ** Math.min(MAX_DOUBLINGS, pool.refusals));
   }
 
-  /** Whatever the last answer was, no request is sent for this long. */
+  /** Sets the retry delay of the kind, regardless of the last response. */
   delay(kind: InstanceKind, delayMs: Milliseconds, now: Milliseconds): void {
     this.pool(kind).retryAt = now + delayMs;
   }
--- a/packages/controller/src/capacity/machine-assigner.ts
+++ b/packages/controller/src/capacity/machine-assigner.ts
@@ -1,6 +1,6 @@
 /**
- * Assigns machines whose workers report, and which belong to no shard, to shards: where work waits, or else by guarantees. Owns
- * which unassigned machines have reported, and the assignments of the last moment.
+ * Assigns unassigned machines from which heartbeats arrive to shards: to a shard with pending work, or else by the guarantees of
+ * the teams. Owns the recent heartbeats of unassigned machines, and the recent assignments.
  */
 import type { ShardSummary } from '@archpost/protocol';
 import type { ClusterStateView, PeerDirectory, SettingsView, StateWriting } from '../context/index.js';
@@ -12,22 +12,22 @@
 import type { RecentAssignment, UnassignedMachine } from './machine-assignment.js';
 import { ShardBalance } from './shard-balance.js';
 
-/** Within this time an assigned machine is probed, scheduled for, and in the summary of its shard. */
+/** After this time an assigned machine has been probed, is used by the scheduler, and is part of its shard's summary. */
 const ASSIGNMENT_VISIBILITY_MS = 1500;
 
-/** A machine whose last heartbeat is older isn't assigned: it may be gone. */
+/** A machine whose last heartbeat is older isn't assigned, since it may be gone. */
 const MAX_HEARTBEAT_AGE_MS = 4000;
 
-/** A status of a peer that is older isn't counted on. */
+/** An older status of a peer is ignored. */
 const MAX_PEER_STATUS_AGE_MS = 5000;
 
-/** The write of an assignment is given up after this long. */
+/** The write of an assignment is abandoned after this time. */
 const ASSIGNMENT_EXPIRES_MS = 8000;
 
-/** What the machine assigner needs of its controller. */
+/** The parts of the controller's context that the machine assigner uses. */
 type MachineAssignerContext = SettingsView & ClusterStateView & StateWriting & PeerDirectory;
 
-/** A heartbeat of a machine without an assignment. */
+/** The last heartbeat of an unassigned machine. */
 interface UnassignedHeartbeat {
   machine: UnassignedMachine;
   at: Milliseconds;
@@ -44,24 +44,24 @@
     private readonly autoscaler: Autoscaler,
   ) {}
 
-  /** A heartbeat came from a machine without an assignment. */
+  /** Records a heartbeat of a machine without an assignment. */
   machineReported(unassigned: UnassignedMachine, now: Milliseconds): void {
     this.unassignedHeartbeats.set(unassigned.machine, { machine: unassigned, at: now });
   }
 
-  /** Machines without an assignment from which a heartbeat came here recently. */
+  /** Returns the unassigned machines from which a heartbeat arrived at this controller recently. */
   recentlyReported(now: Milliseconds): UnassignedMachine[] {
     for (const [name, { at }] of this.unassignedHeartbeats)
       if (now - at > MAX_HEARTBEAT_AGE_MS || this.context.clusterState.machines.has(name)) this.unassignedHeartbeats.delete(name);
     return [...this.unassignedHeartbeats.values()].map(({ machine }) => machine);
   }
 
-  /** Is an assignment of this machine being written? */
+  /** Reports whether a write of the machine's assignment is pending. */
   isAssignmentPending(machine: string): boolean {
     return this.pendingWrites.has(machine);
   }
 
-  /** Machines assigned a moment ago: the summaries of their shards may not show them yet. */
+  /** Returns machines that were assigned so recently that the summaries of their shards may not show them yet. */
   recentlyAssigned(now: Milliseconds): RecentAssignment[] {
     for (const [name, assignment] of this.recentAssignments)
       if (!this.pendingWrites.has(name) && now - assignment.at > ASSIGNMENT_VISIBILITY_MS) this.recentAssignments.delete(name);
@@ -69,8 +69,8 @@
   }
 
   /**
-   * Assigns every machine that reported here or to a peer. `shards` is called only if there is one; `leaderRevision` is the
-   * revision of the lease under which this controller leads: the writes are conditional on it.
+   * Assigns every unassigned machine that reported to this controller or to a peer. `shards` is called only if there is one.
+   * `leaderRevision` is the revision of the leader lease; the writes are conditional on it.
    */
   assignAll(shards: () => Map<number, ShardSummary>, leaderRevision: number, now: Milliseconds): void {
     const unassignedMachines = this.unassignedMachines(now);
@@ -86,7 +86,7 @@
     }
   }
 
-  /** Allocates pending tasks to machines assigned a moment ago. */
+  /** Allocates pending tasks to recently assigned machines. */
   allocateRecentAssignments(pending: PendingDemand[], now: Milliseconds): void {
     for (const assignment of this.recentlyAssigned(now)) {
       const capacity = machineTypeNamed(this.context, assignment.type);
@@ -94,7 +94,7 @@
     }
   }
 
-  /** By name, the machines to assign: those that reported here, then those that reported to peers. */
+  /** Returns the machines to assign, by name: those that reported to this controller, then those that reported to peers. */
   private unassignedMachines(now: Milliseconds): Map<string, UnassignedMachine> {
     const { clusterState, peers } = this.context;
     const candidates = this.recentlyReported(now);
@@ -103,7 +103,7 @@
     const unassignedMachines = new Map<string, UnassignedMachine>();
     for (const unassigned of candidates) {
       if (clusterState.machines.has(unassigned.machine) || this.pendingWrites.has(unassigned.machine)) continue;
-      // A heartbeat may be out of date, of a machine that has been released.
+      // The heartbeat may be out of date, sent before the machine was released.
       if (this.autoscaler.isRecentlyReleased(unassigned.machine, now)) continue;
       unassignedMachines.set(unassigned.machine, unassigned);
     }
@@ -129,8 +129,8 @@
   }
 
   /**
-   * The shard of the first demand that the machine serves, or null. On ordinary machines with accelerators, work that needs some
-   * comes first. The tasks that the machine will serve are counted as served.
+   * Returns the shard of the first demand that the machine serves, or null. For ordinary machines with accelerators, work that
+   * needs accelerators comes first. The tasks that the machine will run are counted as served.
    */
   private shardInNeed(unassigned: UnassignedMachine, pending: PendingDemand[]): number | null {
     const { type, zone, spot } = unassigned;
--- a/packages/controller/src/capacity/machine-list.ts
+++ b/packages/controller/src/capacity/machine-list.ts
@@ -1,47 +1,47 @@
 /**
- * The cloud's list of machines. Owns the last list received, when it was received, and whether another has been requested.
+ * The cloud's list of machines. Owns the last list, the time of its receipt, and whether another list request is pending.
  */
 import { type ListedMachine, MAX_MACHINES_PER_LIST } from '@archpost/protocol';
 import type { EffectSink, SettingsView } from '../context/index.js';
 import { type Milliseconds, NEVER } from '../model/index.js';
 
-/** The least time between two requests for a list. */
+/** The minimum interval between two list requests. */
 const MIN_LIST_INTERVAL_MS = 2000;
 
-/** The fraction of the permitted requests to the cloud that lists may take. */
+/** The fraction of the cloud's request rate limit that list requests may use. */
 const LIST_FRACTION_OF_REQUESTS = 0.25;
 
-/** A provisioned machine is in a list after this long, or later where lists are slow. */
+/** The minimum time after which a provisioned machine is expected in a list; longer if lists are slow. */
 const MIN_LIST_VISIBILITY_MS = 60_000;
 
-/** Some lists are as late as this many times the lag that the cloud names. */
+/** Some lists lag by this multiple of the lag that the cloud states. */
 const MAX_LAG_FACTOR = 2;
 
-/** Stands for the time of receipt until the first list of a tenure: ages of the previous tenure's list count from here. */
+/** The receipt time assumed until the first list of a leadership: ages in the previous leadership's list count from it. */
 const BEFORE_ANY_LIST: Milliseconds = -1;
 
-/** The machines that the cloud says there are. */
+/** The machines that exist according to the cloud. */
 export class MachineList {
   private machines = new Map<string, ListedMachine>();
   private requestedAt: Milliseconds = NEVER;
   private isRequestPending = false;
-  /** null until the first list of this tenure */
+  /** null until the first list of this leadership */
   private receivedAt: Milliseconds | null = null;
 
   constructor(private readonly context: SettingsView & EffectSink) {}
 
-  /** The leadership begins: a list has to be received anew. The machines of the last list are kept until then. */
+  /** Called when a leadership begins: a new list has to be received. The machines of the last list are kept until then. */
   leaseAcquired(): void {
     this.isRequestPending = false;
     this.receivedAt = null;
   }
 
-  /** Has a list been received since this leadership began? */
+  /** Whether a list has been received since this leadership began. */
   get isKnown(): boolean {
     return this.receivedAt !== null;
   }
 
-  /** Requests a list, unless one is pending or the last request was a moment ago. */
+  /** Requests a list, unless a request is pending or the interval since the last one has not passed. */
   request(now: Milliseconds): void {
     if (this.isRequestPending || now - this.requestedAt <= this.intervalMs) return;
     this.requestedAt = now;
@@ -50,8 +50,8 @@
   }
 
   /**
-   * Takes the outcome of a request: `machines` is null if it failed. Returns whether the list was replaced; one that arrives
-   * when this controller doesn't lead is dropped.
+   * Handles the outcome of a request: `machines` is null if it failed. Returns whether the list was replaced; a list that arrives
+   * while this controller doesn't lead is dropped.
    */
   receive(machines: ListedMachine[] | null, isLeading: boolean, now: Milliseconds): boolean {
     this.isRequestPending = false;
@@ -74,22 +74,25 @@
     return this.machines.values();
   }
 
-  /** How long ago the machine was requested: its age in the list, and the time since the list was received. */
+  /** Returns the time since the machine was requested: its age in the list, plus the time since the list was received. */
   ageMs(listed: ListedMachine, now: Milliseconds): Milliseconds {
     return listed.ageS * 1000 + (now - (this.receivedAt ?? BEFORE_ANY_LIST));
   }
 
-  /** A list may show the machines of this long ago: some are as late as twice the lag that the cloud names. */
+  /** The maximum lag of a list: some lists lag by twice the lag that the cloud states. */
   get maxLagMs(): Milliseconds {
     return MAX_LAG_FACTOR * 1000 * this.context.settings.cloud.listLagS;
   }
 
-  /** After this long a provisioned machine is listed if it exists. */
+  /** The time after which a provisioned machine is listed if it exists. */
   get visibilityMs(): Milliseconds {
     return Math.max(MIN_LIST_VISIBILITY_MS, 2 * this.intervalMs + this.maxLagMs);
   }
 
-  /** A list of many machines takes many requests; it may take a fraction only, since provisioning and releases need the rest. */
+  /**
+   * The interval between lists. A list of many machines takes many requests; lists use only a fraction of the request rate limit,
+   * since provisioning and releases need the rest.
+   */
   private get intervalMs(): Milliseconds {
     const pages = Math.max(1, Math.ceil(this.machines.size / MAX_MACHINES_PER_LIST));
     return Math.max(
--- a/packages/controller/src/capacity/machine-type-catalogue.ts
+++ b/packages/controller/src/capacity/machine-type-catalogue.ts
@@ -1,6 +1,6 @@
 /**
- * The catalogue of machine types that the cloud sells: when it is fetched, and that it is stored, so that a controller can
- * start while the cloud's interface is down.
+ * The catalogue of the cloud's machine types: fetches it periodically, and stores it so that a controller can start while the
+ * cloud's API is down.
  *
  * Owns the time of the last request. The types themselves are part of the cluster state.
  */
@@ -16,24 +16,24 @@
   WritePriority,
 } from '../state/index.js';
 
-/** Types that aren't known are fetched this often: nothing can be decided without them. */
+/** The fetch interval while the types are unknown: no decision is possible without them. */
 const UNKNOWN_TYPES_INTERVAL_MS = 1500;
 
-/** The leader asks again this often for types that are known: prices and zones may change. */
+/** The interval at which the leader refreshes known types: prices and zones may change. */
 const KNOWN_TYPES_INTERVAL_MS = 60_000;
 
-/** A write of the catalogue that waited for longer is dropped. */
+/** A write of the catalogue that has been queued for longer is dropped. */
 const WRITE_EXPIRY_MS = 10_000;
 
 type MachineTypeCatalogueContext = ClusterStateView & ReplicaView & StateWriting & EffectSink;
 
-/** Asks for the machine types, takes them, and stores them once. */
+/** Fetches the machine types, applies them to the cluster state, and stores them if they aren't stored yet. */
 export class MachineTypeCatalogue {
   private requestedAt: Milliseconds = NEVER;
 
   constructor(private readonly context: MachineTypeCatalogueContext) {}
 
-  /** Asks for the types when they are due. */
+  /** Fetches the types if the interval has passed. Known types are refreshed only by the leader. */
   tick(isLeading: boolean, now: Milliseconds): void {
     const isKnown = this.context.clusterState.areMachineTypesKnown;
     if (isKnown && !isLeading) return;
@@ -42,7 +42,7 @@
     this.context.emit({ type: 'fetchMachineTypes' });
   }
 
-  /** Takes a list that the cloud returned. */
+  /** Applies a list that the cloud returned, and stores it if none is stored. */
   receive(types: MachineType[], now: Milliseconds): void {
     this.context.clusterState.setMachineTypes(types);
     const { replica } = this.context;
@@ -50,7 +50,7 @@
     if (!stored && replica.isLoaded) this.store(types, now);
   }
 
-  /** In one value if the list fits it, else in parts. */
+  /** Stores the list in one value if it fits, or else in parts. */
   private store(types: MachineType[], now: Milliseconds): void {
     const whole = encodeMachineTypes(types);
     if (encodedBytes(StateKey.machineTypes, whole) <= this.context.clusterState.sizeLimits.maxWriteBytes) {
@@ -62,7 +62,7 @@
     });
   }
 
-  /** Writes the key if it doesn't exist. Another controller that was first has stored the same list. */
+  /** Writes the key unless it exists. In that case another controller has already stored the same list. */
   private storeOnce(key: string, value: unknown, now: Milliseconds): void {
     this.context.writer.add({
       key,
--- a/packages/controller/src/capacity/move-options.ts
+++ b/packages/controller/src/capacity/move-options.ts
@@ -1,31 +1,31 @@
 /**
- * The choice of machines to move to the shard of a demand, and the cost of each move. Decides from the summaries of one round;
- * owns counts that are cached for the round.
+ * Selection of the machines that may be moved to the shard of a demand, and the cost of each move. Based on the shard summaries
+ * of one round; owns counts that are cached for the round.
  */
 import type { MachineSummary, MachineType, ResourceDemand, ShardSummary } from '@archpost/protocol';
 import type { CapacityView, ClusterStateView, SettingsView } from '../context/index.js';
 import { countThatFit, HIGHEST_PRIORITY, type Machine, SCARCE_MACHINE_WAIT_S } from '../model/index.js';
 import { type PendingDemand, servesDemand, URGENT_PRIORITY } from './demand.js';
 
-/** Work of the highest priority that waited for this multiple of `planWaitS` gets machines that run protected work elsewhere. */
+/** Work of the highest priority that has waited this multiple of `planWaitS` may displace protected work of other shards. */
 const PRESSING_AFTER_PLAN_WAITS = 1.5;
 
-/** Services are displaced only for work that has waited this long. */
+/** Services are displaced only for work that has waited at least this long. */
 const SERVICE_DISPLACEMENT_WAIT_S = 3;
 
-/** A shard keeps this many idle ordinary machines from work that may use spot machines. */
+/** A shard reserves this many idle ordinary machines for work that can't use spot machines. */
 const MIN_IDLE_ORDINARY_MACHINES = 3;
 
-/** Work of the shard that the machine would leave competes once it has waited this long. */
+/** Work of the source shard competes for the machine once it has waited this long. */
 const MIN_COMPETING_WAIT_S = 0.2;
 
-/** The cost of a move: of each displaced service, of a busy machine, of each stopped task, of accelerators left unused. */
+/** The cost of a move: per displaced service, for a busy machine, per stopped task, and for accelerators left unused. */
 const COST_OF_SERVICE = 200;
 const COST_OF_BUSY_MACHINE = 100;
 const COST_OF_TASK = 10;
 const COST_OF_UNUSED_GPUS = 50;
 
-/** A machine that may be moved, by the summary of its shard. */
+/** A machine that may be moved, according to the summary of its shard. */
 export interface MovableMachine {
   machine: Machine;
   summary: MachineSummary;
@@ -34,27 +34,27 @@
   zone: string;
 }
 
-/** A machine that may be moved for a demand, and the cost of that. */
+/** A machine that may be moved for a demand, and the cost of the move. */
 export interface MoveOption {
   movable: MovableMachine;
   cost: number;
 }
 
-/** What the choice of moves needs of the controller. */
+/** The parts of the controller's context that the selection of moves uses. */
 type MoveOptionsContext = SettingsView & ClusterStateView & CapacityView;
 
-/** The choice among the movable machines of one round. */
+/** Selects among the movable machines of one round. */
 export class MoveOptions {
   private readonly idleCounts = new Map<number, number>();
 
-  /** `mayDisplaceServices`: services were displaced long enough ago. Evaluated anew each time. */
+  /** `mayDisplaceServices`: the last displacement of services was long enough ago. Evaluated on every use. */
   constructor(
     private readonly context: MoveOptionsContext,
     private readonly movables: readonly MovableMachine[],
     private readonly mayDisplaceServices: () => boolean,
   ) {}
 
-  /** The machines that may be moved for the work, without those that are moving already, by cost. */
+  /** Returns the machines that may be moved for the work, lowest cost first, without machines that are already being moved. */
   optionsFor(work: PendingDemand, movingMachines: ReadonlySet<string>): MoveOption[] {
     const competingDemandByShard = new Map<ShardSummary, boolean>();
     const options: MoveOption[] = [];
@@ -71,28 +71,31 @@
   }
 
   private canServe({ summary, capacity, zone, machine }: MovableMachine, demand: ResourceDemand): boolean {
-    // Services are displaced rarely, and only for work that has waited.
+    // Services are displaced rarely, and only for work that has waited long enough.
     if (summary.services > 0 && (demand.waitS < SERVICE_DISPLACEMENT_WAIT_S || !this.mayDisplaceServices())) return false;
     return summary.protectedPriority < demand.priority && servesDemand(demand, capacity, zone, machine.spot);
   }
 
-  /** Is the machine reserved for other work: what runs on it, or what can use no other kind? */
+  /** Reports whether the machine is reserved for other work: for what runs on it, or for work that can use no other kind. */
   private isReserved({ machine, summary, shard, capacity }: MovableMachine, work: PendingDemand): boolean {
     const { demand } = work;
     const isPressing = this.isPressing(work, capacity);
     if (summary.protectedPriority >= URGENT_PRIORITY && !isPressing) return true;
     if (demand.gpus > 0) return false;
     if (this.isScarce(machine, shard, capacity)) {
-      // No other of its type could be provisioned: it is left only to urgent work that has found nothing else for a while.
+      // No more machines of its type can be provisioned: only urgent work that has found no other machine for some time gets it.
       if (demand.priority < HIGHEST_PRIORITY || demand.waitS < SCARCE_MACHINE_WAIT_S) return true;
       if (summary.tasks > 0 && !isPressing) return true;
     }
-    // Ordinary machines stay for what can't use others.
+    // Ordinary machines are kept for work that can't use spot machines.
     if (demand.spot && !machine.spot && this.idleCount(shard) <= MIN_IDLE_ORDINARY_MACHINES) return true;
     return capacity.gpus > 0 && demand.priority < URGENT_PRIORITY && summary.tasks > 0;
   }
 
-  /** Protected work is displaced only for work that has waited longer than its own shard takes to clear a machine. */
+  /**
+   * Reports whether the work may displace protected work: it has the highest priority, has waited longer than its own shard
+   * takes to clear a machine, and would use at least half of the machine.
+   */
   private isPressing({ demand, remainingTasks }: PendingDemand, capacity: MachineType): boolean {
     return (
       demand.priority >= HIGHEST_PRIORITY &&
@@ -101,13 +104,13 @@
     );
   }
 
-  /** Has it accelerators that the shard has work for, and of which no more can be had? */
+  /** Reports whether the shard has work for the machine's accelerators, and no more machines of its type can be provisioned. */
   private isScarce(machine: Machine, shard: ShardSummary, capacity: MachineType): boolean {
     if (capacity.gpus === 0 || machine.spot || this.context.isTypeAvailable(capacity.name)) return false;
     return this.context.clusterState.shardsWithGpuWork.has(shard.shard);
   }
 
-  /** Idle ordinary machines of the shard, without accelerators: counted when first needed. */
+  /** Returns the number of idle ordinary machines without accelerators in the shard; computed on first use. */
   private idleCount(shard: ShardSummary): number {
     const known = this.idleCounts.get(shard.shard);
     if (known !== undefined) return known;
@@ -121,7 +124,7 @@
   }
 }
 
-/** Does the shard need machines as much itself? */
+/** Reports whether the shard has pending work of its own that is at least as important as the demand. */
 function hasCompetingDemand(shard: ShardSummary, demand: ResourceDemand): boolean {
   return shard.demands.some(
     (own) =>
@@ -130,12 +133,12 @@
   );
 }
 
-/** Would the machine serve what its own shard waits for? */
+/** Reports whether the machine would serve pending work of its own shard, of at least the priority of the demand. */
 function servesOwnDemand({ shard, capacity, zone, machine }: MovableMachine, demand: ResourceDemand): boolean {
   return shard.demands.some((own) => own.priority >= demand.priority && servesDemand(own, capacity, zone, machine.spot));
 }
 
-/** What the move stops, and what it leaves unused, less the tasks that it serves. */
+/** Returns the cost of stopped tasks and unused accelerators, less the number of tasks that the machine would serve. */
 function moveCost({ summary, capacity }: MovableMachine, { demand, remainingTasks }: PendingDemand): number {
   const busy = summary.tasks > 0 ? COST_OF_BUSY_MACHINE + COST_OF_TASK * summary.tasks : 0;
   const unusedGpus = demand.gpus === 0 && capacity.gpus > 0 ? COST_OF_UNUSED_GPUS : 0;
--- a/packages/controller/src/capacity/provisioner.ts
+++ b/packages/controller/src/capacity/provisioner.ts
@@ -1,6 +1,6 @@
 /**
- * Sends provisioning requests to the cloud and takes their outcomes. Owns the number of requests of this leadership, and when the
- * next one may be sent; what was requested and what each pool answered have modules of their own.
+ * Sends provisioning requests to the cloud and handles their outcomes. Owns the number of requests of this leadership, and when
+ * the next one may be sent. `ProvisioningTracker` owns the requests, and `InstancePools` owns the cloud's responses.
  */
 import type { ClusterStateView, EffectSink, Logger, SettingsView } from '../context/index.js';
 import type { Milliseconds } from '../model/index.js';
@@ -10,35 +10,38 @@
 import type { MachineList } from './machine-list.js';
 import type { PendingProvisioning, ProvisioningTracker } from './provisioning-tracker.js';
 
-/** Provisioning requests pending at once. */
+/** The limit of concurrently pending provisioning requests. */
 const MAX_PENDING_REQUESTS = 3;
 
-/** The least time between two requests, however many the cloud permits. */
+/** The minimum interval between two requests, regardless of the cloud's rate limit. */
 const MIN_REQUEST_INTERVAL_MS = 300;
 
-/** Added to the lag of lists: after both, a list shows what came of a request without an answer. */
+/** Added to the lag of machine lists: after both, a list shows the result of a request that got no response. */
 const UNCERTAIN_REQUEST_MARGIN_MS = 3000;
 
-/** Bounds of the longest retry delay. */
+/** The bounds of the maximum retry delay. */
 const MIN_RETRY_DELAY_LIMIT_MS = 10_000;
 const MAX_RETRY_DELAY_LIMIT_MS = 90_000;
 
-/** Each option may be retried once in this time, divided by the permitted requests per second: a quarter of them in all. */
+/**
+ * Each option may be retried once in this time, divided by the permitted requests per second. Retries of all options together use
+ * a quarter of the permitted requests.
+ */
 const RETRY_MS_PER_OPTION = 4000;
 
-/** What the cloud answered to a provisioning request. */
+/** The outcome of a provisioning request. */
 export type ProvisioningOutcome =
-  /** these machines were provisioned, perhaps fewer than requested */
+  /** these machines were provisioned, possibly fewer than requested */
   | { kind: 'ok'; machines: string[] }
-  /** none was provisioned */
+  /** no machine was provisioned */
   | { kind: 'outOfCapacity' }
-  /** there was no answer: the request may have been carried out */
+  /** no response arrived: the cloud may have executed the request */
   | { kind: 'unknown' };
 
-/** What the provisioner needs of its controller. */
+/** The parts of the controller's context that the provisioner uses. */
 type ProvisionerContext = SettingsView & ClusterStateView & EffectSink & Logger;
 
-/** The parts of the autoscaler that learn of requests and their outcomes. */
+/** The parts of the autoscaler that are notified of requests and their outcomes. */
 interface ProvisionerParts {
   tracker: ProvisioningTracker;
   pools: InstancePools;
@@ -46,7 +49,7 @@
   bootMonitor: BootMonitor;
 }
 
-/** Turns a request for machines into an effect, and its outcome into retry delays and machines that boot. */
+/** Emits requests for machines as effects, and derives retry delays and booting machines from their outcomes. */
 export class Provisioner {
   private leaseRevision = 0;
   private requestCount = 0;
@@ -57,24 +60,24 @@
     private readonly parts: ProvisionerParts,
   ) {}
 
-  /** The leadership begins: with the revision of its lease the ids of its requests are unique. */
+  /** Called when a leadership begins: request ids contain the revision of the leader lease, which makes them unique. */
   leaseAcquired(revision: number): void {
     this.leaseRevision = revision;
     this.requestCount = 0;
     this.parts.tracker.leaseAcquired();
   }
 
-  /** Has the interval between requests passed? */
+  /** Reports whether the interval since the last request has passed. */
   isRequestDue(now: Milliseconds): boolean {
     return now >= this.nextRequestAt;
   }
 
-  /** Are as many requests pending as may be? */
+  /** Whether the limit of pending requests is reached. */
   get isAtLimit(): boolean {
     return this.parts.tracker.pendingCount >= MAX_PENDING_REQUESTS;
   }
 
-  /** Requests machines of a kind. */
+  /** Requests `count` machines of a kind. */
   request({ type, zone, spot }: InstanceKind, count: number, now: Milliseconds): void {
     const id = this.context.nextEffectId();
     const requestId = `r-${this.leaseRevision}-${++this.requestCount}`;
@@ -84,7 +87,7 @@
     this.nextRequestAt = now + Math.max(MIN_REQUEST_INTERVAL_MS, 1000 / this.context.settings.cloud.requestsPerS);
   }
 
-  /** Takes the outcome of a request; one of an earlier leadership is ignored. */
+  /** Handles the outcome of a request; outcomes of an earlier leadership's requests are ignored. */
   handleOutcome(id: number, outcome: ProvisioningOutcome, now: Milliseconds): void {
     const request = this.parts.tracker.requestEnded(id);
     if (!request) return;
@@ -94,7 +97,7 @@
       case 'outOfCapacity':
         return this.parts.pools.requestRefused(request, this.maxRetryDelayMs(), now);
       case 'unknown':
-        // It may have been carried out: what came of it shows in the list.
+        // The request may have been executed: the list will show its machines.
         return this.parts.pools.delay(request, this.parts.machineList.maxLagMs + UNCERTAIN_REQUEST_MARGIN_MS, now);
       default:
         return outcome satisfies never;
@@ -105,13 +108,14 @@
     const { tracker, pools, machineList, bootMonitor } = this.parts;
     for (const machine of machines) if (!machineList.has(machine)) tracker.machineProvisioned(machine, request, now);
     pools.requestFulfilled(request, request.count, machines.length, now);
-    // A kind whose boots fail is requested now and then only.
+    // A kind that fails to boot is requested only occasionally.
     if (bootMonitor.isFailing(request, now)) pools.delay(request, bootMonitor.limitMs(request.type, now) / 2, now);
   }
 
   /**
-   * Kinds that are sold out are retried as often as a quarter of the cloud's request limit allows: capacity that others release
-   * comes back unannounced. At 90 s each, four accelerator machines stayed unprovisioned for a minute while 29 gangs waited.
+   * Returns the limit of the retry delay. Kinds that are out of capacity are retried as often as a quarter of the cloud's request
+   * rate limit allows, since capacity that other customers release becomes available unannounced. With a delay of 90 s per kind,
+   * four accelerator machines stayed unprovisioned for a minute while 29 gangs waited.
    */
   private maxRetryDelayMs(): Milliseconds {
     const delayMs = (instanceOptions(this.context).length * RETRY_MS_PER_OPTION) / this.context.settings.cloud.requestsPerS;
--- a/packages/controller/src/capacity/recent-releases.ts
+++ b/packages/controller/src/capacity/recent-releases.ts
@@ -1,10 +1,10 @@
-/** Machines that were released to the cloud. Owns when each was, and the autoscaler's releases whose outcome isn't known yet. */
+/** Recently released machines. Owns the time of each release, and the autoscaler's release requests without an outcome. */
 import type { Milliseconds } from '../model/index.js';
 
-/** A heartbeat, or a peer's status, that names a released machine may be out of date for this long. */
+/** For this long, heartbeats and peer statuses that name a released machine may be out of date. */
 const STALE_REPORT_MS = 120_000;
 
-/** A released machine may still be listed for this long. */
+/** For this long, the cloud may still list a released machine. */
 const RELEASE_VISIBILITY_MS = 60_000;
 
 /** The releases of the last minutes. */
@@ -17,12 +17,12 @@
     return this.pending.size > 0;
   }
 
-  /** The autoscaler requested a release; `id` is that of its effect. */
+  /** Adds a release request of the autoscaler; `id` is that of its effect. */
   requestSent(id: number, machines: string[]): void {
     this.pending.set(id, machines);
   }
 
-  /** Ends the request and returns its machines; null if the autoscaler sent none of this id. */
+  /** Removes a completed request and returns its machines; null if the autoscaler sent no request with this id. */
   requestEnded(id: number): string[] | null {
     const machines = this.pending.get(id);
     if (!machines) return null;
@@ -30,7 +30,7 @@
     return machines;
   }
 
-  /** The machine was released. Releases that are out of date are forgotten, the oldest first. */
+  /** Records the release of a machine, and removes releases that are older than `STALE_REPORT_MS`. */
   released(machine: string, now: Milliseconds): void {
     this.releasedAt.delete(machine);
     this.releasedAt.set(machine, now);
@@ -40,18 +40,18 @@
     }
   }
 
-  /** Is a release of the machine remembered? It may be longer ago than `isRecent` counts. */
+  /** Reports whether a release of the machine is recorded, even one that is too old for `isRecent`. */
   isRemembered(machine: string): boolean {
     return this.releasedAt.has(machine);
   }
 
-  /** Was it released recently, so that a heartbeat in its name may be out of date? */
+  /** Reports whether the machine was released so recently that a heartbeat from it may be out of date. */
   isRecent(machine: string, now: Milliseconds): boolean {
     const releasedAt = this.releasedAt.get(machine);
     return releasedAt !== undefined && now - releasedAt < STALE_REPORT_MS;
   }
 
-  /** Was it released recently, so that the cloud may still list it? */
+  /** Reports whether the machine was released so recently that the cloud may still list it. */
   mayBeListed(machine: string, now: Milliseconds): boolean {
     const releasedAt = this.releasedAt.get(machine);
     return releasedAt !== undefined && now - releasedAt < RELEASE_VISIBILITY_MS;
--- a/packages/controller/src/capacity/scale-out.ts
+++ b/packages/controller/src/capacity/scale-out.ts
@@ -3,24 +3,24 @@
 import type { ClusterStateView } from '../context/index.js';
 import type { InstanceKind, InstanceOption } from './instance-kind.js';
 
-/** Machines of one kind that are to be provisioned. */
+/** A number of machines of one kind to provision. */
 export interface ScaleOutRequest extends InstanceKind {
   count: number;
-  /** for work of the highest priority */
+  /** the machines serve work of the highest priority */
   urgent: boolean;
 }
 
-/** What a decision to scale out depends on, as of one round of the leader. */
+/** The data that a decision to scale out depends on, as of one round of the leader. */
 export interface ScaleOutSnapshot extends ClusterStateView {
   readonly shards: ReadonlyMap<number, ShardSummary>;
-  /** the kind of each machine that boots or is requested */
+  /** the kind of each machine that is requested, booting, or up but not assigned yet */
   readonly arriving: readonly InstanceKind[];
-  /** all that the cloud offers, as `instanceOptions` orders it */
+  /** all kinds that can be provisioned, in the order of `instanceOptions` */
   readonly options: readonly InstanceOption[];
-  /** Has the retry delay of the kind passed? The order of the first calls decides the order of the available types. */
+  /** Reports whether the retry delay of the kind has passed. The order of first calls determines the order of available types. */
   isRequestDue(kind: InstanceKind): boolean;
-  /** Do machines of the kind fail to boot? Logs a change with the fields of `kind`. */
+  /** Reports whether machines of the kind fail to boot. Logs a change with the fields of `kind`. */
   isFailing(kind: InstanceKind): boolean;
-  /** Is the zone cut off from this controller? */
+  /** Reports whether the zone is cut off from this controller. */
   isZoneCut(zone: string): boolean;
 }
--- a/packages/controller/src/capacity/shard-balance.ts
+++ b/packages/controller/src/capacity/shard-balance.ts
@@ -1,23 +1,23 @@
 /**
- * How many machines of each type the shards have, relative to what their teams are guaranteed. Owns these counts for one round of
- * assignments: counting anew for each machine made the first start cost the square of the machines.
+ * The number of machines of each type per shard, relative to the guarantees of the shard's teams. Owns these counts for one round
+ * of assignments: recounting for each machine made the cost of the first start quadratic in the number of machines.
  */
 import type { ClusterStateView, SettingsView } from '../context/index.js';
 import { UNASSIGNED_SHARD } from '../model/index.js';
 import { machineTypeNamed } from './instance-kind.js';
 import type { RecentAssignment } from './machine-assignment.js';
 
-/** Added to the guaranteed accelerators of each team: a team without any gets some machines too. */
+/** Added to the guaranteed accelerators of each team, so that teams without a guarantee get some machines too. */
 const MIN_GPU_WEIGHT = 0.1;
 
-/** The counts of one round. Machines assigned during the round are added one by one. */
+/** The machine counts of one round, updated with each assignment of the round. */
 export class ShardBalance {
-  /** machines that each shard has, or is being assigned, by machine type */
+  /** by machine type: the number of machines that each shard has or is being assigned */
   private readonly machineCounts = new Map<string, number[]>();
-  /** weight of each shard, by whether machines with accelerators are meant */
+  /** weight of each shard, for machines with accelerators (true) and without (false) */
   private readonly shardWeights = new Map<boolean, number[]>();
 
-  /** `recentAssignments`: by machine; those that the cluster state shows already aren't counted twice. */
+  /** `recentAssignments`: by machine name; those already in the cluster state aren't counted twice. */
   constructor(
     private readonly context: SettingsView & ClusterStateView,
     recentAssignments: ReadonlyMap<string, RecentAssignment>,
@@ -31,18 +31,18 @@
       if (!clusterState.machines.has(name)) this.add(assignment.type, assignment.shard);
   }
 
-  /** One more machine of the type is assigned to the shard. */
+  /** Counts one more machine of the type for the shard. */
   add(type: string, shard: number): void {
     const counts = this.countsOf(type);
     counts[shard] = (counts[shard] ?? 0) + 1;
   }
 
-  /** The shard with the fewest machines of the type for its weight, the first of equals; 0 if no shard has a team. */
+  /** Returns the shard with the fewest machines of the type per weight, the first of equals; 0 if no shard has a team. */
   worstOff(type: string): number {
     const counts = this.countsOf(type);
     const weights = this.weightsFor((machineTypeNamed(this.context, type)?.gpus ?? 0) > 0);
     const machinesPerWeight = (shard: number) => (counts[shard] ?? 0) / (weights[shard] ?? 1);
-    // A shard without teams has no use for machines.
+    // A shard without teams needs no machines.
     const shardsWithTeams = weights.flatMap((weight, shard) => (weight > 0 ? [shard] : []));
     const first = shardsWithTeams[0] ?? 0;
     return shardsWithTeams.reduce((best, shard) => (machinesPerWeight(shard) < machinesPerWeight(best) ? shard : best), first);
@@ -56,7 +56,7 @@
     return counts;
   }
 
-  /** By guaranteed accelerators for machines that have some, else by teams. */
+  /** Returns each shard's weight: its teams' guaranteed accelerators for machines with accelerators, else its number of teams. */
   private weightsFor(hasGpus: boolean): number[] {
     const known = this.shardWeights.get(hasGpus);
     if (known) return known;
--- a/packages/controller/src/capacity/shard-rebalancer.ts
+++ b/packages/controller/src/capacity/shard-rebalancer.ts
@@ -1,6 +1,6 @@
 /**
  * Rebalancing: moves machines that are idle, or run only work of lower priority, to shards with pending work. Owns the ordered
- * moves and the time of each machine's last move.
+ * moves that are in progress, and the time of each machine's last move.
  */
 import type { MachineSummary, ShardSummary } from '@archpost/protocol';
 import type { CapacityView, ClusterStateView, SettingsView } from '../context/index.js';
@@ -9,59 +9,59 @@
 import { instanceKindOf } from './instance-kind.js';
 import { type MovableMachine, MoveOptions } from './move-options.js';
 
-/** An order that the cluster state doesn't show after this long was refused or has been carried out. */
+/** An order that is not in the cluster state after this time was refused or has been completed. */
 const ORDER_VISIBILITY_MS = 3000;
 
-/** The least time between two moves of a machine, busy or idle, so that it isn't moved back and forth. */
+/** The minimum interval between two moves of a busy or idle machine, so that it isn't moved back and forth. */
 const MIN_STAY_BUSY_MS = 30_000;
 const MIN_STAY_IDLE_MS = 3000;
 
-/** The least time between two displacements of services. */
+/** The minimum interval between two displacements of services. */
 const MIN_SERVICE_DISPLACEMENT_INTERVAL_MS = 3000;
 
-/** Below every priority: nothing waits. */
+/** Below every priority: no demand is pending. */
 const NO_PRIORITY = -1;
 
-/** What the shard rebalancer needs of its controller. */
+/** The parts of the controller's context that the shard rebalancer uses. */
 type ShardRebalancerContext = SettingsView & ClusterStateView & CapacityView;
 
-/** Orders a machine to be moved to a shard. If the order can't be written, `orderFailed` is called later. */
+/** Orders the move of a machine to a shard. If the order can't be written, `orderFailed` is called later. */
 type OrderMove = (machine: Machine, shard: number) => void;
 
-/** What the moves of a round are planned by. */
+/** The inputs for planning the moves of a round. */
 interface MoveRound {
   shards: Map<number, ShardSummary>;
   pending: PendingDemand[];
-  /** moves at most */
+  /** maximum number of moves */
   limit: number;
   orderMove: OrderMove;
 }
 
-/** Plans the moves of each round. Whether an order is written is up to the leader. */
+/** Plans the moves of each round. The leader writes the orders. */
 export class ShardRebalancer {
-  /** moves that were ordered and are not done yet, and when */
+  /** when each move that isn't completed yet was ordered, by machine name */
   private readonly orderedMoves = new Map<string, Milliseconds>();
   private readonly lastMoveAt = new Map<string, Milliseconds>();
   private servicesDisplacedAt: Milliseconds = NEVER;
 
   constructor(private readonly context: ShardRebalancerContext) {}
 
-  /** The leadership begins: orders of an earlier one don't count. */
+  /** Called when a leadership begins: discards the orders of an earlier one. */
   leaseAcquired(): void {
     this.orderedMoves.clear();
   }
 
-  /** The machine left the cluster. */
+  /** Called when the machine was removed from the cluster. */
   machineRemoved(name: string): void {
     this.lastMoveAt.delete(name);
   }
 
-  /** The order could not be written. */
+  /** Called when the order for the machine could not be written. */
   orderFailed(name: string): void {
     this.orderedMoves.delete(name);
   }
 
-  /** Orders the moves of a round, `limit` at most, for the pending demands, and allocates tasks to the moved machines. */
+  /** Orders at most `limit` moves for the pending demands, and allocates pending tasks to the moved machines. */
   planMoves({ shards, pending, limit, orderMove }: MoveRound, now: Milliseconds): void {
     this.forgetCompletedMoves(now);
     const movingMachines = this.allocateOrderedMoves(pending);
@@ -97,7 +97,7 @@
     }
   }
 
-  /** Allocates pending tasks to machines that are being moved. Returns the names of these machines. */
+  /** Allocates pending tasks to the machines that are being moved, and returns the names of these machines. */
   private allocateOrderedMoves(pending: PendingDemand[]): Set<string> {
     const { clusterState } = this.context;
     const movingMachines = new Set<string>();
@@ -110,7 +110,7 @@
     return movingMachines;
   }
 
-  /** Collected once a round for all demands: going over all machines for each demand was most of a round's cost. */
+  /** Collects the movable machines once per round for all demands: a pass over all machines per demand was most of a round's cost. */
   private movableMachines(
     shards: Map<number, ShardSummary>,
     movingMachines: ReadonlySet<string>,
--- a/packages/controller/src/capacity/spare-capacity.ts
+++ b/packages/controller/src/capacity/spare-capacity.ts
@@ -1,28 +1,28 @@
-/** Scaling out where price is no objective: holds spare capacity of each machine type. Pure functions of a snapshot. */
+/** Scaling out where price is not an objective: holds spare capacity of each machine type. Pure functions of a snapshot. */
 import type { ClusterStateView } from '../context/index.js';
 import { servesDemand } from './demand.js';
 import type { InstanceOption } from './instance-kind.js';
 import type { ScaleOutRequest, ScaleOutSnapshot } from './scale-out.js';
 
-/** No machine of a type is requested while a larger fraction of it is free and it serves no demand. */
+/** No machine of a type is requested while a larger fraction of the type's capacity is free and the type serves no demand. */
 const MAX_SPARE_FRACTION = 0.4;
 
-/** Machines in one request. */
+/** The number of machines in one request. */
 const MACHINES_PER_REQUEST = 4;
 
-/** A demand that the option serves counts as much as this many machines of the type in the zone. */
+/** The score of each demand that an option serves; each existing machine of the type in the zone subtracts 1. */
 const SCORE_PER_DEMAND = 10;
 
-/** Processor cores of a machine type in the cluster. */
+/** The processor cores of a machine type in the cluster. */
 interface TypeCapacity {
   totalCpus: number;
-  /** on machines with accelerators in proportion to the free accelerators */
+  /** free processor cores; on machines with accelerators, in proportion to the free accelerators */
   freeCpus: number;
 }
 
 const NO_CAPACITY: Readonly<TypeCapacity> = { totalCpus: 0, freeCpus: 0 };
 
-/** At most one request: for the option with the most demands served and the fewest machines of its type in the zone. */
+/** Returns at most one request: for the option with the most served demands and the fewest machines of its type in the zone. */
 export function requestsToHoldSpare(snapshot: ScaleOutSnapshot): ScaleOutRequest[] {
   const capacities = capacityByType(snapshot);
   const demands = [...snapshot.shards.values()].flatMap((summary) => summary.demands);
@@ -58,7 +58,7 @@
   return capacities;
 }
 
-/** The free part of the type's capacity, with the machines that are arriving. */
+/** Returns the free fraction of the type's capacity, including arriving machines. */
 function spareFraction({ type }: InstanceOption, { totalCpus, freeCpus }: TypeCapacity, { arriving }: ScaleOutSnapshot): number {
   const arrivingCpus = arriving.filter((kind) => kind.type === type.name).length * type.cpus;
   return (freeCpus + arrivingCpus) / Math.max(1, totalCpus + arrivingCpus);
--- a/packages/controller/src/context/cluster-view.ts
+++ b/packages/controller/src/context/cluster-view.ts
@@ -1,16 +1,16 @@
 /**
- * What a controller knows: its settings, the time of the input that it is taking, the stored state, and how fresh its copy of
- * that state is. These interfaces own nothing; the controller's context implements them.
+ * Views of a controller's knowledge: its settings, the time of the input that is being processed, the stored state, and the
+ * freshness of the local copy of that state. These interfaces own nothing; the controller's context implements them.
  */
 import type { ControllerSettings, Milliseconds } from '../model/index.js';
 import type { ClusterState, Replica, StateWriter } from '../state/index.js';
 
-/** What the controller was started with. It doesn't change while the process runs. */
+/** The settings that the controller was started with. They don't change while the process runs. */
 export interface SettingsView {
   readonly settings: ControllerSettings;
 }
 
-/** The time of the input that is being taken, by the controller's steady clock. Nothing in this package reads a clock. */
+/** The time of the input that is being processed, by the controller's monotonic clock. This package never reads a clock. */
 export interface InputClock {
   readonly now: Milliseconds;
 }
@@ -25,34 +25,38 @@
   readonly replica: Replica;
 }
 
-/** Writes to the state service, each on the condition that keys still have the revisions that the decision was based on. */
+/** Conditional writes to the state service: each requires that keys still have the revisions that the decision was based on. */
 export interface StateWriting {
   readonly writer: StateWriter;
 }
 
-/** How fresh the replica is, and whether the state service answers at all. */
+/** The freshness of the replica, and the availability of the state service. */
 export interface StateFreshness {
   /** The replica holds every change that the state service had committed by this time. */
   readonly replicaFreshAt: Milliseconds;
 
-  /** Has the state service answered this controller within the last seconds, with anything but a refusal? */
+  /** Reports whether the state service sent this controller a response other than a refusal within the last seconds. */
   stateServiceAnswers(now: Milliseconds): boolean;
 
-  /** Was this process paused a moment ago, and has it read no changes since? Decisions that rest on silence wait meanwhile. */
+  /**
+   * Reports whether this process was paused recently and has read no changes since. Decisions based on silence are deferred
+   * meanwhile.
+   */
   isCatchingUp(): boolean;
 }
 
-/** Waits for linearizable reads. */
+/** Read barriers for linearizable reads. */
 export interface ReadBarrierSource {
   /**
-   * Calls `run` once the replica holds every change that was committed by `now`, or `onExpired` if it doesn't by `expiresAt`.
-   * One of the two is called, once, in a later input. Without `expiresAt` the wait has no end.
+   * Calls `run` once the replica holds every change that was committed by `now`, or `onExpired` if that isn't the case by
+   * `expiresAt`. Exactly one of the two is called, once, while a later input is processed. Without `expiresAt` there is no
+   * timeout.
    */
   afterBarrier(now: Milliseconds, run: (now: Milliseconds) => void, expiresAt?: Milliseconds, onExpired?: () => void): void;
 }
 
-/** What the cloud has left to provision. */
+/** The availability of machine types at the cloud. */
 export interface CapacityView {
-  /** Can more machines of this type be provisioned, as far as the leader knows? False while no leader is known. */
+  /** Reports whether more machines of the type can be provisioned, according to the leader. False while no leader is known. */
   isTypeAvailable(type: string): boolean;
 }
--- a/packages/controller/src/context/effect-sink.ts
+++ b/packages/controller/src/context/effect-sink.ts
@@ -1,20 +1,20 @@
 /**
- * Where the parts of a controller put what they want done. Effects leave in the order in which they were emitted, when the
- * edges have finished with the input.
+ * The interfaces through which the parts of a controller emit effects. The I/O layer executes effects in the order in which they
+ * were emitted, after the input has been processed.
  */
 import type { Effect, LogFields, LogLevel } from '../model/index.js';
 
-/** Takes effects, which the edges carry out once the input has been taken. */
+/** Collects effects, which the I/O layer executes after the input has been processed. */
 export interface EffectSink {
-  /** Appends an effect. Its outcome, if it has one, comes back as an input that names the effect's id. */
+  /** Appends an effect. If it has an outcome, the outcome arrives as an input with the effect's id. */
   emit(effect: Effect): void;
 
-  /** A positive number that no other effect of this controller has. */
+  /** Returns a positive effect id that is unique within this controller. */
   nextEffectId(): number;
 }
 
-/** Takes log lines, which are effects too. */
+/** Writes log lines, which are effects too. */
 export interface Logger {
-  /** `message` is one of the fixed texts of README's table, which operators search for; what varies goes into `fields`. */
+  /** `message` is one of the fixed texts in the README's table, which operators search for; variable data goes into `fields`. */
   log(level: LogLevel, message: string, fields?: LogFields): void;
 }
--- a/packages/controller/src/context/index.ts
+++ b/packages/controller/src/context/index.ts
@@ -1,6 +1,6 @@
 /**
- * Context: what the parts of a controller may ask of it, in interfaces as narrow as their needs. `ControllerContext`
- * (controller-context.ts) implements them all; each part names those that it uses. Owns no state.
+ * Context: the services that a controller provides to its parts, as narrow interfaces. `ControllerContext`
+ * (controller-context.ts) implements all of them; each part declares those that it uses. Owns no state.
  */
 export * from './cluster-view.js';
 export * from './effect-sink.js';
--- a/packages/controller/src/context/leases.ts
+++ b/packages/controller/src/context/leases.ts
@@ -1,6 +1,6 @@
 /**
- * The controller's lease on the state service, and the shard leases (and the leader's) that it holds under it. A shard lease is
- * a key attached to the state lease of its holder: it disappears when the state lease expires.
+ * The controller's lease on the state service, and the shard leases and the leader lease that it holds under it. A shard lease is
+ * a key attached to the state lease of its holder: the key disappears when the state lease expires.
  */
 import type { Milliseconds } from '../model/index.js';
 
@@ -10,35 +10,41 @@
 
 /** This controller's lease on the state service. */
 export interface LeaseView {
-  /** Does the lease surely stand at `now`? False once its assumed expiry is past, though it may be renewed yet. */
+  /** Reports whether the lease is certainly held at `now`. False after its assumed expiry, although it may still be renewed. */
   isLeaseValid(now: Milliseconds): boolean;
 }
 
-/** Which incarnation of its controller this process is: each start has another. */
+/** The incarnation of the controller: every start of the process has a different one. */
 export interface IncarnationView {
   readonly incarnation: string;
 }
 
-/** Says for which shards commands, plans and releases of machines may leave. */
+/** The shards for which this controller may send commands, schedule tasks and release machines. */
 export interface ShardOwnership {
-  /** Is the shard's lease held, under a valid state lease, and not being released? */
+  /** Reports whether this controller holds the shard's lease, under a valid state lease, and isn't releasing it. */
   mayActFor(shard: number): boolean;
 }
 
-/** Learns which leases were acquired and lost. */
+/** Receives notifications of acquired and lost leases. */
 export interface LeaseListener {
-  /** `revision`: at which the lease was acquired. It is the fencing token of its holder. Called again when the revision rises. */
+  /**
+   * Called when a lease was acquired, and again when its revision rises. `revision` is the revision of the lease's key and the
+   * fencing token of the holder.
+   */
   leaseAcquired(lease: LeaseName, revision: number): void;
 
-  /** Called once for each lease that was acquired, when it is held no more. */
+  /** Called once for each acquired lease, when it is no longer held. */
   leaseLost(lease: LeaseName): void;
 }
 
-/** Whether the shards held here are in a state to be handed over. */
+/** The conditions under which shards held by this controller may be transferred to another one. */
 export interface ShardHealth {
-  /** Have all machines of the shard answered since it was acquired, and are all tasks of the highest priority allocated? */
+  /**
+   * Reports whether all machines of the shard have responded since its lease was acquired, and all tasks of the highest priority
+   * are allocated.
+   */
   isShardSettled(shard: number): boolean;
 
-  /** Can workers be reached from this controller? */
+  /** Reports whether workers are reachable from this controller. */
   reachesWorkers(): boolean;
 }
--- a/packages/controller/src/context/peers.ts
+++ b/packages/controller/src/context/peers.ts
@@ -1,22 +1,22 @@
-/** The other controllers, as this one knows them. */
+/** The other controllers, according to the statuses that they send. */
 import type { PeerStatus } from '@archpost/protocol';
 import type { Milliseconds, RunningTasks } from '../model/index.js';
 
-/** Another controller, by its last status. */
+/** Another controller, according to its last status. */
 export interface PeerView {
   readonly status: PeerStatus;
-  /** tasks that run, are done or failed there, by job id; for display only */
+  /** task counts of the jobs at that controller, by job id; for display only */
   readonly runningJobs: ReadonlyMap<string, RunningTasks>;
-  /** when its last status came, by this controller's steady clock */
+  /** when its last status arrived, by this controller's monotonic clock */
   readonly heardAt: Milliseconds;
-  /** Is the link to it up? A status that came by way of the state service doesn't say so. */
+  /** Whether the link to it is up. A status that was read from the state service doesn't imply that. */
   readonly isConnected: boolean;
 }
 
-/** The other controllers by their names. A controller that was never heard is missing. */
+/** The other controllers by name. A controller from which no status has arrived is missing. */
 export interface PeerDirectory {
   readonly peers: ReadonlyMap<string, PeerView>;
 
-  /** Is the link to it up, and did a status come over it within the last seconds? */
+  /** Reports whether the link to the controller is up and a status arrived within the last seconds. */
   isPeerAlive(controller: string, now: Milliseconds): boolean;
 }
--- a/packages/controller/src/controller-context.ts
+++ b/packages/controller/src/controller-context.ts
@@ -1,8 +1,8 @@
 /**
- * The context: all that the parts of a controller may ask of it. It implements the interfaces of context/, each part takes
- * those that it needs. Questions go on to the part that knows the answer.
+ * The context of a controller's parts. It implements the interfaces of context/, of which each part uses those that it needs, and
+ * delegates each call to the responsible part.
  *
- * Owns the time of the input that is being taken.
+ * Owns the time of the input that is being processed.
  */
 import {
   type CapacityView,
@@ -30,7 +30,7 @@
 import type { ShardController } from './shards/index.js';
 import type { ClusterState, ReadBarriers, Replica, StateWriter } from './state/index.js';
 
-/** What is known of the state service's keys, the way to change them, and the effects that inputs ask for. */
+/** The local copy of the state service's keys, the writer that changes them, and the buffer of emitted effects. */
 export interface ContextState {
   readonly clusterState: ClusterState;
   readonly replica: Replica;
@@ -39,7 +39,7 @@
   readonly effects: EffectBuffer;
 }
 
-/** The parts that questions go on to. They take the context themselves, so it is given the object that will hold them. */
+/** The parts that the context delegates to. They depend on the context, so it refers to the object that will hold them. */
 export interface ContextParts {
   readonly stateLease: StateLease;
   readonly stateServiceFreshness: StateServiceFreshness;
@@ -76,7 +76,7 @@
   private readonly effects: EffectBuffer;
   private readonly readBarriers: ReadBarriers;
 
-  /** `parts` may be incomplete until the first input. */
+  /** `parts` may be incomplete until the first input is processed. */
   constructor(
     readonly settings: ControllerSettings,
     readonly incarnation: string,
--- a/packages/controller/src/controller-parts.ts
+++ b/packages/controller/src/controller-parts.ts
@@ -1,6 +1,6 @@
 /**
- * Composition: the parts of one controller are made here, and joined to one another. Each takes the context, as the interfaces
- * that it needs, and the parts that it works with.
+ * The composition root: creates the parts of one controller and connects them. Each part receives the context, as the interfaces
+ * that it needs, and the parts that it depends on.
  *
  * Owns the parts.
  */
@@ -29,7 +29,7 @@
 import { ImageCacheWriter, ProgressWriter, ShardController } from './shards/index.js';
 import { ClusterState, ReadBarriers, Replica, StateWriter, WriteRateLimit } from './state/index.js';
 
-/** The parts of a controller. They are made in the order in which they need one another. */
+/** The parts of a controller, created in the order of their dependencies. */
 export class ControllerParts implements ContextParts {
   readonly effects = new EffectBuffer();
   readonly readBarriers = new ReadBarriers();
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -1,6 +1,6 @@
 /**
- * One controller as a state machine: inputs go in through its methods, each with its time, and effects come out by
- * `takeEffects`. Each input goes to the part that it concerns (controller-parts.ts makes them); nothing is decided here.
+ * One controller as a state machine: inputs enter through its methods, each with its time, and effects are returned by
+ * `takeEffects`. Each input is dispatched to the responsible part (created by controller-parts.ts); this file makes no decisions.
  *
  * Owns no state beside its parts.
  */
@@ -23,14 +23,14 @@
 import type { ClusterState, Replica, StateWriter } from './state/index.js';
 
 /**
- * A controller's decisions. It never waits, and reads no clock: `now` is the time of an input by a steady clock in
- * milliseconds, which must not go back from one input to the next. An `id` in an input is that of the effect whose outcome it
- * brings, or of the request that is to be answered by an effect with the same id.
+ * A controller's decisions. It never blocks and reads no clock: `now` is the time of an input, by a monotonic clock in
+ * milliseconds, and must not decrease from one input to the next. The `id` of an input is the id of the effect whose outcome it
+ * carries, or of the request that an effect with the same id will answer.
  */
 export class Controller {
   private readonly parts: ControllerParts;
 
-  /** `incarnation`: a name that no other start of this controller has. */
+  /** `incarnation`: a name that is unique among all starts of this controller. */
   constructor(
     readonly settings: ControllerSettings,
     incarnation: string,
@@ -53,57 +53,60 @@
     return this.parts.writer;
   }
 
-  /** The decisions for the shards that are held here. */
+  /** The decisions for the shards whose leases this controller holds. */
   get shardController(): ShardController {
     return this.parts.shardController;
   }
 
-  /** The leases that are held here. */
+  /** The shard leases and the leader lease that this controller holds. */
   get shardLeases(): ShardLeases {
     return this.parts.shardLeases;
   }
 
-  /** The decisions of the leader; it acts only while this controller leads. */
+  /** The decisions of the leader; active only while this controller leads. */
   get leader(): Leader {
     return this.parts.leader;
   }
 
-  /** The other controllers that were heard. */
+  /** The other controllers from which a status has arrived, by name. */
   get peers(): PeerDirectory['peers'] {
     return this.parts.peerRegistry.peers;
   }
 
-  /** Is this controller ready for clients, as of the last input? See `isReadyForClients`. */
+  /** Whether this controller is ready for clients, as of the last input. See `isReadyForClients`. */
   get isReady(): boolean {
     return isReadyForClients(this.parts.context);
   }
 
-  /** Could workers be reached from here, as of the last input? */
+  /** Reports whether workers are reachable from this controller, as of the last input. */
   reachesWorkers(): boolean {
     return this.parts.context.reachesWorkers();
   }
 
-  /** What the inputs since the last call want done, in its order. The caller carries it out. */
+  /** Returns and removes the effects emitted since the last call, in order. The caller executes them. */
   takeEffects(): Effect[] {
     return this.parts.effects.take();
   }
 
-  /** The process was paused for `pausedMs`, until `now`. Comes before the inputs that waited meanwhile. */
+  /** The process was paused for `pausedMs`, until `now`. Must be called before the inputs that queued up during the pause. */
   processPaused(pausedMs: Milliseconds, now: Milliseconds): void {
     this.beginInput(now);
     this.parts.processPause.processPaused(pausedMs, now);
   }
 
   /**
-   * By how much this controller is behind at `now`: how late a timer fired, how long the oldest input has waited, or until when
-   * rejected workers come back, whichever is longest. Silences don't count for that time.
+   * Records this controller's lag at `now`: the delay of a timer, the waiting time of the oldest input, or the time until
+   * rejected workers retry, whichever is longest. Time during which the controller lags doesn't count as silence.
    */
   recordLag(lagMs: Milliseconds, now: Milliseconds): void {
     this.beginInput(now);
     this.parts.shardController.recordLag(lagMs, now);
   }
 
-  /** Time has passed. Comes several times a second. `wallClockMs`: the time of day, to which stored times refer, since 1970. */
+  /**
+   * Runs periodic work; to be called several times a second. `wallClockMs`: the time of day in milliseconds since 1970, to which
+   * stored times refer.
+   */
   tick(now: Milliseconds, wallClockMs: Milliseconds = now): void {
     this.beginInput(now);
     const { parts } = this;
@@ -126,7 +129,7 @@
 
   // Inputs from the state service
 
-  /** All keys were read. `revision`: that of the first page; changes since then come by `receiveChanges`. */
+  /** All keys were read. `revision`: that of the first page; later changes arrive through `receiveChanges`. */
   receiveSnapshot(rows: StoredKey[], revision: number, now: Milliseconds): void {
     this.beginInput(now);
     this.parts.replica.reset(rows, revision);
@@ -134,8 +137,8 @@
   }
 
   /**
-   * Keys changed, up to `revision`. `asOf`: when the request that read them was sent, by the same clock as `now`; the changes
-   * include all that were committed by then.
+   * Keys changed, up to `revision`. `asOf`: when the request that read the changes was sent, by the same clock as `now`. They
+   * include every change that was committed by then.
    */
   receiveChanges(changes: KeyChange[], revision: number, asOf: Milliseconds, now: Milliseconds): void {
     this.beginInput(now);
@@ -147,7 +150,7 @@
     this.flushWrites(now);
   }
 
-  /** A transaction was answered, or wasn't in time. `id`: that of its `compareAndSwap` effect. */
+  /** A transaction completed or timed out. `id`: that of its `compareAndSwap` effect. */
   receiveCompareAndSwapOutcome(id: number, outcome: CompareAndSwapOutcome, now: Milliseconds): void {
     this.beginInput(now);
     const { parts } = this;
@@ -158,8 +161,8 @@
   }
 
   /**
-   * The lease on the state service was granted or renewed; `leaseId` null: there is none. `validUntil`: until when it stands at
-   * least, by the same clock as `now`; without a lease it means nothing.
+   * The lease on the state service was granted or renewed; `leaseId` null: there is none. `validUntil`: the earliest possible
+   * expiry, by the same clock as `now`; ignored without a lease.
    */
   receiveLeaseState(leaseId: number | null, validUntil: Milliseconds, now: Milliseconds): void {
     this.beginInput(now);
@@ -176,8 +179,8 @@
   // Inputs from clients
 
   /**
-   * A client submits a job. `body`: the parsed request body; null: it could not be parsed. `wallClockMs`: the time of day,
-   * since 1970.
+   * A client submits a job. `body`: the parsed request body; null: it could not be parsed. `wallClockMs`: the time of day in
+   * milliseconds since 1970.
    */
   submitJob(id: number, body: MessagePackMap | null, now: Milliseconds, wallClockMs: Milliseconds): void {
     this.beginInput(now);
@@ -185,7 +188,7 @@
     this.flushWrites(now);
   }
 
-  /** A client asks for the status of the job with this id. */
+  /** A client requests the status of the job with this id. */
   queryJobStatus(id: number, job: string, now: Milliseconds): void {
     this.beginInput(now);
     this.parts.clientRequests.queryStatus(id, job, now);
@@ -200,28 +203,28 @@
 
   // Inputs from workers
 
-  /** A worker sent a heartbeat here, and waits for the response. */
+  /** A worker sent a heartbeat to this controller and waits for the response. */
   receiveHeartbeat(id: number, heartbeat: Heartbeat, now: Milliseconds): void {
     this.beginInput(now);
     this.parts.heartbeatResponder.receive(id, heartbeat, now);
     this.flushWrites(now);
   }
 
-  /** Another controller answered a heartbeat and forwarded it, since this one holds the shard of the machine. */
+  /** Another controller answered a heartbeat and forwarded it to this one, which holds the lease of the machine's shard. */
   receiveForwardedHeartbeat(heartbeat: Heartbeat, now: Milliseconds): void {
     this.beginInput(now);
     this.parts.heartbeatResponder.receiveForwarded(heartbeat, now);
     this.flushWrites(now);
   }
 
-  /** A worker answered commands, or didn't in time. `id`: that of the `command` effect. */
+  /** A worker responded to commands, or the request timed out. `id`: that of the `command` effect. */
   receiveCommandOutcome(id: number, outcome: CommandOutcome, now: Milliseconds): void {
     this.beginInput(now);
     this.parts.shardController.handleCommandOutcome(id, outcome, now);
     this.flushWrites(now);
   }
 
-  /** A worker answered a probe, or didn't in time. `id`: that of the `probe` effect. */
+  /** A worker responded to a probe, or the probe timed out. `id`: that of the `probe` effect. */
   receiveProbeOutcome(id: number, isAnswered: boolean, now: Milliseconds): void {
     this.beginInput(now);
     this.parts.shardController.handleProbeOutcome(id, isAnswered);
@@ -229,7 +232,7 @@
 
   // Inputs from the cloud
 
-  /** The cloud listed the machine types that it sells; null: it didn't answer. An empty list is ignored. */
+  /** The cloud listed its machine types; null: the request failed. An empty list is ignored. */
   receiveMachineTypes(types: MachineType[] | null, now: Milliseconds): void {
     this.beginInput(now);
     if (types === null || types.length === 0) return;
@@ -237,14 +240,14 @@
     this.flushWrites(now);
   }
 
-  /** The cloud listed the machines that it has provisioned; null: it didn't answer. */
+  /** The cloud listed the provisioned machines; null: the request failed. */
   receiveMachineList(machines: ListedMachine[] | null, now: Milliseconds): void {
     this.beginInput(now);
     const { leader } = this.parts;
     leader.autoscaler.receiveMachineList(machines, leader.isLeading, now);
   }
 
-  /** The cloud answered a request for machines, or didn't in time. `id`: that of the `provision` effect. */
+  /** The cloud responded to a provisioning request, or the request timed out. `id`: that of the `provision` effect. */
   receiveProvisioningOutcome(id: number, outcome: ProvisioningOutcome, now: Milliseconds): void {
     this.beginInput(now);
     this.parts.leader.autoscaler.handleProvisioningOutcome(id, outcome, now);
@@ -252,7 +255,8 @@
   }
 
   /**
-   * The cloud released machines; `isReleased` false: it refused, or didn't answer in time. `id`: that of the `release` effect.
+   * The cloud responded to a release request; `isReleased` false: it refused, or the request timed out. `id`: that of the
+   * `release` effect.
    */
   receiveReleaseOutcome(id: number, isReleased: boolean, now: Milliseconds): void {
     this.beginInput(now);
@@ -264,7 +268,7 @@
 
   // Inputs from the other controllers
 
-  /** Another controller sent its status over the link to it, which therefore is up. */
+  /** Another controller's status arrived over the link to it, which is therefore up. */
   receivePeerStatus(status: PeerStatus, now: Milliseconds): void {
     this.beginInput(now);
     const { parts } = this;
--- a/packages/controller/src/debug-figures.ts
+++ b/packages/controller/src/debug-figures.ts
@@ -1,4 +1,4 @@
-/** Figures of this process for debugging, logged now and then. Owns when they were last logged. */
+/** Periodic logging of this process's counters for debugging. Owns the time of the last log line. */
 import type { ClusterStateView, Logger, StateWriting } from './context/index.js';
 import type { HeartbeatResponder } from './heartbeats/index.js';
 import type { Milliseconds } from './model/index.js';
@@ -6,13 +6,13 @@
 
 const LOG_INTERVAL_MS = 10_000;
 
-/** The parts whose figures are logged beside those of the context. */
+/** The parts whose counters are logged in addition to those of the context. */
 export interface FigureSources {
   heartbeatResponder: HeartbeatResponder;
   readBarriers: ReadBarriers;
 }
 
-/** Logs what was counted since the last time. */
+/** Logs the counts since the last log line, and current sizes. */
 export class DebugFigures {
   private loggedAt: Milliseconds = 0;
 
@@ -21,7 +21,7 @@
     private readonly sources: FigureSources,
   ) {}
 
-  /** Logs the figures when they are due; taking them resets the counts. */
+  /** Logs the counters if the log interval has passed, and resets them. */
   tick(now: Milliseconds): void {
     if (now - this.loggedAt <= LOG_INTERVAL_MS) return;
     this.loggedAt = now;
--- a/packages/controller/src/effect-buffer.ts
+++ b/packages/controller/src/effect-buffer.ts
@@ -1,5 +1,5 @@
 /**
- * The effects of the inputs taken so far. Owns those that the edges haven't taken yet, and the numbering of effects.
+ * The buffer of emitted effects. Owns the effects that the I/O layer has not taken yet, and the sequence of effect ids.
  */
 import type { EffectSink, Logger } from './context/index.js';
 import type { Effect, LogFields, LogLevel } from './model/index.js';
@@ -21,7 +21,7 @@
     this.effects.push(fields ? { type: 'log', level, message, fields } : { type: 'log', level, message });
   }
 
-  /** The effects since the last call, in their order. The caller carries them out. */
+  /** Returns and removes the effects emitted since the last call, in order. The caller executes them. */
   take(): Effect[] {
     const taken = this.effects;
     this.effects = [];
--- a/packages/controller/src/index.ts
+++ b/packages/controller/src/index.ts
@@ -1,7 +1,7 @@
 /**
- * The controller package: decisions as a state machine, `Controller`, and the types of its settings and effects. What else is
- * exported is there for tests of single parts: codecs of stored records, the replica, the writer and its queue, and what a
- * status holds.
+ * The controller package: the state machine that makes the decisions, `Controller`, and the types of its settings and effects.
+ * All other exports exist for unit tests: codecs of stored records, the replica, the writer and its queue, and parts of a
+ * status.
  */
 export { Controller } from './controller.js';
 export { fitStoredStatus, RunningTaskDeltas } from './leadership/index.js';
--- a/packages/controller/src/model/append-to.ts
+++ b/packages/controller/src/model/append-to.ts
@@ -1,6 +1,6 @@
-/** Lists by key, in which machines, jobs, objectives and messages are grouped. */
+/** Grouping of values by key. */
 
-/** Adds the value to the end of the key's list, which is made if there is none. Keys keep the order of their first values. */
+/** Appends the value to the key's list, which is created if missing. The map keeps the order in which keys were first added. */
 export function appendTo<Key, Value>(lists: Map<Key, Value[]>, key: Key, value: Value): void {
   const list = lists.get(key);
   if (list) list.push(value);
--- a/packages/controller/src/model/effects.ts
+++ b/packages/controller/src/model/effects.ts
@@ -1,13 +1,13 @@
 /**
- * Effects: what a controller's decisions ask of the outside. The state machine only emits them; the edges carry them out and
- * feed the outcomes back in as inputs, under the `id` of the effect where it has one.
+ * Effects: the operations that a controller's decisions request from the outside. The state machine only emits them. The I/O
+ * layer executes them and returns each outcome as an input with the `id` of the effect, where the effect has one.
  */
 import type { Command, Heartbeat, KeyWrite, PeerStatus, ProvisioningRequest, RevisionCondition } from '@archpost/protocol';
 
-/** How much attention a log line wants. */
+/** The severity of a log line. */
 export type LogLevel = 'debug' | 'info' | 'warn';
 
-/** Writes keys of the state service in one transaction, if all keys of the conditions still have those revisions. */
+/** Writes keys of the state service in one transaction if every key of the conditions still has the given revision. */
 export interface CompareAndSwapEffect {
   type: 'compareAndSwap';
   id: number;
@@ -15,10 +15,10 @@
   writes: KeyWrite[];
 }
 
-/** Reads the state service's newest changes, so that the replica is at least as new as this effect. */
+/** Reads the newest changes of the state service, so that the replica is at least as recent as this effect. */
 export interface ReadBarrierEffect {
   type: 'readBarrier';
-  /** decisions wait for it, not only status queries */
+  /** whether decisions wait for the read, not only status queries */
   urgent: boolean;
 }
 
@@ -28,45 +28,45 @@
   id: number;
   machine: string;
   address: string;
-  /** the agent refuses commands with a lower token than it has seen */
+  /** the agent rejects commands whose token is lower than the highest that it has seen */
   fencingToken: number;
-  /** the agent refuses commands for another epoch than its own */
+  /** the agent rejects commands for another epoch than its current one */
   agentEpoch: number;
   commands: Command[];
 }
 
-/** Asks an agent for its status, to see whether agents can be reached from here. */
+/** Requests an agent's status, to check whether agents are reachable from this controller. */
 export interface ProbeEffect {
   type: 'probe';
   id: number;
   address: string;
 }
 
-/** Asks the cloud for machines. */
+/** Requests machines from the cloud. */
 export interface ProvisionEffect {
   type: 'provision';
   id: number;
   request: ProvisioningRequest;
 }
 
-/** Gives machines back to the cloud. */
+/** Releases machines to the cloud. */
 export interface ReleaseEffect {
   type: 'release';
   id: number;
   machines: string[];
 }
 
-/** Asks the cloud for the list of our machines. */
+/** Requests the list of the cluster's machines from the cloud. */
 export interface ListMachinesEffect {
   type: 'listMachines';
 }
 
-/** Asks the cloud for its machine types. */
+/** Requests the list of machine types from the cloud. */
 export interface FetchMachineTypesEffect {
   type: 'fetchMachineTypes';
 }
 
-/** Answers the request `id` of a client or a worker. */
+/** Responds to the request `id` of a client or a worker. */
 export interface RespondEffect {
   type: 'respond';
   id: number;
@@ -76,10 +76,10 @@
   retryAfterS?: number;
 }
 
-/** Sends this controller's status to another one. */
+/** Sends this controller's status to another controller. */
 export interface SendStatusEffect {
   type: 'sendStatus';
-  /** name of the other controller */
+  /** name of the receiving controller */
   to: string;
   status: PeerStatus;
 }
@@ -87,12 +87,12 @@
 /** Forwards a worker's heartbeat to the controller that holds the machine's shard. */
 export interface ForwardHeartbeatEffect {
   type: 'forwardHeartbeat';
-  /** name of the other controller */
+  /** name of the receiving controller */
   to: string;
   heartbeat: Heartbeat;
 }
 
-/** What a log line has beside its message, by name. */
+/** The structured fields of a log line, by name. */
 export type LogFields = Readonly<Record<string, unknown>>;
 
 /** Writes a log line. */
@@ -103,7 +103,7 @@
   fields?: LogFields;
 }
 
-/** One thing to be done. */
+/** An operation for the I/O layer to execute. */
 export type Effect =
   | CompareAndSwapEffect
   | ReadBarrierEffect
--- a/packages/controller/src/model/index.ts
+++ b/packages/controller/src/model/index.ts
@@ -1,6 +1,6 @@
 /**
- * Model: the things that decisions are about (jobs, machines, allocations, resources), the settings, and the effects that
- * decisions ask for. Owns no state of its own: each field says which folder writes it.
+ * Model: the entities that decisions are about (jobs, machines, allocations, resources), the settings, and the effects that
+ * decisions emit. Owns no state of its own: the field groups of each entity name the component that writes them.
  */
 export * from './append-to.js';
 export * from './effects.js';
--- a/packages/controller/src/model/job.ts
+++ b/packages/controller/src/model/job.ts
@@ -1,6 +1,6 @@
 /**
- * A job and the allocations of its tasks. The fields are grouped by who writes them: the cluster state (what is stored), the
- * holder of the job's shard (what it observed and what it intends), and failure attribution.
+ * A job and the allocations of its tasks. The fields are grouped by the component that writes them: the cluster state (stored
+ * fields), the holder of the job's shard lease (observations and intents), and failure attribution.
  */
 import type { JobSpec, TaskStatus } from '@archpost/protocol';
 import type { Machine } from './machine.js';
@@ -10,80 +10,80 @@
 /** The zone index of a job that may run in any zone. */
 export const ANY_ZONE = -1;
 
-/** Stands for a task's index where there is no task. */
+/** The task index that denotes the absence of a task. */
 export const NO_TASK = -1;
 
 /**
- * How far an allocation is. `planned`: resources are reserved, nothing was sent. `sent`: the start was sent and may have been
- * executed. `reported`: the machine reports the task. `exited`: the task has ended, and the worker has yet to be commanded to
- * forget it.
+ * The phase of an allocation. `planned`: resources are reserved, no command was sent. `sent`: the start command was sent and may
+ * have been executed. `reported`: the machine reports the task. `exited`: the task has ended, and the worker has not been
+ * commanded to forget it yet.
  */
 export type AllocationPhase = 'planned' | 'sent' | 'reported' | 'exited';
 
-/** One task on one machine, from the scheduling decision until the machine has forgotten the task. */
+/** The assignment of one task to one machine, from the scheduling decision until the machine has forgotten the task. */
 export interface Allocation {
   job: Job;
   taskIndex: number;
   attempt: number;
   machine: Machine;
   phase: AllocationPhase;
-  /** as the machine reported it last; null: not reported yet */
+  /** the status that the machine reported last; null: not reported yet */
   status: TaskStatus | null;
   plannedAt: Milliseconds;
-  /** the task is to be stopped with this grace; null: it isn't */
+  /** grace period of the stop that is intended for the task; null: the task is not to be stopped */
   stopGraceS: number | null;
-  /** when the last stop was sent; `NEVER`: none, or it has to be sent again at once */
+  /** when the last stop command was sent; `NEVER`: none was sent, or it has to be sent again at once */
   stopSentAt: Milliseconds;
-  /** when the first stop was sent; null: not yet */
+  /** when the first stop command was sent; null: not yet */
   firstStopSentAt: Milliseconds | null;
-  /** when the task was first seen running; null: not yet */
+  /** when the task was first reported as running; null: not yet */
   runningSince: Milliseconds | null;
 }
 
 /**
- * What the holder of a job's shard decided about the job. It begins when the shard's lease is acquired, and is made anew then:
- * nothing of an earlier tenure may count.
+ * The decisions of a shard's lease holder about a job, for as long as it holds the lease. A new tenure replaces it when the lease
+ * is acquired again: no decision may depend on an earlier tenure.
  */
 export class JobTenure {
   /** by task index */
   readonly allocations = new Map<number, Allocation>();
-  /** the first task that was never allocated */
+  /** index of the first task that was never allocated */
   nextUntriedTask = 0;
-  /** tasks that were allocated and are to be allocated again; some of them may be done or allocated by now */
+  /** indices of tasks whose allocation was released and that need a new one; some may be done or allocated again by now */
   releasedTasks: number[] = [];
-  /** of a gang: the attempt that is in use; null: none */
+  /** gangs only: the current attempt; null: none */
   gangAttempt: number | null = null;
-  /** of a gang: the attempt has failed and is to be stopped whole */
+  /** gangs only: the current attempt has failed, and all of its tasks are to be stopped */
   gangFailed = false;
   progressWriteQueued = false;
-  /** some tasks are done and not stored as done */
+  /** some tasks may be done without being stored as done */
   progressUnstored = true;
   completionWriteQueued = false;
 }
 
-/** What a job is made of: its specification, and the indices of the names in it. */
+/** The parameters for creating a job: its specification, and the indices of the names in it. */
 export interface JobIdentity {
   spec: JobSpec;
   teamIndex: number;
   shard: number;
-  /** machine types that it may use; null: any */
+  /** indices of the machine types that the job may use; null: any */
   typeIndices: number[] | null;
-  /** its zone, or `ANY_ZONE` */
+  /** index of the job's zone, or `ANY_ZONE` */
   zoneIndex: number;
   imageIndex: number;
 }
 
-/** A job: what is stored of it, and what this controller knows and intends. */
+/** A job: its stored state, and what this controller has observed and intends. */
 export class Job {
   readonly spec: JobSpec;
   readonly teamIndex: number;
   readonly shard: number;
-  /** machine types that it may use; null: any */
+  /** indices of the machine types that the job may use; null: any */
   typeIndices: number[] | null;
-  /** its zone, or `ANY_ZONE` */
+  /** index of the job's zone, or `ANY_ZONE` */
   readonly zoneIndex: number;
   readonly imageIndex: number;
-  /** what the holder of the job's shard decided, if that is this controller */
+  /** the decisions of this controller about the job, if it holds the lease of the job's shard */
   tenure = new JobTenure();
 
   // ---- stored, or derived from what is stored: written by the cluster state
@@ -91,62 +91,62 @@
   state: 'live' | 'done' | 'cancelled' = 'live';
   /** revision of the job's record */
   modRevision = 0;
-  /** from when its waiting counts: first seen here, or the end of the last job that it awaited */
+  /** start of the job's waiting time: when this controller first read the job, or when its last dependency was done */
   arrivedAt: Milliseconds = 0;
   /** time of day of the submission, ms */
   submittedAt = 0;
-  /** when its cancellation was first read here; null: it isn't cancelled */
+  /** when this controller first read the job's cancellation; null: the job isn't cancelled */
   cancelledAt: Milliseconds | null = null;
-  /** ids of jobs that have to be stored as done before any task starts */
+  /** ids of the dependencies that are not stored as done yet; no task starts before they are */
   readonly unfinishedDependencyIds = new Set<string>();
-  /** parts of its record that were not read yet; infinite where a list can't be read */
+  /** number of parts of the job's record that were not read yet; infinite if a list of the record is unreadable */
   missingRecordParts = 0;
-  /** time of day when the last job that it awaited was done; 0: it awaited none, or the time isn't known */
+  /** time of day when the last dependency was done; 0: the job has no dependencies, or the time isn't known */
   dependenciesDoneAt: Milliseconds = 0;
-  /** its own priority, or that of its most urgent dependent */
+  /** the higher of its own priority and the highest priority of its dependents */
   priority: number;
-  /** time of day of its own deadline */
+  /** time of day of the job's own deadline */
   deadlineAt: Milliseconds = Number.POSITIVE_INFINITY;
-  /** from the submission to its own deadline */
+  /** time from the submission to the job's own deadline */
   deadlineSpanMs: Milliseconds = 0;
-  /** time of day by which it has to be done so that it and all its dependents meet their deadlines */
+  /** time of day by which the job has to be done so that the job and all its dependents meet their deadlines */
   effectiveDeadlineAt: Milliseconds = Number.POSITIVE_INFINITY;
-  /** from the submission to the deadline that the effective one comes from, of this job or of a dependent */
+  /** time from the submission to the deadline, of this job or a dependent, from which the effective deadline is derived */
   effectiveDeadlineSpanMs: Milliseconds = 0;
   /** by task index: not 0 if the task is stored as done */
   storedDone: Uint8Array;
 
-  // ---- observed: written by the cluster state and, from heartbeats, by the shard's holder
+  // ---- observed: written by the cluster state and, from heartbeats, by the holder of the shard lease
 
   /** by task index: not 0 if the task is done, stored or not */
   done: Uint8Array;
   /** number of tasks that are done */
   doneCount = 0;
-  /** longest run of one of its tasks so far; 0: none has ended */
+  /** longest measured run time of a task that is done; 0: none was measured */
   longestRunS = 0;
-  /** when one of its tasks was last seen stopped without a stop from this controller */
+  /** when a task was last reported as stopped although this controller had sent no stop command */
   stoppedByOthersAt: Milliseconds = NEVER;
 
-  // ---- intended: written by the shard's holder
+  // ---- intended: written by the holder of the shard lease
 
-  /** not scheduled before this time */
+  /** the job isn't scheduled before this time */
   retryAt: Milliseconds = 0;
-  /** since when some of its tasks couldn't be allocated; null: all are */
+  /** since when some of its tasks can't be allocated; null: all tasks are allocated */
   waitingSince: Milliseconds | null = null;
-  /** when one of its tasks was last to be stopped */
+  /** when a stop of one of its tasks was last decided */
   lastStopAt: Milliseconds = NEVER;
   progressWrittenAt: Milliseconds = NEVER;
 
   // ---- failure history: written by failure attribution
 
-  /** names of the machines that its tasks failed on */
+  /** names of the machines on which its tasks failed */
   readonly failedOn = new Set<string>();
   failureCount = 0;
-  /** since when it is taken to fail on every machine; null: it isn't */
+  /** since when the job is considered crash-looping, that is, failing on every machine; null: it isn't */
   crashLoopingSince: Milliseconds | null = null;
-  /** how often it was tried since then, once each of its tasks had been tried */
+  /** number of retries since then, counted after each of its tasks was tried once */
   retries = 0;
-  /** one of its tasks ran for a while without failing */
+  /** a task ran for some time without failing */
   ranWithoutError = false;
 
   constructor({ spec, teamIndex, shard, typeIndices, zoneIndex, imageIndex }: JobIdentity) {
@@ -161,22 +161,22 @@
     this.storedDone = new Uint8Array(spec.tasks);
   }
 
-  /** What each of its tasks takes. */
+  /** The resources that each task requires. */
   get resources(): Resources {
     return this.spec;
   }
 
-  /** How long one of its tasks runs: the longest so far, or else its user's estimate. */
+  /** The expected run time of a task: the longest measured one, or the user's estimate if none was measured. */
   get expectedRunMs(): Milliseconds {
     return (this.longestRunS > 0 ? this.longestRunS : this.spec.estimatedRunS) * 1000;
   }
 
-  /** It awaits others, or what it awaits isn't known yet: none of its tasks may start. */
+  /** Whether no task may start yet: a dependency isn't done, or the record that lists them isn't completely read. */
   get isBlocked(): boolean {
     return this.unfinishedDependencyIds.size > 0 || this.missingRecordParts > 0;
   }
 
-  /** Sets the time of day of the submission, from which its deadline counts. */
+  /** Sets the time of day of the submission, and computes the deadline from it. */
   setSubmittedAt(at: Milliseconds): void {
     this.submittedAt = at;
     if (this.spec.deadlineS === null) return;
@@ -186,7 +186,7 @@
     this.effectiveDeadlineSpanMs = this.deadlineSpanMs;
   }
 
-  /** How many tasks run, by their workers' last heartbeats. */
+  /** The number of running tasks, according to the last heartbeats of their workers. */
   runningCount(): number {
     let count = 0;
     for (const { phase, status } of this.tenure.allocations.values())
@@ -194,7 +194,7 @@
     return count;
   }
 
-  /** How many tasks are neither done nor allocated. */
+  /** The number of tasks that are neither done nor allocated. */
   pendingCount(): number {
     let allocatedUndone = 0;
     for (const allocation of this.tenure.allocations.values()) if (!this.done[allocation.taskIndex]) allocatedUndone++;
@@ -202,8 +202,8 @@
   }
 
   /**
-   * A task that is neither done nor allocated, one that was allocated before first; `NO_TASK` if there is none. The caller
-   * allocates it at once: a task that was never allocated isn't returned a second time.
+   * The index of a task that is neither done nor allocated; `NO_TASK` if there is none. Tasks whose allocation was released come
+   * first. The caller must allocate the task at once: a task that was never allocated isn't returned a second time.
    */
   nextPendingTask(): number {
     const { tenure } = this;
@@ -220,7 +220,7 @@
     return NO_TASK;
   }
 
-  /** As `nextPendingTask`, but one that was never allocated first: of a crash-looping job, one that hasn't failed yet. */
+  /** Like `nextPendingTask`, but tasks that were never allocated come first: in a crash-looping job these have not failed yet. */
   nextUntriedTaskFirst(): number {
     const releasedTasks = this.tenure.releasedTasks;
     this.tenure.releasedTasks = [];
@@ -229,7 +229,7 @@
     return index === NO_TASK ? this.nextPendingTask() : index;
   }
 
-  /** All tasks that are neither done nor allocated. */
+  /** The indices of all tasks that are neither done nor allocated. */
   pendingTasks(): number[] {
     const result: number[] = [];
     for (let index = 0; index < this.spec.tasks; index++) if (this.isPending(index)) result.push(index);
--- a/packages/controller/src/model/machine-load.ts
+++ b/packages/controller/src/model/machine-load.ts
@@ -1,28 +1,28 @@
 /**
- * What a machine's allocations take of it. Scheduling, the autoscaler and rebalancing ask for it far more often than allocations
- * change, so the machine keeps it until one does.
+ * The resources that a machine's allocations use. Scheduling, the autoscaler and rebalancing read them far more often than
+ * allocations change, so the machine caches the result until an allocation changes.
  */
 import type { Allocation } from './job.js';
 import type { Machine } from './machine.js';
 import { type Resources, subtract } from './resources.js';
 
-/** A machine's load, as of the last change of its allocations. */
+/** The load of a machine as of the last change of its allocations. */
 export interface MachineLoad {
-  /** what is left beside all tasks that may be on the machine */
+  /** the capacity less the resources of all tasks that may be on the machine */
   readonly free: Readonly<Resources>;
-  /** services that have not ended */
+  /** allocations of service tasks that have not exited */
   readonly services: readonly Allocation[];
-  /** what services without accelerators take */
+  /** resources used by services that need no accelerators */
   readonly serviceUsage: Readonly<{ cpus: number; memory: number }>;
 }
 
-/** The machine's load; computed only if its allocations changed since the last call. */
+/** Returns the machine's load; recomputed only if its allocations changed since the last call. */
 export function machineLoadOf(machine: Machine): MachineLoad {
   machine.load ??= computeLoad(machine);
   return machine.load;
 }
 
-/** A copy of the machine's capacity, from which the caller may subtract; nothing while its type is unknown. */
+/** Returns a copy of the machine's capacity, which the caller may modify; all zero while the machine type is unknown. */
 export function capacityOf({ capacity }: Machine): Resources {
   return { cpus: capacity?.cpus ?? 0, gpus: capacity?.gpus ?? 0, memory: capacity?.memory ?? 0 };
 }
--- a/packages/controller/src/model/machine.ts
+++ b/packages/controller/src/model/machine.ts
@@ -1,33 +1,33 @@
 /**
- * A machine. The fields are grouped by who writes them: the cluster state (what is stored), the holder of the machine's shard
- * (what it observed and what it intends), and failure attribution.
+ * A machine. The fields are grouped by the component that writes them: the cluster state (stored fields), the holder of the
+ * machine's shard lease (observations and intents), and failure attribution.
  */
 import type { MachineType, TaskStatus } from '@archpost/protocol';
 import type { Allocation } from './job.js';
 import type { MachineLoad } from './machine-load.js';
 import { type Milliseconds, NEVER } from './time.js';
 
-/** The shard of a machine whose assignment was removed, or not read yet. */
+/** The shard of a machine whose assignment was removed or has not been read yet. */
 export const UNASSIGNED_SHARD = -1;
 
-/** The epoch of an agent that has not been heard; real ones are larger. */
+/** The epoch of an agent from which no heartbeat has arrived; actual epochs are larger. */
 export const UNKNOWN_EPOCH = 0;
 
-/** The sequence number before the first heartbeat of an agent. */
+/** The sequence number before the first heartbeat of an agent epoch; actual sequence numbers are larger. */
 export const NOTHING_HEARD = -1;
 
-/** The position of a heartbeat in the order of those of its worker. */
+/** The position of a heartbeat among all heartbeats of its worker. */
 export interface HeartbeatPosition {
-  /** rises each time that the worker's agent begins anew */
+  /** increases each time that the worker's agent restarts */
   readonly agentEpoch: number;
-  /** numbers the messages of one epoch, heartbeats and answers alike */
+  /** number of the message within its epoch; heartbeats and responses share one sequence */
   readonly sequence: number;
 }
 
-/** Below every priority: a machine whose heartbeats name no job that is known. */
+/** Below every priority: the machine's heartbeats name no job in the cluster state. */
 export const LOWEST_REPORTED_PRIORITY = -1;
 
-/** Why a machine is to be released to the cloud. */
+/** The reason for releasing a machine to the cloud. */
 export type ReleaseReason =
   | 'silent'
   | 'silent with cancelled work'
@@ -39,38 +39,41 @@
   | 'unreachable';
 
 /**
- * What a shard's holder learned of a machine and decided about it. It begins with the lease on the shard, or when the machine
- * comes to the shard, and is made anew then: nothing of an earlier tenure may count.
+ * The observations and decisions of a shard's lease holder about a machine. A new tenure replaces it when the shard's lease is
+ * acquired, and when the machine moves to the shard: no decision may depend on an earlier tenure.
  *
- * Conditions that exclude each other, each decided by the first line that holds:
+ * What may be sent to the machine; the first row whose condition holds applies:
  *
- * | what may be sent | when |
+ * | what may be sent | condition |
  * | --- | --- |
- * | nothing: being released | `releaseReason` is set; `isReleasing` once the request to the cloud was sent |
+ * | nothing: the machine is being released | `releaseReason` is set; `isReleasing` once the request to the cloud was sent |
  * | nothing: a command is in flight | `pendingCommandId` is set |
- * | nothing: its fencing token must rise | `hasUncertainCommand`; `isRaisingToken` once the rewrite of its assignment is queued |
- * | a probe | not `isVerified` (`isProbed` once the first was sent), or silent, not answering or `probeRequested` |
+ * | nothing: the fencing token must be raised | `hasUncertainCommand`; `isRaisingToken` once the rewrite is queued |
+ * | a probe | not `isVerified` (`isProbed` once the first was sent), or silent, not answering commands, or `probeRequested` |
  * | commands | otherwise |
  */
 export class MachineTenure {
   // ---- observed: from heartbeats and the responses to commands
 
-  /** rises when the agent restarts or its lease expires: then its tasks are gone */
+  /** increases when the agent restarts or its lease expires; its tasks are gone then */
   agentEpoch = UNKNOWN_EPOCH;
-  /** of the newest heartbeat in this epoch */
+  /** sequence number of the newest heartbeat in this epoch */
   sequence = NOTHING_HEARD;
-  /** when it was heard last, here or by a peer, or its tenure began: unlike `lastHeartbeatAt`, no pause of ours moves it */
+  /**
+   * when the last heartbeat arrived at this controller or a peer, or else when the tenure began; unlike `lastHeartbeatAt`, not
+   * shifted by pauses of this process
+   */
   lastContactAt: Milliseconds;
-  /** it has answered a probe under our fencing token, so its heartbeats show everything that is on it */
+  /** the machine has answered a probe under the current fencing token, so its heartbeats show everything that is on it */
   isVerified = false;
-  /** it was probed in this tenure, or since its token was last raised: its silence counts */
+  /** a probe was sent in this tenure, or since the token was last raised; only then does silence count against the machine */
   isProbed = false;
-  /** highest priority among the jobs that its heartbeats named before it was verified: the order of probes, no more */
+  /** highest priority of the jobs that its heartbeats named before it was verified; used only to order probes */
   reportedPriority = LOWEST_REPORTED_PRIORITY;
-  /** commands in a row that got no answer; heartbeats don't reset it, since a machine that is heard may not be reachable */
+  /** consecutive commands without a response; heartbeats don't reset it, since a machine that sends them may be unreachable */
   unansweredCommands = 0;
   unansweredSince: Milliseconds | null = null;
-  /** spot machine: when the cloud takes it back; null: no notice */
+  /** spot machines only: when the cloud preempts the machine; null: no notice */
   preemptionNoticeUntil: Milliseconds | null = null;
   /** tasks in its last heartbeat that belong to no allocation */
   orphanedTasks: TaskStatus[] = [];
@@ -79,22 +82,23 @@
 
   /** by task key */
   readonly allocations = new Map<string, Allocation>();
-  /** the command or probe that has no outcome yet; null: none */
+  /** effect id of the command or probe that has no outcome yet; null: none */
   pendingCommandId: number | null = null;
-  /** nothing is sent before this time */
+  /** no command or probe is sent before this time */
   retryAt: Milliseconds = 0;
-  /** a command may be executed yet: the fencing token must rise before another is sent */
+  /** an earlier command may still be executed: the fencing token must be raised before another command is sent */
   hasUncertainCommand = false;
   /** a rewrite of its assignment, which raises the token, is queued */
   isRaisingToken = false;
-  /** null: it stays */
+  /** why the machine is to be released; null: it isn't */
   releaseReason: ReleaseReason | null = null;
-  /** a release was requested from the cloud, or has been carried out */
+  /** the release was requested from the cloud, or has been completed */
   isReleasing = false;
 
   /**
-   * `lastHeartbeatAt`: silence counts from here; pauses of this process move it. `isUnverifiedTakeover`: the machine may run tasks
-   * that an earlier holder of the shard started and that aren't known here, until it is verified.
+   * `lastHeartbeatAt`: start of the machine's silence; shifted by pauses of this process. `isUnverifiedTakeover`: until the
+   * machine is verified, it may run tasks that an earlier holder of the shard lease started and that this controller doesn't
+   * know of.
    */
   constructor(
     public lastHeartbeatAt: Milliseconds,
@@ -103,21 +107,24 @@
     this.lastContactAt = lastHeartbeatAt;
   }
 
-  /** It was heard, or its silence counts from now on. */
+  /** Restarts the measurement of silence: a heartbeat arrived, or silence is to be measured from `now`. */
   beginSilence(now: Milliseconds): void {
     this.lastHeartbeatAt = now;
     this.lastContactAt = now;
   }
 
-  /** What runs on the machine is known: it has answered under our fencing token, or the cloud says that nothing runs any more. */
+  /**
+   * Records that the tasks on the machine are known: the machine has answered under the current fencing token, or the cloud
+   * reports that the machine no longer runs.
+   */
   recordVerified(): void {
     this.isVerified = true;
     this.isUnverifiedTakeover = false;
   }
 
   /**
-   * The fencing token has risen: no earlier command can be executed any more, and the machine is to be probed under the new
-   * one.
+   * Records that the fencing token was raised: no earlier command can be executed any more, and the machine has to be probed
+   * under the new token.
    */
   recordTokenRaised(): void {
     this.hasUncertainCommand = false;
@@ -126,27 +133,27 @@
   }
 }
 
-/** What a machine is made of, by its assignment. */
+/** The parameters for creating a machine, from its assignment. */
 export interface MachineIdentity {
   name: string;
   address: string;
   typeIndex: number;
   zoneIndex: number;
   spot: boolean;
-  /** null while only the name of its type is known */
+  /** null until the cloud's description of the machine type is known */
   capacity: MachineType | null;
 }
 
-/** A machine: what is stored of it, and what this controller knows and intends. */
+/** A machine: its stored state, and what this controller has observed and intends. */
 export class Machine {
   readonly name: string;
   address: string;
   readonly typeIndex: number;
   readonly zoneIndex: number;
   readonly spot: boolean;
-  /** null while only the name of its type is known */
+  /** null until the cloud's description of the machine type is known */
   capacity: MachineType | null;
-  /** what this controller learned and decided since the machine's shard, or the machine, came to it */
+  /** what this controller observed and decided since it acquired the shard's lease, or since the machine joined the shard */
   tenure = new MachineTenure(0, false);
 
   // ---- stored: written by the cluster state
@@ -154,50 +161,50 @@
   shard = UNASSIGNED_SHARD;
   /** revision of its assignment; part of its fencing token */
   assignmentRevision = 0;
-  /** the shard that it is to move to; null: it stays */
+  /** the shard that the machine is to be moved to; null: it isn't to be moved */
   moveToShard: number | null = null;
   /** to be released to the cloud once it is idle */
   isRetired = false;
 
   // ---- observed
 
-  /** index of the image's name to its size in GB, least recently used first */
+  /** sizes in GB of the cached images, by the index of the image's name, least recently used first */
   images = new Map<number, number>();
-  /** when another controller last said that it hears the machine */
+  /** when another controller last reported that it is in contact with the machine */
   heardByPeerAt: Milliseconds = NEVER;
-  /** that controller; null: none has said so */
+  /** name of that controller; null: none has reported contact */
   heardByPeer: string | null = null;
-  /** since when it has had no allocations */
+  /** since when the machine has no allocations */
   idleSince: Milliseconds = 0;
 
-  // ---- intended: written by the shard's holder
+  // ---- intended: written by the holder of the shard lease
 
   lastProbeAt: Milliseconds = NEVER;
-  /** something about it doesn't fit what is known: it is to be probed */
+  /** a probe is requested, for example because a heartbeat contradicts the expected state */
   probeRequested = false;
   probeRequestedAt: Milliseconds = NEVER;
   /** when commands other than probes were last sent to it */
   lastCommandAt: Milliseconds = NEVER;
-  /** there may be something to command: a start, a stop, or an ended task to forget */
+  /** there may be commands to send: a start, a stop, or the removal of an ended task */
   commandsDue = true;
   imagesWriteQueued = false;
   assignmentWriteQueued = false;
-  /** its release isn't requested again before this time */
+  /** the release isn't requested again before this time */
   releaseRetryAt: Milliseconds = 0;
-  /** takes no more tasks without accelerators until then: services are being evicted from it, or were a short time ago */
+  /** until then only tasks that need accelerators are placed here, since services are being or were recently evicted */
   reservedUntil: Milliseconds = NEVER;
 
   // ---- failure history: written by failure attribution
 
-  /** ids of jobs whose tasks failed here, other than crash-looping ones */
+  /** ids of jobs whose tasks failed on this machine, without crash-looping jobs */
   failedJobs = new Set<string>();
-  /** tasks that failed here, of jobs that have failed on no other machine and have tasks that are done */
+  /** number of tasks that failed on this machine, of jobs that failed on no other machine and have tasks that are done */
   failedTaskCount = 0;
   lastErrorAt: Milliseconds = NEVER;
 
   // ---- derived
 
-  /** see machine-load.ts; null: to be computed anew */
+  /** cached load, see machine-load.ts; null: to be recomputed */
   load: MachineLoad | null = null;
 
   constructor({ name, address, typeIndex, zoneIndex, spot, capacity }: MachineIdentity) {
@@ -209,7 +216,7 @@
     this.capacity = capacity;
   }
 
-  /** To be called whenever an allocation is added, removed, ends or is to be stopped, and when the capacity changes. */
+  /** Must be called whenever an allocation is added or removed, exits or is to be stopped, and when the capacity changes. */
   allocationsChanged(): void {
     this.load = null;
     this.commandsDue = true;
--- a/packages/controller/src/model/priorities.ts
+++ b/packages/controller/src/model/priorities.ts
@@ -1,10 +1,10 @@
-/** What sets jobs of the highest priority, cancelled jobs and scarce machines apart. */
+/** Constants for jobs of the highest priority, cancelled jobs and scarce machines. */
 
-/** The priority of jobs that come before all others, and before quotas too once they are urgent. */
+/** The priority of jobs that are scheduled before all others; once urgent, they take precedence over quotas too. */
 export const HIGHEST_PRIORITY = 3;
 
-/** Cancelled tasks have to be gone in time: machines that run them are attended to before those with jobs of any priority. */
+/** Above every job priority: cancelled tasks must end in time, so machines that run them are probed and commanded first. */
 export const CANCELLED_WORK_PRIORITY = HIGHEST_PRIORITY + 1;
 
-/** Services wait this long for another machine before they take a scarce one with accelerators. */
+/** Services wait this long for another machine before they are placed on a scarce machine with accelerators. */
 export const SCARCE_MACHINE_WAIT_S = 8;
--- a/packages/controller/src/model/resources.ts
+++ b/packages/controller/src/model/resources.ts
@@ -1,25 +1,25 @@
-/** Amounts of resources, and the arithmetic of bin packing on them. */
+/** Resource amounts, and the arithmetic on them for bin packing. */
 import type { Machine } from './machine.js';
 
-/** What a task needs, or a machine has: processor cores, accelerators, and memory in GB. */
+/** The resources that a task requires or a machine has: processor cores, accelerators, and memory in GB. */
 export interface Resources {
   cpus: number;
   gpus: number;
   memory: number;
 }
 
-/** Sums of fractions may be off by this much: without it a machine that is exactly filled seems too small. */
+/** Rounding error of sums of fractions: without it a machine that is filled exactly would be considered too small. */
 export const RESOURCE_TOLERANCE = 1e-6;
 
-/** How many tasks that take nothing are said to fit. */
+/** The result of `countThatFit` for tasks that require no resources. */
 const MAX_TASK_COUNT = 1e9;
 
-/** What is free on a machine. A scheduling run subtracts from it as it allocates tasks. */
+/** The free resources of a machine. A scheduling run subtracts from them as it allocates tasks. */
 export interface FreeResources extends Resources {
   machine: Machine;
 }
 
-/** Is that much free? */
+/** Reports whether the free resources cover the required ones. */
 export function fits(resources: Resources, free: Resources): boolean {
   return (
     resources.cpus <= free.cpus + RESOURCE_TOLERANCE &&
@@ -28,14 +28,14 @@
   );
 }
 
-/** Takes resources off what is free, in place. */
+/** Subtracts resources from the free ones, in place. */
 export function subtract(free: Resources, resources: Resources): void {
   free.cpus -= resources.cpus;
   free.gpus -= resources.gpus;
   free.memory -= resources.memory;
 }
 
-/** How many tasks that take these resources each fit at once. */
+/** Returns how many tasks fit at the same time if each requires these resources. */
 export function countThatFit(resources: Resources, free: Resources): number {
   let count = MAX_TASK_COUNT;
   if (resources.cpus > 0) count = Math.min(count, Math.floor((free.cpus + RESOURCE_TOLERANCE) / resources.cpus));
--- a/packages/controller/src/model/round-robin.ts
+++ b/packages/controller/src/model/round-robin.ts
@@ -1,8 +1,8 @@
-/** Long lists that are sent a part at a time. */
+/** Sending of long lists in parts. */
 
 /**
- * At most `maxItems` of the list, each turn beginning where the one before ended; after the last item it goes on with the
- * first. A list that fits is returned whole.
+ * Returns at most `maxItems` items of the list. Each turn starts where the previous turn ended and wraps around at the end of the
+ * list. A list that fits is returned whole.
  */
 export function roundRobinSlice<T>(list: readonly T[], maxItems: number, turn: number): T[] {
   if (list.length <= maxItems) return [...list];
--- a/packages/controller/src/model/running-tasks.ts
+++ b/packages/controller/src/model/running-tasks.ts
@@ -1,11 +1,11 @@
-/** How far a job is, as controllers send it to one another for status queries. */
+/** The progress of a job, as controllers send it to one another for status queries. */
 
-/** Counts of a job's tasks at one controller. */
+/** The numbers of a job's tasks by state, at one controller. */
 export interface RunningTasks {
-  /** tasks that run */
+  /** running tasks */
   count: number;
   /** tasks that are done */
   done: number;
-  /** how often a task failed, of a crash-looping job */
+  /** crash-looping jobs only: number of task failures */
   failed: number;
 }
--- a/packages/controller/src/model/settings.ts
+++ b/packages/controller/src/model/settings.ts
@@ -1,97 +1,97 @@
-/** What a controller is started with, as far as decisions depend on it. Read-only after the start. */
+/** The settings that a controller's decisions depend on. Read-only after the start. */
 
 /** A team and its quota. */
 export interface Team {
   name: string;
   /** guaranteed processor cores */
   cpus: number;
-  /** processor cores that its tasks may use at most */
+  /** limit of processor cores in use by its tasks */
   maxCpus: number;
   /** guaranteed accelerators */
   gpus: number;
-  /** accelerators that its tasks may use at most */
+  /** limit of accelerators in use by its tasks */
   maxGpus: number;
 }
 
-/** A service-level objective. Which fields it has depends on its kind. */
+/** A service-level objective. Its kind determines which fields are set. */
 export interface Objective {
-  /** `wait` (until the start), `finished`, `deadline`, or another that no decision depends on */
+  /** `wait` (time until the start), `finished`, `deadline`, or another kind that no decision depends on */
   kind: string;
-  /** the class of jobs that it is about */
+  /** the class of jobs that the objective applies to */
   jobClass: string | null;
   withinS: number | null;
   afterS: number | null;
-  /** fraction of the jobs for which it should hold */
+  /** fraction of the jobs that should meet the objective */
   share: number | null;
   most: number | null;
-  /** how many times the time to its deadline a job may take */
+  /** a job may take up to this multiple of the time from its submission to its deadline */
   deadlineMultiple?: number | null;
 }
 
-/** What operators may tune. */
+/** Operator-configurable scheduling and scaling policy. */
 export interface Policy {
-  /** a reservation for a gang that isn't complete after this long is released */
+  /** a gang reservation that isn't complete after this time is released */
   planWaitS: number;
-  /** a machine that no controller has heard for this long is released to the cloud */
+  /** a machine is released to the cloud after this time without a heartbeat at any controller */
   silentS: number;
-  /** hold spare machines of every kind, whatever they cost */
+  /** hold spare machines of every kind, regardless of their price */
   holdSpareCapacity: boolean;
-  /** an idle machine is released after this long, unless capacity is held */
+  /** an idle machine is released after this time, unless spare capacity is held */
   idleS: number;
-  /** most machines held at once; null: as many as there are */
+  /** limit of machines held at the same time; null: no limit */
   maxMachines: number | null;
 }
 
-/** What the state service takes. */
+/** The limits of the state service. */
 export interface StateLimits {
   requestsPerS: number;
   writesPerS: number;
-  /** size of a value */
+  /** largest size of a value */
   valueKib: number;
   writesPerTransaction: number;
 }
 
-/** All that decisions depend on. */
+/** All settings that decisions depend on. */
 export interface ControllerSettings {
   /** this controller's name */
   name: string;
   /** this controller's zone */
   zone: string;
-  /** every controller's name, sorted, with its zone */
+  /** name and zone of every controller, sorted by name */
   controllers: { name: string; zone: string }[];
   shardCount: number;
   zones: string[];
   teams: Team[];
   objectives: Objective[];
   workers: WorkerSettings;
-  /** what of a processor core this controller has */
+  /** processor cores that are available to this controller; may be fractional */
   cpuShare: number;
-  /** connections that it may have open */
+  /** limit of open connections of this controller */
   maxSockets: number;
   state: StateLimits & {
-    /** limits that the state service will have at some later time, as far as they are announced */
+    /** announced future limits of the state service; null: none were announced */
     next: Partial<StateLimits> | null;
   };
   cloud: CloudSettings;
   policy: Policy;
 }
 
-/** How the machines' agents behave. */
+/** Timing of the machines' agents and of the tasks that they run. */
 export interface WorkerSettings {
   heartbeatIntervalS: number;
-  /** an agent whose heartbeats weren't answered for this long kills its tasks */
+  /** an agent kills its tasks when its heartbeats weren't answered for this time */
   leaseS: number;
-  /** a gang's task that waited this long for the others exits */
+  /** a gang's task exits after waiting this long for the other tasks of the gang */
   gangWaitS: number;
-  /** the tasks of a gang notice within this time that one of them is gone */
+  /** the tasks of a gang detect within this time that one of them is gone */
   gangPeerS: number;
-  /** a cancelled job's tasks must be gone this long after the response to the client */
+  /** the tasks of a cancelled job must have ended this long after the response to the client */
   cancelS: number;
 }
 
-/** What the cloud's interface takes, and how fresh its answers are. */
+/** The rate limit of the cloud's API, and the staleness of its responses. */
 export interface CloudSettings {
   requestsPerS: number;
-  /** how far its list of machines lags behind; at times twice as far */
+  /** usual lag of the cloud's list of machines; some lists lag by twice as much */
   listLagS: number;
 }
--- a/packages/controller/src/model/time.ts
+++ b/packages/controller/src/model/time.ts
@@ -1,20 +1,20 @@
-/** Time as decisions know it. */
+/** Times and durations as decisions use them. */
 
 /**
- * A time or a duration in milliseconds. Times are those of a steady clock, which this package never reads: every input brings
- * its own. Times of day say so.
+ * A time or a duration in milliseconds. Times refer to a monotonic clock unless documented as times of day. This package never
+ * reads the clock: every input carries its own time.
  */
 export type Milliseconds = number;
 
-/** Before anything happened: far enough back that any duration has passed since. */
+/** The time of an event that has not happened: so far in the past that every timeout since then has expired. */
 export const NEVER: Milliseconds = -1e12;
 
-/** Seconds with one decimal, as durations are logged. */
+/** Converts a duration to seconds with one decimal, the format of durations in logs. */
 export function toLoggedSeconds(durationMs: Milliseconds): number {
   return Math.round(durationMs / 100) / 10;
 }
 
-/** Moves all times of the map by as much: after a pause of that length they are as old as they were before it. */
+/** Adds `byMs` to all times of the map. After a pause of that length their ages are the same as before the pause. */
 export function shiftTimes<Key>(times: Map<Key, Milliseconds>, byMs: Milliseconds): void {
   for (const [key, at] of times) times.set(key, at + byMs);
 }
