--- a/packages/controller/src/capacity/shard-rebalancer.ts
+++ b/packages/controller/src/capacity/shard-rebalancer.ts
@@ -110,7 +110,7 @@
     return movingMachines;
   }
 
-  /** Collects the movable machines once per round for all demands: a pass over all machines per demand was most of a round's cost. */
+  /** Collects the movable machines once per round for all demands: one pass per demand took up most of the cost of a round. */
   private movableMachines(
     shards: Map<number, ShardSummary>,
     movingMachines: ReadonlySet<string>,
