--- a/packages/controller/src/allocation/machine-schedulability.ts
+++ b/packages/controller/src/allocation/machine-schedulability.ts
@@ -17,7 +17,7 @@
 
 /** Whether another controller recently reported heartbeats of the machine. */
 export function hasRecentPeerContact(machine: Machine, now: Milliseconds): boolean {
-  return now - machine.heardByPeerAt < HEARD_BY_PEER_MS;
+  return now - machine.lastPeerContactAt < HEARD_BY_PEER_MS;
 }
 
 /** Whether heartbeats of the machine recently arrived at this controller or at another one. */
--- a/packages/controller/src/allocation/start-freshness.ts
+++ b/packages/controller/src/allocation/start-freshness.ts
@@ -38,6 +38,6 @@
    * may be cancelled, which only a newer state of the replica shows.
    */
   isStateUnconfirmed(job: Job): boolean {
-    return this.context.replicaFreshAt < job.stoppedByOthersAt;
+    return this.context.replicaFreshAt < job.lastExternalStopAt;
   }
 }
--- a/packages/controller/src/capacity/machine-assigner.ts
+++ b/packages/controller/src/capacity/machine-assigner.ts
@@ -99,7 +99,7 @@
     const { clusterState, peers } = this.context;
     const candidates = this.recentlyReported(now);
     for (const peer of peers.values())
-      if (now - peer.heardAt < MAX_PEER_STATUS_AGE_MS) candidates.push(...peer.status.unassignedMachines);
+      if (now - peer.lastStatusAt < MAX_PEER_STATUS_AGE_MS) candidates.push(...peer.status.unassignedMachines);
     const unassignedMachines = new Map<string, UnassignedMachine>();
     for (const unassigned of candidates) {
       if (clusterState.machines.has(unassigned.machine) || this.pendingWrites.has(unassigned.machine)) continue;
--- a/packages/controller/src/context/leases.ts
+++ b/packages/controller/src/context/leases.ts
@@ -31,10 +31,10 @@
    * Called when a lease was acquired, and again when its revision rises. `revision` is the revision of the lease's key and the
    * fencing token of the holder.
    */
-  leaseAcquired(lease: LeaseName, revision: number): void;
+  onLeaseAcquired(lease: LeaseName, revision: number): void;
 
   /** Called once for each acquired lease, when it is no longer held. */
-  leaseLost(lease: LeaseName): void;
+  onLeaseLost(lease: LeaseName): void;
 }
 
 /** The conditions under which shards held by this controller may be transferred to another one. */
--- a/packages/controller/src/context/peers.ts
+++ b/packages/controller/src/context/peers.ts
@@ -8,7 +8,7 @@
   /** task counts of the jobs at that controller, by job id; for display only */
   readonly runningJobs: ReadonlyMap<string, RunningTasks>;
   /** when its last status arrived, by this controller's monotonic clock */
-  readonly heardAt: Milliseconds;
+  readonly lastStatusAt: Milliseconds;
   /** Whether the link to it is up. A status that was read from the state service doesn't imply that. */
   readonly isConnected: boolean;
 }
--- a/packages/controller/src/controller-context.ts
+++ b/packages/controller/src/controller-context.ts
@@ -140,12 +140,12 @@
     return this.parts.shardLeases.mayActUnder(shard, this.now);
   }
 
-  leaseAcquired(lease: LeaseName, revision: number): void {
+  onLeaseAcquired(lease: LeaseName, revision: number): void {
     if (lease === LEADER_LEASE) this.parts.leader.leaseAcquired(revision, this.now);
     else this.parts.shardController.onLeaseAcquired(lease, revision, this.now);
   }
 
-  leaseLost(lease: LeaseName): void {
+  onLeaseLost(lease: LeaseName): void {
     if (lease === LEADER_LEASE) this.parts.leader.leaseLost();
     else this.parts.shardController.onLeaseLost(lease);
   }
--- a/packages/controller/src/heartbeats/heartbeat-forwarding.ts
+++ b/packages/controller/src/heartbeats/heartbeat-forwarding.ts
@@ -5,7 +5,7 @@
  */
 import type { Heartbeat, TaskStatus, UnchangedHeartbeat } from '@archpost/protocol';
 import type { ClusterStateView, EffectSink, PeerDirectory, SettingsView } from '../context/index.js';
-import { appendTo, type Milliseconds, NEVER, NOTHING_HEARD } from '../model/index.js';
+import { appendTo, type Milliseconds, NEVER, NO_SEQUENCE } from '../model/index.js';
 import { isNewer } from './heartbeat-order.js';
 
 /** The status names machines heard within this time. */
@@ -72,7 +72,7 @@
       heartbeat,
       heardAt: now,
       forwardedTo: previous?.forwardedTo ?? null,
-      forwardedSequence: previous?.forwardedSequence ?? NOTHING_HEARD,
+      forwardedSequence: previous?.forwardedSequence ?? NO_SEQUENCE,
       forwardedAt: previous?.forwardedAt ?? NEVER,
     };
     this.heardMachines.set(heartbeat.machine, machine);
--- a/packages/controller/src/heartbeats/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeats/heartbeat-reconciler.ts
@@ -11,10 +11,10 @@
 import {
   CANCELLED_WORK_PRIORITY,
   type HeartbeatPosition,
-  LOWEST_REPORTED_PRIORITY,
   type Machine,
   type Milliseconds,
-  NOTHING_HEARD,
+  NO_REPORTED_PRIORITY,
+  NO_SEQUENCE,
   UNKNOWN_EPOCH,
 } from '../model/index.js';
 import type { HeartbeatReconciliation, ImageCacheWriter, ProgressWriter } from '../shards/index.js';
@@ -106,7 +106,7 @@
   private reportedPriorityOf(jobId: string): number {
     const { finishedJobs, jobs } = this.context.clusterState;
     if (finishedJobs.get(jobId) === 'cancelled') return CANCELLED_WORK_PRIORITY;
-    return jobs.get(jobId)?.priority ?? LOWEST_REPORTED_PRIORITY;
+    return jobs.get(jobId)?.priority ?? NO_REPORTED_PRIORITY;
   }
 
   /** The agent began again: nothing that was there is there any more, and its numbers start anew. */
@@ -115,7 +115,7 @@
     for (const allocation of [...machine.tenure.allocations.values()])
       if (allocation.phase !== 'planned') this.allocations.free(allocation);
     machine.tenure.agentEpoch = UNKNOWN_EPOCH;
-    machine.tenure.sequence = NOTHING_HEARD;
+    machine.tenure.sequence = NO_SEQUENCE;
   }
 
   private accept(machine: Machine, heartbeat: Heartbeat, now: Milliseconds, isAnswer: boolean): void {
@@ -132,16 +132,16 @@
 
   /** It is alive: it isn't released for its silence any more, unless the request has left. */
   private recordHeard({ tenure }: Machine, now: Milliseconds): void {
-    tenure.beginSilence(now);
+    tenure.resetContact(now);
     if (tenure.releaseReason === 'silent' && !tenure.isReleasing) tenure.releaseReason = null;
   }
 
   private recordHeardByPeer(machine: Machine, peer: string, now: Milliseconds): void {
-    machine.heardByPeerAt = now;
+    machine.lastPeerContactAt = now;
     machine.tenure.lastContactAt = now;
     // It goes from one controller to the next: perhaps no controller's responses reach it. One that stays is answered.
-    if (machine.heardByPeer !== peer && machine.heardByPeer !== null) this.requestProbe(machine, now);
-    machine.heardByPeer = peer;
+    if (machine.lastPeerInContact !== peer && machine.lastPeerInContact !== null) this.requestProbe(machine, now);
+    machine.lastPeerInContact = peer;
   }
 
   /**
--- a/packages/controller/src/heartbeats/task-reconciler.ts
+++ b/packages/controller/src/heartbeats/task-reconciler.ts
@@ -84,7 +84,7 @@
       jobClass: job.spec.jobClass,
       machine: machine.name,
       type: machine.capacity?.name,
-      sinceSubmit: toLoggedSeconds(now - job.arrivedAt),
+      sinceSubmit: toLoggedSeconds(now - job.eligibleAt),
       sincePlan: toLoggedSeconds(now - allocation.plannedAt),
       gb: job.spec.imageSizeGb,
       cached: machine.images.has(job.imageIndex),
@@ -118,7 +118,7 @@
     const { job, machine } = allocation;
     switch (exitReason) {
       case 'stopped':
-        if (allocation.stopGraceS === null) job.stoppedByOthersAt = now;
+        if (allocation.stopGraceS === null) job.lastExternalStopAt = now;
         return;
       case 'error':
         return this.allocations.failureAttribution.recordFailure(allocation, now);
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -150,8 +150,8 @@
   private shardSummaries(now: Milliseconds): Map<number, ShardSummary> {
     const { clusterState, peers } = this.context;
     const summaries = new Map<number, ShardSummary>();
-    for (const { status, heardAt } of peers.values()) {
-      if (now - heardAt > MAX_SUMMARY_AGE_MS) continue;
+    for (const { status, lastStatusAt } of peers.values()) {
+      if (now - lastStatusAt > MAX_SUMMARY_AGE_MS) continue;
       for (const summary of status.shards)
         if (clusterState.leaseOf(summary.shard)?.holder.controller === status.node) summaries.set(summary.shard, summary);
     }
--- a/packages/controller/src/leadership/peer-registry.ts
+++ b/packages/controller/src/leadership/peer-registry.ts
@@ -16,7 +16,7 @@
 interface Peer {
   status: PeerStatus;
   runningJobs: Map<string, RunningTasks>;
-  heardAt: Milliseconds;
+  lastStatusAt: Milliseconds;
   isConnected: boolean;
 }
 
@@ -29,12 +29,12 @@
 
   isPeerAlive(controller: string, now: Milliseconds): boolean {
     const peer = this.registry.get(controller);
-    return peer?.isConnected === true && now - peer.heardAt < PEER_SILENT_MS;
+    return peer?.isConnected === true && now - peer.lastStatusAt < PEER_SILENT_MS;
   }
 
   /** A status came over the peer's link, which therefore is up. */
   receiveStatus(status: PeerStatus, now: Milliseconds): void {
-    this.registry.set(status.node, { status, runningJobs: this.runningJobsAfter(status), heardAt: now, isConnected: true });
+    this.registry.set(status.node, { status, runningJobs: this.runningJobsAfter(status), lastStatusAt: now, isConnected: true });
   }
 
   /**
@@ -49,7 +49,7 @@
     this.registry.set(status.node, {
       status,
       runningJobs: this.registry.get(status.node)?.runningJobs ?? new Map(),
-      heardAt: now,
+      lastStatusAt: now,
       isConnected: false,
     });
   }
@@ -61,7 +61,7 @@
   }
 
   processPaused(pausedMs: Milliseconds): void {
-    for (const peer of this.registry.values()) peer.heardAt += pausedMs;
+    for (const peer of this.registry.values()) peer.lastStatusAt += pausedMs;
   }
 
   /** Can more machines of this type be provisioned, by the status of the peer that leads? False if none is known to lead. */
--- a/packages/controller/src/leadership/shard-leases.ts
+++ b/packages/controller/src/leadership/shard-leases.ts
@@ -106,14 +106,14 @@
     if (knownRevision === revision) return;
     this.heldLeases.set(lease, revision);
     this.context.log('info', 'shard lease acquired', { lease: String(lease), revision });
-    this.context.leaseAcquired(lease, revision);
+    this.context.onLeaseAcquired(lease, revision);
   }
 
   private leaseNotHeld(lease: LeaseName, holder: string | null): void {
     if (!this.heldLeases.delete(lease)) return;
     this.releasing.delete(lease);
     this.context.log('info', 'shard lease lost', { lease: String(lease), to: holder });
-    this.context.leaseLost(lease);
+    this.context.onLeaseLost(lease);
   }
 
   private claimIfDue(lease: LeaseName, now: Milliseconds): void {
--- a/packages/controller/src/model/job.ts
+++ b/packages/controller/src/model/job.ts
@@ -57,7 +57,7 @@
   gangFailed = false;
   progressWriteQueued = false;
   /** some tasks may be done without being stored as done */
-  progressUnstored = true;
+  hasUnstoredProgress = true;
   completionWriteQueued = false;
 }
 
@@ -92,7 +92,7 @@
   /** revision of the job's record */
   modRevision = 0;
   /** start of the job's waiting time: when this controller first read the job, or when its last dependency was done */
-  arrivedAt: Milliseconds = 0;
+  eligibleAt: Milliseconds = 0;
   /** time of day of the submission, ms */
   submittedAt = 0;
   /** when this controller first read the job's cancellation; null: the job isn't cancelled */
@@ -125,7 +125,7 @@
   /** longest measured run time of a task that is done; 0: none was measured */
   longestRunS = 0;
   /** when a task was last reported as stopped although this controller had sent no stop command */
-  stoppedByOthersAt: Milliseconds = NEVER;
+  lastExternalStopAt: Milliseconds = NEVER;
 
   // ---- intended: written by the holder of the shard lease
 
@@ -221,7 +221,7 @@
   }
 
   /** Like `nextPendingTask`, but tasks that were never allocated come first: in a crash-looping job these have not failed yet. */
-  nextUntriedTaskFirst(): number {
+  nextPendingTaskUntriedFirst(): number {
     const releasedTasks = this.tenure.releasedTasks;
     this.tenure.releasedTasks = [];
     const index = this.nextPendingTask();
--- a/packages/controller/src/model/machine.ts
+++ b/packages/controller/src/model/machine.ts
@@ -14,7 +14,7 @@
 export const UNKNOWN_EPOCH = 0;
 
 /** The sequence number before the first heartbeat of an agent epoch; actual sequence numbers are larger. */
-export const NOTHING_HEARD = -1;
+export const NO_SEQUENCE = -1;
 
 /** The position of a heartbeat among all heartbeats of its worker. */
 export interface HeartbeatPosition {
@@ -25,7 +25,7 @@
 }
 
 /** Below every priority: the machine's heartbeats name no job in the cluster state. */
-export const LOWEST_REPORTED_PRIORITY = -1;
+export const NO_REPORTED_PRIORITY = -1;
 
 /** The reason for releasing a machine to the cloud. */
 export type ReleaseReason =
@@ -58,7 +58,7 @@
   /** increases when the agent restarts or its lease expires; its tasks are gone then */
   agentEpoch = UNKNOWN_EPOCH;
   /** sequence number of the newest heartbeat in this epoch */
-  sequence = NOTHING_HEARD;
+  sequence = NO_SEQUENCE;
   /**
    * when the last heartbeat arrived at this controller or a peer, or else when the tenure began; unlike `lastHeartbeatAt`, not
    * shifted by pauses of this process
@@ -69,7 +69,7 @@
   /** a probe was sent in this tenure, or since the token was last raised; only then does silence count against the machine */
   isProbed = false;
   /** highest priority of the jobs that its heartbeats named before it was verified; used only to order probes */
-  reportedPriority = LOWEST_REPORTED_PRIORITY;
+  reportedPriority = NO_REPORTED_PRIORITY;
   /** consecutive commands without a response; heartbeats don't reset it, since a machine that sends them may be unreachable */
   unansweredCommands = 0;
   unansweredSince: Milliseconds | null = null;
@@ -108,7 +108,7 @@
   }
 
   /** Restarts the measurement of silence: a heartbeat arrived, or silence is to be measured from `now`. */
-  beginSilence(now: Milliseconds): void {
+  resetContact(now: Milliseconds): void {
     this.lastHeartbeatAt = now;
     this.lastContactAt = now;
   }
@@ -171,9 +171,9 @@
   /** sizes in GB of the cached images, by the index of the image's name, least recently used first */
   images = new Map<number, number>();
   /** when another controller last reported that it is in contact with the machine */
-  heardByPeerAt: Milliseconds = NEVER;
+  lastPeerContactAt: Milliseconds = NEVER;
   /** name of that controller; null: none has reported contact */
-  heardByPeer: string | null = null;
+  lastPeerInContact: string | null = null;
   /** since when the machine has no allocations */
   idleSince: Milliseconds = 0;
 
--- a/packages/controller/src/scheduling/array-postponement.ts
+++ b/packages/controller/src/scheduling/array-postponement.ts
@@ -74,7 +74,7 @@
       // An array that can meet none of its deadlines is scheduled last, the shortest first. An array that has waited too long
       // is scheduled first, so that none waits forever.
       const startDeadline = deadlines[index] ?? now + MISSED_ALL_DEADLINES_DELAY_MS + durationMs;
-      queued.startDeadline = hasWaitedTooLong(queued.job, now) ? queued.job.arrivedAt : startDeadline;
+      queued.startDeadline = hasWaitedTooLong(queued.job, now) ? queued.job.eligibleAt : startDeadline;
     });
   }
 
@@ -91,5 +91,5 @@
 }
 
 function hasWaitedTooLong(job: Job, now: Milliseconds): boolean {
-  return job.doneCount === 0 && job.tenure.allocations.size === 0 && now - job.arrivedAt > MAX_ARRAY_WAIT_MS;
+  return job.doneCount === 0 && job.tenure.allocations.size === 0 && now - job.eligibleAt > MAX_ARRAY_WAIT_MS;
 }
--- a/packages/controller/src/scheduling/crash-loop-retries.ts
+++ b/packages/controller/src/scheduling/crash-loop-retries.ts
@@ -44,7 +44,7 @@
       const free = candidates.find(
         (candidate) => fits(job.resources, candidate) && zoneAllowsTask(job, tasksInZones, candidate.machine.zoneIndex),
       );
-      const taskIndex = free ? job.nextUntriedTaskFirst() : -1;
+      const taskIndex = free ? job.nextPendingTaskUntriedFirst() : -1;
       if (!free || taskIndex < 0) return;
       this.binder.bindTask(job, taskIndex, free, run);
       countTaskInZone(tasksInZones, free.machine.zoneIndex);
--- a/packages/controller/src/scheduling/queue-order.ts
+++ b/packages/controller/src/scheduling/queue-order.ts
@@ -61,7 +61,7 @@
 
   private isAged(job: Job, now: Milliseconds): boolean {
     const agedAfterMs = AGED_GANG_PLAN_WAITS * this.context.settings.policy.planWaitS * 1000;
-    return job.spec.shape === 'gang' && now - job.arrivedAt > agedAfterMs;
+    return job.spec.shape === 'gang' && now - job.eligibleAt > agedAfterMs;
   }
 }
 
--- a/packages/controller/src/scheduling/start-deadlines.ts
+++ b/packages/controller/src/scheduling/start-deadlines.ts
@@ -63,7 +63,7 @@
       if (at > now - ATTAINABLE_GRACE_MS) result.push(at);
     };
     for (const { kind, withinMs } of this.timeObjectives.get(job.spec.jobClass) ?? [])
-      addIfAttainable(job.arrivedAt + withinMs - (kind === 'wait' ? imageFetchMs : runMs + imageFetchMs));
+      addIfAttainable(job.eligibleAt + withinMs - (kind === 'wait' ? imageFetchMs : runMs + imageFetchMs));
     for (const at of this.startsForDeadlines(job)) addIfAttainable(at);
     return result.sort((a, b) => a - b);
   }
@@ -82,7 +82,7 @@
   }
 
   private fallbackDeadline(job: Job): Milliseconds {
-    if (this.timeObjectives.has(job.spec.jobClass)) return job.arrivedAt + MISSED_ALL_OBJECTIVES_DELAY_MS;
-    return job.arrivedAt + (job.spec.deadlineS ?? DEFAULT_DEADLINE_S) * 1000;
+    if (this.timeObjectives.has(job.spec.jobClass)) return job.eligibleAt + MISSED_ALL_OBJECTIVES_DELAY_MS;
+    return job.eligibleAt + (job.spec.deadlineS ?? DEFAULT_DEADLINE_S) * 1000;
   }
 }
--- a/packages/controller/src/shards/job-completion-writer.ts
+++ b/packages/controller/src/shards/job-completion-writer.ts
@@ -42,7 +42,7 @@
     this.context.log('debug', 'job done', {
       job: job.spec.id,
       jobClass: job.spec.jobClass,
-      sinceReady: toLoggedSeconds(now - job.arrivedAt),
+      sinceReady: toLoggedSeconds(now - job.eligibleAt),
       sinceSubmit: toLoggedSeconds(now + wallClockOffsetMs - job.submittedAt),
       // The margin to the job's own deadline, or to an earlier one derived from the jobs that depend on it.
       spare: Number.isFinite(job.effectiveDeadlineAt) ? toLoggedSeconds(job.effectiveDeadlineAt - wallClockOffsetMs - now) : null,
--- a/packages/controller/src/shards/probe-selection.ts
+++ b/packages/controller/src/shards/probe-selection.ts
@@ -4,7 +4,7 @@
  */
 import { hasCancelledWork, hasRecentContact } from '../allocation/index.js';
 import type { SettingsView } from '../context/index.js';
-import { CANCELLED_WORK_PRIORITY, LOWEST_REPORTED_PRIORITY, type Machine, type Milliseconds } from '../model/index.js';
+import { CANCELLED_WORK_PRIORITY, type Machine, type Milliseconds, NO_REPORTED_PRIORITY } from '../model/index.js';
 import { isBeyondForgiveness, isUnanswering } from './machine-silence.js';
 
 /**
@@ -97,7 +97,7 @@
 function sortForProbing(machines: Machine[]): void {
   const priorities = new Map<Machine, number>();
   for (const machine of machines) priorities.set(machine, probePriority(machine));
-  const priorityOf = (machine: Machine) => priorities.get(machine) ?? LOWEST_REPORTED_PRIORITY;
+  const priorityOf = (machine: Machine) => priorities.get(machine) ?? NO_REPORTED_PRIORITY;
   machines.sort(
     (a, b) => unansweredOrder(a) - unansweredOrder(b) || priorityOf(b) - priorityOf(a) || a.lastProbeAt - b.lastProbeAt,
   );
--- a/packages/controller/src/shards/progress-writer.ts
+++ b/packages/controller/src/shards/progress-writer.ts
@@ -30,7 +30,7 @@
       job.done[index] = 1;
       job.doneCount++;
     }
-    job.tenure.progressUnstored = true;
+    job.tenure.hasUnstoredProgress = true;
     // A gang completes together: if one task is done, all are.
     if (job.spec.shape === 'gang') {
       job.done.fill(1);
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -228,7 +228,7 @@
     this.machineLifecycle.failureDetector.processPaused();
     for (const machine of this.context.clusterState.machines.values()) {
       machine.tenure.lastHeartbeatAt = Math.min(now, machine.tenure.lastHeartbeatAt + pauseMs);
-      machine.heardByPeerAt = Math.min(now, machine.heardByPeerAt + pauseMs);
+      machine.lastPeerContactAt = Math.min(now, machine.lastPeerContactAt + pauseMs);
       if (machine.tenure.unansweredSince !== null)
         machine.tenure.unansweredSince = Math.min(now, machine.tenure.unansweredSince + pauseMs);
     }
--- a/packages/controller/src/shards/shard-debug-summary.ts
+++ b/packages/controller/src/shards/shard-debug-summary.ts
@@ -93,5 +93,5 @@
 function waitingTasks({ allocations }: ShardDebugSources, shard: number, now: Milliseconds): string[] {
   return allocations.unmetDemand
     .filter((unmet) => unmet.job.shard === shard)
-    .map(({ job, count }) => `${job.spec.jobClass} ${count} for ${Math.round((now - job.arrivedAt) / 1000)} s`);
+    .map(({ job, count }) => `${job.spec.jobClass} ${count} for ${Math.round((now - job.eligibleAt) / 1000)} s`);
 }
--- a/packages/controller/src/shards/shard-summary.ts
+++ b/packages/controller/src/shards/shard-summary.ts
@@ -130,7 +130,7 @@
       withinQuota,
       count,
       gang: shape === 'gang',
-      waitS: (now - Math.max(job.arrivedAt, job.waitingSince ?? 0)) / 1000,
+      waitS: (now - Math.max(job.eligibleAt, job.waitingSince ?? 0)) / 1000,
       slackS: Math.max(-MAX_SLACK_S, Math.min(MAX_SLACK_S, slackS)),
       excludedZones: shape === 'gang' ? [] : this.excludedZones(job),
     };
--- a/packages/controller/src/shards/task-checkpoint-writer.ts
+++ b/packages/controller/src/shards/task-checkpoint-writer.ts
@@ -32,12 +32,12 @@
    */
   write(job: Job): void {
     const { tenure } = job;
-    if (tenure.progressWriteQueued || !tenure.progressUnstored) return;
+    if (tenure.progressWriteQueued || !tenure.hasUnstoredProgress) return;
     if (this.allocations.now - job.progressWrittenAt < CHECKPOINT_INTERVAL_MS) return;
     const parts = this.context.clusterState.progressLayout.parts(job.spec.tasks);
     const unstored = parts.find((part) => hasUnstoredTask(job, part));
     if (unstored) this.writePart(job, unstored);
-    else tenure.progressUnstored = false;
+    else tenure.hasUnstoredProgress = false;
   }
 
   private writePart(job: Job, part: ProgressPart): void {
--- a/packages/controller/src/state/job-registry.ts
+++ b/packages/controller/src/state/job-registry.ts
@@ -115,7 +115,7 @@
    */
   private register(spec: JobSpec, stored: StoredJob, now: Milliseconds, cancelledJobs: Job[]): Job {
     const job = this.host.createJob(spec);
-    job.arrivedAt = now;
+    job.eligibleAt = now;
     job.setSubmittedAt(stored.submittedAt);
     const finalState = this.finishedJobs.get(spec.id);
     if (finalState) job.state = finalState;
@@ -143,7 +143,7 @@
 
   /** Counts the waiting time from the end of the last dependency, no matter which controller observed that end. */
   private restartWaitingTime(job: Job, now: Milliseconds): void {
-    job.arrivedAt = job.dependenciesDoneAt > 0 ? Math.min(now, job.dependenciesDoneAt - this.wallClockOffsetMs) : now;
+    job.eligibleAt = job.dependenciesDoneAt > 0 ? Math.min(now, job.dependenciesDoneAt - this.wallClockOffsetMs) : now;
   }
 
   /** The time limit for stopping a cancelled job counts from when this controller first read the cancellation. */
--- a/packages/controller/src/state/machine-registry.ts
+++ b/packages/controller/src/state/machine-registry.ts
@@ -75,7 +75,7 @@
     const capacity = this.parts.machineTypeRegistry.types[typeIndex] ?? null;
     const { address, spot } = assignment;
     const machine = new Machine({ name, address, typeIndex, zoneIndex, spot, capacity });
-    machine.tenure.beginSilence(now);
+    machine.tenure.resetContact(now);
     machine.idleSince = now;
     this.machines.set(name, machine);
     return machine;
--- a/test/dependency-priorities.test.ts
+++ b/test/dependency-priorities.test.ts
@@ -90,7 +90,7 @@
   cluster.controller('n1').restart();
   cluster.run(5);
   for (const node of cluster.controllers) {
-    const at = node.controller.clusterState.jobs.get('run-next')?.arrivedAt ?? 0;
+    const at = node.controller.clusterState.jobs.get('run-next')?.eligibleAt ?? 0;
     assert.ok(Math.abs(at - ended) < 2500, `${node.name}: ${at - ended} ms apart`);
   }
 });
