--- a/packages/controller/src/capacity/autoscaler.ts
+++ b/packages/controller/src/capacity/autoscaler.ts
@@ -29,10 +29,10 @@
 const LIST_LAG_MARGIN_MS = 2000;
 
 /** A running machine from which no heartbeat has arrived is released only after the leadership has lasted this long. */
-const UNHEARD_GRACE_MS = 60_000;
+const NO_HEARTBEAT_GRACE_MS = 60_000;
 
 /** A machine is released if it isn't up after this multiple of the boot time limit of its type. */
-const RELEASE_AFTER_BOOT_LIMITS = 2;
+const RELEASE_BOOT_LIMIT_FACTOR = 2;
 
 /** The parts of the controller's context that the autoscaler uses. */
 type AutoscalerContext = SettingsView & ClusterStateView & EffectSink & Logger;
@@ -75,10 +75,10 @@
   }
 
   /** Called when this controller becomes the leader; `revision` is that of the leader lease. */
-  leaseAcquired(revision: number, now: Milliseconds): void {
+  onLeaseAcquired(revision: number, now: Milliseconds): void {
     this.term = { since: now, isTakeover: this.context.clusterState.machines.size > 0 };
-    this.provisioner.leaseAcquired(revision);
-    this.machineList.leaseAcquired();
+    this.provisioner.onLeaseAcquired(revision);
+    this.machineList.onLeaseAcquired();
   }
 
   /** Whether a list of the cloud's machines has been received since this leadership began. */
@@ -98,13 +98,13 @@
   }
 
   /** Records the boot time of an unassigned machine that has sent a heartbeat, for the estimate of later boot times. */
-  machineStarted(machine: string, kind: InstanceKind, now: Milliseconds): void {
+  recordBoot(machine: string, kind: InstanceKind, now: Milliseconds): void {
     const ageMs = this.ageMs(machine, now);
     if (ageMs !== null) this.bootMonitor.recordBoot(kind, ageMs, now);
   }
 
   /** Called when the write of the machine's assignment has completed: from then on its shard accounts for the machine. */
-  machineAssigned(machine: string): void {
+  onMachineAssigned(machine: string): void {
     this.tracker.forget(machine);
   }
 
@@ -114,8 +114,8 @@
   }
 
   /** Called when the machine was released, by any part of this or another controller. */
-  machineReleased(machine: string, now: Milliseconds): void {
-    this.releases.released(machine, now);
+  onMachineReleased(machine: string, now: Milliseconds): void {
+    this.releases.recordRelease(machine, now);
     this.tracker.forget(machine);
   }
 
@@ -130,8 +130,8 @@
   }
 
   /** Called when a machine is gone: the cloud may have capacity for another one of its kind. */
-  capacityFreed(machine: Machine, now: Milliseconds): void {
-    this.pools.capacityFreed(instanceKindOf(this.context, machine), now);
+  onCapacityFreed(machine: Machine, now: Milliseconds): void {
+    this.pools.recordFreedCapacity(instanceKindOf(this.context, machine), now);
   }
 
   /** Returns all kinds of machines that can be provisioned. */
@@ -207,8 +207,8 @@
     for (const listed of this.machineList.values()) {
       if (listed.state === 'failed' || this.context.clusterState.machines.has(listed.machine)) continue;
       if (this.releases.isRemembered(listed.machine)) continue;
-      const isDue = this.machineList.ageMs(listed, now) < this.bootMonitor.limitMs(listed.type, now);
-      if (isDue) arriving.push(listed);
+      const isWithinLimit = this.machineList.ageMs(listed, now) < this.bootMonitor.limitMs(listed.type, now);
+      if (isWithinLimit) arriving.push(listed);
       else overdue.push(listed);
     }
     this.bootMonitor.setOverdue(overdue);
@@ -216,23 +216,23 @@
   }
 
   /** Releases machines that never came up, or that failed before they were assigned. One request is pending at a time. */
-  releaseOverdue(now: Milliseconds): void {
+  releaseUnbootedMachines(now: Milliseconds): void {
     if (this.releases.hasPending) return;
-    const overdue: string[] = [];
-    for (const listed of this.machineList.values()) if (this.isToRelease(listed, now)) overdue.push(listed.machine);
+    const unbooted: string[] = [];
+    for (const listed of this.machineList.values()) if (this.shouldRelease(listed, now)) unbooted.push(listed.machine);
     this.tracker.forgetOlderThan(this.machineList.visibilityMs, now);
-    if (overdue.length === 0) return;
-    const machines = overdue.slice(0, MAX_MACHINES_PER_RELEASE);
+    if (unbooted.length === 0) return;
+    const machines = unbooted.slice(0, MAX_MACHINES_PER_RELEASE);
     const id = this.context.nextEffectId();
-    this.releases.requestSent(id, machines);
+    this.releases.addRequest(id, machines);
     this.context.log('info', 'releasing machines that never booted', { machines });
     this.context.emit({ type: 'release', id, machines });
   }
 
-  private isToRelease(listed: ListedMachine, now: Milliseconds): boolean {
+  private shouldRelease(listed: ListedMachine, now: Milliseconds): boolean {
     const { machine } = listed;
     if (this.context.clusterState.machines.has(machine) || this.dependencies.isAssignmentPending(machine)) return false;
-    return !this.releases.mayBeListed(machine, now) && this.isOverdue(listed, now);
+    return !this.releases.mayBeListed(machine, now) && this.hasFailedToBoot(listed, now);
   }
 
   /**
@@ -240,18 +240,18 @@
    * after a leadership begins, since heartbeats of their workers may not have reached the new leader yet. Without it, a new
    * leader released all long-running machines that had not reported within its first second.
    */
-  private isOverdue(listed: ListedMachine, now: Milliseconds): boolean {
+  private hasFailedToBoot(listed: ListedMachine, now: Milliseconds): boolean {
     if (listed.state === 'failed') return true;
-    const limitMs = RELEASE_AFTER_BOOT_LIMITS * this.bootMonitor.limitMs(listed.type, now);
+    const limitMs = RELEASE_BOOT_LIMIT_FACTOR * this.bootMonitor.limitMs(listed.type, now);
     if (this.machineList.ageMs(listed, now) <= limitMs) return false;
-    return listed.state !== 'running' || now - this.term.since > UNHEARD_GRACE_MS;
+    return listed.state !== 'running' || now - this.term.since > NO_HEARTBEAT_GRACE_MS;
   }
 
   /** Handles the outcome of a release. Returns false if the autoscaler didn't request this release. */
   handleReleaseOutcome(id: number, isReleased: boolean, now: Milliseconds): boolean {
-    const machines = this.releases.requestEnded(id);
+    const machines = this.releases.removeRequest(id);
     if (!machines) return false;
-    if (isReleased) for (const machine of machines) this.machineReleased(machine, now);
+    if (isReleased) for (const machine of machines) this.onMachineReleased(machine, now);
     return true;
   }
 
--- a/packages/controller/src/capacity/demand-provisioning.ts
+++ b/packages/controller/src/capacity/demand-provisioning.ts
@@ -89,7 +89,7 @@
   for (const offer of offers) {
     if (remainingTasks <= 0) break;
     const { type, zone, spot } = offer.kind;
-    if (!matchesDemand(demand, type, zone, spot) || isKeptFromDemand(offer, demand)) continue;
+    if (!matchesDemand(demand, type, zone, spot) || isReservedForOtherWork(offer, demand)) continue;
     const count = Math.min(remainingTasks, countThatFit(demand, offer));
     remainingTasks -= count;
     subtractTasks(offer, demand, count);
@@ -101,7 +101,7 @@
  * Reports whether the offer is reserved for other work. Idle machines serve only work that needs accelerators; those without
  * accelerators also serve other urgent work.
  */
-function isKeptFromDemand(offer: CapacityOffer, demand: ResourceDemand): boolean {
+function isReservedForOtherWork(offer: CapacityOffer, demand: ResourceDemand): boolean {
   return offer.isIdle && demand.gpus === 0 && (demand.priority < URGENT_PRIORITY || offer.type.gpus > 0);
 }
 
--- a/packages/controller/src/capacity/instance-choice.ts
+++ b/packages/controller/src/capacity/instance-choice.ts
@@ -15,7 +15,7 @@
 const EXPENSIVE_GPU_FACTOR = 1;
 
 /** No expensive machine is provisioned for work whose slack exceeds the boot time by more than this. */
-const SPARE_SLACK_S = 25;
+const DEFERRABLE_SLACK_S = 25;
 
 /** Price multipliers for a kind in a zone that is cut off, and for a kind that fails to boot. */
 const CUT_ZONE_FACTOR = 10;
@@ -50,7 +50,7 @@
     const { kind, type } = option;
     const count = countThatFit(demand, type);
     if (count < 1 || !matchesDemand(demand, kind.type, kind.zone, kind.spot)) continue;
-    if (!snapshot.isRequestDue(kind) || !isWorthItsPrice(option, demand, market)) continue;
+    if (!snapshot.isRequestDue(kind) || !isPriceAcceptable(option, demand, market)) continue;
     const cost = costPerTask(option, Math.min(count, remainingTasks), snapshot, market);
     if (!best || cost < lowestCost) {
       best = option;
@@ -63,12 +63,12 @@
 const hourlyPrice = ({ kind, type }: InstanceOption): number => (kind.spot ? type.spotPrice : type.price);
 
 /** Reports whether the price of the option is acceptable for this demand. */
-function isWorthItsPrice(option: InstanceOption, demand: ResourceDemand, { lowestPricePerCpu }: Market): boolean {
+function isPriceAcceptable(option: InstanceOption, demand: ResourceDemand, { lowestPricePerCpu }: Market): boolean {
   if (demand.gpus !== 0 || demand.priority >= URGENT_PRIORITY) return true;
   const { kind, type } = option;
   const pricePerCpu = hourlyPrice(option) / type.cpus;
   // Work that can wait gets no expensive machine: a cheap one may become free in time.
-  if (pricePerCpu > EXPENSIVE_FACTOR * lowestPricePerCpu && demand.slackS > type.bootS + SPARE_SLACK_S) return false;
+  if (pricePerCpu > EXPENSIVE_FACTOR * lowestPricePerCpu && demand.slackS > type.bootS + DEFERRABLE_SLACK_S) return false;
   if (demand.priority !== LOWEST_PRIORITY) return true;
   // The lowest priority gets idle and cheap machines: an ordinary one only after a long wait, so that it starts at all, and
   // practically none with accelerators.
--- a/packages/controller/src/capacity/instance-pools.ts
+++ b/packages/controller/src/capacity/instance-pools.ts
@@ -48,14 +48,14 @@
   }
 
   /** Records that a machine of the kind is gone: the cloud may have capacity for another one, so the retry delay is shortened. */
-  capacityFreed(kind: InstanceKind, now: Milliseconds): void {
+  recordFreedCapacity(kind: InstanceKind, now: Milliseconds): void {
     const pool = this.pool(kind);
     pool.retryAt = Math.min(pool.retryAt, now + FREED_CAPACITY_RETRY_MS);
     pool.refusals = 0;
   }
 
   /** Records that the cloud provisioned `provisionedCount` of the `requestedCount` machines. */
-  requestFulfilled(kind: InstanceKind, requestedCount: number, provisionedCount: number, now: Milliseconds): void {
+  recordFulfillment(kind: InstanceKind, requestedCount: number, provisionedCount: number, now: Milliseconds): void {
     const pool = this.pool(kind);
     const isFilled = provisionedCount >= requestedCount;
     pool.wasFilled = !kind.spot && isFilled;
@@ -64,7 +64,7 @@
   }
 
   /** Records that the cloud provisioned no machine. The delay grows with every consecutive refusal, up to `maxDelayMs`. */
-  requestRefused(kind: InstanceKind, maxDelayMs: Milliseconds, now: Milliseconds): void {
+  recordRefusal(kind: InstanceKind, maxDelayMs: Milliseconds, now: Milliseconds): void {
     const pool = this.pool(kind);
     pool.refusals++;
     pool.wasFilled = false;
@@ -72,7 +72,7 @@
   }
 
   /** Sets the retry delay of the kind, regardless of the last response. */
-  delay(kind: InstanceKind, delayMs: Milliseconds, now: Milliseconds): void {
+  delayRequests(kind: InstanceKind, delayMs: Milliseconds, now: Milliseconds): void {
     this.pool(kind).retryAt = now + delayMs;
   }
 
--- a/packages/controller/src/capacity/machine-assigner.ts
+++ b/packages/controller/src/capacity/machine-assigner.ts
@@ -45,7 +45,7 @@
   ) {}
 
   /** Records a heartbeat of a machine without an assignment. */
-  machineReported(unassigned: UnassignedMachine, now: Milliseconds): void {
+  recordHeartbeat(unassigned: UnassignedMachine, now: Milliseconds): void {
     this.unassignedHeartbeats.set(unassigned.machine, { machine: unassigned, at: now });
   }
 
@@ -79,8 +79,8 @@
     this.allocateRecentAssignments(pending, now);
     const balance = new ShardBalance(this.context, this.recentAssignments);
     for (const unassigned of unassignedMachines.values()) {
-      this.autoscaler.machineStarted(unassigned.machine, unassigned, now);
-      const shard = this.shardInNeed(unassigned, pending) ?? balance.worstOff(unassigned.type);
+      this.autoscaler.recordBoot(unassigned.machine, unassigned, now);
+      const shard = this.findShardWithDemand(unassigned, pending) ?? balance.leastProvisionedShard(unassigned.type);
       balance.add(unassigned.type, shard);
       this.writeAssignment(unassigned, shard, leaderRevision, now);
     }
@@ -123,7 +123,7 @@
       expiresAt: now + ASSIGNMENT_EXPIRES_MS,
       onOutcome: () => {
         this.pendingWrites.delete(machine);
-        this.autoscaler.machineAssigned(machine);
+        this.autoscaler.onMachineAssigned(machine);
       },
     });
   }
@@ -132,7 +132,7 @@
    * Returns the shard of the first demand that the machine serves, or null. For ordinary machines with accelerators, work that
    * needs accelerators comes first. The tasks that the machine will run are counted as served.
    */
-  private shardInNeed(unassigned: UnassignedMachine, pending: PendingDemand[]): number | null {
+  private findShardWithDemand(unassigned: UnassignedMachine, pending: PendingDemand[]): number | null {
     const { type, zone, spot } = unassigned;
     const capacity = machineTypeNamed(this.context, type);
     if (!capacity) return null;
--- a/packages/controller/src/capacity/machine-list.ts
+++ b/packages/controller/src/capacity/machine-list.ts
@@ -31,7 +31,7 @@
   constructor(private readonly context: SettingsView & EffectSink) {}
 
   /** Called when a leadership begins: a new list has to be received. The machines of the last list are kept until then. */
-  leaseAcquired(): void {
+  onLeaseAcquired(): void {
     this.isRequestPending = false;
     this.receivedAt = null;
   }
--- a/packages/controller/src/capacity/machine-type-catalogue.ts
+++ b/packages/controller/src/capacity/machine-type-catalogue.ts
@@ -54,16 +54,16 @@
   private store(types: MachineType[], now: Milliseconds): void {
     const whole = encodeMachineTypes(types);
     if (encodedBytes(StateKey.machineTypes, whole) <= this.context.clusterState.sizeLimits.maxWriteBytes) {
-      this.storeOnce(StateKey.machineTypes, whole, now);
+      this.storeIfAbsent(StateKey.machineTypes, whole, now);
       return;
     }
     encodeMachineTypesParts(types).forEach((part, index) => {
-      this.storeOnce(StateKey.machineTypesPart(index), part, now);
+      this.storeIfAbsent(StateKey.machineTypesPart(index), part, now);
     });
   }
 
   /** Writes the key unless it exists. In that case another controller has already stored the same list. */
-  private storeOnce(key: string, value: unknown, now: Milliseconds): void {
+  private storeIfAbsent(key: string, value: unknown, now: Milliseconds): void {
     this.context.writer.add({
       key,
       value: () => value,
--- a/packages/controller/src/capacity/move-options.ts
+++ b/packages/controller/src/capacity/move-options.ts
@@ -8,7 +8,7 @@
 import { type PendingDemand, servesDemand, URGENT_PRIORITY } from './demand.js';
 
 /** Work of the highest priority that has waited this multiple of `planWaitS` may displace protected work of other shards. */
-const PRESSING_AFTER_PLAN_WAITS = 1.5;
+const PROTECTED_DISPLACEMENT_PLAN_WAITS = 1.5;
 
 /** Services are displaced only for work that has waited at least this long. */
 const SERVICE_DISPLACEMENT_WAIT_S = 3;
@@ -79,13 +79,13 @@
   /** Reports whether the machine is reserved for other work: for what runs on it, or for work that can use no other kind. */
   private isReserved({ machine, summary, shard, capacity }: MovableMachine, work: PendingDemand): boolean {
     const { demand } = work;
-    const isPressing = this.isPressing(work, capacity);
-    if (summary.protectedPriority >= URGENT_PRIORITY && !isPressing) return true;
+    const mayDisplaceProtectedWork = this.mayDisplaceProtectedWork(work, capacity);
+    if (summary.protectedPriority >= URGENT_PRIORITY && !mayDisplaceProtectedWork) return true;
     if (demand.gpus > 0) return false;
     if (this.isScarce(machine, shard, capacity)) {
       // No more machines of its type can be provisioned: only urgent work that has found no other machine for some time gets it.
       if (demand.priority < HIGHEST_PRIORITY || demand.waitS < SCARCE_MACHINE_WAIT_S) return true;
-      if (summary.tasks > 0 && !isPressing) return true;
+      if (summary.tasks > 0 && !mayDisplaceProtectedWork) return true;
     }
     // Ordinary machines are kept for work that can't use spot machines.
     if (demand.spot && !machine.spot && this.idleCount(shard) <= MIN_IDLE_ORDINARY_MACHINES) return true;
@@ -96,10 +96,10 @@
    * Reports whether the work may displace protected work: it has the highest priority, has waited longer than its own shard
    * takes to clear a machine, and would use at least half of the machine.
    */
-  private isPressing({ demand, remainingTasks }: PendingDemand, capacity: MachineType): boolean {
+  private mayDisplaceProtectedWork({ demand, remainingTasks }: PendingDemand, capacity: MachineType): boolean {
     return (
       demand.priority >= HIGHEST_PRIORITY &&
-      demand.waitS > PRESSING_AFTER_PLAN_WAITS * this.context.settings.policy.planWaitS &&
+      demand.waitS > PROTECTED_DISPLACEMENT_PLAN_WAITS * this.context.settings.policy.planWaitS &&
       remainingTasks * 2 >= countThatFit(demand, capacity)
     );
   }
@@ -112,8 +112,8 @@
 
   /** Returns the number of idle ordinary machines without accelerators in the shard; computed on first use. */
   private idleCount(shard: ShardSummary): number {
-    const known = this.idleCounts.get(shard.shard);
-    if (known !== undefined) return known;
+    const cached = this.idleCounts.get(shard.shard);
+    if (cached !== undefined) return cached;
     const { machines } = this.context.clusterState;
     const count = shard.machines.filter((summary) => {
       const machine = machines.get(summary.name);
--- a/packages/controller/src/capacity/provisioner.ts
+++ b/packages/controller/src/capacity/provisioner.ts
@@ -61,10 +61,10 @@
   ) {}
 
   /** Called when a leadership begins: request ids contain the revision of the leader lease, which makes them unique. */
-  leaseAcquired(revision: number): void {
+  onLeaseAcquired(revision: number): void {
     this.leaseRevision = revision;
     this.requestCount = 0;
-    this.parts.tracker.leaseAcquired();
+    this.parts.tracker.onLeaseAcquired();
   }
 
   /** Reports whether the interval since the last request has passed. */
@@ -81,7 +81,7 @@
   request({ type, zone, spot }: InstanceKind, count: number, now: Milliseconds): void {
     const id = this.context.nextEffectId();
     const requestId = `r-${this.leaseRevision}-${++this.requestCount}`;
-    this.parts.tracker.requestSent(id, { type, zone, spot }, count, now);
+    this.parts.tracker.addRequest(id, { type, zone, spot }, count, now);
     this.context.log('info', 'provisioning machines', { request: requestId, type, zone, spot, count });
     this.context.emit({ type: 'provision', id, request: { requestId, machineType: type, zone, spot, count } });
     this.nextRequestAt = now + Math.max(MIN_REQUEST_INTERVAL_MS, 1000 / this.context.settings.cloud.requestsPerS);
@@ -89,27 +89,27 @@
 
   /** Handles the outcome of a request; outcomes of an earlier leadership's requests are ignored. */
   handleOutcome(id: number, outcome: ProvisioningOutcome, now: Milliseconds): void {
-    const request = this.parts.tracker.requestEnded(id);
+    const request = this.parts.tracker.removeRequest(id);
     if (!request) return;
     switch (outcome.kind) {
       case 'ok':
-        return this.requestFulfilled(request, outcome.machines, now);
+        return this.handleFulfillment(request, outcome.machines, now);
       case 'outOfCapacity':
-        return this.parts.pools.requestRefused(request, this.maxRetryDelayMs(), now);
+        return this.parts.pools.recordRefusal(request, this.maxRetryDelayMs(), now);
       case 'unknown':
         // The request may have been executed: the list will show its machines.
-        return this.parts.pools.delay(request, this.parts.machineList.maxLagMs + UNCERTAIN_REQUEST_MARGIN_MS, now);
+        return this.parts.pools.delayRequests(request, this.parts.machineList.maxLagMs + UNCERTAIN_REQUEST_MARGIN_MS, now);
       default:
         return outcome satisfies never;
     }
   }
 
-  private requestFulfilled(request: PendingProvisioning, machines: string[], now: Milliseconds): void {
+  private handleFulfillment(request: PendingProvisioning, machines: string[], now: Milliseconds): void {
     const { tracker, pools, machineList, bootMonitor } = this.parts;
-    for (const machine of machines) if (!machineList.has(machine)) tracker.machineProvisioned(machine, request, now);
-    pools.requestFulfilled(request, request.count, machines.length, now);
+    for (const machine of machines) if (!machineList.has(machine)) tracker.addBootingMachine(machine, request, now);
+    pools.recordFulfillment(request, request.count, machines.length, now);
     // A kind that fails to boot is requested only occasionally.
-    if (bootMonitor.isFailing(request, now)) pools.delay(request, bootMonitor.limitMs(request.type, now) / 2, now);
+    if (bootMonitor.isFailing(request, now)) pools.delayRequests(request, bootMonitor.limitMs(request.type, now) / 2, now);
   }
 
   /**
--- a/packages/controller/src/capacity/provisioning-tracker.ts
+++ b/packages/controller/src/capacity/provisioning-tracker.ts
@@ -21,7 +21,7 @@
   private readonly bootingMachines = new Map<string, BootingMachine>();
 
   /** Called when a leadership begins: the list will show the machines that an earlier leadership requested. */
-  leaseAcquired(): void {
+  onLeaseAcquired(): void {
     this.bootingMachines.clear();
     this.pendingRequests.clear();
   }
@@ -31,12 +31,12 @@
   }
 
   /** Adds a request that was sent; `id` is that of its effect. */
-  requestSent(id: number, { type, zone, spot }: InstanceKind, count: number, now: Milliseconds): void {
+  addRequest(id: number, { type, zone, spot }: InstanceKind, count: number, now: Milliseconds): void {
     this.pendingRequests.set(id, { type, zone, spot, count, at: now });
   }
 
   /** Removes a completed request and returns it; null if it doesn't belong to this leadership. */
-  requestEnded(id: number): PendingProvisioning | null {
+  removeRequest(id: number): PendingProvisioning | null {
     const pending = this.pendingRequests.get(id);
     if (!pending) return null;
     this.pendingRequests.delete(id);
@@ -44,7 +44,7 @@
   }
 
   /** Adds a machine that the cloud provisioned. */
-  machineProvisioned(machine: string, { type, zone, spot }: InstanceKind, now: Milliseconds): void {
+  addBootingMachine(machine: string, { type, zone, spot }: InstanceKind, now: Milliseconds): void {
     this.bootingMachines.set(machine, { type, zone, spot, at: now });
   }
 
--- a/packages/controller/src/capacity/recent-releases.ts
+++ b/packages/controller/src/capacity/recent-releases.ts
@@ -18,12 +18,12 @@
   }
 
   /** Adds a release request of the autoscaler; `id` is that of its effect. */
-  requestSent(id: number, machines: string[]): void {
+  addRequest(id: number, machines: string[]): void {
     this.pending.set(id, machines);
   }
 
   /** Removes a completed request and returns its machines; null if the autoscaler sent no request with this id. */
-  requestEnded(id: number): string[] | null {
+  removeRequest(id: number): string[] | null {
     const machines = this.pending.get(id);
     if (!machines) return null;
     this.pending.delete(id);
@@ -31,7 +31,7 @@
   }
 
   /** Records the release of a machine, and removes releases that are older than `STALE_REPORT_MS`. */
-  released(machine: string, now: Milliseconds): void {
+  recordRelease(machine: string, now: Milliseconds): void {
     this.releasedAt.delete(machine);
     this.releasedAt.set(machine, now);
     for (const [name, at] of this.releasedAt) {
--- a/packages/controller/src/capacity/shard-balance.ts
+++ b/packages/controller/src/capacity/shard-balance.ts
@@ -38,7 +38,7 @@
   }
 
   /** Returns the shard with the fewest machines of the type per weight, the first of equals; 0 if no shard has a team. */
-  worstOff(type: string): number {
+  leastProvisionedShard(type: string): number {
     const counts = this.countsOf(type);
     const weights = this.weightsFor((machineTypeNamed(this.context, type)?.gpus ?? 0) > 0);
     const machinesPerWeight = (shard: number) => (counts[shard] ?? 0) / (weights[shard] ?? 1);
@@ -49,8 +49,8 @@
   }
 
   private countsOf(type: string): number[] {
-    const known = this.machineCounts.get(type);
-    if (known) return known;
+    const cached = this.machineCounts.get(type);
+    if (cached) return cached;
     const counts = new Array<number>(this.context.settings.shardCount).fill(0);
     this.machineCounts.set(type, counts);
     return counts;
@@ -58,8 +58,8 @@
 
   /** Returns each shard's weight: its teams' guaranteed accelerators for machines with accelerators, else its number of teams. */
   private weightsFor(hasGpus: boolean): number[] {
-    const known = this.shardWeights.get(hasGpus);
-    if (known) return known;
+    const cached = this.shardWeights.get(hasGpus);
+    if (cached) return cached;
     const { clusterState, settings } = this.context;
     const weights = new Array<number>(settings.shardCount).fill(0);
     settings.teams.forEach((team, index) => {
--- a/packages/controller/src/capacity/shard-rebalancer.ts
+++ b/packages/controller/src/capacity/shard-rebalancer.ts
@@ -13,8 +13,8 @@
 const ORDER_VISIBILITY_MS = 3000;
 
 /** The minimum interval between two moves of a busy or idle machine, so that it isn't moved back and forth. */
-const MIN_STAY_BUSY_MS = 30_000;
-const MIN_STAY_IDLE_MS = 3000;
+const MIN_BUSY_MOVE_INTERVAL_MS = 30_000;
+const MIN_IDLE_MOVE_INTERVAL_MS = 3000;
 
 /** The minimum interval between two displacements of services. */
 const MIN_SERVICE_DISPLACEMENT_INTERVAL_MS = 3000;
@@ -25,7 +25,7 @@
 /** The parts of the controller's context that the shard rebalancer uses. */
 type ShardRebalancerContext = SettingsView & ClusterStateView & CapacityView;
 
-/** Orders the move of a machine to a shard. If the order can't be written, `orderFailed` is called later. */
+/** Orders the move of a machine to a shard. If the order can't be written, `onOrderFailed` is called later. */
 type OrderMove = (machine: Machine, shard: number) => void;
 
 /** The inputs for planning the moves of a round. */
@@ -47,17 +47,17 @@
   constructor(private readonly context: ShardRebalancerContext) {}
 
   /** Called when a leadership begins: discards the orders of an earlier one. */
-  leaseAcquired(): void {
+  onLeaseAcquired(): void {
     this.orderedMoves.clear();
   }
 
   /** Called when the machine was removed from the cluster. */
-  machineRemoved(name: string): void {
+  onMachineRemoved(name: string): void {
     this.lastMoveAt.delete(name);
   }
 
   /** Called when the order for the machine could not be written. */
-  orderFailed(name: string): void {
+  onOrderFailed(name: string): void {
     this.orderedMoves.delete(name);
   }
 
@@ -134,7 +134,7 @@
 
   private isRecentlyMoved(summary: MachineSummary, now: Milliseconds): boolean {
     const sinceMs = now - (this.lastMoveAt.get(summary.name) ?? NEVER);
-    return sinceMs < (summary.tasks > 0 ? MIN_STAY_BUSY_MS : MIN_STAY_IDLE_MS);
+    return sinceMs < (summary.tasks > 0 ? MIN_BUSY_MOVE_INTERVAL_MS : MIN_IDLE_MOVE_INTERVAL_MS);
   }
 }
 
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -83,8 +83,8 @@
   /** A tenure begins: what was planned in an earlier one doesn't count. `revision`: the fencing token of the tenure. */
   leaseAcquired(revision: number, now: Milliseconds): void {
     this.leaseRevision = revision;
-    this.shardRebalancer.leaseAcquired();
-    this.autoscaler.leaseAcquired(revision, now);
+    this.shardRebalancer.onLeaseAcquired();
+    this.autoscaler.onLeaseAcquired(revision, now);
   }
 
   /** The tenure has ended. */
@@ -94,13 +94,13 @@
 
   /** The machine's assignment is gone: it was released, or lost. */
   machineRemoved(name: string, now: Milliseconds): void {
-    this.shardRebalancer.machineRemoved(name);
-    this.autoscaler.machineReleased(name, now);
+    this.shardRebalancer.onMachineRemoved(name);
+    this.autoscaler.onMachineReleased(name, now);
   }
 
   /** A machine that no shard has sent a heartbeat to this controller. */
   unassignedMachineReported(unassigned: UnassignedMachine, now: Milliseconds): void {
-    this.machineAssigner.machineReported(unassigned, now);
+    this.machineAssigner.recordHeartbeat(unassigned, now);
   }
 
   /** The machines without a shard that sent heartbeats to this controller recently, for the status to the leader. */
@@ -133,7 +133,7 @@
     // Without the types and the cloud's list neither the value of a machine nor which ones are being provisioned is known.
     if (!this.context.clusterState.areMachineTypesKnown || !this.autoscaler.isListKnown) return;
     this.autoscaler.scaleOut(shards, now);
-    this.autoscaler.releaseOverdue(now);
+    this.autoscaler.releaseUnbootedMachines(now);
     if (!this.context.settings.policy.holdSpareCapacity) this.retireIdleMachines(shards, leaseRevision, now);
   }
 
@@ -178,7 +178,7 @@
         priority: WritePriority.assignment,
         now,
         onOutcome: (outcome) => {
-          if (outcome !== 'ok') this.shardRebalancer.orderFailed(machine.name);
+          if (outcome !== 'ok') this.shardRebalancer.onOrderFailed(machine.name);
         },
       },
     );
--- a/packages/controller/src/leadership/replica-listener.ts
+++ b/packages/controller/src/leadership/replica-listener.ts
@@ -74,7 +74,7 @@
     const { now } = this.context;
     if (machine.shard < 0) {
       leader.machineRemoved(machine.name, now);
-      leader.autoscaler.capacityFreed(machine, now);
+      leader.autoscaler.onCapacityFreed(machine, now);
     }
     shardController.onMachineChanged(machine, isShardChanged, now);
   }
--- a/test/autoscaling.test.ts
+++ b/test/autoscaling.test.ts
@@ -105,9 +105,9 @@
   const cluster = new SimulatedCluster();
   cluster.run(3);
   const { autoscaler: rentals } = cluster.controller(holderOf(cluster, 'lead')).controller.leader;
-  for (let index = 0; index < 4000; index++) rentals.machineReleased(`gone${index}`, 1000);
+  for (let index = 0; index < 4000; index++) rentals.onMachineReleased(`gone${index}`, 1000);
   assert.ok(rentals.isRecentlyReleased('gone0', 2000));
-  rentals.machineReleased('later', 200_000);
+  rentals.onMachineReleased('later', 200_000);
   assert.ok(!rentals.isRecentlyReleased('gone0', 200_000));
 });
 
