--- a/packages/controller/src/allocation/failure-attribution.ts
+++ b/packages/controller/src/allocation/failure-attribution.ts
@@ -120,7 +120,7 @@
   }
 
   /** Removes failures on a faulty machine, which is being released, from the records of the jobs, and allows their retry now. */
-  clearJobsOf(machine: Machine): void {
+  discardFailuresOn(machine: Machine): void {
     for (const id of machine.failedJobs) {
       const job = this.context.clusterState.jobs.get(id);
       if (!job) continue;
--- a/packages/controller/src/allocation/machine-schedulability.ts
+++ b/packages/controller/src/allocation/machine-schedulability.ts
@@ -10,19 +10,19 @@
 const MAX_HEARTBEAT_AGE_MS_PER_INTERVAL_S = 2500;
 
 /** This controller has recent contact with a machine whose last heartbeat it processed less than this long ago. */
-const HEARD_HERE_MS = 4000;
+const RECENT_HEARTBEAT_MS = 4000;
 
 /** The same for heartbeats that another controller processes; longer, since that controller reports them with some delay. */
-const HEARD_BY_PEER_MS = 5000;
+const RECENT_PEER_CONTACT_MS = 5000;
 
 /** Whether another controller recently reported heartbeats of the machine. */
 export function hasRecentPeerContact(machine: Machine, now: Milliseconds): boolean {
-  return now - machine.lastPeerContactAt < HEARD_BY_PEER_MS;
+  return now - machine.lastPeerContactAt < RECENT_PEER_CONTACT_MS;
 }
 
 /** Whether heartbeats of the machine recently arrived at this controller or at another one. */
 export function hasRecentContact(machine: Machine, now: Milliseconds): boolean {
-  return now - machine.tenure.lastHeartbeatAt < HEARD_HERE_MS || hasRecentPeerContact(machine, now);
+  return now - machine.tenure.lastHeartbeatAt < RECENT_HEARTBEAT_MS || hasRecentPeerContact(machine, now);
 }
 
 /** Decides which machines accept starts. */
--- a/packages/controller/src/allocation/start-freshness.ts
+++ b/packages/controller/src/allocation/start-freshness.ts
@@ -9,7 +9,7 @@
 const MAX_WATCH_DELAY_MS = 4000;
 
 /** In an outage of the state service, starts continue for this fraction of the time within which cancelled tasks must end. */
-const MAX_AGE_OF_CANCEL_TIME = 0.25;
+const MAX_AGE_CANCEL_FRACTION = 0.25;
 
 /** Decides whether the replica is recent enough for starts. */
 export class StartFreshness {
@@ -23,7 +23,7 @@
     if (this.context.isCatchingUp()) return false;
     const ageMs = now - this.context.replicaFreshAt;
     if (ageMs < MAX_WATCH_DELAY_MS) return true;
-    if (ageMs >= this.context.settings.workers.cancelS * 1000 * MAX_AGE_OF_CANCEL_TIME) return false;
+    if (ageMs >= this.context.settings.workers.cancelS * 1000 * MAX_AGE_CANCEL_FRACTION) return false;
     return !this.isStateServiceReachedByPeer(now);
   }
 
--- a/packages/controller/src/allocation/task-allocations.ts
+++ b/packages/controller/src/allocation/task-allocations.ts
@@ -123,7 +123,7 @@
     this.removeFromMachine(allocation);
     this.removeFromJob(allocation);
     if (machine.tenure.allocations.size === 0) machine.idleSince = this.now;
-    if (job.spec.shape === 'gang' && job.tenure.gangAttempt !== null) this.gangLostTask(job);
+    if (job.spec.shape === 'gang' && job.tenure.gangAttempt !== null) this.handleLostGangTask(job);
     this.context.clusterState.forgetIfFinished(job);
     this.schedulingRequested = true;
   }
@@ -143,7 +143,7 @@
   }
 
   /** Fails the gang unless it is finished. When its last allocation is gone, its attempt ends. */
-  private gangLostTask(gang: Job): void {
+  private handleLostGangTask(gang: Job): void {
     if (gang.state === 'live' && gang.doneCount < gang.spec.tasks) this.failGang(gang);
     if (gang.tenure.allocations.size > 0) return;
     gang.tenure.gangAttempt = null;
@@ -155,7 +155,7 @@
    * requested or its job is finished; otherwise the start would be sent again after the job's cancellation, and a failed gang
    * would keep its machines forever.
    */
-  startNotSent(allocation: Allocation): void {
+  revertStart(allocation: Allocation): void {
     if (!this.isStartPending(allocation)) return;
     allocation.phase = 'planned';
     allocation.machine.allocationsChanged();
--- a/packages/controller/src/shards/assignment-updates.ts
+++ b/packages/controller/src/shards/assignment-updates.ts
@@ -83,7 +83,7 @@
       conditions: this.allocations.heldShards.leaseConditions(machine.shard),
       priority: WritePriority.release,
       onOutcome: (outcome) => {
-        if (outcome !== 'ok' && this.isStillOurs(machine)) this.removeAssignment(machine);
+        if (outcome !== 'ok' && this.isStillHeld(machine)) this.removeAssignment(machine);
       },
     });
   }
@@ -102,7 +102,7 @@
     });
   }
 
-  private isStillOurs(machine: Machine): boolean {
+  private isStillHeld(machine: Machine): boolean {
     return this.context.clusterState.machines.get(machine.name) === machine && this.allocations.heldShards.has(machine.shard);
   }
 }
--- a/packages/controller/src/shards/command-dispatcher.ts
+++ b/packages/controller/src/shards/command-dispatcher.ts
@@ -8,7 +8,7 @@
 import { type Allocation, type Machine, type Milliseconds, UNKNOWN_EPOCH } from '../model/index.js';
 import { type CommandOutcome, CommandOutcomes, type PendingCommand } from './command-outcomes.js';
 import type { HeartbeatReconciliation } from './heartbeat-reconciliation.js';
-import { hasCommandsDue, machineCommands } from './machine-commands.js';
+import { composeCommands, hasCommandsDue } from './machine-commands.js';
 import { mayCommand, needsProbe, selectForProbing } from './probe-selection.js';
 import type { WorkerAnswers } from './worker-answers.js';
 
@@ -65,7 +65,7 @@
 
   private dispatch(machine: Machine, now: Milliseconds): void {
     if (!machine.commandsDue) return;
-    const due = machineCommands(this.allocations, machine, now);
+    const due = composeCommands(this.allocations, machine, now);
     if (due) this.send(machine, due.commands, due.starts, false);
     machine.commandsDue = hasCommandsDue(machine);
   }
--- a/packages/controller/src/shards/command-outcomes.ts
+++ b/packages/controller/src/shards/command-outcomes.ts
@@ -97,7 +97,7 @@
     now: Milliseconds,
   ): void {
     this.recordAnswer(machine, now);
-    for (const allocation of starts) this.allocations.startNotSent(allocation);
+    for (const allocation of starts) this.allocations.revertStart(allocation);
     if (heartbeat === null) return;
     this.reconciler.reconcile(machine, heartbeat, now, positionAtSend);
     if (heartbeat.fencingToken > this.context.clusterState.fencingToken(machine))
@@ -114,7 +114,7 @@
   /** Makes the stops and starts of a command that was not sent due again. The machine doesn't count as unresponsive for it. */
   private handleWithheld({ machine: { tenure }, starts }: PendingCommand): void {
     for (const allocation of tenure.allocations.values()) allocation.stopSentAt = NEVER;
-    for (const allocation of starts) this.allocations.startNotSent(allocation);
+    for (const allocation of starts) this.allocations.revertStart(allocation);
   }
 
   private handleUnanswered({ machine, starts, isProbe }: PendingCommand, kind: 'lost' | 'refused', now: Milliseconds): void {
@@ -124,7 +124,7 @@
     if (tenure.unansweredSince === null) tenure.unansweredSince = now;
     tenure.retryAt = now + UNANSWERED_RETRY_MS;
     for (const allocation of tenure.allocations.values()) allocation.stopSentAt = NEVER;
-    if (kind === 'refused') for (const allocation of starts) this.allocations.startNotSent(allocation);
+    if (kind === 'refused') for (const allocation of starts) this.allocations.revertStart(allocation);
     // Unlike a probe, a lost command may be executed late.
     else if (!isProbe) tenure.hasUncertainCommand = true;
   }
--- a/packages/controller/src/shards/failure-detector.ts
+++ b/packages/controller/src/shards/failure-detector.ts
@@ -8,7 +8,7 @@
 import type { Machine, Milliseconds } from '../model/index.js';
 import { RecoveryProbes } from './recovery-probes.js';
 import type { WorkerAnswers } from './worker-answers.js';
-import { healthNearby, isLossWidespread, isNearlyAllUnanswered, isZoneCutOff, type ZoneHealth } from './zone-health.js';
+import { isLossWidespread, isNearlyAllUnanswered, isZoneCutOff, referenceHealth, type ZoneHealth } from './zone-health.js';
 
 /**
  * If no worker answers for this long, although workers whose heartbeats arrive were probed, this controller counts as cut off
@@ -24,10 +24,10 @@
 const NO_ANSWER_SUSPICION_MS = 1500;
 
 /** A machine whose last heartbeat is younger than this counts as in contact in the health of its zone. */
-const RECENTLY_HEARD_MS = 4000;
+const RECENT_HEARTBEAT_MS = 4000;
 
 /** A machine that did not answer this many commands in a row counts as unanswered in the health of its zone. */
-const UNANSWERED_COMMANDS = 2;
+const UNANSWERED_AFTER_COMMANDS = 2;
 
 /** Maximum number of healthy machines for which one check requests probes. */
 const MAX_HEALTHY_PROBES = 4;
@@ -52,7 +52,7 @@
   /** indices of the zones that are cut off from this controller */
   private readonly cutZones = new Set<number>();
   /** by zone index, as of the last tick */
-  private zones: ReadonlyMap<number, ZoneHealth> = new Map();
+  private healthByZone: ReadonlyMap<number, ZoneHealth> = new Map();
   /** since when this controller seems cut off from all workers; null if it doesn't */
   private unreachableSince: Milliseconds | null = null;
   /** since when no worker seems to answer; null if some do */
@@ -75,7 +75,7 @@
   /** Updates which zones are cut off and whether workers can be reached. Called at each tick, before machines are checked. */
   evaluate(now: Milliseconds): void {
     this.evaluateAnswers(now);
-    this.zones = this.zoneHealths(now);
+    this.healthByZone = this.computeZoneHealth(now);
     this.evaluateZones(now);
     this.evaluateReachability(now);
   }
@@ -83,7 +83,7 @@
   /** Whether so many machines of the zone are unreachable at once that the cause is unlikely to be the machines. */
   isWidespreadLoss(zoneIndex: number): boolean {
     if (!this.reachesWorkers || this.cutZones.has(zoneIndex)) return true;
-    const health = this.zones.get(zoneIndex);
+    const health = this.healthByZone.get(zoneIndex);
     return health !== undefined && isLossWidespread(health);
   }
 
@@ -131,39 +131,39 @@
 
   /** Tracks since when no worker answers, and restarts the silence of all machines when workers answer again. */
   private evaluateAnswers(now: Milliseconds): void {
-    if (this.nobodyAnswers(now)) {
+    if (this.isNoWorkerAnswering(now)) {
       if (this.noAnswerSince === null) this.noAnswerSince = now;
       // Probes are requested at once, because the suspicion is decided before `confirmSilence` considers the last answer too old,
       // and healthy machines aren't probed otherwise.
       this.probeHealthy(now);
       return;
     }
-    const lastedMs = this.noAnswerSince === null ? 0 : now - this.noAnswerSince;
+    const suspicionMs = this.noAnswerSince === null ? 0 : now - this.noAnswerSince;
     this.noAnswerSince = null;
     // If probed machines answered promptly, this controller was not cut off, so the silence of other machines counts.
-    if (lastedMs < NO_ANSWER_LIMIT_MS) return;
+    if (suspicionMs < NO_ANSWER_LIMIT_MS) return;
     for (const machine of this.context.clusterState.machines.values())
       if (this.allocations.heldShards.has(machine.shard)) this.restartSilence(machine, now);
   }
 
-  private nobodyAnswers(now: Milliseconds): boolean {
+  private isNoWorkerAnswering(now: Milliseconds): boolean {
     const { unansweredCount, lastAnswerAt } = this.workerAnswers;
     return unansweredCount >= MIN_UNANSWERED_MACHINES && now - lastAnswerAt > NO_ANSWER_SUSPICION_MS;
   }
 
-  private zoneHealths(now: Milliseconds): ReadonlyMap<number, ZoneHealth> {
+  private computeZoneHealth(now: Milliseconds): ReadonlyMap<number, ZoneHealth> {
     const zones = new Map<number, ZoneHealth>();
     for (const { shard, zoneIndex, tenure } of this.context.clusterState.machines.values()) {
       // A machine that was not probed since a takeover is no evidence about its zone.
       if (!this.allocations.heldShards.has(shard) || (!tenure.isVerified && !tenure.isProbed)) continue;
       let health = zones.get(zoneIndex);
       if (health === undefined) {
-        health = { total: 0, heard: 0, unanswered: 0 };
+        health = { total: 0, inContact: 0, unanswered: 0 };
         zones.set(zoneIndex, health);
       }
       health.total++;
-      if (tenure.unansweredCommands >= UNANSWERED_COMMANDS) health.unanswered++;
-      if (now - tenure.lastHeartbeatAt < RECENTLY_HEARD_MS) health.heard++;
+      if (tenure.unansweredCommands >= UNANSWERED_AFTER_COMMANDS) health.unanswered++;
+      if (now - tenure.lastHeartbeatAt < RECENT_HEARTBEAT_MS) health.inContact++;
     }
     return zones;
   }
@@ -174,7 +174,7 @@
    */
   private evaluateZones(now: Milliseconds): void {
     const { clusterState } = this.context;
-    for (const [zoneIndex, health] of this.zones) {
+    for (const [zoneIndex, health] of this.healthByZone) {
       if (isZoneCutOff(clusterState.zoneNames.nameOf(zoneIndex), health, this.context, now)) this.cutZones.add(zoneIndex);
       else if (this.cutZones.delete(zoneIndex)) this.restartSilenceOfZone(zoneIndex, now);
     }
@@ -195,7 +195,7 @@
   private evaluateReachability(now: Milliseconds): void {
     if (!this.reachesWorkers) return;
     const { clusterState, settings } = this.context;
-    const health = healthNearby(this.zones, clusterState.zoneNames.indexOf(settings.zone));
+    const health = referenceHealth(this.healthByZone, clusterState.zoneNames.indexOf(settings.zone));
     const seemsCutOff = isNearlyAllUnanswered(health);
     if (!seemsCutOff && this.noAnswerSince === null) {
       this.unreachableSince = null;
--- a/packages/controller/src/shards/local-health.ts
+++ b/packages/controller/src/shards/local-health.ts
@@ -17,17 +17,17 @@
 const WINDOW_MS = 120_000;
 
 /** An interval in which arrived inputs may not have been read. */
-interface UnreadTime {
+interface UnreadInterval {
   from: Milliseconds;
   until: Milliseconds;
   /** total length of all earlier intervals */
-  beforeMs: Milliseconds;
+  earlierMs: Milliseconds;
 }
 
 /** Records the time in which this controller was behind its inputs. */
 export class LocalHealth {
   /** in chronological order, without overlaps */
-  private unreadTimes: UnreadTime[] = [];
+  private unreadIntervals: UnreadInterval[] = [];
   private hasLoggedImplausible = false;
 
   constructor(private readonly context: Logger) {}
@@ -44,37 +44,38 @@
 
   /** Returns for how long since `since` arrived inputs may not have been read. */
   unreadMsSince(since: Milliseconds): Milliseconds {
-    const last = this.unreadTimes.at(-1);
+    const last = this.unreadIntervals.at(-1);
     if (last === undefined || since >= last.until) return 0;
-    const totalMs = last.beforeMs + last.until - last.from;
-    const { from, beforeMs } = this.firstEndingAfter(since);
-    return totalMs - beforeMs - Math.max(0, since - from);
+    const totalMs = last.earlierMs + last.until - last.from;
+    const { from, earlierMs } = this.firstEndingAfter(since);
+    return totalMs - earlierMs - Math.max(0, since - from);
   }
 
   /** Adds an interval, merging overlapping ones: the same input may wait through several measurements. */
   private addUnread(from: Milliseconds, until: Milliseconds): void {
     if (from >= until) return;
     let mergedFrom = from;
-    for (let last = this.unreadTimes.at(-1); last !== undefined && last.until >= from; last = this.unreadTimes.at(-1)) {
+    for (let last = this.unreadIntervals.at(-1); last !== undefined && last.until >= from; last = this.unreadIntervals.at(-1)) {
       mergedFrom = Math.min(mergedFrom, last.from);
-      this.unreadTimes.pop();
+      this.unreadIntervals.pop();
     }
-    const previous = this.unreadTimes.at(-1);
-    const beforeMs = previous === undefined ? 0 : previous.beforeMs + previous.until - previous.from;
-    this.unreadTimes.push({ from: mergedFrom, until, beforeMs });
-    while (this.unreadTimes.length > 1 && (this.unreadTimes[0]?.until ?? until) < until - WINDOW_MS) this.unreadTimes.shift();
+    const previous = this.unreadIntervals.at(-1);
+    const earlierMs = previous === undefined ? 0 : previous.earlierMs + previous.until - previous.from;
+    this.unreadIntervals.push({ from: mergedFrom, until, earlierMs });
+    while (this.unreadIntervals.length > 1 && (this.unreadIntervals[0]?.until ?? until) < until - WINDOW_MS)
+      this.unreadIntervals.shift();
   }
 
   /** Returns the first interval that ends after `time`. The caller ensures that there is one. */
-  private firstEndingAfter(time: Milliseconds): UnreadTime {
+  private firstEndingAfter(time: Milliseconds): UnreadInterval {
     let low = 0;
-    let high = this.unreadTimes.length - 1;
+    let high = this.unreadIntervals.length - 1;
     while (low < high) {
       const middle = (low + high) >> 1;
-      if ((this.unreadTimes[middle] as UnreadTime).until > time) high = middle;
+      if ((this.unreadIntervals[middle] as UnreadInterval).until > time) high = middle;
       else low = middle + 1;
     }
-    return this.unreadTimes[low] as UnreadTime;
+    return this.unreadIntervals[low] as UnreadInterval;
   }
 
   private logImplausible(lagMs: Milliseconds): void {
--- a/packages/controller/src/shards/machine-commands.ts
+++ b/packages/controller/src/shards/machine-commands.ts
@@ -41,12 +41,12 @@
  * Returns the commands that are due for the machine; null if there are none, or if all can wait to be sent with later ones. The
  * stops that it returns count as sent, so the caller must send them.
  */
-export function machineCommands(allocations: TaskAllocations, machine: Machine, now: Milliseconds): MachineCommands | null {
+export function composeCommands(allocations: TaskAllocations, machine: Machine, now: Milliseconds): MachineCommands | null {
   const free = capacityOf(machine);
   const commands = machine.tenure.orphanedTasks.slice(0, MAX_COMMANDS_PER_BODY).map(clearOrphanedTask);
   addStopsAndForgets(commands, machine, free, now);
   const starts = allocations.startFreshness.mayStart(now) ? addStarts(commands, allocations, machine, free) : [];
-  if (commands.length === 0 || canWait(machine, commands, starts, now)) return null;
+  if (commands.length === 0 || canDefer(machine, commands, starts, now)) return null;
   return { commands, starts };
 }
 
@@ -65,12 +65,12 @@
 function addStopsAndForgets(commands: Command[], machine: Machine, free: Resources, now: Milliseconds): void {
   for (const allocation of machine.tenure.allocations.values()) {
     if (allocation.phase === 'planned') continue;
-    const hasRoom = commands.length < MAX_COMMANDS_PER_BODY;
+    const fitsInMessage = commands.length < MAX_COMMANDS_PER_BODY;
     if (allocation.phase === 'exited') {
-      if (hasRoom && !isResultUnstored(allocation)) commands.push(forgetCommand(allocation));
+      if (fitsInMessage && !isResultUnstored(allocation)) commands.push(forgetCommand(allocation));
       continue;
     }
-    if (allocation.stopGraceS !== null && hasRoom && now - allocation.stopSentAt > STOP_RETRY_MS) {
+    if (allocation.stopGraceS !== null && fitsInMessage && now - allocation.stopSentAt > STOP_RETRY_MS) {
       commands.push(stopCommand(allocation, allocation.stopGraceS));
       recordStopSent(allocation, now);
     }
@@ -132,25 +132,25 @@
  * Whether the commands can wait to be sent together with later ones. With one message and answer per command, the short
  * low-priority tasks of one large array took all of the CPU time (docs/incidents/inc-3aa6-leith-ops.md).
  */
-function canWait(machine: Machine, commands: readonly Command[], starts: readonly Allocation[], now: Milliseconds): boolean {
+function canDefer(machine: Machine, commands: readonly Command[], starts: readonly Allocation[], now: Milliseconds): boolean {
   if (commands.some((command) => command.type === 'stop') || starts.some((allocation) => allocation.job.priority > 0))
     return false;
   const sinceCommandMs = now - machine.lastCommandAt;
   if (starts.length > 0) return sinceCommandMs < LOW_PRIORITY_START_INTERVAL_MS;
-  return sinceCommandMs < FORGET_INTERVAL_MS && canForgetsWait(machine);
+  return sinceCommandMs < FORGET_INTERVAL_MS && canDeferForgets(machine);
 }
 
 /**
  * Whether forget commands can wait. They can't on a machine that would otherwise be empty or is about to leave, nor if one of
  * them is required before a task can restart.
  */
-function canForgetsWait(machine: Machine): boolean {
+function canDeferForgets(machine: Machine): boolean {
   if (machine.moveToShard !== null || machine.isRetired || machine.tenure.preemptionNoticeUntil !== null) return false;
-  let runsOthers = false;
+  let runsOtherTasks = false;
   for (const { phase, status } of machine.tenure.allocations.values()) {
     // A task that was stopped or failed can't restart until the worker has forgotten it.
     if (phase === 'exited' && status?.exitReason !== 'done') return false;
-    runsOthers ||= phase === 'reported';
+    runsOtherTasks ||= phase === 'reported';
   }
-  return runsOthers;
+  return runsOtherTasks;
 }
--- a/packages/controller/src/shards/machine-lifecycle.ts
+++ b/packages/controller/src/shards/machine-lifecycle.ts
@@ -17,7 +17,7 @@
 import { AssignmentUpdates } from './assignment-updates.js';
 import { FailureDetector } from './failure-detector.js';
 import { MachineReleases } from './machine-releases.js';
-import { isUnanswering, type MachineSilence } from './machine-silence.js';
+import { isUnresponsive, type MachineSilence } from './machine-silence.js';
 import type { WorkerAnswers } from './worker-answers.js';
 
 /** Cancelled work is overdue after this fraction of the time within which a cancellation must be completed. */
@@ -87,11 +87,11 @@
   /** Marks a machine without recent heartbeats at any controller for release, sooner if it has cancelled work. */
   private checkSilence(machine: Machine, now: Milliseconds): void {
     const silentMs = now - machine.tenure.lastHeartbeatAt;
-    if (!isWaitedFor(machine) || machine.tenure.releaseReason !== null) return;
+    if (!isContactExpected(machine) || machine.tenure.releaseReason !== null) return;
     // Pauses of this process also shift the time of the last peer contact, so a lost machine could seem in contact indefinitely.
-    if (hasRecentPeerContact(machine, now) && !this.silence.isBeyondForgiveness(machine, now)) return;
+    if (hasRecentPeerContact(machine, now) && !this.silence.exceedsMaxSilence(machine, now)) return;
     if (this.isSilentWithCancelledWork(machine, silentMs, now)) this.releases.mark(machine, 'silent with cancelled work', now);
-    else if (this.isSilent(machine, silentMs, now) && this.isOwnSilence(machine, silentMs, now))
+    else if (this.isSilent(machine, silentMs, now) && this.isSilenceCausedByMachine(machine, silentMs, now))
       this.releases.mark(machine, 'silent', now);
   }
 
@@ -106,15 +106,15 @@
    * The preemption doesn't wait for a slow controller, so delays of this controller aren't subtracted in that case.
    */
   private isSilent(machine: Machine, silentMs: Milliseconds, now: Milliseconds): boolean {
-    if (this.silence.isBeyondTolerance(machine, now)) return true;
+    if (this.silence.exceedsToleratedSilence(machine, now)) return true;
     const { preemptionNoticeUntil } = machine.tenure;
-    const isNoticeOver = preemptionNoticeUntil !== null && now > preemptionNoticeUntil;
+    const isNoticeExpired = preemptionNoticeUntil !== null && now > preemptionNoticeUntil;
     const { heartbeatIntervalS } = this.context.settings.workers;
-    return isNoticeOver && silentMs > heartbeatIntervalS * (SILENT_INTERVALS_AFTER_NOTICE * 1000);
+    return isNoticeExpired && silentMs > heartbeatIntervalS * (SILENT_INTERVALS_AFTER_NOTICE * 1000);
   }
 
   /** Whether the silence is caused by the machine rather than by a partition of its zone or of this controller. */
-  private isOwnSilence(machine: Machine, silentMs: Milliseconds, now: Milliseconds): boolean {
+  private isSilenceCausedByMachine(machine: Machine, silentMs: Milliseconds, now: Milliseconds): boolean {
     const { failureDetector } = this;
     return (
       !failureDetector.isInCutZone(machine) && failureDetector.reachesWorkers && failureDetector.confirmSilence(now, silentMs)
@@ -133,7 +133,7 @@
     const { failureAttribution } = this.allocations;
     if (machine.isRetired) this.releases.mark(machine, 'idle', now);
     else if (failureAttribution.isFaulty(machine, now)) {
-      failureAttribution.clearJobsOf(machine);
+      failureAttribution.discardFailuresOn(machine);
       this.releases.mark(machine, 'quarantined', now);
     } else if (machine.tenure.preemptionNoticeUntil !== null) this.releases.mark(machine, 'spot preemption notice', now);
     else if (machine.moveToShard !== null) this.assignmentUpdates.moveToShard(machine);
@@ -178,9 +178,9 @@
    */
   private isCutOffBeyondLease(machine: Machine, now: Milliseconds): boolean {
     const { leaseS, heartbeatIntervalS } = this.context.settings.workers;
-    const leaseOverMs = (leaseS + LEASE_OVERRUN_INTERVALS * heartbeatIntervalS) * 1000;
-    if (this.silence.silentMs(machine, now) < leaseOverMs) return false;
-    return mayHoldUpWork(machine) && this.areZoneControllersAbsent(machine.zoneIndex, now);
+    const leaseExpiredAfterMs = (leaseS + LEASE_OVERRUN_INTERVALS * heartbeatIntervalS) * 1000;
+    if (this.silence.silentMs(machine, now) < leaseExpiredAfterMs) return false;
+    return mayBlockRescheduling(machine) && this.areZoneControllersAbsent(machine.zoneIndex, now);
   }
 
   /** Whether all controllers of the zone have been absent from the state service for half of the cancellation time. */
@@ -197,8 +197,8 @@
   /** Whether the machine left several commands in a row unanswered, for longer than the tolerated silence. */
   private isUnreachable(machine: Machine, now: Milliseconds): boolean {
     const { unansweredSince } = machine.tenure;
-    if (!isUnanswering(machine) || unansweredSince === null) return false;
-    return this.silence.heardMsSince(unansweredSince, now) > this.context.settings.policy.silentS * 1000;
+    if (!isUnresponsive(machine) || unansweredSince === null) return false;
+    return this.silence.readableMsSince(unansweredSince, now) > this.context.settings.policy.silentS * 1000;
   }
 }
 
@@ -209,7 +209,7 @@
  * 4,000 machines, all of which sent heartbeats, were released as silent within 90 s (docs/incidents/
  * first-start-of-a-large-fleet.md). Pauses of this process shift the start of a silence, but don't invalidate the probe.
  */
-function isWaitedFor({ tenure, lastProbeAt }: Machine): boolean {
+function isContactExpected({ tenure, lastProbeAt }: Machine): boolean {
   return tenure.isVerified || (tenure.isProbed && lastProbeAt >= tenure.lastContactAt);
 }
 
@@ -224,7 +224,7 @@
 }
 
 /** Whether the machine may have tasks that can't restart elsewhere until it is gone. Array tasks don't justify a release. */
-function mayHoldUpWork({ tenure }: Machine): boolean {
+function mayBlockRescheduling({ tenure }: Machine): boolean {
   if (tenure.isUnverifiedTakeover) return true;
   for (const { job } of tenure.allocations.values()) if (job.spec.shape !== 'array') return true;
   return false;
--- a/packages/controller/src/shards/machine-releases.ts
+++ b/packages/controller/src/shards/machine-releases.ts
@@ -43,7 +43,7 @@
       tasks: tenure.allocations.size,
       // The evidence for the decision: age of the last contact, for how much of it inputs were read, and unanswered commands.
       contactAgeS: toLoggedSeconds(now - tenure.lastContactAt),
-      readableS: toLoggedSeconds(this.silence.heardMsSince(tenure.lastContactAt, now)),
+      readableS: toLoggedSeconds(this.silence.readableMsSince(tenure.lastContactAt, now)),
       unanswered: tenure.unansweredCommands,
     });
   }
--- a/packages/controller/src/shards/machine-silence.ts
+++ b/packages/controller/src/shards/machine-silence.ts
@@ -15,7 +15,7 @@
 const MAX_SILENCE_FACTOR = 3;
 
 /** A machine that left this many commands in a row unanswered, each until its timeout, counts as unresponsive. */
-const UNANSWERED_COMMANDS = 3;
+const UNRESPONSIVE_AFTER_COMMANDS = 3;
 
 /** Measures silences by the time in which this controller read its inputs. */
 export class MachineSilence {
@@ -25,7 +25,7 @@
   ) {}
 
   /** Returns for how long since `since` this controller read arrived inputs. */
-  heardMsSince(since: Milliseconds, now: Milliseconds): Milliseconds {
+  readableMsSince(since: Milliseconds, now: Milliseconds): Milliseconds {
     return now - since - this.localHealth.unreadMsSince(since);
   }
 
@@ -35,36 +35,37 @@
    * behind its inputs. The shorter of the two silences counts.
    */
   silentMs({ tenure }: Machine, now: Milliseconds): Milliseconds {
-    return Math.min(now - tenure.lastHeartbeatAt, this.heardMsSince(tenure.lastContactAt, now));
+    return Math.min(now - tenure.lastHeartbeatAt, this.readableMsSince(tenure.lastContactAt, now));
   }
 
   /** Whether the last contact with the machine is so old that delays of this controller are no longer subtracted. */
-  isBeyondForgiveness(machine: Machine, now: Milliseconds): boolean {
-    return isBeyondForgiveness(machine, this.context, now);
+  exceedsMaxSilence(machine: Machine, now: Milliseconds): boolean {
+    return exceedsMaxSilence(machine, this.context, now);
   }
 
   /**
    * Whether the machine's silence exceeds the tolerated silence. If this controller was behind its inputs for most of that time,
    * the rest consists of short periods in which hardly any heartbeat arrived, so unanswered commands must confirm the silence.
    */
-  isBeyondTolerance(machine: Machine, now: Milliseconds): boolean {
+  exceedsToleratedSilence(machine: Machine, now: Milliseconds): boolean {
     const silentMs = this.silentMs(machine, now);
-    if (silentMs > this.toleratedMs && this.localHealth.unreadMsSince(machine.tenure.lastContactAt) < silentMs) return true;
-    if (!isUnanswering(machine)) return false;
-    return silentMs > this.toleratedMs || this.isBeyondForgiveness(machine, now);
+    if (silentMs > this.toleratedSilenceMs && this.localHealth.unreadMsSince(machine.tenure.lastContactAt) < silentMs)
+      return true;
+    if (!isUnresponsive(machine)) return false;
+    return silentMs > this.toleratedSilenceMs || this.exceedsMaxSilence(machine, now);
   }
 
-  private get toleratedMs(): Milliseconds {
+  private get toleratedSilenceMs(): Milliseconds {
     return this.context.settings.policy.silentS * 1000;
   }
 }
 
 /** Whether the machine left several commands in a row unanswered. */
-export function isUnanswering({ tenure }: Machine): boolean {
-  return tenure.unansweredCommands >= UNANSWERED_COMMANDS;
+export function isUnresponsive({ tenure }: Machine): boolean {
+  return tenure.unansweredCommands >= UNRESPONSIVE_AFTER_COMMANDS;
 }
 
 /** Whether the last contact with the machine is so old that delays of this controller are no longer subtracted. */
-export function isBeyondForgiveness({ tenure }: Machine, { settings }: SettingsView, now: Milliseconds): boolean {
+export function exceedsMaxSilence({ tenure }: Machine, { settings }: SettingsView, now: Milliseconds): boolean {
   return now - tenure.lastContactAt > MAX_SILENCE_FACTOR * settings.policy.silentS * 1000;
 }
--- a/packages/controller/src/shards/probe-selection.ts
+++ b/packages/controller/src/shards/probe-selection.ts
@@ -5,7 +5,7 @@
 import { hasCancelledWork, hasRecentContact } from '../allocation/index.js';
 import type { SettingsView } from '../context/index.js';
 import { CANCELLED_WORK_PRIORITY, type Machine, type Milliseconds, NO_REPORTED_PRIORITY } from '../model/index.js';
-import { isBeyondForgiveness, isUnanswering } from './machine-silence.js';
+import { exceedsMaxSilence, isUnresponsive } from './machine-silence.js';
 
 /**
  * Maximum number of probes per tick with a full CPU core. After a takeover all machines must be probed, but heartbeats of
@@ -53,7 +53,7 @@
   if (!tenure.isVerified || machine.probeRequested || tenure.unansweredCommands > 0) return true;
   const { heartbeatIntervalS } = context.settings.workers;
   if (now - tenure.lastHeartbeatAt > PROBE_AFTER_SILENT_INTERVALS * heartbeatIntervalS * 1000) return true;
-  return isBeyondForgiveness(machine, context, now);
+  return exceedsMaxSilence(machine, context, now);
 }
 
 /**
@@ -105,7 +105,7 @@
 
 /** Moves up to `RESERVED_PROBES` machines beyond the maximum silence to the front that are not yet known to be unresponsive. */
 function moveUndecidedFirst(machines: Machine[], context: SettingsView, now: Milliseconds): void {
-  const undecided = machines.filter((machine) => !isUnanswering(machine) && isBeyondForgiveness(machine, context, now));
+  const undecided = machines.filter((machine) => !isUnresponsive(machine) && exceedsMaxSilence(machine, context, now));
   // Machines with more unanswered commands are closer to a decision.
   undecided.sort((a, b) => b.tenure.unansweredCommands - a.tenure.unansweredCommands || a.lastProbeAt - b.lastProbeAt);
   const first = new Set(undecided.slice(0, RESERVED_PROBES));
--- a/packages/controller/src/shards/recovery-probes.ts
+++ b/packages/controller/src/shards/recovery-probes.ts
@@ -52,8 +52,8 @@
     if (now < this.nextRoundAt || this.pendingProbes.size > 0) return true;
     this.nextRoundAt = now + PROBE_ROUND_INTERVAL_MS;
     const machines = this.probeableMachines();
-    const others = machines.filter((machine) => !this.individuallySilent.has(machine.name));
-    this.startRound(others.length >= PROBES_PER_ROUND ? others : machines);
+    const candidates = machines.filter((machine) => !this.individuallySilent.has(machine.name));
+    this.startRound(candidates.length >= PROBES_PER_ROUND ? candidates : machines);
     return machines.length > 0;
   }
 
--- a/packages/controller/src/shards/shard-summary.ts
+++ b/packages/controller/src/shards/shard-summary.ts
@@ -24,7 +24,7 @@
 const MAX_SLACK_S = 1e4;
 
 interface CachedSummary {
-  madeAt: Milliseconds;
+  createdAt: Milliseconds;
   summary: ShardSummary;
 }
 
@@ -35,7 +35,7 @@
 }
 
 /** Merges a demand with the same key into `existing`: adds the counts and keeps the longest wait and the smallest slack. */
-function addTo(existing: ResourceDemand, demand: ResourceDemand): void {
+function mergeInto(existing: ResourceDemand, demand: ResourceDemand): void {
   existing.count += demand.count;
   existing.waitS = Math.max(existing.waitS, demand.waitS);
   existing.slackS = Math.min(existing.slackS, demand.slackS);
@@ -55,9 +55,9 @@
   /** Returns a summary at most `SUMMARY_MAX_AGE_MS` old. It is cached because the leader and the status exchange both use it. */
   summaryOf(shard: number, now: Milliseconds): ShardSummary {
     const cached = this.summaries.get(shard);
-    if (cached && now - cached.madeAt < SUMMARY_MAX_AGE_MS && this.allocations.heldShards.has(shard)) return cached.summary;
-    const summary = { shard, machines: this.machines(shard, now), demands: this.demands(shard, now) };
-    this.summaries.set(shard, { madeAt: now, summary });
+    if (cached && now - cached.createdAt < SUMMARY_MAX_AGE_MS && this.allocations.heldShards.has(shard)) return cached.summary;
+    const summary = { shard, machines: this.summarizeMachines(shard, now), demands: this.collectDemands(shard, now) };
+    this.summaries.set(shard, { createdAt: now, summary });
     return summary;
   }
 
@@ -66,7 +66,7 @@
     this.summaries.delete(shard);
   }
 
-  private machines(shard: number, now: Milliseconds): MachineSummary[] {
+  private summarizeMachines(shard: number, now: Milliseconds): MachineSummary[] {
     const quotaStatuses = this.queueOrder.quotaStatuses();
     const evacuable = this.scheduler.evacuableMachines(shard, now);
     const summaries: MachineSummary[] = [];
@@ -102,14 +102,14 @@
   }
 
   /** The demands of the shard's tasks for which no machine was found, merged by key. */
-  private demands(shard: number, now: Milliseconds): ResourceDemand[] {
+  private collectDemands(shard: number, now: Milliseconds): ResourceDemand[] {
     const demands = new Map<string, ResourceDemand>();
     for (const unmet of this.allocations.unmetDemand) {
       if (unmet.job.shard !== shard) continue;
       const demand = this.demandOf(unmet, now);
       const key = demandKey(demand, unmet.job.spec.shape);
       const existing = demands.get(key);
-      if (existing) addTo(existing, demand);
+      if (existing) mergeInto(existing, demand);
       else if (demands.size < MAX_DEMANDS) demands.set(key, demand);
     }
     return [...demands.values()];
--- a/packages/controller/src/shards/zone-health.ts
+++ b/packages/controller/src/shards/zone-health.ts
@@ -6,7 +6,7 @@
 import type { Milliseconds } from '../model/index.js';
 
 /** Minimum number of machines for a conclusion from their silence or missing answers. */
-const MIN_MACHINES_TO_JUDGE = 3;
+const MIN_MACHINES_TO_CONCLUDE = 3;
 
 /** The same for the silence of another zone that has no other controllers whose silence could confirm it. */
 const MIN_MACHINES_OF_REMOTE_ZONE = 2;
@@ -15,7 +15,7 @@
 export interface ZoneHealth {
   total: number;
   /** machines whose heartbeats recently arrived at this controller */
-  heard: number;
+  inContact: number;
   /** machines that did not answer their last commands, including machines whose heartbeats arrive */
   unanswered: number;
 }
@@ -30,20 +30,20 @@
 
 /** Whether at least three quarters of the machines are unreachable. */
 export function isNearlyAllUnanswered({ total, unanswered }: ZoneHealth): boolean {
-  return total >= MIN_MACHINES_TO_JUDGE && unanswered * 4 >= total * 3;
+  return total >= MIN_MACHINES_TO_CONCLUDE && unanswered * 4 >= total * 3;
 }
 
 /**
  * The counts from which this controller concludes whether it is itself cut off: those of its own zone if that has enough
  * machines, or else those of all zones together.
  */
-export function healthNearby(zones: ReadonlyMap<number, ZoneHealth>, ownZoneIndex: number): ZoneHealth {
+export function referenceHealth(zones: ReadonlyMap<number, ZoneHealth>, ownZoneIndex: number): ZoneHealth {
   const own = zones.get(ownZoneIndex);
-  if (own && own.total >= MIN_MACHINES_TO_JUDGE) return own;
-  const all: ZoneHealth = { total: 0, heard: 0, unanswered: 0 };
-  for (const { total, heard, unanswered } of zones.values()) {
+  if (own && own.total >= MIN_MACHINES_TO_CONCLUDE) return own;
+  const all: ZoneHealth = { total: 0, inContact: 0, unanswered: 0 };
+  for (const { total, inContact, unanswered } of zones.values()) {
     all.total += total;
-    all.heard += heard;
+    all.inContact += inContact;
     all.unanswered += unanswered;
   }
   return all;
@@ -55,13 +55,13 @@
  */
 export function isZoneCutOff(
   zone: string,
-  { total, heard }: ZoneHealth,
+  { total, inContact }: ZoneHealth,
   context: SettingsView & PeerDirectory,
   now: Milliseconds,
 ): boolean {
   const { settings } = context;
-  if (zone === settings.zone) return total >= MIN_MACHINES_TO_JUDGE && heard === 0;
+  if (zone === settings.zone) return total >= MIN_MACHINES_TO_CONCLUDE && inContact === 0;
   const zonePeers = settings.controllers.filter((controller) => controller.zone === zone && controller.name !== settings.name);
-  if (zonePeers.length === 0) return total >= MIN_MACHINES_OF_REMOTE_ZONE && heard === 0;
-  return zonePeers.every((peer) => !context.isPeerAlive(peer.name, now)) && heard * 2 <= total;
+  if (zonePeers.length === 0) return total >= MIN_MACHINES_OF_REMOTE_ZONE && inContact === 0;
+  return zonePeers.every((peer) => !context.isPeerAlive(peer.name, now)) && inContact * 2 <= total;
 }
