--- a/packages/controller/src/shards/failure-detector.ts
+++ b/packages/controller/src/shards/failure-detector.ts
@@ -129,7 +129,7 @@
     return this.probeHealthy(now) === 0 && silentMs > UNCONFIRMED_SILENCE_FACTOR * 1000 * policy.silentS;
   }
 
-  /** Tracks since when no worker answers, and restarts the silence of all machines when workers answer again. */
+  /** Tracks since when no worker answers. After a long enough such period it restarts the silence of all machines. */
   private evaluateAnswers(now: Milliseconds): void {
     if (this.isNoWorkerAnswering(now)) {
       if (this.noAnswerSince === null) this.noAnswerSince = now;
--- a/packages/controller/src/shards/machine-lifecycle.ts
+++ b/packages/controller/src/shards/machine-lifecycle.ts
@@ -140,8 +140,9 @@
   }
 
   /**
-   * Marks a machine for release that can't be reached although its heartbeats arrive. Otherwise it would count as healthy
-   * forever, while its lease expires. If many machines are unreachable at once, the cause isn't the machines, and none is marked.
+   * Marks a machine for release that is cut off beyond its lease, or that can't be reached although its heartbeats arrive. The
+   * latter would otherwise count as healthy forever, while its lease expires. If many machines are unreachable at once, the cause
+   * isn't the machines, and none is marked as unreachable.
    */
   private checkReachability(machine: Machine, now: Milliseconds): void {
     const { failureDetector } = this;
