--- a/packages/controller/src/controller-context.ts
+++ b/packages/controller/src/controller-context.ts
@@ -141,12 +141,12 @@
   }
 
   onLeaseAcquired(lease: LeaseName, revision: number): void {
-    if (lease === LEADER_LEASE) this.parts.leader.leaseAcquired(revision, this.now);
+    if (lease === LEADER_LEASE) this.parts.leader.onLeaseAcquired(revision, this.now);
     else this.parts.shardController.onLeaseAcquired(lease, revision, this.now);
   }
 
   onLeaseLost(lease: LeaseName): void {
-    if (lease === LEADER_LEASE) this.parts.leader.leaseLost();
+    if (lease === LEADER_LEASE) this.parts.leader.onLeaseLost();
     else this.parts.shardController.onLeaseLost(lease);
   }
 
--- a/packages/controller/src/controller-parts.ts
+++ b/packages/controller/src/controller-parts.ts
@@ -96,7 +96,7 @@
 
   private makeReplica(): Replica {
     return new Replica(
-      (key, entry) => this.replicaListener.keyChanged(key, entry),
+      (key, entry) => this.replicaListener.onKeyChanged(key, entry),
       (key, error) => this.effects.log('warn', 'failed to apply a change', { key, error: String(error) }),
     );
   }
@@ -117,8 +117,8 @@
 
   private makeStateLease(): StateLease {
     return new StateLease(this.effects, {
-      stateLeaseLost: () => this.shardLeases.stateLeaseExpired(),
-      stateLeaseRenewedLate: (overdueMs, now) => this.shardController.processPaused(overdueMs, now),
+      onStateLeaseLost: () => this.shardLeases.onStateLeaseExpired(),
+      onStateLeaseRenewedLate: (overdueMs, now) => this.shardController.processPaused(overdueMs, now),
     });
   }
 
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -144,7 +144,7 @@
     this.beginInput(now);
     const { parts } = this;
     parts.replica.apply(changes, revision);
-    parts.stateServiceFreshness.replicaRead(asOf, now);
+    parts.stateServiceFreshness.recordReplicaRead(asOf, now);
     parts.readBarriers.completeUpTo(asOf, now);
     parts.clientRequests.answerQueriesUpTo(asOf);
     this.flushWrites(now);
@@ -154,7 +154,7 @@
   receiveCompareAndSwapOutcome(id: number, outcome: CompareAndSwapOutcome, now: Milliseconds): void {
     this.beginInput(now);
     const { parts } = this;
-    if (outcome.kind !== 'refused' && outcome.kind !== 'unknown') parts.stateServiceFreshness.stateServiceAnswered(now);
+    if (outcome.kind !== 'refused' && outcome.kind !== 'unknown') parts.stateServiceFreshness.recordResponse(now);
     if (outcome.kind === 'limited') parts.writeRateLimit.recordRefusal(now);
     parts.writer.handleOutcome(id, outcome, now);
     this.flushWrites(now);
@@ -168,11 +168,11 @@
     this.beginInput(now);
     const { stateLease, stateServiceFreshness } = this.parts;
     if (leaseId === null) {
-      stateLease.expired();
+      stateLease.recordExpiry();
       return;
     }
-    stateLease.renewed(leaseId, validUntil, now);
-    stateServiceFreshness.stateServiceAnswered(now);
+    stateLease.recordRenewal(leaseId, validUntil, now);
+    stateServiceFreshness.recordResponse(now);
     this.flushWrites(now);
   }
 
@@ -273,7 +273,7 @@
     this.beginInput(now);
     const { parts } = this;
     parts.peerRegistry.receiveStatus(status, now);
-    parts.cancellationFreshness.statusReceived(status, parts.replica.revision);
+    parts.cancellationFreshness.recordStatus(status, parts.replica.revision);
     for (const unchanged of status.unchangedHeartbeats) parts.heartbeatReconciler.reconcileUnchanged(unchanged, status.node, now);
     this.flushWrites(now);
   }
--- a/packages/controller/src/heartbeats/heartbeat-verdict.ts
+++ b/packages/controller/src/heartbeats/heartbeat-evaluation.ts
@@ -13,9 +13,9 @@
 const MAX_MESSAGE_BURST = 200;
 
 /** What is to be done with a heartbeat, or with the status in an answer. */
-export type HeartbeatVerdict =
-  /** newer than all that is known: it counts. `isGapBefore`: messages before it did not come here */
-  | { readonly kind: 'accepted'; readonly isGapBefore: boolean }
+export type HeartbeatEvaluation =
+  /** newer than all that is known: it counts. `hasGapBefore`: messages before it did not come here */
+  | { readonly kind: 'accepted'; readonly hasGapBefore: boolean }
   /**
    * an answer older than what was known when its command was sent: the agent restarted, and none of its earlier tasks runs any
    * more
@@ -29,33 +29,37 @@
   | { readonly kind: 'implausible' };
 
 // One of each, so that no object is made for a heartbeat.
-const ACCEPTED: HeartbeatVerdict = { kind: 'accepted', isGapBefore: false };
-const ACCEPTED_AFTER_GAP: HeartbeatVerdict = { kind: 'accepted', isGapBefore: true };
-const AGENT_RESTARTED: HeartbeatVerdict = { kind: 'agentRestarted' };
-const UNVERIFIED: HeartbeatVerdict = { kind: 'unverified' };
-const STALE: HeartbeatVerdict = { kind: 'stale' };
-const IMPLAUSIBLE: HeartbeatVerdict = { kind: 'implausible' };
+const ACCEPTED: HeartbeatEvaluation = { kind: 'accepted', hasGapBefore: false };
+const ACCEPTED_AFTER_GAP: HeartbeatEvaluation = { kind: 'accepted', hasGapBefore: true };
+const AGENT_RESTARTED: HeartbeatEvaluation = { kind: 'agentRestarted' };
+const UNVERIFIED: HeartbeatEvaluation = { kind: 'unverified' };
+const STALE: HeartbeatEvaluation = { kind: 'stale' };
+const IMPLAUSIBLE: HeartbeatEvaluation = { kind: 'implausible' };
 
 /** Judges a heartbeat that the worker sent on its own. */
-export function judgeHeartbeat(tenure: MachineTenure, heartbeat: Heartbeat, now: Milliseconds): HeartbeatVerdict {
+export function evaluateHeartbeat(tenure: MachineTenure, heartbeat: Heartbeat, now: Milliseconds): HeartbeatEvaluation {
   if (!tenure.isVerified) return UNVERIFIED;
   if (!isNewer(heartbeat, tenure)) return STALE;
   if (isImplausible(tenure, heartbeat.sequence, now)) return IMPLAUSIBLE;
-  const isGapBefore = heartbeat.agentEpoch === tenure.agentEpoch && heartbeat.sequence > tenure.sequence + 1;
-  return isGapBefore ? ACCEPTED_AFTER_GAP : ACCEPTED;
+  const hasGapBefore = heartbeat.agentEpoch === tenure.agentEpoch && heartbeat.sequence > tenure.sequence + 1;
+  return hasGapBefore ? ACCEPTED_AFTER_GAP : ACCEPTED;
 }
 
 /**
- * Judges the status in an answer. `knownBefore`: what was known when the command was sent that it answers. An answer is newer
+ * Judges the status in an answer. `positionAtSend`: what was known when the command was sent that it answers. An answer is newer
  * than that, unless the agent has begun again.
  */
-export function judgeAnswer(tenure: MachineTenure, answer: Heartbeat, knownBefore: HeartbeatPosition): HeartbeatVerdict {
-  if (!isNewer(answer, knownBefore)) return AGENT_RESTARTED;
-  return isNewer(answer, tenure) ? ACCEPTED : STALE;
+export function evaluateCommandResponse(
+  tenure: MachineTenure,
+  response: Heartbeat,
+  positionAtSend: HeartbeatPosition,
+): HeartbeatEvaluation {
+  if (!isNewer(response, positionAtSend)) return AGENT_RESTARTED;
+  return isNewer(response, tenure) ? ACCEPTED : STALE;
 }
 
 /** Is the sequence higher than the worker can have come to since it was last heard? Not known before its first heartbeat. */
 export function isImplausible(tenure: MachineTenure, sequence: number, now: Milliseconds): boolean {
-  const sinceHeardMs = now - tenure.lastHeartbeatAt;
-  return tenure.sequence >= 0 && sequence - tenure.sequence > MAX_MESSAGE_BURST + (MAX_MESSAGES_PER_S * sinceHeardMs) / 1000;
+  const sinceHeartbeatMs = now - tenure.lastHeartbeatAt;
+  return tenure.sequence >= 0 && sequence - tenure.sequence > MAX_MESSAGE_BURST + (MAX_MESSAGES_PER_S * sinceHeartbeatMs) / 1000;
 }
--- a/packages/controller/src/heartbeats/heartbeat-forwarding.ts
+++ b/packages/controller/src/heartbeats/heartbeat-forwarding.ts
@@ -9,18 +9,18 @@
 import { isNewer } from './heartbeat-order.js';
 
 /** The status names machines heard within this time. */
-const RECENTLY_HEARD_MS = 4000;
+const RECENT_HEARTBEAT_MS = 4000;
 
 /** An unchanged heartbeat is forwarded whole again after this many heartbeat intervals. */
-const FORWARD_AGAIN_INTERVALS = 5;
+const REFORWARD_INTERVALS = 5;
 
 /** What was heard is kept for this many worker leases: late copies of it may come. */
 const RETENTION_LEASES = 10;
 
 /** The newest heartbeat of a machine, and what the holder of its shard was sent of it. */
-interface HeardMachine {
+interface ForwardingState {
   heartbeat: Heartbeat;
-  heardAt: Milliseconds;
+  receivedAt: Milliseconds;
   /** the controller that was last sent a heartbeat whole; null: none */
   forwardedTo: string | null;
   /** the sequence of the heartbeat that was sent whole */
@@ -29,7 +29,7 @@
 }
 
 /** Is what a heartbeat says of the task the same? */
-function isSameTask(task: TaskStatus, other: TaskStatus | undefined): boolean {
+function isSameTaskStatus(task: TaskStatus, other: TaskStatus | undefined): boolean {
   return (
     other !== undefined &&
     task.index === other.index &&
@@ -49,7 +49,7 @@
     return false;
   if (heartbeat.preemptionNoticeS !== null || other.preemptionNoticeS !== null || heartbeat.tasks.length !== other.tasks.length)
     return false;
-  return heartbeat.tasks.every((task, index) => isSameTask(task, other.tasks[index]));
+  return heartbeat.tasks.every((task, index) => isSameTaskStatus(task, other.tasks[index]));
 }
 
 /** What the forwarding of heartbeats needs of its controller. */
@@ -57,7 +57,7 @@
 
 /** Keeps and forwards heartbeats that are answered here for other controllers. */
 export class HeartbeatForwarding {
-  private readonly heardMachines = new Map<string, HeardMachine>();
+  private readonly forwardingStates = new Map<string, ForwardingState>();
 
   constructor(private readonly context: HeartbeatForwardingContext) {}
 
@@ -66,68 +66,68 @@
    * copy must not make a silent machine seem alive: only a newer heartbeat counts.
    */
   receive(heartbeat: Heartbeat, holder: string | null, now: Milliseconds): void {
-    const previous = this.heardMachines.get(heartbeat.machine);
+    const previous = this.forwardingStates.get(heartbeat.machine);
     if (previous && !isNewer(heartbeat, previous.heartbeat)) return;
-    const machine: HeardMachine = {
+    const state: ForwardingState = {
       heartbeat,
-      heardAt: now,
+      receivedAt: now,
       forwardedTo: previous?.forwardedTo ?? null,
       forwardedSequence: previous?.forwardedSequence ?? NO_SEQUENCE,
       forwardedAt: previous?.forwardedAt ?? NEVER,
     };
-    this.heardMachines.set(heartbeat.machine, machine);
-    this.forward(machine, previous?.heartbeat ?? null, holder, now);
+    this.forwardingStates.set(heartbeat.machine, state);
+    this.forward(state, previous?.heartbeat ?? null, holder, now);
   }
 
   /** Machines heard here recently whose heartbeats go on as they were forwarded, by the controller that holds their shard. */
-  recentByHolder(now: Milliseconds): Map<string, UnchangedHeartbeat[]> {
+  unchangedByHolder(now: Milliseconds): Map<string, UnchangedHeartbeat[]> {
     const byHolder = new Map<string, UnchangedHeartbeat[]>();
     const retentionMs = RETENTION_LEASES * this.context.settings.workers.leaseS * 1000;
-    for (const [name, machine] of this.heardMachines) {
-      if (now - machine.heardAt < RECENTLY_HEARD_MS) this.addUnchanged(byHolder, name, machine);
-      else if (now - machine.heardAt > retentionMs) this.heardMachines.delete(name);
+    for (const [name, state] of this.forwardingStates) {
+      if (now - state.receivedAt < RECENT_HEARTBEAT_MS) this.addUnchanged(byHolder, name, state);
+      else if (now - state.receivedAt > retentionMs) this.forwardingStates.delete(name);
     }
     return byHolder;
   }
 
   /** This process was paused: workers that it did not hear meanwhile were not silent. */
-  processPaused(pauseMs: Milliseconds): void {
-    for (const machine of this.heardMachines.values()) machine.heardAt += pauseMs;
+  processPaused(pausedMs: Milliseconds): void {
+    for (const state of this.forwardingStates.values()) state.receivedAt += pausedMs;
   }
 
   /** `previous`: the heartbeat before; null: there was none. */
-  private forward(machine: HeardMachine, previous: Heartbeat | null, holder: string | null, now: Milliseconds): void {
+  private forward(state: ForwardingState, previous: Heartbeat | null, holder: string | null, now: Milliseconds): void {
     if (holder === null || holder === this.context.settings.name || !this.context.isPeerAlive(holder, now)) {
-      machine.forwardedTo = null;
+      state.forwardedTo = null;
       return;
     }
-    const { heartbeat } = machine;
-    const isKnownThere = previous !== null && machine.forwardedTo === holder && isSameHeartbeat(previous, heartbeat);
-    if (isKnownThere && now - machine.forwardedAt < this.forwardAgainMs) return;
-    machine.forwardedTo = holder;
-    machine.forwardedSequence = heartbeat.sequence;
-    machine.forwardedAt = now;
+    const { heartbeat } = state;
+    const isAlreadyForwarded = previous !== null && state.forwardedTo === holder && isSameHeartbeat(previous, heartbeat);
+    if (isAlreadyForwarded && now - state.forwardedAt < this.reforwardMs) return;
+    state.forwardedTo = holder;
+    state.forwardedSequence = heartbeat.sequence;
+    state.forwardedAt = now;
     this.context.emit({ type: 'forwardHeartbeat', to: holder, heartbeat });
   }
 
-  private get forwardAgainMs(): Milliseconds {
-    return FORWARD_AGAIN_INTERVALS * this.context.settings.workers.heartbeatIntervalS * 1000;
+  private get reforwardMs(): Milliseconds {
+    return REFORWARD_INTERVALS * this.context.settings.workers.heartbeatIntervalS * 1000;
   }
 
   private addUnchanged(
     byHolder: Map<string, UnchangedHeartbeat[]>,
     name: string,
-    { heartbeat, forwardedTo, forwardedSequence }: HeardMachine,
+    { heartbeat, forwardedTo, forwardedSequence }: ForwardingState,
   ): void {
     const machine = this.context.clusterState.machines.get(name);
     const holder = machine && this.context.clusterState.leaseOf(machine.shard)?.holder.controller;
     if (!holder) return;
-    const forwardedWhole = forwardedTo === holder ? forwardedSequence : heartbeat.sequence;
+    const sequenceAtHolder = forwardedTo === holder ? forwardedSequence : heartbeat.sequence;
     appendTo(byHolder, holder, {
       machine: name,
       agentEpoch: heartbeat.agentEpoch,
       sequence: heartbeat.sequence,
-      forwardedSequence: forwardedWhole,
+      forwardedSequence: sequenceAtHolder,
     });
   }
 }
--- a/packages/controller/src/heartbeats/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeats/heartbeat-reconciler.ts
@@ -1,6 +1,6 @@
 /**
  * Brings what workers report together with what is stored and intended. Whether a heartbeat is current is decided by
- * heartbeat-verdict.ts; here is what follows from that for the machine, and task-reconciler.ts has what follows for its
+ * heartbeat-evaluation.ts; here is what follows from that for the machine, and task-reconciler.ts has what follows for its
  * tasks. Owns what the tenures of machines know of their workers: epoch, sequence, when they were heard, and their orphaned
  * tasks. Within one heartbeat the effects have a fixed order: the machine's address and liveness, a new epoch, a preemption
  * notice, reported tasks, missing tasks.
@@ -18,8 +18,8 @@
   UNKNOWN_EPOCH,
 } from '../model/index.js';
 import type { HeartbeatReconciliation, ImageCacheWriter, ProgressWriter } from '../shards/index.js';
+import { evaluateCommandResponse, evaluateHeartbeat, isImplausible } from './heartbeat-evaluation.js';
 import { isNewer } from './heartbeat-order.js';
-import { isImplausible, judgeAnswer, judgeHeartbeat } from './heartbeat-verdict.js';
 import { TaskReconciler } from './task-reconciler.js';
 
 /** A machine is probed for something odd about its heartbeats once in this many heartbeat intervals at most. */
@@ -42,30 +42,32 @@
   }
 
   /**
-   * Takes a heartbeat that the worker sent on its own, or, with `knownBefore`, the status in its answer to a command that was
+   * Takes a heartbeat that the worker sent on its own, or, with `positionAtSend`, the status in its answer to a command that was
    * sent when this was known. A start that is under way isn't refuted by either: it may have been made before it.
    */
-  reconcile(machine: Machine, heartbeat: Heartbeat, now: Milliseconds, knownBefore: HeartbeatPosition | null = null): void {
+  reconcile(machine: Machine, heartbeat: Heartbeat, now: Milliseconds, positionAtSend: HeartbeatPosition | null = null): void {
     this.allocations.advanceTo(now);
     const { tenure } = machine;
-    const verdict = knownBefore ? judgeAnswer(tenure, heartbeat, knownBefore) : judgeHeartbeat(tenure, heartbeat, now);
-    switch (verdict.kind) {
+    const evaluation = positionAtSend
+      ? evaluateCommandResponse(tenure, heartbeat, positionAtSend)
+      : evaluateHeartbeat(tenure, heartbeat, now);
+    switch (evaluation.kind) {
       case 'unverified':
-        return this.learnFromUnverified(machine, heartbeat);
+        return this.recordUnverified(machine, heartbeat);
       case 'stale':
       case 'implausible':
         // No probe after an answer: the machine has just given one.
-        if (knownBefore === null) this.requestProbe(machine, now);
+        if (positionAtSend === null) this.requestProbe(machine, now);
         return;
       case 'agentRestarted':
-        this.forgetEpoch(machine);
+        this.resetEpoch(machine);
         return this.accept(machine, heartbeat, now, true);
       case 'accepted':
         // Something that the worker sent didn't come here: perhaps the responses don't reach it either.
-        if (verdict.isGapBefore) this.requestProbe(machine, now);
-        return this.accept(machine, heartbeat, now, knownBefore !== null);
+        if (evaluation.hasGapBefore) this.requestProbe(machine, now);
+        return this.accept(machine, heartbeat, now, positionAtSend !== null);
       default:
-        return verdict satisfies never;
+        return evaluation satisfies never;
     }
   }
 
@@ -76,7 +78,7 @@
     const { tenure } = machine;
     // Older than what came here: a late copy was answered there.
     if (tenure.isVerified && isNewer(tenure, unchanged)) return;
-    this.recordHeardByPeer(machine, from, now);
+    this.recordPeerContact(machine, from, now);
     if (!tenure.isVerified || unchanged.agentEpoch !== tenure.agentEpoch || unchanged.sequence <= tenure.sequence) return;
     // The heartbeat that it refers to did not come here, or its number can't be right.
     if (tenure.sequence < unchanged.forwardedSequence || isImplausible(tenure, unchanged.sequence, now)) {
@@ -84,7 +86,7 @@
       return;
     }
     tenure.sequence = unchanged.sequence;
-    this.recordHeard(machine, now);
+    this.recordContact(machine, now);
   }
 
   /** Has the machine probed, unless that was requested a moment ago: its answer settles what its heartbeats leave open. */
@@ -96,7 +98,7 @@
   }
 
   /** All that counts is which epoch to address a probe to, and how urgent the answer to it is. */
-  private learnFromUnverified({ tenure }: Machine, heartbeat: Heartbeat): void {
+  private recordUnverified({ tenure }: Machine, heartbeat: Heartbeat): void {
     if (heartbeat.agentEpoch > tenure.agentEpoch) tenure.agentEpoch = heartbeat.agentEpoch;
     for (const task of heartbeat.tasks)
       tenure.reportedPriority = Math.max(tenure.reportedPriority, this.reportedPriorityOf(task.job));
@@ -110,7 +112,7 @@
   }
 
   /** The agent began again: nothing that was there is there any more, and its numbers start anew. */
-  private forgetEpoch(machine: Machine): void {
+  private resetEpoch(machine: Machine): void {
     this.context.log('info', 'worker agent restarted', { machine: machine.name });
     for (const allocation of [...machine.tenure.allocations.values()])
       if (allocation.phase !== 'planned') this.allocations.free(allocation);
@@ -118,25 +120,25 @@
     machine.tenure.sequence = NO_SEQUENCE;
   }
 
-  private accept(machine: Machine, heartbeat: Heartbeat, now: Milliseconds, isAnswer: boolean): void {
+  private accept(machine: Machine, heartbeat: Heartbeat, now: Milliseconds, isCommandResponse: boolean): void {
     const { tenure } = machine;
     if (heartbeat.address) machine.address = heartbeat.address;
-    this.recordHeard(machine, now);
+    this.recordContact(machine, now);
     if (heartbeat.agentEpoch > tenure.agentEpoch) this.beginEpoch(machine, heartbeat.agentEpoch);
     tenure.sequence = heartbeat.sequence;
     if (heartbeat.preemptionNoticeS !== null && tenure.preemptionNoticeUntil === null)
       this.recordPreemptionNotice(machine, heartbeat.preemptionNoticeS, now);
     const reportedKeys = this.reconcileTasks(machine, heartbeat.tasks, now);
-    this.freeMissing(machine, reportedKeys, now, isAnswer);
+    this.freeMissing(machine, reportedKeys, now, isCommandResponse);
   }
 
   /** It is alive: it isn't released for its silence any more, unless the request has left. */
-  private recordHeard({ tenure }: Machine, now: Milliseconds): void {
+  private recordContact({ tenure }: Machine, now: Milliseconds): void {
     tenure.resetContact(now);
     if (tenure.releaseReason === 'silent' && !tenure.isReleasing) tenure.releaseReason = null;
   }
 
-  private recordHeardByPeer(machine: Machine, peer: string, now: Milliseconds): void {
+  private recordPeerContact(machine: Machine, peer: string, now: Milliseconds): void {
     machine.lastPeerContactAt = now;
     machine.tenure.lastContactAt = now;
     // It goes from one controller to the next: perhaps no controller's responses reach it. One that stays is answered.
@@ -187,10 +189,10 @@
    * Frees allocations that the worker doesn't report any more. A task that runs never leaves the heartbeats of its epoch by
    * itself: where it is missing the agent restarted, or this is a copy of something older, and only an answer shows which.
    */
-  private freeMissing(machine: Machine, reportedKeys: ReadonlySet<string>, now: Milliseconds, isAnswer: boolean): void {
+  private freeMissing(machine: Machine, reportedKeys: ReadonlySet<string>, now: Milliseconds, isCommandResponse: boolean): void {
     for (const [key, allocation] of [...machine.tenure.allocations]) {
       if (reportedKeys.has(key) || allocation.phase === 'planned' || allocation.phase === 'sent') continue;
-      if (!isAnswer && allocation.phase === 'reported') this.requestProbe(machine, now);
+      if (!isCommandResponse && allocation.phase === 'reported') this.requestProbe(machine, now);
       else this.allocations.free(allocation);
     }
   }
--- a/packages/controller/src/heartbeats/heartbeat-responder.ts
+++ b/packages/controller/src/heartbeats/heartbeat-responder.ts
@@ -18,16 +18,16 @@
 const HTTP_SERVICE_UNAVAILABLE = 503;
 
 /** The body of a response that renews no lease: the worker tries another controller. */
-const MAY_NOT_ANSWER = { error: 'not entitled' };
+const NOT_ENTITLED_BODY = { error: 'not entitled' };
 
 /** Learns of machines that send heartbeats and that no shard has. */
 export interface UnassignedMachineListener {
-  unassignedMachineReported(machine: UnassignedMachine, now: Milliseconds): void;
+  onUnassignedMachineReported(machine: UnassignedMachine, now: Milliseconds): void;
 }
 
 /** Knows since when no controller can have confirmed a cancellation that isn't known here. */
 export interface CancellationFreshnessSource {
-  freshSince(now: Milliseconds): Milliseconds;
+  freshAsOf(now: Milliseconds): Milliseconds;
 }
 
 /** The parts that heartbeats are handed to, or that say how they are answered. */
@@ -57,25 +57,25 @@
   receive(id: number, heartbeat: Heartbeat, now: Milliseconds): void {
     const { shardController, heartbeatReconciler, leader, heartbeatForwarding, workerRouting } = this.collaborators;
     const { clusterState } = this.context;
-    if (!this.mayAnswerWorkers(now)) return this.respond(id, HTTP_SERVICE_UNAVAILABLE, MAY_NOT_ANSWER);
+    if (!this.mayAnswerWorkers(now)) return this.respond(id, HTTP_SERVICE_UNAVAILABLE, NOT_ENTITLED_BODY);
     const machine = clusterState.machines.get(heartbeat.machine);
     if (!machine) {
       const { address, type, zone, spot } = heartbeat;
-      leader.unassignedMachineReported({ machine: heartbeat.machine, address, type, zone, spot }, now);
+      leader.onUnassignedMachineReported({ machine: heartbeat.machine, address, type, zone, spot }, now);
       return this.respond(id, HTTP_MISDIRECTED_REQUEST, encodeRedirect(null));
     }
     // It has seen a higher token than is known here: it would drop any response, and stay here while its lease runs out.
     // Another controller must answer it.
     if (heartbeat.fencingToken > clusterState.fencingToken(machine))
-      return this.respond(id, HTTP_SERVICE_UNAVAILABLE, MAY_NOT_ANSWER);
+      return this.respond(id, HTTP_SERVICE_UNAVAILABLE, NOT_ENTITLED_BODY);
     const holder = clusterState.leaseOf(machine.shard)?.holder.controller ?? null;
-    const redirectTo = workerRouting.redirectTarget(heartbeat, holder, now);
+    const redirectTo = workerRouting.chooseRedirectTarget(heartbeat, holder, now);
     if (redirectTo !== null) return this.respond(id, HTTP_MISDIRECTED_REQUEST, encodeRedirect(redirectTo));
-    workerRouting.workerServed(heartbeat.machine, now);
+    workerRouting.recordServed(heartbeat.machine, now);
     if (shardController.allocations.holdsShard(machine.shard, now)) heartbeatReconciler.reconcile(machine, heartbeat, now);
     // Its tasks must not end because the holder of their shard did, or can't be reached from here.
     else heartbeatForwarding.receive(heartbeat, holder, now);
-    this.respond(id, HTTP_OK, encodeHeartbeatResponse(clusterState.fencingToken(machine), this.stopsForFinishedJobs(heartbeat)));
+    this.respond(id, HTTP_OK, encodeHeartbeatResponse(clusterState.fencingToken(machine), this.buildStopCommands(heartbeat)));
   }
 
   /** A heartbeat that another controller answered and forwarded. */
@@ -102,7 +102,7 @@
   mayAnswerWorkers(now: Milliseconds): boolean {
     if (!this.context.replica.isLoaded) return false;
     const { cancelS, leaseS, heartbeatIntervalS: intervalS } = this.context.settings.workers;
-    const confirmedAt = Math.max(this.context.replicaFreshAt, this.collaborators.cancellationFreshness.freshSince(now));
+    const confirmedAt = Math.max(this.context.replicaFreshAt, this.collaborators.cancellationFreshness.freshAsOf(now));
     return now - confirmedAt < (cancelS - leaseS - intervalS) * 1000;
   }
 
@@ -118,7 +118,7 @@
    * response does, and the response is what lets the tasks go on. Of a job that is done a second attempt may be left, which the
    * holder of its shard does not know any more.
    */
-  private stopsForFinishedJobs(heartbeat: Heartbeat): Command[] {
+  private buildStopCommands(heartbeat: Heartbeat): Command[] {
     const { finishedJobs } = this.context.clusterState;
     const finished = heartbeat.tasks.filter(({ job, state }) => state !== 'exited' && finishedJobs.has(job));
     return finished.slice(0, MAX_COMMANDS_PER_BODY).map(stopReportedTask);
--- a/packages/controller/src/heartbeats/task-reconciler.ts
+++ b/packages/controller/src/heartbeats/task-reconciler.ts
@@ -97,7 +97,7 @@
     allocation.machine.allocationsChanged();
     this.allocations.schedulingRequested = true;
     if (task.exitReason === 'done') this.recordDone(allocation, now);
-    else this.recordNotDone(allocation, task.exitReason, now);
+    else this.recordUnsuccessfulExit(allocation, task.exitReason, now);
   }
 
   private recordDone(allocation: Allocation, now: Milliseconds): void {
@@ -107,10 +107,10 @@
     this.progressWriter.markDone(job, allocation.taskIndex);
   }
 
-  private recordNotDone(allocation: Allocation, exitReason: UnsuccessfulExit, now: Milliseconds): void {
+  private recordUnsuccessfulExit(allocation: Allocation, exitReason: UnsuccessfulExit, now: Milliseconds): void {
     const { job } = allocation;
     this.applyExitReason(allocation, exitReason, now);
-    if (exitReason !== 'stopped') this.logEnded(allocation, exitReason);
+    if (exitReason !== 'stopped') this.logUnsuccessfulExit(allocation, exitReason);
     if (job.spec.shape === 'gang' && job.state === 'live' && job.doneCount < job.spec.tasks) this.allocations.failGang(job);
   }
 
@@ -138,7 +138,7 @@
     }
   }
 
-  private logEnded({ job, taskIndex, machine }: Allocation, reason: UnsuccessfulExit): void {
+  private logUnsuccessfulExit({ job, taskIndex, machine }: Allocation, reason: UnsuccessfulExit): void {
     this.context.log('debug', 'task ended', { task: `${job.spec.id}/${taskIndex}`, machine: machine.name, reason });
   }
 }
--- a/packages/controller/src/heartbeats/worker-routing.ts
+++ b/packages/controller/src/heartbeats/worker-routing.ts
@@ -8,13 +8,13 @@
 import { type Milliseconds, NEVER, shiftTimes } from '../model/index.js';
 
 /** A controller that answers this many workers is known to be reachable for them. */
-const MIN_HEARD_WORKERS = 3;
+const MIN_SERVED_WORKERS = 3;
 
 /** A worker is redirected to a controller of which that isn't known this often, as a trial. */
 const TRIAL_REDIRECT_INTERVAL_MS = 250;
 
 /** A worker is redirected to the same controller again only after this many worker leases. */
-const REDIRECT_AGAIN_LEASES = 4;
+const REDIRECT_COOLDOWN_LEASES = 4;
 
 /** A worker that was answered here within this many heartbeat intervals counts as served here. */
 const SERVED_INTERVALS = 2;
@@ -31,7 +31,7 @@
   /** when each worker was last answered here */
   private readonly servedAt = new Map<string, Milliseconds>();
   private readonly redirects = new Map<string, Redirect>();
-  private trialRedirectAt: Milliseconds = NEVER;
+  private lastTrialRedirectAt: Milliseconds = NEVER;
 
   constructor(private readonly context: SettingsView & PeerDirectory) {}
 
@@ -39,39 +39,39 @@
    * The controller that the worker is to be redirected to; null: it is to be answered here. `holder`: the controller that holds
    * the machine's shard; null: none does. A redirect that is returned counts as carried out.
    */
-  redirectTarget(heartbeat: Heartbeat, holder: string | null, now: Milliseconds): string | null {
+  chooseRedirectTarget(heartbeat: Heartbeat, holder: string | null, now: Milliseconds): string | null {
     const controller = this.preferredController(heartbeat.zone, holder, now);
     if (controller === this.context.settings.name) return null;
     return this.mayRedirectWorker(heartbeat, now) && this.mayRedirectTo(heartbeat.machine, controller, now) ? controller : null;
   }
 
   /** The worker's heartbeat is answered here. */
-  workerServed(machine: string, now: Milliseconds): void {
+  recordServed(machine: string, now: Milliseconds): void {
     this.servedAt.set(machine, now);
   }
 
   /** How many workers were answered here recently. */
-  servedWorkers(now: Milliseconds): number {
-    this.dropOld(now);
+  servedWorkerCount(now: Milliseconds): number {
+    this.deleteExpired(now);
     return this.servedAt.size;
   }
 
   /** This process was paused: workers that it did not hear meanwhile were not silent. */
-  processPaused(pauseMs: Milliseconds): void {
-    shiftTimes(this.servedAt, pauseMs);
+  processPaused(pausedMs: Milliseconds): void {
+    shiftTimes(this.servedAt, pausedMs);
   }
 
-  private dropOld(now: Milliseconds): void {
-    for (const [machine, at] of this.servedAt) if (now - at > this.servedMs) this.servedAt.delete(machine);
-    for (const [machine, { at }] of this.redirects) if (now - at > this.redirectAgainMs) this.redirects.delete(machine);
+  private deleteExpired(now: Milliseconds): void {
+    for (const [machine, at] of this.servedAt) if (now - at > this.servedWindowMs) this.servedAt.delete(machine);
+    for (const [machine, { at }] of this.redirects) if (now - at > this.redirectCooldownMs) this.redirects.delete(machine);
   }
 
-  private get servedMs(): Milliseconds {
+  private get servedWindowMs(): Milliseconds {
     return SERVED_INTERVALS * this.context.settings.workers.heartbeatIntervalS * 1000;
   }
 
-  private get redirectAgainMs(): Milliseconds {
-    return REDIRECT_AGAIN_LEASES * this.context.settings.workers.leaseS * 1000;
+  private get redirectCooldownMs(): Milliseconds {
+    return REDIRECT_COOLDOWN_LEASES * this.context.settings.workers.leaseS * 1000;
   }
 
   /**
@@ -81,11 +81,11 @@
    */
   private mayRedirectTo(machine: string, to: string, now: Milliseconds): boolean {
     const previous = this.redirects.get(machine);
-    if (previous?.to === to && now - previous.at < this.redirectAgainMs) return false;
-    const heardWorkers = this.context.peers.get(to)?.status.heardWorkers ?? 0;
-    if (heardWorkers < MIN_HEARD_WORKERS) {
-      if (now - this.trialRedirectAt < TRIAL_REDIRECT_INTERVAL_MS) return false;
-      this.trialRedirectAt = now;
+    if (previous?.to === to && now - previous.at < this.redirectCooldownMs) return false;
+    const servedWorkers = this.context.peers.get(to)?.status.heardWorkers ?? 0;
+    if (servedWorkers < MIN_SERVED_WORKERS) {
+      if (now - this.lastTrialRedirectAt < TRIAL_REDIRECT_INTERVAL_MS) return false;
+      this.lastTrialRedirectAt = now;
     }
     this.redirects.set(machine, { to, at: now });
     return true;
@@ -96,7 +96,7 @@
    * first and redirected at its next heartbeat, so that trying the other controller costs it no lease.
    */
   private mayRedirectWorker(heartbeat: Heartbeat, now: Milliseconds): boolean {
-    return heartbeat.tasks.length === 0 || now - (this.servedAt.get(heartbeat.machine) ?? NEVER) < this.servedMs;
+    return heartbeat.tasks.length === 0 || now - (this.servedAt.get(heartbeat.machine) ?? NEVER) < this.servedWindowMs;
   }
 
   /**
--- a/packages/controller/src/leadership/cancellation-freshness.ts
+++ b/packages/controller/src/leadership/cancellation-freshness.ts
@@ -41,7 +41,7 @@
   }
 
   /** A status came from another controller. `revision`: all changes of the state service up to it are known here. */
-  statusReceived(status: PeerStatus, revision: number): void {
+  recordStatus(status: PeerStatus, revision: number): void {
     this.receivedPings.set(status.node, status.ping);
     // A ping of an earlier incarnation, or an empty one, proves nothing about the clock of this one.
     const sentAt = this.pingSentAt.get(status.echo);
@@ -50,7 +50,7 @@
   }
 
   /** Until when all others have proved it: `now` without others, and minus infinity while one of them has proved nothing. */
-  freshSince(now: Milliseconds): Milliseconds {
+  freshAsOf(now: Milliseconds): Milliseconds {
     let oldest = now;
     for (const peer of this.peers) oldest = Math.min(oldest, this.provenUntil.get(peer) ?? Number.NEGATIVE_INFINITY);
     return oldest;
--- a/packages/controller/src/leadership/holder-selection.ts
+++ b/packages/controller/src/leadership/holder-selection.ts
@@ -38,7 +38,7 @@
   }
 
   /** Does the controller hold neither a shard nor the leader's lease? */
-  holdsNothing(controller: string): boolean {
+  holdsNoLease(controller: string): boolean {
     for (const { holder } of this.context.clusterState.leasesByName.values()) if (holder.controller === controller) return false;
     return true;
   }
--- a/packages/controller/src/leadership/idle-machine-scale-in.ts
+++ b/packages/controller/src/leadership/idle-machine-scale-in.ts
@@ -47,7 +47,7 @@
         if (remaining <= 0) return;
         const machine = this.context.clusterState.machines.get(summary.name);
         if (!machine || !this.isRetirable(machine, summary, round.highestPrice)) continue;
-        if (this.isWanted(machine, demands)) continue;
+        if (this.hasPendingDemand(machine, demands)) continue;
         remaining--;
         this.retire(machine, summary.idleS, round);
       }
@@ -63,7 +63,7 @@
   }
 
   /** Could pending tasks use the machine? It has been idle all the while: those of low priority don't keep an expensive one. */
-  private isWanted(machine: Machine, demands: readonly ResourceDemand[]): boolean {
+  private hasPendingDemand(machine: Machine, demands: readonly ResourceDemand[]): boolean {
     const { capacity, spot } = machine;
     if (!capacity) return false;
     const zone = this.context.clusterState.zoneNames.nameOf(machine.zoneIndex);
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -24,19 +24,19 @@
 import { IdleMachineScaleIn } from './idle-machine-scale-in.js';
 
 /** A round goes over all machines: with many of them rounds are rarer, but pending tasks never wait longer than the maximum. */
-const MIN_ROUND_MS = 500;
-const ROUND_MS_PER_MACHINE = 1;
-const MAX_ROUND_MS = 1500;
+const MIN_ROUND_INTERVAL_MS = 500;
+const ROUND_INTERVAL_MS_PER_MACHINE = 1;
+const MAX_ROUND_INTERVAL_MS = 1500;
 
 /** No round is made on an older view of the state service: others may have changed what it would decide about. */
-const MAX_VIEW_AGE_MS = 4000;
+const MAX_REPLICA_AGE_MS = 4000;
 
 /** A shard's summary that came from a peer is used for so long: a few statuses may be lost. */
 const MAX_SUMMARY_AGE_MS = 5000;
 
 /** Moves in one round: this many in any case, or this part of the writes that the state service takes in the time of a round. */
 const MIN_MOVES_PER_ROUND = 6;
-const MOVES_PART_OF_WRITES = 0.03;
+const MOVES_FRACTION_OF_WRITES = 0.03;
 
 /** Idle machines retired in one round, for each move that it may order. */
 const RETIREMENTS_PER_MOVE = 0.5;
@@ -81,25 +81,25 @@
   }
 
   /** A tenure begins: what was planned in an earlier one doesn't count. `revision`: the fencing token of the tenure. */
-  leaseAcquired(revision: number, now: Milliseconds): void {
+  onLeaseAcquired(revision: number, now: Milliseconds): void {
     this.leaseRevision = revision;
     this.shardRebalancer.onLeaseAcquired();
     this.autoscaler.onLeaseAcquired(revision, now);
   }
 
   /** The tenure has ended. */
-  leaseLost(): void {
+  onLeaseLost(): void {
     this.leaseRevision = null;
   }
 
   /** The machine's assignment is gone: it was released, or lost. */
-  machineRemoved(name: string, now: Milliseconds): void {
+  onMachineRemoved(name: string, now: Milliseconds): void {
     this.shardRebalancer.onMachineRemoved(name);
     this.autoscaler.onMachineReleased(name, now);
   }
 
   /** A machine that no shard has sent a heartbeat to this controller. */
-  unassignedMachineReported(unassigned: UnassignedMachine, now: Milliseconds): void {
+  onUnassignedMachineReported(unassigned: UnassignedMachine, now: Milliseconds): void {
     this.machineAssigner.recordHeartbeat(unassigned, now);
   }
 
@@ -121,8 +121,8 @@
 
   private isRoundDue(now: Milliseconds): boolean {
     return (
-      now - this.lastRoundAt >= this.roundMs &&
-      now - this.context.replicaFreshAt <= MAX_VIEW_AGE_MS &&
+      now - this.lastRoundAt >= this.roundIntervalMs &&
+      now - this.context.replicaFreshAt <= MAX_REPLICA_AGE_MS &&
       !this.context.isCatchingUp()
     );
   }
@@ -137,13 +137,16 @@
     if (!this.context.settings.policy.holdSpareCapacity) this.retireIdleMachines(shards, leaseRevision, now);
   }
 
-  private get roundMs(): Milliseconds {
-    return Math.min(MAX_ROUND_MS, MIN_ROUND_MS + ROUND_MS_PER_MACHINE * this.context.clusterState.machines.size);
+  private get roundIntervalMs(): Milliseconds {
+    return Math.min(
+      MAX_ROUND_INTERVAL_MS,
+      MIN_ROUND_INTERVAL_MS + ROUND_INTERVAL_MS_PER_MACHINE * this.context.clusterState.machines.size,
+    );
   }
 
   private get movesPerRound(): number {
-    const writes = (this.context.settings.state.writesPerS * this.roundMs) / 1000;
-    return Math.max(MIN_MOVES_PER_ROUND, Math.floor(MOVES_PART_OF_WRITES * writes));
+    const writes = (this.context.settings.state.writesPerS * this.roundIntervalMs) / 1000;
+    return Math.max(MIN_MOVES_PER_ROUND, Math.floor(MOVES_FRACTION_OF_WRITES * writes));
   }
 
   /** The summary of each shard, by its holder. A shard whose holder isn't heard has none. */
--- a/packages/controller/src/leadership/lease-claims.ts
+++ b/packages/controller/src/leadership/lease-claims.ts
@@ -31,7 +31,7 @@
 const WAIT_PER_CONTROLLER_MS = 150;
 
 /** Nothing is claimed on a view of the state service that is older: another holder may be there by now. */
-const MAX_VIEW_AGE_MS = 3000;
+const MAX_REPLICA_AGE_MS = 3000;
 
 /** A claim, or a sign of presence, that waited for longer is dropped, and written anew if it still applies. */
 const WRITE_EXPIRY_MS = 5000;
@@ -40,11 +40,11 @@
 
 /** Claims leases for this controller. What came of a claim shows in the cluster state. */
 export class LeaseClaims implements PauseListener {
-  private readonly absentSince = new Map<LeaseName, Milliseconds>();
+  private readonly unheldSince = new Map<LeaseName, Milliseconds>();
   private readonly pendingClaims = new Set<LeaseName>();
   /** of the pending claims, those of leases that nobody held */
   private readonly pendingTakeovers = new Set<LeaseName>();
-  private isPresencePending = false;
+  private isPresenceWritePending = false;
 
   constructor(
     private readonly context: LeaseClaimsContext,
@@ -56,25 +56,25 @@
    * either.
    */
   processPaused(pausedMs: Milliseconds): void {
-    shiftTimes(this.absentSince, pausedMs);
+    shiftTimes(this.unheldSince, pausedMs);
   }
 
   /** The lease has a holder. */
-  holderSeen(lease: LeaseName): void {
-    this.absentSince.delete(lease);
+  recordHolder(lease: LeaseName): void {
+    this.unheldSince.delete(lease);
   }
 
   /** Nobody holds the lease: claims it once it is this controller's turn. `heldCount`: how many leases it holds already. */
   claimWhenDue(lease: LeaseName, heldCount: number, now: Milliseconds): void {
-    const since = this.absentSince.get(lease) ?? now;
-    this.absentSince.set(lease, since);
+    const since = this.unheldSince.get(lease) ?? now;
+    this.unheldSince.set(lease, since);
     if (now - since >= this.waitBeforeClaim(lease, heldCount, now)) this.claim(lease, NO_REVISION, now);
   }
 
   /** Claims the lease. `expectedRevision`: which its key must have; 0: it must not exist. */
   claim(lease: LeaseName, expectedRevision: number, now: Milliseconds): void {
     const { context } = this;
-    if (this.pendingClaims.has(lease) || now - context.replicaFreshAt > MAX_VIEW_AGE_MS) return;
+    if (this.pendingClaims.has(lease) || now - context.replicaFreshAt > MAX_REPLICA_AGE_MS) return;
     this.pendingClaims.add(lease);
     if (expectedRevision === NO_REVISION) this.pendingTakeovers.add(lease);
     context.writer.add({
@@ -95,8 +95,8 @@
   announcePresence(now: Milliseconds): void {
     const key = StateKey.presence(this.context.settings.name);
     const current = this.context.replica.get(key);
-    if (this.isPresencePending || (current && isPresenceOf(current.value, this.context.incarnation))) return;
-    this.isPresencePending = true;
+    if (this.isPresenceWritePending || (current && isPresenceOf(current.value, this.context.incarnation))) return;
+    this.isPresenceWritePending = true;
     this.context.writer.add({
       key,
       value: () => encodePresence(this.context.incarnation),
@@ -105,7 +105,7 @@
       priority: WritePriority.release,
       expiresAt: now + WRITE_EXPIRY_MS,
       onOutcome: () => {
-        this.isPresencePending = false;
+        this.isPresenceWritePending = false;
       },
     });
   }
@@ -117,8 +117,8 @@
     if (preferred === self) return 0;
     const wait = this.holderSelection.canHoldShards(preferred, now) ? PREFERRED_HOLDER_WAIT_MS : UNFIT_HOLDER_WAIT_MS;
     // What is being claimed counts as held, so that the leader's lease and a shard's don't go to one controller together.
-    const count = heldCount + this.pendingTakeovers.size;
-    const turn = this.context.settings.controllers.findIndex((controller) => controller.name === self);
-    return wait + WAIT_PER_HELD_LEASE_MS * count + WAIT_PER_CONTROLLER_MS * turn;
+    const leaseCount = heldCount + this.pendingTakeovers.size;
+    const position = this.context.settings.controllers.findIndex((controller) => controller.name === self);
+    return wait + WAIT_PER_HELD_LEASE_MS * leaseCount + WAIT_PER_CONTROLLER_MS * position;
   }
 }
--- a/packages/controller/src/leadership/peer-registry.ts
+++ b/packages/controller/src/leadership/peer-registry.ts
@@ -34,7 +34,7 @@
 
   /** A status came over the peer's link, which therefore is up. */
   receiveStatus(status: PeerStatus, now: Milliseconds): void {
-    this.registry.set(status.node, { status, runningJobs: this.runningJobsAfter(status), lastStatusAt: now, isConnected: true });
+    this.registry.set(status.node, { status, runningJobs: this.mergeRunningJobs(status), lastStatusAt: now, isConnected: true });
   }
 
   /**
@@ -71,9 +71,9 @@
   }
 
   /** The running jobs of the peer: a status brings all of them, or those that changed since the one before. */
-  private runningJobsAfter(status: PeerStatus): Map<string, RunningTasks> {
-    const known = status.runningJobsComplete ? undefined : this.registry.get(status.node)?.runningJobs;
-    const runningJobs = known ?? new Map<string, RunningTasks>();
+  private mergeRunningJobs(status: PeerStatus): Map<string, RunningTasks> {
+    const previous = status.runningJobsComplete ? undefined : this.registry.get(status.node)?.runningJobs;
+    const runningJobs = previous ?? new Map<string, RunningTasks>();
     for (const { job, ...tasks } of status.runningJobs) {
       if (tasks.count > 0 || tasks.done > 0 || tasks.failed > 0) runningJobs.set(job, tasks);
       else runningJobs.delete(job);
--- a/packages/controller/src/leadership/replica-listener.ts
+++ b/packages/controller/src/leadership/replica-listener.ts
@@ -31,7 +31,7 @@
   ) {}
 
   /** `entry`: what the key holds now; null: it was removed. */
-  keyChanged(key: string, entry: ReplicaEntry | null): void {
+  onKeyChanged(key: string, entry: ReplicaEntry | null): void {
     if (!key.startsWith(StateKey.root)) return;
     if (entry && key.startsWith(STORED_STATUS_PREFIX))
       this.collaborators.peerRegistry.receiveStoredStatus(entry.value, this.context.now);
@@ -66,14 +66,14 @@
 
   private leaseChanged(storedName: string): void {
     const lease = parseLeaseName(storedName);
-    if (lease !== null) this.collaborators.shardLeases.leaseChanged(lease);
+    if (lease !== null) this.collaborators.shardLeases.onLeaseChanged(lease);
   }
 
   private machineChanged({ machine, isShardChanged }: MachineChange): void {
     const { leader, shardController } = this.collaborators;
     const { now } = this.context;
     if (machine.shard < 0) {
-      leader.machineRemoved(machine.name, now);
+      leader.onMachineRemoved(machine.name, now);
       leader.autoscaler.onCapacityFreed(machine, now);
     }
     shardController.onMachineChanged(machine, isShardChanged, now);
--- a/packages/controller/src/leadership/shard-leases.ts
+++ b/packages/controller/src/leadership/shard-leases.ts
@@ -49,7 +49,7 @@
 export class ShardLeases implements PauseListener {
   /** the leases held here, with the revisions at which they were acquired: the fencing tokens */
   readonly heldLeases = new Map<LeaseName, number>();
-  private readonly releasing = new Set<LeaseName>();
+  private readonly releasingLeases = new Set<LeaseName>();
   private readonly leaseNames: readonly LeaseName[];
   private readonly holderSelection: HolderSelection;
   private readonly claims: LeaseClaims;
@@ -68,22 +68,22 @@
    * claim.
    */
   mayActUnder(lease: LeaseName, now: Milliseconds): boolean {
-    return this.heldLeases.has(lease) && !this.releasing.has(lease) && this.context.isLeaseValid(now);
+    return this.heldLeases.has(lease) && !this.releasingLeases.has(lease) && this.context.isLeaseValid(now);
   }
 
   /** The key of the lease was written or removed: the cluster state has it already. */
-  leaseChanged(lease: LeaseName): void {
+  onLeaseChanged(lease: LeaseName): void {
     const { clusterState, settings, incarnation } = this.context;
     const current = clusterState.leaseOf(lease);
     const isOurs = current?.holder.controller === settings.name && current.holder.incarnation === incarnation;
-    if (isOurs) this.leaseHeld(lease, current.revision);
-    else this.leaseNotHeld(lease, current?.holder.controller ?? null);
+    if (isOurs) this.recordHeld(lease, current.revision);
+    else this.recordNotHeld(lease, current?.holder.controller ?? null);
   }
 
   /** The state lease has expired: nothing that was attached to it is held any more. */
-  stateLeaseExpired(): void {
-    for (const lease of [...this.heldLeases.keys()]) this.leaseNotHeld(lease, null);
-    this.releasing.clear();
+  onStateLeaseExpired(): void {
+    for (const lease of [...this.heldLeases.keys()]) this.recordNotHeld(lease, null);
+    this.releasingLeases.clear();
   }
 
   processPaused(pausedMs: Milliseconds): void {
@@ -100,18 +100,18 @@
     this.returnShard(now);
   }
 
-  private leaseHeld(lease: LeaseName, revision: number): void {
+  private recordHeld(lease: LeaseName, revision: number): void {
     const knownRevision = this.heldLeases.get(lease);
-    if (knownRevision === undefined) this.releasing.delete(lease);
+    if (knownRevision === undefined) this.releasingLeases.delete(lease);
     if (knownRevision === revision) return;
     this.heldLeases.set(lease, revision);
     this.context.log('info', 'shard lease acquired', { lease: String(lease), revision });
     this.context.onLeaseAcquired(lease, revision);
   }
 
-  private leaseNotHeld(lease: LeaseName, holder: string | null): void {
+  private recordNotHeld(lease: LeaseName, holder: string | null): void {
     if (!this.heldLeases.delete(lease)) return;
-    this.releasing.delete(lease);
+    this.releasingLeases.delete(lease);
     this.context.log('info', 'shard lease lost', { lease: String(lease), to: holder });
     this.context.onLeaseLost(lease);
   }
@@ -120,7 +120,7 @@
     const current = this.context.clusterState.leaseOf(lease);
     const isHeldHere = this.heldLeases.has(lease);
     if (current) {
-      this.claims.holderSeen(lease);
+      this.claims.recordHolder(lease);
       // Ours from before a restart, or from before the state lease seemed to have expired (the state service was away for long,
       // and kept it): claimed anew, so that the fencing token rises.
       if (current.holder.controller === this.context.settings.name && !isHeldHere)
@@ -134,7 +134,7 @@
 
   /** Returns one shard to its preferred holder, if one is due. */
   private returnShard(now: Milliseconds): void {
-    const shard = this.shardReturn.nextShard(this.heldLeases.keys(), this.releasing, now);
+    const shard = this.shardReturn.nextShard(this.heldLeases.keys(), this.releasingLeases, now);
     if (shard === null) return;
     const to = this.holderSelection.preferredHolder(shard);
     this.context.log('info', 'returning shard to its preferred holder', { shard: String(shard), to });
@@ -145,14 +145,14 @@
   private releaseUnreachableShards(now: Milliseconds): void {
     if (!this.holderSelection.canAnyPeerHoldShards(now)) return;
     for (const lease of this.heldLeases.keys()) {
-      if (lease === LEADER_LEASE || this.releasing.has(lease)) continue;
+      if (lease === LEADER_LEASE || this.releasingLeases.has(lease)) continue;
       this.context.log('info', 'releasing shard with unreachable workers', { shard: String(lease) });
       this.release(lease, now);
     }
   }
 
   private release(shard: number, now: Milliseconds): void {
-    this.releasing.add(shard);
+    this.releasingLeases.add(shard);
     this.context.writer.add({
       key: StateKey.shardLease(shard),
       value: () => undefined,
@@ -160,7 +160,7 @@
       priority: WritePriority.shardLease,
       expiresAt: now + RELEASE_EXPIRY_MS,
       onOutcome: (outcome) => {
-        if (outcome !== 'ok') this.releasing.delete(shard);
+        if (outcome !== 'ok') this.releasingLeases.delete(shard);
       },
     });
   }
--- a/packages/controller/src/leadership/shard-return.ts
+++ b/packages/controller/src/leadership/shard-return.ts
@@ -10,7 +10,7 @@
 import type { PauseListener } from './process-pause.js';
 
 /** A shard is returned when it has been settled for this long. */
-const SETTLED_MS = 4000;
+const MIN_SETTLED_MS = 4000;
 
 /** A shard that doesn't settle is returned all the same when its preferred holder has waited for this long. */
 const MAX_UNSETTLED_MS = 60_000;
@@ -31,10 +31,10 @@
     shiftTimes(this.settledSince, pausedMs);
   }
 
-  /** The first of the held shards that is to be returned; null: none is. `releasing`: leases that are being released already. */
-  nextShard(held: Iterable<LeaseName>, releasing: ReadonlySet<LeaseName>, now: Milliseconds): number | null {
+  /** The first of the held shards that is to be returned; null: none is. `releasingLeases`: leases that are being released already. */
+  nextShard(held: Iterable<LeaseName>, releasingLeases: ReadonlySet<LeaseName>, now: Milliseconds): number | null {
     for (const lease of held) {
-      if (lease === LEADER_LEASE || releasing.has(lease)) continue;
+      if (lease === LEADER_LEASE || releasingLeases.has(lease)) continue;
       if (this.isDue(lease, now)) {
         this.settledSince.delete(lease);
         return lease;
@@ -46,13 +46,13 @@
   private isDue(shard: number, now: Milliseconds): boolean {
     const holder = this.holderSelection.preferredHolder(shard);
     if (holder === this.context.settings.name) return false;
-    if (!this.holderSelection.canHoldShards(holder, now) || !this.holderSelection.holdsNothing(holder)) {
+    if (!this.holderSelection.canHoldShards(holder, now) || !this.holderSelection.holdsNoLease(holder)) {
       this.preferredHolderIdleSince.delete(holder);
       return false;
     }
     const idleSince = this.preferredHolderIdleSince.get(holder) ?? now;
     this.preferredHolderIdleSince.set(holder, idleSince);
-    const isSettled = this.isSettledForLong(shard, now);
+    const isSettled = this.isSettledLongEnough(shard, now);
     return isSettled || now - idleSince >= MAX_UNSETTLED_MS;
   }
 
@@ -60,13 +60,13 @@
    * A change of holder stops starts until all machines have answered anew: so a shard that hasn't recovered from the last one,
    * or from a network partition, isn't handed over.
    */
-  private isSettledForLong(shard: number, now: Milliseconds): boolean {
+  private isSettledLongEnough(shard: number, now: Milliseconds): boolean {
     if (!this.context.isShardSettled(shard)) {
       this.settledSince.delete(shard);
       return false;
     }
     const since = this.settledSince.get(shard) ?? now;
     this.settledSince.set(shard, since);
-    return now - since >= SETTLED_MS;
+    return now - since >= MIN_SETTLED_MS;
   }
 }
--- a/packages/controller/src/leadership/state-lease.ts
+++ b/packages/controller/src/leadership/state-lease.ts
@@ -10,10 +10,10 @@
 /** Learns what became of the lease. */
 export interface StateLeaseListener {
   /** The lease has ended, and with it all that was attached to it. */
-  stateLeaseLost(): void;
+  onStateLeaseLost(): void;
 
   /** The lease was renewed `overdueMs` after its assumed expiry. Until then nobody here could rely on it. */
-  stateLeaseRenewedLate(overdueMs: Milliseconds, now: Milliseconds): void;
+  onStateLeaseRenewedLate(overdueMs: Milliseconds, now: Milliseconds): void;
 }
 
 /** The lease, by what the state service answered about it. */
@@ -36,17 +36,17 @@
   }
 
   /** The lease was granted or renewed: it is valid until `validUntil` at least. */
-  renewed(leaseId: number, validUntil: Milliseconds, now: Milliseconds): void {
+  recordRenewal(leaseId: number, validUntil: Milliseconds, now: Milliseconds): void {
     if (this.id !== null && this.id !== leaseId) this.invalidate();
     // It was renewed, so it never ended, and nobody can have taken what is attached to it: what is held stays held. Treating
     // it as lost made every machine be probed anew after each outage that was longer than the lease.
-    else if (this.id === leaseId && now >= this.validUntil) this.renewedLate(now - this.validUntil, now);
+    else if (this.id === leaseId && now >= this.validUntil) this.handleLateRenewal(now - this.validUntil, now);
     this.id = leaseId;
     this.validUntil = validUntil;
   }
 
   /** The state service says that the lease has expired, or that there is none. */
-  expired(): void {
+  recordExpiry(): void {
     if (this.id !== null) this.invalidate();
   }
 
@@ -55,11 +55,11 @@
     this.context.log('warn', 'lease lost');
     this.id = null;
     this.validUntil = NEVER;
-    this.listener.stateLeaseLost();
+    this.listener.onStateLeaseLost();
   }
 
-  private renewedLate(overdueMs: Milliseconds, now: Milliseconds): void {
+  private handleLateRenewal(overdueMs: Milliseconds, now: Milliseconds): void {
     this.context.log('info', 'lease renewed after its assumed expiry', { seconds: Math.round(overdueMs / 1000) });
-    this.listener.stateLeaseRenewedLate(overdueMs, now);
+    this.listener.onStateLeaseRenewedLate(overdueMs, now);
   }
 }
--- a/packages/controller/src/leadership/state-service-freshness.ts
+++ b/packages/controller/src/leadership/state-service-freshness.ts
@@ -15,37 +15,37 @@
 
 /** What the answers of the state service say of its health, and of the age of what is known here. */
 export class StateServiceFreshness implements StateFreshness, PauseListener {
-  private readAt: Milliseconds = NEVER;
-  private answeredAt: Milliseconds = NEVER;
-  private pausedAt: Milliseconds = NEVER;
+  private lastReadAt: Milliseconds = NEVER;
+  private lastResponseAt: Milliseconds = NEVER;
+  private lastPauseAt: Milliseconds = NEVER;
 
   constructor(private readonly clock: InputClock) {}
 
   get replicaFreshAt(): Milliseconds {
-    return this.readAt;
+    return this.lastReadAt;
   }
 
   stateServiceAnswers(now: Milliseconds): boolean {
-    return now - this.answeredAt < STATE_SERVICE_SILENT_MS;
+    return now - this.lastResponseAt < STATE_SERVICE_SILENT_MS;
   }
 
   isCatchingUp(): boolean {
-    return this.readAt < this.pausedAt && this.clock.now - this.pausedAt < MAX_CATCH_UP_MS;
+    return this.lastReadAt < this.lastPauseAt && this.clock.now - this.lastPauseAt < MAX_CATCH_UP_MS;
   }
 
   /** All changes up to `asOf`, when the request for them was sent, have been read. Answers may come out of their order. */
-  replicaRead(asOf: Milliseconds, now: Milliseconds): void {
-    if (asOf > this.readAt) this.readAt = asOf;
-    this.answeredAt = now;
+  recordReplicaRead(asOf: Milliseconds, now: Milliseconds): void {
+    if (asOf > this.lastReadAt) this.lastReadAt = asOf;
+    this.lastResponseAt = now;
   }
 
   /** The state service has answered, and served this controller. */
-  stateServiceAnswered(now: Milliseconds): void {
-    this.answeredAt = now;
+  recordResponse(now: Milliseconds): void {
+    this.lastResponseAt = now;
   }
 
   processPaused(pausedMs: Milliseconds, now: Milliseconds): void {
-    this.pausedAt = now;
-    if (this.answeredAt > 0) this.answeredAt += pausedMs;
+    this.lastPauseAt = now;
+    if (this.lastResponseAt > 0) this.lastResponseAt += pausedMs;
   }
 }
--- a/packages/controller/src/leadership/status-assembly.ts
+++ b/packages/controller/src/leadership/status-assembly.ts
@@ -45,7 +45,7 @@
       reachesWorkers: shardController.reachesWorkers,
       wantedWritesPerS: Math.round(context.writer.wantedWritesPerS(now)),
       stateServiceAnswers: context.stateServiceAnswers(now),
-      heardWorkers: workerRouting.servedWorkers(now),
+      heardWorkers: workerRouting.servedWorkerCount(now),
       replicaLoaded: context.replica.isLoaded,
       cancellationRevision: context.clusterState.cancellationRevision,
       ping: '',
--- a/packages/controller/src/leadership/status-exchange.ts
+++ b/packages/controller/src/leadership/status-exchange.ts
@@ -34,7 +34,7 @@
 
 /** Sends statuses to the other controllers. */
 export class StatusExchange {
-  private sentAt: Milliseconds = NEVER;
+  private lastSentAt: Milliseconds = NEVER;
   /** how many statuses were sent: the turn that long lists are at */
   private turn = 0;
   private readonly runningTaskDeltas = new RunningTaskDeltas();
@@ -46,34 +46,34 @@
 
   /** Sends a status to every other controller when one is due. */
   tick(now: Milliseconds): void {
-    if (now - this.sentAt <= STATUS_INTERVAL_MS) return;
-    this.sentAt = now;
+    if (now - this.lastSentAt <= STATUS_INTERVAL_MS) return;
+    this.lastSentAt = now;
     this.sendToAll(now);
   }
 
   private sendToAll(now: Milliseconds): void {
     const { settings, clusterState } = this.context;
     const turn = this.turn++;
-    const status = this.statusForAll(turn, now);
-    const heartbeatsByHolder = this.collaborators.heartbeatForwarding.recentByHolder(now);
+    const status = this.assembleSharedStatus(turn, now);
+    const heartbeatsByHolder = this.collaborators.heartbeatForwarding.unchangedByHolder(now);
     const leader = clusterState.leaseOf(LEADER_LEASE)?.holder.controller ?? null;
     for (const { name } of settings.controllers) {
       if (name === settings.name) continue;
-      const own: PeerStatus = {
+      const peerStatus: PeerStatus = {
         ...status,
         unchangedHeartbeats: roundRobinSlice(heartbeatsByHolder.get(name) ?? [], MAX_UNCHANGED_HEARTBEATS, turn),
         ...this.collaborators.cancellationFreshness.pingAndEcho(name, now),
       };
       // The leader alone decides about machines; while none is known, anybody may become it.
       if (leader !== null && name !== leader) {
-        own.shards = [];
-        own.unassignedMachines = [];
+        peerStatus.shards = [];
+        peerStatus.unassignedMachines = [];
       }
-      this.context.emit({ type: 'sendStatus', to: name, status: own });
+      this.context.emit({ type: 'sendStatus', to: name, status: peerStatus });
     }
   }
 
-  private statusForAll(turn: number, now: Milliseconds): PeerStatus {
+  private assembleSharedStatus(turn: number, now: Milliseconds): PeerStatus {
     const { statusAssembly, shardController } = this.collaborators;
     const status = statusAssembly.assemble(now);
     Object.assign(status, this.runningTaskDeltas.next(shardController.runningJobs()));
--- a/packages/controller/src/leadership/stored-status-writer.ts
+++ b/packages/controller/src/leadership/stored-status-writer.ts
@@ -27,7 +27,7 @@
 /** Stores this controller's status for the leader. */
 export class StoredStatusWriter {
   private isWritePending = false;
-  private storedAt: Milliseconds = NEVER;
+  private lastStoredAt: Milliseconds = NEVER;
   /** how many statuses were stored: the turn that long lists are at */
   private turn = 0;
 
@@ -38,27 +38,27 @@
 
   /** Stores a status when the leader needs one and the last is old enough. */
   tick(now: Milliseconds): void {
-    if (!this.isLeaderOutOfReach(now) || !this.mayWrite(now)) return;
-    this.storedAt = now;
+    if (!this.isLeaderLinkDown(now) || !this.mayWrite(now)) return;
+    this.lastStoredAt = now;
     this.isWritePending = true;
     this.write(now);
   }
 
-  private isLeaderOutOfReach(now: Milliseconds): boolean {
+  private isLeaderLinkDown(now: Milliseconds): boolean {
     const leader = this.context.clusterState.leaseOf(LEADER_LEASE)?.holder.controller ?? null;
     return leader !== null && leader !== this.context.settings.name && !this.context.isPeerAlive(leader, now);
   }
 
   private mayWrite(now: Milliseconds): boolean {
-    const isDue = now - this.storedAt >= STORED_STATUS_INTERVAL_MS;
+    const isDue = now - this.lastStoredAt >= STORED_STATUS_INTERVAL_MS;
     return this.context.replica.isLoaded && this.context.isLeaseValid(now) && !this.isWritePending && isDue;
   }
 
   private write(now: Milliseconds): void {
     const { settings, replica, writer, clusterState } = this.context;
     const key = StateKey.status(settings.name);
-    const whole = this.statusAssembly.assemble(now);
-    const status = fitStoredStatus(key, whole, clusterState.sizeLimits.maxWriteBytes, this.turn++);
+    const full = this.statusAssembly.assemble(now);
+    const status = fitStoredStatus(key, full, clusterState.sizeLimits.maxWriteBytes, this.turn++);
     writer.add({
       key,
       value: () => encodeStatus(status),
--- a/packages/controller/src/leadership/stored-status.ts
+++ b/packages/controller/src/leadership/stored-status.ts
@@ -27,12 +27,12 @@
  * the same: the writer drops it and logs that.
  */
 export function fitStoredStatus(key: string, status: PeerStatus, maxBytes: number, turn = 0): PeerStatus {
-  const whole = withoutLinkFields(status);
-  if (isWithin(key, whole, maxBytes)) return whole;
+  const full = withoutLinkFields(status);
+  if (isWithin(key, full, maxBytes)) return full;
   const limits: ListLimits = { ...MAX_LIST_LIMITS };
-  let short = shorten(whole, limits, turn);
-  while (!isWithin(key, short, maxBytes) && lowerLimits(limits)) short = shorten(whole, limits, turn);
-  return short;
+  let shortened = shorten(full, limits, turn);
+  while (!isWithin(key, shortened, maxBytes) && lowerLimits(limits)) shortened = shorten(full, limits, turn);
+  return shortened;
 }
 
 function isWithin(key: string, status: PeerStatus, maxBytes: number): boolean {
--- a/packages/controller/src/leadership/write-rate-quota.ts
+++ b/packages/controller/src/leadership/write-rate-quota.ts
@@ -6,17 +6,17 @@
 import type { Milliseconds } from '../model/index.js';
 
 /** The part of the limit that is used at all: statuses lag, so the quotas may add up to a little more for a moment. */
-const USED_PART = 0.95;
+const USED_FRACTION = 0.95;
 
 /** The part of that which is divided equally, whatever is demanded: a controller may have to write at once. */
-const GUARANTEED_PART = 0.3;
+const GUARANTEED_FRACTION = 0.3;
 
 /** No controller goes below this, whatever the limit. */
 const MIN_WRITES_PER_S = 1;
 
 /** Writes a second of one controller before any status is known: an equal part of the limit. */
 export function initialWritesPerS(limitPerS: number, controllerCount: number): number {
-  return Math.max(MIN_WRITES_PER_S, limitPerS * (USED_PART / Math.max(1, controllerCount)));
+  return Math.max(MIN_WRITES_PER_S, limitPerS * (USED_FRACTION / Math.max(1, controllerCount)));
 }
 
 /** Writes a second that this controller may make, where all together may make `limitPerS`. */
@@ -27,8 +27,8 @@
 ): number {
   const { settings, writer, peers } = context;
   const count = Math.max(1, settings.controllers.length);
-  const total = limitPerS * USED_PART;
-  const guaranteed = (GUARANTEED_PART * total) / count;
+  const total = limitPerS * USED_FRACTION;
+  const guaranteed = (GUARANTEED_FRACTION * total) / count;
   const ownDemand = writer.wantedWritesPerS(now);
   let free = total - guaranteed;
   let demand = ownDemand;
