--- a/packages/controller/src/heartbeats/heartbeat-evaluation.ts
+++ b/packages/controller/src/heartbeats/heartbeat-evaluation.ts
@@ -1,34 +1,40 @@
 /**
- * Whether a heartbeat counts, by what is known of its worker. Copies can come late and messages can be lost, so most of what
- * is decided here guards against taking an old heartbeat for a new one. Pure; owns no state.
+ * Evaluation of heartbeats: whether a heartbeat counts, given what is known of its worker. Copies can arrive late and messages
+ * can be lost, so most of the rules guard against processing an old heartbeat as a new one. Pure; owns no state.
  */
 import type { Heartbeat } from '@archpost/protocol';
 import type { HeartbeatPosition, MachineTenure, Milliseconds } from '../model/index.js';
 import { isNewer } from './heartbeat-order.js';
 
-/** A worker numbers its heartbeats, two a second at most, and its answers to probes and commands: together fewer than this. */
+/**
+ * Upper bound on the messages of a worker per second. A worker numbers its heartbeats, at most two per second, and its responses
+ * to probes and commands.
+ */
 const MAX_MESSAGES_PER_S = 10;
 
-/** This many more may have been sent at once. */
+/** Number of additional messages that a worker may send in a burst. */
 const MAX_MESSAGE_BURST = 200;
 
-/** What is to be done with a heartbeat, or with the status in an answer. */
+/** The result of evaluating a heartbeat, or the status in a command response. */
 export type HeartbeatEvaluation =
-  /** newer than all that is known: it counts. `hasGapBefore`: messages before it did not come here */
+  /** newer than all that is known: it counts. `hasGapBefore`: messages before it didn't arrive here */
   | { readonly kind: 'accepted'; readonly hasGapBefore: boolean }
   /**
-   * an answer older than what was known when its command was sent: the agent restarted, and none of its earlier tasks runs any
-   * more
+   * a response that is not newer than what was known when its command was sent: the agent restarted, and none of its earlier
+   * tasks runs any more
    */
   | { readonly kind: 'agentRestarted' }
-  /** no answer came since the shard was taken over: what the worker sent before isn't known, so it may be a late copy */
+  /**
+   * the worker has sent no response since the shard was taken over: its earlier messages are unknown, so the heartbeat may be a
+   * late copy
+   */
   | { readonly kind: 'unverified' }
-  /** not newer than what is known: a late copy, or the agent began again */
+  /** not newer than what is known: a late copy, or the agent restarted */
   | { readonly kind: 'stale' }
-  /** numbered higher than the worker can have come to: a copy of before the agent began again, or much was lost */
+  /** the sequence is higher than the worker can have reached: a copy from before an agent restart, or many messages were lost */
   | { readonly kind: 'implausible' };
 
-// One of each, so that no object is made for a heartbeat.
+// One shared instance of each, so that no object is allocated for a heartbeat.
 const ACCEPTED: HeartbeatEvaluation = { kind: 'accepted', hasGapBefore: false };
 const ACCEPTED_AFTER_GAP: HeartbeatEvaluation = { kind: 'accepted', hasGapBefore: true };
 const AGENT_RESTARTED: HeartbeatEvaluation = { kind: 'agentRestarted' };
@@ -36,7 +42,7 @@
 const STALE: HeartbeatEvaluation = { kind: 'stale' };
 const IMPLAUSIBLE: HeartbeatEvaluation = { kind: 'implausible' };
 
-/** Judges a heartbeat that the worker sent on its own. */
+/** Evaluates a heartbeat that the worker sent on its own. */
 export function evaluateHeartbeat(tenure: MachineTenure, heartbeat: Heartbeat, now: Milliseconds): HeartbeatEvaluation {
   if (!tenure.isVerified) return UNVERIFIED;
   if (!isNewer(heartbeat, tenure)) return STALE;
@@ -46,8 +52,8 @@
 }
 
 /**
- * Judges the status in an answer. `positionAtSend`: what was known when the command was sent that it answers. An answer is newer
- * than that, unless the agent has begun again.
+ * Evaluates the status in a command response. `positionAtSend`: the position of the newest heartbeat that was known when the
+ * command was sent. A response is newer than that unless the agent restarted.
  */
 export function evaluateCommandResponse(
   tenure: MachineTenure,
@@ -58,7 +64,7 @@
   return isNewer(response, tenure) ? ACCEPTED : STALE;
 }
 
-/** Is the sequence higher than the worker can have come to since it was last heard? Not known before its first heartbeat. */
+/** Whether the sequence is higher than the worker can have reached since its last heartbeat. False before its first heartbeat. */
 export function isImplausible(tenure: MachineTenure, sequence: number, now: Milliseconds): boolean {
   const sinceHeartbeatMs = now - tenure.lastHeartbeatAt;
   return tenure.sequence >= 0 && sequence - tenure.sequence > MAX_MESSAGE_BURST + (MAX_MESSAGES_PER_S * sinceHeartbeatMs) / 1000;
--- a/packages/controller/src/heartbeats/heartbeat-forwarding.ts
+++ b/packages/controller/src/heartbeats/heartbeat-forwarding.ts
@@ -1,34 +1,34 @@
 /**
- * Heartbeats of workers whose shard another controller holds: they are answered here, and the holder is sent what they say. A
- * heartbeat that differs from the one before is forwarded whole; that nothing changed goes with the next status of this
- * controller. Owns the newest heartbeat of each such worker, and what the holder was sent of it.
+ * Heartbeats of workers whose shard another controller holds: this controller answers them and forwards them to the holder. A
+ * heartbeat that differs from the previous one is forwarded in full; an unchanged one is only listed in this controller's next
+ * status. Owns the newest heartbeat of each such worker, and the record of what was forwarded to the holder.
  */
 import type { Heartbeat, TaskStatus, UnchangedHeartbeat } from '@archpost/protocol';
 import type { ClusterStateView, EffectSink, PeerDirectory, SettingsView } from '../context/index.js';
 import { appendTo, type Milliseconds, NEVER, NO_SEQUENCE } from '../model/index.js';
 import { isNewer } from './heartbeat-order.js';
 
-/** The status names machines heard within this time. */
+/** The status lists machines whose last heartbeat arrived within this time. */
 const RECENT_HEARTBEAT_MS = 4000;
 
-/** An unchanged heartbeat is forwarded whole again after this many heartbeat intervals. */
+/** Number of heartbeat intervals after which an unchanged heartbeat is forwarded in full again. */
 const REFORWARD_INTERVALS = 5;
 
-/** What was heard is kept for this many worker leases: late copies of it may come. */
+/** Number of worker leases for which the last heartbeat is kept: late copies of it may still arrive. */
 const RETENTION_LEASES = 10;
 
-/** The newest heartbeat of a machine, and what the holder of its shard was sent of it. */
+/** The newest heartbeat of a machine, and what was forwarded to the holder of its shard. */
 interface ForwardingState {
   heartbeat: Heartbeat;
   receivedAt: Milliseconds;
-  /** the controller that was last sent a heartbeat whole; null: none */
+  /** the controller to which a heartbeat was last forwarded in full; null: none */
   forwardedTo: string | null;
-  /** the sequence of the heartbeat that was sent whole */
+  /** the sequence of the heartbeat that was last forwarded in full */
   forwardedSequence: number;
   forwardedAt: Milliseconds;
 }
 
-/** Is what a heartbeat says of the task the same? */
+/** Whether both statuses report the same attempt of a task in the same state. */
 function isSameTaskStatus(task: TaskStatus, other: TaskStatus | undefined): boolean {
   return (
     other !== undefined &&
@@ -39,7 +39,7 @@
   );
 }
 
-/** Does a heartbeat say the same as the other of its worker? A preemption notice is sent each time. */
+/** Whether two heartbeats of a worker report the same. One with a preemption notice always differs, so that it is forwarded. */
 function isSameHeartbeat(heartbeat: Heartbeat, other: Heartbeat): boolean {
   if (
     heartbeat.agentEpoch !== other.agentEpoch ||
@@ -52,18 +52,17 @@
   return heartbeat.tasks.every((task, index) => isSameTaskStatus(task, other.tasks[index]));
 }
 
-/** What the forwarding of heartbeats needs of its controller. */
 type HeartbeatForwardingContext = SettingsView & ClusterStateView & PeerDirectory & EffectSink;
 
-/** Keeps and forwards heartbeats that are answered here for other controllers. */
+/** Keeps and forwards heartbeats that this controller answers for other shard holders. */
 export class HeartbeatForwarding {
   private readonly forwardingStates = new Map<string, ForwardingState>();
 
   constructor(private readonly context: HeartbeatForwardingContext) {}
 
   /**
-   * Takes a heartbeat that is answered here. `holder`: the controller that holds the machine's shard; null: none does. A late
-   * copy must not make a silent machine seem alive: only a newer heartbeat counts.
+   * Processes a heartbeat that this controller answers. `holder`: the controller that holds the machine's shard; null: none does.
+   * Only a newer heartbeat counts, because a late copy must not make a silent machine appear alive.
    */
   receive(heartbeat: Heartbeat, holder: string | null, now: Milliseconds): void {
     const previous = this.forwardingStates.get(heartbeat.machine);
@@ -79,7 +78,10 @@
     this.forward(state, previous?.heartbeat ?? null, holder, now);
   }
 
-  /** Machines heard here recently whose heartbeats go on as they were forwarded, by the controller that holds their shard. */
+  /**
+   * The machines whose heartbeats arrived here recently and haven't changed since they were forwarded, by the controller that
+   * holds their shard.
+   */
   unchangedByHolder(now: Milliseconds): Map<string, UnchangedHeartbeat[]> {
     const byHolder = new Map<string, UnchangedHeartbeat[]>();
     const retentionMs = RETENTION_LEASES * this.context.settings.workers.leaseS * 1000;
@@ -90,12 +92,12 @@
     return byHolder;
   }
 
-  /** This process was paused: workers that it did not hear meanwhile were not silent. */
+  /** Adjusts for a pause of this process: workers whose heartbeats it didn't process during the pause were not silent. */
   processPaused(pausedMs: Milliseconds): void {
     for (const state of this.forwardingStates.values()) state.receivedAt += pausedMs;
   }
 
-  /** `previous`: the heartbeat before; null: there was none. */
+  /** Forwards the heartbeat if the holder needs it in full. `previous`: the machine's previous heartbeat; null: there is none. */
   private forward(state: ForwardingState, previous: Heartbeat | null, holder: string | null, now: Milliseconds): void {
     if (holder === null || holder === this.context.settings.name || !this.context.isPeerAlive(holder, now)) {
       state.forwardedTo = null;
--- a/packages/controller/src/heartbeats/heartbeat-order.ts
+++ b/packages/controller/src/heartbeats/heartbeat-order.ts
@@ -1,8 +1,8 @@
-/** The order in which a worker sent its heartbeats, which need not be the order in which they come. Pure; owns no state. */
+/** The order in which a worker sent its heartbeats, which may differ from the order of their arrival. Pure; owns no state. */
 
 import type { HeartbeatPosition } from '../model/index.js';
 
-/** Was the heartbeat sent after the other? A copy of the same one was not. */
+/** Whether the heartbeat was sent after the other. False for a copy of the same heartbeat. */
 export function isNewer(heartbeat: HeartbeatPosition, other: HeartbeatPosition): boolean {
   if (heartbeat.agentEpoch !== other.agentEpoch) return heartbeat.agentEpoch > other.agentEpoch;
   return heartbeat.sequence > other.sequence;
--- a/packages/controller/src/heartbeats/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeats/heartbeat-reconciler.ts
@@ -1,9 +1,9 @@
 /**
- * Brings what workers report together with what is stored and intended. Whether a heartbeat is current is decided by
- * heartbeat-evaluation.ts; here is what follows from that for the machine, and task-reconciler.ts has what follows for its
- * tasks. Owns what the tenures of machines know of their workers: epoch, sequence, when they were heard, and their orphaned
- * tasks. Within one heartbeat the effects have a fixed order: the machine's address and liveness, a new epoch, a preemption
- * notice, reported tasks, missing tasks.
+ * Reconciliation of what workers report with stored and intended state. heartbeat-evaluation.ts decides whether a heartbeat is
+ * current. This module applies the heartbeat to the machine, and task-reconciler.ts applies it to the machine's tasks. Owns what
+ * the tenures of machines record of their workers: epoch, sequence, times of contact, and orphaned tasks. The effects of one
+ * heartbeat have a fixed order: the machine's address and liveness, a new epoch, a preemption notice, reported tasks, missing
+ * tasks.
  */
 import type { Heartbeat, TaskStatus, UnchangedHeartbeat } from '@archpost/protocol';
 import { type TaskAllocations, taskKey } from '../allocation/index.js';
@@ -22,13 +22,12 @@
 import { isNewer } from './heartbeat-order.js';
 import { TaskReconciler } from './task-reconciler.js';
 
-/** A machine is probed for something odd about its heartbeats once in this many heartbeat intervals at most. */
+/** Minimum number of heartbeat intervals between two requests to probe a machine because its heartbeats are inconsistent. */
 const PROBE_REQUEST_INTERVALS = 2;
 
-/** What the heartbeat reconciler needs of its controller. */
 type HeartbeatReconcilerContext = SettingsView & ClusterStateView & ReplicaView & Logger;
 
-/** Takes heartbeats of machines whose shards are held here; the caller makes sure that they are. */
+/** Reconciles heartbeats of machines whose shards this controller holds. The caller ensures that it holds them. */
 export class HeartbeatReconciler implements HeartbeatReconciliation {
   private readonly taskReconciler: TaskReconciler;
 
@@ -42,8 +41,9 @@
   }
 
   /**
-   * Takes a heartbeat that the worker sent on its own, or, with `positionAtSend`, the status in its answer to a command that was
-   * sent when this was known. A start that is under way isn't refuted by either: it may have been made before it.
+   * Reconciles a heartbeat that the worker sent on its own or, with `positionAtSend`, the status in its response to a command.
+   * `positionAtSend`: the position of the newest heartbeat that was known when the command was sent. A missing task doesn't refute
+   * a start that is in flight: the heartbeat or status may have been created before the start.
    */
   reconcile(machine: Machine, heartbeat: Heartbeat, now: Milliseconds, positionAtSend: HeartbeatPosition | null = null): void {
     this.allocations.advanceTo(now);
@@ -56,14 +56,14 @@
         return this.recordUnverified(machine, heartbeat);
       case 'stale':
       case 'implausible':
-        // No probe after an answer: the machine has just given one.
+        // No probe after a command response: the machine has just responded.
         if (positionAtSend === null) this.requestProbe(machine, now);
         return;
       case 'agentRestarted':
         this.resetEpoch(machine);
         return this.accept(machine, heartbeat, now, true);
       case 'accepted':
-        // Something that the worker sent didn't come here: perhaps the responses don't reach it either.
+        // A message that the worker sent didn't arrive here, so the responses may not reach the worker either.
         if (evaluation.hasGapBefore) this.requestProbe(machine, now);
         return this.accept(machine, heartbeat, now, positionAtSend !== null);
       default:
@@ -71,16 +71,16 @@
     }
   }
 
-  /** The controller `from` says that the heartbeats that it answers for a machine go on as they were. */
+  /** Processes a report of the controller `from` that it answers the heartbeats of a machine and that they are unchanged. */
   reconcileUnchanged(unchanged: UnchangedHeartbeat, from: string, now: Milliseconds): void {
     const machine = this.context.clusterState.machines.get(unchanged.machine);
     if (!machine || !this.allocations.holdsShard(machine.shard, now)) return;
     const { tenure } = machine;
-    // Older than what came here: a late copy was answered there.
+    // The report is older than the newest message received here: the other controller answered a late copy.
     if (tenure.isVerified && isNewer(tenure, unchanged)) return;
     this.recordPeerContact(machine, from, now);
     if (!tenure.isVerified || unchanged.agentEpoch !== tenure.agentEpoch || unchanged.sequence <= tenure.sequence) return;
-    // The heartbeat that it refers to did not come here, or its number can't be right.
+    // The heartbeat that the report refers to didn't arrive here, or the reported sequence is implausible.
     if (tenure.sequence < unchanged.forwardedSequence || isImplausible(tenure, unchanged.sequence, now)) {
       this.requestProbe(machine, now);
       return;
@@ -89,7 +89,7 @@
     this.recordContact(machine, now);
   }
 
-  /** Has the machine probed, unless that was requested a moment ago: its answer settles what its heartbeats leave open. */
+  /** Requests a probe of the machine, unless one was requested recently. The response resolves what its heartbeats leave open. */
   requestProbe(machine: Machine, now: Milliseconds): void {
     const intervalMs = this.context.settings.workers.heartbeatIntervalS * (PROBE_REQUEST_INTERVALS * 1000);
     if (now - machine.probeRequestedAt < intervalMs) return;
@@ -97,21 +97,21 @@
     machine.probeRequested = true;
   }
 
-  /** All that counts is which epoch to address a probe to, and how urgent the answer to it is. */
+  /** Takes from the heartbeat of an unverified machine only the epoch that a probe is addressed to, and the probe's priority. */
   private recordUnverified({ tenure }: Machine, heartbeat: Heartbeat): void {
     if (heartbeat.agentEpoch > tenure.agentEpoch) tenure.agentEpoch = heartbeat.agentEpoch;
     for (const task of heartbeat.tasks)
       tenure.reportedPriority = Math.max(tenure.reportedPriority, this.reportedPriorityOf(task.job));
   }
 
-  /** How urgent it is to learn of a job's tasks: cancelled ones have to be gone in time. */
+  /** The priority of a probe for a machine that reports tasks of the job. Cancelled tasks have to end in time. */
   private reportedPriorityOf(jobId: string): number {
     const { finishedJobs, jobs } = this.context.clusterState;
     if (finishedJobs.get(jobId) === 'cancelled') return CANCELLED_WORK_PRIORITY;
     return jobs.get(jobId)?.priority ?? NO_REPORTED_PRIORITY;
   }
 
-  /** The agent began again: nothing that was there is there any more, and its numbers start anew. */
+  /** Handles a restart of the agent: none of its earlier tasks exists any more, and its epochs and sequences start again. */
   private resetEpoch(machine: Machine): void {
     this.context.log('info', 'worker agent restarted', { machine: machine.name });
     for (const allocation of [...machine.tenure.allocations.values()])
@@ -132,7 +132,7 @@
     this.freeMissing(machine, reportedKeys, now, isCommandResponse);
   }
 
-  /** It is alive: it isn't released for its silence any more, unless the request has left. */
+  /** Records that the machine is alive. It is no longer released for its silence, unless the release was already requested. */
   private recordContact({ tenure }: Machine, now: Milliseconds): void {
     tenure.resetContact(now);
     if (tenure.releaseReason === 'silent' && !tenure.isReleasing) tenure.releaseReason = null;
@@ -141,14 +141,14 @@
   private recordPeerContact(machine: Machine, peer: string, now: Milliseconds): void {
     machine.lastPeerContactAt = now;
     machine.tenure.lastContactAt = now;
-    // It goes from one controller to the next: perhaps no controller's responses reach it. One that stays is answered.
+    // The machine switches controllers: perhaps no controller's responses reach it. One that stays with a controller gets them.
     if (machine.lastPeerInContact !== peer && machine.lastPeerInContact !== null) this.requestProbe(machine, now);
     machine.lastPeerInContact = peer;
   }
 
   /**
-   * The worker's lease expired if another epoch was known: it has killed and forgotten everything, and starts that were sent
-   * to the old epoch can't be carried out in the new one.
+   * Begins a new epoch of the agent. If another epoch was known, the worker's lease expired: the worker has killed and forgotten
+   * all tasks, and starts that were sent to the old epoch can't be executed in the new one.
    */
   private beginEpoch(machine: Machine, agentEpoch: number): void {
     const { tenure } = machine;
@@ -166,7 +166,7 @@
     this.allocations.drain(machine);
   }
 
-  /** Returns the keys of all reported tasks. Those that are allocated nowhere are kept, to be cleared away. */
+  /** Reconciles the reported tasks and returns their keys. Tasks without an allocation are kept as orphaned, to be removed. */
   private reconcileTasks(machine: Machine, tasks: readonly TaskStatus[], now: Milliseconds): ReadonlySet<string> {
     const { tenure } = machine;
     const reportedKeys = new Set<string>();
@@ -186,8 +186,9 @@
   }
 
   /**
-   * Frees allocations that the worker doesn't report any more. A task that runs never leaves the heartbeats of its epoch by
-   * itself: where it is missing the agent restarted, or this is a copy of something older, and only an answer shows which.
+   * Frees allocations that the worker no longer reports. A running task never disappears from the heartbeats of its epoch by
+   * itself. If it is missing, the agent restarted or the heartbeat is a copy of an older one, and only a command response shows
+   * which.
    */
   private freeMissing(machine: Machine, reportedKeys: ReadonlySet<string>, now: Milliseconds, isCommandResponse: boolean): void {
     for (const [key, allocation] of [...machine.tenure.allocations]) {
--- a/packages/controller/src/heartbeats/heartbeat-responder.ts
+++ b/packages/controller/src/heartbeats/heartbeat-responder.ts
@@ -1,7 +1,7 @@
 /**
- * Responses to workers' heartbeats, and who gets to know what they say. Any controller responds, so that tasks don't end with
- * the holder of their shard; only the holder commands. For how long, and why that breaks nothing: docs/design.md, "Who may
- * answer workers". Owns the counts of responses.
+ * Responses to workers' heartbeats, and delivery of the heartbeats to the parts that process them. Any controller responds, so
+ * that tasks don't end when the holder of their shard fails; only the holder sends commands. For how long, and why this is safe:
+ * docs/design.md, "Who may answer workers". Owns the counts of responses.
  */
 import { type Command, encodeHeartbeatResponse, encodeRedirect, type Heartbeat, MAX_COMMANDS_PER_BODY } from '@archpost/protocol';
 import type { UnassignedMachine } from '../capacity/index.js';
@@ -12,25 +12,25 @@
 import type { HeartbeatReconciler } from './heartbeat-reconciler.js';
 import type { WorkerRouting } from './worker-routing.js';
 
-/** Status codes of responses. 421: a redirect to another controller, which the body names if there is one. */
+/** HTTP status codes of responses. 421 redirects the worker to another controller, which the body names if one is chosen. */
 const HTTP_OK = 200;
 const HTTP_MISDIRECTED_REQUEST = 421;
 const HTTP_SERVICE_UNAVAILABLE = 503;
 
-/** The body of a response that renews no lease: the worker tries another controller. */
+/** The body of a response that doesn't renew the worker's lease: the worker tries another controller. */
 const NOT_ENTITLED_BODY = { error: 'not entitled' };
 
-/** Learns of machines that send heartbeats and that no shard has. */
+/** Is notified of machines that send heartbeats and are assigned to no shard. */
 export interface UnassignedMachineListener {
   onUnassignedMachineReported(machine: UnassignedMachine, now: Milliseconds): void;
 }
 
-/** Knows since when no controller can have confirmed a cancellation that isn't known here. */
+/** Provides the time up to which this controller knows every cancellation that any controller confirmed. */
 export interface CancellationFreshnessSource {
   freshAsOf(now: Milliseconds): Milliseconds;
 }
 
-/** The parts that heartbeats are handed to, or that say how they are answered. */
+/** The parts that process heartbeats or determine how they are answered. */
 export interface HeartbeatCollaborators {
   shardController: ShardController;
   heartbeatReconciler: HeartbeatReconciler;
@@ -40,10 +40,9 @@
   cancellationFreshness: CancellationFreshnessSource;
 }
 
-/** What the heartbeat responder needs of its controller. */
 type HeartbeatResponderContext = SettingsView & ClusterStateView & ReplicaView & StateFreshness & EffectSink;
 
-/** Responds to each heartbeat once, and hands on what it says. */
+/** Responds to each heartbeat once, and passes it to the part that processes it. */
 export class HeartbeatResponder {
   /** responses since the last `takeResponseCounts`, by status code */
   private readonly responseCounts = new Map<number, number>();
@@ -53,7 +52,7 @@
     private readonly collaborators: HeartbeatCollaborators,
   ) {}
 
-  /** A heartbeat that came to this controller. `id`: that of the request, which the response names. */
+  /** Handles a heartbeat that a worker sent to this controller. `id`: that of the request, which the response names. */
   receive(id: number, heartbeat: Heartbeat, now: Milliseconds): void {
     const { shardController, heartbeatReconciler, leader, heartbeatForwarding, workerRouting } = this.collaborators;
     const { clusterState } = this.context;
@@ -64,8 +63,8 @@
       leader.onUnassignedMachineReported({ machine: heartbeat.machine, address, type, zone, spot }, now);
       return this.respond(id, HTTP_MISDIRECTED_REQUEST, encodeRedirect(null));
     }
-    // It has seen a higher token than is known here: it would drop any response, and stay here while its lease runs out.
-    // Another controller must answer it.
+    // The worker has seen a higher fencing token than this controller knows. It would drop any response with the lower token, and
+    // keep sending its heartbeats here until its lease expires. Another controller must answer it.
     if (heartbeat.fencingToken > clusterState.fencingToken(machine))
       return this.respond(id, HTTP_SERVICE_UNAVAILABLE, NOT_ENTITLED_BODY);
     const holder = clusterState.leaseOf(machine.shard)?.holder.controller ?? null;
@@ -73,12 +72,12 @@
     if (redirectTo !== null) return this.respond(id, HTTP_MISDIRECTED_REQUEST, encodeRedirect(redirectTo));
     workerRouting.recordServed(heartbeat.machine, now);
     if (shardController.allocations.holdsShard(machine.shard, now)) heartbeatReconciler.reconcile(machine, heartbeat, now);
-    // Its tasks must not end because the holder of their shard did, or can't be reached from here.
+    // The worker's tasks must not end because the holder of their shard failed or can't be reached from this controller.
     else heartbeatForwarding.receive(heartbeat, holder, now);
     this.respond(id, HTTP_OK, encodeHeartbeatResponse(clusterState.fencingToken(machine), this.buildStopCommands(heartbeat)));
   }
 
-  /** A heartbeat that another controller answered and forwarded. */
+  /** Handles a heartbeat that another controller answered and forwarded. */
   receiveForwarded(heartbeat: Heartbeat, now: Milliseconds): void {
     const { shardController, heartbeatReconciler } = this.collaborators;
     const { clusterState, settings } = this.context;
@@ -90,14 +89,15 @@
     )
       return;
     heartbeatReconciler.reconcile(machine, heartbeat, now);
-    // Workers of this zone send their heartbeats here, unless this controller or the machine is cut off from the zone.
+    // Workers in this zone send their heartbeats to this controller unless it or the machine is cut off from the zone.
     if (heartbeat.zone === settings.zone) heartbeatReconciler.requestProbe(machine, now);
   }
 
   /**
-   * May heartbeats be answered here, so that the workers' leases go on? For as long as a cancellation that can't be known here
-   * would still be carried out in time: what was last let go on ends by its worker's lease before that. Without a lease at the
-   * state service this controller sends no command meanwhile, and no controller takes a worker's lease for expired.
+   * Whether this controller may answer heartbeats, which renews the workers' leases. It may as long as a cancellation that it
+   * can't know of would still take effect in time: the tasks that its last response let continue end with their worker's lease
+   * before then. Without a valid state lease, this controller sends no commands meanwhile, and no controller considers a worker's
+   * lease expired.
    */
   mayAnswerWorkers(now: Milliseconds): boolean {
     if (!this.context.replica.isLoaded) return false;
@@ -106,7 +106,7 @@
     return now - confirmedAt < (cancelS - leaseS - intervalS) * 1000;
   }
 
-  /** How many responses of each status code were given since the last call. */
+  /** The number of responses by status code since the last call. Resets the counts. */
   takeResponseCounts(): Record<string, number> {
     const counts = Object.fromEntries(this.responseCounts);
     this.responseCounts.clear();
@@ -114,9 +114,9 @@
   }
 
   /**
-   * Reported tasks of finished jobs are stopped by the response, whoever gives it: a command may not get through where the
-   * response does, and the response is what lets the tasks go on. Of a job that is done a second attempt may be left, which the
-   * holder of its shard does not know any more.
+   * Commands that stop the reported tasks of finished jobs. They are part of the response, whichever controller sends it: a
+   * separate command may not reach the worker although the response does, and it is the response that lets the tasks continue. A
+   * job that is done may have a second attempt of a task left, which the holder of its shard no longer knows.
    */
   private buildStopCommands(heartbeat: Heartbeat): Command[] {
     const { finishedJobs } = this.context.clusterState;
--- a/packages/controller/src/heartbeats/index.ts
+++ b/packages/controller/src/heartbeats/index.ts
@@ -1,6 +1,6 @@
 /**
- * Heartbeats: who answers a worker, reconciliation of what it reports with what is stored and intended, forwarding and routing.
- * Owns what was last heard of workers of other controllers.
+ * Heartbeats: responses to workers, reconciliation of reported with stored and intended state, forwarding of heartbeats to shard
+ * holders, and routing of workers. Owns the last heartbeats of workers whose shards other controllers hold.
  */
 export { HeartbeatForwarding } from './heartbeat-forwarding.js';
 export { HeartbeatReconciler } from './heartbeat-reconciler.js';
--- a/packages/controller/src/heartbeats/machine-images.ts
+++ b/packages/controller/src/heartbeats/machine-images.ts
@@ -1,7 +1,7 @@
-/** Which images a machine surely has in its cache, the least recently used first. Works on the machine's own record of them. */
+/** The images that a machine certainly has in its cache, least recently used first. They are recorded in the machine object. */
 import type { Machine } from '../model/index.js';
 
-/** A task with this image runs on the machine. Returns whether the image was not known to be there. */
+/** Records that a task with this image runs on the machine. Returns whether the image was not known to be in the cache. */
 export function recordImageUse(machine: Machine, imageIndex: number, imageGb: number): boolean {
   const isNewImage = !machine.images.has(imageIndex);
   machine.images.delete(imageIndex);
@@ -10,7 +10,7 @@
   return isNewImage;
 }
 
-/** Leaves what the machine surely keeps: the most recently used images that fit its cache. */
+/** Removes images that may have been evicted from the cache: keeps the most recently used ones that fit together. */
 function evictImages(machine: Machine): void {
   const cacheGb = machine.capacity?.cacheGb ?? 0;
   let totalGb = 0;
--- a/packages/controller/src/heartbeats/task-reconciler.ts
+++ b/packages/controller/src/heartbeats/task-reconciler.ts
@@ -1,6 +1,6 @@
 /**
- * What a heartbeat says of single tasks, brought together with what is stored and intended: tasks of an earlier holder of the
- * shard are adopted, running and exited tasks are taken note of. Owns no state.
+ * Reconciliation of single reported tasks with stored and intended state: tasks that an earlier holder of the shard started are
+ * adopted, and running and exited tasks are recorded. Owns no state.
  */
 import type { TaskStatus } from '@archpost/protocol';
 import type { TaskAllocations } from '../allocation/index.js';
@@ -10,19 +10,18 @@
 import { StateKey } from '../state/index.js';
 import { recordImageUse } from './machine-images.js';
 
-/** A task that ended for a reason that the worker does not know is tried again after this long. */
+/** Delay before a job is tried again after a worker refused to start its task because it doesn't know the job. */
 const UNKNOWN_EXIT_RETRY_MS = 1000;
 
-/** A machine without enough free resources for a task is commanded again after this long: its next heartbeat shows why. */
+/** Delay before a machine that lacked free resources for a task is commanded again. Its next heartbeat shows what uses them. */
 const NO_ROOM_RETRY_MS = 500;
 
-/** Why a task exited that is not done; null: the worker does not say. */
+/** The exit reason of a task that is not done; null: the worker reported none. */
 type UnsuccessfulExit = Exclude<TaskStatus['exitReason'], 'done'>;
 
-/** What the task reconciler needs of its controller. */
 type TaskReconcilerContext = ClusterStateView & ReplicaView & Logger;
 
-/** Takes reported tasks of machines whose shards are held here. */
+/** Reconciles reported tasks of machines whose shards this controller holds. */
 export class TaskReconciler {
   constructor(
     private readonly context: TaskReconcilerContext,
@@ -32,8 +31,8 @@
   ) {}
 
   /**
-   * Allocates a task found on a machine that isn't allocated there: an earlier holder of the shard started it. Null: the task
-   * is orphaned, since its job is not known, is of another shard, or has the task elsewhere.
+   * Allocates a reported task that has no allocation on the machine: an earlier holder of the shard started it. Null: the task is
+   * orphaned, since its job is unknown, belongs to another shard, has fewer tasks, or has the task allocated elsewhere.
    */
   adopt(machine: Machine, task: TaskStatus, now: Milliseconds): Allocation | null {
     const job = this.context.clusterState.restoreJob(task.job, this.context.replica.get(StateKey.job(task.job)), now);
@@ -56,7 +55,7 @@
     return allocation;
   }
 
-  /** Takes the reported state of an allocated task. What it repeats of an exited task has been dealt with. */
+  /** Records the reported state of an allocated task. Repeated reports of an exited task have no further effect. */
   reconcile(allocation: Allocation, task: TaskStatus, now: Milliseconds): void {
     const previousState = allocation.status?.state;
     allocation.status = task;
@@ -68,7 +67,7 @@
     if (task.state === 'running' && previousState !== 'running') this.recordRunning(allocation, now);
   }
 
-  /** All tasks of a gang run in one attempt: where two attempts are found, neither can become whole. */
+  /** Adds an adopted task to its gang. All tasks of a gang run in one attempt: if two are found, neither can be completed. */
   private adoptIntoGang(job: Job, allocation: Allocation): void {
     const { tenure } = job;
     if (tenure.gangAttempt === null) tenure.gangAttempt = allocation.attempt;
--- a/packages/controller/src/heartbeats/worker-routing.ts
+++ b/packages/controller/src/heartbeats/worker-routing.ts
@@ -1,22 +1,22 @@
 /**
- * Which controller a worker should send its heartbeats to. Workers stay with a controller of their own zone: a cut between
- * zones then costs them nothing, where finding another controller could take longer than their lease. Owns which workers were
- * answered here, and which were redirected.
+ * Routing of workers: which controller a worker should send its heartbeats to. Workers stay with a controller in their own zone,
+ * so that a network partition between zones doesn't affect them; finding another controller could take longer than their lease.
+ * Owns which workers this controller answered, and which it redirected.
  */
 import type { Heartbeat } from '@archpost/protocol';
 import type { PeerDirectory, SettingsView } from '../context/index.js';
 import { type Milliseconds, NEVER, shiftTimes } from '../model/index.js';
 
-/** A controller that answers this many workers is known to be reachable for them. */
+/** A controller that answers at least this many workers is known to be reachable for workers. */
 const MIN_SERVED_WORKERS = 3;
 
-/** A worker is redirected to a controller of which that isn't known this often, as a trial. */
+/** Minimum interval between trial redirects, to controllers that aren't known to be reachable for workers. */
 const TRIAL_REDIRECT_INTERVAL_MS = 250;
 
-/** A worker is redirected to the same controller again only after this many worker leases. */
+/** Number of worker leases after which a worker may be redirected to the same controller again. */
 const REDIRECT_COOLDOWN_LEASES = 4;
 
-/** A worker that was answered here within this many heartbeat intervals counts as served here. */
+/** A worker that this controller answered within this many heartbeat intervals counts as served by it. */
 const SERVED_INTERVALS = 2;
 
 /** The last redirect of a worker. */
@@ -26,9 +26,9 @@
   at: Milliseconds;
 }
 
-/** Decides for each heartbeat whether it is answered here. */
+/** Decides for each heartbeat whether this controller answers it or redirects the worker. */
 export class WorkerRouting {
-  /** when each worker was last answered here */
+  /** when this controller last answered each worker */
   private readonly servedAt = new Map<string, Milliseconds>();
   private readonly redirects = new Map<string, Redirect>();
   private lastTrialRedirectAt: Milliseconds = NEVER;
@@ -36,8 +36,8 @@
   constructor(private readonly context: SettingsView & PeerDirectory) {}
 
   /**
-   * The controller that the worker is to be redirected to; null: it is to be answered here. `holder`: the controller that holds
-   * the machine's shard; null: none does. A redirect that is returned counts as carried out.
+   * The controller that the worker is to be redirected to; null: this controller is to answer it. `holder`: the controller that
+   * holds the machine's shard; null: none does. A returned redirect is recorded as carried out.
    */
   chooseRedirectTarget(heartbeat: Heartbeat, holder: string | null, now: Milliseconds): string | null {
     const controller = this.preferredController(heartbeat.zone, holder, now);
@@ -45,18 +45,18 @@
     return this.mayRedirectWorker(heartbeat, now) && this.mayRedirectTo(heartbeat.machine, controller, now) ? controller : null;
   }
 
-  /** The worker's heartbeat is answered here. */
+  /** Records that this controller answers the worker's heartbeat. */
   recordServed(machine: string, now: Milliseconds): void {
     this.servedAt.set(machine, now);
   }
 
-  /** How many workers were answered here recently. */
+  /** The number of workers that this controller answered recently. */
   servedWorkerCount(now: Milliseconds): number {
     this.deleteExpired(now);
     return this.servedAt.size;
   }
 
-  /** This process was paused: workers that it did not hear meanwhile were not silent. */
+  /** Adjusts for a pause of this process: workers whose heartbeats it didn't process during the pause were not silent. */
   processPaused(pausedMs: Milliseconds): void {
     shiftTimes(this.servedAt, pausedMs);
   }
@@ -75,9 +75,10 @@
   }
 
   /**
-   * A worker that is redirected and comes back got no answer there, and its lease runs: it is redirected once, then answered
-   * here. Nor are more than a few redirected, as a trial, to a controller that hears no workers: one that had lost them all
-   * was still taken for healthy, and 115 leases ran out on the way to it and back (docs/incidents/hunt-2b89-apart.md).
+   * A redirected worker that returns got no response from the other controller while its lease was running. So it is redirected
+   * once, then answered here. To a controller that answers hardly any workers, only a few workers are redirected, as a trial:
+   * otherwise a controller that had lost all of its workers was still considered healthy, and 115 leases expired while workers
+   * went to it and back (docs/incidents/hunt-2b89-apart.md).
    */
   private mayRedirectTo(machine: string, to: string, now: Milliseconds): boolean {
     const previous = this.redirects.get(machine);
@@ -92,16 +93,18 @@
   }
 
   /**
-   * A worker that has tasks and comes from elsewhere got no answer there, and part of its lease is gone: it is answered here
-   * first and redirected at its next heartbeat, so that trying the other controller costs it no lease.
+   * Whether the worker may be redirected now. A worker that has tasks and wasn't served here recently got no response from its
+   * previous controller, and part of its lease has passed. It is answered first and redirected at its next heartbeat, so that
+   * its lease doesn't expire while it tries the other controller.
    */
   private mayRedirectWorker(heartbeat: Heartbeat, now: Milliseconds): boolean {
     return heartbeat.tasks.length === 0 || now - (this.servedAt.get(heartbeat.machine) ?? NEVER) < this.servedWindowMs;
   }
 
   /**
-   * The controller that a worker of this zone should send its heartbeats to, as far as is seen from here: the holder of its
-   * shard if that is in its zone, else this one if it is, else another one there, else the holder, else this one.
+   * The controller that a worker in the zone should send its heartbeats to, as far as this controller knows. In order of
+   * preference: the holder of its shard if that is in the zone, this controller if it is in the zone, another controller in the
+   * zone, the holder, this controller.
    */
   private preferredController(zone: string, holder: string | null, now: Milliseconds): string {
     const { name: ownName, zone: ownZone, controllers } = this.context.settings;
@@ -113,7 +116,10 @@
     return holderCanServe ? holder : ownName;
   }
 
-  /** A controller without access to the state service answers no worker, so none must be redirected to it. */
+  /**
+   * Whether workers can be redirected to the controller. One without access to the state service answers no workers, so none must
+   * be redirected to it.
+   */
   private canServe(controller: string, now: Milliseconds): boolean {
     if (controller === this.context.settings.name) return true;
     const status = this.context.peers.get(controller)?.status;
