--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -133,7 +133,7 @@
   private runRound(leaseRevision: number, now: Milliseconds): void {
     const shards = this.shardSummaries(now);
     this.rebalance(shards, leaseRevision, now);
-    // Without the machine types the value of a machine is unknown; without the cloud's list, so are the machines being provisioned.
+    // The machine types show the value of a machine, and the cloud's list shows which machines are being provisioned.
     if (!this.context.clusterState.areMachineTypesKnown || !this.autoscaler.isListKnown) return;
     this.autoscaler.scaleOut(shards, now);
     this.autoscaler.releaseUnbootedMachines(now);
