--- a/packages/controller/src/capacity/move-options.ts
+++ b/packages/controller/src/capacity/move-options.ts
@@ -83,7 +83,7 @@
     if (summary.protectedPriority >= URGENT_PRIORITY && !mayDisplaceProtectedWork) return true;
     if (demand.gpus > 0) return false;
     if (this.isScarce(machine, shard, capacity)) {
-      // No more machines of its type can be provisioned: only urgent work that has found no other machine for some time gets it.
+      // No more machines of this type can be provisioned: only urgent work that has waited for another machine may get this one.
       if (demand.priority < HIGHEST_PRIORITY || demand.waitS < SCARCE_MACHINE_WAIT_S) return true;
       if (summary.tasks > 0 && !mayDisplaceProtectedWork) return true;
     }
--- a/packages/controller/src/context/cluster-view.ts
+++ b/packages/controller/src/context/cluster-view.ts
@@ -55,7 +55,7 @@
   afterBarrier(now: Milliseconds, run: (now: Milliseconds) => void, expiresAt?: Milliseconds, onExpired?: () => void): void;
 }
 
-/** The availability of machine types at the cloud. */
+/** The availability of machine types in the cloud. */
 export interface CapacityView {
   /** Reports whether more machines of the type can be provisioned, according to the leader. False while no leader is known. */
   isTypeAvailable(type: string): boolean;
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -2,7 +2,7 @@
  * One controller as a state machine: inputs enter through its methods, each with its time, and effects are returned by
  * `takeEffects`. Each input is dispatched to the responsible part (created by controller-parts.ts); this file makes no decisions.
  *
- * Owns no state beside its parts.
+ * Owns no state besides its parts.
  */
 import type {
   CompareAndSwapOutcome,
--- a/packages/controller/src/model/job.ts
+++ b/packages/controller/src/model/job.ts
@@ -124,7 +124,7 @@
   doneCount = 0;
   /** longest measured run time of a task that is done; 0: none was measured */
   longestRunS = 0;
-  /** when a task was last reported as stopped although this controller had sent no stop command */
+  /** when a task was last reported as stopped although this controller had not decided to stop it */
   lastExternalStopAt: Milliseconds = NEVER;
 
   // ---- intended: written by the holder of the shard lease
@@ -171,7 +171,7 @@
     return (this.longestRunS > 0 ? this.longestRunS : this.spec.estimatedRunS) * 1000;
   }
 
-  /** Whether no task may start yet: a dependency isn't done, or the record that lists them isn't completely read. */
+  /** Whether no task may start yet: a dependency isn't done, or the job's record isn't completely read. */
   get isBlocked(): boolean {
     return this.unfinishedDependencyIds.size > 0 || this.missingRecordParts > 0;
   }
--- a/packages/controller/src/model/machine.ts
+++ b/packages/controller/src/model/machine.ts
@@ -18,7 +18,7 @@
 
 /** The position of a heartbeat among all heartbeats of its worker. */
 export interface HeartbeatPosition {
-  /** increases each time that the worker's agent restarts */
+  /** increases each time that the worker's agent starts over: when it restarts, and when its lease expires */
   readonly agentEpoch: number;
   /** number of the message within its epoch; heartbeats and responses share one sequence */
   readonly sequence: number;
@@ -114,8 +114,8 @@
   }
 
   /**
-   * Records that the tasks on the machine are known: the machine has answered under the current fencing token, or the cloud
-   * reports that the machine no longer runs.
+   * Records that the tasks on the machine are known: the machine has answered under the current fencing token, or the cloud has
+   * confirmed that nothing runs on it any more.
    */
   recordVerified(): void {
     this.isVerified = true;
