--- a/packages/controller/src/controller-parts.ts
+++ b/packages/controller/src/controller-parts.ts
@@ -118,7 +118,7 @@
   private makeStateLease(): StateLease {
     return new StateLease(this.effects, {
       onStateLeaseLost: () => this.shardLeases.onStateLeaseExpired(),
-      onStateLeaseRenewedLate: (overdueMs, now) => this.shardController.processPaused(overdueMs, now),
+      onStateLeaseRenewedLate: (overdueMs, now) => this.shardController.onProcessPaused(overdueMs, now),
     });
   }
 
--- a/packages/controller/src/heartbeats/heartbeat-forwarding.ts
+++ b/packages/controller/src/heartbeats/heartbeat-forwarding.ts
@@ -93,7 +93,7 @@
   }
 
   /** Adjusts for a pause of this process: workers whose heartbeats it didn't process during the pause were not silent. */
-  processPaused(pausedMs: Milliseconds): void {
+  onProcessPaused(pausedMs: Milliseconds): void {
     for (const state of this.forwardingStates.values()) state.receivedAt += pausedMs;
   }
 
--- a/packages/controller/src/heartbeats/worker-routing.ts
+++ b/packages/controller/src/heartbeats/worker-routing.ts
@@ -57,7 +57,7 @@
   }
 
   /** Adjusts for a pause of this process: workers whose heartbeats it didn't process during the pause were not silent. */
-  processPaused(pausedMs: Milliseconds): void {
+  onProcessPaused(pausedMs: Milliseconds): void {
     shiftTimes(this.servedAt, pausedMs);
   }
 
--- a/packages/controller/src/leadership/lease-claims.ts
+++ b/packages/controller/src/leadership/lease-claims.ts
@@ -55,7 +55,7 @@
   ) {}
 
   /** Excludes a pause of this process from the wait for a holder: the preferred holder didn't observe that time either. */
-  processPaused(pausedMs: Milliseconds): void {
+  onProcessPaused(pausedMs: Milliseconds): void {
     shiftTimes(this.unheldSince, pausedMs);
   }
 
--- a/packages/controller/src/leadership/peer-registry.ts
+++ b/packages/controller/src/leadership/peer-registry.ts
@@ -60,7 +60,7 @@
     if (peer) peer.isConnected = false;
   }
 
-  processPaused(pausedMs: Milliseconds): void {
+  onProcessPaused(pausedMs: Milliseconds): void {
     for (const peer of this.registry.values()) peer.lastStatusAt += pausedMs;
   }
 
--- a/packages/controller/src/leadership/process-pause.ts
+++ b/packages/controller/src/leadership/process-pause.ts
@@ -14,7 +14,7 @@
 /** Keeps times of the last contact with workers, peers or the state service, or times since which a condition has held. */
 export interface PauseListener {
   /** Adjusts the times for a pause of this process that lasted `pausedMs` and ended at `now`. */
-  processPaused(pausedMs: Milliseconds, now: Milliseconds): void;
+  onProcessPaused(pausedMs: Milliseconds, now: Milliseconds): void;
 }
 
 /** Notifies the listeners of each pause, in the order in which they are given. */
@@ -30,6 +30,6 @@
       seconds: toLoggedSeconds(pausedMs),
       leaseValid: this.context.isLeaseValid(now),
     });
-    for (const listener of this.listeners) listener.processPaused(pausedMs, now);
+    for (const listener of this.listeners) listener.onProcessPaused(pausedMs, now);
   }
 }
--- a/packages/controller/src/leadership/shard-leases.ts
+++ b/packages/controller/src/leadership/shard-leases.ts
@@ -86,9 +86,9 @@
     this.releasingLeases.clear();
   }
 
-  processPaused(pausedMs: Milliseconds): void {
-    this.claims.processPaused(pausedMs);
-    this.shardReturn.processPaused(pausedMs);
+  onProcessPaused(pausedMs: Milliseconds): void {
+    this.claims.onProcessPaused(pausedMs);
+    this.shardReturn.onProcessPaused(pausedMs);
   }
 
   /**
--- a/packages/controller/src/leadership/shard-return.ts
+++ b/packages/controller/src/leadership/shard-return.ts
@@ -26,7 +26,7 @@
     private readonly holderSelection: HolderSelection,
   ) {}
 
-  processPaused(pausedMs: Milliseconds): void {
+  onProcessPaused(pausedMs: Milliseconds): void {
     shiftTimes(this.preferredHolderIdleSince, pausedMs);
     shiftTimes(this.settledSince, pausedMs);
   }
--- a/packages/controller/src/leadership/state-service-freshness.ts
+++ b/packages/controller/src/leadership/state-service-freshness.ts
@@ -44,7 +44,7 @@
     this.lastResponseAt = now;
   }
 
-  processPaused(pausedMs: Milliseconds, now: Milliseconds): void {
+  onProcessPaused(pausedMs: Milliseconds, now: Milliseconds): void {
     this.lastPauseAt = now;
     if (this.lastResponseAt > 0) this.lastResponseAt += pausedMs;
   }
--- a/packages/controller/src/shards/failure-detector.ts
+++ b/packages/controller/src/shards/failure-detector.ts
@@ -67,7 +67,7 @@
   }
 
   /** Resets suspicions from before a pause of this process, since they may be due to the pause. */
-  processPaused(): void {
+  onProcessPaused(): void {
     this.noAnswerSince = null;
     this.unreachableSince = null;
   }
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -221,11 +221,11 @@
    * Accounts for a pause of this process that lasted `pauseMs` and ended at `now`: heartbeats could not be read meanwhile, so the
    * pause doesn't count as silence of workers.
    */
-  processPaused(pauseMs: Milliseconds, now: Milliseconds): void {
+  onProcessPaused(pauseMs: Milliseconds, now: Milliseconds): void {
     this.allocations.advanceTo(now);
     this.localHealth.recordLag(pauseMs, now);
     this.workerAnswers.recordAnswer(now);
-    this.machineLifecycle.failureDetector.processPaused();
+    this.machineLifecycle.failureDetector.onProcessPaused();
     for (const machine of this.context.clusterState.machines.values()) {
       machine.tenure.lastHeartbeatAt = Math.min(now, machine.tenure.lastHeartbeatAt + pauseMs);
       machine.lastPeerContactAt = Math.min(now, machine.lastPeerContactAt + pauseMs);
--- a/packages/controller/src/state/cluster-state.ts
+++ b/packages/controller/src/state/cluster-state.ts
@@ -144,8 +144,8 @@
   }
 
   /** Excludes a pause of this process, of `pausedMs`, from the time for which controllers count as absent. */
-  processPaused(pausedMs: Milliseconds): void {
-    this.leaseRegistry.processPaused(pausedMs);
+  onProcessPaused(pausedMs: Milliseconds): void {
+    this.leaseRegistry.onProcessPaused(pausedMs);
   }
 
   /** Sets the machine types from the cloud's list. */
--- a/packages/controller/src/state/lease-registry.ts
+++ b/packages/controller/src/state/lease-registry.ts
@@ -34,7 +34,7 @@
   }
 
   /** Excludes a pause of this process, of `pausedMs`, from the time for which controllers count as absent. */
-  processPaused(pausedMs: Milliseconds): void {
+  onProcessPaused(pausedMs: Milliseconds): void {
     shiftTimes(this.absentSince, pausedMs);
   }
 
