--- a/packages/controller/src/allocation/failure-attribution.ts
+++ b/packages/controller/src/allocation/failure-attribution.ts
@@ -22,7 +22,7 @@
 /** A suspected machine takes no starts for this long after its last failure, while the attribution is pending. */
 const ATTRIBUTION_PENDING_MS = 30_000;
 
-/** Jobs that failed on only one machine count against that machine this long after its last failure. */
+/** Jobs that failed on only one machine count against it this long after its last failure, if no contrary evidence arrived. */
 const NO_COUNTEREVIDENCE_MS = ATTRIBUTION_PENDING_MS / 2;
 
 /** Delay before a failed gang is retried. */
--- a/packages/controller/src/shards/recovery-probes.ts
+++ b/packages/controller/src/shards/recovery-probes.ts
@@ -40,7 +40,7 @@
 
   constructor(private readonly context: RecoveryProbesContext) {}
 
-  /** Begins probing because workers can't be reached any more. Earlier answers don't count. */
+  /** Begins probing because workers can no longer be reached. Earlier answers don't count. */
   begin(now: Milliseconds): void {
     this.consecutiveAnswers = 0;
     this.individuallySilent.clear();
