--- a/packages/controller/src/jobs/acceptance-writer.ts
+++ b/packages/controller/src/jobs/acceptance-writer.ts
@@ -19,10 +19,7 @@
 /** The parts of the controller's context that the acceptance writer uses. */
 type AcceptanceWriterContext = InputClock & ClusterStateView & ReplicaView & StateWriting;
 
-/**
- * Writes the records that make a job accepted. A job is accepted as soon as its record is stored, whichever controller reads
- * it.
- */
+/** Writes the records of accepted jobs. A job is accepted as soon as its record is stored, whichever controller reads it. */
 export class AcceptanceWriter {
   constructor(private readonly context: AcceptanceWriterContext) {}
 
--- a/packages/controller/src/jobs/client-responses.ts
+++ b/packages/controller/src/jobs/client-responses.ts
@@ -9,10 +9,10 @@
 import type { JobStatusBody } from './job-status.js';
 import { type ErrorBody, errorBody, HttpStatus, NO_SUCH_JOB, UnavailableReason } from './response-bodies.js';
 
-/** The timeout of a submission or a cancellation: users wait 5 s for a response. */
+/** The timeout of a submission or a cancellation, below the 5 s for which users wait for a response. */
 export const REQUEST_TIMEOUT_MS = 4000;
 
-/** A user may repeat a request that couldn't be served after this long. */
+/** How long a user should wait before repeating a request that couldn't be served. */
 const RETRY_AFTER_S = 1;
 
 /** One connection in this many may be used by a user request that waits for its response: workers need the others. */
--- a/packages/controller/src/jobs/status-queries.ts
+++ b/packages/controller/src/jobs/status-queries.ts
@@ -8,7 +8,7 @@
 import { describeFinishedJob, describeJob, type JobStatusBody } from './job-status.js';
 import { HttpStatus, UnavailableReason } from './response-bodies.js';
 
-/** The timeout of a query: users wait 2 s for a response. */
+/** The timeout of a query, below the 2 s for which users wait for a response. */
 const QUERY_TIMEOUT_MS = 1700;
 
 interface StatusQuery {
--- a/packages/controller/src/jobs/submissions.ts
+++ b/packages/controller/src/jobs/submissions.ts
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Rejects the submission only after a newer read: another controller may have accepted the job or one of its dependencies a
-   * moment ago.
+   * Rejects the submission if a newer read confirms the rejection: another controller may have accepted the job, or one of its
+   * dependencies, a moment ago.
    */
   private confirmRejection(id: number, submission: Submission, now: Milliseconds, wallClockMs: number): void {
     const job = submission.spec.id;
--- a/packages/controller/src/scheduling/array-postponement.ts
+++ b/packages/controller/src/scheduling/array-postponement.ts
@@ -2,7 +2,7 @@
  * Postponement of large arrays. When more arrays wait than can start in time, scheduling them by start deadline makes nearly
  * all of them late. Instead, the largest arrays are postponed to their next deadline until the others can meet theirs. On days
  * with three times the usual number of jobs, a fifth of the arrays missed their deadlines, although fewer arrays than that
- * stood in the way of the others.
+ * blocked the rest.
  */
 import type { TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView } from '../context/index.js';
@@ -16,10 +16,7 @@
  */
 const MAX_ARRAY_WAIT_MS = 180_000;
 
-/**
- * Time from now to the start deadline of an array that can meet none of its deadlines. The expected time for its tasks is
- * added.
- */
+/** Time from now to the start deadline of an array that can meet none of its deadlines, plus the expected time for its tasks. */
 const MISSED_ALL_DEADLINES_DELAY_MS = 1e7;
 
 /** Sets the start deadlines of waiting arrays to deadlines that they can meet together. */
--- a/packages/controller/src/scheduling/machine-eligibility.ts
+++ b/packages/controller/src/scheduling/machine-eligibility.ts
@@ -96,9 +96,9 @@
   }
 
   /**
-   * Returns how long the service has to wait before it may use the machine, of whose type no more can be provisioned. Services
-   * would block accelerator work on it for hours, so they avoid it until no other machine has become free for a while. One
-   * machine dedicated to services leaves the others to accelerator work.
+   * Returns how long a service has to wait before it may use the machine, of whose type no more can be provisioned. A service
+   * would block accelerator work there for hours, so it first waits for some time for another machine to become free. One
+   * machine dedicated to services keeps the others available for accelerator work.
    */
   private serviceWaitMs(machine: Machine): Milliseconds {
     const { gpuMachines } = this.dependencies;
--- a/packages/controller/src/scheduling/scheduler.ts
+++ b/packages/controller/src/scheduling/scheduler.ts
@@ -44,7 +44,7 @@
 type Readiness =
   /** placed as far as it fits */
   | 'ready'
-  /** left to a later run, which takes place even if nothing else triggers one */
+  /** deferred to a later run, which is due even if nothing else triggers one */
   | 'postponed'
   /** one of its tasks may run on a machine that has not answered yet; the answer triggers another run */
   | 'unverified'
--- a/packages/controller/src/scheduling/start-deadlines.ts
+++ b/packages/controller/src/scheduling/start-deadlines.ts
@@ -10,8 +10,8 @@
 const ATTAINABLE_GRACE_MS = 1000;
 
 /**
- * Time from arrival to the start deadline of a job that has missed all objectives of its class: such a job comes after all
- * others.
+ * Time from arrival to the start deadline of a job that has missed all objectives of its class: such a job is due after
+ * all other jobs.
  */
 const MISSED_ALL_OBJECTIVES_DELAY_MS = 1e7;
 
@@ -47,8 +47,8 @@
   }
 
   /**
-   * Returns the first of the job's start deadlines that can still be met. A job that has missed them all is due after the
-   * others.
+   * Returns the first of the job's start deadlines that can still be met. A job that has missed all of them is due
+   * after all other jobs.
    */
   startDeadlineOf(job: Job, now: Milliseconds): Milliseconds {
     return this.attainableStartDeadlines(job, now)[0] ?? this.fallbackDeadline(job);
