--- a/packages/controller/src/leadership/state-service-freshness.ts
+++ b/packages/controller/src/leadership/state-service-freshness.ts
@@ -1,51 +1,51 @@
 /**
- * How fresh the copy of the stored state is, and whether the state service answers.
+ * How fresh the replica is, and whether the state service answers.
  *
- * Owns the times of the last answer, of the last reading and of the last pause of this process.
+ * Owns the times of the last response, of the last read and of the last pause of this process.
  */
 import type { InputClock, StateFreshness } from '../context/index.js';
 import { type Milliseconds, NEVER } from '../model/index.js';
 import type { PauseListener } from './process-pause.js';
 
-/** The watch and the renewals of the lease bring an answer more often than this while the service is there. */
+/** While the state service is available, the watch and the lease renewals bring a response more often than this. */
 const STATE_SERVICE_SILENT_MS = 4000;
 
-/** After a pause decisions wait for a reading for so long at most: in an outage of the state service none comes. */
+/** After a pause, decisions wait for a read for at most this long: in an outage of the state service none completes. */
 const MAX_CATCH_UP_MS = 3000;
 
-/** What the answers of the state service say of its health, and of the age of what is known here. */
+/** Derives the health of the state service and the age of the replica from the responses of the state service. */
 export class StateServiceFreshness implements StateFreshness, PauseListener {
-  private readAt: Milliseconds = NEVER;
-  private answeredAt: Milliseconds = NEVER;
-  private pausedAt: Milliseconds = NEVER;
+  private lastReadAt: Milliseconds = NEVER;
+  private lastResponseAt: Milliseconds = NEVER;
+  private lastPauseAt: Milliseconds = NEVER;
 
   constructor(private readonly clock: InputClock) {}
 
   get replicaFreshAt(): Milliseconds {
-    return this.readAt;
+    return this.lastReadAt;
   }
 
   stateServiceAnswers(now: Milliseconds): boolean {
-    return now - this.answeredAt < STATE_SERVICE_SILENT_MS;
+    return now - this.lastResponseAt < STATE_SERVICE_SILENT_MS;
   }
 
   isCatchingUp(): boolean {
-    return this.readAt < this.pausedAt && this.clock.now - this.pausedAt < MAX_CATCH_UP_MS;
+    return this.lastReadAt < this.lastPauseAt && this.clock.now - this.lastPauseAt < MAX_CATCH_UP_MS;
   }
 
-  /** All changes up to `asOf`, when the request for them was sent, have been read. Answers may come out of their order. */
-  replicaRead(asOf: Milliseconds, now: Milliseconds): void {
-    if (asOf > this.readAt) this.readAt = asOf;
-    this.answeredAt = now;
+  /** Records that the replica has all changes up to `asOf`, when the request for them was sent. Responses may be out of order. */
+  recordReplicaRead(asOf: Milliseconds, now: Milliseconds): void {
+    if (asOf > this.lastReadAt) this.lastReadAt = asOf;
+    this.lastResponseAt = now;
   }
 
-  /** The state service has answered, and served this controller. */
-  stateServiceAnswered(now: Milliseconds): void {
-    this.answeredAt = now;
+  /** Records a response with which the state service served this controller, not a refusal. */
+  recordResponse(now: Milliseconds): void {
+    this.lastResponseAt = now;
   }
 
-  processPaused(pausedMs: Milliseconds, now: Milliseconds): void {
-    this.pausedAt = now;
-    if (this.answeredAt > 0) this.answeredAt += pausedMs;
+  onProcessPaused(pausedMs: Milliseconds, now: Milliseconds): void {
+    this.lastPauseAt = now;
+    if (this.lastResponseAt > 0) this.lastResponseAt += pausedMs;
   }
 }
--- a/packages/controller/src/leadership/stored-status-writer.ts
+++ b/packages/controller/src/leadership/stored-status-writer.ts
@@ -1,9 +1,9 @@
 /**
- * The status by way of the state service, while the link to the leader is down. A zone that is cut off from the other zones may
- * still reach the state service: without this the leader would neither assign the zone's new machines nor scale out for its
- * unmet demands until the partition ends.
+ * Writes this controller's status to the state service while the link to the leader is down. A zone that is cut off from the
+ * other zones may still reach the state service. Without the stored status, the leader would neither assign the zone's new
+ * machines nor scale out for its unmet demands until the partition ends.
  *
- * Owns when the status was last stored, and whether a write is under way.
+ * Owns the time at which the status was last stored, and whether a write is pending.
  */
 import {
   type ClusterStateView,
@@ -19,7 +19,7 @@
 import type { StatusAssembly } from './status-assembly.js';
 import { fitStoredStatus } from './stored-status.js';
 
-/** Rarer than over a link: the state service is slower, and each status costs a write. */
+/** Less frequent than over a link: the state service is slower, and each status costs a write. */
 const STORED_STATUS_INTERVAL_MS = 2000;
 
 type StoredStatusWriterContext = SettingsView & ClusterStateView & ReplicaView & StateWriting & LeaseView & PeerDirectory;
@@ -27,8 +27,8 @@
 /** Stores this controller's status for the leader. */
 export class StoredStatusWriter {
   private isWritePending = false;
-  private storedAt: Milliseconds = NEVER;
-  /** how many statuses were stored: the turn that long lists are at */
+  private lastStoredAt: Milliseconds = NEVER;
+  /** number of statuses stored so far, which selects the part of each long list for the next status */
   private turn = 0;
 
   constructor(
@@ -36,29 +36,29 @@
     private readonly statusAssembly: StatusAssembly,
   ) {}
 
-  /** Stores a status when the leader needs one and the last is old enough. */
+  /** Stores a status if the link to the leader is down and the last stored status is old enough. */
   tick(now: Milliseconds): void {
-    if (!this.isLeaderOutOfReach(now) || !this.mayWrite(now)) return;
-    this.storedAt = now;
+    if (!this.isLeaderLinkDown(now) || !this.mayWrite(now)) return;
+    this.lastStoredAt = now;
     this.isWritePending = true;
     this.write(now);
   }
 
-  private isLeaderOutOfReach(now: Milliseconds): boolean {
+  private isLeaderLinkDown(now: Milliseconds): boolean {
     const leader = this.context.clusterState.leaseOf(LEADER_LEASE)?.holder.controller ?? null;
     return leader !== null && leader !== this.context.settings.name && !this.context.isPeerAlive(leader, now);
   }
 
   private mayWrite(now: Milliseconds): boolean {
-    const isDue = now - this.storedAt >= STORED_STATUS_INTERVAL_MS;
+    const isDue = now - this.lastStoredAt >= STORED_STATUS_INTERVAL_MS;
     return this.context.replica.isLoaded && this.context.isLeaseValid(now) && !this.isWritePending && isDue;
   }
 
   private write(now: Milliseconds): void {
     const { settings, replica, writer, clusterState } = this.context;
     const key = StateKey.status(settings.name);
-    const whole = this.statusAssembly.assemble(now);
-    const status = fitStoredStatus(key, whole, clusterState.sizeLimits.maxWriteBytes, this.turn++);
+    const full = this.statusAssembly.assemble(now);
+    const status = fitStoredStatus(key, full, clusterState.sizeLimits.maxWriteBytes, this.turn++);
     writer.add({
       key,
       value: () => encodeStatus(status),
--- a/packages/controller/src/scheduling/start-deadlines.ts
+++ b/packages/controller/src/scheduling/start-deadlines.ts
@@ -10,8 +10,8 @@
 const ATTAINABLE_GRACE_MS = 1000;
 
 /**
- * Time from arrival to the start deadline of a job that has missed all objectives of its class: such a job comes after all
- * others.
+ * Time from arrival to the start deadline of a job that has missed all objectives of its class: such a job is due after
+ * all other jobs.
  */
 const MISSED_ALL_OBJECTIVES_DELAY_MS = 1e7;
 
@@ -47,8 +47,8 @@
   }
 
   /**
-   * Returns the first of the job's start deadlines that can still be met. A job that has missed them all is due after the
-   * others.
+   * Returns the first of the job's start deadlines that can still be met. A job that has missed all of them is due
+   * after all other jobs.
    */
   startDeadlineOf(job: Job, now: Milliseconds): Milliseconds {
     return this.attainableStartDeadlines(job, now)[0] ?? this.fallbackDeadline(job);
@@ -63,7 +63,7 @@
       if (at > now - ATTAINABLE_GRACE_MS) result.push(at);
     };
     for (const { kind, withinMs } of this.timeObjectives.get(job.spec.jobClass) ?? [])
-      addIfAttainable(job.arrivedAt + withinMs - (kind === 'wait' ? imageFetchMs : runMs + imageFetchMs));
+      addIfAttainable(job.eligibleAt + withinMs - (kind === 'wait' ? imageFetchMs : runMs + imageFetchMs));
     for (const at of this.startsForDeadlines(job)) addIfAttainable(at);
     return result.sort((a, b) => a - b);
   }
@@ -82,7 +82,7 @@
   }
 
   private fallbackDeadline(job: Job): Milliseconds {
-    if (this.timeObjectives.has(job.spec.jobClass)) return job.arrivedAt + MISSED_ALL_OBJECTIVES_DELAY_MS;
-    return job.arrivedAt + (job.spec.deadlineS ?? DEFAULT_DEADLINE_S) * 1000;
+    if (this.timeObjectives.has(job.spec.jobClass)) return job.eligibleAt + MISSED_ALL_OBJECTIVES_DELAY_MS;
+    return job.eligibleAt + (job.spec.deadlineS ?? DEFAULT_DEADLINE_S) * 1000;
   }
 }
--- a/packages/controller/src/shards/recovery-probes.ts
+++ b/packages/controller/src/shards/recovery-probes.ts
@@ -40,7 +40,7 @@
 
   constructor(private readonly context: RecoveryProbesContext) {}
 
-  /** Begins probing because workers can't be reached any more. Earlier answers don't count. */
+  /** Begins probing because workers can no longer be reached. Earlier answers don't count. */
   begin(now: Milliseconds): void {
     this.consecutiveAnswers = 0;
     this.individuallySilent.clear();
@@ -52,8 +52,8 @@
     if (now < this.nextRoundAt || this.pendingProbes.size > 0) return true;
     this.nextRoundAt = now + PROBE_ROUND_INTERVAL_MS;
     const machines = this.probeableMachines();
-    const others = machines.filter((machine) => !this.individuallySilent.has(machine.name));
-    this.startRound(others.length >= PROBES_PER_ROUND ? others : machines);
+    const candidates = machines.filter((machine) => !this.individuallySilent.has(machine.name));
+    this.startRound(candidates.length >= PROBES_PER_ROUND ? candidates : machines);
     return machines.length > 0;
   }
 
