--- a/packages/http-api/src/body-framing.ts
+++ b/packages/http-api/src/body-framing.ts
@@ -3,7 +3,7 @@
 const LENGTH_PATTERN = /^\d+$/;
 
 /** `headers`: names and values by turns, as the parser has them. */
-export function hasCertainLength(headers: readonly string[]): boolean {
+export function hasUnambiguousLength(headers: readonly string[]): boolean {
   let length: string | null = null;
   let isChunked = false;
   for (let index = 0; index + 1 < headers.length; index += 2) {
--- a/packages/http-api/src/connection-limiter.ts
+++ b/packages/http-api/src/connection-limiter.ts
@@ -14,7 +14,7 @@
 export class ConnectionLimiter {
   private openConnections = 0;
   private rejectedConnections = 0;
-  private takenConnections = 0;
+  private reportedRejections = 0;
 
   /** @param limit connections that may be open at once; infinite: no limit */
   constructor(private readonly limit: number) {}
@@ -48,8 +48,8 @@
 
   /** How many connections were rejected since the last call. */
   takeRejectedCount(): number {
-    const count = this.rejectedConnections - this.takenConnections;
-    this.takenConnections = this.rejectedConnections;
+    const count = this.rejectedConnections - this.reportedRejections;
+    this.reportedRejections = this.rejectedConnections;
     return count;
   }
 
--- a/packages/http-api/src/heartbeat-connection.ts
+++ b/packages/http-api/src/heartbeat-connection.ts
@@ -6,7 +6,7 @@
 import type net from 'node:net';
 import { MAX_BODY_BYTES, PATHS } from '@archpost/protocol';
 import { HTTPParser } from 'http-parser-js';
-import { hasCertainLength } from './body-framing.js';
+import { hasUnambiguousLength } from './body-framing.js';
 import { encodeResponse, type HttpResponse, type Responder } from './responder.js';
 
 /** The request line of a heartbeat. Requests that begin otherwise are left to Node's HTTP server. */
@@ -19,13 +19,13 @@
 export const IDLE_TIMEOUT_MS = 75_000;
 
 /** Whether the first bytes of a request are those of a heartbeat; a request line that comes in pieces doesn't count. */
-export function startsHeartbeat(chunk: Buffer): boolean {
+export function isHeartbeatStart(chunk: Buffer): boolean {
   const { length } = HEARTBEAT_REQUEST_LINE;
   return chunk.length >= length && chunk.compare(HEARTBEAT_REQUEST_LINE, 0, length, 0, length) === 0;
 }
 
 /** What a request gets that can't be parsed; as Node's HTTP server answers it. */
-const BAD_REQUEST = 'HTTP/1.1 400 Bad Request\r\nConnection: close\r\n\r\n';
+const BAD_REQUEST_RESPONSE = 'HTTP/1.1 400 Bad Request\r\nConnection: close\r\n\r\n';
 
 /** Callbacks of a connection. */
 export interface HeartbeatConnectionOptions {
@@ -42,7 +42,7 @@
   private bodyBytes = 0;
   private state: 'idle' | 'reading' | 'responding' | 'rejected' = 'idle';
   /** the current request has `Connection: close` */
-  private closeRequested = false;
+  private isCloseRequested = false;
   private disconnectListener: (() => void) | null = null;
 
   constructor(
@@ -52,8 +52,8 @@
     const { parser } = this;
     parser[HTTPParser.kOnHeaders] = () => {};
     parser[HTTPParser.kOnHeadersComplete] = ({ headers, shouldKeepAlive }) => {
-      this.closeRequested = !shouldKeepAlive;
-      if (!hasCertainLength(headers)) this.reject();
+      this.isCloseRequested = !shouldKeepAlive;
+      if (!hasUnambiguousLength(headers)) this.reject();
     };
     parser[HTTPParser.kOnBody] = (chunk, offset, length) => this.appendBody(chunk.subarray(offset, offset + length));
     parser[HTTPParser.kOnMessageComplete] = () => this.completeRequest();
@@ -69,7 +69,7 @@
     if (this.state === 'responding') return this.destroy();
     if (this.state === 'rejected') return;
     if (this.state === 'idle') {
-      if (!startsHeartbeat(chunk)) return this.detach(chunk);
+      if (!isHeartbeatStart(chunk)) return this.detach(chunk);
       this.state = 'reading';
       this.socket.setTimeout(REQUEST_TIMEOUT_MS);
     }
@@ -86,7 +86,7 @@
     const { socket } = this;
     this.disconnectListener = null;
     if (socket.destroyed || this.state !== 'responding') return;
-    const closeConnection = response.closeConnection || this.closeRequested;
+    const closeConnection = response.closeConnection || this.isCloseRequested;
     const bytes = encodeResponse(response, closeConnection);
     if (closeConnection) {
       socket.end(bytes);
@@ -101,7 +101,7 @@
   private reject(): void {
     if (this.state === 'rejected') return;
     this.state = 'rejected';
-    this.socket.end(BAD_REQUEST);
+    this.socket.end(BAD_REQUEST_RESPONSE);
   }
 
   /** What exceeds the limit is counted, but not kept. */
--- a/packages/http-api/src/http-api.ts
+++ b/packages/http-api/src/http-api.ts
@@ -95,7 +95,7 @@
   respond(id: number, status: number, body: unknown, retryAfterS?: number): void {
     const pending = this.pendingRequests.take(id);
     if (!pending) return;
-    if (pending.job !== null && status !== 503) this.options.loadShedder.recordAnswered(pending.job);
+    if (pending.job !== null && status !== 503) this.options.loadShedder.recordStatusResponse(pending.job);
     this.send(pending.responder, status, body, retryAfterS, pending.clientKind);
   }
 
--- a/packages/http-api/src/http-listener.ts
+++ b/packages/http-api/src/http-listener.ts
@@ -4,7 +4,7 @@
  */
 import http from 'node:http';
 import net from 'node:net';
-import { HeartbeatConnection, IDLE_TIMEOUT_MS, REQUEST_TIMEOUT_MS, startsHeartbeat } from './heartbeat-connection.js';
+import { HeartbeatConnection, IDLE_TIMEOUT_MS, isHeartbeatStart, REQUEST_TIMEOUT_MS } from './heartbeat-connection.js';
 
 /** Callbacks of the listener. */
 export interface HttpListenerOptions {
@@ -53,20 +53,20 @@
     socket.once('data', (chunk: Buffer) => {
       socket.off('error', destroy);
       socket.off('timeout', destroy);
-      if (startsHeartbeat(chunk)) this.attachHeartbeatConnection(socket, chunk);
-      else this.handOverToHttpServer(socket, chunk);
+      if (isHeartbeatStart(chunk)) this.attachHeartbeatConnection(socket, chunk);
+      else this.transferToHttpServer(socket, chunk);
     });
   }
 
   private attachHeartbeatConnection(socket: net.Socket, chunk: Buffer): void {
     const connection = new HeartbeatConnection(socket, {
-      onHeartbeat: (from, body) => this.options.onHeartbeat(from, body),
-      onOtherRequest: (detached, first) => this.handOverToHttpServer(detached, first),
+      onHeartbeat: (sender, body) => this.options.onHeartbeat(sender, body),
+      onOtherRequest: (detachedSocket, firstChunk) => this.transferToHttpServer(detachedSocket, firstChunk),
     });
     connection.receive(chunk);
   }
 
-  private handOverToHttpServer(socket: net.Socket, chunk: Buffer): void {
+  private transferToHttpServer(socket: net.Socket, chunk: Buffer): void {
     socket.pause();
     socket.setTimeout(0);
     socket.unshift(chunk);
--- a/packages/http-api/src/load-shedder.ts
+++ b/packages/http-api/src/load-shedder.ts
@@ -11,7 +11,7 @@
 const OVERLOAD_DELAY_MS = 500;
 
 /** A job whose status this controller sent within this time is recently answered; users query it every 5 s. */
-const RECENTLY_ANSWERED_MS = 4000;
+const RECENT_RESPONSE_MS = 4000;
 
 /**
  * A job whose status this controller hasn't sent for this long is starved, and queries about it are admitted even under
@@ -31,8 +31,8 @@
   /** how late timers fire; the worst delay counts for a while */
   private timerDelayMs = 0;
   /** when this controller last sent a job's status, by job id; starved jobs are removed */
-  private readonly answeredAt = new Map<string, number>();
-  private sweptAt = 0;
+  private readonly lastResponseAt = new Map<string, number>();
+  private lastCleanupAt = 0;
   private readonly starvedQueryBucket: TokenBucket;
   private readonly mutationBucket: TokenBucket;
   private rejectedStatusQueries = 0;
@@ -70,16 +70,19 @@
   /** Whether to serve a query about this job; counts it as rejected if not. */
   admitStatusQuery(job: string): boolean {
     const now = this.clock();
-    if (now - this.sweptAt > STARVED_MS) this.forgetStaleAnswers(now);
-    if (this.timerDelayMs <= BUSY_DELAY_MS || this.isDueForAnswer(now - (this.answeredAt.get(job) ?? Number.NEGATIVE_INFINITY)))
+    if (now - this.lastCleanupAt > STARVED_MS) this.removeStarvedJobs(now);
+    if (
+      this.timerDelayMs <= BUSY_DELAY_MS ||
+      this.isDueForResponse(now - (this.lastResponseAt.get(job) ?? Number.NEGATIVE_INFINITY))
+    )
       return true;
     this.rejectedStatusQueries++;
     return false;
   }
 
   /** Records that a query about this job is being answered. */
-  recordAnswered(job: string): void {
-    this.answeredAt.set(job, this.clock());
+  recordStatusResponse(job: string): void {
+    this.lastResponseAt.set(job, this.clock());
   }
 
   /** How many requests were rejected since the last call. */
@@ -90,13 +93,13 @@
     return rejected;
   }
 
-  private isDueForAnswer(unansweredMs: number): boolean {
-    if (!this.isOverloaded) return unansweredMs > RECENTLY_ANSWERED_MS;
-    return unansweredMs >= STARVED_MS && this.starvedQueryBucket.take();
+  private isDueForResponse(sinceResponseMs: number): boolean {
+    if (!this.isOverloaded) return sinceResponseMs > RECENT_RESPONSE_MS;
+    return sinceResponseMs >= STARVED_MS && this.starvedQueryBucket.take();
   }
 
-  private forgetStaleAnswers(now: number): void {
-    this.sweptAt = now;
-    for (const [job, at] of this.answeredAt) if (now - at > STARVED_MS) this.answeredAt.delete(job);
+  private removeStarvedJobs(now: number): void {
+    this.lastCleanupAt = now;
+    for (const [job, at] of this.lastResponseAt) if (now - at > STARVED_MS) this.lastResponseAt.delete(job);
   }
 }
--- a/packages/http-api/src/token-bucket.ts
+++ b/packages/http-api/src/token-bucket.ts
@@ -7,17 +7,17 @@
 
   /** @param clock milliseconds of a monotonic clock */
   constructor(
-    private readonly perS: number,
+    private readonly tokensPerS: number,
     private readonly clock: () => number,
   ) {
-    this.tokens = perS;
+    this.tokens = tokensPerS;
   }
 
   /** Takes a token if there is one, and returns whether there was. */
   take(): boolean {
     const now = this.clock();
-    const limit = this.perS > 0 ? Math.max(1, this.perS) : 0;
-    this.tokens = Math.min(limit, this.tokens + ((now - this.refilledAt) / 1000) * this.perS);
+    const limit = this.tokensPerS > 0 ? Math.max(1, this.tokensPerS) : 0;
+    this.tokens = Math.min(limit, this.tokens + ((now - this.refilledAt) / 1000) * this.tokensPerS);
     this.refilledAt = now;
     if (this.tokens < 1) return false;
     this.tokens--;
--- a/test/client-responses.test.ts
+++ b/test/client-responses.test.ts
@@ -58,7 +58,7 @@
     asked++;
     if (door.admitStatusQuery(id)) {
       answered++;
-      door.recordAnswered(id);
+      door.recordStatusResponse(id);
       longest = Math.max(longest, now - (last.get(id) ?? 0));
       last.set(id, now);
     }
