--- a/packages/server/src/garbage-collection.ts
+++ b/packages/server/src/garbage-collection.ts
@@ -27,14 +27,14 @@
   ) {}
 
   /** Whether to collect now; the caller collects whenever this is true. */
-  isDue(heldMb: number): boolean {
+  isDue(residentMb: number): boolean {
     if (this.wasJustCollected) {
       this.wasJustCollected = false;
-      this.retainedMb = heldMb;
+      this.retainedMb = residentMb;
     }
     // Memory may be released later than at the collection: growth is measured from the least.
-    this.retainedMb = Math.min(this.retainedMb, heldMb);
-    if (heldMb <= Math.max(this.thresholdMb, this.retainedMb + this.growthMb)) return false;
+    this.retainedMb = Math.min(this.retainedMb, residentMb);
+    if (residentMb <= Math.max(this.thresholdMb, this.retainedMb + this.growthMb)) return false;
     this.wasJustCollected = true;
     return true;
   }
--- a/packages/server/src/inbox.ts
+++ b/packages/server/src/inbox.ts
@@ -50,7 +50,7 @@
   rejected: number;
 }
 
-const NOTHING_PROCESSED: Readonly<ProcessedCounts> = {
+const ZERO_COUNTS: Readonly<ProcessedCounts> = {
   heartbeats: 0,
   controlEvents: 0,
   mutations: 0,
@@ -68,7 +68,7 @@
   private isClosed = false;
   /** when the clock was read last, which is before each heartbeat and control event, and before client requests */
   lastClockReading: number;
-  private processed: ProcessedCounts = { ...NOTHING_PROCESSED };
+  private processed: ProcessedCounts = { ...ZERO_COUNTS };
 
   constructor(private readonly options: InboxOptions) {
     this.lastClockReading = options.clock();
@@ -101,7 +101,7 @@
   /** How many inputs were served and rejected since the last call. */
   takeProcessedCounts(): ProcessedCounts {
     const { processed } = this;
-    this.processed = { ...NOTHING_PROCESSED };
+    this.processed = { ...ZERO_COUNTS };
     return processed;
   }
 
--- a/packages/server/src/index.ts
+++ b/packages/server/src/index.ts
@@ -24,14 +24,14 @@
 }
 
 /** The operators' file that was named, or the one beside the program; null if there is none. */
-function resolveOperatorFile(named: string | undefined): string | null {
-  if (named !== undefined) return named;
-  const built = join(dirname(fileURLToPath(import.meta.url)), BUILT_OPERATOR_FILE);
-  return existsSync(built) ? built : null;
+function resolveOperatorFile(explicitPath: string | undefined): string | null {
+  if (explicitPath !== undefined) return explicitPath;
+  const builtPath = join(dirname(fileURLToPath(import.meta.url)), BUILT_OPERATOR_FILE);
+  return existsSync(builtPath) ? builtPath : null;
 }
 
 /** Shortages don't make settings wrong: the service runs with them. */
-function printCheck(file: string, settings: Settings): void {
+function printCheckResult(file: string, settings: Settings): void {
   for (const { what, short, need, have } of findShortages(settings))
     process.stdout.write(`${file}: ${what}: ${have} is ${short} short of ${need}\n`);
   process.stdout.write(`${file}: in order\n`);
@@ -39,7 +39,7 @@
 
 async function run({ config, operator, check }: ProgramOptions): Promise<void> {
   const settings = loadSettings(config, resolveOperatorFile(operator));
-  if (check) printCheck(config, settings);
+  if (check) printCheckResult(config, settings);
   else await runService(settings);
 }
 
--- a/packages/server/src/lag-meter.ts
+++ b/packages/server/src/lag-meter.ts
@@ -25,7 +25,7 @@
 export class LagMeter {
   private timer: NodeJS.Timeout | undefined;
   private isClosed = false;
-  private rejectedBefore = 0;
+  private lastRejectedTotal = 0;
 
   constructor(private readonly options: LagMeterOptions) {}
 
@@ -53,8 +53,8 @@
   /** For how long workers may not have been heard for want of sockets; 0: there were enough since the last measurement. */
   private rejectionLagMs(): number {
     const { rejectedTotal } = this.options.connections;
-    const isRejecting = rejectedTotal > this.rejectedBefore;
-    this.rejectedBefore = rejectedTotal;
+    const isRejecting = rejectedTotal > this.lastRejectedTotal;
+    this.lastRejectedTotal = rejectedTotal;
     return isRejecting ? REJECTED_RETRY_MS : 0;
   }
 }
--- a/packages/server/src/metrics-reporter.ts
+++ b/packages/server/src/metrics-reporter.ts
@@ -38,11 +38,11 @@
     if (rejected.statusQueries + rejected.mutations > 0) log.clientRequestsRejected(rejected);
     const rejectedConnections = connections.takeRejectedCount();
     if (rejectedConnections > 0) log.connectionsRejected(rejectedConnections);
-    log.processFigures(processFigures(), inbox.takeProcessedCounts());
+    log.processFigures(readProcessFigures(), inbox.takeProcessedCounts());
   }
 }
 
-function processFigures(): ProcessFigures {
+function readProcessFigures(): ProcessFigures {
   const cpu = process.cpuUsage();
   const { rss, heapUsed } = process.memoryUsage();
   return {
--- a/packages/server/src/run-service.ts
+++ b/packages/server/src/run-service.ts
@@ -26,7 +26,7 @@
   process.on('unhandledRejection', (reason) => log.unexpectedError(reason));
   process.on('uncaughtException', (error) => log.unexpectedError(error));
   if (isMainThread && startThread(settings, log)) return;
-  for (const shortage of findShortages(settings)) log.settingsShort(shortage);
+  for (const shortage of findShortages(settings)) log.settingsInsufficient(shortage);
   await new Service(settings, log).start();
 }
 
--- a/packages/server/src/service-log.ts
+++ b/packages/server/src/service-log.ts
@@ -39,7 +39,7 @@
     this.logger.debug(plan, 'heap');
   }
 
-  settingsShort(shortage: Shortage): void {
+  settingsInsufficient(shortage: Shortage): void {
     this.logger.warn(shortage, 'settings insufficient for max_machines');
   }
 
--- a/packages/server/src/service.ts
+++ b/packages/server/src/service.ts
@@ -23,7 +23,7 @@
  * Submissions and cancellations that a whole core admits a second under overload. Each costs a few milliseconds, so they
  * take a tenth of the processor.
  */
-const MUTATIONS_PER_S_AND_CORE = 30;
+const MUTATIONS_PER_S_PER_CORE = 30;
 
 /** Older requests are rejected: the users' timeout of a status query is 2 s, and of any other request 5 s. */
 const MAX_CLIENT_REQUEST_AGE_MS = 1500;
@@ -63,7 +63,7 @@
     const { controller: controllerSettings } = settings;
     this.controller = new Controller(controllerSettings, randomUUID().slice(0, INCARNATION_LENGTH));
     this.inbox = this.createInbox();
-    this.loadShedder = new LoadShedder(monotonicMs, MUTATIONS_PER_S_AND_CORE * controllerSettings.cpuShare);
+    this.loadShedder = new LoadShedder(monotonicMs, MUTATIONS_PER_S_PER_CORE * controllerSettings.cpuShare);
     this.stateService = new StateServiceClient({
       address: settings.stateAddress,
       keyPrefix: STATE_KEY_PREFIX,
--- a/packages/server/src/settings/feasibility.ts
+++ b/packages/server/src/settings/feasibility.ts
@@ -10,7 +10,7 @@
 const MIN_MEMORY_MB = 80;
 
 /** Requests for its lease, its watch and a transaction. */
-const STATE_REQUESTS_PER_S_AND_CONTROLLER = 4;
+const STATE_REQUESTS_PER_S_PER_CONTROLLER = 4;
 
 /** For the record of a job. */
 const MIN_VALUE_KIB = 2;
@@ -38,7 +38,7 @@
  */
 export function requireFeasibleSettings(path: string, settings: PlatformSettings): void {
   requireCancellationTime(path, settings.params.workers);
-  for (const { field, have, need, purpose } of requirements(settings)) {
+  for (const { field, have, need, purpose } of listRequirements(settings)) {
     if (have >= need) continue;
     const reason = `${have} is too little: ${purpose} takes ${need}`;
     throw new SettingsError({ source: path, field: `params.${field}`, reason });
@@ -59,13 +59,13 @@
   });
 }
 
-function requirements(settings: PlatformSettings): Requirement[] {
+function listRequirements(settings: PlatformSettings): Requirement[] {
   const controllerCount = settings.others.length + 1;
   const { max_sockets, mem_mb } = settings.params.machine_limits;
-  const { next, ...present } = settings.params.state;
+  const { next, ...current } = settings.params.state;
   return [
-    ...stateRequirements('state', present, controllerCount),
-    ...(next ? stateRequirements('state.next', { ...present, ...next }, controllerCount) : []),
+    ...listStateRequirements('state', current, controllerCount),
+    ...(next ? listStateRequirements('state.next', { ...current, ...next }, controllerCount) : []),
     { field: 'machine_limits.mem_mb', have: mem_mb, need: MIN_MEMORY_MB, purpose: 'the process without any work' },
     {
       field: 'machine_limits.max_sockets',
@@ -76,7 +76,7 @@
   ];
 }
 
-function stateRequirements(table: string, limits: StateLimitFields, controllerCount: number): Requirement[] {
+function listStateRequirements(table: string, limits: StateLimitFields, controllerCount: number): Requirement[] {
   return [
     {
       field: `${table}.write_rps`,
@@ -87,7 +87,7 @@
     {
       field: `${table}.rps`,
       have: limits.rps,
-      need: STATE_REQUESTS_PER_S_AND_CONTROLLER * controllerCount,
+      need: STATE_REQUESTS_PER_S_PER_CONTROLLER * controllerCount,
       purpose: 'lease, watch and a transaction a second for each controller',
     },
     { field: `${table}.value_kb`, have: limits.value_kb, need: MIN_VALUE_KIB, purpose: 'the record of a job' },
--- a/packages/server/src/settings/platform-settings.ts
+++ b/packages/server/src/settings/platform-settings.ts
@@ -84,7 +84,7 @@
     zones: params.zones,
     teams: params.teams.map(toTeam),
     objectives: params.objectives.map(toObjective),
-    workers: toWorkerTimes(params.workers),
+    workers: toWorkerSettings(params.workers),
     cpuShare: params.machine_limits.cpu_share,
     maxSockets: params.machine_limits.max_sockets,
     state: toStateLimits(params.state),
@@ -115,7 +115,7 @@
   };
 }
 
-function toWorkerTimes(workers: z.infer<typeof workersSchema>): ControllerSettings['workers'] {
+function toWorkerSettings(workers: z.infer<typeof workersSchema>): ControllerSettings['workers'] {
   return {
     heartbeatIntervalS: workers.report_s,
     leaseS: workers.lease_s,
