--- a/packages/controller/src/heartbeats/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeats/heartbeat-reconciler.ts
@@ -97,7 +97,7 @@
     machine.probeRequested = true;
   }
 
-  /** Takes from the heartbeat of an unverified machine only the epoch that a probe is addressed to, and the probe's priority. */
+  /** Records only what a probe of an unverified machine depends on: the epoch that it is addressed to, and its priority. */
   private recordUnverified({ tenure }: Machine, heartbeat: Heartbeat): void {
     if (heartbeat.agentEpoch > tenure.agentEpoch) tenure.agentEpoch = heartbeat.agentEpoch;
     for (const task of heartbeat.tasks)
--- a/packages/controller/src/leadership/holder-selection.ts
+++ b/packages/controller/src/leadership/holder-selection.ts
@@ -22,7 +22,7 @@
   }
 
   /**
-   * Whether the peer is fit to hold shards: it is alive, may answer workers, gets answers from the state service, and can reach
+   * Whether the peer is fit to hold shards: it is alive, may answer workers, is served by the state service, and can reach
    * workers.
    */
   canHoldShards(controller: string, now: Milliseconds): boolean {
--- a/packages/controller/src/leadership/idle-machine-scale-in.ts
+++ b/packages/controller/src/leadership/idle-machine-scale-in.ts
@@ -54,7 +54,7 @@
     }
   }
 
-  /** Whether the machine has been idle for long enough, and has no tasks, no ordered move or retirement and no protection. */
+  /** Whether the machine has been idle for long enough, and has no tasks, pending move, retirement or protected priority. */
   private isRetirable(machine: Machine, summary: MachineSummary, highestPrice: number): boolean {
     if (summary.tasks > 0 || machine.moveToShard !== null || machine.isRetired || summary.protectedPriority > 0) return false;
     const idleLimitS = this.context.settings.policy.idleS * idleFactor(machine.capacity, machine.spot, highestPrice);
--- a/packages/controller/src/leadership/index.ts
+++ b/packages/controller/src/leadership/index.ts
@@ -4,7 +4,7 @@
  * and the application of changed keys.
  *
  * Owns the leases that this controller holds, the peers' statuses, and the times up to which the state service and the peers
- * confirmed their information.
+ * have confirmed that nothing is unknown here.
  */
 export { CancellationFreshness } from './cancellation-freshness.js';
 export { Leader } from './leader.js';
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -75,7 +75,7 @@
     this.idleMachineScaleIn = new IdleMachineScaleIn(context);
   }
 
-  /** Whether this controller holds the leader lease. It may act under it only while the state lease is valid, too. */
+  /** Whether this controller holds the leader lease. It may act under the lease only while its state lease is valid, too. */
   get isLeading(): boolean {
     return this.leaseRevision !== null;
   }
@@ -133,7 +133,7 @@
   private runRound(leaseRevision: number, now: Milliseconds): void {
     const shards = this.shardSummaries(now);
     this.rebalance(shards, leaseRevision, now);
-    // The machine types show the value of a machine, and the cloud's list shows which machines are being provisioned.
+    // Scaling depends on the value of each machine (from the machine types) and on which machines the cloud is provisioning.
     if (!this.context.clusterState.areMachineTypesKnown || !this.autoscaler.isListKnown) return;
     this.autoscaler.scaleOut(shards, now);
     this.autoscaler.releaseUnbootedMachines(now);
--- a/packages/controller/src/leadership/readiness.ts
+++ b/packages/controller/src/leadership/readiness.ts
@@ -6,7 +6,8 @@
 /**
  * Reports whether this controller is ready for clients. It becomes ready once it has loaded the stored state. It stays ready in
  * an outage of the state service that affects all controllers. It is not ready if it alone has lost the state service, or if no
- * peer is alive to compare with, so that its clients connect to another controller. A cluster of one controller has no other.
+ * peer is alive to compare with, so that its clients connect to another controller. The only controller of a cluster stays ready:
+ * its clients have no other.
  */
 export function isReadyForClients(context: ReadinessContext): boolean {
   const { replica, clusterState, peers, settings, now } = context;
--- a/packages/controller/src/leadership/shard-leases.ts
+++ b/packages/controller/src/leadership/shard-leases.ts
@@ -64,8 +64,8 @@
 
   /**
    * Whether this controller may act under the lease: it holds the lease, the state lease is certainly valid, and no release of
-   * the lease is queued. A queued release may have been executed before its response arrives, and the next holder relies on this
-   * controller starting nothing after the next holder's claim.
+   * the lease is queued. A queued release may have been executed before its response arrives, and the next holder relies on the
+   * previous one to start nothing after the claim.
    */
   mayActUnder(lease: LeaseName, now: Milliseconds): boolean {
     return this.heldLeases.has(lease) && !this.releasingLeases.has(lease) && this.context.isLeaseValid(now);
--- a/packages/controller/src/leadership/write-rate-quota.ts
+++ b/packages/controller/src/leadership/write-rate-quota.ts
@@ -19,7 +19,7 @@
   return Math.max(MIN_WRITES_PER_S, limitPerS * (USED_FRACTION / Math.max(1, controllerCount)));
 }
 
-/** The quota of this controller, in writes per second, if all controllers together may make `limitPerS`. */
+/** The quota of this controller, in writes per second, given that all controllers together may make `limitPerS`. */
 export function ownWritesPerS(
   context: SettingsView & StateWriting & PeerDirectory,
   limitPerS: number,
