--- a/packages/controller/src/leadership/cancellation-freshness.ts
+++ b/packages/controller/src/leadership/cancellation-freshness.ts
@@ -39,7 +39,7 @@
   pingAndEcho(controller: string, now: Milliseconds): PingAndEcho {
     const ping = `${this.incarnation}/${++this.pingCount}`;
     this.pingSentAt.set(ping, now);
-    this.forgetExpiredPings(now);
+    this.deleteExpiredPings(now);
     return { ping, echo: this.receivedPings.get(controller) ?? '' };
   }
 
@@ -62,7 +62,7 @@
     return oldest;
   }
 
-  private forgetExpiredPings(now: Milliseconds): void {
+  private deleteExpiredPings(now: Milliseconds): void {
     for (const [ping, sentAt] of this.pingSentAt) {
       if (now - sentAt <= PING_EXPIRY_MS) break;
       this.pingSentAt.delete(ping);
--- a/packages/controller/src/leadership/replica-listener.ts
+++ b/packages/controller/src/leadership/replica-listener.ts
@@ -54,22 +54,22 @@
       case 'none':
         return;
       case 'lease':
-        return this.leaseChanged(applied.lease);
+        return this.handleLeaseChange(applied.lease);
       case 'machine':
-        return this.machineChanged(applied);
+        return this.handleMachineChange(applied);
       case 'jobs':
-        return this.jobsChanged(key, applied);
+        return this.handleJobsChange(key, applied);
       default:
         applied satisfies never;
     }
   }
 
-  private leaseChanged(storedName: string): void {
+  private handleLeaseChange(storedName: string): void {
     const lease = parseLeaseName(storedName);
     if (lease !== null) this.collaborators.shardLeases.onLeaseChanged(lease);
   }
 
-  private machineChanged({ machine, isShardChanged }: MachineChange): void {
+  private handleMachineChange({ machine, isShardChanged }: MachineChange): void {
     const { leader, shardController } = this.collaborators;
     const { now } = this.context;
     if (machine.shard < 0) {
@@ -79,7 +79,7 @@
     shardController.onMachineChanged(machine, isShardChanged, now);
   }
 
-  private jobsChanged(key: string, { jobs, unreadablePart }: JobsChange): void {
+  private handleJobsChange(key: string, { jobs, unreadablePart }: JobsChange): void {
     if (unreadablePart !== null)
       this.context.log('warn', 'unreadable stored record', { key, error: `${unreadablePart} can not be read` });
     for (const job of jobs) this.collaborators.shardController.onJobChanged(job);
--- a/packages/controller/src/leadership/shard-leases.ts
+++ b/packages/controller/src/leadership/shard-leases.ts
@@ -75,8 +75,8 @@
   onLeaseChanged(lease: LeaseName): void {
     const { clusterState, settings, incarnation } = this.context;
     const current = clusterState.leaseOf(lease);
-    const isOurs = current?.holder.controller === settings.name && current.holder.incarnation === incarnation;
-    if (isOurs) this.recordHeld(lease, current.revision);
+    const isHeldHere = current?.holder.controller === settings.name && current.holder.incarnation === incarnation;
+    if (isHeldHere) this.recordHeld(lease, current.revision);
     else this.recordNotHeld(lease, current?.holder.controller ?? null);
   }
 
