--- a/packages/controller/src/heartbeats/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeats/heartbeat-reconciler.ts
@@ -42,8 +42,8 @@
 
   /**
    * Reconciles a heartbeat that the worker sent on its own or, with `positionAtSend`, the status in its response to a command.
-   * `positionAtSend`: the position of the newest heartbeat that was known when the command was sent. A missing task doesn't refute
-   * a start that is in flight: the heartbeat or status may have been created before the start.
+   * `positionAtSend`: the position of the newest heartbeat that was known when the command was sent. A missing task doesn't
+   * refute a start that is in flight: the heartbeat or status may have been created before the start.
    */
   reconcile(machine: Machine, heartbeat: Heartbeat, now: Milliseconds, positionAtSend: HeartbeatPosition | null = null): void {
     this.allocations.advanceTo(now);
--- a/packages/controller/src/heartbeats/worker-routing.ts
+++ b/packages/controller/src/heartbeats/worker-routing.ts
@@ -75,10 +75,10 @@
   }
 
   /**
-   * Whether the worker may be redirected to the controller. A redirected worker that returns got no response there while its lease
-   * was running, so it is redirected once, then answered here. Only a few workers are redirected, as a trial, to a controller that
-   * answers hardly any: one that had lost all of its workers was still considered healthy, and 115 leases expired while workers
-   * went to it and back (docs/incidents/hunt-2b89-apart.md).
+   * Whether the worker may be redirected to the controller. A redirected worker that returns got no response there while its
+   * lease was running, so it is redirected once, then answered here. Only a few workers are redirected, as a trial, to a
+   * controller that answers hardly any: one that had lost all of its workers was still considered healthy, and 115 leases expired
+   * while workers went to it and back (docs/incidents/hunt-2b89-apart.md).
    */
   private mayRedirectTo(machine: string, to: string, now: Milliseconds): boolean {
     const previous = this.redirects.get(machine);
