--- a/packages/cloud-client/src/cloud-client.ts
+++ b/packages/cloud-client/src/cloud-client.ts
@@ -70,7 +70,7 @@
       const page = await this.readPage(after);
       if (!page) return null;
       machines.push(...page.machines);
-      if (!page.more || page.machines.length === 0) return machines;
+      if (!page.hasMore || page.machines.length === 0) return machines;
       after = page.machines[page.machines.length - 1]?.machine ?? '';
     }
   }
@@ -89,7 +89,7 @@
 
   /** True once the machines and everything on them are gone; false if that is not known. */
   async releaseMachines(machines: string[]): Promise<boolean> {
-    const response = await this.post(PATHS.machinesRelease, encodeReleaseRequest(machines));
+    const response = await this.post(PATHS.machineReleases, encodeReleaseRequest(machines));
     return response?.status === 200;
   }
 
--- a/packages/controller/src/capacity/machine-list.ts
+++ b/packages/controller/src/capacity/machine-list.ts
@@ -1,7 +1,7 @@
 /**
  * The cloud's list of machines. Owns the last list, the time of its receipt, and whether another list request is pending.
  */
-import { type ListedMachine, MAX_MACHINES_PER_LIST } from '@archpost/protocol';
+import { type ListedMachine, MAX_MACHINES_PER_PAGE } from '@archpost/protocol';
 import type { EffectSink, SettingsView } from '../context/index.js';
 import { type Milliseconds, NEVER } from '../model/index.js';
 
@@ -94,7 +94,7 @@
    * since provisioning and releases need the rest.
    */
   private get intervalMs(): Milliseconds {
-    const pages = Math.max(1, Math.ceil(this.machines.size / MAX_MACHINES_PER_LIST));
+    const pages = Math.max(1, Math.ceil(this.machines.size / MAX_MACHINES_PER_PAGE));
     return Math.max(
       MIN_LIST_INTERVAL_MS,
       (pages * 1000) / (LIST_FRACTION_OF_REQUESTS * this.context.settings.cloud.requestsPerS),
--- a/packages/http-api/src/express-app.ts
+++ b/packages/http-api/src/express-app.ts
@@ -12,7 +12,7 @@
 /** The only method of each path; others get 405. */
 const ALLOWED_METHODS: readonly { path: string; method: string }[] = [
   { path: PATHS.heartbeat, method: 'POST' },
-  { path: PATHS.up, method: 'GET' },
+  { path: PATHS.health, method: 'GET' },
   { path: PATHS.jobs, method: 'POST' },
   { path: JOB_PATH, method: 'GET' },
   { path: CANCEL_PATH, method: 'POST' },
@@ -43,7 +43,7 @@
 
 function addRoutes(app: express.Express, handlers: RouteHandlers): void {
   const rawBody = express.raw({ type: () => true, limit: MAX_BODY_BYTES, inflate: false });
-  app.get(PATHS.up, (_request, response) => handlers.health(response));
+  app.get(PATHS.health, (_request, response) => handlers.health(response));
   app.post(PATHS.jobs, rawBody, ({ body }, response) => handlers.submit(response, Buffer.isBuffer(body) ? body : null));
   app.get(JOB_PATH, (request, response) => handlers.queryStatus(response, String(request.params.id)));
   app.post(CANCEL_PATH, rawBody, (request, response) => handlers.cancel(response, String(request.params.id)));
--- a/packages/http-api/src/http-api.ts
+++ b/packages/http-api/src/http-api.ts
@@ -103,7 +103,7 @@
     if (request.method === 'POST' && request.url === PATHS.heartbeat) this.readHeartbeat(request, response);
     else if (request.method === 'GET' && request.url?.startsWith(STATUS_QUERY_PREFIX))
       this.receiveStatusQuery(request, request.url, response);
-    else if (request.method === 'GET' && request.url === PATHS.up) this.respondHealth(response);
+    else if (request.method === 'GET' && request.url === PATHS.health) this.respondHealth(response);
     else if (request.url?.startsWith(PATHS.jobs) && !this.options.loadShedder.admitMutation())
       this.rejectOverloaded(request, response);
     else this.app(request, response);
--- a/packages/http-client/src/request-budget.ts
+++ b/packages/http-client/src/request-budget.ts
@@ -24,7 +24,7 @@
   }
 
   /** Takes a token even if there is none, for requests that must not wait; later ones wait longer instead. */
-  force(): void {
+  forceTake(): void {
     this.refill();
     this.tokens -= 1;
   }
--- a/packages/protocol/src/cloud/machine-list.ts
+++ b/packages/protocol/src/cloud/machine-list.ts
@@ -4,7 +4,7 @@
 import { PATHS } from '../paths.js';
 
 /** Most machines that the cloud lists in one response. */
-export const MAX_MACHINES_PER_LIST = 500;
+export const MAX_MACHINES_PER_PAGE = 500;
 
 /** A machine as the cloud lists it. */
 export interface ListedMachine {
@@ -23,7 +23,7 @@
 export interface MachinePage {
   machines: ListedMachine[];
   /** whether further pages follow */
-  more: boolean;
+  hasMore: boolean;
 }
 
 const machineListOnWire = z.object({
@@ -44,7 +44,7 @@
 /** Path and query of the page that begins after this machine; an empty name requests the first page. */
 export function machineListPath(after: string): string {
   const start = after === '' ? '' : `since=${after}&`;
-  return `${PATHS.machines}?${start}most=${MAX_MACHINES_PER_LIST}`;
+  return `${PATHS.machines}?${start}most=${MAX_MACHINES_PER_PAGE}`;
 }
 
 /** The page; null if a field is missing or invalid. */
@@ -52,7 +52,7 @@
   const parsed = machineListOnWire.safeParse(body);
   if (!parsed.success) return null;
   return {
-    more: parsed.data.has_next ?? false,
+    hasMore: parsed.data.has_next ?? false,
     machines: parsed.data.hosts.map((host) => ({
       machine: host.ref,
       address: host.address ?? '',
--- a/packages/protocol/src/paths.ts
+++ b/packages/protocol/src/paths.ts
@@ -2,7 +2,7 @@
 export const PATHS = {
   // Controllers, called by users and workers.
   jobs: '/v2/runs',
-  up: '/up',
+  health: '/up',
   heartbeat: '/checkin',
   // Workers, called by controllers.
   commands: '/do',
@@ -10,7 +10,7 @@
   // Cloud.
   machineTypes: '/machine_types',
   machines: '/machines',
-  machinesRelease: '/machines/return',
+  machineReleases: '/machines/return',
   // State service.
   keys: '/keys',
   compareAndSwap: '/txn',
--- a/packages/protocol/src/state/key-reads.ts
+++ b/packages/protocol/src/state/key-reads.ts
@@ -24,7 +24,7 @@
 export interface KeyPage {
   rows: StoredKey[];
   /** whether further pages follow */
-  more: boolean;
+  hasMore: boolean;
   /** revision of the service when it read this page: pages may be of different revisions */
   revision: number;
 }
@@ -64,12 +64,12 @@
 }
 
 /** The page; null if a field is missing or invalid. */
-export function parseRows(body: MessagePackMap): KeyPage | null {
+export function parseKeyPage(body: MessagePackMap): KeyPage | null {
   const parsed = keyPageOnWire.safeParse(body);
   if (!parsed.success) return null;
   return {
     rows: parsed.data.rows.map((row) => ({ key: row.k, value: row.v, revision: row.stamp })),
-    more: parsed.data.has_next ?? false,
+    hasMore: parsed.data.has_next ?? false,
     revision: parsed.data.ledger,
   };
 }
--- a/packages/protocol/src/state/lease.ts
+++ b/packages/protocol/src/state/lease.ts
@@ -17,6 +17,6 @@
 }
 
 /** The id of a new lease; null if there is none. */
-export function parseLease(body: MessagePackMap): number | null {
+export function parseLeaseId(body: MessagePackMap): number | null {
   return typeof body.permit === 'number' ? body.permit : null;
 }
--- a/packages/server/src/effect-executor.ts
+++ b/packages/server/src/effect-executor.ts
@@ -85,7 +85,7 @@
       case 'respond':
         return api.respond(effect.id, effect.status, effect.body, effect.retryAfterS);
       case 'readBarrier':
-        return stateService.readBarrier(effect.urgent);
+        return stateService.requestReadBarrier(effect.urgent);
       case 'compareAndSwap':
         return this.enqueueOutcome(stateService.compareAndSwap(effect.conditions, effect.writes), (outcome, now) =>
           controller.receiveCompareAndSwapOutcome(effect.id, outcome, now),
--- a/packages/server/src/settings/feasibility.ts
+++ b/packages/server/src/settings/feasibility.ts
@@ -2,7 +2,7 @@
  * Refuses settings under which guarantees would be broken or nothing could be served, so that operators see it at the start
  * rather than users later.
  */
-import { STATE_SOCKETS, WATCH_S } from '@archpost/state-client';
+import { MAX_WATCH_WAIT_S, STATE_SOCKETS } from '@archpost/state-client';
 import type { PlatformSettings, StateLimitFields } from './platform-settings.js';
 import { SettingsError } from './settings-error.js';
 
@@ -50,12 +50,12 @@
  * reads (docs/design.md, "Who may answer workers").
  */
 function requireCancellationTime(path: string, workers: PlatformSettings['params']['workers']): void {
-  const minCancelS = workers.lease_s + workers.report_s + WATCH_S;
+  const minCancelS = workers.lease_s + workers.report_s + MAX_WATCH_WAIT_S;
   if (workers.cancel_s > minCancelS) return;
   throw new SettingsError({
     source: path,
     field: 'params.workers.cancel_s',
-    reason: `must exceed lease_s + report_s by more than ${WATCH_S} s (${minCancelS}), but is ${workers.cancel_s}`,
+    reason: `must exceed lease_s + report_s by more than ${MAX_WATCH_WAIT_S} s (${minCancelS}), but is ${workers.cancel_s}`,
   });
 }
 
--- a/packages/state-client/src/lease-renewer.ts
+++ b/packages/state-client/src/lease-renewer.ts
@@ -1,6 +1,6 @@
 /** The lease of this controller at the state service, to which it attaches its keys. */
 import { type CallOutcome, Delay, monotonicMs } from '@archpost/http-client';
-import { encodeLeaseRequest, leaseRenewalPath, PATHS, pack, parseLease, unpackMap } from '@archpost/protocol';
+import { encodeLeaseRequest, leaseRenewalPath, PATHS, pack, parseLeaseId, unpackMap } from '@archpost/protocol';
 import { Subject } from 'rxjs';
 import type { StateServiceConnection } from './state-service-connection.js';
 
@@ -58,7 +58,7 @@
   /** Renews the lease, or requests one; returns the milliseconds until the next request. */
   private async renew(): Promise<number> {
     // A renewal does not wait for the budget: without a lease this controller may do nothing else either.
-    this.connection.budget.force();
+    this.connection.budget.forceTake();
     const sentAt = monotonicMs();
     const outcome = await this.call();
     if (outcome.kind !== 'response') return RETRY_MS;
@@ -73,7 +73,7 @@
   }
 
   private accept(body: Buffer, sentAt: number): number {
-    this.leaseId ??= parseLease(unpackMap(body) ?? {});
+    this.leaseId ??= parseLeaseId(unpackMap(body) ?? {});
     if (this.leaseId === null) return RETRY_MS;
     // The service counts from when it got the request, which is not before it was sent.
     const validUntil = sentAt + this.ttlMs * (1 - this.clockDrift) - SAFETY_MARGIN_MS;
--- a/packages/state-client/src/replica-reader.ts
+++ b/packages/state-client/src/replica-reader.ts
@@ -6,7 +6,7 @@
   type KeyPage,
   keyPagePath,
   parseChanges,
-  parseRows,
+  parseKeyPage,
   type StoredKey,
 } from '@archpost/protocol';
 import { Subject } from 'rxjs';
@@ -30,8 +30,8 @@
 }
 
 /** Longest wait of the service for a change, in seconds: it bounds how old the replica gets when nothing changes. */
-export const WATCH_S = 2.5;
-const WATCH_MS = WATCH_S * 1000;
+export const MAX_WATCH_WAIT_S = 2.5;
+const WATCH_MS = MAX_WATCH_WAIT_S * 1000;
 
 /** What a response may take beyond the wait that was requested. */
 const WATCH_GRACE_MS = 2000;
@@ -90,7 +90,7 @@
   }
 
   /** Requests a read of the changes that begins after this call: at once if urgent, otherwise unless the watch does so soon. */
-  readBarrier(isUrgent: boolean): void {
+  requestReadBarrier(isUrgent: boolean): void {
     this.barrier.request(isUrgent, this.revision !== 0);
   }
 
@@ -117,7 +117,7 @@
       if (!page) return false;
       firstRevision ??= page.revision;
       rows.push(...page.rows);
-      if (!page.more || page.rows.length === 0) break;
+      if (!page.hasMore || page.rows.length === 0) break;
       after = page.rows[page.rows.length - 1]?.key ?? '';
     }
     this.revision = firstRevision;
@@ -130,7 +130,7 @@
     for (let attemptsLeft = after === '' ? 1 : PAGE_ATTEMPTS; attemptsLeft > 0; attemptsLeft--) {
       await this.connection.budget.take();
       const response = await this.connection.get(path, PAGE_TIMEOUT_MS);
-      const page = this.connection.parse(response, 'keys', parseRows);
+      const page = this.connection.parse(response, 'keys', parseKeyPage);
       if (page || response?.status === 200) return page;
       await this.delay.wait(PAGE_RETRY_MS);
     }
--- a/packages/state-client/src/state-service-client.ts
+++ b/packages/state-client/src/state-service-client.ts
@@ -48,8 +48,8 @@
   }
 
   /** Requests a read of the changes that begins after this call; see ReplicaReader. */
-  readBarrier(isUrgent: boolean): void {
-    this.replicaReader.readBarrier(isUrgent);
+  requestReadBarrier(isUrgent: boolean): void {
+    this.replicaReader.requestReadBarrier(isUrgent);
   }
 
   /** Makes all changes if all conditions hold, and none otherwise. A call that fails is an outcome, not a rejection. */
--- a/test/heartbeat-connections.test.ts
+++ b/test/heartbeat-connections.test.ts
@@ -123,7 +123,7 @@
   const mixed = await connect();
   mixed.socket.write(request(IDLE_HEARTBEAT));
   assert.equal((await mixed.reply())?.status, 200);
-  mixed.socket.write(`GET ${PATHS.up} HTTP/1.1\r\nHost: c\r\n\r\n`);
+  mixed.socket.write(`GET ${PATHS.health} HTTP/1.1\r\nHost: c\r\n\r\n`);
   assert.equal((await mixed.reply())?.status, 200);
   mixed.socket.write(request(IDLE_HEARTBEAT));
   assert.deepEqual((await mixed.reply())?.body, { kind: 'heartbeat' }, 'by the HTTP server from then on');
--- a/test/load-shedding.test.ts
+++ b/test/load-shedding.test.ts
@@ -175,6 +175,6 @@
   assert.deepEqual(await call(`${PATHS.jobs}/run-000001`), { status: 503, retry: '1' });
   assert.deepEqual(await call(PATHS.jobs, pack({})), { status: 503, retry: '1' });
   assert.equal((await call(PATHS.heartbeat, IDLE_HEARTBEAT)).status, 200, 'reports are taken all the same');
-  assert.equal((await call(PATHS.up)).status, 200);
+  assert.equal((await call(PATHS.health)).status, 200);
   assert.deepEqual(seen, ['heartbeat', 'statusQuery', 'heartbeat']);
 });
--- a/test/malformed-answers.test.ts
+++ b/test/malformed-answers.test.ts
@@ -7,12 +7,12 @@
   parseChanges,
   parseFailedKeys,
   parseHeartbeat,
-  parseLease,
+  parseKeyPage,
+  parseLeaseId,
   parseMachineList,
   parseMachineTypes,
   parseProvisionedMachines,
   parseRevision,
-  parseRows,
   unpack,
   unpackMap,
 } from '@archpost/protocol';
@@ -22,9 +22,9 @@
 
 /** What reads the bodies of answers, by what answers. */
 const BODY_READERS: Record<string, (body: Body) => unknown> = {
-  'keys of the state service': parseRows,
+  'keys of the state service': parseKeyPage,
   'changes of the state service': parseChanges,
-  'lease of the state service': parseLease,
+  'lease of the state service': parseLeaseId,
   'revision of a transaction': parseRevision,
   'keys that failed a transaction': parseFailedKeys,
   'error of a transaction: the lease has ended': isLeaseNotFound,
--- a/test/resource-cleanup.test.ts
+++ b/test/resource-cleanup.test.ts
@@ -120,7 +120,7 @@
   const server = await api.listen('127.0.0.1', 0);
   const { port } = server.address() as net.AddressInfo;
   const heartbeatStart = `POST ${PATHS.heartbeat} HTTP/1.1\r\nHost: c\r\nContent-Length: 9\r\n\r\n`;
-  const queries = [`GET ${PATHS.jobs}/run-000001 HTTP/1.1\r\nHost: c\r\n\r\n`, `GET ${PATHS.up} HTTP/1.1\r\nHost: c\r\n\r\n`];
+  const queries = [`GET ${PATHS.jobs}/run-000001 HTTP/1.1\r\nHost: c\r\n\r\n`, `GET ${PATHS.health} HTTP/1.1\r\nHost: c\r\n\r\n`];
   const starts = ['', 'GET', heartbeatStart, ...queries];
   let responses = 0;
   const clients = starts.map((start) => {
