--- a/packages/http-api/src/body-framing.ts
+++ b/packages/http-api/src/body-framing.ts
@@ -1,8 +1,12 @@
-/** Whether the head of a request says for certain where its body ends (RFC 9112, section 6.3). */
+/** Checks that the headers of a request determine unambiguously where its body ends (RFC 9112, section 6.3). */
 
 const LENGTH_PATTERN = /^\d+$/;
 
-/** `headers`: names and values by turns, as the parser has them. */
+/**
+ * Reports whether the request's body length is unambiguous.
+ *
+ * @param headers alternating names and values, as the parser provides them
+ */
 export function hasUnambiguousLength(headers: readonly string[]): boolean {
   let length: string | null = null;
   let isChunked = false;
@@ -13,11 +17,11 @@
       if (value.toLowerCase() !== 'chunked') return false;
       isChunked = true;
     } else if (name === 'content-length') {
-      // A length may be repeated, but not differ.
+      // Repeated lengths are valid only if they are equal.
       if (!LENGTH_PATTERN.test(value) || (length !== null && length !== value)) return false;
       length = value;
     }
   }
-  // With both, two readers could cut the body differently.
+  // With both headers, a proxy and this server could disagree about the end of the body (request smuggling).
   return length === null || !isChunked;
 }
--- a/packages/http-api/src/express-app.ts
+++ b/packages/http-api/src/express-app.ts
@@ -1,6 +1,6 @@
 /**
  * The routes of the HTTP interface as an Express application, and the responses to requests without a route. Frequent
- * requests don't come this way: the framework would cost each several times what is done for it (see `HttpApi`).
+ * requests bypass it, because Express would take several times as much CPU time as processing such a request (see `HttpApi`).
  */
 import type http from 'node:http';
 import { MAX_BODY_BYTES, PATHS } from '@archpost/protocol';
@@ -9,7 +9,7 @@
 const JOB_PATH = `${PATHS.jobs}/:id`;
 const CANCEL_PATH = `${JOB_PATH}/cancel`;
 
-/** The only method of each path; others get 405. */
+/** The only method allowed on each path; requests with any other method get status 405. */
 const ALLOWED_METHODS: readonly { path: string; method: string }[] = [
   { path: PATHS.heartbeat, method: 'POST' },
   { path: PATHS.health, method: 'GET' },
@@ -18,18 +18,21 @@
   { path: CANCEL_PATH, method: 'POST' },
 ];
 
-/** What the application calls for each route. */
+/** The handlers that the application calls, one per route. */
 export interface RouteHandlers {
   health(response: http.ServerResponse): void;
-  /** `body`: null if the request has none */
+  /** `body`: null if the request has no body */
   submit(response: http.ServerResponse, body: Buffer | null): void;
   queryStatus(response: http.ServerResponse, job: string): void;
   cancel(response: http.ServerResponse, job: string): void;
-  /** the request has no route, or is malformed */
+  /** called when the request matches no route or is malformed */
   reject(response: http.ServerResponse, status: number, error: string): void;
 }
 
-/** Bodies are passed on undecoded, whatever content type they declare; compressed ones are refused. */
+/**
+ * Creates the application. It passes bodies to the handlers undecoded, whatever their declared content type, and rejects
+ * compressed bodies.
+ */
 export function createExpressApp(handlers: RouteHandlers): express.Express {
   const app = express();
   app.disable('x-powered-by');
--- a/packages/http-api/src/heartbeat-connection.ts
+++ b/packages/http-api/src/heartbeat-connection.ts
@@ -1,7 +1,7 @@
 /**
- * A connection on which a worker sends heartbeats, by far the most frequent requests. Node's HTTP server takes half as much
- * processor time again, since it makes streams of each request and response. Here the parser is fed directly, and a
- * response is one write.
+ * A connection on which a worker sends heartbeats, by far the most frequent requests. Node's HTTP server needs 1.5 times the
+ * CPU time, because it creates streams for each request and response. This class passes received bytes directly to the
+ * parser, and sends a response with a single write.
  */
 import type net from 'node:net';
 import { MAX_BODY_BYTES, PATHS } from '@archpost/protocol';
@@ -9,39 +9,39 @@
 import { hasUnambiguousLength } from './body-framing.js';
 import { encodeResponse, type HttpResponse, type Responder } from './responder.js';
 
-/** The request line of a heartbeat. Requests that begin otherwise are left to Node's HTTP server. */
+/** The request line of a heartbeat. Requests with another first line are served by Node's HTTP server. */
 const HEARTBEAT_REQUEST_LINE = Buffer.from(`POST ${PATHS.heartbeat} HTTP/1.1\r\n`, 'latin1');
 
-/** The connection is closed if a request isn't complete, or a response isn't received, after this long. */
+/** The connection is closed if a request isn't complete, or its response isn't sent, within this time. */
 export const REQUEST_TIMEOUT_MS = 10_000;
 
-/** The connection is closed if no request begins for this long. */
+/** The connection is closed after this time without a new request. */
 export const IDLE_TIMEOUT_MS = 75_000;
 
-/** Whether the first bytes of a request are those of a heartbeat; a request line that comes in pieces doesn't count. */
+/** Reports whether a request's first chunk begins with the whole request line of a heartbeat; a partial line doesn't match. */
 export function isHeartbeatStart(chunk: Buffer): boolean {
   const { length } = HEARTBEAT_REQUEST_LINE;
   return chunk.length >= length && chunk.compare(HEARTBEAT_REQUEST_LINE, 0, length, 0, length) === 0;
 }
 
-/** What a request gets that can't be parsed; as Node's HTTP server answers it. */
+/** The response to a request that can't be parsed, the same as that of Node's HTTP server. */
 const BAD_REQUEST_RESPONSE = 'HTTP/1.1 400 Bad Request\r\nConnection: close\r\n\r\n';
 
 /** Callbacks of a connection. */
 export interface HeartbeatConnectionOptions {
-  /** a whole heartbeat was received and waits for its response; null: its body is too large */
+  /** called when a complete heartbeat was received; the callee responds by `connection.send`. `body`: null if it is too large */
   onHeartbeat(connection: HeartbeatConnection, body: Buffer | null): void;
-  /** another request begins with this chunk; the connection no longer uses the socket */
+  /** called with the first chunk of a request that is no heartbeat; the connection has released the socket */
   onOtherRequest(socket: net.Socket, chunk: Buffer): void;
 }
 
-/** Owns its socket until the socket closes or is handed over. */
+/** Owns its socket until the socket closes or is transferred to Node's HTTP server. */
 export class HeartbeatConnection implements Responder {
   private readonly parser = new HTTPParser(HTTPParser.REQUEST);
   private bodyChunks: Buffer[] = [];
   private bodyBytes = 0;
   private state: 'idle' | 'reading' | 'responding' | 'rejected' = 'idle';
-  /** the current request has `Connection: close` */
+  /** whether the current request requires that the connection is closed after its response (`Connection: close`) */
   private isCloseRequested = false;
   private disconnectListener: (() => void) | null = null;
 
@@ -63,9 +63,9 @@
     socket.on('timeout', this.destroy);
   }
 
-  /** Takes bytes from the socket. The creator of this object passes on the first ones, which it has read itself. */
+  /** Processes bytes from the socket. The creator of this object calls it with the first chunk, which it has already read. */
   readonly receive = (chunk: Buffer): void => {
-    // Workers don't pipeline requests (PROTOCOL), so this client is no worker.
+    // Workers don't pipeline requests (PROTOCOL), so this client isn't a worker.
     if (this.state === 'responding') return this.destroy();
     if (this.state === 'rejected') return;
     if (this.state === 'idle') {
@@ -81,7 +81,7 @@
     this.disconnectListener = listener;
   }
 
-  /** Writes the response, and closes the connection if either side requires it. */
+  /** Writes the response, and closes the connection if the request or the response requires it. */
   send(response: HttpResponse): void {
     const { socket } = this;
     this.disconnectListener = null;
@@ -97,14 +97,14 @@
     this.state = 'idle';
   }
 
-  /** The request can't be parsed, and nobody knows where the next one would begin. */
+  /** Rejects a malformed request and closes the connection, because the start of the next request is unknown. */
   private reject(): void {
     if (this.state === 'rejected') return;
     this.state = 'rejected';
     this.socket.end(BAD_REQUEST_RESPONSE);
   }
 
-  /** What exceeds the limit is counted, but not kept. */
+  /** Chunks beyond the size limit are counted but not stored. */
   private appendBody(chunk: Buffer): void {
     this.bodyBytes += chunk.length;
     if (this.bodyBytes <= MAX_BODY_BYTES) this.bodyChunks.push(chunk);
@@ -122,6 +122,7 @@
     this.options.onHeartbeat(this, bodyChunks.length === 1 && first ? first : Buffer.concat(bodyChunks));
   }
 
+  /** Releases the socket, so that Node's HTTP server can serve the request that begins with this chunk. */
   private detach(chunk: Buffer): void {
     const { socket } = this;
     socket.off('data', this.receive);
--- a/packages/http-api/src/http-api.ts
+++ b/packages/http-api/src/http-api.ts
@@ -1,6 +1,6 @@
 /**
- * The HTTP interface to users and workers. It decodes requests, admits or refuses them, and passes them on with an id by
- * which their response comes back. Frequent requests (heartbeats, status queries, health checks) bypass Express.
+ * The HTTP interface to users and workers. It decodes requests, admits or rejects them, and passes admitted ones to its
+ * owner with an id, by which the owner responds. Frequent requests (heartbeats, status queries, health checks) bypass Express.
  */
 import type http from 'node:http';
 import type net from 'node:net';
@@ -13,38 +13,38 @@
 import { PendingRequests } from './pending-requests.js';
 import { HttpResponder, type Responder } from './responder.js';
 
-/** A request that was admitted, with the id by which to respond to it. */
+/** An admitted request. Its id is the one that `HttpApi.respond` takes. */
 export type ApiRequest =
   | { kind: 'heartbeat'; id: number; heartbeat: Heartbeat }
-  /** `body`: null if it is not a map */
+  /** `body`: null if it can't be decoded as a map */
   | { kind: 'submit'; id: number; body: Record<string, unknown> | null }
   | { kind: 'statusQuery'; id: number; job: string }
   | { kind: 'cancel'; id: number; job: string };
 
-/** The path of a status query is this and the job's id. */
+/** The path of a status query is this prefix followed by the job's id. */
 const STATUS_QUERY_PREFIX = `${PATHS.jobs}/`;
 
-/** Where a path has such a character, its job id is encoded or it is no status query: it is left to Express. */
+/** A path with such a character has a percent-encoded job id or is no status query; Express handles it. */
 const NON_JOB_ID_CHARACTER = /[^\w-]/;
 
-/** The status of a health check's response is enough. */
+/** The body of health check responses, whose status code contains the result. */
 const EMPTY_BODY = {};
 
 const OVERLOADED_BODY = { error: 'overloaded' };
 
-/** `Retry-After` of requests that are refused under load, in seconds. */
+/** `Retry-After` of requests that are rejected under load, in seconds. */
 const OVERLOADED_RETRY_S = 1;
 
-/** What the interface is made of, and what it calls. */
+/** The callbacks and the limits of the interface. */
 export interface HttpApiOptions {
-  /** is called with each admitted request, whose response is given by `respond` */
+  /** called with each admitted request; the callee responds to it by `HttpApi.respond` */
   onRequest(request: ApiRequest): void;
-  /** the response to health checks */
+  /** whether health checks get status 200 rather than 503 */
   isReady(): boolean;
   loadShedder: LoadShedder;
-  /** is called with the client's address when a heartbeat can't be decoded */
+  /** called with the client's address when a heartbeat can't be decoded */
   onMalformedHeartbeat?(from: string): void;
-  /** by default connections aren't limited */
+  /** the default doesn't limit connections */
   connections?: ConnectionLimiter;
 }
 
@@ -72,7 +72,7 @@
     });
   }
 
-  /** Starts to listen; rejects if the address can't be listened on. */
+  /** Starts to listen. Rejects if the server can't listen on the address. */
   listen(host: string, port: number): Promise<net.Server> {
     const { server } = this.listener;
     return new Promise((resolve, reject) => {
@@ -88,9 +88,9 @@
   }
 
   /**
-   * Responds to a request; nothing happens if its client has disconnected.
+   * Responds to a request. Does nothing if its client has disconnected.
    *
-   * @param body is encoded as MessagePack. The object must not change afterwards: its encoding is cached by identity
+   * @param body is encoded as MessagePack. The object must not be modified afterwards: its encoding is cached by identity
    */
   respond(id: number, status: number, body: unknown, retryAfterS?: number): void {
     const pending = this.pendingRequests.take(id);
@@ -123,7 +123,7 @@
     this.options.onRequest({ kind: 'cancel', id, job });
   }
 
-  /** Reads a heartbeat on a connection that began with another request, so that Node's HTTP server serves it. */
+  /** Reads a heartbeat on a connection whose first request was another one, so that Node's HTTP server serves it. */
   private readHeartbeat(request: http.IncomingMessage, response: http.ServerResponse): void {
     const chunks: Buffer[] = [];
     let size = 0;
@@ -149,8 +149,8 @@
   }
 
   /**
-   * Serves plain paths without Express, which would cost each query several times what is done for it: at times there are
-   * eight times as many as usual.
+   * Processes paths with a plain job id without Express, which would take several times as much CPU time as the query itself.
+   * At peak load, queries arrive at eight times the usual rate.
    */
   private receiveStatusQuery(request: http.IncomingMessage, path: string, response: http.ServerResponse): void {
     const job = path.slice(STATUS_QUERY_PREFIX.length);
@@ -176,7 +176,7 @@
     responder.send({ status, body: this.encodeBody(body), retryAfterS, closeConnection });
   }
 
-  /** Consecutive queries about one job get the same body object, so its encoding is reused. */
+  /** Reuses the last encoding, because consecutive queries about one job get the same body object. */
   private encodeBody(body: unknown): Buffer {
     if (body !== this.lastEncodedBody) {
       this.lastEncodedBody = body;
--- a/packages/http-api/src/http-listener.ts
+++ b/packages/http-api/src/http-listener.ts
@@ -1,6 +1,6 @@
 /**
- * The listening server. By the first bytes of a connection it decides who serves it: a `HeartbeatConnection` if they are a
- * heartbeat's, Node's HTTP server otherwise.
+ * The listening server. The first bytes of a connection determine how it is served: by a `HeartbeatConnection` if they begin
+ * a heartbeat, by Node's HTTP server otherwise.
  */
 import http from 'node:http';
 import net from 'node:net';
@@ -8,20 +8,20 @@
 
 /** Callbacks of the listener. */
 export interface HttpListenerOptions {
-  /** a whole heartbeat was received; null: its body is too large */
+  /** called when a complete heartbeat was received; `body`: null if it is too large */
   onHeartbeat(connection: HeartbeatConnection, body: Buffer | null): void;
-  /** any other request */
+  /** called with any other request */
   onOtherRequest(request: http.IncomingMessage, response: http.ServerResponse): void;
 }
 
-/** Owns the listening socket, Node's HTTP server behind it, and every connection that either has. */
+/** Owns the listening socket, Node's HTTP server behind it, and all of their connections. */
 export class HttpListener {
   /** accepts all connections */
   readonly server: net.Server;
   private readonly httpServer: http.Server;
   private readonly openSockets = new Set<net.Socket>();
 
-  /** @param requestTimeoutMs connections on which no whole request has come for this long are closed */
+  /** @param requestTimeoutMs a connection is closed if it doesn't deliver a complete request within this time */
   constructor(
     private readonly options: HttpListenerOptions,
     private readonly requestTimeoutMs = REQUEST_TIMEOUT_MS,
@@ -31,7 +31,7 @@
     this.httpServer.requestTimeout = requestTimeoutMs;
     this.httpServer.headersTimeout = requestTimeoutMs;
     this.httpServer.timeout = IDLE_TIMEOUT_MS;
-    // It never listens itself, but Node starts to check for incomplete requests only on this event.
+    // The HTTP server doesn't listen itself, but Node starts its check for incomplete requests only on this event.
     this.httpServer.emit('listening');
     this.server = net.createServer({ noDelay: true }, (socket) => this.accept(socket));
   }
@@ -43,7 +43,7 @@
     for (const socket of this.openSockets) socket.destroy();
   }
 
-  /** Waits for the first bytes of a connection, which decide who serves it. */
+  /** Waits for the first bytes of a connection, which determine how it is served. */
   private accept(socket: net.Socket): void {
     this.openSockets.add(socket);
     socket.once('close', () => this.openSockets.delete(socket));
@@ -71,7 +71,7 @@
     socket.setTimeout(0);
     socket.unshift(chunk);
     this.httpServer.emit('connection', socket);
-    // The HTTP server's parser reads the bytes that were put back before any new ones.
+    // The HTTP server's parser reads the unshifted chunk before new data.
     process.nextTick(() => socket.resume());
   }
 }
--- a/packages/http-api/src/index.ts
+++ b/packages/http-api/src/index.ts
@@ -1,4 +1,4 @@
-/** The HTTP interface to users and workers, and what it refuses under load. */
+/** The HTTP interface to users and workers, with its connection limit and load shedding. */
 export { ConnectionLimiter } from './connection-limiter.js';
 export { type ApiRequest, HttpApi, type HttpApiOptions } from './http-api.js';
 export { LoadShedder } from './load-shedder.js';
--- a/packages/http-api/src/load-shedder.ts
+++ b/packages/http-api/src/load-shedder.ts
@@ -1,36 +1,37 @@
 /**
- * Load shedding: decides which requests of users are refused when the process can't serve all of them. The measure of load
- * is how late timers fire, because that includes whatever else takes the processor.
+ * Load shedding: decides which user requests are rejected when the process can't serve all of them. Load is measured by the
+ * delay of timers, because it includes the CPU time of all other work.
  */
 import { TokenBucket } from './token-bucket.js';
 
-/** With timers this late, status queries about recently answered jobs are refused. */
+/** Above this timer delay, status queries about jobs with a recent response are rejected. */
 const BUSY_DELAY_MS = 150;
 
-/** With timers this late, workers' heartbeats are delayed too, and only queries about starved jobs are admitted. */
+/** Above this timer delay, workers' heartbeats are delayed too, and only queries about starved jobs are admitted. */
 const OVERLOAD_DELAY_MS = 500;
 
-/** A job whose status this controller sent within this time is recently answered; users query it every 5 s. */
+/** A response within this time is recent. Users query a job every 5 s. */
 const RECENT_RESPONSE_MS = 4000;
 
 /**
- * A job whose status this controller hasn't sent for this long is starved, and queries about it are admitted even under
- * overload: a job without any response for 75 s counts as forgotten, and other controllers may be overloaded as well.
+ * A job whose status this controller hasn't sent for this time is starved, and queries about it are admitted even under
+ * overload: a job without any response for 75 s counts as forgotten, and the other controllers may be overloaded as well.
  */
 const STARVED_MS = 20_000;
 
-/** Queries about starved jobs that are admitted a second under overload. */
+/** Queries about starved jobs that are admitted per second under overload. */
 const STARVED_QUERIES_PER_S = 8;
 
 /**
- * Status queries are refused first, and fairly: those about recently answered jobs, so that no job goes without a response
- * for long. Mutations (submissions and cancellations) are refused only when workers' heartbeats are delayed, and a few a
- * second are admitted even then: a client repeats what was refused, which costs nearly as much as serving it.
+ * Rejects status queries first, starting with those about jobs with a recent response, so that no job is without a response
+ * for long. Mutations (submissions and cancellations) are rejected only while workers' heartbeats are delayed. A few per
+ * second are admitted even then, because clients retry rejected requests, and a rejection costs nearly as much as serving
+ * the request.
  */
 export class LoadShedder {
-  /** how late timers fire; the worst delay counts for a while */
+  /** the largest recent delay of a timer, which decays with each measurement */
   private timerDelayMs = 0;
-  /** when this controller last sent a job's status, by job id; starved jobs are removed */
+  /** when this controller last sent a job's status, by job id; entries of starved jobs are removed */
   private readonly lastResponseAt = new Map<string, number>();
   private lastCleanupAt = 0;
   private readonly starvedQueryBucket: TokenBucket;
@@ -40,7 +41,7 @@
 
   /**
    * @param clock milliseconds of a monotonic clock
-   * @param mutationsPerS submissions and cancellations that are admitted a second under overload
+   * @param mutationsPerS submissions and cancellations that are admitted per second under overload
    */
   constructor(
     private readonly clock: () => number,
@@ -50,24 +51,24 @@
     this.mutationBucket = new TokenBucket(mutationsPerS, clock);
   }
 
-  /** Records that a timer fired this late. Half of the worst delay so far is forgotten with each call. */
+  /** Records the delay of a timer. Each call halves the recorded delay, unless the new one is larger. */
   recordTimerDelay(ms: number): void {
     this.timerDelayMs = Math.max(ms, this.timerDelayMs / 2);
   }
 
-  /** Whether timers are so late that workers' heartbeats are delayed. */
+  /** Whether the timer delay is so large that workers' heartbeats are delayed as well. */
   get isOverloaded(): boolean {
     return this.timerDelayMs > OVERLOAD_DELAY_MS;
   }
 
-  /** Whether to serve a submission or cancellation; counts it as rejected if not. */
+  /** Returns whether to serve a submission or cancellation, and counts it as rejected if not. */
   admitMutation(): boolean {
     if (!this.isOverloaded || this.mutationBucket.take()) return true;
     this.rejectedMutations++;
     return false;
   }
 
-  /** Whether to serve a query about this job; counts it as rejected if not. */
+  /** Returns whether to serve a query about this job, and counts it as rejected if not. */
   admitStatusQuery(job: string): boolean {
     const now = this.clock();
     if (now - this.lastCleanupAt > STARVED_MS) this.removeStarvedJobs(now);
@@ -80,12 +81,12 @@
     return false;
   }
 
-  /** Records that a query about this job is being answered. */
+  /** Records that a query about this job gets a response now. */
   recordStatusResponse(job: string): void {
     this.lastResponseAt.set(job, this.clock());
   }
 
-  /** How many requests were rejected since the last call. */
+  /** Returns the numbers of requests rejected since the last call. */
   takeRejectedCounts(): { statusQueries: number; mutations: number } {
     const rejected = { statusQueries: this.rejectedStatusQueries, mutations: this.rejectedMutations };
     this.rejectedStatusQueries = 0;
--- a/packages/http-api/src/pending-requests.ts
+++ b/packages/http-api/src/pending-requests.ts
@@ -1,4 +1,4 @@
-/** Requests that were passed on and wait for their response. */
+/** Admitted requests that have no response yet. */
 import type { ClientKind } from './connection-limiter.js';
 import type { Responder } from './responder.js';
 
@@ -10,7 +10,7 @@
   job: string | null;
 }
 
-/** Gives each request an id, and forgets requests whose client disconnects. */
+/** Assigns an id to each request, and removes requests whose client disconnects. */
 export class PendingRequests {
   private readonly byId = new Map<number, PendingRequest>();
   private nextId = 1;
@@ -23,7 +23,7 @@
     return id;
   }
 
-  /** Removes the request with this id and returns it; undefined if nobody waits for its response. */
+  /** Removes and returns the request with this id; undefined if its client disconnected or it already got a response. */
   take(id: number): PendingRequest | undefined {
     const pending = this.byId.get(id);
     if (pending) this.byId.delete(id);
--- a/packages/http-api/src/responder.ts
+++ b/packages/http-api/src/responder.ts
@@ -1,20 +1,20 @@
-/** Ways to send a response, by Node's HTTP server or straight to a socket. */
+/** Sending of responses, through Node's HTTP server or directly to a socket. */
 import http from 'node:http';
 
-/** A response. Its body is already encoded, as MessagePack. */
+/** A response with its body encoded as MessagePack. */
 export interface HttpResponse {
   status: number;
   body: Buffer;
   retryAfterS: number | undefined;
-  /** close the connection after this response */
+  /** whether to close the connection after this response */
   closeConnection: boolean;
 }
 
 /** Sends the response to one request. */
 export interface Responder {
-  /** Sends the response; nothing happens if the client has disconnected. */
+  /** Sends the response. Does nothing if the client has disconnected. */
   send(response: HttpResponse): void;
-  /** Calls the listener when the client disconnects; it may be called after the response as well. */
+  /** Calls the listener when the client disconnects, possibly also after the response was sent. */
   onDisconnect(listener: () => void): void;
 }
 
@@ -40,7 +40,7 @@
   }
 }
 
-/** Head and body of a response in one buffer, so that they are sent by one call. */
+/** Encodes head and body of a response into one buffer, so that they are sent with one system call. */
 export function encodeResponse({ status, body, retryAfterS }: HttpResponse, closeConnection: boolean): Buffer {
   const retryAfter = retryAfterS === undefined ? '' : `retry-after: ${retryAfterS}\r\n`;
   const connection = closeConnection ? 'connection: close\r\n' : '';
--- a/packages/http-api/src/token-bucket.ts
+++ b/packages/http-api/src/token-bucket.ts
@@ -1,11 +1,11 @@
-/** A rate limiter that refuses rather than waits. */
+/** A rate limiter that rejects immediately instead of waiting. */
 
-/** A token bucket that holds one second's worth of tokens, and at least one. A rate of 0 never gives any. */
+/** A token bucket that holds one second's worth of tokens, and at least one. With a rate of 0 it is always empty. */
 export class TokenBucket {
   private tokens: number;
   private refilledAt = 0;
 
-  /** @param clock milliseconds of a monotonic clock */
+  /** @param clock returns milliseconds of a monotonic clock */
   constructor(
     private readonly tokensPerS: number,
     private readonly clock: () => number,
@@ -13,7 +13,7 @@
     this.tokens = tokensPerS;
   }
 
-  /** Takes a token if there is one, and returns whether there was. */
+  /** Takes a token if one is available, and returns whether it did. */
   take(): boolean {
     const now = this.clock();
     const limit = this.tokensPerS > 0 ? Math.max(1, this.tokensPerS) : 0;
