--- a/packages/server/src/effect-executor.ts
+++ b/packages/server/src/effect-executor.ts
@@ -1,4 +1,4 @@
-/** Carries out the controller's effects and brings it their outcomes, as control events. */
+/** Executes the controller's effects, and returns their outcomes to it as control events. */
 import type { CloudClient } from '@archpost/cloud-client';
 import type { Controller, Effect } from '@archpost/controller';
 import type { HttpApi } from '@archpost/http-api';
@@ -9,7 +9,7 @@
 import { type Inbox, PROCESS_PAUSE_MS } from './inbox.js';
 import type { ServiceLog } from './service-log.js';
 
-/** What effects act on. */
+/** The clients, servers and log through which effects are executed. */
 export interface EffectTargets {
   api: HttpApi;
   stateService: StateServiceClient;
@@ -19,16 +19,16 @@
   log: ServiceLog;
 }
 
-/** What an executor connects. */
+/** The dependencies of an effect executor. */
 export interface EffectExecutorOptions {
   controller: Controller;
   inbox: Inbox;
   targets: EffectTargets;
-  /** this controller's name, which its messages to peers contain */
+  /** this controller's name, which identifies the sender in messages to peers */
   nodeName: string;
 }
 
-/** Executes the controller's effects in the order in which it decided them. */
+/** Executes the controller's effects in the order in which they were emitted. */
 export class EffectExecutor {
   private readonly controller: Controller;
   private readonly inbox: Inbox;
@@ -43,13 +43,13 @@
   }
 
   /**
-   * Executes all effects since the last call.
+   * Executes all effects emitted since the last call.
    *
-   * Effects on machines and the cloud that were decided before a pause of the process are withheld after it, because
-   * another controller may have decided otherwise meanwhile. Others are harmless: a late response has no client left, and a
-   * late write fails on its conditions.
+   * Effects on machines and the cloud that were emitted before a pause of the process are withheld after it, because another
+   * controller may have made a different decision during the pause. Other effects are harmless when late: the client of a
+   * late response has given up, and a late write fails on its conditions.
    *
-   * @param wasPaused all effects were decided before a pause
+   * @param wasPaused whether all effects were emitted before a pause
    */
   executeAll(wasPaused = false): void {
     const decidedAt = this.inbox.lastClockReading;
@@ -60,7 +60,7 @@
     }
   }
 
-  /** Withholds an effect on machines or the cloud and sends the controller its outcome. Returns false for any other effect. */
+  /** Withholds an effect on machines or the cloud, and enqueues its outcome. Returns false for any other effect. */
   private withhold(effect: Effect): boolean {
     const { controller, inbox } = this;
     switch (effect.type) {
@@ -122,7 +122,7 @@
     }
   }
 
-  /** Brings the controller the outcome of a call as a control event, with the time at which the event is taken. */
+  /** Enqueues the outcome of a call as a control event. `receive` gets the time at which the event is processed. */
   private enqueueOutcome<Outcome>(pending: Promise<Outcome>, receive: (outcome: Outcome, now: number) => void): void {
     void pending.then((outcome) => this.inbox.enqueueControlEvent(() => receive(outcome, monotonicMs())));
   }
--- a/packages/server/src/heap-plan.ts
+++ b/packages/server/src/heap-plan.ts
@@ -1,61 +1,65 @@
 /**
- * Plans the heap that fits the memory which the settings allow. Node fixes the heap's limit when it starts, by a flag that
- * can't know the settings. So a process with more memory runs the service in a thread with a larger heap, and one with less
- * collects garbage before it reaches the limit.
+ * Plans the heap size for the memory limit in the settings. Node sets its heap limit at the start, from a flag that doesn't
+ * depend on the settings. If the memory limit allows a larger heap, the service runs in a thread with a larger heap. If the
+ * memory limit is too low for the heap limit, the process collects garbage before it reaches the memory limit.
  */
 import v8 from 'node:v8';
 
-/** Measured: a process with the program loaded, without its heap. */
+/** Memory of a process with the program loaded, excluding the heap. */
 const PROCESS_OVERHEAD_MB = 46;
 
-/** Measured: what a second thread and the program that the first one loaded take. */
+/** Additional memory of a second thread, including the program that the main thread has loaded. */
 const THREAD_OVERHEAD_MB = 20;
 
-/** Measured: a young generation in full use. */
+/** Memory of a fully used young generation. */
 const YOUNG_GENERATION_MB = 32;
 
-/** Memory of a connection outside the heap, buffers included. */
+/** Memory of a connection outside the heap, including buffers. */
 const KB_PER_SOCKET = 17;
 
-/** A heap within this factor of the planned one is left as it is. */
+/** A heap limit within this factor of the planned one is left unchanged. */
 const HEAP_TOLERANCE_FACTOR = 1.1;
 
-/** A process whose memory is smaller than its heap's limit collects garbage beyond this part of its memory. */
+/** A process whose memory limit is lower than its heap limit collects garbage above this fraction of the memory limit. */
 export const COLLECTION_START_FRACTION = 0.85;
 
-/** Node's young generation at its largest, as V8 counts it: three times 16 MB. */
+/** Maximum size of Node's young generation, as V8 counts it: three times 16 MB. */
 const MAX_YOUNG_GENERATION_MB = 48;
 
-/** A megabyte, as the settings and V8 count it. */
+/** Bytes of a megabyte, as the settings and V8 count it. */
 export const BYTES_PER_MB = 1024 * 1024;
 
-/** What the process may use. */
+/** The resource limits of the process. */
 export interface MemoryBudget {
-  /** memory in all, in megabytes */
+  /** total memory, in megabytes */
   memoryMb: number;
-  /** connections that may be open */
+  /** maximum number of open connections */
   sockets: number;
 }
 
-/** Megabytes that are left for the old generation when sockets and the process itself have theirs. */
+/** Returns the megabytes that the process itself and its sockets leave for the old generation. */
 export function heapMb({ memoryMb, sockets }: MemoryBudget): number {
   return Math.floor(memoryMb - PROCESS_OVERHEAD_MB - (sockets * KB_PER_SOCKET) / 1024);
 }
 
-/** As `heapMb`, if the service runs in a thread of its own. */
+/** Like `heapMb`, for a service that runs in a thread of its own. */
 export function threadHeapMb(budget: MemoryBudget): number {
   return heapMb(budget) - THREAD_OVERHEAD_MB - YOUNG_GENERATION_MB;
 }
 
-/** How the service is to run, given the heap that Node started with. It is logged as it is. */
+/** How to run the service, given the heap limit that Node started with. It is logged unchanged. */
 export type HeapPlan =
   | { kind: 'as it is' }
-  /** in a thread with an old generation of this size */
+  /** run it in a thread whose old generation has this limit */
   | { kind: 'thread'; heapMb: number }
-  /** in this thread; garbage is collected while the process holds more than this */
+  /** run it in this thread, and collect garbage while the resident memory exceeds `beyondMb` */
   | { kind: 'collect'; beyondMb: number };
 
-/** @param limitMb the old generation's limit that is in force */
+/**
+ * Plans how to run the service.
+ *
+ * @param limitMb the current limit of the old generation
+ */
 export function planHeap(budget: MemoryBudget, limitMb: number): HeapPlan {
   const largestHeapMb = threadHeapMb(budget);
   if (largestHeapMb > limitMb * HEAP_TOLERANCE_FACTOR) return { kind: 'thread', heapMb: largestHeapMb };
@@ -64,7 +68,7 @@
   return { kind: 'as it is' };
 }
 
-/** The old generation's limit in force, in megabytes; V8 counts the young generation with it. */
+/** Returns the current limit of the old generation, in megabytes. V8's heap limit includes the young generation. */
 export function heapLimitMb(): number {
   return Math.round(v8.getHeapStatistics().heap_size_limit / BYTES_PER_MB) - MAX_YOUNG_GENERATION_MB;
 }
--- a/packages/server/src/inbox.ts
+++ b/packages/server/src/inbox.ts
@@ -1,47 +1,48 @@
 /**
- * Queues of inputs to the controller, which takes one at a time. Under overload they are served in the order that the users
- * require: heartbeats of workers, then control events, then mutations (submissions and cancellations), then status queries.
+ * Queues of inputs to the controller, which processes one at a time. Under overload, inputs are processed by the priorities
+ * that the users require: worker heartbeats, then control events, then mutations (submissions and cancellations), then
+ * status queries.
  */
 
-/** An input that waits. */
+/** An input that hasn't been processed yet. */
 interface QueuedInput {
-  /** milliseconds of the inbox's clock */
+  /** in milliseconds of the inbox's clock */
   enqueuedAt: number;
   run: () => void;
 }
 
-/** An input that may be rejected, because its user repeats it. */
+/** An input that may be rejected, because users retry rejected requests. */
 interface QueuedClientRequest extends QueuedInput {
   reject: () => void;
 }
 
-/** With this long between two readings of the clock, the process was paused or had no processor. */
+/** If more time than this passes between two clock readings, the process was paused or had no CPU time. */
 export const PROCESS_PAUSE_MS = 800;
 
 /**
- * The longest time spent on heartbeats, and then on control events, in one turn. On a small part of a core a backlog takes
- * seconds, in which without this no health check would get a response and no other response would be sent.
+ * Time limit per turn for heartbeats, and likewise for control events. On a small fraction of a core, a backlog takes seconds
+ * to process. Without the limit, no health check would get a response and no other response would be sent in that time.
  */
 export const TIME_SLICE_MS = 100;
 
-/** Mutations, and then status queries, that are served in one turn, before more urgent inputs get theirs. */
+/** Maximum number of mutations, and likewise of status queries, per turn. The next turn begins with inputs of higher priority. */
 const CLIENT_REQUESTS_PER_TURN = 4;
 
 /** The clock and the callbacks of an inbox. */
 export interface InboxOptions {
-  /** milliseconds of a monotonic clock */
+  /** returns milliseconds of a monotonic clock */
   clock: () => number;
-  /** a turn is over */
+  /** called at the end of each turn */
   onTurnEnd: () => void;
-  /** a mutation or status query that has waited longer than this is rejected rather than served late */
+  /** a mutation or status query that has waited longer than this is rejected instead of processed */
   maxClientRequestAgeMs: number;
-  /** the process was paused for this long; called before the next input */
+  /** called before the next input if the process was paused for `ms` */
   onProcessPause?: (ms: number) => void;
-  /** an input threw; the others are served all the same */
+  /** called if an input throws; the inputs after it are processed regardless */
   onError: (error: unknown) => void;
 }
 
-/** Inputs that were served, by queue, and those that were rejected for their age. */
+/** Numbers of inputs that were processed, by queue, and of those that were rejected because of their age. */
 export interface ProcessedCounts {
   heartbeats: number;
   controlEvents: number;
@@ -58,7 +59,7 @@
   rejected: 0,
 };
 
-/** Serves inputs in turns; between two turns Node's event loop handles timers and sockets. */
+/** Processes inputs in turns. Between two turns, Node's event loop handles timers and sockets. */
 export class Inbox {
   private heartbeats: QueuedInput[] = [];
   private controlEvents: QueuedInput[] = [];
@@ -66,7 +67,7 @@
   private readonly statusQueries: QueuedClientRequest[] = [];
   private nextTurn: NodeJS.Immediate | null = null;
   private isClosed = false;
-  /** when the clock was read last, which is before each heartbeat and control event, and before client requests */
+  /** time of the last clock reading; the clock is read before each heartbeat and control event, and before client requests */
   lastClockReading: number;
   private processed: ProcessedCounts = { ...ZERO_COUNTS };
 
@@ -74,38 +75,38 @@
     this.lastClockReading = options.clock();
   }
 
-  /** Adds a heartbeat, received from its worker or forwarded by another controller. */
+  /** Adds a heartbeat that was received from its worker or forwarded by another controller. */
   enqueueHeartbeat(run: () => void): void {
     this.heartbeats.push({ enqueuedAt: this.options.clock(), run });
     this.scheduleTurn();
   }
 
-  /** Adds any other input that decisions depend on: a tick, a change of the stored state, a peer's status, an outcome. */
+  /** Adds any other input that decisions depend on: a tick, a state change, a peer's status, the outcome of an effect. */
   enqueueControlEvent(run: () => void): void {
     this.controlEvents.push({ enqueuedAt: this.options.clock(), run });
     this.scheduleTurn();
   }
 
-  /** Adds a submission or cancellation. `reject` is called instead of `run` if it has waited too long. */
+  /** Adds a submission or cancellation. If it has waited too long, `reject` is called instead of `run`. */
   enqueueMutation(run: () => void, reject: () => void): void {
     this.mutations.push({ enqueuedAt: this.options.clock(), run, reject });
     this.scheduleTurn();
   }
 
-  /** Adds a query about a job's status; `reject` is as for mutations. */
+  /** Adds a query about a job's status. `reject` is called as for mutations. */
   enqueueStatusQuery(run: () => void, reject: () => void): void {
     this.statusQueries.push({ enqueuedAt: this.options.clock(), run, reject });
     this.scheduleTurn();
   }
 
-  /** How many inputs were served and rejected since the last call. */
+  /** Returns the numbers of inputs processed and rejected since the last call. */
   takeProcessedCounts(): ProcessedCounts {
     const { processed } = this;
     this.processed = { ...ZERO_COUNTS };
     return processed;
   }
 
-  /** How long the oldest heartbeat or control event has waited, in milliseconds; 0 if none waits. */
+  /** Time for which the oldest queued heartbeat or control event has waited, in milliseconds; 0 if none is queued. */
   get queueDelayMs(): number {
     const oldest = Math.min(
       this.heartbeats[0]?.enqueuedAt ?? Number.POSITIVE_INFINITY,
@@ -114,14 +115,14 @@
     return Math.max(0, this.options.clock() - oldest);
   }
 
-  /** Ends the turns; inputs that wait, and those that are added later, are dropped. */
+  /** Stops the turns. Queued inputs, and those that are added later, are never processed. */
   close(): void {
     this.isClosed = true;
     if (this.nextTurn) clearImmediate(this.nextTurn);
     this.nextTurn = null;
   }
 
-  /** Serves heartbeats, then control events, each for a slice of time, and then a few mutations or status queries. */
+  /** Processes heartbeats and then control events, each for a time slice, and then a few mutations and status queries. */
   runTurn(): void {
     this.nextTurn = null;
     this.readClock();
@@ -143,11 +144,11 @@
     this.nextTurn = setImmediate(() => this.runTurn());
   }
 
-  /** Serves inputs of one queue in their order, at least one, until the time slice is over. Returns how many. */
+  /** Processes inputs of one queue in order, at least one, until the time slice is over. Returns their number. */
   private processSlice(name: 'heartbeats' | 'controlEvents'): number {
     const queue = this[name];
     if (queue.length === 0) return 0;
-    // Inputs that are added meanwhile wait for the next turn.
+    // Inputs that are added during this slice wait for the next turn.
     this[name] = [];
     const deadline = this.lastClockReading + TIME_SLICE_MS;
     let count = 0;
@@ -160,7 +161,7 @@
     return count;
   }
 
-  /** Serves a few mutations, and a few status queries if no mutation waits any more. */
+  /** Processes a few mutations, and a few status queries if no mutation is left. */
   private processClientRequests(now: number): void {
     for (const request of this.mutations.splice(0, CLIENT_REQUESTS_PER_TURN))
       this.processClientRequest(request, now, 'mutations');
@@ -179,7 +180,7 @@
     }
   }
 
-  /** An input that throws must not prevent those behind it: most of them come only once. */
+  /** Catches errors, so that an input that throws doesn't block the inputs after it, most of which are never sent again. */
   private runInput(run: () => void): void {
     try {
       run();
@@ -189,8 +190,9 @@
   }
 
   /**
-   * Ticks come every tenth of a second, so if far more time has passed, the process was paused. The controller has to
-   * adjust its times before the next input, whichever comes first (a tick, a heartbeat, an outcome).
+   * Reads the clock and detects pauses of the process: ticks arrive every tenth of a second, so a far longer gap between two
+   * readings means a pause. The controller must adjust its times before it processes the next input of any kind (a tick, a
+   * heartbeat, an outcome).
    */
   private readClock(): number {
     const now = this.options.clock();
--- a/packages/server/src/index.ts
+++ b/packages/server/src/index.ts
@@ -1,4 +1,4 @@
-/** The program: its command line and its exit codes. */
+/** The entry point of the program: its command line and exit codes. */
 import { existsSync } from 'node:fs';
 import { dirname, join } from 'node:path';
 import { fileURLToPath } from 'node:url';
@@ -9,10 +9,10 @@
 import { SettingsError } from './settings/settings-error.js';
 import { findShortages } from './sizing.js';
 
-/** Set by the build. */
+/** The version of the program, defined by the build. */
 declare const ARCHPOST_VERSION: string;
 
-/** What the build makes of the operators' HCL, beside the program. */
+/** The file next to the program to which the build converts the operators' HCL file. */
 const BUILT_OPERATOR_FILE = 'operator.json';
 
 const EXIT_CODES = { failure: 1, badSettings: 2 } as const;
@@ -23,14 +23,14 @@
   check?: boolean;
 }
 
-/** The operators' file that was named, or the one beside the program; null if there is none. */
+/** Returns the path given on the command line, or else that of the built file next to the program; null if there is neither. */
 function resolveOperatorFile(explicitPath: string | undefined): string | null {
   if (explicitPath !== undefined) return explicitPath;
   const builtPath = join(dirname(fileURLToPath(import.meta.url)), BUILT_OPERATOR_FILE);
   return existsSync(builtPath) ? builtPath : null;
 }
 
-/** Shortages don't make settings wrong: the service runs with them. */
+/** Prints the shortages, and that the settings are valid: the service runs despite shortages. */
 function printCheckResult(file: string, settings: Settings): void {
   for (const { what, short, need, have } of findShortages(settings))
     process.stdout.write(`${file}: ${what}: ${have} is ${short} short of ${need}\n`);
--- a/packages/server/src/input-router.ts
+++ b/packages/server/src/input-router.ts
@@ -1,4 +1,4 @@
-/** Puts inputs of the controller into their queues: requests, changes of the stored state, messages of peers. */
+/** Routes inputs of the controller to their queues: client requests, changes of the stored state, messages of peers. */
 import type { Controller } from '@archpost/controller';
 import type { ApiRequest, HttpApi } from '@archpost/http-api';
 import { monotonicMs } from '@archpost/http-client';
@@ -9,10 +9,10 @@
 
 const OVERLOADED_BODY = { error: 'overloaded' };
 
-/** `Retry-After` of requests that waited too long, in seconds. */
+/** `Retry-After` of requests that waited too long in their queue, in seconds. */
 const OVERLOADED_RETRY_S = 1;
 
-/** Owns its subscriptions to the state service and to peers. */
+/** Enqueues the inputs of the controller. Owns the subscriptions to the state service and to peers. */
 export class InputRouter {
   private readonly subscriptions = new Subscription();
 
@@ -22,7 +22,7 @@
     private readonly api: Pick<HttpApi, 'respond'>,
   ) {}
 
-  /** Starts to take events of the state service and of peers. */
+  /** Subscribes to the events of the state service and of peers. */
   subscribe(stateService: StateServiceClient, peers: PeerTransport): void {
     this.subscribeToState(stateService);
     this.subscribeToPeers(peers);
@@ -33,7 +33,7 @@
     this.subscriptions.unsubscribe();
   }
 
-  /** Takes a request of a user or worker. */
+  /** Enqueues a request of a user or worker. */
   receiveRequest(request: ApiRequest): void {
     const { controller, inbox } = this;
     if (request.kind === 'heartbeat') {
--- a/packages/server/src/lag-meter.ts
+++ b/packages/server/src/lag-meter.ts
@@ -1,8 +1,9 @@
 /**
- * Measures by how much this process is behind: how late a timer fires, how long inputs have waited by then, and whether workers'
- * connections were rejected. The controller doesn't hold that time against machines that it did not hear.
+ * Measures the lag of this process: the delay of a timer, the time for which inputs have waited by then, and whether connections
+ * of workers were rejected. The controller doesn't count this time as silence of machines.
  *
- * It has a timer of its own, which nothing postpones: a tick that took long delays the next one on purpose, and so shows no lag.
+ * The meter has a timer of its own, which nothing postpones. The timer of ticks would show no lag, because a long tick postpones
+ * the next one on purpose.
  */
 import type { Controller } from '@archpost/controller';
 import type { ConnectionLimiter } from '@archpost/http-api';
@@ -11,17 +12,17 @@
 
 const MEASURE_INTERVAL_MS = 100;
 
-/** A worker whose connection was rejected comes back after a second (PROTOCOL); until then it can't be heard. */
+/** A worker whose connection was rejected retries after a second (PROTOCOL); until then its heartbeats can't arrive. */
 const REJECTED_RETRY_MS = 1000;
 
-/** What is measured, and who is told. */
+/** The sources of the measurement, and the controller that it is reported to. */
 export interface LagMeterOptions {
   controller: Pick<Controller, 'recordLag'>;
   inbox: Pick<Inbox, 'enqueueControlEvent' | 'queueDelayMs'>;
   connections: Pick<ConnectionLimiter, 'rejectedTotal'>;
 }
 
-/** Tells the controller of each measurement, as an input. */
+/** Reports each measurement to the controller as an input. */
 export class LagMeter {
   private timer: NodeJS.Timeout | undefined;
   private isClosed = false;
@@ -36,13 +37,13 @@
     this.timer = setTimeout(() => this.options.inbox.enqueueControlEvent(() => this.measure(dueAt)), MEASURE_INTERVAL_MS);
   }
 
-  /** Ends the timer; nothing is measured any more. */
+  /** Stops the timer and all further measurements. */
   close(): void {
     this.isClosed = true;
     clearTimeout(this.timer);
   }
 
-  /** The measurement has waited in the inbox, too, which is part of the lag. */
+  /** Runs as an input, so that the time for which the measurement itself waited in the inbox is part of the lag. */
   private measure(dueAt: number): void {
     const { controller, inbox } = this.options;
     const now = monotonicMs();
@@ -50,7 +51,7 @@
     this.start();
   }
 
-  /** For how long workers may not have been heard for want of sockets; 0: there were enough since the last measurement. */
+  /** Time in which heartbeats may not have arrived for lack of sockets; 0 if no connection was rejected since the last call. */
   private rejectionLagMs(): number {
     const { rejectedTotal } = this.options.connections;
     const isRejecting = rejectedTotal > this.lastRejectedTotal;
--- a/packages/server/src/metrics-reporter.ts
+++ b/packages/server/src/metrics-reporter.ts
@@ -1,4 +1,4 @@
-/** Periodic figures of load: rejected requests and connections, processor time, memory, inputs. */
+/** Periodic load metrics: rejected requests and connections, CPU time, memory, processed inputs. */
 import type { ConnectionLimiter, LoadShedder } from '@archpost/http-api';
 import { BYTES_PER_MB } from './heap-plan.js';
 import type { Inbox } from './inbox.js';
@@ -8,7 +8,7 @@
 
 const MICROSECONDS_PER_S = 1e6;
 
-/** Where the figures come from, and the log that they go to. */
+/** The sources of the metrics, and the log that they are written to. */
 export interface MetricsSources {
   inbox: Inbox;
   loadShedder: LoadShedder;
@@ -16,18 +16,18 @@
   log: ServiceLog;
 }
 
-/** Logs the figures of each interval. */
+/** Logs the metrics at the end of each interval. */
 export class MetricsReporter {
   private timer: NodeJS.Timeout | undefined;
 
   constructor(private readonly sources: MetricsSources) {}
 
-  /** Starts the timer; the first figures come after one interval. */
+  /** Starts the timer. The first metrics are logged after one interval. */
   start(): void {
     this.timer = setInterval(() => this.logFigures(), LOG_INTERVAL_MS);
   }
 
-  /** Ends the timer. */
+  /** Stops the timer. */
   close(): void {
     clearInterval(this.timer);
   }
--- a/packages/server/src/run-service.ts
+++ b/packages/server/src/run-service.ts
@@ -1,4 +1,4 @@
-/** Starts the service, in this thread or in one whose heap suits the memory that the settings allow. */
+/** Starts the service, in this thread or in a thread whose heap fits the memory limit in the settings. */
 import { isMainThread } from 'node:worker_threads';
 import { pino } from 'pino';
 import { GarbageCollector } from './garbage-collection.js';
@@ -16,13 +16,13 @@
 const STANDARD_ERROR = 2;
 
 /**
- * Resolves once the service is up, or its thread is started.
+ * Starts the service. Resolves once the service is up, or once its thread is started.
  *
- * @throws SettingsError if LOG_LEVEL is no level
+ * @throws SettingsError if LOG_LEVEL isn't a log level
  */
 export async function runService(settings: Settings): Promise<void> {
   const log = createLog(settings.controller.name);
-  // One failed input costs less than a restart, so the process goes on.
+  // A failed input costs less than a restart, so the process continues.
   process.on('unhandledRejection', (reason) => log.unexpectedError(reason));
   process.on('uncaughtException', (error) => log.unexpectedError(error));
   if (isMainThread && startThread(settings, log)) return;
@@ -30,7 +30,7 @@
   await new Service(settings, log).start();
 }
 
-/** Logs to standard error, synchronously: lines in a buffer would be lost when the process is killed. */
+/** Creates a log that writes to standard error synchronously: buffered lines would be lost when the process is killed. */
 function createLog(node: string): ServiceLog {
   const level = process.env.LOG_LEVEL ?? DEFAULT_LOG_LEVEL;
   if (!LOG_LEVELS.includes(level))
@@ -38,7 +38,7 @@
   return new ServiceLog(pino({ level, base: { node } }, pino.destination({ dest: STANDARD_ERROR, sync: true })));
 }
 
-/** Carries out the heap's plan in the main thread. Returns whether the service runs in another thread. */
+/** Applies the heap plan, in the main thread. Returns whether the service runs in another thread. */
 function startThread(settings: Settings, log: ServiceLog): boolean {
   const plan = planHeap({ memoryMb: settings.memoryMb, sockets: settings.maxSockets }, heapLimitMb());
   log.heapPlanned(plan);
--- a/packages/server/src/service-log.ts
+++ b/packages/server/src/service-log.ts
@@ -1,6 +1,6 @@
 /**
- * The log events of the service, with their levels, messages and fields. Operators' alerts match messages and fields: one that
- * is renamed goes into docs/operations/renamed-log-messages.json.
+ * The log events of the service, with their levels, messages and fields. Operators' alerts match messages and fields, so each
+ * renamed one must be listed in docs/operations/renamed-log-messages.json.
  */
 import type { Effect } from '@archpost/controller';
 import type { LinkProblem } from '@archpost/peer-transport';
@@ -9,20 +9,20 @@
 import type { ProcessedCounts } from './inbox.js';
 import type { Shortage } from './sizing.js';
 
-/** A log event of the controller. */
+/** The effect by which the controller emits a log event. */
 type ControllerLogEffect = Extract<Effect, { type: 'log' }>;
 
-/** Resources that the process has used since its start, or holds now. */
+/** Resource usage of the process. */
 export interface ProcessFigures {
-  /** processor time, in seconds */
+  /** CPU time since the start of the process, in seconds */
   cpuS: number;
-  /** resident memory, in megabytes */
+  /** current resident memory, in megabytes */
   rssMb: number;
-  /** the heap that is in use, in megabytes */
+  /** currently used heap, in megabytes */
   heapMb: number;
 }
 
-/** Writes log events, one method for each. */
+/** Writes log events, with one method per event. */
 export class ServiceLog {
   constructor(private readonly logger: Logger) {}
 
@@ -30,7 +30,7 @@
     this.logger.info({ node, address }, 'started');
   }
 
-  /** An error that nothing caught; the process goes on. */
+  /** An uncaught error, after which the process continues. */
   unexpectedError(error: unknown): void {
     this.logger.error({ err: error }, 'unexpected');
   }
--- a/packages/server/src/service.ts
+++ b/packages/server/src/service.ts
@@ -1,4 +1,4 @@
-/** Puts a controller together: its state machine, the clients and servers around it, and what connects them. */
+/** Assembles a controller: its state machine, the clients and servers around it, and the components that connect them. */
 import { randomUUID } from 'node:crypto';
 import { CloudClient } from '@archpost/cloud-client';
 import { Controller } from '@archpost/controller';
@@ -20,26 +20,26 @@
 import { TickTimer } from './tick-timer.js';
 
 /**
- * Submissions and cancellations that a whole core admits a second under overload. Each costs a few milliseconds, so they
- * take a tenth of the processor.
+ * Submissions and cancellations that are admitted per second and core under overload. Each takes a few milliseconds, so
+ * they take a tenth of the CPU time.
  */
 const MUTATIONS_PER_S_PER_CORE = 30;
 
-/** Older requests are rejected: the users' timeout of a status query is 2 s, and of any other request 5 s. */
+/** Older requests are rejected: users' timeout is 2 s for a status query and 5 s for any other request. */
 const MAX_CLIENT_REQUEST_AGE_MS = 1500;
 
-/** A request whose response can't be read is retried at once; that is logged at most this often. */
+/** A request with an unreadable response is retried immediately; such responses are logged at most once per this interval. */
 const UNREADABLE_LOG_INTERVAL_MS = 10_000;
 
 /** The prefix of all stored keys. */
 const STATE_KEY_PREFIX = 'a/';
 
-/** Allowance for the drift of the monotonic clock over a lease; the platform's clocks drift by up to 0.0005. */
+/** Allowance for the drift of the monotonic clock during a lease. The platform's clocks drift by a fraction of up to 0.0005. */
 const CLOCK_DRIFT_FRACTION = 0.002;
 
 const INCARNATION_LENGTH = 8;
 
-/** Owns every part of a running controller. */
+/** Owns all components of a running controller. */
 export class Service {
   private readonly controller: Controller;
   private readonly inbox: Inbox;
@@ -72,8 +72,8 @@
       clockDrift: CLOCK_DRIFT_FRACTION,
     });
     this.cloud = new CloudClient(settings.cloudAddress, cloudRequestsPerS(controllerSettings));
-    // All workers may come to one controller, with a connection each: those for commands, of which
-    // the longest unused are closed, must leave room for that, and for users.
+    // All workers may connect to one controller, with one connection each. Connections for commands, of which the least
+    // recently used ones are closed, must leave enough sockets for them and for users.
     this.workers = new WorkerClient(maxCommandSockets(settings));
     this.peers = new PeerTransport(settings.peers);
     this.api = this.createApi();
@@ -86,7 +86,7 @@
     this.metricsReporter = new MetricsReporter({ inbox, loadShedder, connections, log });
   }
 
-  /** Resolves once peers, users and workers can connect; rejects if an address can't be listened on. */
+  /** Starts the service. Resolves once peers, users and workers can connect. Rejects if it can't listen on an address. */
   async start(): Promise<void> {
     const { settings } = this;
     this.inputRouter.subscribe(this.stateService, this.peers);
@@ -103,7 +103,7 @@
     this.log.started(settings.controller.name, settings.publicAddress);
   }
 
-  /** Ends all timers, subscriptions and connections. */
+  /** Stops all timers, ends all subscriptions and closes all connections. */
   close(): void {
     this.tickTimer.close();
     this.lagMeter.close();
--- a/packages/server/src/settings/feasibility.ts
+++ b/packages/server/src/settings/feasibility.ts
@@ -1,40 +1,40 @@
 /**
- * Refuses settings under which guarantees would be broken or nothing could be served, so that operators see it at the start
- * rather than users later.
+ * Rejects settings under which the service would violate its guarantees or couldn't serve any request, so that operators
+ * notice the problem at the start instead of users later.
  */
 import { MAX_WATCH_WAIT_S, STATE_SOCKETS } from '@archpost/state-client';
 import type { PlatformSettings, StateLimitFields } from './platform-settings.js';
 import { SettingsError } from './settings-error.js';
 
-/** Measured at a start on simulated machines, without work: 66 MB. */
+/** On simulated machines, a process without work takes 66 MB after its start. */
 const MIN_MEMORY_MB = 80;
 
-/** Requests for its lease, its watch and a transaction. */
+/** Requests of a controller for its lease, its watch and a transaction. */
 const STATE_REQUESTS_PER_S_PER_CONTROLLER = 4;
 
-/** For the record of a job. */
+/** A value must be able to hold the record of a job. */
 const MIN_VALUE_KIB = 2;
 
-/** For the links between controllers. */
+/** Sockets per controller for the links between controllers. */
 const SOCKETS_PER_CONTROLLER = 4;
 
-/** Sockets for workers and users, at the least. */
+/** Minimum number of sockets for workers and users. */
 const MIN_INBOUND_SOCKETS = 64;
 
-/** One limit and the least that a controller needs of it. */
+/** A limit, and the minimum that a controller needs. */
 interface Requirement {
-  /** the field below `params` */
+  /** the field, as a path below `params` */
   field: string;
   have: number;
   need: number;
-  /** what needs it, as the subject of a sentence */
+  /** what the minimum is needed for, as the subject of a sentence */
   purpose: string;
 }
 
 /**
- * Checks the limits that a controller can't do without.
+ * Checks that each limit has the minimum without which a controller can't run.
  *
- * @throws SettingsError that names the first field that is too small
+ * @throws SettingsError naming the first field that is too small
  */
 export function requireFeasibleSettings(path: string, settings: PlatformSettings): void {
   requireCancellationTime(path, settings.params.workers);
@@ -46,8 +46,9 @@
 }
 
 /**
- * Workers get responses for what this leaves after the last read of all changes: no less than the time between two
- * reads (docs/design.md, "Who may answer workers").
+ * Checks the time limit of cancellations. After each read of all changes, workers get responses for the part of `cancel_s`
+ * that exceeds `lease_s + report_s`. That part must be longer than the time between two reads, `WATCH_S`
+ * (docs/design.md, "Who may answer workers").
  */
 function requireCancellationTime(path: string, workers: PlatformSettings['params']['workers']): void {
   const minCancelS = workers.lease_s + workers.report_s + MAX_WATCH_WAIT_S;
--- a/packages/server/src/settings/load-settings.ts
+++ b/packages/server/src/settings/load-settings.ts
@@ -1,6 +1,6 @@
 /**
- * The settings of this process. The platform's file (TOML) and the operators' (JSON, built from HCL) meet here: each is
- * read, validated by its schema, and mapped to what the program uses.
+ * The settings of this process, from the platform's file (TOML) and the operators' file (JSON, built from HCL). Each file is
+ * read, validated against its schema, and mapped to the settings that the program uses.
  */
 import type { ControllerSettings } from '@archpost/controller';
 import { requireFeasibleSettings } from './feasibility.js';
@@ -9,31 +9,31 @@
 import { SettingsError } from './settings-error.js';
 import { parseOperatorJson, parseToml, validate } from './settings-file.js';
 
-/** Named in errors where there is no operators' file, so that the defaults apply. */
+/** The source named in errors if there is no operators' file and the defaults apply. */
 const NO_OPERATOR_FILE = 'operator settings';
 
-/** What the program uses of both files. Addresses are `IP:port`. */
+/** The settings that the program uses from both files. Addresses are `IP:port`. */
 export interface Settings {
-  /** what the controller's decisions depend on */
+  /** the settings that the controller's decisions depend on */
   controller: ControllerSettings;
-  /** where users, workers and health checks connect */
+  /** the address to which users, workers and health checks connect */
   publicAddress: string;
-  /** where the other controllers connect */
+  /** the address to which the other controllers connect */
   peerAddress: string;
-  /** the other controllers, and where they listen for this one */
+  /** the other controllers, with the addresses on which they accept peer connections */
   peers: { name: string; address: string }[];
   cloudAddress: string;
   stateAddress: string;
-  /** connections that the process may have open */
+  /** maximum number of open connections of the process */
   maxSockets: number;
-  /** memory that the process may hold, in megabytes */
+  /** memory limit of the process, in megabytes */
   memoryMb: number;
 }
 
 /**
- * Reads and checks both files.
+ * Reads and validates both files.
  *
- * @param operatorPath null: the operators' defaults apply
+ * @param operatorPath the operators' file; if null, the operators' defaults apply
  * @throws SettingsError if a file can't be read, a field violates its schema, or a limit is too small to run with
  */
 export function loadSettings(path: string, operatorPath: string | null): Settings {
@@ -58,7 +58,10 @@
   };
 }
 
-/** Leases and messages name controllers: two of one name would act for each other. */
+/**
+ * Requires that controllers have different names. Leases and messages identify controllers by name, so two controllers with
+ * the same name would act for each other.
+ */
 function requireUniqueNames(path: string, platform: PlatformSettings): void {
   const names = [platform.host_name, ...platform.others.map((other) => other.host_name)];
   if (new Set(names).size === names.length) return;
--- a/packages/server/src/settings/operator-settings.ts
+++ b/packages/server/src/settings/operator-settings.ts
@@ -1,9 +1,9 @@
-/** The operators' settings (deploy/archpost.hcl): their schema, and the policy that the controller takes from them. */
+/** The operators' settings (deploy/archpost.hcl): their schema, and their mapping to the controller's policy. */
 import type { Policy } from '@archpost/controller';
 import * as z from 'zod';
 import { positiveNumber } from './field-schemas.js';
 
-/** Unknown fields are refused: the operators' file is written for this version, so they are typing errors. */
+/** Rejects unknown fields: the operators' file is written for this version, so an unknown field is a typing error. */
 export const operatorSchema = z.strictObject({
   plan_wait_s: positiveNumber.default(10),
   silent_s: positiveNumber.nullish(),
@@ -12,13 +12,13 @@
   max_machines: z.number().int().positive().nullish(),
 });
 
-/** The operators' file, validated and with its defaults. */
+/** The operators' settings after validation, with defaults filled in. */
 export type OperatorSettings = z.infer<typeof operatorSchema>;
 
-/** Heartbeats after which a machine counts as silent by default: three missed, and some more for a packet sent again. */
+/** The default of `silent_s`, in heartbeat intervals: three missed heartbeats, and an allowance for a retransmitted packet. */
 const DEFAULT_SILENCE_HEARTBEATS = 3.5;
 
-/** The policy that the operators chose; `heartbeatIntervalS` is the platform's, in seconds. */
+/** Maps the operators' settings to the policy. `heartbeatIntervalS`: the platform's heartbeat interval, in seconds. */
 export function toPolicy(operator: OperatorSettings, heartbeatIntervalS: number): Policy {
   return {
     planWaitS: operator.plan_wait_s,
--- a/packages/server/src/settings/platform-settings.ts
+++ b/packages/server/src/settings/platform-settings.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's settings file: its schema, and what the controller takes from it. Only this module knows the file's
- * field names. Unknown fields are ignored, since new ones may appear at any time.
+ * The platform's settings file: its schema, and its mapping to the controller's settings. Only this module knows the file's
+ * field names. Unknown fields are ignored, because the platform may add new ones at any time.
  */
 import type { ControllerSettings, Policy, StateLimits } from '@archpost/controller';
 import * as z from 'zod';
@@ -41,12 +41,12 @@
   txn_ops: z.number().int().min(1),
 };
 
-/** Limits that are announced for a later time; what is not named stays. */
+/** Limits that are announced for a later time. A limit that isn't given stays unchanged. */
 const announcedStateLimitsSchema = z.object(stateLimitFields).partial();
 
 const stateSchema = z.object({ ...stateLimitFields, next: announcedStateLimitsSchema.nullish() });
 
-/** The file as a whole. Its paths, such as `params.workers.lease_s`, name fields in errors. */
+/** The whole file. Errors identify fields by their paths, such as `params.workers.lease_s`. */
 export const platformSchema = z.object({
   host_name: nonEmptyString,
   location: nonEmptyString,
@@ -67,13 +67,13 @@
   }),
 });
 
-/** The platform's file, validated and with its defaults. */
+/** The platform's settings after validation, with defaults filled in. */
 export type PlatformSettings = z.infer<typeof platformSchema>;
 
-/** Limits of the state service as the file names them. */
+/** The limits of the state service, under the file's field names. */
 export type StateLimitFields = Omit<z.infer<typeof stateSchema>, 'next'>;
 
-/** What the controller takes of the platform's settings, with the operators' policy beside them. */
+/** Maps the platform's settings to the controller's settings, and adds the operators' policy. */
 export function toControllerSettings(platform: PlatformSettings, policy: Policy): ControllerSettings {
   const { params } = platform;
   return {
@@ -93,7 +93,7 @@
   };
 }
 
-/** All controllers, this one included, in the order of their names. */
+/** Returns all controllers, including this one, sorted by name. */
 function toControllers(platform: PlatformSettings): ControllerSettings['controllers'] {
   const others = platform.others.map((other) => ({ name: other.host_name, zone: other.location }));
   return [{ name: platform.host_name, zone: platform.location }, ...others].sort((a, b) => (a.name < b.name ? -1 : 1));
@@ -135,7 +135,7 @@
   };
 }
 
-/** Limits that are not announced are left out rather than undefined: the others replace those in force. */
+/** Omits limits that aren't announced rather than setting them to undefined. The announced ones replace the current limits. */
 function toAnnouncedStateLimits(next: z.infer<typeof announcedStateLimitsSchema>): Partial<StateLimits> {
   const limits: Partial<StateLimits> = {};
   if (next.rps !== undefined) limits.requestsPerS = next.rps;
--- a/packages/server/src/settings/settings-error.ts
+++ b/packages/server/src/settings/settings-error.ts
@@ -1,20 +1,20 @@
-/** The error by which settings are refused. */
+/** The error for invalid settings. */
 
-/** Where a fault is, and what it is. */
+/** The location and the description of a fault in the settings. */
 export interface SettingsFault {
-  /** the file, or the environment variable, that holds the value */
+  /** the file or the environment variable that contains the value */
   source: string;
-  /** the field within it, as a dotted path; null where the fault is in the source as a whole */
+  /** the field within the source, as a dotted path; null if the fault concerns the whole source */
   field: string | null;
-  /** what is wrong with it, in one line */
+  /** the description of the fault, in one line */
   reason: string;
-  /** the error that showed it */
+  /** the underlying error */
   cause?: unknown;
 }
 
 /**
- * Settings with which the program can't run. Its message is the line that the operator sees: source, field and reason.
- * The program ends with exit code 2 for this error and with 1 for any other.
+ * Thrown for settings with which the program can't run. Its message is the line that the operator sees: source, field and
+ * reason. The program exits with code 2 after this error, and with code 1 after any other.
  */
 export class SettingsError extends Error {
   readonly source: string;
--- a/packages/server/src/settings/settings-file.ts
+++ b/packages/server/src/settings/settings-file.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the two settings files and validates them against their schemas. Whatever is wrong with a file becomes a
- * `SettingsError` that names it.
+ * Reads the two settings files and validates them against their schemas. Any fault in a file is thrown as a `SettingsError`
+ * that names the file.
  */
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
@@ -8,14 +8,14 @@
 import { errorMessage, systemErrorCode } from '../error-message.js';
 import { SettingsError } from './settings-error.js';
 
-/** Named in place of a field where the value as a whole, not one of its fields, has the wrong type. */
+/** Takes the place of the field in errors about the whole value, such as a wrong type. */
 const WHOLE_FILE = 'file';
 
 /**
- * The value as its schema describes it, defaults filled in and unknown fields dropped, unless the schema forbids them.
+ * Validates a value. Returns it with defaults filled in and without unknown fields; a schema may reject unknown fields instead.
  *
- * @param source names the file in errors
- * @throws SettingsError that names the first field at fault
+ * @param source the name of the file in errors
+ * @throws SettingsError naming the first invalid field
  */
 export function validate<Value>(source: string, schema: z.ZodType<Value>, value: unknown): Value {
   const result = schema.safeParse(value);
@@ -29,19 +29,19 @@
   });
 }
 
-/** The platform's settings file, which is TOML. Throws a SettingsError if it can't be read or parsed. */
+/** Reads the platform's settings file, which is TOML. Throws a SettingsError if the file can't be read or parsed. */
 export function parseToml(path: string): unknown {
   const text = readSettingsFile(path);
   try {
     return parse(text);
   } catch (error) {
-    // The parser's other lines show the place in the file.
+    // The other lines of the parser's message show the position in the file.
     const [firstLine] = errorMessage(error).split('\n');
     throw new SettingsError({ source: path, field: null, reason: `not valid TOML: ${firstLine}`, cause: error });
   }
 }
 
-/** The operators' settings, which the build turns from HCL into JSON. Throws a SettingsError as `parseToml` does. */
+/** Reads the operators' file, which the build converts from HCL to JSON. Throws a SettingsError as `parseToml` does. */
 export function parseOperatorJson(path: string): unknown {
   const text = readSettingsFile(path);
   try {
--- a/packages/server/src/tick-timer.ts
+++ b/packages/server/src/tick-timer.ts
@@ -7,8 +7,8 @@
 const TICK_INTERVAL_MS = 100;
 
 /**
- * Schedules each tick when the one before is over; a tick that took long is followed by as long a time for everything else.
- * How late the timer fires, or how long inputs have waited by then, is what the load shedder measures load by.
+ * Schedules each tick after the previous one has finished. After a long tick, it reserves an equally long time for other work.
+ * The delay of the timer, or the waiting time of inputs by then if that is longer, is the load shedder's measure of load.
  */
 export class TickTimer {
   private timer: NodeJS.Timeout | undefined;
@@ -25,7 +25,7 @@
     this.schedule(TICK_INTERVAL_MS);
   }
 
-  /** Ends the timer; no further tick is scheduled. */
+  /** Stops the timer; no further tick is scheduled. */
   close(): void {
     this.isClosed = true;
     clearTimeout(this.timer);
