--- a/packages/controller/src/state/cluster-state.ts
+++ b/packages/controller/src/state/cluster-state.ts
@@ -143,7 +143,7 @@
     }
   }
 
-  /** Excludes a pause of this process, of `pausedMs`, from the time for which controllers count as absent. */
+  /** Shifts the start of all absences by `pausedMs`, so that a pause of this process doesn't count as absence. */
   onProcessPaused(pausedMs: Milliseconds): void {
     this.leaseRegistry.onProcessPaused(pausedMs);
   }
@@ -180,8 +180,8 @@
   }
 
   /**
-   * The fencing token for commands to the machine. The machine's agent executes only commands with the highest token that it
-   * has seen. The token rises at each takeover of the shard and at each rewrite of the assignment.
+   * The fencing token for commands to the machine. The machine's agent rejects commands with a lower token than the highest
+   * that it has seen. The token rises at each takeover of the shard and at each rewrite of the assignment.
    */
   fencingToken(machine: Machine): number {
     return Math.max(machine.assignmentRevision, this.leaseOf(machine.shard)?.revision ?? 0);
--- a/packages/controller/src/state/job-dependencies.ts
+++ b/packages/controller/src/state/job-dependencies.ts
@@ -72,7 +72,7 @@
     else this.dependents.set(id, new Set([job]));
   }
 
-  /** Handles the end of a job, by its stored state. `endedAt`: wall-clock time; null: unknown. */
+  /** Records that the stored state of a job became final. `endedAt`: wall-clock time; null: unknown. */
   recordJobFinished(id: string, finalState: FinalState, endedAt: Milliseconds | null): DependencyOutcome {
     if (finalState === 'cancelled') return { unblocked: [], cancelled: this.cancelDependents(id) };
     if (endedAt !== null) this.endedAt.set(id, endedAt);
--- a/packages/controller/src/state/lease-registry.ts
+++ b/packages/controller/src/state/lease-registry.ts
@@ -33,7 +33,7 @@
     else this.absentSince.set(controller, now);
   }
 
-  /** Excludes a pause of this process, of `pausedMs`, from the time for which controllers count as absent. */
+  /** Shifts the start of all absences by `pausedMs`, so that a pause of this process doesn't count as absence. */
   onProcessPaused(pausedMs: Milliseconds): void {
     shiftTimes(this.absentSince, pausedMs);
   }
--- a/packages/controller/src/state/state-writer.ts
+++ b/packages/controller/src/state/state-writer.ts
@@ -232,7 +232,7 @@
   }
 
   /**
-   * The lease that the transaction named has ended. If this controller has given up that lease itself, its current lease isn't
+   * The lease that the transaction named has ended. If this controller gave up that lease before, its current lease isn't
    * affected.
    */
   private handleLeaseNotFound({ writes, leaseId }: SentTransaction, now: Milliseconds): void {
--- a/packages/controller/src/state/write-batch.ts
+++ b/packages/controller/src/state/write-batch.ts
@@ -6,7 +6,7 @@
 import type { Effect } from '../model/index.js';
 import { type QueuedWrite, WritePriority } from './write-queue.js';
 
-/** A batch accepts no more writes once it has reached this size. */
+/** A batch accepts no more writes once it has reached this size. A single write may be larger. */
 const MAX_TRANSACTION_BYTES = 40_000;
 
 /** Maximum number of conditions in a transaction for each write that it may hold. The service accepts four. */
--- a/packages/controller/src/state/write-queue.ts
+++ b/packages/controller/src/state/write-queue.ts
@@ -49,7 +49,7 @@
   attachedToLease?: boolean;
   /** one of `WritePriority` */
   priority: number;
-  /** Returns true once a response to clients depends on the write, which then has at least the priority of a cancellation. */
+  /** Returns true once clients wait for something that depends on the write: it then has at least a cancellation's priority. */
   isUrgent?: () => boolean;
   /** the write is dropped if it wasn't sent by this time */
   expiresAt?: Milliseconds;
