--- a/packages/cloud-client/src/cloud-client.ts
+++ b/packages/cloud-client/src/cloud-client.ts
@@ -124,7 +124,7 @@
     return decodeServiceResponse(await this.client.call({ method: 'POST', path, body: pack(body), timeoutMs: TIMEOUT_MS }));
   }
 
-  private parse<T>(response: ServiceResponse | null, what: string, parse: (body: MessagePackMap) => T | null): T | null {
-    return readResponse(response, parse, () => this.unreadable$.next(what));
+  private parse<T>(response: ServiceResponse | null, contentName: string, parse: (body: MessagePackMap) => T | null): T | null {
+    return readResponse(response, parse, () => this.unreadable$.next(contentName));
   }
 }
--- a/packages/http-client/src/http-exchange.ts
+++ b/packages/http-client/src/http-exchange.ts
@@ -46,7 +46,7 @@
   private timer: NodeJS.Timeout;
   /** when the socket was connected, so that the request may have left this machine; null: it wasn't */
   private sentAt: number | null = null;
-  private isConnectedLate = false;
+  private hasConnectedLate = false;
   private isSettled = false;
 
   /** Sends the request. */
@@ -80,9 +80,9 @@
    */
   private handleTimeout(): void {
     const now = monotonicMs();
-    const owedUntil = this.sentAt === null ? 0 : this.sentAt + MIN_TIME_FRACTION * this.call.timeoutMs;
-    if (owedUntil > now) this.timer = setTimeout(() => this.handleTimeout(), owedUntil - now);
-    else if (now - Math.max(this.deadline, owedUntil) > LATE_TIMER_MS)
+    const extendedDeadline = this.sentAt === null ? 0 : this.sentAt + MIN_TIME_FRACTION * this.call.timeoutMs;
+    if (extendedDeadline > now) this.timer = setTimeout(() => this.handleTimeout(), extendedDeadline - now);
+    else if (now - Math.max(this.deadline, extendedDeadline) > LATE_TIMER_MS)
       this.timer = setTimeout(() => setImmediate(this.fail), LATE_TIMER_MS);
     else this.fail();
   }
@@ -94,7 +94,7 @@
       return;
     }
     // The process was paused while it connected, so the request is out of date.
-    this.isConnectedLate = true;
+    this.hasConnectedLate = true;
     this.fail();
   }
 
@@ -111,7 +111,7 @@
   }
 
   private readonly fail = (): void => {
-    this.settle(this.sentAt === null ? { kind: 'notSent', isOwnDelay: this.isConnectedLate } : { kind: 'unknown' });
+    this.settle(this.sentAt === null ? { kind: 'notSent', isOwnDelay: this.hasConnectedLate } : { kind: 'unknown' });
     this.request.destroy();
   };
 
--- a/packages/http-client/src/request-budget.ts
+++ b/packages/http-client/src/request-budget.ts
@@ -12,14 +12,14 @@
   private readonly delay = new Delay();
 
   /**
-   * @param perS requests a second
+   * @param requestsPerS requests a second
    * @param clock milliseconds of a monotonic clock
    */
   constructor(
-    private readonly perS: number,
+    private readonly requestsPerS: number,
     private readonly clock: () => number,
   ) {
-    this.tokens = Math.max(1, perS);
+    this.tokens = Math.max(1, requestsPerS);
     this.refilledAt = clock();
   }
 
@@ -40,7 +40,7 @@
   /** Waits until there is a token, and takes it. Resolves without one when the budget is or gets closed. */
   async take(): Promise<void> {
     while (!this.delay.isClosed && !this.tryTake())
-      await this.delay.wait(Math.max(MIN_WAIT_MS, ((1 - this.tokens) / this.perS) * 1000));
+      await this.delay.wait(Math.max(MIN_WAIT_MS, ((1 - this.tokens) / this.requestsPerS) * 1000));
   }
 
   /** Ends all waits, so that no timer outlives the owner. Callers must not send their requests any more. */
@@ -50,7 +50,7 @@
 
   private refill(): void {
     const now = this.clock();
-    this.tokens = Math.min(Math.max(1, this.perS), this.tokens + ((now - this.refilledAt) / 1000) * this.perS);
+    this.tokens = Math.min(Math.max(1, this.requestsPerS), this.tokens + ((now - this.refilledAt) / 1000) * this.requestsPerS);
     this.refilledAt = now;
   }
 }
--- a/packages/peer-transport/src/frames.ts
+++ b/packages/peer-transport/src/frames.ts
@@ -29,22 +29,22 @@
 /** Decodes the frames of one link from the chunks that its socket emits. */
 export class FrameReader {
   private chunks: Buffer[] = [];
-  private length = 0;
+  private bufferedBytes = 0;
   /** size of the message that is under way; null: its header is not complete */
   private bodyBytes: number | null = null;
 
   /** The messages that this chunk completes. Throws FrameTooLargeError; the link can not be read any further then. */
   push(chunk: Buffer): Buffer[] {
     this.chunks.push(chunk);
-    this.length += chunk.length;
+    this.bufferedBytes += chunk.length;
     const bodies: Buffer[] = [];
     for (;;) {
       if (this.bodyBytes === null) {
-        if (this.length < HEADER_BYTES) return bodies;
+        if (this.bufferedBytes < HEADER_BYTES) return bodies;
         this.bodyBytes = this.takeBytes(HEADER_BYTES).readUInt32BE(0);
         if (this.bodyBytes > MAX_FRAME_BYTES) throw new FrameTooLargeError(this.bodyBytes);
       }
-      if (this.length < this.bodyBytes) return bodies;
+      if (this.bufferedBytes < this.bodyBytes) return bodies;
       bodies.push(this.takeBytes(this.bodyBytes));
       this.bodyBytes = null;
     }
@@ -54,10 +54,10 @@
   private takeBytes(bytes: number): Buffer {
     const first = this.chunks[0] ?? Buffer.alloc(0);
     const joined = first.length >= bytes ? first : Buffer.concat(this.chunks);
-    const others = first.length >= bytes ? this.chunks.slice(1) : [];
+    const laterChunks = first.length >= bytes ? this.chunks.slice(1) : [];
     const rest = joined.subarray(bytes);
-    this.chunks = rest.length > 0 ? [rest, ...others] : others;
-    this.length -= bytes;
+    this.chunks = rest.length > 0 ? [rest, ...laterChunks] : laterChunks;
+    this.bufferedBytes -= bytes;
     return joined.subarray(0, bytes);
   }
 }
--- a/packages/peer-transport/src/outgoing-links.ts
+++ b/packages/peer-transport/src/outgoing-links.ts
@@ -15,29 +15,29 @@
 /** Owns the sockets and the timer that opens them again. */
 export class OutgoingLinks {
   private readonly sockets = new Map<string, net.Socket>();
-  private reconnecting: Subscription | null = null;
+  private reconnectTimer: Subscription | null = null;
 
   constructor(private readonly peers: readonly Peer[]) {}
 
   /** Opens links to all peers, and starts the timer. */
   start(): void {
-    this.connectMissing();
-    this.reconnecting = interval(RECONNECT_MS).subscribe(() => this.connectMissing());
+    this.openMissingLinks();
+    this.reconnectTimer = interval(RECONNECT_MS).subscribe(() => this.openMissingLinks());
   }
 
   /** The link to this peer; null if it is down, or so far behind that a message sent now would arrive out of date. */
-  readyLink(peer: string): net.Socket | null {
+  findReadyLink(peer: string): net.Socket | null {
     const socket = this.sockets.get(peer);
     return socket && !socket.connecting && socket.writableLength <= MAX_BACKLOG_BYTES ? socket : null;
   }
 
   /** Closes all links; no further ones are opened. */
   close(): void {
-    this.reconnecting?.unsubscribe();
+    this.reconnectTimer?.unsubscribe();
     for (const socket of this.sockets.values()) socket.destroy();
   }
 
-  private connectMissing(): void {
+  private openMissingLinks(): void {
     for (const peer of this.peers) if (!this.sockets.has(peer.name)) this.connect(peer);
   }
 
--- a/packages/peer-transport/src/peer-transport.ts
+++ b/packages/peer-transport/src/peer-transport.ts
@@ -20,7 +20,7 @@
   readonly unsent$ = new Subject<LinkProblem>();
   private readonly incoming: IncomingLinks;
   private readonly outgoing: OutgoingLinks;
-  private readonly loggedTooLarge = new Set<string>();
+  private readonly reportedTooLarge = new Set<string>();
 
   /** `peers`: all other controllers; messages of anybody else are dropped. */
   constructor(peers: readonly Peer[]) {
@@ -43,11 +43,11 @@
 
   /** Sends to one peer, if its link is up and not behind. */
   send(message: PeerMessage, to: string): void {
-    const link = this.outgoing.readyLink(to);
+    const link = this.outgoing.findReadyLink(to);
     if (!link) return;
     const body = encodePeerMessage(message);
     if (body.length <= MAX_FRAME_BYTES) link.write(encodeFrame(body));
-    else this.emitTooLarge(to, body.length);
+    else this.reportTooLarge(to, body.length);
   }
 
   /** Closes all links, and ends all timers. */
@@ -56,9 +56,9 @@
     this.incoming.close();
   }
 
-  private emitTooLarge(to: string, bytes: number): void {
-    if (this.loggedTooLarge.has(to)) return;
-    this.loggedTooLarge.add(to);
+  private reportTooLarge(to: string, bytes: number): void {
+    if (this.reportedTooLarge.has(to)) return;
+    this.reportedTooLarge.add(to);
     this.unsent$.next({ peer: to, error: `a message of ${bytes} bytes is larger than a frame may be` });
   }
 }
--- a/packages/protocol/src/peer/peer-message.ts
+++ b/packages/protocol/src/peer/peer-message.ts
@@ -43,7 +43,7 @@
 const Message = root.lookupType('Message');
 
 /** Each field gets its value or its default, each list is an array, and 64-bit integers are numbers. */
-const CONVERSION = { defaults: true, arrays: true, longs: Number };
+const CONVERSION_OPTIONS = { defaults: true, arrays: true, longs: Number };
 
 /** The bytes of a message. Values of the wrong type are not refused here; callers pass typed messages. */
 export function encodePeerMessage(message: PeerMessage): Uint8Array {
@@ -58,7 +58,7 @@
 /** Throws on bytes that are no message. Unknown fields are ignored. */
 export function decodePeerMessage(bytes: Uint8Array): PeerMessage {
   // The tables are checked against the model types, so what they decode to has these types.
-  const message = Message.toObject(Message.decode(bytes), CONVERSION) as PeerMessage;
+  const message = Message.toObject(Message.decode(bytes), CONVERSION_OPTIONS) as PeerMessage;
   if (message.heartbeat) restoreNulls(message.heartbeat);
   return message;
 }
--- a/packages/protocol/src/peer/protobuf-fields.ts
+++ b/packages/protocol/src/peer/protobuf-fields.ts
@@ -9,7 +9,7 @@
 /** Names of nested messages begin with a capital letter, those of protobuf's own kinds do not. */
 type MessageName = Capitalize<string>;
 
-type KindOf<Value> = [Value] extends [boolean]
+type ProtobufTypeOf<Value> = [Value] extends [boolean]
   ? 'bool'
   : [Value] extends [string]
     ? 'string'
@@ -17,9 +17,9 @@
       ? 'double' | 'uint32' | 'sint32' | 'uint64'
       : MessageName;
 
-type FieldOf<Value> = Value extends readonly (infer Element)[]
-  ? { rule: 'repeated'; type: KindOf<Element>; id: number }
-  : { type: KindOf<Value>; id: number };
+type ProtobufFieldOf<Value> = Value extends readonly (infer Element)[]
+  ? { rule: 'repeated'; type: ProtobufTypeOf<Element>; id: number }
+  : { type: ProtobufTypeOf<Value>; id: number };
 
 /** The table of fields of a message that carries this model type. Protobuf has no null: the model's codec maps it. */
-export type ProtobufFields<Model> = { [Field in keyof Model]: FieldOf<NonNullable<Model[Field]>> };
+export type ProtobufFields<Model> = { [Field in keyof Model]: ProtobufFieldOf<NonNullable<Model[Field]>> };
--- a/packages/protocol/src/worker/heartbeat.ts
+++ b/packages/protocol/src/worker/heartbeat.ts
@@ -45,7 +45,7 @@
 }
 
 /** A count, version, token or attempt. */
-const countOnWire = z.number().int().min(0);
+const nonNegativeInteger = z.number().int().min(0);
 
 const TASK_STATE_FROM_WIRE: ReadonlyMap<string, TaskState> = new Map(
   Object.entries({
@@ -72,7 +72,7 @@
 
 const taskStatusOnWire = z.object({
   piece: z.string().regex(/^.+\/\d+$/),
-  try: countOnWire,
+  try: nonNegativeInteger,
   status: z.string(),
   cause: z.string().nullish(),
   saved: z.boolean().nullish(),
@@ -84,9 +84,9 @@
   build: z.string(),
   yard: z.string(),
   loaners: z.boolean(),
-  shift: countOnWire,
-  tally: countOnWire,
-  baton: countOnWire.nullish(),
+  shift: nonNegativeInteger,
+  tally: nonNegativeInteger,
+  baton: nonNegativeInteger.nullish(),
   warning_s: z.number().nullish(),
   pieces: z.array(taskStatusOnWire),
 });
--- a/packages/state-client/src/lease-renewer.ts
+++ b/packages/state-client/src/lease-renewer.ts
@@ -19,7 +19,7 @@
 
 /** Interval of renewals: this part of the lease's time, and no more than MAX_RENEWAL_MS. */
 const RENEWALS_PER_LEASE = 6;
-const MAX_RENEWAL_MS = 2500;
+const MAX_RENEWAL_INTERVAL_MS = 2500;
 
 /** The lease counts as ended this much earlier than it may end. */
 const SAFETY_MARGIN_MS = 20;
@@ -29,7 +29,7 @@
   /** Emits after each renewal, and when the lease has ended. */
   readonly lease$ = new Subject<LeaseState>();
   private readonly delay = new Delay();
-  private readonly renewalMs: number;
+  private readonly renewalIntervalMs: number;
   private leaseId: number | null = null;
 
   /** `clockDrift`: part by which this machine's clock may run faster or slower than the service's. */
@@ -38,7 +38,7 @@
     private readonly ttlMs: number,
     private readonly clockDrift: number,
   ) {
-    this.renewalMs = Math.min(ttlMs / RENEWALS_PER_LEASE, MAX_RENEWAL_MS);
+    this.renewalIntervalMs = Math.min(ttlMs / RENEWALS_PER_LEASE, MAX_RENEWAL_INTERVAL_MS);
   }
 
   /** Starts the requests. */
@@ -60,25 +60,25 @@
     // A renewal does not wait for the budget: without a lease this controller may do nothing else either.
     this.connection.budget.forceTake();
     const sentAt = monotonicMs();
-    const outcome = await this.call();
+    const outcome = await this.sendRequest();
     if (outcome.kind !== 'response') return RETRY_MS;
-    if (outcome.status === 200) return this.accept(outcome.body, sentAt);
+    if (outcome.status === 200) return this.acceptLease(outcome.body, sentAt);
     if (this.leaseId !== null && (outcome.status === 404 || outcome.status === 400)) return this.discardLease();
     return RETRY_MS;
   }
 
-  private call(): Promise<CallOutcome> {
+  private sendRequest(): Promise<CallOutcome> {
     if (this.leaseId === null) return this.connection.post(PATHS.leases, pack(encodeLeaseRequest(this.ttlMs)), CALL_TIMEOUT_MS);
     return this.connection.post(leaseRenewalPath(this.leaseId), pack({}), CALL_TIMEOUT_MS);
   }
 
-  private accept(body: Buffer, sentAt: number): number {
+  private acceptLease(body: Buffer, sentAt: number): number {
     this.leaseId ??= parseLeaseId(unpackMap(body) ?? {});
     if (this.leaseId === null) return RETRY_MS;
     // The service counts from when it got the request, which is not before it was sent.
     const validUntil = sentAt + this.ttlMs * (1 - this.clockDrift) - SAFETY_MARGIN_MS;
     this.lease$.next({ leaseId: this.leaseId, validUntil });
-    return this.renewalMs;
+    return this.renewalIntervalMs;
   }
 
   private discardLease(): number {
--- a/packages/state-client/src/read-barrier.ts
+++ b/packages/state-client/src/read-barrier.ts
@@ -22,7 +22,7 @@
 export class ReadBarrier {
   private readonly delay = new Delay();
   private isRunning = false;
-  private requestedAt = -1;
+  private lastRequestedAt = -1;
   /** when the next read is due at the latest */
   private dueAt = Number.POSITIVE_INFINITY;
   private lastReadAt = 0;
@@ -34,8 +34,8 @@
 
   /** Notes a request; reads for it begin with the first request at which they are possible. */
   request(isUrgent: boolean, canRead: boolean): void {
-    this.requestedAt = monotonicMs();
-    this.dueAt = Math.min(this.dueAt, this.requestedAt + (isUrgent ? 0 : MAX_DELAY_MS));
+    this.lastRequestedAt = monotonicMs();
+    this.dueAt = Math.min(this.dueAt, this.lastRequestedAt + (isUrgent ? 0 : MAX_DELAY_MS));
     if (this.isRunning || !canRead) return;
     this.isRunning = true;
     void this.run();
@@ -47,7 +47,7 @@
   }
 
   private async run(): Promise<void> {
-    while (!this.delay.isClosed && this.requestedAt > this.reads.newestReadAt()) {
+    while (!this.delay.isClosed && this.lastRequestedAt > this.reads.newestReadAt()) {
       const waitMs = Math.max(this.lastReadAt + this.intervalMs, this.dueAt) - monotonicMs();
       // No longer than an interval: an urgent request may come meanwhile, or the watch may serve all.
       if (waitMs > 0) await this.delay.wait(Math.min(waitMs, this.intervalMs));
--- a/packages/state-client/src/replica-reader.ts
+++ b/packages/state-client/src/replica-reader.ts
@@ -31,7 +31,7 @@
 
 /** Longest wait of the service for a change, in seconds: it bounds how old the replica gets when nothing changes. */
 export const MAX_WATCH_WAIT_S = 2.5;
-const WATCH_MS = MAX_WATCH_WAIT_S * 1000;
+const MAX_WATCH_WAIT_MS = MAX_WATCH_WAIT_S * 1000;
 
 /** What a response may take beyond the wait that was requested. */
 const WATCH_GRACE_MS = 2000;
@@ -56,7 +56,7 @@
 const MAX_WATCH_PAUSE_MS = 250;
 
 /** Interval of reads for barriers, in pauses of the watch. */
-const BARRIER_PAUSES = 1.5;
+const BARRIER_INTERVAL_FACTOR = 1.5;
 
 type ReadResult = 'ok' | 'compacted' | 'failed';
 
@@ -81,7 +81,7 @@
       newestReadAt: () => this.newestReadAt,
       read: async () => (await this.readChanges(0, BARRIER_TIMEOUT_MS)) !== 'failed',
     };
-    this.barrier = new ReadBarrier(reads, BARRIER_PAUSES * this.watchPauseMs);
+    this.barrier = new ReadBarrier(reads, BARRIER_INTERVAL_FACTOR * this.watchPauseMs);
   }
 
   /** Starts the reads. */
@@ -140,7 +140,7 @@
   /** Emits changes until the service no longer has all of them. */
   private async watch(): Promise<void> {
     while (!this.delay.isClosed) {
-      const result = await this.readChanges(WATCH_MS, WATCH_MS + WATCH_GRACE_MS);
+      const result = await this.readChanges(MAX_WATCH_WAIT_MS, MAX_WATCH_WAIT_MS + WATCH_GRACE_MS);
       if (result === 'compacted') return;
       await this.delay.wait(result === 'ok' ? this.watchPauseMs : RETRY_MS);
     }
--- a/packages/state-client/src/state-service-connection.ts
+++ b/packages/state-client/src/state-service-connection.ts
@@ -33,8 +33,8 @@
   }
 
   /** The parsed body of a response with status 200; null if there is none, or if it can not be parsed, which is emitted. */
-  parse<T>(response: ServiceResponse | null, what: string, parse: (body: MessagePackMap) => T | null): T | null {
-    return readResponse(response, parse, () => this.unreadable$.next(what));
+  parse<T>(response: ServiceResponse | null, contentName: string, parse: (body: MessagePackMap) => T | null): T | null {
+    return readResponse(response, parse, () => this.unreadable$.next(contentName));
   }
 
   /** Ends all calls, and waits for the budget; later calls are not made. */
--- a/packages/worker-client/src/worker-connection-pool.ts
+++ b/packages/worker-client/src/worker-connection-pool.ts
@@ -4,7 +4,7 @@
 interface WorkerConnection {
   client: HttpClient;
   /** in milliseconds of the time of day */
-  usedAt: number;
+  lastUsedAt: number;
 }
 
 /** Beyond its size the connection that was not used for longest is closed, with the call on it if there is one. */
@@ -15,14 +15,14 @@
 
   /** The client of this worker, on a new connection if it has none. */
   get(address: string): HttpClient {
-    const known = this.connections.get(address);
-    if (known) {
-      known.usedAt = Date.now();
-      return known.client;
+    const existing = this.connections.get(address);
+    if (existing) {
+      existing.lastUsedAt = Date.now();
+      return existing.client;
     }
     if (this.connections.size >= this.maxConnections) this.closeLeastRecentlyUsed();
     const client = new HttpClient(address, 1);
-    this.connections.set(address, { client, usedAt: Date.now() });
+    this.connections.set(address, { client, lastUsedAt: Date.now() });
     return client;
   }
 
@@ -34,11 +34,11 @@
 
   private closeLeastRecentlyUsed(): void {
     let oldestAddress: string | null = null;
-    let oldestUse = Number.POSITIVE_INFINITY;
-    for (const [address, { usedAt }] of this.connections) {
-      if (usedAt >= oldestUse) continue;
+    let oldestUsedAt = Number.POSITIVE_INFINITY;
+    for (const [address, { lastUsedAt }] of this.connections) {
+      if (lastUsedAt >= oldestUsedAt) continue;
       oldestAddress = address;
-      oldestUse = usedAt;
+      oldestUsedAt = lastUsedAt;
     }
     if (oldestAddress === null) return;
     this.connections.get(oldestAddress)?.client.close();
