--- a/packages/cloud-client/src/cloud-client.ts
+++ b/packages/cloud-client/src/cloud-client.ts
@@ -1,4 +1,4 @@
-/** Machine types, the list of machines, and provisioning and releasing machines. */
+/** Calls to the cloud: read the machine types, list, provision and release machines. */
 import { HttpClient, monotonicMs, RequestBudget } from '@archpost/http-client';
 import {
   decodeServiceResponse,
@@ -21,48 +21,49 @@
 } from '@archpost/protocol';
 import { Subject } from 'rxjs';
 
-/** Connections to the cloud. */
+/** Maximum number of connections to the cloud. */
 export const CLOUD_SOCKETS = 6;
 
 const TIMEOUT_MS = 3000;
 
-/** Part of the request budget that pages of lists may take: provisioning and releasing need the rest. */
+/** Fraction of the request budget that listing machines may use: provisioning and releasing need the rest. */
 const LIST_BUDGET_FRACTION = 0.5;
 
-/** Attempts to read a page after the first: a failure would waste the pages before it. */
+/** Attempts to read each page after the first one, because a failure discards the pages that were already read. */
 const PAGE_ATTEMPTS = 3;
 
 const PROVISIONING_ATTEMPTS = 3;
 
 /**
- * Ok: these machines were provisioned, perhaps fewer than requested. Out of capacity: none was provisioned. Unknown: no
- * attempt got a response, and machines may have been provisioned, or may be later.
+ * The outcome of a provisioning request. `ok`: these machines were provisioned, possibly fewer than requested.
+ * `outOfCapacity`: no machine was provisioned. `unknown`: no attempt got a conclusive response; machines may have been
+ * provisioned, or may still be provisioned.
  */
 export type ProvisioningOutcome = { kind: 'ok'; machines: string[] } | { kind: 'outOfCapacity' | 'unknown' };
 
-/** Owns the connections to the cloud. Calls wait for their turn in the request budget. */
+/** Owns the connections to the cloud. Calls wait for the request budget. */
 export class CloudClient {
-  /** What could not be parsed though the response had status 200. */
+  /** Emits what could not be parsed, such as `machine list`, although the response had status 200. */
   readonly unreadable$ = new Subject<string>();
   private readonly client: HttpClient;
   private readonly budget: RequestBudget;
   private readonly listBudget: RequestBudget;
   private isClosed = false;
 
-  /** `requestsPerS`: this controller's part of the cloud's request limit. */
+  /** `requestsPerS`: this controller's share of the cloud's request limit. */
   constructor(address: string, requestsPerS: number) {
     this.client = new HttpClient(address, CLOUD_SOCKETS);
     this.budget = new RequestBudget(requestsPerS, monotonicMs);
     this.listBudget = new RequestBudget(requestsPerS * LIST_BUDGET_FRACTION, monotonicMs);
   }
 
-  /** Null if there was no response, it was an error, or it can not be parsed. */
+  /** Reads the machine types. Resolves with null if the response is missing, is an error, or cannot be parsed. */
   async fetchMachineTypes(): Promise<MachineType[] | null> {
     const response = await this.get(PATHS.machineTypes);
     return this.parse(response, 'machine types', parseMachineTypes);
   }
 
-  /** All machines; null if a page could not be read. Pages are of different times, and all of them lag. */
+  /** Lists all machines. Resolves with null if a page could not be read. Pages reflect different times, and all of them lag. */
   async listMachines(): Promise<ListedMachine[] | null> {
     const machines: ListedMachine[] = [];
     let after = '';
@@ -75,7 +76,7 @@
     }
   }
 
-  /** Retries a request that gets no response. It is idempotent: if it was carried out, the response is the same. */
+  /** Provisions machines. Retries if there is no conclusive response: a repeated request gets the same machines. */
   async provision(request: ProvisioningRequest): Promise<ProvisioningOutcome> {
     for (let attempt = 0; attempt < PROVISIONING_ATTEMPTS; attempt++) {
       const response = await this.post(PATHS.machines, encodeProvisioningRequest(request));
@@ -87,13 +88,13 @@
     return { kind: 'unknown' };
   }
 
-  /** True once the machines and everything on them are gone; false if that is not known. */
+  /** Releases machines. Resolves with true once they and everything on them are gone; with false if this is unknown. */
   async releaseMachines(machines: string[]): Promise<boolean> {
     const response = await this.post(PATHS.machineReleases, encodeReleaseRequest(machines));
     return response?.status === 200;
   }
 
-  /** Ends all calls and connections; later calls are not made. */
+  /** Ends all calls and connections. Later calls are not sent. */
   close(): void {
     this.isClosed = true;
     this.budget.close();
--- a/packages/http-client/src/delay.ts
+++ b/packages/http-client/src/delay.ts
@@ -1,15 +1,15 @@
-/** Waits that their owner can end early, so that no timer and no loop outlives it. */
+/** Waits that their owner can end early, so that no timer or loop outlives the owner. */
 export class Delay {
-  /** ends the present waits */
+  /** one function per pending wait, which ends the wait */
   private readonly endWaits = new Set<() => void>();
   private closed = false;
 
-  /** Whether the loops that wait are to end. */
+  /** Whether the delay is closed, so that loops that wait have to end. */
   get isClosed(): boolean {
     return this.closed;
   }
 
-  /** Resolves after this many milliseconds, or at once when the delay is or gets closed. */
+  /** Resolves after this many milliseconds, or as soon as the delay is closed. */
   wait(milliseconds: number): Promise<void> {
     if (this.closed) return Promise.resolve();
     return new Promise((resolve) => {
@@ -23,7 +23,7 @@
     });
   }
 
-  /** Ends the present waits; later ones resolve at once. */
+  /** Ends all pending waits. Later waits resolve immediately. */
   close(): void {
     this.closed = true;
     for (const endWait of this.endWaits) endWait();
--- a/packages/http-client/src/http-client.ts
+++ b/packages/http-client/src/http-client.ts
@@ -3,13 +3,13 @@
 import { parseAddress } from './address.js';
 import { type CallOutcome, type HttpCall, type HttpEndpoint, HttpExchange } from './http-exchange.js';
 
-/** Calls one address over HTTP/1.1. Owns its connections, which persist; requests aren't pipelined. */
+/** Calls one address over HTTP/1.1. Owns its persistent connections. Requests aren't pipelined. */
 export class HttpClient {
   private readonly endpoint: HttpEndpoint;
 
   /**
    * @param address `IP:port`
-   * @param maxSockets connections that may be open at once; further calls wait for one
+   * @param maxSockets maximum number of open connections; further calls wait for one
    */
   constructor(address: string, maxSockets: number) {
     const agent = new http.Agent({ keepAlive: true, maxSockets, maxFreeSockets: maxSockets, scheduling: 'lifo' });
--- a/packages/http-client/src/http-exchange.ts
+++ b/packages/http-client/src/http-exchange.ts
@@ -1,19 +1,19 @@
 /**
- * One HTTP request and its outcome. Callers have to know whether a request that failed may still be carried out, so an
- * exchange watches its socket: until that is connected, nothing can have left this machine.
+ * One HTTP request and its outcome. Callers have to know whether a failed request may still be executed, so an exchange tracks
+ * its socket: until the socket is connected, nothing can have been sent.
  */
 import http from 'node:http';
 import { monotonicMs } from './clock.js';
 
-/** How a call ended. Calls don't throw for failures of the network. */
+/** The outcome of a call. Calls don't throw on network failures. */
 export type CallOutcome =
   | { kind: 'response'; status: number; body: Buffer }
   /**
-   * Nothing left this machine: the request can't be carried out later. `isOwnDelay`: the other side accepted the connection, and
-   * this process was too late for it, which says nothing of the other side.
+   * Nothing was sent, so the request can't be executed later. `isOwnDelay`: the server accepted the connection, but this process
+   * was delayed and noticed it only after the deadline, so the failure is no evidence about the server.
    */
   | { kind: 'notSent'; isOwnDelay: boolean }
-  /** no response: it may have been carried out, or may be yet */
+  /** no response: the request may have been executed, or may still be executed */
   | { kind: 'unknown' };
 
 /** A request. Its body, if any, is MessagePack. */
@@ -24,27 +24,27 @@
   timeoutMs: number;
 }
 
-/** Where requests go, and the connections that they use. */
+/** The address of requests, and the agent that owns their connections. */
 export interface HttpEndpoint {
   agent: http.Agent;
   host: string;
   port: number;
 }
 
-/** A timer that fires this late shows that the process was paused, or had no processor. */
+/** A timer that fires this late shows that the process was paused or got no CPU time. */
 const LATE_TIMER_MS = 250;
 
-/** A request that was sent late, since this process was, is given at least this part of the timeout from then on. */
+/** Minimum fraction of the timeout left for the response if this process was delayed and sent the request late. */
 const MIN_TIME_FRACTION = 0.5;
 
 const CONTENT_TYPE = 'application/msgpack';
 
-/** Owns its request and its timer, which end with the outcome. There is exactly one outcome. */
+/** Owns its request and its timer, which end with the outcome. Reports exactly one outcome. */
 export class HttpExchange {
   private readonly request: http.ClientRequest;
   private readonly deadline: number;
   private timer: NodeJS.Timeout;
-  /** when the socket was connected, so that the request may have left this machine; null: it wasn't */
+  /** time at which the socket was connected: the request may have been sent since; null: the socket isn't connected */
   private sentAt: number | null = null;
   private hasConnectedLate = false;
   private isSettled = false;
@@ -75,8 +75,9 @@
   }
 
   /**
-   * After a pause of the process responses may wait as well: a late timer gives them a moment to be read first. Timers come
-   * before sockets in each turn of the event loop, so that moment ends only after sockets were read once more.
+   * After a pause of the process, responses may be waiting to be read, so a late timer first allows LATE_TIMER_MS to read them.
+   * Timers run before sockets are read in each iteration of the event loop, so the call fails only after one more read, in
+   * `setImmediate`.
    */
   private handleTimeout(): void {
     const now = monotonicMs();
@@ -93,7 +94,7 @@
       this.sentAt = now;
       return;
     }
-    // The process was paused while it connected, so the request is out of date.
+    // The process was paused while the socket connected, so the request is outdated.
     this.hasConnectedLate = true;
     this.fail();
   }
--- a/packages/http-client/src/index.ts
+++ b/packages/http-client/src/index.ts
@@ -1,4 +1,4 @@
-/** What this process's clients of other services have in common: HTTP calls, request budgets, waits and the clock. */
+/** Shared by this process's clients of other services: HTTP calls, request budgets, delays and the monotonic clock. */
 export { parseAddress } from './address.js';
 export { monotonicMs } from './clock.js';
 export { Delay } from './delay.js';
--- a/packages/http-client/src/request-budget.ts
+++ b/packages/http-client/src/request-budget.ts
@@ -1,19 +1,19 @@
 /** Keeps this process within the request limit of a service. */
 import { Delay } from './delay.js';
 
-/** The shortest wait for a token; timers fire in steps of a few milliseconds anyway. */
+/** Minimum wait for a token. Timers have a resolution of a few milliseconds anyway. */
 const MIN_WAIT_MS = 5;
 
-/** A token bucket that holds one second's worth of requests, and at least one. Callers wait for tokens. */
+/** A token bucket with a capacity of one second's requests, at least one. Callers wait for tokens. */
 export class RequestBudget {
   private tokens: number;
   private refilledAt: number;
-  /** the waits of callers */
+  /** pending waits of callers */
   private readonly delay = new Delay();
 
   /**
-   * @param requestsPerS requests a second
-   * @param clock milliseconds of a monotonic clock
+   * @param requestsPerS tokens added per second
+   * @param clock returns milliseconds of a monotonic clock
    */
   constructor(
     private readonly requestsPerS: number,
@@ -23,13 +23,13 @@
     this.refilledAt = clock();
   }
 
-  /** Takes a token even if there is none, for requests that must not wait; later ones wait longer instead. */
+  /** Takes a token even if none is available, for requests that must not wait. Later requests wait longer instead. */
   forceTake(): void {
     this.refill();
     this.tokens -= 1;
   }
 
-  /** Takes a token if there is one, and returns whether there was. */
+  /** Takes a token if one is available. Returns whether a token was taken. */
   tryTake(): boolean {
     this.refill();
     if (this.tokens < 1) return false;
@@ -37,13 +37,13 @@
     return true;
   }
 
-  /** Waits until there is a token, and takes it. Resolves without one when the budget is or gets closed. */
+  /** Waits until a token is available and takes it. Resolves without a token as soon as the budget is closed. */
   async take(): Promise<void> {
     while (!this.delay.isClosed && !this.tryTake())
       await this.delay.wait(Math.max(MIN_WAIT_MS, ((1 - this.tokens) / this.requestsPerS) * 1000));
   }
 
-  /** Ends all waits, so that no timer outlives the owner. Callers must not send their requests any more. */
+  /** Ends all waits, so that no timer outlives the owner. Callers must not send their requests afterwards. */
   close(): void {
     this.delay.close();
   }
--- a/packages/peer-transport/src/frames.ts
+++ b/packages/peer-transport/src/frames.ts
@@ -1,15 +1,15 @@
 /**
- * Frames on a link between controllers: the length of a message in four bytes, most significant first, and the message.
- * A frame is received in many chunks. They are joined once, when the frame is complete: joining at each chunk would copy the
- * square of its size.
+ * Frames on a link between controllers: the length of a message as four bytes in big-endian order, then the message. A frame
+ * arrives in many chunks. They are joined once, when the frame is complete: joining at each chunk would copy a number of bytes
+ * that grows with the square of the frame's size.
  */
 
-/** Largest message. The sender shortens its messages to fit, and sends the rest in later ones. */
+/** Maximum size of a message. Senders shorten their messages to fit, and send the rest in later messages. */
 export const MAX_FRAME_BYTES = 4 << 20;
 
 const HEADER_BYTES = 4;
 
-/** A header with a length beyond MAX_FRAME_BYTES. The sender does not follow the format, so the link can not be read on. */
+/** A frame header with a length beyond MAX_FRAME_BYTES. The sender violates the format, so no more frames can be decoded. */
 export class FrameTooLargeError extends Error {
   readonly code = 'FRAME_TOO_LARGE';
 
@@ -18,7 +18,7 @@
   }
 }
 
-/** The frame of a message, which must not be larger than MAX_FRAME_BYTES. */
+/** Encodes a message as a frame. The message must not be larger than MAX_FRAME_BYTES. */
 export function encodeFrame(body: Uint8Array): Buffer {
   const frame = Buffer.alloc(HEADER_BYTES + body.length);
   frame.writeUInt32BE(body.length);
@@ -30,10 +30,10 @@
 export class FrameReader {
   private chunks: Buffer[] = [];
   private bufferedBytes = 0;
-  /** size of the message that is under way; null: its header is not complete */
+  /** size of the message that is being received; null: its header is incomplete */
   private bodyBytes: number | null = null;
 
-  /** The messages that this chunk completes. Throws FrameTooLargeError; the link can not be read any further then. */
+  /** Returns the messages that this chunk completes. Throws FrameTooLargeError; the link must then be closed. */
   push(chunk: Buffer): Buffer[] {
     this.chunks.push(chunk);
     this.bufferedBytes += chunk.length;
@@ -50,7 +50,7 @@
     }
   }
 
-  /** Joins chunks only if the first one does not hold all of these bytes. */
+  /** Removes and returns the first bytes. Joins chunks only if the first chunk does not contain all of them. */
   private takeBytes(bytes: number): Buffer {
     const first = this.chunks[0] ?? Buffer.alloc(0);
     const joined = first.length >= bytes ? first : Buffer.concat(this.chunks);
--- a/packages/peer-transport/src/incoming-links.ts
+++ b/packages/peer-transport/src/incoming-links.ts
@@ -1,11 +1,11 @@
-/** Links that other controllers open to this one, on which it receives and sends nothing. */
+/** Links that other controllers open to this one. This controller receives on them and sends nothing. */
 import net from 'node:net';
 import { decodePeerMessage, type PeerMessage } from '@archpost/protocol';
 import { Subject } from 'rxjs';
 import { FrameReader, FrameTooLargeError } from './frames.js';
 import type { LinkProblem, Peer } from './peer.js';
 
-/** A link on which nothing comes is closed after this long. */
+/** A link is closed after this time without incoming data. */
 const IDLE_TIMEOUT_MS = 10_000;
 
 /** A message whose sender is not among the configured peers. */
@@ -20,7 +20,7 @@
 /** Owns the listening socket and the sockets that it accepted. */
 export class IncomingLinks {
   readonly message$ = new Subject<PeerMessage>();
-  /** Names of peers whose link was closed. */
+  /** Emits the name of a peer when its link was closed. */
   readonly disconnected$ = new Subject<string>();
   readonly unreadable$ = new Subject<LinkProblem>();
   private readonly sockets = new Set<net.Socket>();
@@ -28,7 +28,7 @@
 
   constructor(private readonly peers: readonly Peer[]) {}
 
-  /** Resolves once peers can connect; rejects if the address can not be used. */
+  /** Starts to listen. Resolves once peers can connect; rejects if the address cannot be used. */
   listen(host: string, port: number): Promise<void> {
     const server = net.createServer((socket) => this.accept(socket));
     this.server = server;
@@ -65,7 +65,7 @@
     });
   }
 
-  /** Emits a message and returns its sender. An unreadable one is dropped; the next one has its own frame. */
+  /** Emits a message and returns its sender. Drops only this message if it is unreadable: the next one has its own frame. */
   private receive(body: Buffer): string | null {
     let message: PeerMessage;
     try {
--- a/packages/peer-transport/src/outgoing-links.ts
+++ b/packages/peer-transport/src/outgoing-links.ts
@@ -1,18 +1,18 @@
-/** Links that this controller opens to the others, on which it sends and nothing is received. */
+/** Links that this controller opens to its peers. This controller sends on them and receives nothing. */
 import net from 'node:net';
 import { interval, type Subscription } from 'rxjs';
 import type { Peer } from './peer.js';
 
-/** A link that is down is opened again this often. */
+/** Interval of the attempts to reopen links that are down. */
 const RECONNECT_MS = 500;
 
-/** A connection that isn't established, or a link that is idle, for this long is closed. */
+/** A connection that isn't established within this time, or a link that is idle for this time, is closed. */
 const IDLE_TIMEOUT_MS = 3000;
 
-/** Backpressure: a link with more unsent bytes gets no message until they are sent. */
+/** Backpressure: a link with more unsent bytes than this gets no messages. */
 const MAX_BACKLOG_BYTES = 256 * 1024;
 
-/** Owns the sockets and the timer that opens them again. */
+/** Owns the sockets and the timer that reopens them. */
 export class OutgoingLinks {
   private readonly sockets = new Map<string, net.Socket>();
   private reconnectTimer: Subscription | null = null;
@@ -25,7 +25,7 @@
     this.reconnectTimer = interval(RECONNECT_MS).subscribe(() => this.openMissingLinks());
   }
 
-  /** The link to this peer; null if it is down, or so far behind that a message sent now would arrive out of date. */
+  /** Returns the link to a peer; null if it is down, or if its backlog is so large that a message would arrive outdated. */
   findReadyLink(peer: string): net.Socket | null {
     const socket = this.sockets.get(peer);
     return socket && !socket.connecting && socket.writableLength <= MAX_BACKLOG_BYTES ? socket : null;
--- a/packages/peer-transport/src/peer-transport.ts
+++ b/packages/peer-transport/src/peer-transport.ts
@@ -1,4 +1,4 @@
-/** The exchange of messages with the other controllers. */
+/** The exchange of messages with peers, which are the other controllers. */
 import { encodePeerMessage, type PeerMessage } from '@archpost/protocol';
 import { type Observable, Subject } from 'rxjs';
 import { encodeFrame, MAX_FRAME_BYTES } from './frames.js';
@@ -7,22 +7,23 @@
 import type { LinkProblem, Peer } from './peer.js';
 
 /**
- * Each controller opens a link to every other and only sends on it; it receives on the links that the others open.
- * Messages are sent once and may be lost: a later one contains the same or something newer.
+ * Sends messages to peers and receives theirs. Each controller opens a link to every peer and only sends on it; it receives on
+ * the links that its peers open. Messages are sent once and may be lost: a later one contains the same or newer information.
  */
 export class PeerTransport {
   readonly message$: Observable<PeerMessage>;
-  /** Names of peers whose link to this controller was closed. */
+  /** Emits the name of a peer when its link to this controller was closed. */
   readonly disconnected$: Observable<string>;
-  /** Messages that were received and can not be read. */
+  /** Emits for each received message that is unreadable or has an unknown sender. */
   readonly unreadable$: Observable<LinkProblem>;
-  /** Messages that were not sent since they are larger than a frame may be; emitted once for each peer. */
+  /** Emits when a message was not sent because it exceeds MAX_FRAME_BYTES; only once for each peer. */
   readonly unsent$ = new Subject<LinkProblem>();
   private readonly incoming: IncomingLinks;
   private readonly outgoing: OutgoingLinks;
+  /** peers for which `unsent$` has emitted */
   private readonly reportedTooLarge = new Set<string>();
 
-  /** `peers`: all other controllers; messages of anybody else are dropped. */
+  /** `peers`: all other controllers. Messages from any other sender are dropped. */
   constructor(peers: readonly Peer[]) {
     this.incoming = new IncomingLinks(peers);
     this.outgoing = new OutgoingLinks(peers);
@@ -31,17 +32,17 @@
     this.unreadable$ = this.incoming.unreadable$;
   }
 
-  /** Resolves once peers can connect; rejects if the address can not be used. */
+  /** Starts to listen. Resolves once peers can connect; rejects if the address cannot be used. */
   listen(host: string, port: number): Promise<void> {
     return this.incoming.listen(host, port);
   }
 
-  /** Opens links to all peers, and opens them again when they are closed. */
+  /** Opens links to all peers, and reopens them when they are closed. */
   start(): void {
     this.outgoing.start();
   }
 
-  /** Sends to one peer, if its link is up and not behind. */
+  /** Sends a message to a peer. Drops the message if the peer's link is down or has too large a backlog. */
   send(message: PeerMessage, to: string): void {
     const link = this.outgoing.findReadyLink(to);
     if (!link) return;
--- a/packages/peer-transport/src/peer.ts
+++ b/packages/peer-transport/src/peer.ts
@@ -1,4 +1,4 @@
-/** Types that incoming and outgoing links have in common. */
+/** Types that incoming and outgoing links share. */
 
 /** Another controller. */
 export interface Peer {
@@ -7,9 +7,9 @@
   address: string;
 }
 
-/** A message that was dropped, and from whom it came or to whom it was to go. Operators see it in the log. */
+/** Why a message was dropped, and the peer that sent it or was to receive it. Logged for operators. */
 export interface LinkProblem {
-  /** name of the peer, or its address or `unknown` if its name is not known */
+  /** name of the peer; if the name isn't known, its address or `unknown` */
   peer: string;
   error: string;
 }
--- a/packages/protocol/src/body-limits.ts
+++ b/packages/protocol/src/body-limits.ts
@@ -1,10 +1,10 @@
-/** Size limits of bodies, counted in the form of JSON although bodies are sent as MessagePack. */
+/** Size limits of bodies, measured as JSON although bodies are sent as MessagePack. */
 
-/** Largest request body, and largest response to workers and users, in bytes. */
+/** Maximum size of a request body and of a response to a worker or user, in bytes. */
 export const MAX_BODY_BYTES = 64 * 1024;
 
-/** An upper bound of the bytes of one encoded command. */
+/** Upper bound of the size of one encoded command, in bytes. */
 const MAX_COMMAND_BYTES = 160;
 
-/** Commands that fit one body whatever they are. */
+/** Number of commands that fit in one body regardless of their content. */
 export const MAX_COMMANDS_PER_BODY = Math.floor(MAX_BODY_BYTES / MAX_COMMAND_BYTES);
--- a/packages/protocol/src/cloud/machine-list.ts
+++ b/packages/protocol/src/cloud/machine-list.ts
@@ -1,25 +1,25 @@
-/** The cloud's list of machines, which is read in pages and lags behind what the cloud does. */
+/** The cloud's list of machines. It is read in pages and lags behind the actual state of the cloud. */
 import * as z from 'zod';
 import type { MessagePackMap } from '../message-pack.js';
 import { PATHS } from '../paths.js';
 
-/** Most machines that the cloud lists in one response. */
+/** Maximum number of machines in one page of the list. */
 export const MAX_MACHINES_PER_PAGE = 500;
 
 /** A machine as the cloud lists it. */
 export interface ListedMachine {
   machine: string;
-  /** address of its worker; empty if it is not known */
+  /** address of its worker; empty if the cloud does not report one */
   address: string;
   type: string;
   zone: string;
   spot: boolean;
   state: 'booting' | 'running' | 'failed';
-  /** seconds since it was requested, at the time that the list describes */
+  /** seconds since the machine was requested, at the time that the list reflects */
   ageS: number;
 }
 
-/** One page of the list, in the order of the machines' names. */
+/** One page of the list, sorted by machine name. */
 export interface MachinePage {
   machines: ListedMachine[];
   /** whether further pages follow */
@@ -41,13 +41,13 @@
   has_next: z.boolean().nullish(),
 });
 
-/** Path and query of the page that begins after this machine; an empty name requests the first page. */
+/** Returns the path and query of the page that follows the machine `after`. An empty `after` requests the first page. */
 export function machineListPath(after: string): string {
   const start = after === '' ? '' : `since=${after}&`;
   return `${PATHS.machines}?${start}most=${MAX_MACHINES_PER_PAGE}`;
 }
 
-/** The page; null if a field is missing or invalid. */
+/** Parses a page. Returns null if a field is missing or invalid. */
 export function parseMachineList(body: MessagePackMap): MachinePage | null {
   const parsed = machineListOnWire.safeParse(body);
   if (!parsed.success) return null;
--- a/packages/protocol/src/cloud/machine-types.ts
+++ b/packages/protocol/src/cloud/machine-types.ts
@@ -13,11 +13,11 @@
   cacheGb: number;
   /** nominal rate at which a machine fetches images, in GB per second */
   fetchGbPerS: number;
-  /** of an ordinary machine, per hour */
+  /** price of an on-demand machine per hour */
   price: number;
-  /** of a spot machine, per hour, at the time of the request */
+  /** price of a spot machine per hour, at the time of the request */
   spotPrice: number;
-  /** usual boot time in seconds; single machines take several times as long */
+  /** typical boot time in seconds; individual machines take several times as long */
   bootS: number;
   /** zones in which machines of this type are offered */
   zones: string[];
@@ -43,7 +43,7 @@
   ),
 });
 
-/** The types; null if a field is missing or invalid. Optional fields that are missing get their defaults. */
+/** Parses the machine types. Returns null if a field is missing or invalid. Missing optional fields get their defaults. */
 export function parseMachineTypes(body: MessagePackMap): MachineType[] | null {
   const parsed = machineTypesOnWire.safeParse(body);
   if (!parsed.success) return null;
--- a/packages/protocol/src/cloud/provisioning.ts
+++ b/packages/protocol/src/cloud/provisioning.ts
@@ -1,18 +1,18 @@
-/** Requests by which the cloud's machines are provisioned and released. */
+/** Requests to the cloud that provision and release machines. */
 import * as z from 'zod';
 import type { MessagePackMap } from '../message-pack.js';
 
-/** Most machines that the cloud provisions for one request. */
+/** Maximum number of machines that the cloud provisions for one request. */
 export const MAX_MACHINES_PER_PROVISIONING = 50;
 
-/** Most machines that the cloud releases for one request. */
+/** Maximum number of machines that the cloud releases for one request. */
 export const MAX_MACHINES_PER_RELEASE = 100;
 
 /** A request for machines of one type in one zone. */
 export interface ProvisioningRequest {
   /**
-   * Makes the request idempotent: if it was fulfilled and is repeated, the cloud returns the same machines. It must not
-   * be used for any other request, by any controller.
+   * Makes the request idempotent: if a fulfilled request is repeated, the cloud returns the same machines. No other request
+   * of any controller may use the same id.
    */
   requestId: string;
   machineType: string;
@@ -36,10 +36,10 @@
 
 const provisionedMachinesOnWire = z.object({ hosts: z.array(z.string()) });
 
-/** The error of a 503 that says that nothing is available; any other 503 is an outage. */
+/** The error of a 503 response if the cloud has no capacity. A 503 response with any other error is an outage. */
 const NO_CAPACITY_ON_WIRE = 'no capacity';
 
-/** The request as the cloud expects it. */
+/** Converts a provisioning request to its wire format. */
 export function encodeProvisioningRequest(request: ProvisioningRequest): ProvisioningRequestOnWire {
   return {
     booking: request.requestId,
@@ -50,18 +50,18 @@
   };
 }
 
-/** The names of the machines that were provisioned; null if they can not be read. */
+/** Parses the names of the provisioned machines. Returns null if the body is invalid. */
 export function parseProvisionedMachines(body: MessagePackMap): string[] | null {
   const parsed = provisionedMachinesOnWire.safeParse(body);
   return parsed.success ? parsed.data.hosts : null;
 }
 
-/** Whether a 503 says that the cloud has no machine of this type, zone and kind. */
+/** Whether a 503 response means that the cloud has no machine of the requested type, zone and kind (spot or on-demand). */
 export function isOutOfCapacity(body: MessagePackMap | null): boolean {
   return body?.error === NO_CAPACITY_ON_WIRE;
 }
 
-/** At most MAX_MACHINES_PER_RELEASE machines; names that the cloud does not know are ignored by it. */
+/** Encodes the release of at most MAX_MACHINES_PER_RELEASE machines. The cloud ignores names that it does not know. */
 export function encodeReleaseRequest(machines: string[]): ReleaseRequestOnWire {
   return { hosts: machines };
 }
--- a/packages/protocol/src/index.ts
+++ b/packages/protocol/src/index.ts
@@ -1,7 +1,7 @@
 /**
- * The formats of every interface: of users, workers, the cloud, the state service and the other controllers. Each module
- * holds the schema of what is sent, named after the wire, a model in the terms of the field, and the mapping between
- * them. The names on the wire occur nowhere else.
+ * The message formats of all interfaces: with users, workers, the cloud, the state service and other controllers. Each module
+ * holds a schema with the field names used on the wire, a model with descriptive names, and the mapping between the two. The
+ * field names of the wire are used nowhere else.
  */
 export * from './body-limits.js';
 export * from './cloud/machine-list.js';
--- a/packages/protocol/src/jobs/job-status.ts
+++ b/packages/protocol/src/jobs/job-status.ts
@@ -1,13 +1,13 @@
 /** The state of a job in responses to its user. */
 
-/** Queued: no task runs. Done and cancelled are final. */
+/** `queued`: no task is running. `done` and `cancelled` are final. */
 export type JobState = 'queued' | 'running' | 'done' | 'cancelled';
 
-/** Counts of tasks, for display. */
+/** Counts of a job's tasks, for display to its user. */
 export interface TaskCounts {
   done: number;
   running: number;
-  /** tasks that failed; only given for a job that fails on every machine */
+  /** number of task failures; set only if the job is crash-looping, that is, its tasks fail on every machine */
   failed?: number;
 }
 
@@ -28,8 +28,8 @@
 }
 
 /**
- * The response to a submission, a cancellation (both without counts) or a status query. For a job that fails on every
- * machine it has two fields that the protocol does not know of, which other clients ignore.
+ * Encodes the response to a submission or cancellation (both without counts) or to a status query. For a crash-looping job it
+ * has two fields that are not part of the protocol, `failed` and `note`. Clients that do not know them ignore them.
  */
 export function encodeJobStatus(id: string, state: JobState, counts?: TaskCounts): JobStatusOnWire {
   const response = { ref: id, status: JOB_STATE_TO_WIRE[state] };
--- a/packages/protocol/src/jobs/submission.ts
+++ b/packages/protocol/src/jobs/submission.ts
@@ -5,7 +5,7 @@
 
 const SHAPE_FROM_WIRE = { sweep: 'array', gang: 'gang', standing: 'service' } as const satisfies Record<string, Shape>;
 
-/** Larger is more urgent. */
+/** A higher value is a higher priority. */
 const PRIORITY_FROM_WIRE = { critical: 3, urgent: 2, standard: 1, best_effort: 0 } as const;
 
 const MAX_NAME_LENGTH = 120;
@@ -16,7 +16,7 @@
 const nameOnWire = z.string().min(1).max(MAX_NAME_LENGTH);
 const amountOnWire = z.number().min(0).max(MAX_AMOUNT);
 
-/** Job ids have this form, so that they can be used in keys and paths without escaping. */
+/** The form of job ids. It allows their use in keys and paths without escaping. */
 export const JOB_ID_PATTERN = /^run-[A-Za-z0-9_.-]{1,64}$/;
 
 const submissionOnWire = z.object({
@@ -43,19 +43,19 @@
   awaits: z.array(z.string().regex(JOB_ID_PATTERN)).nullish(),
 });
 
-/** A job, and the jobs that have to be done before it, each named once. */
+/** A job, and the ids of the jobs that it depends on, without duplicates. */
 export interface Submission {
   spec: JobSpec;
   awaits: string[];
 }
 
-/** A submission that is refused for good. */
+/** A submission that is rejected permanently: a retry would fail as well. */
 export interface InvalidSubmission {
-  /** path of the first field at fault by its name on the wire, such as `awaits.1`; `body` if there is none */
+  /** path of the first invalid field in the names of the wire, such as `awaits.1`; `body` if no field is at fault */
   field: string;
 }
 
-/** The submission, or its first field that is missing or invalid. */
+/** Parses a submission. If a field is missing or invalid, returns the first such field instead. */
 export function parseSubmission(body: MessagePackMap): Submission | InvalidSubmission {
   const parsed = submissionOnWire.safeParse(body);
   if (!parsed.success) return { field: parsed.error.issues[0]?.path.join('.') || 'body' };
--- a/packages/protocol/src/paths.ts
+++ b/packages/protocol/src/paths.ts
@@ -1,4 +1,4 @@
-/** Paths of the HTTP interfaces: of the controllers, the workers, the cloud and the state service. */
+/** Paths of the HTTP interfaces of controllers, workers, the cloud and the state service. */
 export const PATHS = {
   // Controllers, called by users and workers.
   jobs: '/v2/runs',
--- a/packages/protocol/src/peer/forwarded-heartbeat.ts
+++ b/packages/protocol/src/peer/forwarded-heartbeat.ts
@@ -1,8 +1,8 @@
-/** A worker's heartbeat, forwarded to the controller that holds the shard of its machine. */
+/** A worker's heartbeat, as a controller forwards it to the lease holder of the machine's shard. */
 import type { Heartbeat, TaskStatus } from '../worker/heartbeat.js';
 import type { ProtobufFields } from './protobuf-fields.js';
 
-/** Protobuf has no null: these mean a machine without a notice, and a task that has not exited. */
+/** Protobuf has no null: these values stand for no preemption notice, and for a task that has not exited. */
 const NO_PREEMPTION_NOTICE_S = -1;
 const NO_EXIT_REASON = '';
 
@@ -36,7 +36,7 @@
   tasks: (Omit<TaskStatus, 'exitReason'> & { exitReason: string })[];
 };
 
-/** A copy of the heartbeat that protobuf can encode. */
+/** Returns a copy of the heartbeat that protobuf can encode. */
 export function withoutNulls(heartbeat: Heartbeat): HeartbeatWithoutNulls {
   return {
     ...heartbeat,
@@ -45,7 +45,7 @@
   };
 }
 
-/** Restores the nulls of a decoded heartbeat, in place: a large one is not copied. */
+/** Restores the nulls of a decoded heartbeat. Modifies it in place, to avoid copying large heartbeats. */
 export function restoreNulls(heartbeat: Heartbeat): void {
   if ((heartbeat.preemptionNoticeS ?? NO_PREEMPTION_NOTICE_S) < 0) heartbeat.preemptionNoticeS = null;
   for (const task of heartbeat.tasks) if (!task.exitReason) task.exitReason = null;
--- a/packages/protocol/src/peer/peer-message.ts
+++ b/packages/protocol/src/peer/peer-message.ts
@@ -1,4 +1,4 @@
-/** The message that controllers exchange, in protobuf. */
+/** The protobuf message that controllers exchange. */
 import protobuf from 'protobufjs/light.js';
 import type { Heartbeat } from '../worker/heartbeat.js';
 import { heartbeatFields, restoreNulls, taskStatusFields, withoutNulls } from './forwarded-heartbeat.js';
@@ -12,9 +12,9 @@
 import type { ProtobufFields } from './protobuf-fields.js';
 import { machineSummaryFields, resourceDemandFields, shardSummaryFields } from './shard-summary.js';
 
-/** A controller's own status, or a heartbeat that it forwards. */
+/** The sender's own status, or a heartbeat that it forwards. */
 export interface PeerMessage {
-  /** name of the controller that sends it */
+  /** name of the sending controller */
   node: string;
   status: PeerStatus | null;
   heartbeat: Heartbeat | null;
@@ -42,10 +42,10 @@
 });
 const Message = root.lookupType('Message');
 
-/** Each field gets its value or its default, each list is an array, and 64-bit integers are numbers. */
+/** Missing fields get their defaults, missing repeated fields empty arrays, and 64-bit integers are converted to numbers. */
 const CONVERSION_OPTIONS = { defaults: true, arrays: true, longs: Number };
 
-/** The bytes of a message. Values of the wrong type are not refused here; callers pass typed messages. */
+/** Encodes a message. Does not check the types of its values, because callers pass typed messages. */
 export function encodePeerMessage(message: PeerMessage): Uint8Array {
   const { node, status, heartbeat } = message;
   return Message.encode({
@@ -55,9 +55,9 @@
   }).finish();
 }
 
-/** Throws on bytes that are no message. Unknown fields are ignored. */
+/** Decodes a message. Throws if the bytes are malformed. Ignores unknown fields. */
 export function decodePeerMessage(bytes: Uint8Array): PeerMessage {
-  // The tables are checked against the model types, so what they decode to has these types.
+  // The compiler checks the field tables against the model types, so a decoded message has the type PeerMessage.
   const message = Message.toObject(Message.decode(bytes), CONVERSION_OPTIONS) as PeerMessage;
   if (message.heartbeat) restoreNulls(message.heartbeat);
   return message;
--- a/packages/protocol/src/peer/peer-status.ts
+++ b/packages/protocol/src/peer/peer-status.ts
@@ -1,14 +1,14 @@
-/** The status that each controller sends to every other one, more than once a second. */
+/** The status that each controller sends to every other controller, more than once a second. */
 import type { ProtobufFields } from './protobuf-fields.js';
 import type { ShardSummary } from './shard-summary.js';
 
 /** Counts of a job's tasks, for display to its user. */
 export interface RunningJob {
   job: string;
-  /** running tasks; 0: none runs any more */
+  /** number of running tasks; 0: none is running any longer */
   count: number;
   done: number;
-  /** failed tasks of a job that fails on every machine */
+  /** number of task failures of a crash-looping job; 0 for other jobs */
   failed: number;
 }
 
@@ -20,10 +20,10 @@
   failed: { type: 'uint32', id: 4 },
 } satisfies ProtobufFields<RunningJob>;
 
-/** A machine that is assigned to no shard, and whose worker sent a heartbeat to the sender of the status. */
+/** A machine that is assigned to no shard and whose worker sent a heartbeat to the sender of the status. */
 export interface UnassignedMachine {
   machine: string;
-  /** where its worker takes commands */
+  /** address at which its worker accepts commands */
   address: string;
   type: string;
   zone: string;
@@ -39,13 +39,13 @@
   spot: { type: 'bool', id: 5 },
 } satisfies ProtobufFields<UnassignedMachine>;
 
-/** Replaces heartbeats that are not forwarded, since they do not differ from the last one that was. */
+/** Sent instead of heartbeats that do not differ from the last forwarded heartbeat. */
 export interface UnchangedHeartbeat {
   machine: string;
   agentEpoch: number;
-  /** of the newest heartbeat that did not differ */
+  /** sequence of the newest heartbeat that did not differ */
   sequence: number;
-  /** of the heartbeat that was forwarded */
+  /** sequence of the last forwarded heartbeat */
   forwardedSequence: number;
 }
 
@@ -57,39 +57,39 @@
   forwardedSequence: { type: 'uint64', id: 4 },
 } satisfies ProtobufFields<UnchangedHeartbeat>;
 
-/** A controller's status, made for one of the others: lists that this one does not need are empty. */
+/** A controller's status, assembled for one receiver: lists that the receiver does not need are empty. */
 export interface PeerStatus {
-  /** name of the controller */
+  /** name of the sending controller */
   node: string;
-  /** the shards whose leases it holds; only the leader needs them */
+  /** shards whose leases the sender holds; needed only by the leader */
   shards: ShardSummary[];
   runningJobs: RunningJob[];
-  /** `runningJobs` names all jobs with running tasks, and not only those whose counts changed since the last status */
+  /** whether `runningJobs` contains all jobs with running tasks, not only those whose counts changed since the last status */
   runningJobsComplete: boolean;
-  /** only the leader needs them */
+  /** needed only by the leader */
   unassignedMachines: UnassignedMachine[];
-  /** of machines in shards of the receiver, whose workers sent heartbeats to this controller in the last seconds */
+  /** of machines in the receiver's shards whose workers sent heartbeats to the sender in the last seconds */
   unchangedHeartbeats: UnchangedHeartbeat[];
-  /** from the leader only: types of which the cloud still has ordinary machines */
+  /** from the leader only: machine types of which the cloud still has on-demand machines */
   availableTypes: string[];
   isLeader: boolean;
-  /** its lease at the state service is valid, so that it may answer workers */
+  /** whether the sender's lease at the state service is valid, so that it may answer workers */
   mayAnswerWorkers: boolean;
-  /** it can connect to workers */
+  /** whether the sender can connect to workers */
   reachesWorkers: boolean;
-  /** changes of the state service's keys that it would make a second if it could */
+  /** writes per second that the sender would make at the state service if they were not limited */
   wantedWritesPerS: number;
-  /** the state service responds to it */
+  /** whether the state service responds to the sender */
   stateServiceAnswers: boolean;
-  /** number of workers whose heartbeats it answered in the last seconds */
+  /** number of workers whose heartbeats the sender answered in the last seconds */
   heardWorkers: number;
-  /** since it started it has read all keys of the state service once */
+  /** whether the sender has read all keys of the state service since it started */
   replicaLoaded: boolean;
-  /** revision of the newest cancellation that it knows of: it has confirmed no newer one to a user */
+  /** revision of the newest cancellation known to the sender, which has confirmed no newer one to a user */
   cancellationRevision: number;
-  /** identifies this status; its receiver returns it as `echo` */
+  /** identifies this status; the receiver returns it as `echo` */
   ping: string;
-  /** the last ping that came from the receiver before anything else in this status was determined; empty: none */
+  /** last ping that arrived from the receiver before the sender determined any other field of this status; empty: none */
   echo: string;
 }
 
@@ -102,7 +102,7 @@
   unchangedHeartbeats: { rule: 'repeated', type: 'UnchangedHeartbeat', id: 5 },
   availableTypes: { rule: 'repeated', type: 'string', id: 6 },
   isLeader: { type: 'bool', id: 7 },
-  // 8 is not in use.
+  // Field number 8 is unused.
   mayAnswerWorkers: { type: 'bool', id: 9 },
   reachesWorkers: { type: 'bool', id: 10 },
   stateServiceAnswers: { type: 'bool', id: 11 },
--- a/packages/protocol/src/peer/protobuf-fields.ts
+++ b/packages/protocol/src/peer/protobuf-fields.ts
@@ -1,12 +1,12 @@
 /**
  * Types for the tables of protobuf fields of messages between controllers. A table that `satisfies` ProtobufFields has
- * each field of its model type, no other, and a kind that can carry it.
+ * exactly the fields of its model type, each with a protobuf type that can represent its values.
  *
- * Field numbers are the format: controllers of different versions exchange messages. A number is never changed or used
- * again; a new field gets a new number, and receivers that do not know it ignore it.
+ * Field numbers define the wire format, because controllers of different versions exchange messages. Never change or reuse a
+ * number. A new field gets a new number; receivers that do not know the number ignore the field.
  */
 
-/** Names of nested messages begin with a capital letter, those of protobuf's own kinds do not. */
+/** The name of a nested message. It begins with a capital letter, unlike the names of protobuf's scalar types. */
 type MessageName = Capitalize<string>;
 
 type ProtobufTypeOf<Value> = [Value] extends [boolean]
@@ -21,5 +21,5 @@
   ? { rule: 'repeated'; type: ProtobufTypeOf<Element>; id: number }
   : { type: ProtobufTypeOf<Value>; id: number };
 
-/** The table of fields of a message that carries this model type. Protobuf has no null: the model's codec maps it. */
+/** The field table of the message for a model type. Protobuf has no null: the model's codec replaces it. */
 export type ProtobufFields<Model> = { [Field in keyof Model]: ProtobufFieldOf<NonNullable<Model[Field]>> };
--- a/packages/protocol/src/peer/shard-summary.ts
+++ b/packages/protocol/src/peer/shard-summary.ts
@@ -1,20 +1,20 @@
-/** Summary of a shard that its lease holder sends to the leader: its machines, and the tasks that don't fit on them. */
+/** Summary of a shard that its lease holder sends to the leader: the shard's machines, and the tasks that don't fit on them. */
 import type { ProtobufFields } from './protobuf-fields.js';
 
-/** A machine of a shard. */
+/** The free resources and the load of a machine of a shard. */
 export interface MachineSummary {
   name: string;
   freeCpus: number;
   freeGpus: number;
   /** in GB */
   freeMemory: number;
-  /** tasks on it, or allocated to it */
+  /** number of tasks on the machine or allocated to it */
   tasks: number;
-  /** highest priority of tasks on it that may not be stopped for others; -1: there are none */
+  /** priority that a task must exceed to preempt all tasks on the machine; -1: no task is protected */
   protectedPriority: number;
-  /** seconds since its last task ended */
+  /** seconds since the last task on the machine ended; 0 while the machine has tasks */
   idleS: number;
-  /** tasks of services on it, which would be stopped if it were moved to another shard */
+  /** number of service tasks on the machine, which would be stopped if it moved to another shard */
   services: number;
 }
 
@@ -30,9 +30,9 @@
   services: { type: 'uint32', id: 8 },
 } satisfies ProtobufFields<MachineSummary>;
 
-/** Pending tasks of one kind, which wait for free resources. */
+/** Pending tasks with equal requirements that wait for free resources. */
 export interface ResourceDemand {
-  /** what each task takes of its machine */
+  /** resources that each task requires: CPUs, GPUs and memory */
   cpus: number;
   gpus: number;
   /** in GB */
@@ -41,20 +41,20 @@
   types: string[];
   /** the only allowed zone; empty: any */
   zone: string;
-  /** spot machines are allowed */
+  /** whether the tasks may run on spot machines */
   spot: boolean;
   priority: number;
-  /** the team's quota covers it */
+  /** whether the team's quota covers the tasks */
   withinQuota: boolean;
   /** number of tasks */
   count: number;
-  /** they have to run at the same time */
+  /** whether the tasks have to run at the same time */
   gang: boolean;
-  /** seconds for which it has waited */
+  /** seconds for which the tasks have waited */
   waitS: number;
-  /** seconds until it should start by the objectives of its class; negative: it is late */
+  /** seconds until the tasks should start by the objectives of their job class; negative: overdue */
   slackS: number;
-  /** zones that are ruled out by where other tasks of the job are */
+  /** zones that are excluded by the placement of the job's other tasks */
   excludedZones: string[];
 }
 
@@ -75,7 +75,7 @@
   excludedZones: { rule: 'repeated', type: 'string', id: 13 },
 } satisfies ProtobufFields<ResourceDemand>;
 
-/** A shard: a part of the teams, and the machines that are assigned to it. */
+/** The machines and unmet demands of a shard, which is a subset of the teams with the machines assigned to it. */
 export interface ShardSummary {
   shard: number;
   machines: MachineSummary[];
--- a/packages/protocol/src/state/compare-and-swap.ts
+++ b/packages/protocol/src/state/compare-and-swap.ts
@@ -1,29 +1,29 @@
-/** Transactions of the state service: changes that are made together, or not at all if a condition does not hold. */
+/** Transactions of the state service: all writes are applied atomically, or none if a condition does not hold. */
 import type { MessagePackMap } from '../message-pack.js';
 
-/** The key must have been changed last at this revision; 0: it must not exist. */
+/** Requires that the key was last changed at this revision; 0: that the key does not exist. */
 export interface RevisionCondition {
   key: string;
   revision: number;
 }
 
-/** Sets a key, attached to a lease or (without one) detached from any, or removes it. */
+/** Sets a key, attached to `lease` or, without `lease`, detached from any lease; or removes a key. */
 export type KeyWrite = { put: string; value: unknown; lease?: number } | { del: string };
 
-/** The result of a transaction. */
+/** The outcome of a transaction. */
 export type CompareAndSwapOutcome =
   | { kind: 'ok'; revision: number }
-  /** not carried out: its conditions on these keys did not hold */
+  /** not applied: the conditions on these keys did not hold */
   | { kind: 'failed'; keys: string[] }
-  /** not carried out: the service is unavailable to this controller, or was not reached */
+  /** not applied: the service is unavailable to this controller, or could not be reached */
   | { kind: 'refused' }
-  /** not carried out: more requests or changes than the service takes */
+  /** not applied: the rate of requests or writes exceeds the limit of the service */
   | { kind: 'limited' }
-  /** not carried out: the lease that it names has ended */
+  /** not applied: the lease of a write has ended */
   | { kind: 'noLease' }
-  /** not carried out, and never will be as it is: it is too large, for example */
+  /** not applied, and a retry would fail as well: the transaction is too large, for example */
   | { kind: 'invalid' }
-  /** no response: it may have been carried out, or may be carried out later */
+  /** no usable response: the transaction may have been applied, or may still be applied */
   | { kind: 'unknown' };
 
 interface ConditionOnWire {
@@ -38,10 +38,10 @@
   writes: WriteOnWire[];
 }
 
-/** The error of a 400 to a transaction whose lease has ended. */
+/** The error of a 400 response to a transaction whose lease has ended. */
 const LEASE_NOT_FOUND_ON_WIRE = 'no such lease';
 
-/** Without writes, a transaction only checks its conditions. */
+/** Encodes a transaction. Without writes, it only checks its conditions. */
 export function encodeCompareAndSwap(conditions: RevisionCondition[], writes: KeyWrite[]): CompareAndSwapOnWire {
   return { guards: conditions.map(encodeCondition), writes: writes.map(encodeWrite) };
 }
@@ -56,17 +56,17 @@
   return { write: write.put, v: write.value, permit: write.lease };
 }
 
-/** Whether a 400 says that the lease has ended; any other says that the transaction is invalid. */
+/** Whether a 400 response means that the lease has ended. Any other 400 response means that the transaction is invalid. */
 export function isLeaseNotFound(body: MessagePackMap): boolean {
   return body.error === LEASE_NOT_FOUND_ON_WIRE;
 }
 
-/** The revision that a transaction made; null if it can not be read. */
+/** Parses the revision of an applied transaction. Returns null if it is missing or invalid. */
 export function parseRevision(body: MessagePackMap): number | null {
   return typeof body.ledger === 'number' ? body.ledger : null;
 }
 
-/** The keys whose conditions did not hold. */
+/** Parses the keys whose conditions did not hold. */
 export function parseFailedKeys(body: MessagePackMap): string[] {
   return Array.isArray(body.failed) ? body.failed.filter((key): key is string => typeof key === 'string') : [];
 }
--- a/packages/protocol/src/state/key-reads.ts
+++ b/packages/protocol/src/state/key-reads.ts
@@ -1,4 +1,4 @@
-/** Reads of the state service's keys: all of them in pages, and the changes that follow a revision. */
+/** Reads of the state service's keys: all keys in pages, and the changes after a revision. */
 import * as z from 'zod';
 import type { MessagePackMap } from '../message-pack.js';
 import { PATHS } from '../paths.js';
@@ -20,12 +20,12 @@
   revision: number;
 }
 
-/** A page of keys in their order. */
+/** A page of keys, sorted by key. */
 export interface KeyPage {
   rows: StoredKey[];
   /** whether further pages follow */
   hasMore: boolean;
-  /** revision of the service when it read this page: pages may be of different revisions */
+  /** revision of the service when it read this page; pages may have different revisions */
   revision: number;
 }
 
@@ -49,21 +49,21 @@
   ),
 });
 
-/** Path and query of a page of the keys with this prefix, from the key after `after`; an empty one requests the first page. */
+/** Returns the path and query of the page of keys with this prefix that follow `after`; empty `after`: the first page. */
 export function keyPagePath(prefix: string, after: string, limit: number): string {
   const start = after === '' ? '' : `&since=${after}`;
   return `${PATHS.keys}?starts=${prefix}${start}&most=${limit}`;
 }
 
 /**
- * Path and query of the changes of keys with this prefix. The service responds at once if there are any, and
- * otherwise once there is one or this many milliseconds are over.
+ * Returns the path and query of the changes after a revision of keys with this prefix. The service responds immediately if
+ * there are any, and otherwise as soon as there is one or `waitMs` has passed.
  */
 export function changesPath(prefix: string, sinceRevision: number, waitMs: number): string {
   return `${PATHS.changes}?starts=${prefix}&since=${sinceRevision}&wait_ms=${waitMs}`;
 }
 
-/** The page; null if a field is missing or invalid. */
+/** Parses a page. Returns null if a field is missing or invalid. */
 export function parseKeyPage(body: MessagePackMap): KeyPage | null {
   const parsed = keyPageOnWire.safeParse(body);
   if (!parsed.success) return null;
@@ -74,7 +74,7 @@
   };
 }
 
-/** The changes; null if a field is missing or invalid. */
+/** Parses the changes. Returns null if a field is missing or invalid. */
 export function parseChanges(body: MessagePackMap): ChangePage | null {
   const parsed = changesOnWire.safeParse(body);
   if (!parsed.success) return null;
--- a/packages/protocol/src/state/lease.ts
+++ b/packages/protocol/src/state/lease.ts
@@ -1,4 +1,4 @@
-/** Leases of the state service, to which keys are attached: when a lease ends, its keys are removed. */
+/** Leases of the state service. When a lease ends, the keys attached to it are removed. */
 import type { MessagePackMap } from '../message-pack.js';
 import { PATHS } from '../paths.js';
 
@@ -6,17 +6,17 @@
   ttl_ms: number;
 }
 
-/** Path of a request that renews this lease. */
+/** Returns the path of a request that renews the lease. */
 export function leaseRenewalPath(leaseId: number): string {
   return `${PATHS.leases}/${leaseId}/extend`;
 }
 
-/** A request for a new lease that ends unless it is renewed within this many milliseconds. */
+/** Encodes a request for a new lease, which ends unless it is renewed within `ttlMs`. */
 export function encodeLeaseRequest(ttlMs: number): LeaseRequestOnWire {
   return { ttl_ms: ttlMs };
 }
 
-/** The id of a new lease; null if there is none. */
+/** Parses the id of a new lease. Returns null if it is missing or invalid. */
 export function parseLeaseId(body: MessagePackMap): number | null {
   return typeof body.permit === 'number' ? body.permit : null;
 }
--- a/packages/protocol/src/worker/commands.ts
+++ b/packages/protocol/src/worker/commands.ts
@@ -1,9 +1,9 @@
 /** Commands to workers, sent directly or in the response to a heartbeat, and redirects to other controllers. */
 
 /**
- * Start: run this attempt of a task. Stop: end it, after it has saved if the grace period is long enough. Forget:
- * leave an exited task out of heartbeats from now on. Workers carry commands out in order. Each may be repeated but
- * for a start after a forget, which would run the attempt again.
+ * `start`: run this attempt of a task. `stop`: end the attempt, after it has saved a checkpoint if the grace period is long
+ * enough. `forget`: omit an exited task from future heartbeats. Workers execute commands in order. Commands may be repeated,
+ * except for a `start` after a `forget`, which would run the attempt again.
  */
 export type Command =
   | { type: 'start'; job: string; index: number; attempt: number }
@@ -38,17 +38,17 @@
   return encoded;
 }
 
-/** The response that renews a worker's lease; the worker drops it if it has seen a higher fencing token. */
+/** Encodes the response that renews a worker's lease. The worker ignores it if it has seen a higher fencing token. */
 export function encodeHeartbeatResponse(fencingToken: number, commands: Command[]): HeartbeatResponseOnWire {
   return { baton: fencingToken, orders: commands.map(encodeCommand) };
 }
 
-/** Direct commands: the worker refuses them if it has seen a higher fencing token or is in another agent epoch. */
+/** Encodes direct commands. The worker rejects them if it has seen a higher fencing token or is in another agent epoch. */
 export function encodeCommandRequest(fencingToken: number, agentEpoch: number, commands: Command[]): CommandRequestOnWire {
   return { baton: fencingToken, shift: agentEpoch, orders: commands.map(encodeCommand) };
 }
 
-/** Sends a worker to the controller of this name; null: to the next one that it knows. */
+/** Encodes a redirect of a worker to the controller of this name; null: to the next controller that the worker knows. */
 export function encodeRedirect(controller: string | null): { home?: string } {
   return controller === null ? {} : { home: controller };
 }
--- a/packages/protocol/src/worker/heartbeat.ts
+++ b/packages/protocol/src/worker/heartbeat.ts
@@ -1,14 +1,14 @@
-/** Heartbeats of workers: a machine, its agent's epoch and all tasks on it. */
+/** Heartbeats of workers: the machine, its agent epoch and all tasks on the machine. */
 import * as z from 'zod';
 import type { MessagePackMap } from '../message-pack.js';
 
-/** Fetching: waits for its image. Waiting: a gang's task that waits for the others. Saving: was stopped and saves. */
+/** `fetching`: waits for its image. `waiting`: waits for the other tasks of its gang. `saving`: saves after it was stopped. */
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
 
 /**
- * Why a task exited. Stopped: by a command. Peers: another task of its gang is gone. Alone: its gang was not complete
- * in time. The last three are refused starts: no room on the machine, another attempt of the task is there, or no
- * such job.
+ * Why a task exited. `stopped`: by a command. `peers`: another task of its gang is gone. `alone`: its gang was not complete in
+ * time. The last three are rejected starts. `no_room`: the machine lacks free resources. `busy`: another attempt of the task is
+ * on the machine. `unknown`: the worker knows no such job.
  */
 export type ExitReason = 'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'no_room' | 'busy' | 'unknown';
 
@@ -18,33 +18,33 @@
   index: number;
   attempt: number;
   state: TaskState;
-  /** null until it exited */
+  /** null until the task has exited */
   exitReason: ExitReason | null;
-  /** it was stopped, and its progress is saved */
+  /** whether the task was stopped and its progress is saved */
   saved: boolean;
 }
 
-/** The status of a worker's machine, sent at regular intervals and when something changes. */
+/** The status of a worker's machine, sent at regular intervals and on changes. */
 export interface Heartbeat {
   machine: string;
-  /** where the worker takes commands */
+  /** address at which the worker accepts commands */
   address: string;
   type: string;
   zone: string;
   spot: boolean;
-  /** starts at 1 and increases each time the worker's lease expires and it drops all tasks */
+  /** starts at 1 and increases each time the worker's lease expires and the worker drops all tasks */
   agentEpoch: number;
-  /** increases with each message of the worker: the larger epoch, then the larger sequence, is the newer message */
+  /** increases with each message of the worker; a message is newer if its epoch, or in the same epoch its sequence, is higher */
   sequence: number;
-  /** highest token that the worker has seen; 0 at first */
+  /** highest fencing token that the worker has seen; initially 0 */
   fencingToken: number;
-  /** seconds until the cloud takes the machine away; null: no notice was given */
+  /** seconds until the cloud preempts the machine; null: there is no preemption notice */
   preemptionNoticeS: number | null;
-  /** all tasks on the machine, exited ones until they are forgotten */
+  /** all tasks on the machine; exited tasks until a `forget` command */
   tasks: TaskStatus[];
 }
 
-/** A count, version, token or attempt. */
+/** An attempt, epoch, sequence or fencing token. */
 const nonNegativeInteger = z.number().int().min(0);
 
 const TASK_STATE_FROM_WIRE: ReadonlyMap<string, TaskState> = new Map(
@@ -91,7 +91,7 @@
   pieces: z.array(taskStatusOnWire),
 });
 
-/** The heartbeat; null if a field is missing or invalid. */
+/** Parses a heartbeat. Returns null if a field is missing or invalid. */
 export function parseHeartbeat(body: MessagePackMap): Heartbeat | null {
   const parsed = heartbeatOnWire.safeParse(body);
   if (!parsed.success) return null;
@@ -116,7 +116,7 @@
     job: task.piece.slice(0, separator),
     index: Number(task.piece.slice(separator + 1)),
     attempt: task.try,
-    // A task in a state that is unknown here still occupies its machine.
+    // A task in an unknown state still occupies its machine, so it counts as running.
     state: TASK_STATE_FROM_WIRE.get(task.status) ?? 'running',
     exitReason: task.cause ? (EXIT_REASON_FROM_WIRE.get(task.cause) ?? 'error') : null,
     saved: task.saved ?? false,
--- a/packages/state-client/src/compare-and-swap.ts
+++ b/packages/state-client/src/compare-and-swap.ts
@@ -15,7 +15,7 @@
 
 const TIMEOUT_MS = 1500;
 
-/** Makes all changes if all conditions hold, and none otherwise. A call that fails is an outcome, not a rejection. */
+/** Applies all writes if all conditions hold, and none otherwise. A failed call is an outcome; the promise does not reject. */
 export async function compareAndSwap(
   connection: StateServiceConnection,
   conditions: RevisionCondition[],
--- a/packages/state-client/src/lease-renewer.ts
+++ b/packages/state-client/src/lease-renewer.ts
@@ -1,38 +1,38 @@
-/** The lease of this controller at the state service, to which it attaches its keys. */
+/** This controller's lease at the state service, to which it attaches its keys. */
 import { type CallOutcome, Delay, monotonicMs } from '@archpost/http-client';
 import { encodeLeaseRequest, leaseRenewalPath, PATHS, pack, parseLeaseId, unpackMap } from '@archpost/protocol';
 import { Subject } from 'rxjs';
 import type { StateServiceConnection } from './state-service-connection.js';
 
-/** The lease that the controller has now. */
+/** The current lease of the controller. */
 export interface LeaseState {
-  /** null: it has ended */
+  /** null: the lease has ended */
   leaseId: number | null;
-  /** in milliseconds of this machine's monotonic clock */
+  /** time until which the lease is valid, in milliseconds of this machine's monotonic clock */
   validUntil: number;
 }
 
 const CALL_TIMEOUT_MS = 2000;
 
-/** Wait after a request that failed. */
+/** Wait after a failed request. */
 const RETRY_MS = 400;
 
-/** Interval of renewals: this part of the lease's time, and no more than MAX_RENEWAL_MS. */
+/** Renewals per lease duration. The interval between renewals is at most MAX_RENEWAL_INTERVAL_MS. */
 const RENEWALS_PER_LEASE = 6;
 const MAX_RENEWAL_INTERVAL_MS = 2500;
 
-/** The lease counts as ended this much earlier than it may end. */
+/** The lease is considered ended this long before the service may end it. */
 const SAFETY_MARGIN_MS = 20;
 
-/** Requests a lease, renews it, and requests another one when it has ended. */
+/** Requests a lease, renews it, and requests a new one after it has ended. */
 export class LeaseRenewer {
-  /** Emits after each renewal, and when the lease has ended. */
+  /** Emits after the lease was granted or renewed, and when it has ended. */
   readonly lease$ = new Subject<LeaseState>();
   private readonly delay = new Delay();
   private readonly renewalIntervalMs: number;
   private leaseId: number | null = null;
 
-  /** `clockDrift`: part by which this machine's clock may run faster or slower than the service's. */
+  /** `clockDrift`: maximum fraction by which this machine's clock may run faster or slower than the service's. */
   constructor(
     private readonly connection: StateServiceConnection,
     private readonly ttlMs: number,
@@ -41,12 +41,12 @@
     this.renewalIntervalMs = Math.min(ttlMs / RENEWALS_PER_LEASE, MAX_RENEWAL_INTERVAL_MS);
   }
 
-  /** Starts the requests. */
+  /** Starts to request and renew the lease. */
   start(): void {
     void this.run();
   }
 
-  /** Ends the requests. The lease expires by itself. */
+  /** Stops all requests. The lease is not revoked; it expires. */
   close(): void {
     this.delay.close();
   }
@@ -55,9 +55,9 @@
     while (!this.delay.isClosed) await this.delay.wait(await this.renew());
   }
 
-  /** Renews the lease, or requests one; returns the milliseconds until the next request. */
+  /** Renews the lease, or requests one if there is none. Resolves with the milliseconds until the next request. */
   private async renew(): Promise<number> {
-    // A renewal does not wait for the budget: without a lease this controller may do nothing else either.
+    // Lease requests don't wait for the request budget: without a lease this controller may not do anything else either.
     this.connection.budget.forceTake();
     const sentAt = monotonicMs();
     const outcome = await this.sendRequest();
@@ -75,7 +75,7 @@
   private acceptLease(body: Buffer, sentAt: number): number {
     this.leaseId ??= parseLeaseId(unpackMap(body) ?? {});
     if (this.leaseId === null) return RETRY_MS;
-    // The service counts from when it got the request, which is not before it was sent.
+    // The service measures the lease duration from the arrival of the request, which is not earlier than `sentAt`.
     const validUntil = sentAt + this.ttlMs * (1 - this.clockDrift) - SAFETY_MARGIN_MS;
     this.lease$.next({ leaseId: this.leaseId, validUntil });
     return this.renewalIntervalMs;
--- a/packages/state-client/src/read-barrier.ts
+++ b/packages/state-client/src/read-barrier.ts
@@ -1,29 +1,29 @@
-/** Read barriers: reads that begin after the moment at which they were requested. */
+/** Read barriers: reads that begin no earlier than they were requested. */
 import { Delay, monotonicMs } from '@archpost/http-client';
 
-/** A request that is not urgent waits this long for the watch; users wait two seconds for a response. */
+/** Maximum time that a non-urgent request waits for the watch. Users wait two seconds for a response. */
 const MAX_DELAY_MS = 350;
 
-/** Wait after a read that failed, beyond the interval between reads. */
+/** Wait after a failed read, in addition to the interval between reads. */
 const RETRY_MS = 200;
 
-/** The reads that a barrier waits for, and starts. */
+/** The reads that serve barriers: those of the watch, and those that a barrier starts. */
 export interface BarrierReads {
-  /** When the newest read that succeeded began, in milliseconds of the monotonic clock. */
+  /** Returns when the newest successful read began, in milliseconds of the monotonic clock. */
   newestReadAt(): number;
-  /** Reads once; false if that failed. */
+  /** Reads once. Resolves with false if the read failed. */
   read(): Promise<boolean>;
 }
 
 /**
- * Ensures that a read begins after each request. Requests are batched: one read serves all that came before it.
- * Those that are not urgent are mostly served by the watch, which is opened anew after each change.
+ * Ensures that a read begins after each request. Requests are batched: one read serves all earlier requests. Non-urgent
+ * requests are mostly served by the watch, which is reopened after each change.
  */
 export class ReadBarrier {
   private readonly delay = new Delay();
   private isRunning = false;
   private lastRequestedAt = -1;
-  /** when the next read is due at the latest */
+  /** time by which the next read is due; infinite: no read is due */
   private dueAt = Number.POSITIVE_INFINITY;
   private lastReadAt = 0;
 
@@ -32,7 +32,7 @@
     private readonly intervalMs: number,
   ) {}
 
-  /** Notes a request; reads for it begin with the first request at which they are possible. */
+  /** Records a request. Starts the reads if `canRead` is set; otherwise the first later request with `canRead` starts them. */
   request(isUrgent: boolean, canRead: boolean): void {
     this.lastRequestedAt = monotonicMs();
     this.dueAt = Math.min(this.dueAt, this.lastRequestedAt + (isUrgent ? 0 : MAX_DELAY_MS));
@@ -41,7 +41,7 @@
     void this.run();
   }
 
-  /** Ends the reads. */
+  /** Stops the reads. */
   close(): void {
     this.delay.close();
   }
@@ -49,7 +49,7 @@
   private async run(): Promise<void> {
     while (!this.delay.isClosed && this.lastRequestedAt > this.reads.newestReadAt()) {
       const waitMs = Math.max(this.lastReadAt + this.intervalMs, this.dueAt) - monotonicMs();
-      // No longer than an interval: an urgent request may come meanwhile, or the watch may serve all.
+      // Waits at most one interval: meanwhile an urgent request may arrive, or the watch may serve all requests.
       if (waitMs > 0) await this.delay.wait(Math.min(waitMs, this.intervalMs));
       else await this.readNow();
     }
--- a/packages/state-client/src/replica-reader.ts
+++ b/packages/state-client/src/replica-reader.ts
@@ -1,4 +1,4 @@
-/** Feeds a replica of the controllers' keys: reads all keys once, and then their changes. */
+/** Reads the data of a replica of the controllers' keys: all keys once, and then their changes. */
 import { Delay, monotonicMs } from '@archpost/http-client';
 import {
   changesPath,
@@ -13,61 +13,61 @@
 import { ReadBarrier } from './read-barrier.js';
 import type { StateServiceConnection } from './state-service-connection.js';
 
-/** All keys. Pages may be of later revisions than the first: those changes are emitted again. */
+/** All keys. Pages may include changes made after the revision of the first page; these changes are emitted again. */
 export interface Snapshot {
   rows: StoredKey[];
-  /** of the first page */
+  /** revision of the first page */
   revision: number;
 }
 
-/** All changes after those that were emitted before. */
+/** All changes after the previously emitted ones. */
 export interface ReplicaChanges {
   changes: KeyChange[];
-  /** up to which the replica is complete now */
+  /** revision up to which the replica is complete */
   revision: number;
-  /** when the read began, in milliseconds of the monotonic clock: the replica is no older than that */
+  /** start of the read, in milliseconds of the monotonic clock; the replica is at least as recent as this */
   asOf: number;
 }
 
-/** Longest wait of the service for a change, in seconds: it bounds how old the replica gets when nothing changes. */
+/** Maximum wait of the service for a change, in seconds. It bounds the age of the replica while nothing changes. */
 export const MAX_WATCH_WAIT_S = 2.5;
 const MAX_WATCH_WAIT_MS = MAX_WATCH_WAIT_S * 1000;
 
-/** What a response may take beyond the wait that was requested. */
+/** Time allowed for a watch response beyond the requested wait. */
 const WATCH_GRACE_MS = 2000;
 const FIRST_CHANGES_TIMEOUT_MS = 2000;
 const BARRIER_TIMEOUT_MS = 1200;
 
-/** Wait after a read that failed. */
+/** Wait after a failed read. */
 const RETRY_MS = 300;
 
 const KEYS_PER_PAGE = 1000;
 const PAGE_TIMEOUT_MS = 3000;
-/** Attempts to read a page after the first: a failure would waste the pages before it. */
+/** Attempts to read each page after the first one, because a failure discards the pages that were already read. */
 const PAGE_ATTEMPTS = 3;
 const PAGE_RETRY_MS = 200;
 
 /**
- * Watch, barriers and writes share the request budget: one in three requests reopens the watch. The pause
- * before that stays within these bounds.
+ * The watch, barriers and writes share the request budget: one request in three reopens the watch. The pause before the watch
+ * is reopened stays within the two bounds.
  */
 const REQUESTS_PER_WATCH = 3;
 const MIN_WATCH_PAUSE_MS = 40;
 const MAX_WATCH_PAUSE_MS = 250;
 
-/** Interval of reads for barriers, in pauses of the watch. */
+/** Interval between reads for barriers, as a multiple of the watch pause. */
 const BARRIER_INTERVAL_FACTOR = 1.5;
 
 type ReadResult = 'ok' | 'compacted' | 'failed';
 
-/** Loads all keys with a prefix, follows their changes, and loads them again when the service no longer has all changes. */
+/** Loads all keys with a prefix, watches their changes, and reloads the keys when the service no longer has all changes. */
 export class ReplicaReader {
   readonly snapshot$ = new Subject<Snapshot>();
   readonly changes$ = new Subject<ReplicaChanges>();
   private readonly delay = new Delay();
   private readonly barrier: ReadBarrier;
   private readonly watchPauseMs: number;
-  /** up to which changes were emitted; 0: nothing is loaded */
+  /** revision up to which changes were emitted; 0: the keys are not loaded */
   private revision = 0;
   private newestReadAt = -1;
 
@@ -89,12 +89,12 @@
     void this.run();
   }
 
-  /** Requests a read of the changes that begins after this call: at once if urgent, otherwise unless the watch does so soon. */
+  /** Requests a read of changes that begins after this call: immediately if urgent, otherwise unless the watch reads soon. */
   requestReadBarrier(isUrgent: boolean): void {
     this.barrier.request(isUrgent, this.revision !== 0);
   }
 
-  /** Ends all reads and waits. */
+  /** Stops all reads and waits. */
   close(): void {
     this.delay.close();
     this.barrier.close();
@@ -107,7 +107,7 @@
     }
   }
 
-  /** Emits all keys, and the changes since the first page was read; false if a read failed. */
+  /** Emits all keys, and the changes since the first page was read. Resolves with false if a read failed. */
   private async load(): Promise<boolean> {
     const rows: StoredKey[] = [];
     let firstRevision: number | null = null;
--- a/packages/state-client/src/state-service-client.ts
+++ b/packages/state-client/src/state-service-client.ts
@@ -1,4 +1,4 @@
-/** The client of the state service: one lease, what a replica needs, and transactions. */
+/** The client of the state service: one lease, reads for a replica, and transactions. */
 import type { CompareAndSwapOutcome, KeyWrite, RevisionCondition } from '@archpost/protocol';
 import type { Observable } from 'rxjs';
 import { compareAndSwap } from './compare-and-swap.js';
@@ -6,26 +6,26 @@
 import { type ReplicaChanges, ReplicaReader, type Snapshot } from './replica-reader.js';
 import { StateServiceConnection } from './state-service-connection.js';
 
-/** The service, and what is read and kept there. */
+/** The address of the service, the keys to read, the request limit and the lease. */
 export interface StateServiceClientOptions {
   /** `IP:port` */
   address: string;
-  /** of the keys that are read */
+  /** prefix of the keys to read */
   keyPrefix: string;
-  /** this controller's part of the service's request limit */
+  /** this controller's share of the service's request limit */
   requestsPerS: number;
-  /** the lease's time without a renewal, in milliseconds */
+  /** duration of the lease without a renewal, in milliseconds */
   leaseMs: number;
-  /** part by which this machine's clock may run faster or slower than the service's */
+  /** maximum fraction by which this machine's clock may run faster or slower than the service's */
   clockDrift: number;
 }
 
-/** Its parts use the same connections and one request budget. */
+/** Its components share the connections and one request budget. */
 export class StateServiceClient {
   readonly snapshot$: Observable<Snapshot>;
   readonly changes$: Observable<ReplicaChanges>;
   readonly lease$: Observable<LeaseState>;
-  /** What could not be parsed though the response had status 200. */
+  /** Emits what could not be parsed, such as `keys`, although the response had status 200. */
   readonly unreadable$: Observable<string>;
   private readonly connection: StateServiceConnection;
   private readonly leaseRenewer: LeaseRenewer;
@@ -52,12 +52,12 @@
     this.replicaReader.requestReadBarrier(isUrgent);
   }
 
-  /** Makes all changes if all conditions hold, and none otherwise. A call that fails is an outcome, not a rejection. */
+  /** Applies all writes if all conditions hold, and none otherwise. A failed call is an outcome; the promise does not reject. */
   compareAndSwap(conditions: RevisionCondition[], writes: KeyWrite[]): Promise<CompareAndSwapOutcome> {
     return compareAndSwap(this.connection, conditions, writes);
   }
 
-  /** Ends all loops, timers, calls and connections. The lease expires by itself. */
+  /** Ends all loops, timers, calls and connections. The lease is not revoked; it expires. */
   close(): void {
     this.leaseRenewer.close();
     this.replicaReader.close();
--- a/packages/state-client/src/state-service-connection.ts
+++ b/packages/state-client/src/state-service-connection.ts
@@ -1,16 +1,16 @@
-/** Requests to the state service, on the connections and the request budget that all parts of the client use. */
+/** Requests to the state service, over the connections and the request budget that the client's components share. */
 import { type CallOutcome, HttpClient, monotonicMs, RequestBudget } from '@archpost/http-client';
 import { decodeServiceResponse, type MessagePackMap, readResponse, type ServiceResponse } from '@archpost/protocol';
 import { Subject } from 'rxjs';
 
-/** Connections to the state service: watch, read barrier, lease, transactions, and calls that hang. */
+/** Maximum number of connections to the state service: for watch, read barrier, lease, transactions, and calls that hang. */
 export const STATE_SOCKETS = 16;
 
-/** Owns the connections: `close` ends them, and no call is made after it. */
+/** Owns the connections. `close` ends them, and no call is made afterwards. */
 export class StateServiceConnection {
-  /** What could not be parsed though the response had status 200. */
+  /** Emits what could not be parsed, such as `keys`, although the response had status 200. */
   readonly unreadable$ = new Subject<string>();
-  /** Callers take from it before each request. */
+  /** Callers take a token before each request. */
   readonly budget: RequestBudget;
   private readonly client: HttpClient;
   private isClosed = false;
@@ -20,24 +20,24 @@
     this.budget = new RequestBudget(requestsPerS, monotonicMs);
   }
 
-  /** The response; null if there is none. */
+  /** Sends a GET request. Resolves with null if there is no response. */
   async get(path: string, timeoutMs: number): Promise<ServiceResponse | null> {
     if (this.isClosed) return null;
     return decodeServiceResponse(await this.client.call({ method: 'GET', path, timeoutMs }));
   }
 
-  /** The outcome of a POST request; it does not reject. */
+  /** Sends a POST request. Resolves with its outcome and does not reject. */
   async post(path: string, body: Buffer, timeoutMs: number): Promise<CallOutcome> {
     if (this.isClosed) return { kind: 'notSent', isOwnDelay: true };
     return this.client.call({ method: 'POST', path, body, timeoutMs });
   }
 
-  /** The parsed body of a response with status 200; null if there is none, or if it can not be parsed, which is emitted. */
+  /** Parses the body of a response with status 200; otherwise returns null. Emits `contentName` if the body cannot be parsed. */
   parse<T>(response: ServiceResponse | null, contentName: string, parse: (body: MessagePackMap) => T | null): T | null {
     return readResponse(response, parse, () => this.unreadable$.next(contentName));
   }
 
-  /** Ends all calls, and waits for the budget; later calls are not made. */
+  /** Ends all calls and all waits for the budget. Later calls are not sent. */
   close(): void {
     this.isClosed = true;
     this.budget.close();
--- a/packages/worker-client/src/index.ts
+++ b/packages/worker-client/src/index.ts
@@ -1,2 +1,2 @@
-/** The client of the workers: commands that go directly to them, and probes. */
+/** The client of the workers: direct commands and probes. */
 export { type CommandOutcome, type CommandRequest, WorkerClient } from './worker-client.js';
--- a/packages/worker-client/src/worker-client.ts
+++ b/packages/worker-client/src/worker-client.ts
@@ -6,10 +6,10 @@
 const COMMAND_TIMEOUT_MS = 2500;
 
 /**
- * Ok: carried out. Stale: nothing was carried out, since the worker has seen a higher fencing token or is in another
- * agent epoch. Both come with the worker's status afterwards, null if it can not be parsed. Refused: the worker
- * could not be connected to, and nothing was sent. Withheld: nothing was sent since this process was late. Lost: the commands may
- * have been carried out, or may be later.
+ * The outcome of commands to a worker. `ok`: the commands were executed. `stale`: no command was executed, because the worker
+ * has seen a higher fencing token or is in another agent epoch. `heartbeat` is the worker's status afterwards; null if it cannot
+ * be parsed. `refused`: no connection to the worker could be made, and nothing was sent. `withheld`: nothing was sent, because
+ * this process was delayed or the client is closed. `lost`: the commands may have been executed, or may still be executed.
  */
 export type CommandOutcome = { kind: 'ok' | 'stale'; heartbeat: Heartbeat | null } | { kind: 'lost' | 'refused' | 'withheld' };
 
@@ -19,7 +19,7 @@
   address: string;
   fencingToken: number;
   agentEpoch: number;
-  /** at most MAX_COMMANDS_PER_BODY, which the worker carries out in order */
+  /** at most MAX_COMMANDS_PER_BODY commands, which the worker executes in order */
   commands: Command[];
 }
 
@@ -32,14 +32,14 @@
     this.connections = new WorkerConnectionPool(maxConnections);
   }
 
-  /** Whether the worker responds. */
+  /** Requests the worker's status. Resolves with whether the worker responded with status 200. */
   async probe(address: string): Promise<boolean> {
     if (this.isClosed) return false;
     const outcome = await this.connections.get(address).call({ method: 'GET', path: PATHS.status, timeoutMs: PROBE_TIMEOUT_MS });
     return outcome.kind === 'response' && outcome.status === 200;
   }
 
-  /** Sends commands and resolves with their outcome; it does not reject. */
+  /** Sends commands. Resolves with their outcome and does not reject. */
   async sendCommands({ address, fencingToken, agentEpoch, commands }: CommandRequest): Promise<CommandOutcome> {
     if (this.isClosed) return { kind: 'withheld' };
     const outcome = await this.connections.get(address).call({
@@ -56,7 +56,7 @@
     return { kind: 'lost' };
   }
 
-  /** Ends all calls and connections; later calls are not made. */
+  /** Ends all calls and connections. Later calls are not sent. */
   close(): void {
     this.isClosed = true;
     this.connections.close();
--- a/packages/worker-client/src/worker-connection-pool.ts
+++ b/packages/worker-client/src/worker-connection-pool.ts
@@ -1,19 +1,19 @@
-/** Connections to workers: one for each, and no more than this process has sockets for. */
+/** Connections to workers: one per worker, up to a maximum number. */
 import { HttpClient } from '@archpost/http-client';
 
 interface WorkerConnection {
   client: HttpClient;
-  /** in milliseconds of the time of day */
+  /** wall-clock time of the last use, in milliseconds */
   lastUsedAt: number;
 }
 
-/** Beyond its size the connection that was not used for longest is closed, with the call on it if there is one. */
+/** At its maximum size, the pool closes the least recently used connection for a new one, and ends the call on it, if any. */
 export class WorkerConnectionPool {
   private readonly connections = new Map<string, WorkerConnection>();
 
   constructor(private readonly maxConnections: number) {}
 
-  /** The client of this worker, on a new connection if it has none. */
+  /** Returns the client of a worker. Creates a client with a new connection if there is none. */
   get(address: string): HttpClient {
     const existing = this.connections.get(address);
     if (existing) {
