--- a/packages/peer-transport/src/incoming-links.ts
+++ b/packages/peer-transport/src/incoming-links.ts
@@ -65,7 +65,7 @@
     });
   }
 
-  /** Emits a message and returns its sender. Drops only this message if it is unreadable: the next one has its own frame. */
+  /** Emits a message and returns its sender. Drops an unreadable one and returns null: the next message has its own frame. */
   private receive(body: Buffer): string | null {
     let message: PeerMessage;
     try {
--- a/packages/protocol/src/jobs/submission.ts
+++ b/packages/protocol/src/jobs/submission.ts
@@ -55,7 +55,7 @@
   field: string;
 }
 
-/** Parses a submission. If a field is missing or invalid, returns the first such field instead. */
+/** Parses a submission. If a field is missing or invalid, returns the first such field. */
 export function parseSubmission(body: MessagePackMap): Submission | InvalidSubmission {
   const parsed = submissionOnWire.safeParse(body);
   if (!parsed.success) return { field: parsed.error.issues[0]?.path.join('.') || 'body' };
--- a/packages/state-client/src/replica-reader.ts
+++ b/packages/state-client/src/replica-reader.ts
@@ -94,7 +94,7 @@
     this.barrier.request(isUrgent, this.revision !== 0);
   }
 
-  /** Stops all reads and waits. */
+  /** Stops all reads, and ends all waits. */
   close(): void {
     this.delay.close();
     this.barrier.close();
--- a/packages/state-client/src/state-service-client.ts
+++ b/packages/state-client/src/state-service-client.ts
@@ -20,7 +20,7 @@
   clockDrift: number;
 }
 
-/** Its components share the connections and one request budget. */
+/** A client whose components share its connections and one request budget. */
 export class StateServiceClient {
   readonly snapshot$: Observable<Snapshot>;
   readonly changes$: Observable<ReplicaChanges>;
