--- a/test/autoscaling.test.ts
+++ b/test/autoscaling.test.ts
@@ -11,7 +11,7 @@
   const west = (x: string) => x === 'n1' || cluster.workers.find((worker) => worker.name === x)?.zone === 'west';
   cluster.isPartitioned = (a, b) => west(a) !== west(b);
   cluster.run(5);
-  cluster.machine('late', 'small', 'west');
+  cluster.addMachine('late', 'small', 'west');
   cluster.runUntil('granted', () => cluster.controller('n1').controller.clusterState.machines.has('late'), 25);
 });
 
@@ -20,14 +20,14 @@
     ...settings,
     policy: { ...settings.policy, holdSpareCapacity: false, maxMachines: 8 },
   }));
-  cluster.machine('m0', 'small', 'east');
+  cluster.addMachine('m0', 'small', 'east');
   cluster.runUntilSettled();
   cluster.bootTimeMs = () => 1500;
   const late: number[] = [];
   let count = 0;
-  cluster.losesTransactionAnswer = (_e, apply) => {
+  cluster.losesTransactionResponse = (_e, apply) => {
     if (count++ % 3 !== 0) return false;
-    cluster.at(cluster.now + 7000, apply);
+    cluster.runAt(cluster.now + 7000, apply);
     late.push(cluster.now);
     return true;
   };
@@ -38,7 +38,7 @@
   cluster.run(0.3);
   lead.restart();
   cluster.run(15);
-  cluster.losesTransactionAnswer = null;
+  cluster.losesTransactionResponse = null;
   assert.ok(late.length > 0);
   cluster.runUntil('all done', () => cluster.finished.size === 12, 120);
   for (const id of ['run-red', 'run-blue', 'run-green']) cluster.runUntil('told', () => cluster.queryStatus(id) === 'done', 10);
@@ -49,7 +49,7 @@
     ...withTeamWithoutGuarantee(settings),
     policy: { ...settings.policy, holdSpareCapacity: false, maxMachines: null },
   }));
-  for (let index = 0; index < 3; index++) cluster.machine(`m${index}`, 'small', 'east');
+  for (let index = 0; index < 3; index++) cluster.addMachine(`m${index}`, 'small', 'east');
   cluster.runUntilSettled();
   cluster.provisioningRequests.length = 0;
   const start = cluster.now;
@@ -86,12 +86,12 @@
 
 test('machines of a zone whose controllers the leader can not reach are all assigned while the partition lasts', () => {
   const cluster = new SimulatedCluster();
-  for (let index = 0; index < 6; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+  for (let index = 0; index < 6; index++) cluster.addMachine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.runUntilSettled();
   const west = (name: string) => name === 'n1' || name.startsWith('w') || ['m1', 'm3', 'm5'].includes(name);
   cluster.isPartitioned = (a, b) => west(a) !== west(b);
   cluster.run(8);
-  for (let index = 0; index < 120; index++) cluster.machine(`w${index}`, 'small', 'west');
+  for (let index = 0; index < 120; index++) cluster.addMachine(`w${index}`, 'small', 'west');
   const leader = cluster.controller(holderOf(cluster, 'lead'));
   assert.ok(!west(leader.name));
   cluster.runUntil(
@@ -114,7 +114,7 @@
 test('a list of thousands takes a quarter of the requests to the cloud', () => {
   const cluster = new SimulatedCluster(['n0'], (settings) => ({ ...settings, cloud: { requestsPerS: 3, listLagS: 8 } }));
   cluster.bootTimeMs = () => 1000;
-  for (let index = 0; index < 4000; index++) cluster.machine(`m${index}`);
+  for (let index = 0; index < 4000; index++) cluster.addMachine(`m${index}`);
   cluster.run(30);
   assert.equal(cluster.workers.filter((worker) => worker.dead).length, 0);
   cluster.listRequests = 0;
--- a/test/client-responses.test.ts
+++ b/test/client-responses.test.ts
@@ -86,7 +86,7 @@
 
 test('the answer to an acceptance is slow: a job that others have called cancelled by then is not called queued', () => {
   const cluster = smallCluster(4);
-  cluster.transactionAnswerMs = (n) => (n === 'n0' ? 1200 : 10);
+  cluster.transactionResponseMs = (n) => (n === 'n0' ? 1200 : 10);
   const slow = said(cluster, (then) => cluster.controller('n0').submit(job('run-a'), then));
   cluster.specs.set('run-a', job('run-a'));
   cluster.run(0.3);
@@ -99,7 +99,7 @@
   const cluster = smallCluster(6);
   // Each transaction is carried out at once, and every other answer is lost.
   let count = 0;
-  cluster.losesTransactionAnswer = (_e, apply) => {
+  cluster.losesTransactionResponse = (_e, apply) => {
     if (count++ % 2 === 0) return false;
     apply();
     return true;
@@ -216,16 +216,16 @@
     const cluster = smallCluster(4);
     const [first, second] = cluster.controllers as [SimulatedController, SimulatedController];
     cluster.submit(job('run-a', { estimatedRunS: 3 }), second);
-    cluster.losesTransactionAnswer = (e, apply) => {
+    cluster.losesTransactionResponse = (e, apply) => {
       if (!e.writes.some((write) => 'put' in write && write.put === 'a/j/run-b')) return false;
-      cluster.at(cluster.now + (isLate ? 9000 : 0), apply);
+      cluster.runAt(cluster.now + (isLate ? 9000 : 0), apply);
       return true;
     };
     cluster.specs.set('run-b', job('run-b', { tasks: 2, estimatedRunS: 3 }));
     cluster.awaits.set('run-b', ['run-a']);
     first.submit(cluster.specs.get('run-b') as JobSpec, () => {});
     cluster.run(0.3);
-    cluster.losesTransactionAnswer = null;
+    cluster.losesTransactionResponse = null;
     cluster.runUntil('the first is done', () => cluster.queryStatus('run-a', second) === 'done', 30);
     cluster.submit(cluster.specs.get('run-b') as JobSpec, second, ['run-a']);
     cluster.runUntil('the second is done', () => cluster.allTasksDone('run-b'), 40);
--- a/test/dependency-priorities.test.ts
+++ b/test/dependency-priorities.test.ts
@@ -97,7 +97,7 @@
 
 test('a blocked job takes no part of a quota, demands no machine and is started when its time comes', () => {
   const cluster = new SimulatedCluster();
-  for (let index = 0; index < 2; index++) cluster.machine(`g${index}`, 'big', 'east');
+  for (let index = 0; index < 2; index++) cluster.addMachine(`g${index}`, 'big', 'east');
   cluster.runUntilSettled();
   cluster.submit(job('run-first', { estimatedRunS: 20 }));
   // Eight accelerators are guaranteed to the team: were this job counted, the next would be beyond them.
@@ -114,7 +114,7 @@
 
 test('work goes by the inherited priority and the inherited latest start', () => {
   const cluster = new SimulatedCluster(['n0']);
-  cluster.machine('m0', 'small', 'east');
+  cluster.addMachine('m0', 'small', 'east');
   cluster.runUntilSettled();
   const whole = { cpus: 4, memory: 16 };
   cluster.submit(job('run-busy', { ...whole, priority: 1, estimatedRunS: 500 }));
@@ -135,7 +135,7 @@
 
 test('of two jobs that urgent work needs, the one whose dependent is due first comes first', () => {
   const cluster = new SimulatedCluster(['n0']);
-  cluster.machine('m0', 'small', 'east');
+  cluster.addMachine('m0', 'small', 'east');
   cluster.runUntilSettled();
   const whole = { cpus: 4, memory: 16, estimatedRunS: 8 };
   cluster.submit(job('run-busy', { ...whole, priority: 2 }));
@@ -157,7 +157,7 @@
 
 test('a blocked job of the highest priority keeps no shard from its preferred holder, and reserves no machine', () => {
   const cluster = smallCluster(4);
-  cluster.machine('g0', 'big', 'east');
+  cluster.addMachine('g0', 'big', 'east');
   cluster.runUntilSettled();
   cluster.submit(job('run-first', { estimatedRunS: 300 }));
   cluster.submit(job('run-serve', { shape: 'service', priority: 3, gpus: 8, jobClass: 'serve' }), undefined, ['run-first']);
@@ -170,7 +170,7 @@
 // Counted, it would put the team beyond its guarantee, and what comes after it could not preempt.
 test("a blocked job takes nothing of its team's quota from work that can run", () => {
   const cluster = new SimulatedCluster(['n0']);
-  for (let index = 0; index < 2; index++) cluster.machine(`g${index}`, 'big', 'east');
+  for (let index = 0; index < 2; index++) cluster.addMachine(`g${index}`, 'big', 'east');
   cluster.runUntilSettled();
   const training = { shape: 'gang' as const, gpus: 8, cpus: 20, memory: 60, estimatedRunS: 300 };
   cluster.submit(job('run-first', { estimatedRunS: 200 }));
--- a/test/duplicate-names.test.ts
+++ b/test/duplicate-names.test.ts
@@ -13,12 +13,12 @@
 
 test('two processes with one host_name: the leases of their shards do not go to and fro', () => {
   const cluster = new SimulatedCluster(['n0', 'n1', 'n2']);
-  for (let index = 0; index < 12; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+  for (let index = 0; index < 12; index++) cluster.addMachine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.runUntilSettled();
   cluster.submit(job('run-v', { shape: 'service', tasks: 4, priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-v') === 4);
   const shard = shardOf(cluster, 'run-v');
-  cluster.duplicate('n0');
+  cluster.startDuplicate('n0');
   const revisions = new Set<number>();
   for (let step = 0; step < 600; step++) {
     cluster.run(0.1);
--- a/test/failover-cancellations.test.ts
+++ b/test/failover-cancellations.test.ts
@@ -22,7 +22,7 @@
 test("every team is at its limit, a job is cancelled whose machine hangs, and its shard's holder crashes: no limit is exceeded", () => {
   for (const hungForS of [4, 9, 30]) {
     const cluster = new SimulatedCluster();
-    for (let index = 0; index < 6; index++) cluster.machine(`g${index}`, 'big', index % 2 === 0 ? 'east' : 'west');
+    for (let index = 0; index < 6; index++) cluster.addMachine(`g${index}`, 'big', index % 2 === 0 ? 'east' : 'west');
     cluster.runUntilSettled();
     const gang = { shape: 'gang' as const, gpus: 8, cpus: 40, estimatedRunS: 200, priority: 2 };
     for (const team of ['red', 'blue', 'green'])
--- a/test/failover-partitions.test.ts
+++ b/test/failover-partitions.test.ts
@@ -61,7 +61,7 @@
   cluster.isPartitioned = () => false;
   cluster.controller(preferredHolder).isRefusedByStateService = false;
   for (const node of cluster.controllers) if (!node.up) node.restart();
-  cluster.at(cluster.now + 15_000, () => {
+  cluster.runAt(cluster.now + 15_000, () => {
     cluster.isCloudDown = false;
   });
 
@@ -80,8 +80,8 @@
     teams: settings.teams.slice(0, 1),
     cpuShare: 0.19,
   }));
-  for (let index = 0; index < west; index++) cluster.machine(`m${1000 + index}`, 'small', 'west');
-  for (let index = 0; index < east; index++) cluster.machine(`m${2000 + index}`, 'small', 'east');
+  for (let index = 0; index < west; index++) cluster.addMachine(`m${1000 + index}`, 'small', 'west');
+  for (let index = 0; index < east; index++) cluster.addMachine(`m${2000 + index}`, 'small', 'east');
   cluster.runUntilSettled();
   return cluster;
 }
@@ -121,12 +121,12 @@
 
   fleet.crashOne(0);
   fleet.crashAll();
-  fleet.roll();
-  fleet.cancelWhileTheLeaderEnds(46);
+  fleet.rollingRestart();
+  fleet.cancelDuringLeaderCrash(46);
 
   cluster.trace = [];
-  fleet.loseThird();
+  fleet.killThird();
 
-  fleet.untilServicesRun('all replicas have another place', 120);
+  fleet.runUntilServicesRun('all replicas have another place', 120);
   fleet.check();
 });
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -48,14 +48,14 @@
   cluster.submit(job('run-t', { tasks: 2, estimatedRunS: 3 }));
   const holder = holderOfJob(cluster, 'run-t');
 
-  cluster.losesTransactionAnswer = (transaction, apply) => {
+  cluster.losesTransactionResponse = (transaction, apply) => {
     if (!transaction.writes.some((write) => 'put' in write && /^a\/[jp]\/run-t/.test(write.put))) return false;
     lateWrites.push(apply);
     return true;
   };
   cluster.runUntil('its end was to be written', () => lateWrites.length > 0, 30);
   cluster.controller(holder).crash();
-  cluster.losesTransactionAnswer = null;
+  cluster.losesTransactionResponse = null;
   cluster.run(1);
   cluster.controller(holder).restart();
   cluster.runUntil('done again', () => cluster.queryStatus('run-t') === 'done', 40);
@@ -69,7 +69,7 @@
 
 test("a gang that was partly started when its shard's holder crashed runs whole, once", () => {
   const cluster = new SimulatedCluster();
-  for (let index = 0; index < 4; index++) cluster.machine(`m${index}`, 'small', 'east');
+  for (let index = 0; index < 4; index++) cluster.addMachine(`m${index}`, 'small', 'east');
   cluster.runUntilSettled();
   cluster.submit(job('run-g', { shape: 'gang', tasks: 4, cpus: 4, estimatedRunS: 10, priority: 2 }));
   cluster.runUntil('a member started', () => cluster.machinesRunning('run-g').length > 0, 40);
@@ -84,9 +84,9 @@
 
 test('quota holds while allocations are unverified after a failover', () => {
   const cluster = new SimulatedCluster();
-  cluster.machine('g0', 'big', 'east');
-  cluster.machine('g1', 'big', 'west');
-  cluster.machine('g2', 'big', 'east');
+  cluster.addMachine('g0', 'big', 'east');
+  cluster.addMachine('g1', 'big', 'west');
+  cluster.addMachine('g2', 'big', 'east');
   cluster.runUntilSettled();
   // Team green may use 8 GPUs: one job of 8 runs, another waits for it.
   cluster.submit(job('run-q', { team: 'green', shape: 'gang', gpus: 8, cpus: 40, estimatedRunS: 60, priority: 2 }));
@@ -139,10 +139,10 @@
     cluster.runUntil('one more ended', () => cluster.finished.size === index, 60);
     const owner = cluster.controller(holderOf(cluster, 0));
     // At once after the end, or when it is known and what was to be stored of it is lost.
-    cluster.losesTransactionAnswer = (transaction) =>
+    cluster.losesTransactionResponse = (transaction) =>
       transaction.writes.some((write) => 'put' in write && /^a\/[pj]\//.test(write.put));
     cluster.run(index === 1 ? 0 : 1.5);
-    cluster.losesTransactionAnswer = null;
+    cluster.losesTransactionResponse = null;
     owner.crash();
     cluster.run(0.3);
     owner.restart();
@@ -223,7 +223,7 @@
     if (controller === node.name && message === 'shard lease lost') lost.push(String(fields?.lease));
   };
   node.controller.receiveLeaseState(null, 0, cluster.now);
-  node.run();
+  node.applyEffects();
   assert.deepEqual(
     lost.filter((lease) => lease !== 'lead'),
     held,
--- a/test/failure-attribution.test.ts
+++ b/test/failure-attribution.test.ts
@@ -17,7 +17,7 @@
   const cluster = smallCluster(6);
   const bad = cluster.workers[0];
   assert.ok(bad);
-  bad.fails = true;
+  bad.isFaulty = true;
   for (let index = 0; index < 3; index++) cluster.submit(job(`run-${index}`, { tasks: 8, estimatedRunS: 3 }));
   cluster.runUntil('all done', () => cluster.finished.size === 24, 90);
   assert.ok(bad.dead, 'the faulty machine was given back');
@@ -27,8 +27,8 @@
 
 test('one job is enough to tell a faulty machine, if its tasks get done elsewhere', () => {
   const cluster = new SimulatedCluster();
-  for (let index = 0; index < 6; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
-  for (let index = 0; index < 3; index++) cluster.machine(`g${index}`, 'big', 'east');
+  for (let index = 0; index < 6; index++) cluster.addMachine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+  for (let index = 0; index < 3; index++) cluster.addMachine(`g${index}`, 'big', 'east');
   cluster.runUntilSettled();
   cluster.submit(job('run-one', { tasks: 250, estimatedRunS: 4 }));
   cluster.runUntil('some done', () => cluster.finished.size >= 5, 60);
@@ -37,7 +37,7 @@
   const busy = (worker: SimulatedWorker) => [...worker.tasks.values()].filter((task) => task.state === 'running').length;
   const bad = [...cluster.workers].sort((a, b) => busy(b) - busy(a))[0];
   assert.ok(bad && busy(bad) > 3);
-  bad.fails = true;
+  bad.isFaulty = true;
   cluster.runUntil('all done', () => cluster.finished.size === 250, 180);
   cluster.run(5);
   assert.deepEqual(
@@ -50,7 +50,7 @@
   const cluster = smallCluster(9);
   const ids = ['run-b0', 'run-b1', 'run-b2', 'run-b3', 'run-b4', 'run-b5'];
   for (const id of ids) {
-    cluster.mistaken.add(id);
+    cluster.failingJobs.add(id);
     cluster.submit(job(id, { tasks: id === 'run-b0' ? 30 : 1, estimatedRunS: 5 }));
   }
   cluster.run(30);
@@ -79,7 +79,7 @@
   );
   const bad = cluster.workers[0];
   assert.ok(bad);
-  bad.fails = true;
+  bad.isFaulty = true;
   for (let index = 0; index < 4; index++) cluster.submit(job(`run-h${index}`, { tasks: 8, estimatedRunS: 3 }));
   cluster.runUntil('all done', () => cluster.finished.size === 18 + 32, 90);
   assert.deepEqual(deadWorkers(cluster), [bad.name]);
@@ -90,7 +90,7 @@
 
 test('failures that a crash-looping job attributed to machines are taken back', () => {
   const cluster = smallCluster(3);
-  cluster.mistaken.add('run-b');
+  cluster.failingJobs.add('run-b');
   cluster.submit(job('run-b', { tasks: 6, estimatedRunS: 3 }));
   cluster.run(8);
   cluster.submit(job('run-good', { tasks: 12, estimatedRunS: 3 }));
@@ -100,18 +100,18 @@
     [...candidate.tasks.values()].some((task) => task.job === 'run-good' && task.state === 'running'),
   );
   assert.ok(worker);
-  worker.fails = true;
+  worker.isFaulty = true;
   cluster.run(0.1);
-  worker.fails = false;
+  worker.isFaulty = false;
   cluster.runUntil('done', () => cluster.finished.size === 12, 60);
   assert.deepEqual(deadWorkers(cluster), [], 'one failure of a good job is no proof');
 });
 
 test('a job that failed on faulty machines only recovers', () => {
   const cluster = smallCluster(8);
-  for (const worker of cluster.workers.slice(0, 4)) worker.fails = true;
+  for (const worker of cluster.workers.slice(0, 4)) worker.isFaulty = true;
   cluster.submit(job('run-r', { tasks: 8, estimatedRunS: 3 }));
   cluster.run(8);
-  for (const worker of cluster.workers) worker.fails = false;
+  for (const worker of cluster.workers) worker.isFaulty = false;
   cluster.runUntil('done', () => cluster.queryStatus('run-r') === 'done', 90);
 });
--- a/test/failure-detection.test.ts
+++ b/test/failure-detection.test.ts
@@ -33,7 +33,7 @@
   cluster.submit(job('run-w', { shape: 'service', priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-w') === 1);
   const worker = workerRunning(cluster, 'run-w');
-  cluster.isDeaf = (_node, machine) => machine === worker.name;
+  cluster.losesControllerMessages = (_node, machine) => machine === worker.name;
   cluster.runUntil('given back', () => worker.dead, 40);
   cluster.runUntil('goes on elsewhere', () => cluster.runningTasks('run-w') === 1, 20);
   assert.deepEqual(
@@ -50,13 +50,13 @@
   const shard = shardOf(cluster, 'run-v');
   const apart = holderOf(cluster, shard);
   const tokens = () => cluster.controllers.map((node) => node.controller.clusterState.leaseOf(shard)?.revision ?? 0);
-  cluster.isDeaf = (controller) => controller === apart;
+  cluster.losesControllerMessages = (controller) => controller === apart;
   cluster.runUntil('taken over', () => holderOf(cluster, shard) !== apart && holderOf(cluster, shard) !== '', 30);
   cluster.submit(job('run-u', { team: cluster.specs.get('run-v')?.team ?? '', estimatedRunS: 3 }));
   cluster.runUntil('the new holder starts work', () => cluster.finished.has('run-u/0'), 30);
   cluster.run(20);
   const during = tokens();
-  cluster.isDeaf = () => false;
+  cluster.losesControllerMessages = () => false;
   cluster.runUntil('home again', () => holderOf(cluster, shard) === apart, 40);
   const home = tokens();
   cluster.run(30);
@@ -94,7 +94,7 @@
 
 test('a controller that loses all workers releases none of them, before or after, and their leases go on elsewhere', () => {
   const cluster = new SimulatedCluster(['n0', 'n1', 'n2'], (settings) => ({ ...settings, teams: settings.teams.slice(0, 1) }));
-  for (let index = 0; index < 40; index++) cluster.machine(`m${100 + index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+  for (let index = 0; index < 40; index++) cluster.addMachine(`m${100 + index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.runUntilSettled();
   cluster.submit(job('run-k', { shape: 'service', tasks: 60, priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-k') === 60);
@@ -152,7 +152,7 @@
     cpuShare: 0.02,
     state: { ...settings.state, writesPerS: 20 },
   }));
-  for (let index = 0; index < 500; index++) cluster.machine(`m${index}`);
+  for (let index = 0; index < 500; index++) cluster.addMachine(`m${index}`);
   cluster.runUntil(
     'all have answered',
     () =>
@@ -169,7 +169,7 @@
   const cluster = new SimulatedCluster();
   cluster.bootTimeMs = () => 1000;
   for (const node of cluster.controllers) node.crash();
-  for (let index = 0; index < 60; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+  for (let index = 0; index < 60; index++) cluster.addMachine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.run(300);
   for (const node of cluster.controllers) node.restart();
   for (const worker of cluster.workers) worker.nextHeartbeatAt = cluster.now + 4000;
@@ -183,11 +183,11 @@
 
 test('a controller that has lost its workers finds them again though every fourth has died meanwhile', () => {
   const cluster = new SimulatedCluster(['n0']);
-  for (let index = 0; index < 16; index++) cluster.machine(`m${index}`);
+  for (let index = 0; index < 16; index++) cluster.addMachine(`m${index}`);
   cluster.runUntilSettled();
   cluster.submit(job('run-x', { shape: 'service', tasks: 16, priority: 3 }));
   cluster.runUntil('running', () => cluster.runningTasks('run-x') === 16, 30);
-  cluster.isDeaf = () => true;
+  cluster.losesControllerMessages = () => true;
   const node = cluster.controllers[0] as SimulatedController;
   cluster.submit(job('run-y', { tasks: 16 }));
   cluster.runUntil('its workers are lost', () => !node.controller.reachesWorkers(), 30);
@@ -196,7 +196,7 @@
     const worker = cluster.workers[index];
     if (worker) worker.dead = true;
   }
-  cluster.isDeaf = () => false;
+  cluster.losesControllerMessages = () => false;
   cluster.runUntil('they are found', () => node.controller.reachesWorkers(), 30);
   assert.ok(shardOf(cluster, 'run-x') >= 0);
 });
--- a/test/fencing.test.ts
+++ b/test/fencing.test.ts
@@ -52,7 +52,7 @@
   const { preferredHolder, currentHolder } = holdShardElsewhere(cluster);
 
   // Carried out at once; the old holder learns of it neither by the answer nor by its watch.
-  cluster.losesTransactionAnswer = (transaction, apply) => {
+  cluster.losesTransactionResponse = (transaction, apply) => {
     if (!transaction.writes.some((write) => 'del' in write && write.del === 'a/h/1')) return false;
     currentHolder.isWatchLagging = true;
     apply();
@@ -73,7 +73,7 @@
   cluster.run(4);
 
   currentHolder.isWatchLagging = false;
-  cluster.losesTransactionAnswer = null;
+  cluster.losesTransactionResponse = null;
   cluster.run(4);
 
   assert.equal(cluster.runningTasks('run-twice'), 1);
@@ -136,11 +136,11 @@
 
 test('a machine executes its starts and its answer can not be read: nothing is started elsewhere', () => {
   const cluster = smallCluster(4);
-  cluster.garblesAnswers = () => true;
+  cluster.garblesCommandResponses = () => true;
   cluster.submit(job('run-a', { tasks: 3, estimatedRunS: 60 }));
 
   cluster.run(5);
-  cluster.garblesAnswers = () => false;
+  cluster.garblesCommandResponses = () => false;
 
   cluster.runUntil('running, once', () => cluster.runningTasks('run-a') === 3, 30);
   cluster.run(10);
@@ -151,11 +151,11 @@
   const cluster = smallCluster(8);
   const worker = cluster.workers[0] as SimulatedWorker;
   cluster.run(5);
-  const heartbeat = { ...worker.heartbeat(), fencingToken: worker.fencingToken + 1_000 };
+  const heartbeat = { ...worker.nextHeartbeat(), fencingToken: worker.fencingToken + 1_000 };
 
   for (const node of cluster.controllers) assert.ok([503, 421].includes(deliverHeartbeatCopy(node, heartbeat)));
   assert.ok(cluster.controllers.some((node) => deliverHeartbeatCopy(node, heartbeat) === 503));
-  assert.ok(cluster.controllers.some((node) => deliverHeartbeatCopy(node, worker.heartbeat()) === 200));
+  assert.ok(cluster.controllers.some((node) => deliverHeartbeatCopy(node, worker.nextHeartbeat()) === 200));
 });
 
 /** A job is cancelled while its start is on its way; then the start comes back, not carried out. */
@@ -199,7 +199,7 @@
     state: { ...settings.state, writesPerS: 15, writesPerTransaction: 4 },
     teams: settings.teams.slice(0, 1),
   }));
-  for (let index = 0; index < 240; index++) cluster.machine(`m${1000 + index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+  for (let index = 0; index < 240; index++) cluster.addMachine(`m${1000 + index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.runUntilSettled();
   const ids = Array.from({ length: 6 }, (_, index) => `run-${index}`);
   for (const id of ids) cluster.submit(job(id, { tasks: 40, cpus: 3, estimatedRunS: 500 }));
@@ -220,7 +220,7 @@
   const waiting = () => machines().filter((machine) => machine.tenure.hasUncertainCommand).length;
   cluster.runUntil('they are lost', () => waiting() > 200, 20);
   cluster.isStateServiceDown = false;
-  cluster.isMute = () => true;
+  cluster.losesHeartbeats = () => true;
 
   cluster.cancel('run-5');
   cluster.losesCommands = () => false;
--- a/test/heartbeats.test.ts
+++ b/test/heartbeats.test.ts
@@ -41,7 +41,7 @@
   assert.ok(copy);
   worker.reboot();
   cluster.runUntil('running again', () => cluster.runningTasks('run-a') === 1 && worker.sequence > 3, 40);
-  worker.target = cluster.names.indexOf(holderOf(cluster, 0));
+  worker.controllerIndex = cluster.names.indexOf(holderOf(cluster, 0));
   assert.deepEqual(cluster.machinesRunning('run-a'), [worker.name]);
   // Another machine has the better place now, should the task be thought lost.
   cluster.cancel('run-f1');
@@ -62,12 +62,12 @@
   cluster.submit(job('run-v', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-v') === 2);
   const muted = cluster.machinesRunning('run-v')[0];
-  cluster.isMute = (m) => m === muted;
+  cluster.losesHeartbeats = (m) => m === muted;
   // Its lease runs out meanwhile: only its own answers can tell that what it bore is gone.
   cluster.runUntil('its lease ran out', () => cluster.trace.some((line) => line.includes('kills')), 30);
   cluster.runUntil('running again', () => cluster.runningTasks('run-v') === 2, 8);
   cluster.run(20);
-  cluster.isMute = () => false;
+  cluster.losesHeartbeats = () => false;
   cluster.run(10);
   assert.equal(cluster.runningTasks('run-v'), 2);
 });
@@ -81,7 +81,7 @@
   const copies: Heartbeat[] = [];
   for (let index = 0; index < 8; index++) {
     cluster.run(1);
-    copies.push(worker.heartbeat());
+    copies.push(worker.nextHeartbeat());
   }
   worker.hung = true;
   const shard = shardOf(cluster, 'run-d');
@@ -110,7 +110,7 @@
   const copies: Heartbeat[] = [];
   for (let index = 0; index < 8; index++) {
     cluster.run(1);
-    copies.push(worker.heartbeat());
+    copies.push(worker.nextHeartbeat());
   }
   // Newer than all of them, so that the keeper has heard more than they say.
   cluster.run(3);
@@ -130,11 +130,11 @@
   const worker = workerRunning(cluster, 'run-e');
   const owner = cluster.controller(holderOf(cluster, shardOf(cluster, 'run-e')));
   cluster.run(3);
-  const before: Heartbeat = { ...worker.heartbeat(), sequence: 1, tasks: [], address: 'elsewhere', preemptionNoticeS: 3 };
+  const before: Heartbeat = { ...worker.nextHeartbeat(), sequence: 1, tasks: [], address: 'elsewhere', preemptionNoticeS: 3 };
   const done: Heartbeat = {
     ...before,
     sequence: 2,
-    tasks: worker.heartbeat().tasks.map((task) => ({ ...task, state: 'exited', exitReason: 'done' })),
+    tasks: worker.nextHeartbeat().tasks.map((task) => ({ ...task, state: 'exited', exitReason: 'done' })),
   };
   deliverHeartbeatCopy(owner, before);
   deliverHeartbeatCopy(owner, done);
@@ -199,7 +199,7 @@
   worker.sequence = 0;
   worker.fencingToken = 0;
   worker.tasks.clear();
-  worker.renewedAt = cluster.now;
+  worker.leaseRenewedAt = cluster.now;
   cluster.runUntil('all run again', () => cluster.runningTasks('run-k') === 12, 20);
   assert.ok(!worker.dead);
 });
@@ -216,7 +216,11 @@
   cluster.run(12);
   cluster.isPartitioned = () => false;
   const back = cluster.workers.filter((worker) => worker.zone === 'west');
-  cluster.runUntil('home again', () => back.every((worker) => cluster.controllers[worker.target % 3]?.name === 'n1'), 90);
+  cluster.runUntil(
+    'home again',
+    () => back.every((worker) => cluster.controllers[worker.controllerIndex % 3]?.name === 'n1'),
+    90,
+  );
   assert.deepEqual(
     cluster.trace.filter((line) => line.includes('lease over')),
     [],
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -22,7 +22,7 @@
   }));
   const machines = 900;
   for (let index = 0; index < machines; index++)
-    cluster.machine(`m${1000 + index}`, 'small', index % 2 === 0 ? 'east' : 'west', index % 10 === 9);
+    cluster.addMachine(`m${1000 + index}`, 'small', index % 2 === 0 ? 'east' : 'west', index % 10 === 9);
   cluster.runUntilSettled();
   const granted = cluster.changes.get('g') ?? 0;
   assert.ok(granted < 1.1 * machines, `${granted} changes to grant ${machines} machines`);
@@ -162,15 +162,15 @@
     cluster.changes.clear();
     fleet.crashOne(0);
     fleet.crashAll();
-    fleet.untilServicesRun('services run on', 1);
+    fleet.runUntilServicesRun('services run on', 1);
     assert.ok((cluster.changes.get('g') ?? 0) < 20, `${cluster.changes.get('g')} grants written anew for nothing`);
-    fleet.roll();
-    fleet.untilServicesRun('services run on after a roll', 1);
+    fleet.rollingRestart();
+    fleet.runUntilServicesRun('services run on after a roll', 1);
     fleet.check();
     cluster.trace = [];
-    fleet.cancelWhileTheLeaderEnds(300);
+    fleet.cancelDuringLeaderCrash(300);
     cluster.trace = [];
-    fleet.loseThird();
-    fleet.untilServicesRun('all replicas have another place', 120);
+    fleet.killThird();
+    fleet.runUntilServicesRun('all replicas have another place', 120);
     fleet.check();
   });
--- a/test/long-lists-and-progress.test.ts
+++ b/test/long-lists-and-progress.test.ts
@@ -25,7 +25,7 @@
     teams: [...settings.teams, team],
     state: { ...settings.state, valueKib: 2 },
   }));
-  for (let index = 0; index < 6; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+  for (let index = 0; index < 6; index++) cluster.addMachine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.runUntilSettled();
   let said = 0;
   cluster.controllers[0]?.submit(job('run-huge', { jobClass: name, image: name, team: name }), (status) => {
@@ -84,7 +84,7 @@
   const types = Array.from({ length: 64 }, (_, index) => `none-${index}-${'x'.repeat(60)}`);
   const spec = job('run-long', { machineTypes: [...types.slice(1), 'small'], estimatedRunS: 5 });
   // An acceptance that fails after its parts were stored costs no second copy of them.
-  cluster.losesTransactionAnswer = (e) => e.writes.some((write) => 'put' in write && write.put === 'a/j/run-long');
+  cluster.losesTransactionResponse = (e) => e.writes.some((write) => 'put' in write && write.put === 'a/j/run-long');
   cluster.specs.set(spec.id, spec);
   cluster.awaits.set(spec.id, before);
   let status = 0;
@@ -96,14 +96,14 @@
   const parts = () => [...cluster.stateService.keys.keys()].filter((key) => key.startsWith('a/x/run-long/')).length;
   const stored = parts();
   assert.ok(stored > 0);
-  cluster.losesTransactionAnswer = null;
+  cluster.losesTransactionResponse = null;
   const written = cluster.changes.get('x');
   cluster.submit(spec, cluster.controllers[1], before);
   assert.equal(parts(), stored);
   assert.equal(cluster.changes.get('x'), written);
   cluster.controller(holderOf(cluster, shardOf(cluster, 'run-long'))).crash();
   cluster.runUntil('it runs', () => cluster.allTasksDone('run-long'), 120);
-  assert.equal(cluster.stateService.tooLarge, 0);
+  assert.equal(cluster.stateService.tooLargeCount, 0);
 });
 
 // Too early would be a start by a list that is not whole yet.
@@ -172,7 +172,7 @@
     assert.equal(cluster.queryStatus('run-a', node), 'done');
     assert.equal(cluster.queryStatus('run-b', node), 'aborted');
   }
-  assert.equal(cluster.stateService.tooLarge, 0);
+  assert.equal(cluster.stateService.tooLargeCount, 0);
 });
 
 test('progress stored in whole chunks and in parts is united, and what is done does not run again', () => {
@@ -193,7 +193,7 @@
   fall(cluster);
   cluster.runUntil('the rest is done', () => cluster.allTasksDone('run-many'), 120);
   assert.equal(cluster.trace.filter((line) => line.includes('starts run-many/')).length, 192);
-  assert.equal(cluster.stateService.tooLarge, 0);
+  assert.equal(cluster.stateService.tooLargeCount, 0);
   cluster.run(5);
   assert.equal(cluster.queryStatus('run-many'), 'done');
 });
--- a/test/loopback-fleet.test.ts
+++ b/test/loopback-fleet.test.ts
@@ -44,12 +44,12 @@
       look();
       return granted();
     });
-    const before = fleet.workers.map((worker) => worker.answered);
+    const before = fleet.workers.map((worker) => worker.acceptedHeartbeats);
     await waitForCount('all are answered, again and again', FLEET_MACHINES, () => {
       look();
-      return fleet.workers.filter((worker, index) => worker.answered >= (before[index] as number) + 3).length;
+      return fleet.workers.filter((worker, index) => worker.acceptedHeartbeats >= (before[index] as number) + 3).length;
     });
-    assert.equal(cloud.returned.size, 0, 'machines that were given back');
+    assert.equal(cloud.releasedMachines.size, 0, 'machines that were given back');
     const heap = controller.log.find(({ msg: message }) => message === 'heap');
     assert.deepEqual([heap?.kind, heap?.heapMb], ['thread', threadHeapMb({ memoryMb: MEMORY_MB, sockets: SOCKETS })]);
     assert.ok(mostMb > 0 && mostMb <= MEMORY_MB, `${mostMb} MB of ${MEMORY_MB}`);
--- a/test/loopback/cloud-server.ts
+++ b/test/loopback/cloud-server.ts
@@ -1,10 +1,10 @@
 /** The cloud on loopback: machine types, a list in pages, releases; it has no further machines to provision. */
 import type { MachineType } from '@archpost/protocol';
 import { TYPES } from '../simulation/fixtures.js';
-import { type LoopbackAnswer, type LoopbackRequest, listen, serverFor } from './http.js';
+import { createServer, type LoopbackRequest, type LoopbackResponse, listen } from './http.js';
 
 /** All machines have been up for an hour. */
-const AGE_S = 3600;
+const MACHINE_AGE_S = 3600;
 
 /** A machine as the cloud lists it. */
 export interface ListedMachine {
@@ -14,7 +14,7 @@
   zone: string;
 }
 
-function typeOnWire(type: MachineType): Record<string, unknown> {
+function encodeMachineType(type: MachineType): Record<string, unknown> {
   return {
     name: type.name,
     cores: type.cpus,
@@ -32,10 +32,10 @@
 /** Serves the cloud's HTTP interface on a free port. */
 export class CloudServer {
   /** names of the machines that were released */
-  readonly returned = new Set<string>();
+  readonly releasedMachines = new Set<string>();
   /** requests so far */
   requestCount = 0;
-  private readonly server = serverFor((request) => this.handle(request));
+  private readonly server = createServer((request) => this.handle(request));
 
   /** `machines`: in the order of their names */
   constructor(private readonly machines: () => readonly ListedMachine[]) {}
@@ -51,18 +51,18 @@
     this.server.closeAllConnections();
   }
 
-  private handle({ method, path, query, body }: LoopbackRequest): LoopbackAnswer {
+  private handle({ method, path, query, body }: LoopbackRequest): LoopbackResponse {
     this.requestCount++;
-    if (path === '/machine_types') return { status: 200, body: { builds: TYPES.map(typeOnWire) } };
+    if (path === '/machine_types') return { status: 200, body: { builds: TYPES.map(encodeMachineType) } };
     if (path === '/machines' && method === 'GET') return this.list(query);
     if (path === '/machines') return { status: 503, body: { error: 'no capacity' } };
-    for (const name of body.hosts as string[]) this.returned.add(name);
+    for (const name of body.hosts as string[]) this.releasedMachines.add(name);
     return { status: 200, body: {} };
   }
 
-  private list(query: URLSearchParams): LoopbackAnswer {
+  private list(query: URLSearchParams): LoopbackResponse {
     const since = query.get('since') ?? '';
-    const all = this.machines().filter(({ name }) => name > since && !this.returned.has(name));
+    const all = this.machines().filter(({ name }) => name > since && !this.releasedMachines.has(name));
     const hosts = all.slice(0, Number(query.get('most') ?? 500)).map(({ name, address, type, zone }) => ({
       ref: name,
       address,
@@ -70,7 +70,7 @@
       yard: zone,
       loaners: false,
       status: 'running',
-      age_s: AGE_S,
+      age_s: MACHINE_AGE_S,
     }));
     return { status: 200, body: { hosts, has_next: hosts.length < all.length } };
   }
--- a/test/loopback/controller-process.ts
+++ b/test/loopback/controller-process.ts
@@ -98,19 +98,19 @@
   output = '';
   /** how the last run ended; null: it has not */
   ended: { code: number | null; signal: string | null } | null = null;
-  private readonly file: string;
+  private readonly settingsFile: string;
   /** the beginning of a log line that is not complete yet */
   private unfinishedLine = '';
 
   constructor(readonly settings: ControllerSettings) {
-    this.file = join(mkdtempSync(join(tmpdir(), 'archpost-loopback-')), 'settings.toml');
-    writeFileSync(this.file, toml(settings));
+    this.settingsFile = join(mkdtempSync(join(tmpdir(), 'archpost-loopback-')), 'settings.toml');
+    writeFileSync(this.settingsFile, toml(settings));
   }
 
   /** Starts the program. `environment`: variables that only this process has */
   start(options: string[] = [], environment: Record<string, string> = {}): void {
     const { run } = parse(readFileSync('deploy/service.toml', 'utf8')) as { run: string };
-    const [program, ...args] = [...run.split(' '), this.file, ...options];
+    const [program, ...args] = [...run.split(' '), this.settingsFile, ...options];
     this.ended = null;
     this.child = spawn(program as string, args, {
       stdio: ['ignore', 'pipe', 'pipe'],
--- a/test/loopback/http.ts
+++ b/test/loopback/http.ts
@@ -14,13 +14,13 @@
 }
 
 /** The status code and the body of a response. */
-export interface LoopbackAnswer {
+export interface LoopbackResponse {
   status: number;
   body: unknown;
 }
 
 /** Responds to a request. */
-export type Handler = (request: LoopbackRequest) => LoopbackAnswer | Promise<LoopbackAnswer>;
+export type Handler = (request: LoopbackRequest) => LoopbackResponse | Promise<LoopbackResponse>;
 
 function readBody(request: http.IncomingMessage): Promise<Buffer> {
   return new Promise((resolve, reject) => {
@@ -32,7 +32,7 @@
 }
 
 /** A server for this handler, which listens nowhere yet. */
-export function serverFor(handler: Handler): http.Server {
+export function createServer(handler: Handler): http.Server {
   return http.createServer({ keepAliveTimeout: 60_000 }, async (request, response) => {
     try {
       const url = new URL(request.url ?? '/', 'http://loopback');
--- a/test/loopback/state-server.ts
+++ b/test/loopback/state-server.ts
@@ -1,7 +1,7 @@
 /** The state service on loopback: that of the simulated clusters behind PROTOCOL's HTTP interface. */
 import type { KeyWrite, RevisionCondition } from '@archpost/protocol';
 import { SimulatedStateService } from '../simulation/state-service.js';
-import { type LoopbackAnswer, type LoopbackRequest, listen, serverFor } from './http.js';
+import { createServer, type LoopbackRequest, type LoopbackResponse, listen } from './http.js';
 
 const MAX_ROWS_PER_PAGE = 1000;
 const LEASE_EXPIRY_INTERVAL_MS = 50;
@@ -13,7 +13,7 @@
   permit?: number;
 }
 
-function writeOf({ write, remove, v, permit: leaseId }: WireWrite): KeyWrite {
+function decodeWrite({ write, remove, v, permit: leaseId }: WireWrite): KeyWrite {
   if (write === undefined) return { del: remove as string };
   return leaseId === undefined ? { put: write, value: v } : { put: write, value: v, lease: leaseId };
 }
@@ -21,9 +21,9 @@
 /** Serves the state service's HTTP interface on a free port. */
 export class StateServer {
   readonly state = new SimulatedStateService();
-  private readonly server = serverFor((request) => this.handle(request));
-  private readonly waiting = new Set<() => void>();
-  private readonly expiry = setInterval(() => this.change(() => this.state.expire(Date.now())), LEASE_EXPIRY_INTERVAL_MS);
+  private readonly server = createServer((request) => this.handle(request));
+  private readonly watchers = new Set<() => void>();
+  private readonly expiryTimer = setInterval(() => this.applyStep(() => this.state.expire(Date.now())), LEASE_EXPIRY_INTERVAL_MS);
 
   /** Returns the address that it listens on. */
   listen(): Promise<string> {
@@ -32,21 +32,21 @@
 
   /** Ends the server, its connections and those that watch. */
   close(): void {
-    clearInterval(this.expiry);
-    for (const wake of [...this.waiting]) wake();
+    clearInterval(this.expiryTimer);
+    for (const wake of [...this.watchers]) wake();
     this.server.close();
     this.server.closeAllConnections();
   }
 
   /** Wakes those that watch, if the step changed anything. */
-  private change<T>(step: () => T): T {
+  private applyStep<T>(step: () => T): T {
     const before = this.state.revision;
     const result = step();
-    if (this.state.revision !== before) for (const wake of [...this.waiting]) wake();
+    if (this.state.revision !== before) for (const wake of [...this.watchers]) wake();
     return result;
   }
 
-  private handle(request: LoopbackRequest): LoopbackAnswer | Promise<LoopbackAnswer> {
+  private handle(request: LoopbackRequest): LoopbackResponse | Promise<LoopbackResponse> {
     const { path } = request;
     if (path === '/txn') return this.transaction(request);
     if (path === '/changes') return this.changes(request);
@@ -55,12 +55,12 @@
     return { status: 400, body: {} };
   }
 
-  private transaction({ body }: LoopbackRequest): LoopbackAnswer {
+  private transaction({ body }: LoopbackRequest): LoopbackResponse {
     const conditions = (body.guards as { k: string; stamp: number }[]).map(
       ({ k: key, stamp: revision }): RevisionCondition => ({ key, revision }),
     );
-    const writes = ((body.writes ?? []) as WireWrite[]).map(writeOf);
-    const outcome = this.change(() =>
+    const writes = ((body.writes ?? []) as WireWrite[]).map(decodeWrite);
+    const outcome = this.applyStep(() =>
       this.state.compareAndSwap({ type: 'compareAndSwap', id: 0, conditions, writes }, Date.now()),
     );
     if (outcome.kind === 'ok') return { status: 200, body: { ledger: outcome.revision } };
@@ -68,13 +68,13 @@
     return { status: 400, body: { error: outcome.kind === 'noLease' ? 'no such lease' : outcome.kind } };
   }
 
-  private lease({ path, body }: LoopbackRequest): LoopbackAnswer {
+  private lease({ path, body }: LoopbackRequest): LoopbackResponse {
     const id = Number(path.split('/')[2] ?? 0);
     if (id === 0) return { status: 200, body: { permit: this.state.lease(Number(body.ttl_ms), Date.now()) } };
     return this.state.extend(id, Date.now()) ? { status: 200, body: {} } : { status: 404, body: {} };
   }
 
-  private rows({ query }: LoopbackRequest): LoopbackAnswer {
+  private rows({ query }: LoopbackRequest): LoopbackResponse {
     const starts = query.get('starts') ?? '';
     const since = query.get('since') ?? '';
     const keys = [...this.state.keys.keys()].filter((key) => key.startsWith(starts) && key > since).sort();
@@ -83,11 +83,11 @@
     return { status: 200, body: { rows, has_next: page.length < keys.length, ledger: this.state.revision } };
   }
 
-  private async changes({ query }: LoopbackRequest): Promise<LoopbackAnswer> {
+  private async changes({ query }: LoopbackRequest): Promise<LoopbackResponse> {
     const since = Number(query.get('since'));
     const starts = query.get('starts') ?? '';
     const until = Date.now() + Number(query.get('wait_ms') ?? 0);
-    const newChanges = () => this.state.since(since).filter(({ key }) => key.startsWith(starts));
+    const newChanges = () => this.state.changesSince(since).filter(({ key }) => key.startsWith(starts));
     while (newChanges().length === 0 && Date.now() < until) await this.nextChange(until - Date.now());
     const log = newChanges().map(({ key, value, revision }) =>
       value === undefined ? { remove: key, stamp: revision } : { write: key, v: value, stamp: revision },
@@ -95,15 +95,15 @@
     return { status: 200, body: { ledger: this.state.revision, log } };
   }
 
-  private nextChange(mostMs: number): Promise<void> {
+  private nextChange(timeoutMs: number): Promise<void> {
     return new Promise((resolve) => {
       const wake = () => {
         clearTimeout(timer);
-        this.waiting.delete(wake);
+        this.watchers.delete(wake);
         resolve();
       };
-      const timer = setTimeout(wake, mostMs);
-      this.waiting.add(wake);
+      const timer = setTimeout(wake, timeoutMs);
+      this.watchers.add(wake);
     });
   }
 }
--- a/test/loopback/worker-fleet.ts
+++ b/test/loopback/worker-fleet.ts
@@ -3,7 +3,7 @@
 import net from 'node:net';
 import { pack, unpackMap } from '@archpost/protocol';
 import type { ListedMachine } from './cloud-server.js';
-import { type LoopbackAnswer, type LoopbackRequest, serverFor } from './http.js';
+import { createServer, type LoopbackRequest, type LoopbackResponse } from './http.js';
 
 const NEXT_CONTROLLER_DELAY_MS = 1000;
 const CHANGE_HEARTBEAT_DELAY_MS = 500;
@@ -29,19 +29,19 @@
   private fencingToken = 0;
   private sequence = 0;
   /** index of the controller to which heartbeats go */
-  private target = 0;
+  private controllerIndex = 0;
   private timer: NodeJS.Timeout | null = null;
   private isStopped = false;
   /** its own connection, as a worker has one */
   private readonly agent = new http.Agent({ keepAlive: true, maxSockets: 1 });
   /** heartbeats that were answered 200 */
-  answered = 0;
+  acceptedHeartbeats = 0;
   /** it answers nothing and sends nothing, as a machine without power */
   private isDead = false;
   /** when the last heartbeat that was answered 200 was sent */
-  renewedAt = 0;
+  leaseRenewedAt = 0;
   /** the longest time between the sending of two heartbeats that were answered 200, one after the other */
-  longestUnrenewedMs = 0;
+  longestRenewalGapMs = 0;
 
   constructor(
     readonly machine: ListedMachine,
@@ -71,7 +71,7 @@
     this.timer = setTimeout(() => void this.sendHeartbeat(), ms);
   }
 
-  private heartbeat(): Record<string, unknown> {
+  private nextHeartbeat(): Record<string, unknown> {
     const { name, address, type, zone } = this.machine;
     const pieces = [...this.tasks.values()];
     const numbers = { shift: 1, tally: ++this.sequence, baton: this.fencingToken };
@@ -82,48 +82,48 @@
     const { controllers } = this.fleet;
     const sentAt = Date.now();
     const answer = await this.fleet.post(
-      controllers[this.target % controllers.length] as string,
+      controllers[this.controllerIndex % controllers.length] as string,
       '/checkin',
-      this.heartbeat(),
+      this.nextHeartbeat(),
       this.agent,
     );
     const redirectIndex = typeof answer?.body.home === 'string' ? this.fleet.names.indexOf(answer.body.home) : -1;
     if (answer?.status === 200) {
-      this.answered++;
+      this.acceptedHeartbeats++;
       this.recordRenewal(sentAt);
-      this.obey(answer.body);
+      this.acceptCommands(answer.body);
       this.schedule(this.fleet.reportMs * (0.75 + 0.5 * Math.random()));
-    } else if (answer?.status === 421 && redirectIndex >= 0 && redirectIndex !== this.target % controllers.length) {
-      this.target = redirectIndex;
+    } else if (answer?.status === 421 && redirectIndex >= 0 && redirectIndex !== this.controllerIndex % controllers.length) {
+      this.controllerIndex = redirectIndex;
       this.schedule(Math.random() * CHANGE_HEARTBEAT_DELAY_MS);
     } else {
-      this.target++;
+      this.controllerIndex++;
       this.schedule(NEXT_CONTROLLER_DELAY_MS);
     }
   }
 
   private recordRenewal(sentAt: number): void {
-    if (this.renewedAt > 0) this.longestUnrenewedMs = Math.max(this.longestUnrenewedMs, sentAt - this.renewedAt);
-    this.renewedAt = sentAt;
+    if (this.leaseRenewedAt > 0) this.longestRenewalGapMs = Math.max(this.longestRenewalGapMs, sentAt - this.leaseRenewedAt);
+    this.leaseRenewedAt = sentAt;
   }
 
-  private obey(body: Record<string, unknown>): boolean {
+  private acceptCommands(body: Record<string, unknown>): boolean {
     const fencingToken = Number(body.baton ?? 0);
     if (fencingToken < this.fencingToken) return false;
     this.fencingToken = fencingToken;
-    for (const order of (body.orders ?? []) as Order[]) this.carryOut(order);
+    for (const order of (body.orders ?? []) as Order[]) this.executeCommand(order);
     return true;
   }
 
-  private carryOut({ verb, piece, try: attempt }: Order): void {
+  private executeCommand({ verb, piece, try: attempt }: Order): void {
     const key = `${piece}/${attempt}`;
     const task = this.tasks.get(key);
-    if (verb === 'run' && !task) this.run(key, { piece, try: attempt, status: 'running' });
+    if (verb === 'run' && !task) this.startTask(key, { piece, try: attempt, status: 'running' });
     if (verb === 'stop' && task) Object.assign(task, { status: 'ended', cause: 'stopped' });
     if (verb === 'clear' && task?.status === 'ended') this.tasks.delete(key);
   }
 
-  private run(key: string, task: Task): void {
+  private startTask(key: string, task: Task): void {
     this.tasks.set(key, task);
     const runMs = this.fleet.runMs(task.piece);
     if (!Number.isFinite(runMs)) return;
@@ -135,12 +135,12 @@
   }
 
   /** Responds to direct commands, or to a probe. */
-  handle({ path, body }: LoopbackRequest): LoopbackAnswer | Promise<LoopbackAnswer> {
+  handle({ path, body }: LoopbackRequest): LoopbackResponse | Promise<LoopbackResponse> {
     if (this.isDead) return new Promise(() => {});
-    if (path === '/show') return { status: 200, body: this.heartbeat() };
-    const isCurrent = Number(body.shift) === 1 && this.obey(body);
+    if (path === '/show') return { status: 200, body: this.nextHeartbeat() };
+    const isCurrent = Number(body.shift) === 1 && this.acceptCommands(body);
     if (isCurrent && (body.orders as Order[]).length > 0) this.schedule(CHANGE_HEARTBEAT_DELAY_MS);
-    return { status: isCurrent ? 200 : 409, body: this.heartbeat() };
+    return { status: isCurrent ? 200 : 409, body: this.nextHeartbeat() };
   }
 }
 
@@ -165,7 +165,7 @@
   private readonly byAddress = new Map<string, LoopbackWorker>();
   private readonly listeners: net.Server[] = [];
   private readonly agent = new http.Agent({ keepAlive: true });
-  private readonly server = serverFor((request) => {
+  private readonly server = createServer((request) => {
     const worker = this.byAddress.get(request.to);
     return worker ? worker.handle(request) : { status: 404, body: {} };
   });
@@ -179,10 +179,10 @@
 
   /** Adds workers until there are `count`, in the zones by turns; or only the given one of so many parts of them. */
   async add(count: number, zones: string[], part = 0, parts = 1): Promise<void> {
-    for (let index = this.workers.length, known = 0; known < count; index++) {
+    for (let index = this.workers.length, counted = 0; counted < count; index++) {
       const host = `127.${1 + (index >> 16)}.${(index >> 8) & 255}.${index & 255}`;
       if (host.endsWith('.0') || host.endsWith('.255')) continue;
-      if (known++ % parts !== part) continue;
+      if (counted++ % parts !== part) continue;
       const listener = net.createServer((socket) => this.server.emit('connection', socket));
       const port = await new Promise<number>((resolve, reject) => {
         listener.once('error', reject);
--- a/test/malformed-support/http-exchange.ts
+++ b/test/malformed-support/http-exchange.ts
@@ -24,7 +24,7 @@
   else if (request.kind === 'submit') core.submitJob(id, request.body, now, now);
   else if (request.kind === 'statusQuery') core.queryJobStatus(id, request.job, now);
   else core.cancelJob(id, request.job, now);
-  cluster.controller('n0').run();
+  cluster.controller('n0').applyEffects();
   cluster.runUntil(`an answer to ${request.kind}`, isAnswered, ANSWER_WITHIN_S);
 }
 
--- a/test/measure/core-load.ts
+++ b/test/measure/core-load.ts
@@ -7,16 +7,16 @@
 import { type InputName, meteredCore } from './metered-core.js';
 
 const TEAMS = ['kiosk', 'maps', 'vision', 'desk'];
-const NODES = ['n0', 'n1', 'n2'];
-const SMALL = 430;
-const BIG = 30;
+const CONTROLLER_NAMES = ['n0', 'n1', 'n2'];
+const SMALL_MACHINES = 430;
+const BIG_MACHINES = 30;
 const SERVICES = 80;
-const REPLICAS = 5;
-const ARRAYS_AT_FIRST = 20;
-const ARRAY_EACH_S = 3;
+const REPLICAS_PER_SERVICE = 5;
+const INITIAL_ARRAYS = 20;
+const ARRAY_INTERVAL_S = 3;
 const ARRAY_TASKS = 60;
 const ARRAY_TASK_S = 25;
-const GANG_EACH_S = 15;
+const GANG_INTERVAL_S = 15;
 const SETTLE_S = 30;
 
 const seconds = Number(process.argv[2] ?? 60);
@@ -44,20 +44,21 @@
   sums.set(name, { count: sum.count + 1, ms: sum.ms + ms });
 };
 
-const cluster = new SimulatedCluster(NODES, tune);
+const cluster = new SimulatedCluster(CONTROLLER_NAMES, tune);
 for (const node of cluster.controllers) {
   node.version = { Controller: meteredCore(meter), encodePeerMessage, decodePeerMessage };
   node.restart();
 }
-for (let index = 0; index < SMALL; index++)
-  cluster.machine(`m${1000 + index}`, 'small', index % 2 === 0 ? 'east' : 'west', index % 2 === 1);
-for (let index = 0; index < BIG; index++) cluster.machine(`g${1000 + index}`, 'big', index % 2 === 0 ? 'east' : 'west');
+for (let index = 0; index < SMALL_MACHINES; index++)
+  cluster.addMachine(`m${1000 + index}`, 'small', index % 2 === 0 ? 'east' : 'west', index % 2 === 1);
+for (let index = 0; index < BIG_MACHINES; index++)
+  cluster.addMachine(`g${1000 + index}`, 'big', index % 2 === 0 ? 'east' : 'west');
 let submitted = 0;
 const submit = (id: string, over: Parameters<typeof job>[1]) => {
   const team = TEAMS[submitted++ % TEAMS.length] as string;
   cluster.submit(job(id, { team, ...over }));
 };
-const array = (id: string) =>
+const submitArray = (id: string) =>
   submit(id, {
     tasks: ARRAY_TASKS,
     cpus: 1.9,
@@ -72,19 +73,19 @@
 for (let index = 0; index < SERVICES; index++)
   submit(`run-s${index}`, {
     shape: 'service',
-    tasks: REPLICAS,
+    tasks: REPLICAS_PER_SERVICE,
     priority: 3,
     cpus: 2,
     memory: 7.2,
     spread: true,
     image: `s${index % 20}`,
   });
-for (let index = 0; index < ARRAYS_AT_FIRST; index++) array(`run-b${index}`);
+for (let index = 0; index < INITIAL_ARRAYS; index++) submitArray(`run-b${index}`);
 cluster.run(SETTLE_S);
 sums.clear();
 for (let second = 0; second < seconds; second++) {
-  if (second % ARRAY_EACH_S === 0) array(`run-a${second}`);
-  if (second % GANG_EACH_S === 0)
+  if (second % ARRAY_INTERVAL_S === 0) submitArray(`run-a${second}`);
+  if (second % GANG_INTERVAL_S === 0)
     submit(`run-g${second}`, {
       shape: 'gang',
       tasks: 2,
--- a/test/measure/costs.ts
+++ b/test/measure/costs.ts
@@ -6,9 +6,9 @@
 import { meteredCore } from './metered-core.js';
 
 const SIZES = [300, 600, 1200, 2400, 4000];
-const CONTROLLERS = [3];
-const MOST_CONTROLLERS = [7, 15];
-const LARGEST = 4000;
+const CONTROLLER_COUNTS = [3];
+const LARGE_CONTROLLER_COUNTS = [7, 15];
+const LARGEST_SIZE = 4000;
 const STEADY_S = 10;
 const RELATIVE_ACCURACY = 0.01;
 
@@ -21,7 +21,7 @@
   }
 
   /** Least, median and 99th percentile. */
-  text(): string {
+  format(): string {
     const at = (quantile: number) => this.sketch.getValueAtQuantile(quantile);
     return [at(0), at(0.5), at(0.99)].map((value) => (value >= 100 ? value.toFixed(0) : value.toPrecision(3))).join(' / ');
   }
@@ -39,7 +39,7 @@
 }
 
 /** Processor time that the cores took since it was last asked. */
-class Processor {
+class ProcessorMeter {
   private ms = 0;
   private readonly row: Row;
 
@@ -53,7 +53,7 @@
     if (input === 'tick') this.row.add('one tick, ms of processor', ms);
   };
 
-  take(): number {
+  takeMs(): number {
     const { ms } = this;
     this.ms = 0;
     return ms;
@@ -61,12 +61,12 @@
 }
 
 function measure(row: Row, machines: number, controllers: number, run: number): void {
-  const processor = new Processor(row);
+  const processor = new ProcessorMeter(row);
   const version = { Controller: meteredCore(processor.meter), encodePeerMessage, decodePeerMessage };
   const fleet = new LargeFleet({ machines, controllers, version });
   const { cluster } = fleet;
   const phase = (name: string, seconds: number) => {
-    row.add(`${name}, ms of processor a second at each controller`, processor.take() / controllers / Math.max(0.1, seconds));
+    row.add(`${name}, ms of processor a second at each controller`, processor.takeMs() / controllers / Math.max(0.1, seconds));
     cluster.trace = [];
   };
   const timed = (name: string, step: () => number) => {
@@ -83,15 +83,15 @@
   row.add('bytes of a status', cluster.statusBytes / cluster.statuses);
   timed('crash of one until the last machine answers', () => fleet.crashOne(run % controllers));
   timed('return of all until the last machine answers', () => fleet.crashAll());
-  timed('roll', () => fleet.roll());
-  timed('cancelled burst until the last task is gone', () => fleet.cancelWhileTheLeaderEnds(Math.floor(machines / 13)));
-  timed('a third lost until no grant is left', () => fleet.loseThird());
+  timed('roll', () => fleet.rollingRestart());
+  timed('cancelled burst until the last task is gone', () => fleet.cancelDuringLeaderCrash(Math.floor(machines / 13)));
+  timed('a third lost until no grant is left', () => fleet.killThird());
 }
 
 const runs = Number(process.argv[2] ?? 3);
 const columns = [
-  ...SIZES.flatMap((machines) => CONTROLLERS.map((controllers) => ({ machines, controllers }))),
-  ...MOST_CONTROLLERS.map((controllers) => ({ machines: LARGEST, controllers })),
+  ...SIZES.flatMap((machines) => CONTROLLER_COUNTS.map((controllers) => ({ machines, controllers }))),
+  ...LARGE_CONTROLLER_COUNTS.map((controllers) => ({ machines: LARGEST_SIZE, controllers })),
 ].map((column) => ({ ...column, row: new Row() }));
 for (const { machines, controllers, row } of columns)
   for (let run = 0; run < runs; run++) measure(row, machines, controllers, run);
@@ -100,4 +100,4 @@
 );
 console.log(`| --- |${columns.map(() => ' --- |').join('')}`);
 for (const name of columns[0]?.row.quantities.keys() ?? [])
-  console.log(`| ${name} | ${columns.map(({ row }) => row.quantities.get(name)?.text() ?? '').join(' | ')} |`);
+  console.log(`| ${name} | ${columns.map(({ row }) => row.quantities.get(name)?.format() ?? '').join(' | ')} |`);
--- a/test/measure/ledger.ts
+++ b/test/measure/ledger.ts
@@ -9,7 +9,7 @@
 import { WorkerFleet } from '../loopback/worker-fleet.js';
 import { submission } from '../simulation/fixtures.js';
 import { job } from '../simulation/index.js';
-import { type CpuProfile, shares } from './profile.js';
+import { type CpuProfile, formatShares } from './profile.js';
 
 const NAMES = ['n0', 'n1', 'n2'];
 const ZONES = ['east', 'west', 'south'];
@@ -19,12 +19,12 @@
 const WRITES_PER_S = 60;
 
 const MACHINES_PER_SERVICE = 3;
-const REPLICAS = 4;
-const ARRAY_EACH_MS = 4000;
+const REPLICAS_PER_SERVICE = 4;
+const ARRAY_INTERVAL_MS = 4000;
 const ARRAY_TASKS = 60;
 const ARRAY_TASK_MS = 20_000;
-const QUESTIONS_PER_S = 40;
-const UP_PATIENCE_MS = 10;
+const QUERIES_PER_S = 40;
+const UP_POLL_INTERVAL_MS = 10;
 const SETTLE_MS = 20_000;
 
 const machines = Number(process.argv[2] ?? 460);
@@ -72,43 +72,43 @@
 }
 
 /** Profiles that were written since this was last called. */
-const seen = new Set<string>();
-async function written(count: number): Promise<CpuProfile[]> {
+const readNames = new Set<string>();
+async function readNewProfiles(count: number): Promise<CpuProfile[]> {
   for (;;) {
-    const names = readdirSync(folder).filter((name) => !seen.has(name));
+    const names = readdirSync(folder).filter((name) => !readNames.has(name));
     if (names.length >= count) {
       await sleep(200);
-      for (const name of names) seen.add(name);
+      for (const name of names) readNames.add(name);
       return names.map((name) => JSON.parse(readFileSync(join(folder, name), 'utf8')));
     }
     await sleep(100);
   }
 }
 
-const totals = () => controllers.map((controller) => controller.processorMs());
+const processorTotalsMs = () => controllers.map((controller) => controller.processorMs());
 
-async function phase(name: string, step: () => Promise<void>): Promise<void> {
+async function measurePhase(name: string, step: () => Promise<void>): Promise<void> {
   if (isProfiled) for (const controller of controllers) controller.signal('SIGUSR2');
-  const before = totals();
+  const before = processorTotalsMs();
   const from = Date.now();
   await step();
   const seconds = (Date.now() - from) / 1000;
-  const after = totals();
+  const after = processorTotalsMs();
   const memory = controllers.map((controller) => controller.residentMb().toFixed(0)).join(', ');
   const perS = after.map((ms, index) => ((ms - (before[index] as number)) / seconds).toFixed(1)).join(', ');
   console.log(`\n## ${name}: ${perS} ms of processor a second, ${memory} MB`);
   if (!isProfiled) return;
   for (const controller of controllers) controller.signal('SIGUSR2');
-  for (const line of shares(await written(controllers.length))) console.log(line);
+  for (const line of formatShares(await readNewProfiles(controllers.length))) console.log(line);
 }
 
-async function ask(seconds: number, jobs: () => string[]): Promise<void> {
+async function queryStatuses(seconds: number, jobs: () => string[]): Promise<void> {
   const until = Date.now() + seconds * 1000;
   for (let index = 0; Date.now() < until; index++) {
     const names = jobs();
     const address = publicAddresses[index % NAMES.length] as string;
     void fleet.get(address, `/v2/runs/${names[index % names.length]}`);
-    await sleep(1000 / QUESTIONS_PER_S);
+    await sleep(1000 / QUERIES_PER_S);
   }
 }
 
@@ -120,36 +120,36 @@
 }
 
 for (const controller of controllers) controller.start([], environment('no'));
-for (const controller of controllers) while (!(await controller.isUp())) await sleep(UP_PATIENCE_MS);
+for (const controller of controllers) while (!(await controller.isUp())) await sleep(UP_POLL_INTERVAL_MS);
 fleet.start();
-const granted = () => [...state.state.keys.keys()].filter((key) => key.startsWith('a/g/')).length;
-while (granted() < machines) await sleep(100);
+const grantCount = () => [...state.state.keys.keys()].filter((key) => key.startsWith('a/g/')).length;
+while (grantCount() < machines) await sleep(100);
 await sleep(SETTLE_MS / 4);
-await phase('machines without work', () => sleep(phaseS * 1000));
-await phase('services submitted', async () => {
+await measurePhase('machines without work', () => sleep(phaseS * 1000));
+await measurePhase('services submitted', async () => {
   for (let index = 0; index < machines / MACHINES_PER_SERVICE; index++)
-    await submit(`run-s${index}`, { shape: 'service', tasks: REPLICAS, priority: 3, cpus: 1, memory: 1 });
+    await submit(`run-s${index}`, { shape: 'service', tasks: REPLICAS_PER_SERVICE, priority: 3, cpus: 1, memory: 1 });
   await sleep(SETTLE_MS);
 });
-await phase('services run, users ask', () => ask(phaseS, () => submitted));
-const burst = setInterval(
+await measurePhase('services run, users ask', () => queryStatuses(phaseS, () => submitted));
+const arrayTimer = setInterval(
   () => void submit(`run-a${arrays++}`, { tasks: ARRAY_TASKS, cpus: 0.5, memory: 0.5, priority: 1 }),
-  ARRAY_EACH_MS,
+  ARRAY_INTERVAL_MS,
 );
 await sleep(SETTLE_MS);
-await phase('arrays too', () => ask(phaseS, () => submitted.slice(-150)));
-await phase('one controller ends and returns', async () => {
-  const victim = controllers[2] as ControllerProcess;
+await measurePhase('arrays too', () => queryStatuses(phaseS, () => submitted.slice(-150)));
+await measurePhase('one controller ends and returns', async () => {
+  const crashed = controllers[2] as ControllerProcess;
   if (isProfiled) {
-    victim.signal('SIGUSR2');
-    await written(1);
+    crashed.signal('SIGUSR2');
+    await readNewProfiles(1);
   }
-  victim.stop();
+  crashed.stop();
   await sleep(3000);
-  victim.start([], environment('yes'));
-  while (!(await victim.isUp())) await sleep(UP_PATIENCE_MS);
-  await ask(phaseS, () => submitted.slice(-150));
+  crashed.start([], environment('yes'));
+  while (!(await crashed.isUp())) await sleep(UP_POLL_INTERVAL_MS);
+  await queryStatuses(phaseS, () => submitted.slice(-150));
 });
-clearInterval(burst);
+clearInterval(arrayTimer);
 for (const controller of controllers) controller.stop();
 process.exit(0);
--- a/test/measure/loopback.ts
+++ b/test/measure/loopback.ts
@@ -6,9 +6,9 @@
 
 const WINDOWS = 4;
 const WINDOW_MS = 5000;
-const LOOK_EACH_MS = 100;
+const POLL_INTERVAL_MS = 100;
 const MACHINES_PER_SERVICE = 3;
-const REPLICAS = 4;
+const REPLICAS_PER_SERVICE = 4;
 
 const machines = Number(process.argv[2] ?? 4000);
 const memoryMb = Number(process.argv[3] ?? 512);
@@ -25,13 +25,13 @@
   return Date.now() - from;
 }
 
-async function watch(what: string): Promise<void> {
+async function printUsage(what: string): Promise<void> {
   for (let index = 0; index < WINDOWS && !controller.ended; index++) {
     const before = controller.processorMs();
-    const answered = fleet.workers.reduce((count, worker) => count + worker.answered, 0);
+    const answered = fleet.workers.reduce((count, worker) => count + worker.acceptedHeartbeats, 0);
     await sleep(WINDOW_MS);
     const perS = (value: number) => Math.round((value * 1000) / WINDOW_MS);
-    const heartbeats = fleet.workers.reduce((count, worker) => count + worker.answered, 0) - answered;
+    const heartbeats = fleet.workers.reduce((count, worker) => count + worker.acceptedHeartbeats, 0) - answered;
     console.log(
       `${what}: ${controller.residentMb().toFixed(0)} MB, ${controller.openSockets()} sockets, ` +
         `${perS(controller.processorMs() - before)} ms a second, ${perS(heartbeats)} reports a second`,
@@ -41,18 +41,18 @@
 
 console.log(`up after ${await startAndWait()} ms with ${controller.residentMb().toFixed(0)} MB`);
 fleet.start();
-const granted = () => [...state.state.keys.keys()].filter((key) => key.startsWith('a/g/')).length;
+const grantCount = () => [...state.state.keys.keys()].filter((key) => key.startsWith('a/g/')).length;
 const from = Date.now();
-while (granted() < machines && !controller.ended) await sleep(LOOK_EACH_MS);
-console.log(`${granted()} granted after ${Date.now() - from} ms`);
-await watch('no work');
+while (grantCount() < machines && !controller.ended) await sleep(POLL_INTERVAL_MS);
+console.log(`${grantCount()} granted after ${Date.now() - from} ms`);
+await printUsage('no work');
 for (let index = 0; index < machines / MACHINES_PER_SERVICE; index++) {
-  const service = job(`run-s${index}`, { shape: 'service', tasks: REPLICAS, priority: 3, cpus: 1, memory: 1 });
+  const service = job(`run-s${index}`, { shape: 'service', tasks: REPLICAS_PER_SERVICE, priority: 3, cpus: 1, memory: 1 });
   await fleet.post(publicAddress, '/v2/runs', submission(service));
 }
-await watch('services');
+await printUsage('services');
 const tasks = fleet.workers.reduce((count, worker) => count + worker.tasks.size, 0);
-console.log(`${tasks} tasks run, ${cloud.returned.size} machines were given back`);
+console.log(`${tasks} tasks run, ${cloud.releasedMachines.size} machines were given back`);
 controller.stop();
 await sleep(WINDOW_MS / 10);
 console.log(`up again after ${await startAndWait()} ms, with ${state.state.keys.size} keys`);
--- a/test/measure/profile.ts
+++ b/test/measure/profile.ts
@@ -14,7 +14,7 @@
   timeDeltas: number[];
 }
 
-const MOST_FUNCTIONS = 45;
+const MAX_FUNCTIONS = 45;
 
 function label({ callFrame: { functionName, url, lineNumber } }: ProfileNode): string {
   const file = url.split('/').pop() ?? '';
@@ -22,9 +22,9 @@
 }
 
 /** Lines of a table: the functions with the most time of their own, and with the most including what they call. */
-export function shares(profiles: CpuProfile[]): string[] {
+export function formatShares(profiles: CpuProfile[]): string[] {
   const own = new Map<string, number>();
-  const whole = new Map<string, number>();
+  const inclusive = new Map<string, number>();
   let busy = 0;
   for (const profile of profiles) {
     const byId = new Map(profile.nodes.map((node) => [node.id, node]));
@@ -39,13 +39,13 @@
       own.set(name, (own.get(name) ?? 0) + us);
       const path = new Set<string>();
       for (let at: number | undefined = id; at !== undefined; at = parent.get(at)) path.add(label(byId.get(at) as ProfileNode));
-      for (const on of path) whole.set(on, (whole.get(on) ?? 0) + us);
+      for (const calledIn of path) inclusive.set(calledIn, (inclusive.get(calledIn) ?? 0) + us);
     });
   }
   const top = (times: Map<string, number>) =>
     [...times]
       .sort((a, b) => b[1] - a[1])
-      .slice(0, MOST_FUNCTIONS)
+      .slice(0, MAX_FUNCTIONS)
       .map(([name, us]) => `  ${((100 * us) / busy).toFixed(1).padStart(5)}% ${(us / 1000).toFixed(0).padStart(6)} ms ${name}`);
-  return ['own time', ...top(own), 'with what they call', ...top(whole)];
+  return ['own time', ...top(own), 'with what they call', ...top(inclusive)];
 }
--- a/test/measure/starvation.ts
+++ b/test/measure/starvation.ts
@@ -18,10 +18,10 @@
 const WORKER_PROCESSES = 4;
 const ZONES = ['east', 'west'];
 const LEASE_MS = 12_000;
-const POLL_MS = 100;
+const POLL_INTERVAL_MS = 100;
 
 /** Nothing is disturbed at first, so that the start of the fleet is not what is measured. */
-const UNDISTURBED_MS = 15_000;
+const WARM_UP_MS = 15_000;
 
 /** What is under way at the end has this long. */
 const SETTLE_MS = 1000;
@@ -56,7 +56,7 @@
   connectionFailed: number;
   byStatus: [number, number][];
   /** workers whose lease ran out between two answers */
-  leasesOver: number;
+  expiredLeases: number;
 }
 
 type ToWorkers = { type: 'start' } | { type: 'die'; count: number } | { type: 'summary' };
@@ -79,7 +79,7 @@
   diedAt: number | null;
   deadNames: ReadonlySet<string>;
   /** when each machine's release was seen */
-  returnedAt: ReadonlyMap<string, number>;
+  releasedAt: ReadonlyMap<string, number>;
   processorMs: number;
 }
 
@@ -87,8 +87,8 @@
 
 function summaryOf(fleet: WorkerFleet): WorkersSummary {
   const { sent, timedOut, connectionFailed, byStatus } = fleet.counts;
-  const leasesOver = fleet.workers.filter(({ longestUnrenewedMs }) => longestUnrenewedMs > LEASE_MS).length;
-  return { sent, timedOut, connectionFailed, byStatus: [...byStatus], leasesOver };
+  const expiredLeases = fleet.workers.filter(({ longestRenewalGapMs }) => longestRenewalGapMs > LEASE_MS).length;
+  return { sent, timedOut, connectionFailed, byStatus: [...byStatus], expiredLeases };
 }
 
 /** A process of workers. */
@@ -169,7 +169,7 @@
     for (const child of [...workers, state]) child.kill('SIGKILL');
     controller.stop();
   });
-  while (!(await controller.isUp())) await sleep(POLL_MS);
+  while (!(await controller.isUp())) await sleep(POLL_INTERVAL_MS);
   for (const child of workers) child.send({ type: 'start' } satisfies ToWorkers);
   return { controller, workers, state, cloud };
 }
@@ -191,7 +191,7 @@
 /** Stops and continues the side, period by period, until the time is over. */
 async function disturb(run: Run, processes: Processes): Promise<Observation> {
   const { controller, cloud } = processes;
-  const returnedAt = new Map<string, number>();
+  const releasedAt = new Map<string, number>();
   const deadNames = new Set<string>();
   let diedAt: number | null = null;
   const from = Date.now();
@@ -205,9 +205,9 @@
     await sleep(run.stoppedMs);
     signalSide(run.side, processes, 'SIGCONT');
     await sleep(Math.max(0, run.periodMs - run.stoppedMs));
-    for (const name of cloud.returned) if (!returnedAt.has(name)) returnedAt.set(name, Date.now());
+    for (const name of cloud.releasedMachines) if (!releasedAt.has(name)) releasedAt.set(name, Date.now());
   }
-  return { diedAt, deadNames, returnedAt, processorMs: controller.processorMs() - processorBefore };
+  return { diedAt, deadNames, releasedAt, processorMs: controller.processorMs() - processorBefore };
 }
 
 /** What all workers saw. */
@@ -227,16 +227,16 @@
     answers,
     noAnswerIn4S: total(({ timedOut }) => timedOut),
     connectionFailed: total(({ connectionFailed }) => connectionFailed),
-    workersWhoseLeaseRanOut: total(({ leasesOver }) => leasesOver),
+    workersWhoseLeaseRanOut: total(({ expiredLeases }) => expiredLeases),
   };
 }
 
 /** What the controller did, by its log. */
 function controllerFigures({ log, ended }: ControllerProcess, deadNames: ReadonlySet<string>): Record<string, unknown> {
   const releases: Record<string, number> = {};
-  const ofHealthy = log.filter(({ msg, machine }) => msg === 'releasing machine' && !deadNames.has(String(machine)));
-  for (const { reason } of ofHealthy) releases[String(reason)] = (releases[String(reason)] ?? 0) + 1;
-  const evidence = ofHealthy.map(({ contactAgeS, readableS, unanswered }) => ({ contactAgeS, readableS, unanswered }));
+  const healthyReleases = log.filter(({ msg, machine }) => msg === 'releasing machine' && !deadNames.has(String(machine)));
+  for (const { reason } of healthyReleases) releases[String(reason)] = (releases[String(reason)] ?? 0) + 1;
+  const evidence = healthyReleases.map(({ contactAgeS, readableS, unanswered }) => ({ contactAgeS, readableS, unanswered }));
   const heartbeatsReceived = log
     .filter(({ msg }) => msg === 'process')
     .reduce((sum, { heartbeats }) => sum + Number(heartbeats), 0);
@@ -245,24 +245,24 @@
 }
 
 /** How long dead machines stayed: the shortest, the median and the longest time. */
-function deadFigures({ deadNames, returnedAt, diedAt }: Observation): Record<string, unknown> {
+function deadFigures({ deadNames, releasedAt, diedAt }: Observation): Record<string, unknown> {
   const delays = [...deadNames]
-    .flatMap((name) => returnedAt.get(name) ?? [])
+    .flatMap((name) => releasedAt.get(name) ?? [])
     .map((at) => at - (diedAt ?? at))
     .sort((a, b) => a - b);
   const deadReleaseMs = [delays[0], delays[Math.floor(delays.length / 2)], delays.at(-1)];
   return { deadReleased: delays.length, deadReleaseMs };
 }
 
-async function play(run: Run): Promise<void> {
+async function measureRun(run: Run): Promise<void> {
   const processes = await startAll(run);
-  await sleep(UNDISTURBED_MS);
+  await sleep(WARM_UP_MS);
   const observation = await disturb(run, processes);
   await sleep(SETTLE_MS);
   const { controller, cloud } = processes;
   const figures = {
     ...run,
-    healthyReleased: [...cloud.returned].filter((name) => !observation.deadNames.has(name)).length,
+    healthyReleased: [...cloud.releasedMachines].filter((name) => !observation.deadNames.has(name)).length,
     ...controllerFigures(controller, observation.deadNames),
     ...deadFigures(observation),
     ...(await workersFigures(processes)),
@@ -275,4 +275,4 @@
 const [role, options] = process.argv.slice(2);
 if (role === WORKERS_ROLE) await runWorkers(JSON.parse(options ?? '{}') as WorkersPart);
 else if (role === STATE_ROLE) await runState();
-else await play(parseRun(process.argv.slice(2)));
+else await measureRun(parseRun(process.argv.slice(2)));
--- a/test/mixed-versions.test.ts
+++ b/test/mixed-versions.test.ts
@@ -24,8 +24,8 @@
     const lead = holderOf(cluster, 'lead');
     for (const name of CONTROLLER_NAMES) if ((name === lead) === (leader === 'new')) upgrade(cluster.controller(name), present);
     cluster.run(25);
-    assert.equal(cluster.controller(holderOf(cluster, 'lead')).running === present, leader === 'new');
-    for (let index = 0; index < 6; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+    assert.equal(cluster.controller(holderOf(cluster, 'lead')).runningVersion === present, leader === 'new');
+    for (let index = 0; index < 6; index++) cluster.addMachine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
     for (const team of ['red', 'blue', 'green']) {
       cluster.submit(job(`run-${team}`, { team, tasks: 12, cpus: 2, memory: 1, estimatedRunS: 4 }));
       cluster.runUntil(`all of ${team} done, on machines of other shares too`, () => cluster.allTasksDone(`run-${team}`), 90);
--- a/test/peer-messages.test.ts
+++ b/test/peer-messages.test.ts
@@ -98,7 +98,7 @@
     ...settings,
     teams: [{ name: 'red', cpus: 0, maxCpus: 0, gpus: 0, maxGpus: 0 }],
   }));
-  cluster.machine('big', 'big');
+  cluster.addMachine('big', 'big');
   cluster.runUntilSettled();
   const tasks = 2 * MAX_COMMANDS_PER_BODY;
   cluster.submit(job('run-many', { tasks, cpus: 0.01, memory: 0.01, estimatedRunS: 10_000 }));
--- a/test/quota-and-preemption.test.ts
+++ b/test/quota-and-preemption.test.ts
@@ -7,8 +7,8 @@
 
 test('a gang above its quota is preempted whole for one within its own, and runs again whole', () => {
   const cluster = new SimulatedCluster();
-  cluster.machine('g0', 'big', 'east');
-  cluster.machine('g1', 'big', 'east');
+  cluster.addMachine('g0', 'big', 'east');
+  cluster.addMachine('g1', 'big', 'east');
   cluster.runUntilSettled();
   const low = {
     shape: 'gang' as const,
@@ -34,7 +34,7 @@
 
 test('a large gang that has waited gets machines reserved for it, while small ones go on coming', () => {
   const cluster = new SimulatedCluster();
-  for (let index = 0; index < 3; index++) cluster.machine(`g${index}`, 'big', 'east');
+  for (let index = 0; index < 3; index++) cluster.addMachine(`g${index}`, 'big', 'east');
   cluster.runUntilSettled();
   const one = { team: 'red', shape: 'gang' as const, gpus: 8, cpus: 40, estimatedRunS: 18, priority: 1 };
   let count = 0;
@@ -55,7 +55,7 @@
 
 test('a burst of a team without quota uses idle capacity and is preempted at once; its writes are few', () => {
   const cluster = new SimulatedCluster(['n0', 'n1', 'n2'], withTeamWithoutGuarantee);
-  for (let index = 0; index < 12; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+  for (let index = 0; index < 12; index++) cluster.addMachine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.runUntilSettled();
   const changes = () => [...cluster.changes.values()].reduce((a, count) => a + count, 0);
   const before = changes();
@@ -71,8 +71,8 @@
 
 test('a team without quota is within none: its gangs preempt none of equal priority, not even above their quota', () => {
   const cluster = new SimulatedCluster(['n0', 'n1', 'n2'], withTeamWithoutGuarantee);
-  cluster.machine('g0', 'big', 'east');
-  cluster.machine('g1', 'big', 'east');
+  cluster.addMachine('g0', 'big', 'east');
+  cluster.addMachine('g1', 'big', 'east');
   cluster.runUntilSettled();
   const train = { shape: 'gang' as const, gpus: 8, cpus: 40, memory: 100, estimatedRunS: 200, priority: 1 };
   cluster.submit(job('run-0', { ...train, team: 'red' }));
@@ -85,7 +85,7 @@
 
 test('machines with short tasks of the lowest priority get several starts in one command', () => {
   const cluster = new SimulatedCluster(['n0', 'n1', 'n2'], withTeamWithoutGuarantee);
-  for (let index = 0; index < 6; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+  for (let index = 0; index < 6; index++) cluster.addMachine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.runUntilSettled();
   cluster.submit(job('run-tiles', { team: 'guest', priority: 0, tasks: 2000, cpus: 0.5, memory: 1, estimatedRunS: 0.7 }));
   cluster.run(10);
@@ -103,7 +103,7 @@
     ...settings,
     objectives: [{ kind: 'finished', jobClass: 'batch', withinS, afterS: null, share: 0.95, most: null }],
   }));
-  for (let index = 0; index < 3; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+  for (let index = 0; index < 3; index++) cluster.addMachine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.runUntilSettled();
   for (let index = 0; index < 2; index++) cluster.submit(job(`run-first${index}`, { tasks: 6, estimatedRunS: 8 }));
   cluster.run(2);
@@ -113,7 +113,7 @@
   for (let count = 0; cluster.now - began < 240_000; count++) {
     const id = `run-small${count}`;
     cluster.submit(job(id, { tasks, estimatedRunS: 8 }));
-    cluster.at(cluster.now + withinS * 1000, () => {
+    cluster.runAt(cluster.now + withinS * 1000, () => {
       for (let index = 0; index < tasks; index++) if (!cluster.finished.has(`${id}/${index}`)) late.push(`${id}/${index}`);
     });
     cluster.run(8);
@@ -137,7 +137,7 @@
 /** One large machine, all of it but a little taken by a gang within its team's guarantee. */
 function oneTakenMachine(): SimulatedCluster {
   const cluster = new SimulatedCluster();
-  cluster.machine('m0', 'big', 'east');
+  cluster.addMachine('m0', 'big', 'east');
   cluster.runUntilSettled();
   cluster.submit(
     job('run-train', { shape: 'gang', priority: 2, jobClass: 'train', cpus: 43, gpus: 8, memory: 310, estimatedRunS: 300 }),
@@ -153,7 +153,7 @@
   assert.equal(cluster.runningTasks('run-train'), 1, 'not before other room had time to come free');
   cluster.runUntil('all replicas run', () => cluster.runningTasks('run-serve') === 16, 30);
   assert.equal(cluster.runningTasks('run-train'), 0);
-  cluster.machine('m1', 'big', 'west');
+  cluster.addMachine('m1', 'big', 'west');
   cluster.runUntil('the gang goes on elsewhere', () => cluster.runningTasks('run-train') === 1, 40);
   assertGoldenTrace(cluster, 'service-before-firm-gang');
 });
--- a/test/randomized-simulation.test.ts
+++ b/test/randomized-simulation.test.ts
@@ -21,10 +21,10 @@
 const AT_SIZE: RandomizedSimulationOptions = {
   pipelines: true,
   machines: { small: 240, big: 24 },
-  next: { valueKib: 2, writesPerTransaction: 4, writesPerS: 15 },
+  nextLimits: { valueKib: 2, writesPerTransaction: 4, writesPerS: 15 },
   inputsPerTick: 60,
   state: { changesKept: 500, pages: 3 },
-  load: { chainsPerS: 1, singlesPerS: 4, cancelled: 0.5 },
+  load: { chainsPerS: 1, singlesPerS: 4, cancelledShare: 0.5 },
   tune: (settings) => ({
     ...settings,
     cpuShare: 0.136,
@@ -39,7 +39,7 @@
   for (let seed = 1; seed <= Number(process.env.SIZE_WALKS ?? 1); seed++) {
     for (const from of [undefined, PRODUCTION]) {
       try {
-        new RandomizedSimulation(seed, { ...AT_SIZE, ...(from && { from }) }).run(90);
+        new RandomizedSimulation(seed, { ...AT_SIZE, ...(from && { initialVersion: from }) }).run(90);
       } catch (e) {
         assert.fail(`seed ${seed}${from ? ', over a roll' : ''}: ${e instanceof Error ? e.message : e}`);
       }
--- a/test/randomized/faults.ts
+++ b/test/randomized/faults.ts
@@ -33,21 +33,21 @@
 export type Fault = (typeof FAULTS)[number];
 
 /** Most copies of heartbeats that are kept for the next holder. */
-const COPIES_KEPT = 200;
+const MAX_KEPT_COPIES = 200;
 
 /** Begins faults, and undoes each when its time is over. */
 export class FaultInjector {
   /** what undoes each fault that stands */
-  private readonly undo: { at: number; run: () => void }[] = [];
+  private readonly pendingUndos: { at: number; run: () => void }[] = [];
   private copies: 'none' | 'late' | 'for the next leader' = 'none';
   private readonly keptCopies: (() => void)[] = [];
-  private holders = '';
+  private lastHolders = '';
 
   constructor(
     private readonly cluster: SimulatedCluster,
     private readonly random: Random,
     /** cancels what users submitted lately */
-    private readonly cancelNow: () => void,
+    private readonly cancelRecentJobs: () => void,
   ) {
     this.cluster.onHeartbeat = (heartbeat) => {
       if (this.copies === 'none' || this.random.next() > 0.2) return;
@@ -55,27 +55,27 @@
       const send = () => {
         for (const node of this.cluster.controllers) if (node.up) node.receiveHeartbeat(copy, () => {});
       };
-      if (this.copies === 'late') this.cluster.at(this.cluster.now + 2000 + 20_000 * this.random.next(), send);
-      else if (this.keptCopies.length < COPIES_KEPT) this.keptCopies.push(send);
+      if (this.copies === 'late') this.cluster.runAt(this.cluster.now + 2000 + 20_000 * this.random.next(), send);
+      else if (this.keptCopies.length < MAX_KEPT_COPIES) this.keptCopies.push(send);
     };
   }
 
   /** What is over by now is undone; a copy that was kept comes just as a new holder begins. */
   step(): void {
-    const due = this.undo.filter((pending) => pending.at <= this.cluster.now);
+    const due = this.pendingUndos.filter((pending) => pending.at <= this.cluster.now);
     for (const pending of due) {
-      this.undo.splice(this.undo.indexOf(pending), 1);
+      this.pendingUndos.splice(this.pendingUndos.indexOf(pending), 1);
       pending.run();
     }
     if (this.keptCopies.length === 0) return;
     const holders = JSON.stringify(this.cluster.controllers.map((node) => [...node.controller.shardLeases.heldLeases]));
-    if (holders !== this.holders) for (const send of this.keptCopies.splice(0)) send();
-    this.holders = holders;
+    if (holders !== this.lastHolders) for (const send of this.keptCopies.splice(0)) send();
+    this.lastHolders = holders;
   }
 
   /** Undoes all faults. */
   end(): void {
-    for (const pending of this.undo.splice(0)) pending.run();
+    for (const pending of this.pendingUndos.splice(0)) pending.run();
     for (const node of this.cluster.controllers) {
       if (!node.up) node.restart();
       if (node.isPaused) node.resume();
@@ -84,8 +84,8 @@
     this.cluster.note('the troubles are over');
   }
 
-  private after(seconds: number, run: () => void): void {
-    this.undo.push({ at: this.cluster.now + seconds * 1000, run });
+  private undoAfter(seconds: number, run: () => void): void {
+    this.pendingUndos.push({ at: this.cluster.now + seconds * 1000, run });
   }
 
   /** Begins a fault that lasts for so many seconds. */
@@ -99,61 +99,61 @@
     switch (kind) {
       case 'outage':
         cluster.isStateServiceDown = true;
-        return this.after(seconds, () => {
+        return this.undoAfter(seconds, () => {
           cluster.isStateServiceDown = false;
         });
       case 'refused':
         node.isRefusedByStateService = true;
-        return this.after(seconds, () => {
+        return this.undoAfter(seconds, () => {
           node.isRefusedByStateService = false;
         });
       case 'crash':
       case 'bounce':
         if (!node.up) return;
         node.crash();
-        return this.after(kind === 'bounce' ? 0.3 : Math.min(seconds, 6), () => {
+        return this.undoAfter(kind === 'bounce' ? 0.3 : Math.min(seconds, 6), () => {
           if (!node.up) node.restart();
         });
       case 'crash all':
         for (const node of cluster.controllers) if (node.up) node.crash();
         for (const node of cluster.controllers)
-          this.after(0.2 + 4 * this.random.next(), () => (node.up ? undefined : node.restart()));
+          this.undoAfter(0.2 + 4 * this.random.next(), () => (node.up ? undefined : node.restart()));
         return;
       case 'freeze':
         if (!node.up || node.isPaused) return;
         node.pause();
-        return this.after(seconds, () => {
+        return this.undoAfter(seconds, () => {
           if (node.up && node.isPaused) node.resume(this.random.next() < 0.3);
         });
       case 'hang': {
         const worker = this.random.pick(live);
         worker.hung = true;
-        return this.after(Math.min(seconds, 11) * this.random.next() + 1, () => {
+        return this.undoAfter(Math.min(seconds, 11) * this.random.next() + 1, () => {
           worker.hung = false;
         });
       }
       case 'deaf':
-        cluster.isDeaf = (_controller, machine) => affected.has(machine);
-        return this.after(seconds, () => {
-          cluster.isDeaf = () => false;
+        cluster.losesControllerMessages = (_controller, machine) => affected.has(machine);
+        return this.undoAfter(seconds, () => {
+          cluster.losesControllerMessages = () => false;
         });
       case 'mute':
-        cluster.isMute = (machine) => affected.has(machine);
-        return this.after(seconds, () => {
-          cluster.isMute = () => false;
+        cluster.losesHeartbeats = (machine) => affected.has(machine);
+        return this.undoAfter(seconds, () => {
+          cluster.losesHeartbeats = () => false;
         });
       case 'commands lost':
       case 'commands late':
         cluster.losesCommands = (_controller, machine) => affected.has(machine);
         if (kind === 'commands late') cluster.lateCommandDelayMs = () => 1000 + 30_000 * this.random.next();
-        return this.after(seconds, () => {
+        return this.undoAfter(seconds, () => {
           cluster.losesCommands = () => false;
           cluster.lateCommandDelayMs = null;
         });
       case 'zone cut': {
         const isWest = (name: string) => name === 'n1' || cluster.worker(name)?.zone === 'west';
         cluster.isPartitioned = (a, b) => isWest(a) !== isWest(b);
-        return this.after(seconds, () => {
+        return this.undoAfter(seconds, () => {
           cluster.isPartitioned = () => false;
         });
       }
@@ -161,39 +161,39 @@
       case 'alone with its workers':
         cluster.isPartitioned = (a, b) => isController(a) && isController(b) && (a === node.name || b === node.name);
         if (kind === 'alone with its workers') node.isRefusedByStateService = true;
-        return this.after(seconds, () => {
+        return this.undoAfter(seconds, () => {
           cluster.isPartitioned = () => false;
           if (kind === 'alone with its workers') node.isRefusedByStateService = false;
         });
       case 'lost answers':
       case 'late writes':
-        cluster.losesTransactionAnswer = (_transaction, apply) => {
+        cluster.losesTransactionResponse = (_transaction, apply) => {
           if (this.random.next() > 0.3) return false;
           if (kind === 'lost answers') apply();
-          else cluster.at(cluster.now + 2000 + 10_000 * this.random.next(), apply);
+          else cluster.runAt(cluster.now + 2000 + 10_000 * this.random.next(), apply);
           return true;
         };
-        return this.after(seconds, () => {
-          cluster.losesTransactionAnswer = null;
+        return this.undoAfter(seconds, () => {
+          cluster.losesTransactionResponse = null;
         });
       case 'slow answers':
-        cluster.transactionAnswerMs = () => 10 + 1300 * this.random.next();
-        return this.after(seconds, () => {
-          cluster.transactionAnswerMs = () => 10;
+        cluster.transactionResponseMs = () => 10 + 1300 * this.random.next();
+        return this.undoAfter(seconds, () => {
+          cluster.transactionResponseMs = () => 10;
         });
       case 'watch lags':
         node.isWatchLagging = true;
-        return this.after(Math.min(seconds, 6), () => {
+        return this.undoAfter(Math.min(seconds, 6), () => {
           node.isWatchLagging = false;
         });
       case 'late reports':
         this.copies = this.random.next() < 0.5 ? 'late' : 'for the next leader';
-        return this.after(seconds, () => {
+        return this.undoAfter(seconds, () => {
           this.copies = 'none';
         });
       case 'cloud down':
         cluster.isCloudDown = true;
-        return this.after(seconds, () => {
+        return this.undoAfter(seconds, () => {
           cluster.isCloudDown = false;
         });
       case 'machine dies': {
@@ -206,7 +206,7 @@
         for (const worker of live) if (affected.has(worker.name) && !worker.hung) worker.reboot();
         return;
       case 'cancel now':
-        this.cancelNow();
+        this.cancelRecentJobs();
     }
   }
 }
--- a/test/randomized/invariants.ts
+++ b/test/randomized/invariants.ts
@@ -6,7 +6,7 @@
  * (docs/design.md, "Pipelines"); nor may a job that waits have one.
  */
 export function checkDerivedState(cluster: SimulatedCluster, old: ControllerVersion | undefined): void {
-  for (const node of cluster.controllers) if (node.up && node.running !== old) checkJobs(cluster, node);
+  for (const node of cluster.controllers) if (node.up && node.runningVersion !== old) checkJobs(cluster, node);
 }
 
 function checkJobs(cluster: SimulatedCluster, node: SimulatedController): void {
@@ -14,9 +14,9 @@
   for (const job of clusterState.jobs.values()) {
     if (job.tenure.allocations.size === 0) continue;
     const { id } = job.spec;
-    if (job.isBlocked) cluster.broken(`${id} waits at ${node.name} and has a place`);
+    if (job.isBlocked) cluster.fail(`${id} waits at ${node.name} and has a place`);
     const stored = replica.get(`a/j/${id}`)?.value as { s: number } | undefined;
     const isDerived = job.state === 'cancelled' && stored?.s !== 2;
-    if (isDerived) cluster.broken(`${id} is cancelled with another job at ${node.name} and has a place`);
+    if (isDerived) cluster.fail(`${id} is cancelled with another job at ${node.name} and has a place`);
   }
 }
--- a/test/randomized/randomized-simulation.ts
+++ b/test/randomized/randomized-simulation.ts
@@ -12,11 +12,11 @@
 /** What a randomized simulation has beside faults. */
 export interface RandomizedSimulationOptions extends UserOptions {
   /** faults that may come */
-  only?: readonly Fault[];
+  faultKinds?: readonly Fault[];
   /** the version that all controllers run at first; one after another they get the present one */
-  from?: ControllerVersion;
+  initialVersion?: ControllerVersion;
   /** limits that the state service has once all controllers are new */
-  next?: { valueKib: number; writesPerTransaction: number; writesPerS: number };
+  nextLimits?: { valueKib: number; writesPerTransaction: number; writesPerS: number };
   /** machines at the start, instead of a handful */
   machines?: { small: number; big: number };
   /** settings that differ from those of the fixtures */
@@ -28,14 +28,14 @@
 }
 
 /** Questions that a user asks at once when all is over. */
-const ASKED_AT_ONCE = 20;
+const QUERIES_AT_ONCE = 20;
 
 /** From here on, and with so much time between them, controllers get the present version. */
 const UPGRADE_AT_MS = 15_000;
-const UPGRADE_EACH_MS = 12_000;
+const UPGRADE_INTERVAL_MS = 12_000;
 
 /** The limits of the state service fall a while after the last controller got it. */
-const LIMITS_FALL_MS = UPGRADE_AT_MS + 4 * UPGRADE_EACH_MS;
+const LIMITS_CHANGE_AT_MS = UPGRADE_AT_MS + 4 * UPGRADE_INTERVAL_MS;
 
 /** One run: its cluster, its users and its faults. */
 export class RandomizedSimulation {
@@ -43,32 +43,32 @@
   readonly users: SimulatedUsers;
   private readonly random: Random;
   private readonly faults: FaultInjector;
-  private readonly only: readonly Fault[];
+  private readonly faultKinds: readonly Fault[];
 
   constructor(
     seed: number,
     private readonly options: RandomizedSimulationOptions = {},
   ) {
-    this.only = options.only ?? FAULTS;
+    this.faultKinds = options.faultKinds ?? FAULTS;
     this.random = new Random(seed);
-    this.cluster = this.makeCluster();
-    if (options.from) this.startWith(options.from);
+    this.cluster = this.createCluster();
+    if (options.initialVersion) this.startWith(options.initialVersion);
     this.addMachines();
     this.cluster.runUntilSettled();
-    this.users = new SimulatedUsers(this.cluster, this.random, options, () => this.upgraded);
-    this.faults = new FaultInjector(this.cluster, this.random, () => this.users.cancelLately());
+    this.users = new SimulatedUsers(this.cluster, this.random, options, () => this.isUpgraded);
+    this.faults = new FaultInjector(this.cluster, this.random, () => this.users.cancelRecentJobs());
   }
 
   private get machines(): { small: number; big: number } {
     return this.options.machines ?? { small: 8, big: 3 };
   }
 
-  private makeCluster(): SimulatedCluster {
-    const { next, tune, state, inputsPerTick } = this.options;
+  private createCluster(): SimulatedCluster {
+    const { nextLimits, tune, state, inputsPerTick } = this.options;
     const { small, big } = this.machines;
     const settings = (settings: ControllerSettings): ControllerSettings => ({
       ...settings,
-      state: { ...settings.state, next: next ?? null },
+      state: { ...settings.state, next: nextLimits ?? null },
       policy: { ...settings.policy, holdSpareCapacity: false, idleS: 60, maxMachines: small + big + 7 },
     });
     const cluster = new SimulatedCluster(undefined, (defaults) => (tune ? tune(settings(defaults)) : settings(defaults)));
@@ -80,8 +80,8 @@
 
   private addMachines(): void {
     const { small, big } = this.machines;
-    for (let index = 0; index < small; index++) this.cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
-    for (let index = 0; index < big; index++) this.cluster.machine(`g${index}`, 'big', index % 2 === 0 ? 'east' : 'west');
+    for (let index = 0; index < small; index++) this.cluster.addMachine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+    for (let index = 0; index < big; index++) this.cluster.addMachine(`g${index}`, 'big', index % 2 === 0 ? 'east' : 'west');
   }
 
   private startWith(old: ControllerVersion): void {
@@ -89,7 +89,7 @@
       const present = node.version;
       node.version = old;
       node.restart();
-      this.cluster.at(UPGRADE_AT_MS + index * UPGRADE_EACH_MS, () => {
+      this.cluster.runAt(UPGRADE_AT_MS + index * UPGRADE_INTERVAL_MS, () => {
         node.version = present;
         if (node.up) node.crash();
         node.restart();
@@ -98,23 +98,26 @@
   }
 
   /** Nothing new is asked, and no limit falls, before all controllers have the present version. */
-  private get upgraded(): boolean {
-    return !this.options.from || this.cluster.controllers.every((node) => node.running !== this.options.from);
+  private get isUpgraded(): boolean {
+    return (
+      !this.options.initialVersion ||
+      this.cluster.controllers.every((node) => node.runningVersion !== this.options.initialVersion)
+    );
   }
 
   private step(): void {
     this.faults.step();
-    const { next } = this.options;
-    if (next && this.upgraded && !this.cluster.stateService.limits && this.cluster.now > LIMITS_FALL_MS) {
+    const { nextLimits } = this.options;
+    if (nextLimits && this.isUpgraded && !this.cluster.stateService.limits && this.cluster.now > LIMITS_CHANGE_AT_MS) {
       this.cluster.note('the state service lowers its limits');
       this.cluster.stateService.limits = {
-        valueBytes: next.valueKib * 1024,
-        writesPerTransaction: next.writesPerTransaction,
-        writesPerS: next.writesPerS,
+        valueBytes: nextLimits.valueKib * 1024,
+        writesPerTransaction: nextLimits.writesPerTransaction,
+        writesPerS: nextLimits.writesPerS,
       };
     }
     this.cluster.run(0.1);
-    checkDerivedState(this.cluster, this.options.from);
+    checkDerivedState(this.cluster, this.options.initialVersion);
   }
 
   /** Faults by twos and threes for so long; once they are over, everything must come to rest. */
@@ -125,7 +128,7 @@
       const usualS = 2 + 28 * random.next() * random.next();
       const durationS = random.next() < 0.1 ? 45 : usualS;
       for (let index = 0; index < 2 + random.below(2); index++) {
-        faults.begin(random.pick(this.only), durationS);
+        faults.begin(random.pick(this.faultKinds), durationS);
         for (let candidate = random.below(25); candidate > 0; candidate--) {
           users.step();
           this.step();
@@ -141,7 +144,7 @@
   }
 
   /** No shard without a holder, no machine out of use, no write that waits for ever. */
-  private checkAtRest(): void {
+  private checkSettled(): void {
     const { cluster } = this;
     const findings = (): string[] => {
       const result: string[] = [];
@@ -150,7 +153,7 @@
           result.push(`nobody holds ${shard}`);
       for (const worker of cluster.workers) {
         if (worker.dead) continue;
-        const used = cluster.controllers.some((node) => {
+        const isUsable = cluster.controllers.some((node) => {
           const machine = node.controller.clusterState.machines.get(worker.name);
           return (
             machine &&
@@ -159,7 +162,7 @@
               node.controller.shardController.allocations.isSchedulable(machine, cluster.now))
           );
         });
-        if (!used) result.push(`${worker.name} is out of use`);
+        if (!isUsable) result.push(`${worker.name} is out of use`);
       }
       for (const node of cluster.controllers)
         if (node.controller.writer.queueLength > 0)
@@ -168,49 +171,50 @@
     };
     // A shard may be on its way to its preferred holder, and a machine between two shards.
     for (let index = 0; index < 90 && findings().length > 0; index++) cluster.run(1);
-    if (findings().length > 0) this.cluster.broken(`long after the troubles:\n${findings().join('\n')}`);
+    if (findings().length > 0) this.cluster.fail(`long after the troubles:\n${findings().join('\n')}`);
   }
 
   /** Once the faults are over every job is known everywhere, and what can run has run. */
   private checkRecovery(): void {
     const { cluster, users } = this;
-    for (const [id, known] of users.knownJobs) if (!known.accepted) cluster.specs.has(id) && users.request('submit', id);
+    for (const [id, known] of users.trackedJobs) if (!known.accepted) cluster.specs.has(id) && users.request('submit', id);
     cluster.run(60);
     // Services would run for ever; with them gone there is room for all the rest.
     for (let index = 0; index < 5; index++) {
-      for (const [id, known] of users.knownJobs)
-        if (known.accepted && known.final === null && (known.cancelRequested || cluster.specs.get(id)?.shape === 'service'))
+      for (const [id, known] of users.trackedJobs)
+        if (known.accepted && known.finalStatus === null && (known.cancelRequested || cluster.specs.get(id)?.shape === 'service'))
           users.request('cancel', id);
       cluster.run(2);
     }
     const unfinished = () =>
-      [...users.knownJobs].filter(([id, known]) => {
+      [...users.trackedJobs].filter(([id, known]) => {
         const spec = cluster.specs.get(id);
-        if (!known.accepted || known.final !== null || !spec || users.needsCancelled(id)) return false;
+        if (!known.accepted || known.finalStatus !== null || !spec || users.hasCancelledDependency(id)) return false;
         return !Array.from({ length: spec.tasks }, (_, index) => cluster.finished.has(`${id}/${index}`)).some((isDone) => isDone);
       });
     for (let index = 0; index < 30 && unfinished().length > 0; index++) cluster.run(10);
     const left = unfinished().map(([id]) => `${id} ${JSON.stringify(cluster.specs.get(id))}`);
-    if (left.length > 0) this.cluster.broken(`still waiting long after the troubles:\n${left.join('\n')}`);
-    this.checkAtRest();
-    if (cluster.stateService.tooLarge > 0) cluster.broken(`${cluster.stateService.tooLarge} changes were too large`);
+    if (left.length > 0) this.cluster.fail(`still waiting long after the troubles:\n${left.join('\n')}`);
+    this.checkSettled();
+    if (cluster.stateService.tooLargeCount > 0) cluster.fail(`${cluster.stateService.tooLargeCount} changes were too large`);
     for (const node of cluster.controllers) this.checkAllAnswered(node);
   }
 
   /** Every accepted job is answered by the controller, a few at a time, and what was cancelled before it is, too. */
   private checkAllAnswered(node: SimulatedController): void {
     const { cluster, users } = this;
-    const accepted = [...users.knownJobs].filter(([, known]) => known.accepted);
-    for (let at = 0; at < accepted.length; at += ASKED_AT_ONCE) {
-      const some = accepted.slice(at, at + ASKED_AT_ONCE);
+    const accepted = [...users.trackedJobs].filter(([, known]) => known.accepted);
+    for (let at = 0; at < accepted.length; at += QUERIES_AT_ONCE) {
+      const some = accepted.slice(at, at + QUERIES_AT_ONCE);
       for (const [id, known] of some) {
         known.answeredAt = -1;
         users.request('poll', id, node);
       }
       for (let index = 0; index < 30 && some.some(([, known]) => known.answeredAt < 0); index++) cluster.run(0.1);
       for (const [id, known] of some) {
-        if (known.answeredAt < 0) cluster.broken(`forgotten: ${id} is not answered by ${node.name}`);
-        if (users.needsCancelled(id) && known.final !== 'aborted') cluster.broken(`orphaned: ${id} goes on at ${node.name}`);
+        if (known.answeredAt < 0) cluster.fail(`forgotten: ${id} is not answered by ${node.name}`);
+        if (users.hasCancelledDependency(id) && known.finalStatus !== 'aborted')
+          cluster.fail(`orphaned: ${id} goes on at ${node.name}`);
       }
     }
   }
--- a/test/randomized/users.ts
+++ b/test/randomized/users.ts
@@ -4,9 +4,9 @@
 import type { Random } from './random.js';
 
 /** What users were answered about a job, by whichever controller. */
-export interface KnownJob {
+export interface TrackedJob {
   accepted: boolean;
-  final: 'done' | 'aborted' | null;
+  finalStatus: 'done' | 'aborted' | null;
   cancelRequested: boolean;
   /** the last time that anybody got an answer about it */
   answeredAt: number;
@@ -21,7 +21,7 @@
   /** jobs of one task */
   singlesPerS: number;
   /** part of the singles that is cancelled, and of the chains, at any of their jobs */
-  cancelled: number;
+  cancelledShare: number;
 }
 
 /** What users do beside the usual. */
@@ -42,8 +42,8 @@
 
 /** Several users, who come to any controller. */
 export class SimulatedUsers {
-  readonly knownJobs = new Map<string, KnownJob>();
-  private jobs = 0;
+  readonly trackedJobs = new Map<string, TrackedJob>();
+  private jobCount = 0;
   private chains: Chain[] = [];
   private readonly toCancel = new Set<string>();
 
@@ -61,42 +61,46 @@
   }
 
   /** Compares an answer with what was told before it was asked for. */
-  private recordAnswer(id: string, before: KnownJob, status: number, state: string): void {
+  private recordAnswer(id: string, before: TrackedJob, status: number, state: string): void {
     if (status === 503 || status === 429) return;
-    const known = this.knownJobs.get(id) as KnownJob;
+    const known = this.trackedJobs.get(id) as TrackedJob;
     known.answeredAt = this.cluster.now;
     if (before.accepted && (status === 404 || status === 400 || status === 422))
-      this.cluster.broken(`forgotten: ${id} answered ${status}`);
+      this.cluster.fail(`forgotten: ${id} answered ${status}`);
     // No simulated user submits what can't run, nor names what was never accepted.
-    if (status === 422) this.cluster.broken(`forgotten: ${id} refused`);
+    if (status === 422) this.cluster.fail(`forgotten: ${id} refused`);
     if (status !== 200 && status !== 201) return;
-    if (before.final && state !== before.final) this.cluster.broken(`went_back: ${id} was ${before.final}, is called ${state}`);
-    if (state === 'aborted' && !this.mayBeCancelled(id))
-      this.cluster.broken(`went_back: ${id} called cancelled, its user didn't`);
-    if (state === 'done' && !this.cluster.allTasksDone(id)) this.cluster.broken(`not_done: ${id} is called done`);
-    if (state === 'done' || state === 'aborted') known.final = state;
+    if (before.finalStatus && state !== before.finalStatus)
+      this.cluster.fail(`went_back: ${id} was ${before.finalStatus}, is called ${state}`);
+    if (state === 'aborted' && !this.mayBeCancelled(id)) this.cluster.fail(`went_back: ${id} called cancelled, its user didn't`);
+    if (state === 'done' && !this.cluster.allTasksDone(id)) this.cluster.fail(`not_done: ${id} is called done`);
+    if (state === 'done' || state === 'aborted') known.finalStatus = state;
     known.accepted = true;
     this.cluster.rules.recordAnswer(id, state);
   }
 
   /** Its user asked to cancel it, or one that it needs. */
   private mayBeCancelled(id: string): boolean {
-    return this.knownJobs.get(id)?.cancelRequested === true || this.awaited(id).some((other) => this.mayBeCancelled(other));
+    return (
+      this.trackedJobs.get(id)?.cancelRequested === true || this.dependencyIds(id).some((other) => this.mayBeCancelled(other))
+    );
   }
 
   /** A job that it needs was told to be cancelled. */
-  needsCancelled(id: string): boolean {
-    return this.awaited(id).some((other) => this.knownJobs.get(other)?.final === 'aborted' || this.needsCancelled(other));
+  hasCancelledDependency(id: string): boolean {
+    return this.dependencyIds(id).some(
+      (other) => this.trackedJobs.get(other)?.finalStatus === 'aborted' || this.hasCancelledDependency(other),
+    );
   }
 
-  private awaited(id: string): string[] {
+  private dependencyIds(id: string): string[] {
     return this.cluster.awaits.get(id) ?? [];
   }
 
   /** Half of the jobs need a few of those that were accepted lately, in whatever state these are. */
-  private chooseAwaited(id: string): void {
+  private chooseDependencies(id: string): void {
     if (!this.options.pipelines || !this.mayUseNewFeatures() || this.random.next() < 0.5) return;
-    const known = [...this.knownJobs]
+    const known = [...this.trackedJobs]
       .filter(([other, candidate]) => candidate.accepted && this.cluster.specs.get(other)?.shape !== 'service')
       .slice(-8);
     if (known.length === 0) return;
@@ -106,7 +110,7 @@
 
   request(kind: 'submit' | 'poll' | 'cancel', id: string, node = this.anyController()): void {
     const spec = this.cluster.specs.get(id);
-    const known = this.knownJobs.get(id);
+    const known = this.trackedJobs.get(id);
     if (!node || !spec || !known) return;
     const before = { ...known };
     if (kind === 'cancel') known.cancelRequested = true;
@@ -116,8 +120,8 @@
     else node.cancel(id, then);
   }
 
-  private newJob(): void {
-    const id = `run-w${this.jobs++}`;
+  private submitRandomJob(): void {
+    const id = `run-w${this.jobCount++}`;
     const team = this.random.pick(TEAMS);
     const kind = this.random.next();
     const common = {
@@ -170,28 +174,28 @@
           oneZone: this.random.next() < 0.5,
         }),
       );
-    this.chooseAwaited(id);
-    this.knownJobs.set(id, { accepted: false, final: null, cancelRequested: false, answeredAt: this.cluster.now });
+    this.chooseDependencies(id);
+    this.trackedJobs.set(id, { accepted: false, finalStatus: null, cancelRequested: false, answeredAt: this.cluster.now });
     this.request('submit', id);
   }
 
   /** Work at full rate: chains whose jobs are submitted as soon as those before are accepted, and jobs of one task. */
-  private fullLoad({ chainsPerS, singlesPerS, cancelled }: UserLoad): void {
+  private submitLoad({ chainsPerS, singlesPerS, cancelledShare }: UserLoad): void {
     const perStep = (rate: number) => this.random.next() < rate / 10;
     if (perStep(singlesPerS)) {
-      const id = this.submitNew({
+      const id = this.submitJob({
         tasks: 1,
         estimatedRunS: 2 + this.random.below(20),
         cpus: 1,
         memory: 1,
         priority: this.random.below(3),
       });
-      if (this.random.next() < cancelled) this.cancelLater([id]);
+      if (this.random.next() < cancelledShare) this.cancelLater([id]);
     }
     if (this.mayUseNewFeatures() && perStep(chainsPerS)) {
       const ids: string[] = [];
       this.chains.push({ ids, length: 4 + this.random.below(4), team: this.random.pick(TEAMS) });
-      if (this.random.next() < cancelled) this.cancelLater(ids);
+      if (this.random.next() < cancelledShare) this.cancelLater(ids);
     }
     for (const chain of this.chains) this.continueChain(chain);
     this.chains = this.chains.filter((chain) => chain.ids.length < chain.length);
@@ -200,14 +204,14 @@
   /** The next job of a chain awaits one or two of those before it, the last of them among these. */
   private continueChain({ ids, team }: Chain): void {
     const last = ids.at(-1);
-    if (last !== undefined && !this.knownJobs.get(last)?.accepted) {
+    if (last !== undefined && !this.trackedJobs.get(last)?.accepted) {
       if (this.random.next() < 0.1) this.request('submit', last);
       return;
     }
     const awaits = last === undefined ? [] : [...new Set([last, this.random.pick(ids)])];
     const shape = this.random.next() < 0.2 ? 'gang' : 'array';
     ids.push(
-      this.submitNew(
+      this.submitJob(
         {
           team,
           shape,
@@ -222,63 +226,64 @@
     );
   }
 
-  private submitNew(over: Partial<JobSpec>, awaits: string[] = []): string {
-    const id = `run-w${this.jobs++}`;
+  private submitJob(over: Partial<JobSpec>, awaits: string[] = []): string {
+    const id = `run-w${this.jobCount++}`;
     this.cluster.specs.set(id, job(id, { team: this.random.pick(TEAMS), ...over }));
     if (awaits.length > 0) this.cluster.awaits.set(id, awaits);
-    this.knownJobs.set(id, { accepted: false, final: null, cancelRequested: false, answeredAt: this.cluster.now });
+    this.trackedJobs.set(id, { accepted: false, finalStatus: null, cancelRequested: false, answeredAt: this.cluster.now });
     this.request('submit', id);
     return id;
   }
 
   /** Any of the jobs that there are by then. */
   private cancelLater(ids: string[]): void {
-    this.cluster.at(this.cluster.now + 500 + 15_000 * this.random.next(), () => {
+    this.cluster.runAt(this.cluster.now + 500 + 15_000 * this.random.next(), () => {
       const id = this.random.pick(ids);
       if (id !== undefined) this.toCancel.add(id);
     });
   }
 
   /** Whoever wants a job cancelled asks until it is over; whoever waits for one asks now and then. */
-  private persist(): void {
+  private repeatRequests(): void {
     for (const id of this.toCancel) {
-      if (this.knownJobs.get(id)?.final !== null) this.toCancel.delete(id);
+      if (this.trackedJobs.get(id)?.finalStatus !== null) this.toCancel.delete(id);
       else if (this.random.next() < 0.05) this.request('cancel', id);
     }
-    const open = [...this.knownJobs].filter(([, known]) => known.accepted && known.final === null);
+    const open = [...this.trackedJobs].filter(([, known]) => known.accepted && known.finalStatus === null);
     for (let index = 0; index < open.length / 50; index++) this.request('poll', this.random.pick(open)[0]);
   }
 
   /** What users do in a tenth of a second. */
   step(): void {
     if (this.options.load) {
-      this.fullLoad(this.options.load);
-      this.persist();
+      this.submitLoad(this.options.load);
+      this.repeatRequests();
     }
-    if (this.random.next() < 0.1) this.newJob();
-    const ids = [...this.knownJobs.keys()];
+    if (this.random.next() < 0.1) this.submitRandomJob();
+    const ids = [...this.trackedJobs.keys()];
     if (ids.length === 0) return;
-    const late = ids.slice(-12);
-    if (this.random.next() < 0.2) this.request('poll', this.random.pick(late));
+    const recent = ids.slice(-12);
+    if (this.random.next() < 0.2) this.request('poll', this.random.pick(recent));
     if (this.random.next() < 0.1) this.request('poll', this.random.pick(ids));
     // Close looks: at all controllers at once.
     if (this.random.next() < 0.1) {
-      const id = this.random.pick(late);
+      const id = this.random.pick(recent);
       for (const node of this.cluster.controllers)
         if (node.up) this.request(this.random.next() < 0.3 ? 'submit' : 'poll', id, node);
     }
     if (this.random.next() < 0.05) this.request('submit', this.random.pick(ids));
-    if (this.random.next() < 0.025) this.request('cancel', this.random.pick(late));
+    if (this.random.next() < 0.025) this.request('cancel', this.random.pick(recent));
     // Whoever was not accepted, or not told that it is cancelled, asks again.
-    for (const id of late) {
-      const known = this.knownJobs.get(id) as KnownJob;
+    for (const id of recent) {
+      const known = this.trackedJobs.get(id) as TrackedJob;
       if (!known.accepted && this.random.next() < 0.1) this.request('submit', id);
-      if (known.cancelRequested && known.final === null && this.random.next() < 0.1) this.request('cancel', id);
+      if (known.cancelRequested && known.finalStatus === null && this.random.next() < 0.1) this.request('cancel', id);
     }
   }
 
   /** All who submitted something lately that runs call it off. */
-  cancelLately(): void {
-    for (const [id, known] of [...this.knownJobs].slice(-6)) if (known.accepted && !known.final) this.request('cancel', id);
+  cancelRecentJobs(): void {
+    for (const [id, known] of [...this.trackedJobs].slice(-6))
+      if (known.accepted && !known.finalStatus) this.request('cancel', id);
   }
 }
--- a/test/recorded-support/simulated-days.ts
+++ b/test/recorded-support/simulated-days.ts
@@ -16,7 +16,7 @@
 
 function addMachines(cluster: SimulatedCluster, count: number, type = 'small'): void {
   for (let index = 0; index < count; index++)
-    cluster.machine(`m${index}`, type, index % 2 === 0 ? 'east' : 'west', index === count - 1);
+    cluster.addMachine(`m${index}`, type, index % 2 === 0 ? 'east' : 'west', index === count - 1);
 }
 
 /** Limits that are announced to fall: long lists and long progress go into parts. */
@@ -55,7 +55,7 @@
   cluster.cancel('run-called-off');
   cluster.run(14);
   cluster.isPartitioned = () => false;
-  cluster.machine('late', 'small', 'west');
+  cluster.addMachine('late', 'small', 'west');
   cluster.run(3);
   // Commands that are lost raise the token of their machine.
   cluster.losesCommands = (_node, machine) => machine === 'm1';
--- a/test/resource-cleanup.test.ts
+++ b/test/resource-cleanup.test.ts
@@ -11,7 +11,7 @@
 import { ServiceLog } from '../packages/server/src/service-log.js';
 import { CloudServer } from './loopback/cloud-server.js';
 import { freeAddress } from './loopback/controller-process.js';
-import { listen, serverFor } from './loopback/http.js';
+import { createServer, listen } from './loopback/http.js';
 import { StateServer } from './loopback/state-server.js';
 import { STATUS, settings } from './simulation/fixtures.js';
 
@@ -51,7 +51,7 @@
 /** A state service that refuses all requests, and records their paths. */
 async function refusingStateService(context: TestContext): Promise<{ address: string; paths: string[] }> {
   const paths: string[] = [];
-  const server = serverFor(({ path }) => {
+  const server = createServer(({ path }) => {
     paths.push(path);
     return { status: 503, body: {} };
   });
--- a/test/rolling-upgrade.test.ts
+++ b/test/rolling-upgrade.test.ts
@@ -135,9 +135,9 @@
   for (let seed = 1; seed <= Number(process.env.WALKS ?? 8); seed++) {
     try {
       new RandomizedSimulation(seed, {
-        from: PRODUCTION_VERSION,
+        initialVersion: PRODUCTION_VERSION,
         pipelines: true,
-        next: { valueKib: 2, writesPerTransaction: 4, writesPerS: 45 },
+        nextLimits: { valueKib: 2, writesPerTransaction: 4, writesPerS: 45 },
       }).run(120);
     } catch (e) {
       assert.fail(`seed ${seed}: ${e instanceof Error ? e.message : e}`);
--- a/test/scenarios/limit-scenarios.ts
+++ b/test/scenarios/limit-scenarios.ts
@@ -16,7 +16,7 @@
 /** A settled cluster of small machines whose controllers know the announced limits. */
 export function clusterWithAnnouncedLimits(machines: number): SimulatedCluster {
   const cluster = new SimulatedCluster(undefined, withAnnouncedLimits);
-  for (let index = 0; index < machines; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+  for (let index = 0; index < machines; index++) cluster.addMachine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.runUntilSettled();
   return cluster;
 }
--- a/test/scenarios/upgrade-scenarios.ts
+++ b/test/scenarios/upgrade-scenarios.ts
@@ -16,7 +16,7 @@
     node.version = PRODUCTION_VERSION;
     node.restart();
   }
-  for (let index = 0; index < machines; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+  for (let index = 0; index < machines; index++) cluster.addMachine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.runUntilSettled();
   return { cluster, present };
 }
--- a/test/simulation-rules.test.ts
+++ b/test/simulation-rules.test.ts
@@ -8,13 +8,13 @@
 const PLANTED: { rule: RegExp; plant: (cluster: SimulatedCluster, worker: SimulatedWorker) => void }[] = [
   {
     rule: /too_early: run-b\/0 starts before run-a is done/,
-    plant: (_cluster, worker) => worker.obey([{ type: 'start', job: 'run-b', index: 0, attempt: 1 }]),
+    plant: (_cluster, worker) => worker.executeCommands([{ type: 'start', job: 'run-b', index: 0, attempt: 1 }]),
   },
   {
     rule: /ran_cancelled: run-b on m0/,
     plant: (cluster, worker) => {
       cluster.finished.add('run-a/0');
-      worker.obey([{ type: 'start', job: 'run-b', index: 0, attempt: 1 }]);
+      worker.executeCommands([{ type: 'start', job: 'run-b', index: 0, attempt: 1 }]);
       cluster.finished.clear();
       cluster.rules.recordAnswer('run-a', 'aborted');
       worker.hung = true;
@@ -26,7 +26,7 @@
     plant: (cluster, worker) => {
       cluster.rules.recordAnswer('run-a', 'aborted');
       cluster.run(37);
-      worker.obey([{ type: 'start', job: 'run-a', index: 0, attempt: 1 }]);
+      worker.executeCommands([{ type: 'start', job: 'run-a', index: 0, attempt: 1 }]);
     },
   },
   {
@@ -40,7 +40,7 @@
   {
     rule: /orphaned: run-a\/0 runs on, it was told done/,
     plant: (cluster, worker) => {
-      worker.obey([{ type: 'start', job: 'run-a', index: 0, attempt: 1 }]);
+      worker.executeCommands([{ type: 'start', job: 'run-a', index: 0, attempt: 1 }]);
       cluster.rules.recordAnswer('run-a', 'done');
       worker.hung = true;
       cluster.run(37);
--- a/test/simulation/cluster.ts
+++ b/test/simulation/cluster.ts
@@ -22,18 +22,18 @@
   readonly finished = new Set<string>();
   readonly rules = new RuleChecker(this);
   /** jobs submitted with a mistake: their tasks fail wherever they start */
-  readonly mistaken = new Set<string>();
+  readonly failingJobs = new Set<string>();
   isStateServiceDown = false;
   isCloudDown = false;
   /** says whether a transaction's answer is lost; `apply` carries it out, now or later */
-  losesTransactionAnswer: ((transaction: Extract<Effect, { type: 'compareAndSwap' }>, apply: () => void) => boolean) | null =
+  losesTransactionResponse: ((transaction: Extract<Effect, { type: 'compareAndSwap' }>, apply: () => void) => boolean) | null =
     null;
   /** commands that were lost arrive after so long all the same; null: never */
   lateCommandDelayMs: (() => number) | null = null;
   /** true if the two can't reach each other */
   isPartitioned: (a: string, b: string) => boolean = () => false;
   /** true if what this controller sends doesn't reach the machine, though its heartbeats arrive */
-  isDeaf: (controller: string, machine: string) => boolean = () => false;
+  losesControllerMessages: (controller: string, machine: string) => boolean = () => false;
   /** true if direct commands to it are lost, while its heartbeats are answered */
   losesCommands: (controller: string, machine: string) => boolean = () => false;
   /** true if no connection to the machine can be opened: a direct command never leaves */
@@ -45,9 +45,9 @@
   /** true if it comes late */
   delaysPeerMessages: (from: string, to: string) => boolean = () => false;
   /** true if the machine's answers to commands, which it carries out, can't be read */
-  garblesAnswers: (controller: string, machine: string) => boolean = () => false;
+  garblesCommandResponses: (controller: string, machine: string) => boolean = () => false;
   /** true if the machine reaches no controller, though direct commands reach it */
-  isMute: (machine: string) => boolean = () => false;
+  losesHeartbeats: (machine: string) => boolean = () => false;
   /** sees what controllers log */
   onLog: ((controller: string, effect: Extract<Effect, { type: 'log' }>) => void) | null = null;
   /** sees every message between controllers as it leaves */
@@ -55,10 +55,10 @@
   /** sees every heartbeat as it leaves, to deliver copies late */
   onHeartbeat: ((heartbeat: Heartbeat) => void) | null = null;
   /** how long the answer to a transaction takes, once it is carried out */
-  transactionAnswerMs: (controller: string) => number = () => 10;
+  transactionResponseMs: (controller: string) => number = () => 10;
   /** the cloud has machines left: they are up so long after they were rented */
   bootTimeMs: (() => number) | null = null;
-  private rented = 0;
+  private provisionedCount = 0;
   /** heartbeats that controllers forwarded whole */
   forwardedHeartbeats = 0;
   /** bytes of statuses between controllers, and how many were sent */
@@ -79,7 +79,7 @@
   maxPendingProbes = 0;
   trace: string[] = [];
   private queue: { at: number; run: () => void }[] = [];
-  private readonly byName = new Map<string, SimulatedWorker>();
+  private readonly workersByName = new Map<string, SimulatedWorker>();
 
   constructor(
     readonly names = ['n0', 'n1', 'n2'],
@@ -89,11 +89,11 @@
   }
 
   worker(name: string): SimulatedWorker | undefined {
-    return this.byName.get(name);
+    return this.workersByName.get(name);
   }
 
   /** Starts another process with the name of a controller that runs. */
-  duplicate(name: string): SimulatedController {
+  startDuplicate(name: string): SimulatedController {
     const second = new SimulatedController(this, name);
     // An incarnation of its own.
     second.restart();
@@ -109,22 +109,22 @@
     this.trace.push(`${(this.now / 1000).toFixed(1).padStart(6)} ${text}`);
   }
 
-  at(when: number, run: () => void): void {
+  runAt(when: number, run: () => void): void {
     this.queue.push({ at: when, run });
   }
 
-  machine(name: string, type = 'small', zone = 'east', spot = false): SimulatedWorker {
+  addMachine(name: string, type = 'small', zone = 'east', spot = false): SimulatedWorker {
     const worker = new SimulatedWorker(this, name, type, zone, spot);
     this.workers.push(worker);
-    this.byName.set(name, worker);
+    this.workersByName.set(name, worker);
     return worker;
   }
 
   /** Machines of the cloud, up after a while; null: it has none. */
   provision(type: string, zone: string, spot: boolean, count: number): string[] | null {
     if (!this.bootTimeMs || this.isCloudDown) return null;
-    const names = Array.from({ length: count }, () => `r${this.rented++}`);
-    for (const name of names) this.at(this.now + this.bootTimeMs(), () => void this.machine(name, type, zone, spot));
+    const names = Array.from({ length: count }, () => `r${this.provisionedCount++}`);
+    for (const name of names) this.runAt(this.now + this.bootTimeMs(), () => void this.addMachine(name, type, zone, spot));
     return names;
   }
 
@@ -140,12 +140,12 @@
         zone: worker.zone,
         spot: worker.spot,
         state: 'running' as const,
-        ageS: (this.now - worker.bornAt) / 1000,
+        ageS: (this.now - worker.createdAt) / 1000,
       }));
   }
 
-  remove(name: string): void {
-    const worker = this.byName.get(name);
+  releaseMachine(name: string): void {
+    const worker = this.workersByName.get(name);
     if (!worker) return;
     worker.dead = true;
     worker.tasks.clear();
@@ -224,7 +224,7 @@
     );
   }
 
-  broken(what: string): never {
+  fail(what: string): never {
     assert.fail(`${what}\n${this.trace.join('\n')}`);
   }
 
@@ -259,20 +259,20 @@
 /** A settled cluster with this many small machines, in both zones by turns. */
 export function smallCluster(machines: number): SimulatedCluster {
   const cluster = new SimulatedCluster();
-  for (let index = 0; index < machines; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+  for (let index = 0; index < machines; index++) cluster.addMachine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.runUntilSettled();
   return cluster;
 }
 
-const anyUp = (cluster: SimulatedCluster) => cluster.controllers.find((node) => node.up);
+const firstUpController = (cluster: SimulatedCluster) => cluster.controllers.find((node) => node.up);
 
 /** The shard that the job belongs to, as any controller sees it; -1: none knows the job. */
 export const shardOf = (cluster: SimulatedCluster, id: string): number =>
-  anyUp(cluster)?.controller.clusterState.jobs.get(id)?.shard ?? -1;
+  firstUpController(cluster)?.controller.clusterState.jobs.get(id)?.shard ?? -1;
 
 /** The controller that holds the shard, as any controller sees it; empty: none. */
 export const holderOf = (cluster: SimulatedCluster, shard: number | 'lead'): string =>
-  anyUp(cluster)?.controller.clusterState.leaseOf(shard)?.holder.controller ?? '';
+  firstUpController(cluster)?.controller.clusterState.leaseOf(shard)?.holder.controller ?? '';
 
 /**
  * Compares what happened with the trace kept under test/traces, which is there to be read.
--- a/test/simulation/controller.ts
+++ b/test/simulation/controller.ts
@@ -38,15 +38,15 @@
 
 const STEP_MS = 100;
 
-const PRESENT: ControllerVersion = { Controller, encodePeerMessage, decodePeerMessage };
+const CURRENT_VERSION: ControllerVersion = { Controller, encodePeerMessage, decodePeerMessage };
 
 /** Drives a controller in simulated time and carries out its effects on the cluster. */
 export class SimulatedController {
   controller: Controller;
   /** what it runs from its next start on */
-  version: ControllerVersion = PRESENT;
+  version: ControllerVersion = CURRENT_VERSION;
   /** what it runs now */
-  running: ControllerVersion = PRESENT;
+  runningVersion: ControllerVersion = CURRENT_VERSION;
   up = true;
   /** it stands still: nothing is read or sent, and its clock goes on */
   isPaused = false;
@@ -56,21 +56,21 @@
   isRefusedByStateService = false;
   /** inputs that it has processor time for in a tenth of a second: the rest waits, heartbeats first */
   inputsPerTick = Number.POSITIVE_INFINITY;
-  private readonly waiting: { heartbeats: (() => void)[]; others: (() => void)[] } = { heartbeats: [], others: [] };
+  private readonly waitingInputs: { heartbeats: (() => void)[]; others: (() => void)[] } = { heartbeats: [], others: [] };
   /** null: it has all the processor time that it needs */
-  processor: ProcessorBudget | null = null;
-  private readonly starved: { heartbeats: WaitingInput[]; others: WaitingInput[] } = { heartbeats: [], others: [] };
-  private ranAt = 0;
+  processorBudget: ProcessorBudget | null = null;
+  private readonly starvedInputs: { heartbeats: WaitingInput[]; others: WaitingInput[] } = { heartbeats: [], others: [] };
+  private lastRunAt = 0;
   /** its watch brings nothing for now, while all else at the state service goes on */
   isWatchLagging = false;
   private leaseId: number | null = null;
   private renewAt = 0;
-  private loadedAt = -1;
+  private snapshotAt = -1;
   /** pages read so far of a reading of all keys, and the revision of the first */
-  private loading: { rows: StoredKey[]; revision: number; pages: number } | null = null;
+  private partialSnapshot: { rows: StoredKey[]; revision: number; pages: number } | null = null;
   private incarnations = 0;
-  private answers = new Map<number, (status: number, body: Record<string, unknown>) => void>();
-  private nextAnswer = 1;
+  private responseHandlers = new Map<number, (status: number, body: Record<string, unknown>) => void>();
+  private nextResponseId = 1;
   /** probes that have no outcome yet */
   private pendingProbes = 0;
 
@@ -82,8 +82,8 @@
   }
 
   private newController(): Controller {
-    this.running = this.version;
-    return new this.running.Controller(
+    this.runningVersion = this.version;
+    return new this.runningVersion.Controller(
       this.cluster.tune(settings(this.name, this.cluster.names)),
       `${this.name}-${this.incarnations++}`,
     );
@@ -92,10 +92,10 @@
   crash(): void {
     this.isPaused = false;
     this.backlog = [];
-    this.waiting.heartbeats.length = 0;
-    this.waiting.others.length = 0;
-    this.starved.heartbeats.length = 0;
-    this.starved.others.length = 0;
+    this.waitingInputs.heartbeats.length = 0;
+    this.waitingInputs.others.length = 0;
+    this.starvedInputs.heartbeats.length = 0;
+    this.starvedInputs.others.length = 0;
     this.up = false;
     this.cluster.note(`${this.name} crashes`);
   }
@@ -104,9 +104,9 @@
     this.controller = this.newController();
     this.leaseId = null;
     this.renewAt = 0;
-    this.loadedAt = -1;
-    this.loading = null;
-    this.answers.clear();
+    this.snapshotAt = -1;
+    this.partialSnapshot = null;
+    this.responseHandlers.clear();
     this.pendingProbes = 0;
     this.up = true;
     this.cluster.note(`${this.name} restarts`);
@@ -125,32 +125,32 @@
     this.controller.processPaused(this.cluster.now - this.pausedAt, this.cluster.now);
     // What was lost is missed by this process' own timers.
     for (const input of this.backlog.splice(0)) lost ? input.lost() : input.run();
-    this.run();
+    this.applyEffects();
   }
 
-  private input(run: () => void, lost: () => void = () => {}, kind: 'heartbeats' | 'others' = 'others'): void {
+  private enqueueInput(run: () => void, lost: () => void = () => {}, kind: 'heartbeats' | 'others' = 'others'): void {
     if (this.isPaused) {
       this.backlog.push({ run, lost });
       return;
     }
-    if (this.processor !== null) {
-      this.starved[kind].push({ arrivedAt: this.cluster.now, run });
+    if (this.processorBudget !== null) {
+      this.starvedInputs[kind].push({ arrivedAt: this.cluster.now, run });
       return;
     }
     if (this.inputsPerTick !== Number.POSITIVE_INFINITY) {
-      this.waiting[kind].push(run);
+      this.waitingInputs[kind].push(run);
       return;
     }
     run();
-    this.run();
+    this.applyEffects();
   }
 
   /** As many of the inputs that wait as there is processor time for. */
-  private takeWaiting(): void {
-    const { heartbeats, others } = this.waiting;
+  private processWaitingInputs(): void {
+    const { heartbeats, others } = this.waitingInputs;
     for (let taken = 0; taken < this.inputsPerTick && heartbeats.length + others.length > 0; taken++) {
       (heartbeats.shift() ?? others.shift())?.();
-      this.run();
+      this.applyEffects();
     }
   }
 
@@ -158,14 +158,14 @@
   private runStarved({ runMs, periodMs, inputsPerStep }: ProcessorBudget): boolean {
     const { now } = this.cluster;
     if (now % periodMs < periodMs - runMs) return false;
-    const gapMs = now - this.ranAt;
-    this.ranAt = now;
+    const gapMs = now - this.lastRunAt;
+    this.lastRunAt = now;
     if (gapMs > PROCESS_PAUSE_MS) this.controller.processPaused(gapMs, now);
-    const { heartbeats, others } = this.starved;
+    const { heartbeats, others } = this.starvedInputs;
     for (const queue of [heartbeats, others]) {
       for (const { run } of queue.splice(0, inputsPerStep)) {
         run();
-        this.run();
+        this.applyEffects();
       }
     }
     const oldest = Math.min(now, heartbeats[0]?.arrivedAt ?? now, others[0]?.arrivedAt ?? now);
@@ -173,41 +173,41 @@
     return true;
   }
 
-  private wait(then: (status: number, body: Record<string, unknown>) => void): number {
-    const id = this.nextAnswer++;
-    this.answers.set(id, then);
+  private addResponseHandler(then: (status: number, body: Record<string, unknown>) => void): number {
+    const id = this.nextResponseId++;
+    this.responseHandlers.set(id, then);
     return id;
   }
 
   receiveHeartbeat(heartbeat: Heartbeat, then: (status: number, body: Record<string, unknown>) => void): void {
-    const id = this.wait(then);
-    this.input(
+    const id = this.addResponseHandler(then);
+    this.enqueueInput(
       () => this.controller.receiveHeartbeat(id, heartbeat, this.cluster.now),
       () => {},
       'heartbeats',
     );
   }
 
-  submit(spec: JobSpec, then: (status: number, body: Record<string, unknown>) => void, without = ''): void {
+  submit(spec: JobSpec, then: (status: number, body: Record<string, unknown>) => void, omittedField = ''): void {
     const body = submission(spec);
-    delete body[without];
+    delete body[omittedField];
     const awaits = this.cluster.awaits.get(spec.id);
     if (awaits) body.awaits = awaits;
-    this.input(() => this.controller.submitJob(this.wait(then), body, this.cluster.now, this.cluster.now));
+    this.enqueueInput(() => this.controller.submitJob(this.addResponseHandler(then), body, this.cluster.now, this.cluster.now));
   }
 
   queryStatus(id: string, then: (status: number, body: Record<string, unknown>) => void): void {
-    this.input(() => this.controller.queryJobStatus(this.wait(then), id, this.cluster.now));
+    this.enqueueInput(() => this.controller.queryJobStatus(this.addResponseHandler(then), id, this.cluster.now));
   }
 
   cancel(id: string, then: (status: number, body: Record<string, unknown>) => void): void {
-    this.input(() => this.controller.cancelJob(this.wait(then), id, this.cluster.now));
+    this.enqueueInput(() => this.controller.cancelJob(this.addResponseHandler(then), id, this.cluster.now));
   }
 
   tick(): void {
     if (!this.up || this.isPaused) return;
-    if (this.processor !== null && !this.runStarved(this.processor)) return;
-    this.takeWaiting();
+    if (this.processorBudget !== null && !this.runStarved(this.processorBudget)) return;
+    this.processWaitingInputs();
     const { now, stateService: state } = this.cluster;
     if (!this.cluster.isStateServiceDown && !this.isRefusedByStateService) {
       if (now >= this.renewAt) {
@@ -218,51 +218,51 @@
         }
         this.controller.receiveLeaseState(this.leaseId, now + 17_900, now);
       }
-      const isBehind = this.loadedAt >= 0 && !this.isWatchLagging && state.hasForgotten(this.controller.replica.revision);
-      if (this.loadedAt < 0 || isBehind) this.loadPage(now);
+      const isBehind = this.snapshotAt >= 0 && !this.isWatchLagging && state.hasCompacted(this.controller.replica.revision);
+      if (this.snapshotAt < 0 || isBehind) this.loadPage(now);
       else if (!this.isWatchLagging)
-        this.controller.receiveChanges(state.since(this.controller.replica.revision), state.revision, now, now);
+        this.controller.receiveChanges(state.changesSince(this.controller.replica.revision), state.revision, now, now);
     }
     this.controller.tick(now);
-    this.run();
+    this.applyEffects();
   }
 
   /** Reads a page of all keys; with the last one the controller gets them all. */
   private loadPage(now: number): void {
     const { stateService: state } = this.cluster;
-    if (this.loading === null) this.loading = { rows: [], revision: state.revision, pages: 0 };
-    const { rows, revision } = this.loading;
-    this.loading.pages++;
-    const isLast = this.loading.pages >= state.pages;
+    if (this.partialSnapshot === null) this.partialSnapshot = { rows: [], revision: state.revision, pages: 0 };
+    const { rows, revision } = this.partialSnapshot;
+    this.partialSnapshot.pages++;
+    const isLast = this.partialSnapshot.pages >= state.pages;
     rows.push(...(state.pages === 1 ? state.rows() : state.page(rows.at(-1)?.key ?? '', isLast)));
     if (!isLast) return;
-    this.loading = null;
-    if (this.loadedAt < 0) this.controller.receiveMachineTypes(TYPES, now);
-    this.loadedAt = now;
+    this.partialSnapshot = null;
+    if (this.snapshotAt < 0) this.controller.receiveMachineTypes(TYPES, now);
+    this.snapshotAt = now;
     this.controller.receiveSnapshot(rows, revision, now);
-    if (!this.isWatchLagging) this.controller.receiveChanges(state.since(revision), state.revision, now, now);
+    if (!this.isWatchLagging) this.controller.receiveChanges(state.changesSince(revision), state.revision, now, now);
   }
 
-  run(): void {
-    for (const effect of this.controller.takeEffects()) this.effect(effect);
+  applyEffects(): void {
+    for (const effect of this.controller.takeEffects()) this.applyEffect(effect);
   }
 
   /** A message as the other controller reads it: by way of its bytes where the two run different versions. */
-  private sent(to: SimulatedController, message: PeerMessage): PeerMessage {
-    this.cluster.onPeerMessage?.(this.running.encodePeerMessage(message));
-    if (to.running === this.running) return structuredClone(message);
-    return to.running.decodePeerMessage(this.running.encodePeerMessage(message));
+  private transmit(to: SimulatedController, message: PeerMessage): PeerMessage {
+    this.cluster.onPeerMessage?.(this.runningVersion.encodePeerMessage(message));
+    if (to.runningVersion === this.runningVersion) return structuredClone(message);
+    return to.runningVersion.decodePeerMessage(this.runningVersion.encodePeerMessage(message));
   }
 
-  private effect(effect: Effect): void {
+  private applyEffect(effect: Effect): void {
     const { cluster, controller: core } = this;
     const schedule = (delayMs: number, run: () => void, lost: () => void = run) =>
-      cluster.at(cluster.now + delayMs, () => {
-        if (this.up && this.controller === core) this.input(run, lost);
+      cluster.runAt(cluster.now + delayMs, () => {
+        if (this.up && this.controller === core) this.enqueueInput(run, lost);
       });
     if (effect.type === 'respond') {
-      const then = this.answers.get(effect.id);
-      this.answers.delete(effect.id);
+      const then = this.responseHandlers.get(effect.id);
+      this.responseHandlers.delete(effect.id);
       then?.(effect.status, effect.body as Record<string, unknown>);
     } else if (effect.type === 'compareAndSwap') {
       for (const write of effect.writes) {
@@ -272,11 +272,11 @@
       if (cluster.isStateServiceDown || this.isRefusedByStateService)
         return schedule(20, () => core.receiveCompareAndSwapOutcome(effect.id, { kind: 'refused' }, cluster.now));
       const apply = () => cluster.stateService.compareAndSwap(effect, cluster.now);
-      if (cluster.losesTransactionAnswer?.(effect, apply))
+      if (cluster.losesTransactionResponse?.(effect, apply))
         return schedule(1500, () => core.receiveCompareAndSwapOutcome(effect.id, { kind: 'unknown' }, cluster.now));
       const outcome = apply();
       schedule(
-        cluster.transactionAnswerMs(this.name),
+        cluster.transactionResponseMs(this.name),
         () => core.receiveCompareAndSwapOutcome(effect.id, outcome, cluster.now),
         () => core.receiveCompareAndSwapOutcome(effect.id, { kind: 'unknown' }, cluster.now),
       );
@@ -299,14 +299,16 @@
         });
       }
       const worker = cluster.worker(effect.machine);
-      const isLost = cluster.isDeaf(this.name, effect.machine) || cluster.losesCommands(this.name, effect.machine);
+      const isLost =
+        cluster.losesControllerMessages(this.name, effect.machine) || cluster.losesCommands(this.name, effect.machine);
       if (!worker || worker.dead || worker.hung || cluster.isPartitioned(this.name, effect.machine) || isLost) {
-        if (worker?.hung) worker.held.push(() => void worker.command(effect.fencingToken, effect.agentEpoch, effect.commands));
+        if (worker?.hung)
+          worker.heldCommands.push(() => void worker.receiveCommands(effect.fencingToken, effect.agentEpoch, effect.commands));
         // The network may deliver what was given up, long after.
         else if (worker && cluster.lateCommandDelayMs) {
-          cluster.at(cluster.now + cluster.lateCommandDelayMs(), () => {
-            const arrives = () => void worker.command(effect.fencingToken, effect.agentEpoch, effect.commands);
-            if (worker.hung) worker.held.push(arrives);
+          cluster.runAt(cluster.now + cluster.lateCommandDelayMs(), () => {
+            const arrives = () => void worker.receiveCommands(effect.fencingToken, effect.agentEpoch, effect.commands);
+            if (worker.hung) worker.heldCommands.push(arrives);
             else if (!worker.dead) arrives();
           });
         }
@@ -319,8 +321,8 @@
         this.pendingProbes -= probeCount;
         core.receiveCommandOutcome(effect.id, outcome, cluster.now);
       };
-      const outcome = worker.command(effect.fencingToken, effect.agentEpoch, effect.commands);
-      const unreadable = outcome.kind === 'ok' && cluster.garblesAnswers(this.name, effect.machine);
+      const outcome = worker.receiveCommands(effect.fencingToken, effect.agentEpoch, effect.commands);
+      const unreadable = outcome.kind === 'ok' && cluster.garblesCommandResponses(this.name, effect.machine);
       schedule(10, answered(unreadable ? { ...outcome, heartbeat: null } : outcome), answered({ kind: 'lost' }));
     } else if (effect.type === 'probe') {
       const worker = cluster.worker(effect.address);
@@ -329,24 +331,25 @@
         !worker.dead &&
         !worker.hung &&
         !cluster.isPartitioned(this.name, worker.name) &&
-        !cluster.isDeaf(this.name, worker.name);
+        !cluster.losesControllerMessages(this.name, worker.name);
       schedule(isAnswered ? 10 : 1500, () => core.receiveProbeOutcome(effect.id, isAnswered, cluster.now));
     } else if (effect.type === 'sendStatus') {
       cluster.statuses++;
       cluster.statusBytes += encodePeerMessage({ node: this.name, status: effect.status, heartbeat: null }).length;
       const node = cluster.controller(effect.to);
-      const copy = this.sent(node, { node: this.name, status: effect.status, heartbeat: null }).status as PeerStatus;
+      const copy = this.transmit(node, { node: this.name, status: effect.status, heartbeat: null }).status as PeerStatus;
       if (node.up && !cluster.isPartitioned(this.name, node.name) && !cluster.losesPeerMessages(this.name, node.name)) {
-        const arrives = () => node.up && node.input(() => node.controller.receivePeerStatus(copy, cluster.now));
-        if (cluster.delaysPeerMessages(this.name, node.name)) cluster.at(cluster.now + 15_000, arrives);
+        const arrives = () => node.up && node.enqueueInput(() => node.controller.receivePeerStatus(copy, cluster.now));
+        if (cluster.delaysPeerMessages(this.name, node.name)) cluster.runAt(cluster.now + 15_000, arrives);
         else arrives();
       }
     } else if (effect.type === 'forwardHeartbeat') {
       cluster.forwardedHeartbeats++;
       const node = cluster.controller(effect.to);
       if (node.up && !cluster.isPartitioned(this.name, node.name)) {
-        const heartbeat = this.sent(node, { node: this.name, status: null, heartbeat: effect.heartbeat }).heartbeat as Heartbeat;
-        node.input(() => node.controller.receiveForwardedHeartbeat(heartbeat, cluster.now));
+        const heartbeat = this.transmit(node, { node: this.name, status: null, heartbeat: effect.heartbeat })
+          .heartbeat as Heartbeat;
+        node.enqueueInput(() => node.controller.receiveForwardedHeartbeat(heartbeat, cluster.now));
       }
     } else if (effect.type === 'log') {
       cluster.onLog?.(this.name, effect);
@@ -354,7 +357,7 @@
       cluster.readBarriers++;
     } else if (effect.type === 'release') {
       if (cluster.isCloudDown) return schedule(100, () => core.receiveReleaseOutcome(effect.id, false, cluster.now));
-      for (const name of effect.machines) cluster.remove(name);
+      for (const name of effect.machines) cluster.releaseMachine(name);
       schedule(100, () => core.receiveReleaseOutcome(effect.id, true, cluster.now));
     } else if (effect.type === 'listMachines') {
       cluster.listRequests++;
--- a/test/simulation/large-fleet.ts
+++ b/test/simulation/large-fleet.ts
@@ -16,8 +16,8 @@
 const CORES_PER_MACHINE = 0.0048;
 
 /** One in so many machines has accelerators; one in so many services' replicas stands on each machine. */
-const ACCELERATED_EACH = 15;
-const REPLICAS = 4;
+const MACHINES_PER_GPU_MACHINE = 15;
+const REPLICAS_PER_SERVICE = 4;
 const MACHINES_PER_SERVICE = 3;
 
 /** Submissions that users make in a tenth of a second. */
@@ -25,7 +25,7 @@
 
 const CONTROLLER_DOWN_S = 3;
 
-const DISPLAY_LAG_S = 5;
+const STATUS_PROPAGATION_S = 5;
 
 /** The size of the fleet, and the version that its controllers run. */
 export interface LargeFleetOptions {
@@ -39,7 +39,7 @@
   readonly cluster: SimulatedCluster;
   private readonly services: string[] = [];
   /** workers that were killed or cut for good: they may be given back */
-  private readonly lost = new Set<string>();
+  private readonly lostNames = new Set<string>();
 
   constructor(private readonly options: LargeFleetOptions) {
     const names = Array.from({ length: options.controllers }, (_, index) => `n${index}`);
@@ -47,9 +47,9 @@
     if (options.version) for (const node of this.cluster.controllers) node.version = options.version;
     if (options.version) for (const node of this.cluster.controllers) node.restart();
     for (let index = 0; index < options.machines; index++)
-      this.cluster.machine(
+      this.cluster.addMachine(
         `m${100_000 + index}`,
-        index % ACCELERATED_EACH === 0 ? 'big' : 'small',
+        index % MACHINES_PER_GPU_MACHINE === 0 ? 'big' : 'small',
         index % 2 === 0 ? 'east' : 'west',
       );
   }
@@ -71,24 +71,24 @@
     };
   }
 
-  private get alive(): SimulatedWorker[] {
+  private get liveWorkers(): SimulatedWorker[] {
     return this.cluster.workers.filter((worker) => !worker.dead);
   }
 
   /** Machines that have answered whoever holds their shard. */
-  answering(): number {
-    return this.alive.filter((worker) => this.cluster.controllers.some((node) => answers(node, worker))).length;
+  verifiedCount(): number {
+    return this.liveWorkers.filter((worker) => this.cluster.controllers.some((node) => isVerifiedByHolder(node, worker))).length;
   }
 
   /** Nothing is assigned at first. Returns the seconds until all machines are, and have answered. */
   firstStart(): number {
-    return this.untilAllAnswer('the first start', 60 + this.options.machines / 20);
+    return this.runUntilAllVerified('the first start', 60 + this.options.machines / 20);
   }
 
-  private untilAllAnswer(what: string, seconds: number): number {
+  private runUntilAllVerified(what: string, seconds: number): number {
     const { cluster } = this;
     const from = cluster.now;
-    cluster.runUntil(`${what}: all machines answer`, () => this.answering() === this.alive.length, seconds);
+    cluster.runUntil(`${what}: all machines answer`, () => this.verifiedCount() === this.liveWorkers.length, seconds);
     return (cluster.now - from) / 1000;
   }
 
@@ -104,7 +104,7 @@
         job(id, {
           team: TEAMS[index % TEAMS.length],
           shape: 'service',
-          tasks: REPLICAS,
+          tasks: REPLICAS_PER_SERVICE,
           priority: 3,
           jobClass: 'serve',
           spread: true,
@@ -113,7 +113,7 @@
       );
       if (index % SUBMISSIONS_PER_STEP === SUBMISSIONS_PER_STEP - 1) cluster.run(0.1);
     }
-    this.untilServicesRun('all replicas run', 120);
+    this.runUntilServicesRun('all replicas run', 120);
     return (cluster.now - from) / 1000;
   }
 
@@ -122,20 +122,20 @@
     const up = cluster.controllers.filter((node) => node.up);
     cluster.specs.set(spec.id, spec);
     (up[at % up.length] as SimulatedController).submit(spec, (status) => {
-      if (status !== 201 && status !== 200) cluster.at(cluster.now + 1000, () => this.submit(spec, at + 1));
+      if (status !== 201 && status !== 200) cluster.runAt(cluster.now + 1000, () => this.submit(spec, at + 1));
     });
   }
 
   /** Tasks of services that run. */
-  replicas(): number {
+  runningReplicaCount(): number {
     let count = 0;
-    for (const worker of this.alive)
+    for (const worker of this.liveWorkers)
       for (const task of worker.tasks.values()) if (task.state === 'running' && task.job.startsWith('run-s')) count++;
     return count;
   }
 
-  untilServicesRun(what: string, seconds: number): void {
-    this.cluster.runUntil(what, () => this.replicas() === this.services.length * REPLICAS, seconds);
+  runUntilServicesRun(what: string, seconds: number): void {
+    this.cluster.runUntil(what, () => this.runningReplicaCount() === this.services.length * REPLICAS_PER_SERVICE, seconds);
   }
 
   /** One controller ends and is back. Returns the seconds until the last machine has answered. */
@@ -147,7 +147,7 @@
     cluster.run(CONTROLLER_DOWN_S);
     node.restart();
     cluster.run(0.1);
-    this.untilAllAnswer('a crash', 90);
+    this.runUntilAllVerified('a crash', 90);
     return (cluster.now - from) / 1000;
   }
 
@@ -158,16 +158,16 @@
     cluster.run(CONTROLLER_DOWN_S);
     for (const node of cluster.controllers) node.restart();
     cluster.run(0.1);
-    return this.untilAllAnswer('a crash of all', 120);
+    return this.runUntilAllVerified('a crash of all', 120);
   }
 
   /** Every third machine stops at once. Returns the seconds until they are assigned no more. */
-  loseThird(): number {
+  killThird(): number {
     const { cluster } = this;
     const from = cluster.now;
-    const lostWorkers = this.alive.filter((_worker, index) => index % 3 === 1);
+    const lostWorkers = this.liveWorkers.filter((_worker, index) => index % 3 === 1);
     for (const worker of lostWorkers) {
-      this.lost.add(worker.name);
+      this.lostNames.add(worker.name);
       worker.dead = true;
       worker.tasks.clear();
     }
@@ -181,24 +181,24 @@
    * Arrays are cancelled by the hundred while the leader ends. Returns the seconds from the first request until the
    * last task is gone; the rules say how late each may be.
    */
-  cancelWhileTheLeaderEnds(arrays: number): number {
+  cancelDuringLeaderCrash(arrays: number): number {
     const { cluster } = this;
     const ids = Array.from({ length: arrays }, (_, index) => `run-c${index}`);
     ids.forEach((id, index) => {
       this.submit(job(id, { team: TEAMS[index % TEAMS.length], tasks: 4, cpus: 0.5, memory: 0.5, estimatedRunS: 10_000 }), index);
     });
     const runningCount = () =>
-      this.alive.reduce((count, worker) => count + [...worker.tasks.values()].filter(isCancelledArray).length, 0);
+      this.liveWorkers.reduce((count, worker) => count + [...worker.tasks.values()].filter(isCancelledArray).length, 0);
     cluster.runUntil('the arrays run', () => runningCount() >= 2 * arrays, 90);
     const from = cluster.now;
     const confirmed = new Set<string>();
     ids.forEach((id, index) => {
-      cluster.at(cluster.now + 100 + 5 * index, () => this.cancel(id, index, confirmed));
+      cluster.runAt(cluster.now + 100 + 5 * index, () => this.cancel(id, index, confirmed));
     });
     cluster.run(1);
     const leader = cluster.controllers.find((node) => node.controller.leader.isLeading) as SimulatedController;
     leader.crash();
-    cluster.at(cluster.now + CONTROLLER_DOWN_S * 1000, () => leader.restart());
+    cluster.runAt(cluster.now + CONTROLLER_DOWN_S * 1000, () => leader.restart());
     cluster.runUntil('all users are told', () => confirmed.size === arrays, 90);
     cluster.runUntil('no cancelled task is left', () => runningCount() === 0, 60);
     return (cluster.now - from) / 1000;
@@ -216,13 +216,13 @@
       confirmed.add(id);
       cluster.rules.recordAnswer(id, String(body.status));
     });
-    cluster.at(cluster.now + 2000, () => {
+    cluster.runAt(cluster.now + 2000, () => {
       if (!answered && !confirmed.has(id)) this.cancel(id, at + 1, confirmed);
     });
   }
 
   /** Each controller ends and is back, one after the other. Returns the seconds that it takes in all. */
-  roll(): number {
+  rollingRestart(): number {
     const { cluster } = this;
     const from = cluster.now;
     for (const node of cluster.controllers) {
@@ -232,27 +232,27 @@
       cluster.runUntil(`${node.name} is ready`, () => node.controller.isReady, 30);
     }
     const seconds = (cluster.now - from) / 1000;
-    this.untilAllAnswer('a roll', 90);
+    this.runUntilAllVerified('a roll', 90);
     return seconds;
   }
 
   /** Nobody threw away what could be reached, and every controller answers for every service. */
   check(): void {
-    const thrownAway = this.cluster.workers.filter((worker) => worker.dead && !this.lost.has(worker.name));
+    const wronglyReleased = this.cluster.workers.filter((worker) => worker.dead && !this.lostNames.has(worker.name));
     assert.deepEqual(
-      thrownAway.map((worker) => worker.name),
+      wronglyReleased.map((worker) => worker.name),
       [],
       'machines that were given back though they could be reached',
     );
     // What others run is told anew every few seconds, to who began again too.
-    this.cluster.run(DISPLAY_LAG_S);
+    this.cluster.run(STATUS_PROPAGATION_S);
     const sample = this.services.filter((_, index) => index % Math.ceil(this.services.length / 10) === 0);
     for (const node of this.cluster.controllers)
       for (const id of sample) assert.equal(this.cluster.queryStatus(id, node), 'running');
   }
 }
 
-function answers(node: SimulatedController, worker: SimulatedWorker): boolean {
+function isVerifiedByHolder(node: SimulatedController, worker: SimulatedWorker): boolean {
   const machine = node.controller.clusterState.machines.get(worker.name);
   return node.up && machine?.tenure.isVerified === true && node.controller.shardController.heldShards.has(machine.shard);
 }
--- a/test/simulation/rules.ts
+++ b/test/simulation/rules.ts
@@ -19,8 +19,8 @@
   /** when a user was first told that the job is done */
   private readonly doneAt = new Map<string, number>();
   /** the workers' tasks by job, and the step that they are of */
-  private readonly byJob = new Map<string, TaskOnWorker[]>();
-  private byJobAt = -1;
+  private readonly tasksByJob = new Map<string, TaskOnWorker[]>();
+  private indexedAt = -1;
 
   constructor(private readonly cluster: SimulatedCluster) {}
 
@@ -29,9 +29,9 @@
     const { cluster } = this;
     const spec = cluster.specs.get(id) as JobSpec;
     for (const other of cluster.awaits.get(id) ?? [])
-      if (!cluster.allTasksDone(other)) cluster.broken(`too_early: ${id}/${index} starts before ${other} is done`);
+      if (!cluster.allTasksDone(other)) cluster.fail(`too_early: ${id}/${index} starts before ${other} is done`);
     this.checkPlace(worker, spec, index);
-    if (this.isOverdue(this.cancelledAt(id))) cluster.broken(`ran_cancelled: ${id} starts`);
+    if (this.isOverdue(this.cancelledAt(id))) cluster.fail(`ran_cancelled: ${id} starts`);
   }
 
   private checkPlace(worker: SimulatedWorker, spec: JobSpec, index: number): void {
@@ -39,41 +39,41 @@
     let inZone = 0;
     for (const { worker: other, key, task } of this.tasksOf(spec.id)) {
       if (other.dead || other.tasks.get(key) !== task || task.state === 'exited') continue;
-      if (task.index === index) cluster.broken(`ran_twice: ${spec.id}/${index} on ${other.name} and ${worker.name}`);
-      if (spec.oneZone && other.zone !== worker.zone) cluster.broken(`wrong_place: ${spec.id} in two zones`);
+      if (task.index === index) cluster.fail(`ran_twice: ${spec.id}/${index} on ${other.name} and ${worker.name}`);
+      if (spec.oneZone && other.zone !== worker.zone) cluster.fail(`wrong_place: ${spec.id} in two zones`);
       if (other.zone === worker.zone) inZone++;
     }
-    if (spec.spread && inZone >= Math.ceil(spec.tasks / 2)) cluster.broken(`wrong_place: ${spec.id} not spread`);
-    if (spec.zone !== null && spec.zone !== worker.zone) cluster.broken(`wrong_place: ${spec.id} in ${worker.zone}`);
+    if (spec.spread && inZone >= Math.ceil(spec.tasks / 2)) cluster.fail(`wrong_place: ${spec.id} not spread`);
+    if (spec.zone !== null && spec.zone !== worker.zone) cluster.fail(`wrong_place: ${spec.id} in ${worker.zone}`);
     if (spec.machineTypes !== null && !spec.machineTypes.includes(worker.type))
-      cluster.broken(`wrong_place: ${spec.id} on a ${worker.type}`);
-    if (worker.spot && !spec.allowsSpot) cluster.broken(`wrong_place: ${spec.id} on a spot machine`);
+      cluster.fail(`wrong_place: ${spec.id} on a ${worker.type}`);
+    if (worker.spot && !spec.allowsSpot) cluster.fail(`wrong_place: ${spec.id} on a spot machine`);
   }
 
   /** A worker began this task in this step. */
-  started(worker: SimulatedWorker, key: string, task: TaskStatus): void {
-    const known = this.byJob.get(task.job);
+  recordStart(worker: SimulatedWorker, key: string, task: TaskStatus): void {
+    const known = this.tasksByJob.get(task.job);
     if (known) known.push({ worker, key, task });
-    else this.byJob.set(task.job, [{ worker, key, task }]);
+    else this.tasksByJob.set(task.job, [{ worker, key, task }]);
   }
 
   /** All tasks of the job that any worker had as this step began, or has been given since. */
   private tasksOf(id: string): readonly TaskOnWorker[] {
-    if (this.byJobAt !== this.cluster.now) this.sortByJob();
-    return this.byJob.get(id) ?? [];
+    if (this.indexedAt !== this.cluster.now) this.indexTasksByJob();
+    return this.tasksByJob.get(id) ?? [];
   }
 
   /** Sorted out once a step: looking through thousands of machines for each start took most of a test's time. */
-  private sortByJob(): void {
-    this.byJobAt = this.cluster.now;
-    this.byJob.clear();
-    for (const worker of this.cluster.workers) for (const [key, task] of worker.tasks) this.started(worker, key, task);
+  private indexTasksByJob(): void {
+    this.indexedAt = this.cluster.now;
+    this.tasksByJob.clear();
+    for (const worker of this.cluster.workers) for (const [key, task] of worker.tasks) this.recordStart(worker, key, task);
   }
 
   /** `quota`, `ran_cancelled` and `orphaned`, by what is on the machines now. */
   checkStep(): void {
     const { cluster } = this;
-    this.byJobAt = -1;
+    this.indexedAt = -1;
     const usage = new Map<string, number>();
     for (const worker of cluster.workers) {
       if (worker.dead) continue;
@@ -81,13 +81,13 @@
         if (task.state === 'exited') continue;
         const spec = cluster.specs.get(task.job) as JobSpec;
         usage.set(spec.team, (usage.get(spec.team) ?? 0) + spec.gpus);
-        if (this.isOverdue(this.cancelledAt(task.job))) cluster.broken(`ran_cancelled: ${task.job} on ${worker.name}`);
+        if (this.isOverdue(this.cancelledAt(task.job))) cluster.fail(`ran_cancelled: ${task.job} on ${worker.name}`);
         if (this.isOverdue(this.doneAt.get(task.job)))
-          cluster.broken(`orphaned: ${task.job}/${task.index} runs on, it was told done`);
+          cluster.fail(`orphaned: ${task.job}/${task.index} runs on, it was told done`);
       }
     }
     for (const team of cluster.tune(settings('n0', cluster.names)).teams)
-      if ((usage.get(team.name) ?? 0) > team.maxGpus) cluster.broken(`quota: ${team.name}`);
+      if ((usage.get(team.name) ?? 0) > team.maxGpus) cluster.fail(`quota: ${team.name}`);
   }
 
   /** A user was told this of the job. `orphaned`: it goes on though one that it needs was told to be cancelled. */
@@ -96,7 +96,7 @@
     if (status === 'aborted' && !cluster.cancelledAt.has(id)) cluster.cancelledAt.set(id, cluster.now);
     if (status === 'done' && !this.doneAt.has(id)) this.doneAt.set(id, cluster.now);
     if ((status === 'queued' || status === 'running') && this.isOverdue(this.cancelledAt(id)))
-      cluster.broken(`orphaned: ${id} is called ${status}, and one that it needs was cancelled`);
+      cluster.fail(`orphaned: ${id} is called ${status}, and one that it needs was cancelled`);
   }
 
   /** When a user was first told that the job, or one that it needs directly or through others, is cancelled. */
--- a/test/simulation/state-service.ts
+++ b/test/simulation/state-service.ts
@@ -21,11 +21,11 @@
   revision = 1;
   limits: StateServiceLimits | null = null;
   /** changes that may be made now, of those that the rate allows */
-  private allowance = 0;
-  private allowedAt = 0;
+  private writeAllowance = 0;
+  private allowanceUpdatedAt = 0;
   /** changes refused because they were too many, and transactions refused as too large */
-  limited = 0;
-  tooLarge = 0;
+  rateLimitedCount = 0;
+  tooLargeCount = 0;
   /** changes that a watch can still be given; whoever is further behind has to read all keys again */
   changesKept = Number.POSITIVE_INFINITY;
   /** pages in which all keys are read, each at its own time */
@@ -62,7 +62,7 @@
   }
 
   /** The refusal of a transaction that exceeds a limit, or null. */
-  private exceeds(
+  private refusalOf(
     transaction: Extract<Effect, { type: 'compareAndSwap' }>,
     now: number,
   ): { kind: 'invalid' } | { kind: 'limited' } | null {
@@ -70,16 +70,16 @@
     const { valueBytes, writesPerTransaction, writesPerS } = this.limits;
     const large = transaction.writes.some((write) => 'put' in write && JSON.stringify(write.value).length > valueBytes);
     if (large || transaction.writes.length > writesPerTransaction || transaction.conditions.length > 4 * writesPerTransaction) {
-      this.tooLarge++;
+      this.tooLargeCount++;
       return { kind: 'invalid' };
     }
-    this.allowance = Math.min(writesPerS, this.allowance + ((now - this.allowedAt) / 1000) * writesPerS);
-    this.allowedAt = now;
-    if (this.allowance < transaction.writes.length) {
-      this.limited++;
+    this.writeAllowance = Math.min(writesPerS, this.writeAllowance + ((now - this.allowanceUpdatedAt) / 1000) * writesPerS);
+    this.allowanceUpdatedAt = now;
+    if (this.writeAllowance < transaction.writes.length) {
+      this.rateLimitedCount++;
       return { kind: 'limited' };
     }
-    this.allowance -= transaction.writes.length;
+    this.writeAllowance -= transaction.writes.length;
     return null;
   }
 
@@ -87,7 +87,7 @@
     transaction: Extract<Effect, { type: 'compareAndSwap' }>,
     now: number,
   ): Parameters<Controller['receiveCompareAndSwapOutcome']>[1] {
-    const refusal = this.exceeds(transaction, now);
+    const refusal = this.refusalOf(transaction, now);
     if (refusal) return refusal;
     const failed = transaction.conditions
       .filter((condition) => (this.keys.get(condition.key)?.revision ?? 0) !== condition.revision)
@@ -109,14 +109,14 @@
     return { kind: 'ok', revision: this.revision };
   }
 
-  since(revision: number): KeyChange[] {
+  changesSince(revision: number): KeyChange[] {
     let first = this.log.length;
     while (first > 0 && (this.log[first - 1] as KeyChange).revision > revision) first--;
     return this.log.slice(first);
   }
 
   /** The changes after this revision are known no more. */
-  hasForgotten(revision: number): boolean {
+  hasCompacted(revision: number): boolean {
     const oldest = this.log[this.log.length - this.changesKept - 1];
     return oldest !== undefined && oldest.revision > revision;
   }
--- a/test/simulation/worker.ts
+++ b/test/simulation/worker.ts
@@ -8,7 +8,7 @@
 const HEARTBEAT_INTERVAL_MS = 2000;
 
 /** A worker waits for an answer so long, and then so long until it tries the next controller. */
-const ANSWER_TIMEOUT_MS = 4000;
+const RESPONSE_TIMEOUT_MS = 4000;
 const NEXT_CONTROLLER_DELAY_MS = 1000;
 
 interface WorkerTask extends TaskStatus {
@@ -21,18 +21,18 @@
   sequence = 0;
   fencingToken = 0;
   tasks = new Map<string, WorkerTask>();
-  renewedAt: number;
-  readonly bornAt: number;
+  leaseRenewedAt: number;
+  readonly createdAt: number;
   nextHeartbeatAt = 0;
-  target = 0;
+  controllerIndex = 0;
   preemptionNoticeS: number | null = null;
   /** no power, or given back */
   dead = false;
   /** executes nothing and answers nothing, and may go on later */
   hung = false;
   /** commands that arrive only once it goes on */
-  held: (() => void)[] = [];
-  fails = false;
+  heldCommands: (() => void)[] = [];
+  isFaulty = false;
 
   constructor(
     readonly cluster: SimulatedCluster,
@@ -41,8 +41,8 @@
     readonly zone: string,
     readonly spot: boolean,
   ) {
-    this.renewedAt = cluster.now;
-    this.bornAt = cluster.now;
+    this.leaseRenewedAt = cluster.now;
+    this.createdAt = cluster.now;
   }
 
   /** Loses power and is back at once: its numbers start over and nothing is on it. */
@@ -52,10 +52,10 @@
     this.sequence = 0;
     this.fencingToken = 0;
     this.tasks.clear();
-    this.renewedAt = this.cluster.now;
+    this.leaseRenewedAt = this.cluster.now;
   }
 
-  heartbeat(): Heartbeat {
+  nextHeartbeat(): Heartbeat {
     this.sequence++;
     return {
       machine: this.name,
@@ -78,7 +78,7 @@
     };
   }
 
-  obey(commands: Command[]): void {
+  executeCommands(commands: Command[]): void {
     for (const command of commands) {
       const key = `${command.job}/${command.index}/${command.attempt}`;
       const task = this.tasks.get(key);
@@ -110,7 +110,7 @@
             exitReason: null,
           };
           this.tasks.set(key, startedTask);
-          this.cluster.rules.started(this, key, startedTask);
+          this.cluster.rules.recordStart(this, key, startedTask);
           this.cluster.note(`${this.name} starts ${command.job}/${command.index}`);
         }
       } else if (command.type === 'stop' && task && task.state !== 'exited') {
@@ -123,23 +123,28 @@
     }
   }
 
-  command(fencingToken: number, agentEpoch: number, commands: Command[]): Parameters<Controller['receiveCommandOutcome']>[1] {
-    if (fencingToken < this.fencingToken || agentEpoch !== this.agentEpoch) return { kind: 'stale', heartbeat: this.heartbeat() };
+  receiveCommands(
+    fencingToken: number,
+    agentEpoch: number,
+    commands: Command[],
+  ): Parameters<Controller['receiveCommandOutcome']>[1] {
+    if (fencingToken < this.fencingToken || agentEpoch !== this.agentEpoch)
+      return { kind: 'stale', heartbeat: this.nextHeartbeat() };
     this.fencingToken = fencingToken;
-    this.obey(commands);
+    this.executeCommands(commands);
     this.nextHeartbeatAt = Math.min(this.nextHeartbeatAt, this.cluster.now + 500);
-    return { kind: 'ok', heartbeat: this.heartbeat() };
+    return { kind: 'ok', heartbeat: this.nextHeartbeat() };
   }
 
   tick(): void {
     const { now, leaseMs } = this.cluster;
     if (this.dead || this.hung) return;
-    for (const deliver of this.held.splice(0)) deliver();
-    if (now - this.renewedAt > leaseMs) {
+    for (const deliver of this.heldCommands.splice(0)) deliver();
+    if (now - this.leaseRenewedAt > leaseMs) {
       if (this.tasks.size > 0) this.cluster.note(`${this.name} kills its tasks: lease over`);
       this.tasks.clear();
       this.agentEpoch++;
-      this.renewedAt = now;
+      this.leaseRenewedAt = now;
     }
     for (const task of this.tasks.values()) {
       const spec = this.cluster.specs.get(task.job) as JobSpec;
@@ -153,7 +158,7 @@
       }
       if (task.state !== 'running') continue;
       const exitReason =
-        this.fails || this.cluster.mistaken.has(task.job)
+        this.isFaulty || this.cluster.failingJobs.has(task.job)
           ? 'error'
           : spec.shape !== 'service' && now - task.startedAt >= spec.estimatedRunS * 1000
             ? 'done'
@@ -164,53 +169,53 @@
       if (exitReason === 'done') this.cluster.finished.add(`${task.job}/${task.index}`);
       this.nextHeartbeatAt = Math.min(this.nextHeartbeatAt, now + 500);
     }
-    if (now >= this.nextHeartbeatAt) this.send();
+    if (now >= this.nextHeartbeatAt) this.sendHeartbeat();
   }
 
   /** One heartbeat at a time is under way: without an answer in time the next goes to the next controller, a second later. */
-  private awaitAnswer(): void {
-    this.nextHeartbeatAt = this.cluster.now + ANSWER_TIMEOUT_MS + NEXT_CONTROLLER_DELAY_MS;
-    this.target++;
+  private expectResponse(): void {
+    this.nextHeartbeatAt = this.cluster.now + RESPONSE_TIMEOUT_MS + NEXT_CONTROLLER_DELAY_MS;
+    this.controllerIndex++;
   }
 
-  private answerCame(node: SimulatedController): void {
+  private recordResponse(node: SimulatedController): void {
     this.nextHeartbeatAt = this.cluster.now + HEARTBEAT_INTERVAL_MS;
-    this.target = this.cluster.controllers.indexOf(node);
+    this.controllerIndex = this.cluster.controllers.indexOf(node);
   }
 
-  private send(): void {
+  private sendHeartbeat(): void {
     const { cluster } = this;
     this.nextHeartbeatAt = cluster.now + HEARTBEAT_INTERVAL_MS;
-    const node = cluster.controllers[this.target % cluster.controllers.length] as SimulatedController;
+    const node = cluster.controllers[this.controllerIndex % cluster.controllers.length] as SimulatedController;
     const sentAt = cluster.now;
     const { agentEpoch } = this;
     const tryNextController = () => {
-      this.target++;
+      this.controllerIndex++;
       this.nextHeartbeatAt = cluster.now + NEXT_CONTROLLER_DELAY_MS;
     };
-    if (!node.up || cluster.isMute(this.name) || cluster.isPartitioned(node.name, this.name)) return tryNextController();
+    if (!node.up || cluster.losesHeartbeats(this.name) || cluster.isPartitioned(node.name, this.name)) return tryNextController();
     if (node.isPaused) {
       // Nobody answers for 4 s; the report is read when the controller goes on.
-      this.target++;
+      this.controllerIndex++;
       this.nextHeartbeatAt = cluster.now + 5000;
     }
-    if (node.processor !== null) this.awaitAnswer();
-    const heartbeat = this.heartbeat();
+    if (node.processorBudget !== null) this.expectResponse();
+    const heartbeat = this.nextHeartbeat();
     cluster.onHeartbeat?.(heartbeat);
     node.receiveHeartbeat(heartbeat, (status, body) => {
-      if (node.processor !== null && cluster.now - sentAt <= ANSWER_TIMEOUT_MS) this.answerCame(node);
-      if (this.dead || this.hung || agentEpoch !== this.agentEpoch || cluster.now - sentAt > ANSWER_TIMEOUT_MS) return;
-      if (cluster.isDeaf(node.name, this.name)) return tryNextController();
+      if (node.processorBudget !== null && cluster.now - sentAt <= RESPONSE_TIMEOUT_MS) this.recordResponse(node);
+      if (this.dead || this.hung || agentEpoch !== this.agentEpoch || cluster.now - sentAt > RESPONSE_TIMEOUT_MS) return;
+      if (cluster.losesControllerMessages(node.name, this.name)) return tryNextController();
       if (status === 421 && typeof body.home === 'string') {
-        this.target = cluster.controllers.findIndex((node) => node.name === body.home);
+        this.controllerIndex = cluster.controllers.findIndex((node) => node.name === body.home);
         this.nextHeartbeatAt = cluster.now + 100;
       } else if (status !== 200) tryNextController();
       else if (typeof body.baton === 'number' && body.baton >= this.fencingToken) {
         if (body.baton > this.fencingToken) this.nextHeartbeatAt = cluster.now + 500;
         this.fencingToken = body.baton;
-        this.renewedAt = Math.max(this.renewedAt, sentAt);
+        this.leaseRenewedAt = Math.max(this.leaseRenewedAt, sentAt);
         const orders = body.orders as { verb: string; piece: string; try: number }[];
-        this.obey(
+        this.executeCommands(
           orders.map((order) => ({
             type: order.verb === 'run' ? 'start' : order.verb === 'clear' ? 'forget' : 'stop',
             job: order.piece.slice(0, order.piece.lastIndexOf('/')),
--- a/test/starved-controller.test.ts
+++ b/test/starved-controller.test.ts
@@ -42,7 +42,7 @@
 
 function runningCluster(controllers: string[]): SimulatedCluster {
   const cluster = new SimulatedCluster(controllers);
-  for (let index = 0; index < MACHINES; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+  for (let index = 0; index < MACHINES; index++) cluster.addMachine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.runUntilSettled();
   cluster.submit(job('run-v', { shape: 'service', tasks: 100, priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-v') === 100);
@@ -80,14 +80,14 @@
 for (const [what, budget] of SHORTAGES) {
   test(`a controller that has processor time for ${what} releases no healthy machine`, () => {
     const cluster = runningCluster(['n0']);
-    (cluster.controllers[0] as SimulatedController).processor = budget;
+    (cluster.controllers[0] as SimulatedController).processorBudget = budget;
     cluster.run(110);
     assert.deepEqual(released(cluster), []);
   });
 
   test(`a controller that has processor time for ${what} releases machines that died, and these alone`, () => {
     const cluster = runningCluster(['n0']);
-    (cluster.controllers[0] as SimulatedController).processor = budget;
+    (cluster.controllers[0] as SimulatedController).processorBudget = budget;
     cluster.run(20);
     const dying = cluster.workers.slice(0, 4);
     kill(dying);
@@ -101,7 +101,7 @@
 test('a controller that was short of processor for an hour has released the machines that died, and these alone', () => {
   const cluster = runningCluster(['n0']);
   const budget: ProcessorBudget = { runMs: 100, periodMs: 1000, inputsPerStep: 60 };
-  (cluster.controllers[0] as SimulatedController).processor = budget;
+  (cluster.controllers[0] as SimulatedController).processorBudget = budget;
   const dying: SimulatedWorker[] = [];
   for (let minute = 0; minute < 60; minute++) {
     cluster.run(60);
@@ -115,7 +115,7 @@
 for (const [what, budget] of SHORTAGES) {
   test(`one of three controllers has processor time for ${what}: no healthy machine is released, and a twentieth that dies is`, () => {
     const cluster = runningCluster(['n0', 'n1', 'n2']);
-    (cluster.controllers[1] as SimulatedController).processor = budget;
+    (cluster.controllers[1] as SimulatedController).processorBudget = budget;
     cluster.run(20);
     const dying = cluster.workers.slice(0, MACHINES / 20);
     kill(dying);
@@ -127,7 +127,7 @@
 test('while a third of the machines really die the others are kept, all controllers being short of processor', () => {
   const cluster = runningCluster(['n0', 'n1', 'n2']);
   const budget: ProcessorBudget = { runMs: 100, periodMs: 700, inputsPerStep: 30 };
-  for (const node of cluster.controllers) node.processor = budget;
+  for (const node of cluster.controllers) node.processorBudget = budget;
   cluster.run(10);
   const dying = cluster.workers.filter((_worker, index) => index % 3 === 1);
   kill(dying);
@@ -139,7 +139,7 @@
   const cluster = runningCluster(['n0']);
   cluster.submit(job('run-c', { tasks: 8, estimatedRunS: 500 }));
   cluster.runUntil('running', () => cluster.runningTasks('run-c') === 8);
-  (cluster.controllers[0] as SimulatedController).processor = { runMs: 100, periodMs: 700, inputsPerStep: 60 };
+  (cluster.controllers[0] as SimulatedController).processorBudget = { runMs: 100, periodMs: 700, inputsPerStep: 60 };
   cluster.run(10);
   const hanging = cluster.machinesRunning('run-c');
   for (const worker of cluster.workers) if (hanging.includes(worker.name)) worker.hung = true;
@@ -154,7 +154,7 @@
   const releaseAfterMs = (budget: ProcessorBudget | null) => {
     const cluster = runningCluster(['n0']);
     const worker = workerRunning(cluster, 'run-v');
-    (cluster.controllers[0] as SimulatedController).processor = budget;
+    (cluster.controllers[0] as SimulatedController).processorBudget = budget;
     worker.preemptionNoticeS = 5;
     cluster.run(5);
     kill([worker]);
--- a/test/state-service-limits.test.ts
+++ b/test/state-service-limits.test.ts
@@ -224,15 +224,15 @@
     cluster.specs.set(id, job(id, { cpus: 0.2, memory: 0.2, estimatedRunS: 3 }));
     const ask = () =>
       cluster.controllers[index % 3]?.submit(cluster.specs.get(id) as JobSpec, (status) => {
-        if (status === 503) cluster.at(cluster.now + 1000, ask);
+        if (status === 503) cluster.runAt(cluster.now + 1000, ask);
       });
-    cluster.at(cluster.now + index * 20, ask);
+    cluster.runAt(cluster.now + index * 20, ask);
   });
   cluster.runUntil('all done', () => ids.every((id) => cluster.allTasksDone(id)), 120);
   assert.deepEqual(
     cluster.controllers.map((node) => node.controller.clusterState.leaseOf(0)?.revision),
     before,
   );
-  assert.ok(cluster.stateService.limited < 30, `${cluster.stateService.limited} refusals`);
-  assert.equal(cluster.stateService.tooLarge, 0);
+  assert.ok(cluster.stateService.rateLimitedCount < 30, `${cluster.stateService.rateLimitedCount} refusals`);
+  assert.equal(cluster.stateService.tooLargeCount, 0);
 });
--- a/test/state-service-outages.test.ts
+++ b/test/state-service-outages.test.ts
@@ -162,7 +162,7 @@
   'hears that one again after its restart': {
     after: (cluster, from) => {
       cluster.controller(from).crash();
-      cluster.at(cluster.now + 300, () => cluster.controller(from).restart());
+      cluster.runAt(cluster.now + 300, () => cluster.controller(from).restart());
     },
   },
   'hears late what that one said before': {
@@ -188,7 +188,7 @@
       trouble.before?.(cluster, confirming.name, old.name);
       cluster.run(14);
       // Its workers stay with it alone, and it hears the other two.
-      for (const worker of cluster.workers) worker.target = cluster.controllers.indexOf(old);
+      for (const worker of cluster.workers) worker.controllerIndex = cluster.controllers.indexOf(old);
       cluster.isPartitioned = (a, b) => a !== old.name && a.startsWith('n') && !b.startsWith('n');
       old.isRefusedByStateService = true;
       // The third knows no more than the old one: all depends on what the one that confirmed says.
@@ -234,16 +234,16 @@
   node.isRefusedByStateService = true;
   cluster.isPartitioned = (a, b) => (a === 'n2' && b.startsWith('n')) || (b === 'n2' && a.startsWith('n'));
   cluster.run(10);
-  assert.equal(deliverHeartbeatCopy(node, worker.heartbeat()), 200, 'its workers are kept for a while');
+  assert.equal(deliverHeartbeatCopy(node, worker.nextHeartbeat()), 200, 'its workers are kept for a while');
   cluster.run(9);
   for (const s of node.controller.shardController.heldShards.keys())
     assert.ok(!node.controller.shardController.allocations.holdsShard(s, cluster.now), 'no share is acted for without a lease');
   // Time for a cancellation that it can't know of, less what a worker's own lease takes.
   cluster.run(4);
-  assert.equal(deliverHeartbeatCopy(node, worker.heartbeat()), 503);
+  assert.equal(deliverHeartbeatCopy(node, worker.nextHeartbeat()), 503);
   cluster.isPartitioned = () => false;
   node.isRefusedByStateService = false;
-  cluster.runUntil('back', () => deliverHeartbeatCopy(node, worker.heartbeat()) !== 503, 20);
+  cluster.runUntil('back', () => deliverHeartbeatCopy(node, worker.nextHeartbeat()) !== 503, 20);
   const held = cluster.controllers.map((controller) => controller.controller.shardController.heldShards.size);
   cluster.run(30);
   assert.equal(
--- a/test/stored-records.test.ts
+++ b/test/stored-records.test.ts
@@ -6,7 +6,7 @@
 import { Controller, encodeJobSpec, Replica } from '@archpost/controller';
 import { StateServiceClient } from '@archpost/state-client';
 import { Inbox } from '../packages/server/src/inbox.js';
-import { listen, serverFor } from './loopback/http.js';
+import { createServer, listen } from './loopback/http.js';
 import { holderOf, job, settings, shardOf, smallCluster } from './simulation/index.js';
 
 test('records that can not be read are passed over, and nothing else suffers, also at a restart', () => {
@@ -184,7 +184,7 @@
     status: 'running',
     age_s: 1,
   });
-  const server = serverFor(({ query }) => {
+  const server = createServer(({ query }) => {
     asked++;
     if (query.get('since') === null) return { status: 200, body: { hosts: [host(1)], has_next: true } };
     if (asked === 2) return { status: 429, body: {} };
@@ -207,7 +207,7 @@
 
 test('all keys are loaded though a page fails on the way', async () => {
   let pages = 0;
-  const server = serverFor(({ path, query }) => {
+  const server = createServer(({ path, query }) => {
     if (path === '/leases') return { status: 200, body: { permit: 1 } };
     if (path === '/changes') return { status: 200, body: { ledger: 9, log: [] } };
     pages++;
