--- a/test/loopback/cloud-server.ts
+++ b/test/loopback/cloud-server.ts
@@ -1,9 +1,9 @@
-/** The cloud on loopback: machine types, a list in pages, releases; it has no further machines to provision. */
+/** The cloud on loopback: machine types, a paged machine list and releases. It has no capacity to provision machines. */
 import type { MachineType } from '@archpost/protocol';
 import { TYPES } from '../simulation/fixtures.js';
 import { createServer, type LoopbackRequest, type LoopbackResponse, listen } from './http.js';
 
-/** All machines have been up for an hour. */
+/** Age that the list reports for every machine. */
 const MACHINE_AGE_S = 3600;
 
 /** A machine as the cloud lists it. */
@@ -31,21 +31,21 @@
 
 /** Serves the cloud's HTTP interface on a free port. */
 export class CloudServer {
-  /** names of the machines that were released */
+  /** names of the released machines */
   readonly releasedMachines = new Set<string>();
-  /** requests so far */
+  /** number of requests received */
   requestCount = 0;
   private readonly server = createServer((request) => this.handle(request));
 
-  /** `machines`: in the order of their names */
+  /** `machines` returns the machines sorted by name */
   constructor(private readonly machines: () => readonly ListedMachine[]) {}
 
-  /** Returns the address that it listens on. */
+  /** Starts listening. Returns the address. */
   listen(): Promise<string> {
     return listen(this.server);
   }
 
-  /** Ends the server and its connections. */
+  /** Closes the server and its connections. */
   close(): void {
     this.server.close();
     this.server.closeAllConnections();
--- a/test/loopback/controller-process.ts
+++ b/test/loopback/controller-process.ts
@@ -1,4 +1,4 @@
-/** A real controller: the program as deploy/service.toml starts it, on loopback addresses. */
+/** A real controller process, started as in deploy/service.toml, on loopback addresses. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { mkdtempSync, readdirSync, readFileSync, readlinkSync, writeFileSync } from 'node:fs';
 import http from 'node:http';
@@ -7,7 +7,7 @@
 import { join } from 'node:path';
 import { parse } from 'smol-toml';
 
-/** What of its settings a test chooses. */
+/** Controller settings that a test chooses. */
 export interface ControllerSettings {
   name: string;
   zone: string;
@@ -20,9 +20,9 @@
   memoryMb: number;
   sockets: number;
   writesPerS: number;
-  /** seconds between a worker's heartbeats; 2 where nothing is said */
+  /** seconds between a worker's heartbeats; default 2 */
   reportS?: number;
-  /** part of a core that it is told it has; a whole one where nothing is said */
+  /** configured share of a core; default 1 */
   processorShare?: number;
 }
 
@@ -69,7 +69,7 @@
 `;
 }
 
-/** A port of 127.0.0.1 that nobody listens on. */
+/** Returns an address of 127.0.0.1 with an unused port. */
 export function freeAddress(): Promise<string> {
   return new Promise((resolve, reject) => {
     const probe = net.createServer();
@@ -85,21 +85,21 @@
   try {
     return readlinkSync(path).startsWith('socket:');
   } catch {
-    // It was closed meanwhile.
+    // The descriptor was closed after the directory was read.
     return false;
   }
 }
 
-/** Runs one controller as a process of its own, and measures what the process uses. */
+/** Runs one controller as a separate process and measures the resources that it uses. */
 export class ControllerProcess {
   private child: ChildProcess | null = null;
   readonly log: Record<string, unknown>[] = [];
-  /** what it wrote to standard output */
+  /** the standard output of the process */
   output = '';
-  /** how the last run ended; null: it has not */
+  /** exit code or signal of the last run; null: it is running or was never started */
   ended: { code: number | null; signal: string | null } | null = null;
   private readonly settingsFile: string;
-  /** the beginning of a log line that is not complete yet */
+  /** the incomplete last line of the log output */
   private unfinishedLine = '';
 
   constructor(readonly settings: ControllerSettings) {
@@ -107,7 +107,7 @@
     writeFileSync(this.settingsFile, toml(settings));
   }
 
-  /** Starts the program. `environment`: variables that only this process has */
+  /** Starts the program. `environment` holds additional environment variables. */
   start(options: string[] = [], environment: Record<string, string> = {}): void {
     const { run } = parse(readFileSync('deploy/service.toml', 'utf8')) as { run: string };
     const [program, ...args] = [...run.split(' '), this.settingsFile, ...options];
@@ -137,25 +137,25 @@
     }
   }
 
-  /** Megabytes that the process holds. */
+  /** Resident memory of the process in megabytes. */
   residentMb(): number {
     const status = readFileSync(`/proc/${this.child?.pid}/status`, 'utf8');
     return Number(/VmRSS:\s+(\d+)/.exec(status)?.[1] ?? 0) / 1024;
   }
 
-  /** Sockets that it has open. */
+  /** Number of open sockets of the process. */
   openSockets(): number {
     const folder = `/proc/${this.child?.pid}/fd`;
     return readdirSync(folder).filter((name) => isSocket(`${folder}/${name}`)).length;
   }
 
-  /** Processor time that it took so far, in milliseconds. */
+  /** Processor time used by the process so far, in milliseconds. */
   processorMs(): number {
     const fields = readFileSync(`/proc/${this.child?.pid}/stat`, 'utf8').split(') ')[1]?.split(' ') ?? [];
     return (Number(fields[11]) + Number(fields[12])) * 10;
   }
 
-  /** Does it say that it can take requests? */
+  /** Whether the controller reports that it is ready for requests. */
   isUp(): Promise<boolean> {
     return new Promise((resolve) => {
       const request = http.get(`http://${this.settings.publicAddress}/up`, { timeout: 1000 }, (response) => {
@@ -167,7 +167,7 @@
     });
   }
 
-  /** Ends the process at once. */
+  /** Kills the process. */
   stop(): void {
     this.signal('SIGKILL');
   }
--- a/test/loopback/http-api-server.ts
+++ b/test/loopback/http-api-server.ts
@@ -1,10 +1,10 @@
-/** An HTTP interface that listens on loopback for one test, and the heartbeat that tests send to it. */
+/** An HTTP API that listens on loopback for one test, and the heartbeat that tests send to it. */
 import type net from 'node:net';
 import type { TestContext } from 'node:test';
 import { HttpApi, type HttpApiOptions, LoadShedder } from '@archpost/http-api';
 import { pack } from '@archpost/protocol';
 
-/** A heartbeat of a machine without tasks, as its worker encodes it. */
+/** An encoded heartbeat of a machine without tasks. */
 export const IDLE_HEARTBEAT = pack({
   host: 'n-1',
   address: '1.2.3.4:5',
@@ -16,13 +16,13 @@
   pieces: [],
 });
 
-/** An HTTP interface, and the port on which it listens. */
+/** An HTTP API and its port. */
 export interface ListeningHttpApi {
   api: HttpApi;
   port: number;
 }
 
-/** Opens an HTTP interface that is ready and sheds nothing, unless the options say otherwise; it is closed after the test. */
+/** Starts an HTTP API that by default is ready and sheds no load. It is closed after the test. */
 export async function listeningHttpApi(
   context: TestContext,
   options: Pick<HttpApiOptions, 'onRequest'> & Partial<HttpApiOptions>,
--- a/test/loopback/http.ts
+++ b/test/loopback/http.ts
@@ -1,15 +1,15 @@
-/** HTTP as PROTOCOL describes it, for simulated services that real processes talk to over the loopback interface. */
+/** HTTP servers that follow PROTOCOL, for simulated services that real processes use over the loopback interface. */
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { pack, unpackMap } from '@archpost/protocol';
 
-/** A request: its path and query, and its body where it has a readable one. */
+/** A request. The body is empty if the request has none or an unreadable one. */
 export interface LoopbackRequest {
   method: string;
   path: string;
   query: URLSearchParams;
   body: Record<string, unknown>;
-  /** the address that it came to */
+  /** the local address that received the request */
   to: string;
 }
 
@@ -19,7 +19,7 @@
   body: unknown;
 }
 
-/** Responds to a request. */
+/** Handles a request and returns the response. */
 export type Handler = (request: LoopbackRequest) => LoopbackResponse | Promise<LoopbackResponse>;
 
 function readBody(request: http.IncomingMessage): Promise<Buffer> {
@@ -31,7 +31,7 @@
   });
 }
 
-/** A server for this handler, which listens nowhere yet. */
+/** Creates an HTTP server that serves requests with the handler; it is not listening yet. */
 export function createServer(handler: Handler): http.Server {
   return http.createServer({ keepAliveTimeout: 60_000 }, async (request, response) => {
     try {
@@ -47,7 +47,7 @@
       response.writeHead(status, { 'content-type': 'application/msgpack', 'content-length': bytes.length });
       response.end(bytes);
     } catch {
-      // The other side is gone, or will ask again.
+      // The client is gone, or retries after the closed connection.
       response.destroy();
     }
   });
--- a/test/loopback/single-controller.ts
+++ b/test/loopback/single-controller.ts
@@ -4,7 +4,7 @@
 import { StateServer } from './state-server.js';
 import { WorkerFleet } from './worker-fleet.js';
 
-/** What a test chooses of it. */
+/** Options of a single-controller setup. */
 export interface SingleControllerOptions {
   machines: number;
   memoryMb: number;
@@ -13,7 +13,7 @@
   reportS?: number;
 }
 
-/** The controller and all that it talks to. */
+/** The controller and the services and workers that it talks to. */
 export interface SingleController {
   state: StateServer;
   cloud: CloudServer;
@@ -23,7 +23,7 @@
   close(): void;
 }
 
-/** Everything is listening; controller and workers are not started yet. */
+/** Creates the setup. Its services and workers are listening; the controller and the heartbeats are not started yet. */
 export async function singleController({
   machines,
   memoryMb,
--- a/test/loopback/state-server.ts
+++ b/test/loopback/state-server.ts
@@ -1,4 +1,4 @@
-/** The state service on loopback: that of the simulated clusters behind PROTOCOL's HTTP interface. */
+/** The simulated state service with the HTTP interface of PROTOCOL, on loopback. */
 import type { KeyWrite, RevisionCondition } from '@archpost/protocol';
 import { SimulatedStateService } from '../simulation/state-service.js';
 import { createServer, type LoopbackRequest, type LoopbackResponse, listen } from './http.js';
@@ -25,12 +25,12 @@
   private readonly watchers = new Set<() => void>();
   private readonly expiryTimer = setInterval(() => this.applyStep(() => this.state.expire(Date.now())), LEASE_EXPIRY_INTERVAL_MS);
 
-  /** Returns the address that it listens on. */
+  /** Starts listening. Returns the address. */
   listen(): Promise<string> {
     return listen(this.server);
   }
 
-  /** Ends the server, its connections and those that watch. */
+  /** Closes the server and its connections, and wakes all watchers. */
   close(): void {
     clearInterval(this.expiryTimer);
     for (const wake of [...this.watchers]) wake();
@@ -38,7 +38,7 @@
     this.server.closeAllConnections();
   }
 
-  /** Wakes those that watch, if the step changed anything. */
+  /** Runs the step, and wakes all watchers if it changed the revision. */
   private applyStep<T>(step: () => T): T {
     const before = this.state.revision;
     const result = step();
--- a/test/loopback/worker-fleet.ts
+++ b/test/loopback/worker-fleet.ts
@@ -1,4 +1,4 @@
-/** Workers on loopback, each with an address of its own (127.x.y.z): they send heartbeats, and carry out commands. */
+/** Workers on loopback, each with its own address (127.x.y.z), that send heartbeats and execute commands. */
 import http from 'node:http';
 import net from 'node:net';
 import { pack, unpackMap } from '@archpost/protocol';
@@ -8,14 +8,14 @@
 const NEXT_CONTROLLER_DELAY_MS = 1000;
 const CHANGE_HEARTBEAT_DELAY_MS = 500;
 
-/** A command, as it is on the wire. */
+/** A command in wire format. */
 interface Order {
   verb: 'run' | 'stop' | 'clear';
   piece: string;
   try: number;
 }
 
-/** A task, as it is on the wire. */
+/** A task in wire format. */
 interface Task {
   piece: string;
   try: number;
@@ -23,24 +23,24 @@
   cause?: string;
 }
 
-/** One worker. Its tasks run until they are stopped, or for as long as the fleet says. */
+/** One worker. A task runs until it is stopped or the fleet's `runMs` for it has elapsed. */
 export class LoopbackWorker {
   readonly tasks = new Map<string, Task>();
   private fencingToken = 0;
   private sequence = 0;
-  /** index of the controller to which heartbeats go */
+  /** index of the controller that receives the heartbeats */
   private controllerIndex = 0;
   private timer: NodeJS.Timeout | null = null;
   private isStopped = false;
-  /** its own connection, as a worker has one */
+  /** limits the worker to a single connection, as PROTOCOL requires */
   private readonly agent = new http.Agent({ keepAlive: true, maxSockets: 1 });
-  /** heartbeats that were answered 200 */
+  /** number of heartbeats with response status 200 */
   acceptedHeartbeats = 0;
-  /** it answers nothing and sends nothing, as a machine without power */
+  /** whether the worker neither responds nor sends, like a machine without power */
   private isDead = false;
-  /** when the last heartbeat that was answered 200 was sent */
+  /** send time of the last heartbeat with response status 200 */
   leaseRenewedAt = 0;
-  /** the longest time between the sending of two heartbeats that were answered 200, one after the other */
+  /** longest time between the send times of two consecutive heartbeats with response status 200 */
   longestRenewalGapMs = 0;
 
   constructor(
@@ -58,7 +58,7 @@
     this.agent.destroy();
   }
 
-  /** Ends without a word: connections to it stay open, and nothing is answered. */
+  /** Simulates a loss of power: connections to the worker stay open, but it no longer responds. */
   die(): void {
     this.isDead = true;
     this.stop();
@@ -66,7 +66,7 @@
 
   private schedule(ms: number): void {
     if (this.timer) clearTimeout(this.timer);
-    // A heartbeat that was under way at the end must not be followed by another.
+    // The response to a heartbeat that was in flight at `stop` must not schedule another one.
     if (this.isStopped) return;
     this.timer = setTimeout(() => void this.sendHeartbeat(), ms);
   }
@@ -107,6 +107,7 @@
     this.leaseRenewedAt = sentAt;
   }
 
+  /** Executes the commands unless their fencing token is stale. Returns false if it is. */
   private acceptCommands(body: Record<string, unknown>): boolean {
     const fencingToken = Number(body.baton ?? 0);
     if (fencingToken < this.fencingToken) return false;
@@ -134,7 +135,7 @@
     }, runMs);
   }
 
-  /** Responds to direct commands, or to a probe. */
+  /** Responds to direct commands and probes. */
   handle({ path, body }: LoopbackRequest): LoopbackResponse | Promise<LoopbackResponse> {
     if (this.isDead) return new Promise(() => {});
     if (path === '/show') return { status: 200, body: this.nextHeartbeat() };
@@ -144,23 +145,23 @@
   }
 }
 
-/** What became of requests to controllers. */
+/** Outcomes of the POST requests to controllers. */
 export interface RequestCounts {
   sent: number;
-  /** answers by their status */
+  /** number of responses by status code */
   readonly byStatus: Map<number, number>;
-  /** no answer within the time that a worker waits */
+  /** requests without a response within the timeout of a worker */
   timedOut: number;
-  /** no connection, or it was closed before the answer */
+  /** requests whose connection failed or was closed before the response */
   connectionFailed: number;
 }
 
-/** Many workers that share one HTTP server, and an HTTP client of a user. */
+/** Many workers that share one HTTP server, and an HTTP client for user requests. */
 export class WorkerFleet {
-  /** how long a task runs, by its name */
+  /** run time of a task, by its name */
   runMs: (task: string) => number = () => Number.POSITIVE_INFINITY;
   readonly workers: LoopbackWorker[] = [];
-  /** of the POST requests so far */
+  /** counts of the POST requests so far */
   readonly counts: RequestCounts = { sent: 0, byStatus: new Map(), timedOut: 0, connectionFailed: 0 };
   private readonly byAddress = new Map<string, LoopbackWorker>();
   private readonly listeners: net.Server[] = [];
@@ -170,14 +171,14 @@
     return worker ? worker.handle(request) : { status: 404, body: {} };
   });
 
-  /** The controllers' names and public addresses, in the same order. */
+  /** `names` and `controllers`: the controllers' names and public addresses, in the same order */
   constructor(
     readonly names: string[],
     readonly controllers: string[],
     readonly reportMs = 2000,
   ) {}
 
-  /** Adds workers until there are `count`, in the zones by turns; or only the given one of so many parts of them. */
+  /** Adds `count` workers that alternate between the zones, or only those of the given part if they are split into `parts`. */
   async add(count: number, zones: string[], part = 0, parts = 1): Promise<void> {
     for (let index = this.workers.length, counted = 0; counted < count; index++) {
       const host = `127.${1 + (index >> 16)}.${(index >> 8) & 255}.${index & 255}`;
@@ -208,7 +209,7 @@
     this.agent.destroy();
   }
 
-  /** Sends a GET request, as a user does. Returns the status code; null: no response came. */
+  /** Sends a GET request as a user. Returns the status code; null: there was no response. */
   get(address: string, path: string): Promise<number | null> {
     const [host, port] = address.split(':') as [string, string];
     return new Promise((resolve) => {
@@ -221,7 +222,7 @@
     });
   }
 
-  /** Sends a POST request. Returns its response; null: none came. */
+  /** Sends a POST request. Returns the response; null: there was none. */
   post(
     address: string,
     path: string,
--- a/test/measure/core-load.ts
+++ b/test/measure/core-load.ts
@@ -1,6 +1,6 @@
-// What a core's inputs take at the size and mix of a small controller: `node tools/measure.mjs core-load [SECONDS]`. Three
-// controllers on the stand-ins, 460 machines, services, gangs, and more arrays than there is room for. Processor time is
-// this machine's; `NODE_OPTIONS=--cpu-prof` tells the functions.
+// Measures the processor time of each input of the controller core at the load of a small site:
+// `node tools/measure.mjs core-load [SECONDS]`. Three controllers in the simulation, 460 machines, services, gangs, and more
+// arrays than fit. Processor time is that of the local machine; `NODE_OPTIONS=--cpu-prof` profiles the functions.
 import type { ControllerSettings } from '@archpost/controller';
 import { decodePeerMessage, encodePeerMessage } from '../../packages/protocol/src/index.js';
 import { job, SimulatedCluster } from '../simulation/index.js';
@@ -100,6 +100,6 @@
   cluster.trace = [];
 }
 const leader = cluster.controllers.find((node) => node.controller.leader.isLeading)?.name;
-console.log(`leader ${leader}; milliseconds of processor a second, and count a second`);
+console.log(`leader ${leader}; processor milliseconds per second, and inputs per second`);
 for (const [name, { count, ms }] of [...sums].sort((a, b) => b[1].ms - a[1].ms).slice(0, 24))
   console.log(`${(ms / seconds).toFixed(2).padStart(7)} ${(count / seconds).toFixed(1).padStart(7)} ${name}`);
--- a/test/measure/costs.ts
+++ b/test/measure/costs.ts
@@ -1,5 +1,5 @@
-// What a fleet costs by its size, as distributions: `node tools/measure.mjs costs [RUNS]`. Prints tables for
-// docs/results.md. Times of day are simulated, processor time is this machine's.
+// Measures the costs of fleets of several sizes as distributions: `node tools/measure.mjs costs [RUNS]`. Prints tables for
+// docs/results.md. Durations are in simulated time; processor time is that of the local machine.
 import { DDSketch } from '@datadog/sketches-js';
 import { decodePeerMessage, encodePeerMessage } from '../../packages/protocol/src/index.js';
 import { LargeFleet } from '../simulation/large-fleet.js';
@@ -12,7 +12,7 @@
 const STEADY_S = 10;
 const RELATIVE_ACCURACY = 0.01;
 
-/** One measured quantity, for a size and a number of controllers. */
+/** The distribution of one measured quantity, for one fleet size and number of controllers. */
 class Distribution {
   private readonly sketch = new DDSketch({ relativeAccuracy: RELATIVE_ACCURACY });
 
@@ -20,14 +20,14 @@
     this.sketch.accept(value);
   }
 
-  /** Least, median and 99th percentile. */
+  /** Formats minimum, median and 99th percentile. */
   format(): string {
     const at = (quantile: number) => this.sketch.getValueAtQuantile(quantile);
     return [at(0), at(0.5), at(0.99)].map((value) => (value >= 100 ? value.toFixed(0) : value.toPrecision(3))).join(' / ');
   }
 }
 
-/** The quantities of one size, by name in the order in which they came. */
+/** The distributions of one fleet size and number of controllers by quantity name, in insertion order. */
 class Row {
   readonly quantities = new Map<string, Distribution>();
 
@@ -38,7 +38,7 @@
   }
 }
 
-/** Processor time that the cores took since it was last asked. */
+/** Sums the processor time of the controllers' inputs. */
 class ProcessorMeter {
   private ms = 0;
   private readonly row: Row;
@@ -53,6 +53,7 @@
     if (input === 'tick') this.row.add('one tick, ms of processor', ms);
   };
 
+  /** Returns the sum since the last call, in milliseconds, and resets it. */
   takeMs(): number {
     const { ms } = this;
     this.ms = 0;
--- a/test/measure/ledger.ts
+++ b/test/measure/ledger.ts
@@ -1,5 +1,5 @@
-// Where the processor time of real controllers goes: `node tools/measure.mjs ledger [MACHINES] [SECONDS]`. Three of them on
-// loopback, with workers, services, arrays of short tasks and users' questions; V8's profiler samples each phase.
+// Breaks down the processor time of real controllers by function: `node tools/measure.mjs ledger [MACHINES] [SECONDS]`. Three
+// controllers run on loopback with workers, services, arrays of short tasks and status queries; V8's profiler samples each phase.
 import { mkdtempSync, readdirSync, readFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join, resolve } from 'node:path';
@@ -29,7 +29,7 @@
 
 const machines = Number(process.argv[2] ?? 460);
 const phaseS = Number(process.argv[3] ?? 20);
-/** `plain`: without the profiler, whose own cost is larger than what it measures */
+/** false with the argument `plain`: the profiler's own cost exceeds the load that it measures */
 const isProfiled = process.argv[4] !== 'plain';
 
 const sleep = (ms: number) => new Promise((done) => setTimeout(done, ms));
@@ -71,8 +71,9 @@
   return { NODE_OPTIONS: `--require ${preload}`, PROFILE_FOLDER: folder, PROFILE_START: profileStart };
 }
 
-/** Profiles that were written since this was last called. */
+/** File names of the profiles that were read. */
 const readNames = new Set<string>();
+/** Waits for `count` new profiles. Returns all that were written since the last call. */
 async function readNewProfiles(count: number): Promise<CpuProfile[]> {
   for (;;) {
     const names = readdirSync(folder).filter((name) => !readNames.has(name));
@@ -96,7 +97,7 @@
   const after = processorTotalsMs();
   const memory = controllers.map((controller) => controller.residentMb().toFixed(0)).join(', ');
   const perS = after.map((ms, index) => ((ms - (before[index] as number)) / seconds).toFixed(1)).join(', ');
-  console.log(`\n## ${name}: ${perS} ms of processor a second, ${memory} MB`);
+  console.log(`\n## ${name}: ${perS} processor ms per second, ${memory} MB`);
   if (!isProfiled) return;
   for (const controller of controllers) controller.signal('SIGUSR2');
   for (const line of formatShares(await readNewProfiles(controllers.length))) console.log(line);
--- a/test/measure/loopback.ts
+++ b/test/measure/loopback.ts
@@ -1,4 +1,5 @@
-// What one real controller takes with so many workers on loopback: `node tools/measure.mjs loopback MACHINES MEMORY_MB [SOCKETS]`.
+// Measures memory, sockets and processor time of one real controller with workers on loopback:
+// `node tools/measure.mjs loopback MACHINES MEMORY_MB [SOCKETS]`.
 
 import { singleController } from '../loopback/single-controller.js';
 import { submission } from '../simulation/fixtures.js';
@@ -34,7 +35,7 @@
     const heartbeats = fleet.workers.reduce((count, worker) => count + worker.acceptedHeartbeats, 0) - answered;
     console.log(
       `${what}: ${controller.residentMb().toFixed(0)} MB, ${controller.openSockets()} sockets, ` +
-        `${perS(controller.processorMs() - before)} ms a second, ${perS(heartbeats)} reports a second`,
+        `${perS(controller.processorMs() - before)} processor ms per second, ${perS(heartbeats)} heartbeats per second`,
     );
   }
 }
@@ -44,7 +45,7 @@
 const grantCount = () => [...state.state.keys.keys()].filter((key) => key.startsWith('a/g/')).length;
 const from = Date.now();
 while (grantCount() < machines && !controller.ended) await sleep(POLL_INTERVAL_MS);
-console.log(`${grantCount()} granted after ${Date.now() - from} ms`);
+console.log(`${grantCount()} machines granted after ${Date.now() - from} ms`);
 await printUsage('no work');
 for (let index = 0; index < machines / MACHINES_PER_SERVICE; index++) {
   const service = job(`run-s${index}`, { shape: 'service', tasks: REPLICAS_PER_SERVICE, priority: 3, cpus: 1, memory: 1 });
@@ -52,7 +53,7 @@
 }
 await printUsage('services');
 const tasks = fleet.workers.reduce((count, worker) => count + worker.tasks.size, 0);
-console.log(`${tasks} tasks run, ${cloud.releasedMachines.size} machines were given back`);
+console.log(`${tasks} tasks run, ${cloud.releasedMachines.size} machines were released`);
 controller.stop();
 await sleep(WINDOW_MS / 10);
 console.log(`up again after ${await startAndWait()} ms, with ${state.state.keys.size} keys`);
--- a/test/measure/metered-core.ts
+++ b/test/measure/metered-core.ts
@@ -1,8 +1,8 @@
-// A core that tells what processor time its inputs take. Only for measurements: nothing is asserted of times.
+// A controller core that reports the time that its inputs take. Only for measurements: no test asserts times.
 import { performance } from 'node:perf_hooks';
 import { Controller } from '@archpost/controller';
 
-/** Inputs of the core, by the name of its method. */
+/** The inputs of the controller core, by method name. */
 export type InputName =
   | 'receiveSnapshot'
   | 'receiveChanges'
@@ -38,10 +38,10 @@
   'tick',
 ];
 
-/** Told of each input that a controller took: which controller, which input, milliseconds. */
+/** Called after each input with the controller's name, the input and its duration in milliseconds. */
 export type Meter = (controller: string, input: InputName, ms: number) => void;
 
-/** A class of cores that tell the meter what each input takes. */
+/** Returns a subclass of the controller that reports the duration of each input to the meter. */
 export function meteredCore(meter: Meter): typeof Controller {
   return class MeteredCore extends Controller {
     constructor(...args: ConstructorParameters<typeof Controller>) {
--- a/test/measure/profile-preload.cjs
+++ b/test/measure/profile-preload.cjs
@@ -1,11 +1,11 @@
-// Loaded before a controller (`--require`): SIGUSR2 begins a processor profile, or ends it and writes it to the folder
-// that PROFILE_FOLDER names.
+// Preloaded into a controller process (`--require`): SIGUSR2 starts a CPU profile, or stops it and writes it to the folder
+// PROFILE_FOLDER.
 const { Session } = require('node:inspector');
 const { writeFileSync } = require('node:fs');
 const { join } = require('node:path');
 const { monitorEventLoopDelay } = require('node:perf_hooks');
 
-/** Microseconds between two samples. */
+/** Sampling interval in microseconds. */
 const INTERVAL_US = 200;
 
 const session = new Session();
--- a/test/measure/profile.ts
+++ b/test/measure/profile.ts
@@ -1,13 +1,13 @@
-/** Reads V8's processor profiles: what part of the time was spent for what. */
+/** Evaluates V8 CPU profiles: the share of the processor time of each function. */
 
-/** A call in the tree of calls. */
+/** A node of the call tree. */
 interface ProfileNode {
   id: number;
   callFrame: { functionName: string; url: string; lineNumber: number };
   children?: number[];
 }
 
-/** What the inspector writes (`Profiler.stop`). */
+/** A CPU profile as returned by the inspector (`Profiler.stop`). */
 export interface CpuProfile {
   nodes: ProfileNode[];
   samples: number[];
@@ -21,7 +21,7 @@
   return `${functionName || '(anonymous)'} ${file}:${lineNumber + 1}`;
 }
 
-/** Lines of a table: the functions with the most time of their own, and with the most including what they call. */
+/** Returns the lines of two tables: the functions with the most self time, and with the most time including callees. */
 export function formatShares(profiles: CpuProfile[]): string[] {
   const own = new Map<string, number>();
   const inclusive = new Map<string, number>();
@@ -47,5 +47,5 @@
       .sort((a, b) => b[1] - a[1])
       .slice(0, MAX_FUNCTIONS)
       .map(([name, us]) => `  ${((100 * us) / busy).toFixed(1).padStart(5)}% ${(us / 1000).toFixed(0).padStart(6)} ms ${name}`);
-  return ['own time', ...top(own), 'with what they call', ...top(inclusive)];
+  return ['self time', ...top(own), 'time including callees', ...top(inclusive)];
 }
--- a/test/measure/starvation.ts
+++ b/test/measure/starvation.ts
@@ -1,9 +1,9 @@
-// What one real controller does to healthy machines while it, its workers or its state service are short of processor. Each
-// side is a process of its own, and one of them is stopped and continued by signals:
+// Measures how many healthy machines one real controller releases while the controller, its workers or its state service are
+// starved of processor time. Each side is a separate process; one side is repeatedly stopped and continued by signals:
 //
 //     node tools/measure.mjs starvation SIDE STOPPED_MS PERIOD_MS [MACHINES] [REPORT_S] [SECONDS] [SOCKETS] [DEAD]
 //
-// SIDE: controller, workers, both, state or none. DEAD: machines that die after a third of the time.
+// SIDE: controller, workers, both, state or none. DEAD: number of machines that die after a third of the time.
 
 import { type ChildProcess, fork } from 'node:child_process';
 import { CloudServer, type ListedMachine } from '../loopback/cloud-server.js';
@@ -11,7 +11,7 @@
 import { StateServer } from '../loopback/state-server.js';
 import { WorkerFleet } from '../loopback/worker-fleet.js';
 
-/** First arguments of the processes that this one starts. */
+/** First arguments of the child processes. */
 const WORKERS_ROLE = 'role-workers';
 const STATE_ROLE = 'role-state';
 
@@ -20,16 +20,16 @@
 const LEASE_MS = 12_000;
 const POLL_INTERVAL_MS = 100;
 
-/** Nothing is disturbed at first, so that the start of the fleet is not what is measured. */
+/** Time without disturbance at first, so that the start of the fleet is not measured. */
 const WARM_UP_MS = 15_000;
 
-/** What is under way at the end has this long. */
+/** Time after the disturbance in which pending requests end. */
 const SETTLE_MS = 1000;
 
-/** Releases of healthy machines that are printed with what they rested on. */
+/** Maximum number of releases of healthy machines that are printed with their evidence. */
 const MAX_EVIDENCE = 12;
 
-/** What is played. */
+/** The parameters of a run. */
 interface Run {
   side: string;
   stoppedMs: number;
@@ -41,7 +41,7 @@
   dead: number;
 }
 
-/** The arguments of a process of workers: which part of all workers it has. */
+/** The options of a worker process, which runs one part of all workers. */
 interface WorkersPart {
   machines: number;
   part: number;
@@ -49,13 +49,13 @@
   controller: string;
 }
 
-/** What a process of workers says when it is asked. */
+/** The summary that a worker process reports on request. */
 interface WorkersSummary {
   sent: number;
   timedOut: number;
   connectionFailed: number;
   byStatus: [number, number][];
-  /** workers whose lease ran out between two answers */
+  /** number of workers whose lease expired between two renewals */
   expiredLeases: number;
 }
 
@@ -65,7 +65,7 @@
   | { type: 'dead'; names: string[] }
   | { type: 'summary'; summary: WorkersSummary };
 
-/** All processes of a run. */
+/** The processes and services of a run. */
 interface Processes {
   controller: ControllerProcess;
   workers: ChildProcess[];
@@ -73,12 +73,12 @@
   cloud: CloudServer;
 }
 
-/** What was seen while a side was disturbed. */
+/** Observations made while a side was disturbed. */
 interface Observation {
-  /** when the machines died; null: none did */
+  /** when the machines died; null: none died */
   diedAt: number | null;
   deadNames: ReadonlySet<string>;
-  /** when each machine's release was seen */
+  /** when the release of each machine was observed */
   releasedAt: ReadonlyMap<string, number>;
   processorMs: number;
 }
@@ -91,7 +91,7 @@
   return { sent, timedOut, connectionFailed, byStatus: [...byStatus], expiredLeases };
 }
 
-/** A process of workers. */
+/** Runs a worker process. */
 async function runWorkers({ machines, part, reportS, controller }: WorkersPart): Promise<void> {
   const fleet = new WorkerFleet(['n0'], [controller], reportS * 1000);
   await fleet.add(machines, ZONES, part, WORKER_PROCESSES);
@@ -108,7 +108,7 @@
   });
 }
 
-/** The state service, in a process of its own. */
+/** Runs the state service as a separate process. */
 async function runState(): Promise<void> {
   const state = new StateServer();
   process.send?.(await state.listen());
@@ -118,7 +118,7 @@
   return fork(process.argv[1] as string, [role, JSON.stringify(options)], { stdio: 'inherit' });
 }
 
-/** The next message of this type from the process. */
+/** Returns the next message of this type from the process. */
 function messageOf<Type extends FromWorkers['type']>(
   child: ChildProcess,
   type: Type,
@@ -139,7 +139,7 @@
   return { side: side ?? 'controller', stoppedMs, periodMs, machines, reportS, seconds, sockets: sockets ?? enoughSockets, dead };
 }
 
-/** Starts everything, and waits until the controller is up. */
+/** Starts all processes, waits until the controller is ready and starts the heartbeats. */
 async function startAll({ machines, reportS, sockets }: Run): Promise<Processes> {
   const publicAddress = await freeAddress();
   const state = forkRole(STATE_ROLE, {});
@@ -180,7 +180,7 @@
   if (side === 'state') state.kill(signal);
 }
 
-/** Has machines of the first process die. Returns their names. */
+/** Kills machines of the first worker process. Returns their names. */
 async function killMachines({ workers }: Processes, count: number): Promise<string[]> {
   const child = workers[0] as ChildProcess;
   const answer = messageOf(child, 'dead');
@@ -188,7 +188,7 @@
   return (await answer).names;
 }
 
-/** Stops and continues the side, period by period, until the time is over. */
+/** Stops and continues the side once per period until the end of the run. */
 async function disturb(run: Run, processes: Processes): Promise<Observation> {
   const { controller, cloud } = processes;
   const releasedAt = new Map<string, number>();
@@ -210,7 +210,7 @@
   return { diedAt, deadNames, releasedAt, processorMs: controller.processorMs() - processorBefore };
 }
 
-/** What all workers saw. */
+/** Sums the summaries of all workers. */
 async function workersFigures({ workers }: Processes): Promise<Record<string, unknown>> {
   const summaries = await Promise.all(
     workers.map(async (child) => {
@@ -231,7 +231,7 @@
   };
 }
 
-/** What the controller did, by its log. */
+/** Figures of the controller, taken from its log. */
 function controllerFigures({ log, ended }: ControllerProcess, deadNames: ReadonlySet<string>): Record<string, unknown> {
   const releases: Record<string, number> = {};
   const healthyReleases = log.filter(({ msg, machine }) => msg === 'releasing machine' && !deadNames.has(String(machine)));
@@ -244,7 +244,7 @@
   return { ended, releases, evidence: evidence.slice(0, MAX_EVIDENCE), heartbeatsReceived, pausesLogged };
 }
 
-/** How long dead machines stayed: the shortest, the median and the longest time. */
+/** Minimum, median and maximum time from the death of a machine to its release. */
 function deadFigures({ deadNames, releasedAt, diedAt }: Observation): Record<string, unknown> {
   const delays = [...deadNames]
     .flatMap((name) => releasedAt.get(name) ?? [])
--- a/test/randomized/faults.ts
+++ b/test/randomized/faults.ts
@@ -1,52 +1,52 @@
-/** Faults that a randomized simulation injects in combination, and what undoes each of them. */
+/** Fault injection for randomized simulations: the kinds of faults, and how each begins and ends. */
 import type { SimulatedCluster } from '../simulation/index.js';
 import type { Random } from './random.js';
 
-/** The kinds of faults, as traces name them. */
+/** The kinds of faults, as they are named in traces. */
 export const FAULTS = [
   'outage',
-  'refused',
+  'state service refuses',
   'crash',
   'crash all',
-  'bounce',
-  'freeze',
-  'hang',
-  'deaf',
-  'mute',
+  'quick restart',
+  'pause',
+  'machine hangs',
+  'controller messages lost',
+  'heartbeats lost',
   'commands lost',
   'commands late',
-  'zone cut',
-  'peers cut',
-  'alone with its workers',
-  'lost answers',
+  'zone partitioned',
+  'peers partitioned',
+  'isolated with its workers',
+  'transaction responses lost',
   'late writes',
-  'slow answers',
+  'transaction responses slow',
   'watch lags',
-  'late reports',
+  'late heartbeats',
   'cloud down',
   'machine dies',
-  'machines begin again',
-  'cancel now',
+  'machines reboot',
+  'cancel recent jobs',
 ] as const;
 
 /** One kind of fault. */
 export type Fault = (typeof FAULTS)[number];
 
-/** Most copies of heartbeats that are kept for the next holder. */
+/** Maximum number of heartbeat copies kept for the next lease holder. */
 const MAX_KEPT_COPIES = 200;
 
-/** Begins faults, and undoes each when its time is over. */
+/** Begins faults, and ends each after its duration. */
 export class FaultInjector {
-  /** what undoes each fault that stands */
+  /** actions that end the active faults, and when each is due */
   private readonly pendingUndos: { at: number; run: () => void }[] = [];
-  private copies: 'none' | 'late' | 'for the next leader' = 'none';
+  private copies: 'none' | 'late' | 'for the next lease holder' = 'none';
   private readonly keptCopies: (() => void)[] = [];
   private lastHolders = '';
 
   constructor(
     private readonly cluster: SimulatedCluster,
     private readonly random: Random,
-    /** cancels what users submitted lately */
+    /** cancels the jobs that users submitted recently */
     private readonly cancelRecentJobs: () => void,
   ) {
     this.cluster.onHeartbeat = (heartbeat) => {
@@ -60,7 +60,7 @@
     };
   }
 
-  /** What is over by now is undone; a copy that was kept comes just as a new holder begins. */
+  /** Ends the faults that are due. When a shard gets a new lease holder, delivers the kept heartbeat copies. */
   step(): void {
     const due = this.pendingUndos.filter((pending) => pending.at <= this.cluster.now);
     for (const pending of due) {
@@ -73,7 +73,7 @@
     this.lastHolders = holders;
   }
 
-  /** Undoes all faults. */
+  /** Ends all faults. */
   end(): void {
     for (const pending of this.pendingUndos.splice(0)) pending.run();
     for (const node of this.cluster.controllers) {
@@ -81,14 +81,14 @@
       if (node.isPaused) node.resume();
     }
     for (const worker of this.cluster.workers) worker.hung = false;
-    this.cluster.note('the troubles are over');
+    this.cluster.note('all faults are over');
   }
 
   private undoAfter(seconds: number, run: () => void): void {
     this.pendingUndos.push({ at: this.cluster.now + seconds * 1000, run });
   }
 
-  /** Begins a fault that lasts for so many seconds. */
+  /** Begins a fault and schedules its end; the duration of some kinds is shorter than `seconds`. */
   begin(kind: Fault, seconds: number): void {
     const { cluster } = this;
     const node = this.random.pick(cluster.controllers);
@@ -102,16 +102,16 @@
         return this.undoAfter(seconds, () => {
           cluster.isStateServiceDown = false;
         });
-      case 'refused':
+      case 'state service refuses':
         node.isRefusedByStateService = true;
         return this.undoAfter(seconds, () => {
           node.isRefusedByStateService = false;
         });
       case 'crash':
-      case 'bounce':
+      case 'quick restart':
         if (!node.up) return;
         node.crash();
-        return this.undoAfter(kind === 'bounce' ? 0.3 : Math.min(seconds, 6), () => {
+        return this.undoAfter(kind === 'quick restart' ? 0.3 : Math.min(seconds, 6), () => {
           if (!node.up) node.restart();
         });
       case 'crash all':
@@ -119,25 +119,25 @@
         for (const node of cluster.controllers)
           this.undoAfter(0.2 + 4 * this.random.next(), () => (node.up ? undefined : node.restart()));
         return;
-      case 'freeze':
+      case 'pause':
         if (!node.up || node.isPaused) return;
         node.pause();
         return this.undoAfter(seconds, () => {
           if (node.up && node.isPaused) node.resume(this.random.next() < 0.3);
         });
-      case 'hang': {
+      case 'machine hangs': {
         const worker = this.random.pick(live);
         worker.hung = true;
         return this.undoAfter(Math.min(seconds, 11) * this.random.next() + 1, () => {
           worker.hung = false;
         });
       }
-      case 'deaf':
+      case 'controller messages lost':
         cluster.losesControllerMessages = (_controller, machine) => affected.has(machine);
         return this.undoAfter(seconds, () => {
           cluster.losesControllerMessages = () => false;
         });
-      case 'mute':
+      case 'heartbeats lost':
         cluster.losesHeartbeats = (machine) => affected.has(machine);
         return this.undoAfter(seconds, () => {
           cluster.losesHeartbeats = () => false;
@@ -150,33 +150,33 @@
           cluster.losesCommands = () => false;
           cluster.lateCommandDelayMs = null;
         });
-      case 'zone cut': {
+      case 'zone partitioned': {
         const isWest = (name: string) => name === 'n1' || cluster.worker(name)?.zone === 'west';
         cluster.isPartitioned = (a, b) => isWest(a) !== isWest(b);
         return this.undoAfter(seconds, () => {
           cluster.isPartitioned = () => false;
         });
       }
-      case 'peers cut':
-      case 'alone with its workers':
+      case 'peers partitioned':
+      case 'isolated with its workers':
         cluster.isPartitioned = (a, b) => isController(a) && isController(b) && (a === node.name || b === node.name);
-        if (kind === 'alone with its workers') node.isRefusedByStateService = true;
+        if (kind === 'isolated with its workers') node.isRefusedByStateService = true;
         return this.undoAfter(seconds, () => {
           cluster.isPartitioned = () => false;
-          if (kind === 'alone with its workers') node.isRefusedByStateService = false;
+          if (kind === 'isolated with its workers') node.isRefusedByStateService = false;
         });
-      case 'lost answers':
+      case 'transaction responses lost':
       case 'late writes':
         cluster.losesTransactionResponse = (_transaction, apply) => {
           if (this.random.next() > 0.3) return false;
-          if (kind === 'lost answers') apply();
+          if (kind === 'transaction responses lost') apply();
           else cluster.runAt(cluster.now + 2000 + 10_000 * this.random.next(), apply);
           return true;
         };
         return this.undoAfter(seconds, () => {
           cluster.losesTransactionResponse = null;
         });
-      case 'slow answers':
+      case 'transaction responses slow':
         cluster.transactionResponseMs = () => 10 + 1300 * this.random.next();
         return this.undoAfter(seconds, () => {
           cluster.transactionResponseMs = () => 10;
@@ -186,8 +186,8 @@
         return this.undoAfter(Math.min(seconds, 6), () => {
           node.isWatchLagging = false;
         });
-      case 'late reports':
-        this.copies = this.random.next() < 0.5 ? 'late' : 'for the next leader';
+      case 'late heartbeats':
+        this.copies = this.random.next() < 0.5 ? 'late' : 'for the next lease holder';
         return this.undoAfter(seconds, () => {
           this.copies = 'none';
         });
@@ -202,10 +202,10 @@
         worker.tasks.clear();
         return;
       }
-      case 'machines begin again':
+      case 'machines reboot':
         for (const worker of live) if (affected.has(worker.name) && !worker.hung) worker.reboot();
         return;
-      case 'cancel now':
+      case 'cancel recent jobs':
         this.cancelRecentJobs();
     }
   }
--- a/test/randomized/invariants.ts
+++ b/test/randomized/invariants.ts
@@ -1,9 +1,9 @@
-/** What must hold inside a controller at every step, beside the rules that are judged from outside. */
+/** Invariants of a controller's state, checked at every step in addition to the externally observable rules. */
 import type { ControllerVersion, SimulatedCluster, SimulatedController } from '../simulation/index.js';
 
 /**
- * Cancellation through a chain is derived, not stored, which is safe only if it never meets a job that has a task
- * (docs/design.md, "Pipelines"); nor may a job that waits have one.
+ * Checks that no job is allocated while it waits for a dependency or is cancelled only through one. The cancellation of
+ * dependents is derived, not stored, which is safe only for jobs without allocations (docs/design.md, "Pipelines").
  */
 export function checkDerivedState(cluster: SimulatedCluster, old: ControllerVersion | undefined): void {
   for (const node of cluster.controllers) if (node.up && node.runningVersion !== old) checkJobs(cluster, node);
@@ -14,9 +14,9 @@
   for (const job of clusterState.jobs.values()) {
     if (job.tenure.allocations.size === 0) continue;
     const { id } = job.spec;
-    if (job.isBlocked) cluster.fail(`${id} waits at ${node.name} and has a place`);
+    if (job.isBlocked) cluster.fail(`${id} waits for a dependency at ${node.name} but has an allocation`);
     const stored = replica.get(`a/j/${id}`)?.value as { s: number } | undefined;
     const isDerived = job.state === 'cancelled' && stored?.s !== 2;
-    if (isDerived) cluster.fail(`${id} is cancelled with another job at ${node.name} and has a place`);
+    if (isDerived) cluster.fail(`${id} is cancelled with a dependency at ${node.name} but has an allocation`);
   }
 }
--- a/test/randomized/randomized-simulation.ts
+++ b/test/randomized/randomized-simulation.ts
@@ -1,6 +1,6 @@
 /**
- * A seeded randomized simulation: users go on submitting, querying and cancelling while faults combine, and every rule of
- * PROTOCOL that can be seen from workers and users is checked after each step.
+ * A seeded randomized simulation: users keep submitting, querying and cancelling jobs while several faults are active at once.
+ * Every rule of PROTOCOL that is observable from workers and users is checked after each step.
  */
 import type { ControllerSettings } from '@archpost/controller';
 import { type ControllerVersion, SimulatedCluster, type SimulatedController } from '../simulation/index.js';
@@ -9,35 +9,35 @@
 import { Random } from './random.js';
 import { SimulatedUsers, type UserOptions } from './users.js';
 
-/** What a randomized simulation has beside faults. */
+/** Options of a randomized simulation. */
 export interface RandomizedSimulationOptions extends UserOptions {
-  /** faults that may come */
+  /** kinds of faults to inject; all by default */
   faultKinds?: readonly Fault[];
-  /** the version that all controllers run at first; one after another they get the present one */
+  /** version that all controllers run at first; they are upgraded to the current version one after another */
   initialVersion?: ControllerVersion;
-  /** limits that the state service has once all controllers are new */
+  /** limits of the state service after all controllers are upgraded */
   nextLimits?: { valueKib: number; writesPerTransaction: number; writesPerS: number };
-  /** machines at the start, instead of a handful */
+  /** number of machines at the start; 8 small and 3 big ones by default */
   machines?: { small: number; big: number };
-  /** settings that differ from those of the fixtures */
+  /** changes the settings of the fixtures */
   tune?: (settings: ControllerSettings) => ControllerSettings;
-  /** inputs that a controller has processor time for in a tenth of a second */
+  /** maximum number of inputs that a controller processes per simulation step; unlimited by default */
   inputsPerTick?: number;
-  /** changes that a watch can still be given, and pages in which all keys are read */
+  /** length of the change log that a watch can resume from, and pages of a snapshot */
   state?: { changesKept: number; pages: number };
 }
 
-/** Questions that a user asks at once when all is over. */
+/** Number of status queries that are pending at once in the final check. */
 const QUERIES_AT_ONCE = 20;
 
-/** From here on, and with so much time between them, controllers get the present version. */
+/** Time of the first controller's upgrade, and the interval between upgrades. */
 const UPGRADE_AT_MS = 15_000;
 const UPGRADE_INTERVAL_MS = 12_000;
 
-/** The limits of the state service fall a while after the last controller got it. */
+/** Earliest time at which the state service lowers its limits, after the last upgrade. */
 const LIMITS_CHANGE_AT_MS = UPGRADE_AT_MS + 4 * UPGRADE_INTERVAL_MS;
 
-/** One run: its cluster, its users and its faults. */
+/** One run of the simulation: its cluster, users and faults. */
 export class RandomizedSimulation {
   readonly cluster: SimulatedCluster;
   readonly users: SimulatedUsers;
@@ -97,7 +97,7 @@
     });
   }
 
-  /** Nothing new is asked, and no limit falls, before all controllers have the present version. */
+  /** Whether all controllers run the current version. Users request no new feature, and no limit is lowered, before that. */
   private get isUpgraded(): boolean {
     return (
       !this.options.initialVersion ||
@@ -120,7 +120,7 @@
     checkDerivedState(this.cluster, this.options.initialVersion);
   }
 
-  /** Faults by twos and threes for so long; once they are over, everything must come to rest. */
+  /** Injects two or three faults at a time for `seconds`, ends them and checks that the cluster recovers. */
   run(seconds: number): void {
     const { random, users, faults } = this;
     const end = this.cluster.now + seconds * 1000;
@@ -143,14 +143,14 @@
     this.checkRecovery();
   }
 
-  /** No shard without a holder, no machine out of use, no write that waits for ever. */
+  /** Checks that every shard has a lease holder, every machine is usable and no write is queued. */
   private checkSettled(): void {
     const { cluster } = this;
     const findings = (): string[] => {
       const result: string[] = [];
       for (const shard of [0, 1, 2, 'lead'] as const)
         if (!cluster.controllers.some((node) => node.controller.shardLeases.mayActUnder(shard, cluster.now)))
-          result.push(`nobody holds ${shard}`);
+          result.push(`shard ${shard} has no lease holder`);
       for (const worker of cluster.workers) {
         if (worker.dead) continue;
         const isUsable = cluster.controllers.some((node) => {
@@ -162,24 +162,24 @@
               node.controller.shardController.allocations.isSchedulable(machine, cluster.now))
           );
         });
-        if (!isUsable) result.push(`${worker.name} is out of use`);
+        if (!isUsable) result.push(`${worker.name} is not usable`);
       }
       for (const node of cluster.controllers)
         if (node.controller.writer.queueLength > 0)
-          result.push(`${node.name} has ${node.controller.writer.queueLength} writes waiting`);
+          result.push(`${node.name} has ${node.controller.writer.queueLength} queued writes`);
       return result;
     };
-    // A shard may be on its way to its preferred holder, and a machine between two shards.
+    // A shard may be in transfer to its preferred holder, and a machine between two shards.
     for (let index = 0; index < 90 && findings().length > 0; index++) cluster.run(1);
-    if (findings().length > 0) this.cluster.fail(`long after the troubles:\n${findings().join('\n')}`);
+    if (findings().length > 0) this.cluster.fail(`not recovered long after the faults:\n${findings().join('\n')}`);
   }
 
-  /** Once the faults are over every job is known everywhere, and what can run has run. */
+  /** Checks after the faults that every controller answers for every accepted job, and that every job that can run has run. */
   private checkRecovery(): void {
     const { cluster, users } = this;
     for (const [id, known] of users.trackedJobs) if (!known.accepted) cluster.specs.has(id) && users.request('submit', id);
     cluster.run(60);
-    // Services would run for ever; with them gone there is room for all the rest.
+    // Services never end; cancelling them frees the capacity that the other jobs need.
     for (let index = 0; index < 5; index++) {
       for (const [id, known] of users.trackedJobs)
         if (known.accepted && known.finalStatus === null && (known.cancelRequested || cluster.specs.get(id)?.shape === 'service'))
@@ -194,13 +194,13 @@
       });
     for (let index = 0; index < 30 && unfinished().length > 0; index++) cluster.run(10);
     const left = unfinished().map(([id]) => `${id} ${JSON.stringify(cluster.specs.get(id))}`);
-    if (left.length > 0) this.cluster.fail(`still waiting long after the troubles:\n${left.join('\n')}`);
+    if (left.length > 0) this.cluster.fail(`unfinished long after the faults:\n${left.join('\n')}`);
     this.checkSettled();
-    if (cluster.stateService.tooLargeCount > 0) cluster.fail(`${cluster.stateService.tooLargeCount} changes were too large`);
+    if (cluster.stateService.tooLargeCount > 0) cluster.fail(`${cluster.stateService.tooLargeCount} transactions were too large`);
     for (const node of cluster.controllers) this.checkAllAnswered(node);
   }
 
-  /** Every accepted job is answered by the controller, a few at a time, and what was cancelled before it is, too. */
+  /** Checks that the controller answers for every accepted job, and reports dependents of cancelled jobs as cancelled. */
   private checkAllAnswered(node: SimulatedController): void {
     const { cluster, users } = this;
     const accepted = [...users.trackedJobs].filter(([, known]) => known.accepted);
@@ -212,9 +212,9 @@
       }
       for (let index = 0; index < 30 && some.some(([, known]) => known.answeredAt < 0); index++) cluster.run(0.1);
       for (const [id, known] of some) {
-        if (known.answeredAt < 0) cluster.fail(`forgotten: ${id} is not answered by ${node.name}`);
+        if (known.answeredAt < 0) cluster.fail(`forgotten: ${id} has no answer from ${node.name}`);
         if (users.hasCancelledDependency(id) && known.finalStatus !== 'aborted')
-          cluster.fail(`orphaned: ${id} goes on at ${node.name}`);
+          cluster.fail(`orphaned: ${id} remains active at ${node.name}`);
       }
     }
   }
--- a/test/randomized/users.ts
+++ b/test/randomized/users.ts
@@ -1,46 +1,47 @@
-/** The users of a randomized simulation: what they submit, query and cancel, and what they were answered. */
+/** The users of a randomized simulation: they submit, query and cancel jobs, and check the responses for consistency. */
 import type { JobSpec } from '@archpost/protocol';
 import { job, type SimulatedCluster, type SimulatedController } from '../simulation/index.js';
 import type { Random } from './random.js';
 
-/** What users were answered about a job, by whichever controller. */
+/** What users know of a job from the responses of all controllers. */
 export interface TrackedJob {
   accepted: boolean;
+  /** the final status that a response reported; null: none did */
   finalStatus: 'done' | 'aborted' | null;
   cancelRequested: boolean;
-  /** the last time that anybody got an answer about it */
+  /** time of the last response about the job */
   answeredAt: number;
 }
 
 const TEAMS = ['red', 'blue', 'green'] as const;
 
-/** Work that comes at full rate. */
+/** Rates of additional submissions. */
 export interface UserLoad {
   /** chains of four to seven jobs, submitted one after another */
   chainsPerS: number;
-  /** jobs of one task */
+  /** jobs with a single task */
   singlesPerS: number;
-  /** part of the singles that is cancelled, and of the chains, at any of their jobs */
+  /** share of the single-task jobs and of the chains that are cancelled; a chain is cancelled at a random job */
   cancelledShare: number;
 }
 
-/** What users do beside the usual. */
+/** Optional behavior of users. */
 export interface UserOptions {
-  /** jobs that await others */
+  /** whether some jobs have dependencies */
   pipelines?: boolean;
-  /** work at full rate, beside what users do anyway */
+  /** additional submissions at these rates */
   load?: UserLoad;
 }
 
-/** Jobs that await one another, submitted one by one. */
+/** Jobs that depend on each other, submitted one after another. */
 interface Chain {
   ids: string[];
-  /** how many there will be */
+  /** final number of jobs */
   length: number;
   team: string;
 }
 
-/** Several users, who come to any controller. */
+/** Several users who send their requests to random controllers. */
 export class SimulatedUsers {
   readonly trackedJobs = new Map<string, TrackedJob>();
   private jobCount = 0;
@@ -51,7 +52,7 @@
     private readonly cluster: SimulatedCluster,
     private readonly random: Random,
     private readonly options: UserOptions,
-    /** nothing new is asked before all controllers have the present version */
+    /** whether all controllers run the current version; before that users request no new feature */
     private readonly mayUseNewFeatures: () => boolean,
   ) {}
 
@@ -60,33 +61,35 @@
     return up.length > 0 ? this.random.pick(up) : undefined;
   }
 
-  /** Compares an answer with what was told before it was asked for. */
+  /** Checks a response against what was known of the job when the request was sent (`before`). */
   private recordAnswer(id: string, before: TrackedJob, status: number, state: string): void {
     if (status === 503 || status === 429) return;
     const known = this.trackedJobs.get(id) as TrackedJob;
     known.answeredAt = this.cluster.now;
     if (before.accepted && (status === 404 || status === 400 || status === 422))
       this.cluster.fail(`forgotten: ${id} answered ${status}`);
-    // No simulated user submits what can't run, nor names what was never accepted.
+    // Simulated users submit only jobs that can run and dependencies that were accepted.
     if (status === 422) this.cluster.fail(`forgotten: ${id} refused`);
     if (status !== 200 && status !== 201) return;
     if (before.finalStatus && state !== before.finalStatus)
-      this.cluster.fail(`went_back: ${id} was ${before.finalStatus}, is called ${state}`);
-    if (state === 'aborted' && !this.mayBeCancelled(id)) this.cluster.fail(`went_back: ${id} called cancelled, its user didn't`);
-    if (state === 'done' && !this.cluster.allTasksDone(id)) this.cluster.fail(`not_done: ${id} is called done`);
+      this.cluster.fail(`went_back: ${id} was ${before.finalStatus}, is reported ${state}`);
+    if (state === 'aborted' && !this.mayBeCancelled(id))
+      this.cluster.fail(`went_back: ${id} reported cancelled, but no user cancelled it`);
+    if (state === 'done' && !this.cluster.allTasksDone(id))
+      this.cluster.fail(`not_done: ${id} is reported done with unfinished tasks`);
     if (state === 'done' || state === 'aborted') known.finalStatus = state;
     known.accepted = true;
     this.cluster.rules.recordAnswer(id, state);
   }
 
-  /** Its user asked to cancel it, or one that it needs. */
+  /** Whether a user requested the cancellation of the job or of one of its direct or transitive dependencies. */
   private mayBeCancelled(id: string): boolean {
     return (
       this.trackedJobs.get(id)?.cancelRequested === true || this.dependencyIds(id).some((other) => this.mayBeCancelled(other))
     );
   }
 
-  /** A job that it needs was told to be cancelled. */
+  /** Whether a direct or transitive dependency of the job was reported cancelled. */
   hasCancelledDependency(id: string): boolean {
     return this.dependencyIds(id).some(
       (other) => this.trackedJobs.get(other)?.finalStatus === 'aborted' || this.hasCancelledDependency(other),
@@ -97,7 +100,7 @@
     return this.cluster.awaits.get(id) ?? [];
   }
 
-  /** Half of the jobs need a few of those that were accepted lately, in whatever state these are. */
+  /** Gives half of the jobs up to three dependencies among the recently accepted jobs, in whatever state these are. */
   private chooseDependencies(id: string): void {
     if (!this.options.pipelines || !this.mayUseNewFeatures() || this.random.next() < 0.5) return;
     const known = [...this.trackedJobs]
@@ -179,7 +182,7 @@
     this.request('submit', id);
   }
 
-  /** Work at full rate: chains whose jobs are submitted as soon as those before are accepted, and jobs of one task. */
+  /** Submits single-task jobs, and chains whose jobs are submitted as soon as the previous job is accepted. */
   private submitLoad({ chainsPerS, singlesPerS, cancelledShare }: UserLoad): void {
     const perStep = (rate: number) => this.random.next() < rate / 10;
     if (perStep(singlesPerS)) {
@@ -201,7 +204,7 @@
     this.chains = this.chains.filter((chain) => chain.ids.length < chain.length);
   }
 
-  /** The next job of a chain awaits one or two of those before it, the last of them among these. */
+  /** Submits the next job of a chain. It depends on the previous job and possibly on one earlier job. */
   private continueChain({ ids, team }: Chain): void {
     const last = ids.at(-1);
     if (last !== undefined && !this.trackedJobs.get(last)?.accepted) {
@@ -235,7 +238,7 @@
     return id;
   }
 
-  /** Any of the jobs that there are by then. */
+  /** Schedules the cancellation of a random job of `ids`, chosen among the ids that the list contains at that time. */
   private cancelLater(ids: string[]): void {
     this.cluster.runAt(this.cluster.now + 500 + 15_000 * this.random.next(), () => {
       const id = this.random.pick(ids);
@@ -243,7 +246,7 @@
     });
   }
 
-  /** Whoever wants a job cancelled asks until it is over; whoever waits for one asks now and then. */
+  /** Repeats cancellation requests until each job has a final status, and queries the status of some active jobs. */
   private repeatRequests(): void {
     for (const id of this.toCancel) {
       if (this.trackedJobs.get(id)?.finalStatus !== null) this.toCancel.delete(id);
@@ -253,7 +256,7 @@
     for (let index = 0; index < open.length / 50; index++) this.request('poll', this.random.pick(open)[0]);
   }
 
-  /** What users do in a tenth of a second. */
+  /** Performs the user actions of one simulation step of 0.1 s. */
   step(): void {
     if (this.options.load) {
       this.submitLoad(this.options.load);
@@ -265,7 +268,7 @@
     const recent = ids.slice(-12);
     if (this.random.next() < 0.2) this.request('poll', this.random.pick(recent));
     if (this.random.next() < 0.1) this.request('poll', this.random.pick(ids));
-    // Close looks: at all controllers at once.
+    // Sends requests for the same job to all controllers at once.
     if (this.random.next() < 0.1) {
       const id = this.random.pick(recent);
       for (const node of this.cluster.controllers)
@@ -273,7 +276,7 @@
     }
     if (this.random.next() < 0.05) this.request('submit', this.random.pick(ids));
     if (this.random.next() < 0.025) this.request('cancel', this.random.pick(recent));
-    // Whoever was not accepted, or not told that it is cancelled, asks again.
+    // Repeats submissions that were not accepted and cancellations that were not confirmed.
     for (const id of recent) {
       const known = this.trackedJobs.get(id) as TrackedJob;
       if (!known.accepted && this.random.next() < 0.1) this.request('submit', id);
@@ -281,7 +284,7 @@
     }
   }
 
-  /** All who submitted something lately that runs call it off. */
+  /** Cancels those of the last six submitted jobs that were accepted and have no final status. */
   cancelRecentJobs(): void {
     for (const [id, known] of [...this.trackedJobs].slice(-6))
       if (known.accepted && !known.finalStatus) this.request('cancel', id);
--- a/test/scenarios/failover-scenarios.ts
+++ b/test/scenarios/failover-scenarios.ts
@@ -1,14 +1,14 @@
-/** What a failover starts from, and who holds a shard before and after it. */
+/** Initial situations of failover tests, and the lease holders of shards. */
 import { holderOf, type SimulatedCluster, type SimulatedController, shardOf } from '../simulation/index.js';
 
-/** The controller that holds the job's shard. */
+/** The lease holder of the job's shard. */
 export const holderOfJob = (cluster: SimulatedCluster, id: string) => holderOf(cluster, shardOf(cluster, id));
 
-/** The controller that the state service names as the holder of the shard's lease; undefined: none. */
+/** The lease holder of the shard as stored in the state service; undefined: none. */
 export const storedLeaseHolder = (cluster: SimulatedCluster, shard: number) =>
   (cluster.stateService.keys.get(`a/h/${shard}`)?.value as { node: string } | undefined)?.node;
 
-/** Shard 1 is held by another controller than its preferred holder, which is back and about to be handed it. */
+/** Makes another controller than the preferred holder hold shard 1. The preferred holder is restarted and can take it back. */
 export function holdShardElsewhere(cluster: SimulatedCluster): {
   preferredHolder: SimulatedController;
   currentHolder: SimulatedController;
--- a/test/scenarios/limit-scenarios.ts
+++ b/test/scenarios/limit-scenarios.ts
@@ -1,9 +1,9 @@
-/** Clusters of which the state service has announced lower limits. */
+/** Clusters whose state service has announced lower limits. */
 
 import type { ControllerSettings } from '@archpost/controller';
 import { SimulatedCluster } from '../simulation/index.js';
 
-/** The limits that are announced. */
+/** The announced limits. */
 export const ANNOUNCED_LIMITS = { valueKib: 2, writesPerTransaction: 4, writesPerS: 45 };
 
 /** Settings of a controller that knows the announced limits. */
--- a/test/scenarios/partition-scenarios.ts
+++ b/test/scenarios/partition-scenarios.ts
@@ -1,4 +1,4 @@
-/** Clusters, workers and late heartbeats of tests with partitions. */
+/** Workers and late heartbeats of tests with partitions. */
 
 import type { Heartbeat } from '@archpost/protocol';
 import type { SimulatedCluster, SimulatedController, SimulatedWorker } from '../simulation/index.js';
@@ -8,8 +8,8 @@
   cluster.workers.find((worker) => worker.name === cluster.machinesRunning(id)[0]) as SimulatedWorker;
 
 /**
- * Delivers a copy of a heartbeat to a controller, as a network that delayed it would. Returns the status of the response; 0: none
- * came.
+ * Delivers a copy of a heartbeat to a controller, as if the network had delayed it. Returns the status code of the response;
+ * 0: there was none.
  */
 export const deliverHeartbeatCopy = (node: SimulatedController, heartbeat: Heartbeat) => {
   let responseStatus = 0;
--- a/test/scenarios/upgrade-scenarios.ts
+++ b/test/scenarios/upgrade-scenarios.ts
@@ -1,11 +1,11 @@
-/** Clusters of the version in production, and how their controllers are upgraded. */
+/** Clusters that run the production version, and the upgrade of their controllers. */
 import { type ControllerVersion, job, SimulatedCluster, type SimulatedController } from '../simulation/index.js';
 import { PRODUCTION } from '../upgrade/production-version.js';
 
-/** The version in production. */
+/** The production version of the controller. */
 export const PRODUCTION_VERSION: ControllerVersion = PRODUCTION;
 
-/** A cluster whose controllers all run the version in production. */
+/** Returns a settled cluster whose controllers run the production version, and the current version (`present`). */
 export function productionCluster(
   machines = 6,
   tune?: ConstructorParameters<typeof SimulatedCluster>[1],
@@ -21,17 +21,17 @@
   return { cluster, present };
 }
 
-/** Restarts the controller with another version. */
+/** Crashes the controller and restarts it with the other version. */
 export function upgrade(node: SimulatedController, to: ControllerVersion): void {
   node.version = to;
   node.crash();
   node.restart();
 }
 
-/** The controllers of a cluster, unless a test names others. */
+/** Default controller names of a cluster. */
 export const CONTROLLER_NAMES = ['n0', 'n1', 'n2'];
 
-/** Submits a job of each kind, of a team of each shard. Returns the ids of the jobs that end. */
+/** Submits an array and a gang for a team of each shard, and one service. Returns the ids of the arrays and gangs. */
 export function submitJobOfEachKind(cluster: SimulatedCluster, prefix: string): string[] {
   const ids = ['red', 'blue', 'green'].flatMap((team) => {
     cluster.submit(job(`run-${prefix}-${team}-array`, { team, tasks: 6, cpus: 0.5, memory: 1, estimatedRunS: 6 }));
--- a/test/simulation-rules.test.ts
+++ b/test/simulation-rules.test.ts
@@ -30,7 +30,7 @@
     },
   },
   {
-    rule: /orphaned: run-b is called queued/,
+    rule: /orphaned: run-b is reported queued/,
     plant: (cluster) => {
       cluster.rules.recordAnswer('run-a', 'aborted');
       cluster.run(37);
@@ -38,7 +38,7 @@
     },
   },
   {
-    rule: /orphaned: run-a\/0 runs on, it was told done/,
+    rule: /orphaned: run-a\/0 still runs, but its job was reported done/,
     plant: (cluster, worker) => {
       worker.executeCommands([{ type: 'start', job: 'run-a', index: 0, attempt: 1 }]);
       cluster.rules.recordAnswer('run-a', 'done');
--- a/test/simulation/cluster.ts
+++ b/test/simulation/cluster.ts
@@ -1,4 +1,4 @@
-/** Controllers, state service, cloud, workers and users in one simulated time. Nothing here is random. */
+/** Controllers, state service, cloud, workers and users on one simulated clock. The simulation is deterministic. */
 import assert from 'node:assert/strict';
 import { mkdirSync, readFileSync, writeFileSync } from 'node:fs';
 import type { ControllerSettings, Effect } from '@archpost/controller';
@@ -8,7 +8,7 @@
 import { SimulatedStateService } from './state-service.js';
 import { SimulatedWorker } from './worker.js';
 
-/** A cluster in simulated time. Every step checks the rules that can be seen from the workers. */
+/** A cluster in simulated time. After every step it checks the rules that are observable from the workers. */
 export class SimulatedCluster {
   now = 0;
   readonly leaseMs = 12_000;
@@ -16,66 +16,66 @@
   readonly controllers: SimulatedController[];
   readonly workers: SimulatedWorker[] = [];
   readonly specs = new Map<string, JobSpec>();
-  /** the jobs that a job awaits, as its user says at each submission */
+  /** ids of the dependencies of each job; every submission of the job lists them */
   readonly awaits = new Map<string, string[]>();
   readonly cancelledAt = new Map<string, number>();
   readonly finished = new Set<string>();
   readonly rules = new RuleChecker(this);
-  /** jobs submitted with a mistake: their tasks fail wherever they start */
+  /** ids of jobs whose tasks fail on every machine */
   readonly failingJobs = new Set<string>();
   isStateServiceDown = false;
   isCloudDown = false;
-  /** says whether a transaction's answer is lost; `apply` carries it out, now or later */
+  /** Reports whether the response to a transaction is lost. `apply` commits the transaction; the function may call it now or later. */
   losesTransactionResponse: ((transaction: Extract<Effect, { type: 'compareAndSwap' }>, apply: () => void) => boolean) | null =
     null;
-  /** commands that were lost arrive after so long all the same; null: never */
+  /** delay after which a lost command arrives at its worker after all; null: it never arrives */
   lateCommandDelayMs: (() => number) | null = null;
-  /** true if the two can't reach each other */
+  /** Reports whether two controllers, or a controller and a machine, can't reach each other. */
   isPartitioned: (a: string, b: string) => boolean = () => false;
-  /** true if what this controller sends doesn't reach the machine, though its heartbeats arrive */
+  /** Reports whether commands and responses of the controller don't reach the machine; the machine's heartbeats still arrive. */
   losesControllerMessages: (controller: string, machine: string) => boolean = () => false;
-  /** true if direct commands to it are lost, while its heartbeats are answered */
+  /** Reports whether direct commands of the controller to the machine are lost; its heartbeats are still answered. */
   losesCommands: (controller: string, machine: string) => boolean = () => false;
-  /** true if no connection to the machine can be opened: a direct command never leaves */
+  /** Reports whether the controller can't connect to the machine, so that direct commands are not sent. */
   refusesCommands: (controller: string, machine: string) => boolean = () => false;
-  /** true if the controller drops what it decided to send, since it was late itself */
+  /** Reports whether the controller withholds the commands to the machine because the controller itself is late. */
   withholdsCommands: (controller: string, machine: string) => boolean = () => false;
-  /** true if what the first controller tells the second is lost, though not the other way round */
+  /** Reports whether statuses from the first controller to the second are lost. The other direction is independent. */
   losesPeerMessages: (from: string, to: string) => boolean = () => false;
-  /** true if it comes late */
+  /** Reports whether statuses from the first controller to the second arrive 15 s late. */
   delaysPeerMessages: (from: string, to: string) => boolean = () => false;
-  /** true if the machine's answers to commands, which it carries out, can't be read */
+  /** Reports whether the machine's responses to commands are unreadable; it executes the commands. */
   garblesCommandResponses: (controller: string, machine: string) => boolean = () => false;
-  /** true if the machine reaches no controller, though direct commands reach it */
+  /** Reports whether the machine's heartbeats reach no controller; direct commands still reach the machine. */
   losesHeartbeats: (machine: string) => boolean = () => false;
-  /** sees what controllers log */
+  /** called with everything that controllers log */
   onLog: ((controller: string, effect: Extract<Effect, { type: 'log' }>) => void) | null = null;
-  /** sees every message between controllers as it leaves */
+  /** called with every encoded status and forwarded heartbeat when it is sent */
   onPeerMessage: ((bytes: Uint8Array) => void) | null = null;
-  /** sees every heartbeat as it leaves, to deliver copies late */
+  /** called with every heartbeat when it is sent; tests deliver copies of them late */
   onHeartbeat: ((heartbeat: Heartbeat) => void) | null = null;
-  /** how long the answer to a transaction takes, once it is carried out */
+  /** delay of the response to a transaction after its commit */
   transactionResponseMs: (controller: string) => number = () => 10;
-  /** the cloud has machines left: they are up so long after they were rented */
+  /** boot time of provisioned machines; null: the cloud has no capacity */
   bootTimeMs: (() => number) | null = null;
   private provisionedCount = 0;
-  /** heartbeats that controllers forwarded whole */
+  /** number of complete heartbeats that controllers forwarded to each other */
   forwardedHeartbeats = 0;
-  /** bytes of statuses between controllers, and how many were sent */
+  /** total size of the statuses between controllers, and their number */
   statusBytes = 0;
   statuses = 0;
-  /** changes sent to the state service, by the kind of key */
+  /** number of writes sent to the state service, by kind of key */
   readonly changes = new Map<string, number>();
-  /** readings of the state service that were asked for, and commands with something in them */
+  /** number of read barriers requested, and of command messages that are not probes */
   readBarriers = 0;
   commands = 0;
-  /** lists that were asked of the cloud */
+  /** number of machine lists requested from the cloud */
   listRequests = 0;
-  /** sees the commands of each message to a worker */
+  /** called with the commands of each message to a worker */
   onCommands: ((commands: Command[]) => void) | null = null;
-  /** what was asked of the cloud, which has nothing left */
+  /** provisioning requests that the cloud received */
   readonly provisioningRequests: { type: string; spot: boolean; at: number }[] = [];
-  /** the most probes that any controller had under way at once */
+  /** highest number of simultaneously pending probes of one controller */
   maxPendingProbes = 0;
   trace: string[] = [];
   private queue: { at: number; run: () => void }[] = [];
@@ -92,10 +92,10 @@
     return this.workersByName.get(name);
   }
 
-  /** Starts another process with the name of a controller that runs. */
+  /** Starts a second process with the name of a running controller. */
   startDuplicate(name: string): SimulatedController {
     const second = new SimulatedController(this, name);
-    // An incarnation of its own.
+    // Without this the second process would have the incarnation of the first.
     second.restart();
     this.controllers.push(second);
     return second;
@@ -120,7 +120,7 @@
     return worker;
   }
 
-  /** Machines of the cloud, up after a while; null: it has none. */
+  /** Provisions machines, which boot after `bootTimeMs`. Returns their names; null: the cloud is down or has no capacity. */
   provision(type: string, zone: string, spot: boolean, count: number): string[] | null {
     if (!this.bootTimeMs || this.isCloudDown) return null;
     const names = Array.from({ length: count }, () => `r${this.provisionedCount++}`);
@@ -128,7 +128,7 @@
     return names;
   }
 
-  /** What the cloud lists: in this simulation only what it rented out itself. */
+  /** The cloud's machine list; empty in clusters whose cloud has no capacity. */
   machineList(): ListedMachine[] {
     if (!this.bootTimeMs) return [];
     return this.workers
@@ -159,7 +159,7 @@
       const due = this.queue.filter((scheduled) => scheduled.at <= this.now).sort((a, b) => a.at - b.at);
       this.queue = this.queue.filter((scheduled) => scheduled.at > this.now);
       for (const scheduled of due) scheduled.run();
-      // After an outage all leases have their full time again.
+      // After an outage every lease has its full time to live again.
       if (this.isStateServiceDown) for (const lease of this.stateService.leases.values()) lease.until = this.now + lease.ttl;
       else this.stateService.expire(this.now);
       for (const worker of this.workers) worker.tick();
@@ -168,7 +168,7 @@
     }
   }
 
-  /** Runs until the condition holds; fails if it doesn't within the time. */
+  /** Runs until the condition holds. Fails if it doesn't hold within `seconds` of simulated time. */
   runUntil(what: string, holds: () => boolean, seconds = 60): void {
     const end = this.now + seconds * 1000;
     while (!holds()) {
@@ -198,7 +198,7 @@
     this.note(`user told ${answer} for ${id}`);
   }
 
-  /** What a user is told: status code and state. */
+  /** Queries the job as a user. Returns its status, or the status code of an error response. */
   queryStatus(id: string, at = this.controllers.find((node) => node.up) as SimulatedController): string {
     let answer = '';
     at.queryStatus(id, (code, body) => {
@@ -228,16 +228,16 @@
     assert.fail(`${what}\n${this.trace.join('\n')}`);
   }
 
-  /** All tasks of the job are done. */
+  /** Whether all tasks of the job are done. */
   allTasksDone(id: string): boolean {
     const spec = this.specs.get(id);
     if (!spec) return false;
     const done = Array.from({ length: spec.tasks }, (_, index) => this.finished.has(`${id}/${index}`));
-    // A gang completes together: if one task is done, all are.
+    // The tasks of a gang complete together: if one task is done, all are.
     return spec.shape === 'gang' ? done.some((isDone) => isDone) : done.every((isDone) => isDone);
   }
 
-  /** Runs until all machines are assigned and have answered; the trace begins anew. */
+  /** Runs until all machines are assigned and verified, and clears the trace. */
   runUntilSettled(): void {
     this.runUntil(
       'all machines assigned',
@@ -256,7 +256,7 @@
   }
 }
 
-/** A settled cluster with this many small machines, in both zones by turns. */
+/** Returns a settled cluster of small machines that alternate between both zones. */
 export function smallCluster(machines: number): SimulatedCluster {
   const cluster = new SimulatedCluster();
   for (let index = 0; index < machines; index++) cluster.addMachine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
@@ -266,17 +266,17 @@
 
 const firstUpController = (cluster: SimulatedCluster) => cluster.controllers.find((node) => node.up);
 
-/** The shard that the job belongs to, as any controller sees it; -1: none knows the job. */
+/** The job's shard in the cluster state of the first running controller; -1: the job is not in it. */
 export const shardOf = (cluster: SimulatedCluster, id: string): number =>
   firstUpController(cluster)?.controller.clusterState.jobs.get(id)?.shard ?? -1;
 
-/** The controller that holds the shard, as any controller sees it; empty: none. */
+/** The shard's lease holder in the cluster state of the first running controller; empty: none. */
 export const holderOf = (cluster: SimulatedCluster, shard: number | 'lead'): string =>
   firstUpController(cluster)?.controller.clusterState.leaseOf(shard)?.holder.controller ?? '';
 
 /**
- * Compares what happened with the trace kept under test/traces, which is there to be read.
- * UPDATE_TRACES=1 writes it anew: look at what changed before committing it.
+ * Compares the cluster's trace with the golden trace in test/traces. UPDATE_TRACES=1 overwrites the golden trace; review the
+ * difference before committing it.
  */
 export function assertGoldenTrace(cluster: SimulatedCluster, name: string): void {
   const path = `test/traces/${name}.txt`;
@@ -285,5 +285,5 @@
     mkdirSync('test/traces', { recursive: true });
     writeFileSync(path, text);
   }
-  assert.equal(text, readFileSync(path, 'utf8'), `differs from ${path}`);
+  assert.equal(text, readFileSync(path, 'utf8'), `the trace differs from ${path}`);
 }
--- a/test/simulation/controller.ts
+++ b/test/simulation/controller.ts
@@ -1,4 +1,4 @@
-/** A real controller of some version whose connections are simulated. */
+/** A real controller, of any version, with simulated connections. */
 import { Controller, type Effect } from '@archpost/controller';
 import {
   decodePeerMessage,
@@ -12,19 +12,19 @@
 import type { SimulatedCluster } from './cluster.js';
 import { settings, submission, TYPES } from './fixtures.js';
 
-/** One version of what runs in a controller. */
+/** The code of one version of the controller. */
 export interface ControllerVersion {
   Controller: typeof Controller;
   encodePeerMessage: typeof encodePeerMessage;
   decodePeerMessage: typeof decodePeerMessage;
 }
 
-/** The processor time of a controller that is short of it. */
+/** The limited processor time of a starved controller. */
 export interface ProcessorBudget {
-  /** it runs for so long at the end of each period, in whole steps of the simulation */
+  /** time at the end of each period in which the controller runs; a multiple of the simulation step */
   runMs: number;
   periodMs: number;
-  /** heartbeats, and as many other inputs, that it takes in each step in which it runs */
+  /** maximum number of heartbeats, and likewise of other inputs, processed in each step in which the controller runs */
   inputsPerStep: number;
 }
 
@@ -33,45 +33,45 @@
   run: () => void;
 }
 
-/** With this long between two steps in which it runs, a controller finds that its process was paused, as its inbox does. */
+/** Gap between two steps above which the controller counts as paused, as in the inbox of a real controller process. */
 const PROCESS_PAUSE_MS = 800;
 
 const STEP_MS = 100;
 
 const CURRENT_VERSION: ControllerVersion = { Controller, encodePeerMessage, decodePeerMessage };
 
-/** Drives a controller in simulated time and carries out its effects on the cluster. */
+/** Drives a controller in simulated time and applies its effects to the cluster. */
 export class SimulatedController {
   controller: Controller;
-  /** what it runs from its next start on */
+  /** version that the controller runs after its next start */
   version: ControllerVersion = CURRENT_VERSION;
-  /** what it runs now */
+  /** version that the controller runs now */
   runningVersion: ControllerVersion = CURRENT_VERSION;
   up = true;
-  /** it stands still: nothing is read or sent, and its clock goes on */
+  /** whether the process is paused: it reads and sends nothing while its clock continues */
   isPaused = false;
   private pausedAt = 0;
   private backlog: { run: () => void; lost: () => void }[] = [];
-  /** the state service refuses this node alone */
+  /** whether the state service rejects the requests of this controller only */
   isRefusedByStateService = false;
-  /** inputs that it has processor time for in a tenth of a second: the rest waits, heartbeats first */
+  /** maximum number of inputs processed per simulation step; the others wait, and heartbeats are processed first */
   inputsPerTick = Number.POSITIVE_INFINITY;
   private readonly waitingInputs: { heartbeats: (() => void)[]; others: (() => void)[] } = { heartbeats: [], others: [] };
-  /** null: it has all the processor time that it needs */
+  /** null: processor time is unlimited */
   processorBudget: ProcessorBudget | null = null;
   private readonly starvedInputs: { heartbeats: WaitingInput[]; others: WaitingInput[] } = { heartbeats: [], others: [] };
   private lastRunAt = 0;
-  /** its watch brings nothing for now, while all else at the state service goes on */
+  /** whether the watch delivers no changes; other requests to the state service succeed */
   isWatchLagging = false;
   private leaseId: number | null = null;
   private renewAt = 0;
   private snapshotAt = -1;
-  /** pages read so far of a reading of all keys, and the revision of the first */
+  /** the pages of a snapshot read so far, and the revision of the first page */
   private partialSnapshot: { rows: StoredKey[]; revision: number; pages: number } | null = null;
   private incarnations = 0;
   private responseHandlers = new Map<number, (status: number, body: Record<string, unknown>) => void>();
   private nextResponseId = 1;
-  /** probes that have no outcome yet */
+  /** number of probes without an outcome */
   private pendingProbes = 0;
 
   constructor(
@@ -118,12 +118,12 @@
     this.cluster.note(`${this.name} stands still`);
   }
 
-  /** Goes on: what came meanwhile is read, oldest first, before anything new is known; or it is lost. */
+  /** Resumes the process. Inputs that arrived during the pause are processed first, oldest first; with `lost` they are lost. */
   resume(lost = false): void {
     this.isPaused = false;
     this.cluster.note(`${this.name} goes on`);
     this.controller.processPaused(this.cluster.now - this.pausedAt, this.cluster.now);
-    // What was lost is missed by this process' own timers.
+    // The controller learns of lost inputs by its own timeouts.
     for (const input of this.backlog.splice(0)) lost ? input.lost() : input.run();
     this.applyEffects();
   }
@@ -145,7 +145,7 @@
     this.applyEffects();
   }
 
-  /** As many of the inputs that wait as there is processor time for. */
+  /** Processes up to `inputsPerTick` of the waiting inputs. */
   private processWaitingInputs(): void {
     const { heartbeats, others } = this.waitingInputs;
     for (let taken = 0; taken < this.inputsPerTick && heartbeats.length + others.length > 0; taken++) {
@@ -154,7 +154,7 @@
     }
   }
 
-  /** Takes what its processor time allows. False: it doesn't run in this step. */
+  /** Processes the inputs that the processor budget allows. Returns false if the controller doesn't run in this step. */
   private runStarved({ runMs, periodMs, inputsPerStep }: ProcessorBudget): boolean {
     const { now } = this.cluster;
     if (now % periodMs < periodMs - runMs) return false;
@@ -227,7 +227,7 @@
     this.applyEffects();
   }
 
-  /** Reads a page of all keys; with the last one the controller gets them all. */
+  /** Reads the next page of the snapshot. After the last page the controller receives the whole snapshot. */
   private loadPage(now: number): void {
     const { stateService: state } = this.cluster;
     if (this.partialSnapshot === null) this.partialSnapshot = { rows: [], revision: state.revision, pages: 0 };
@@ -247,7 +247,7 @@
     for (const effect of this.controller.takeEffects()) this.applyEffect(effect);
   }
 
-  /** A message as the other controller reads it: by way of its bytes where the two run different versions. */
+  /** Returns the message as the receiving controller sees it: encoded and decoded if the two controllers run different versions. */
   private transmit(to: SimulatedController, message: PeerMessage): PeerMessage {
     this.cluster.onPeerMessage?.(this.runningVersion.encodePeerMessage(message));
     if (to.runningVersion === this.runningVersion) return structuredClone(message);
@@ -304,7 +304,7 @@
       if (!worker || worker.dead || worker.hung || cluster.isPartitioned(this.name, effect.machine) || isLost) {
         if (worker?.hung)
           worker.heldCommands.push(() => void worker.receiveCommands(effect.fencingToken, effect.agentEpoch, effect.commands));
-        // The network may deliver what was given up, long after.
+        // The network may deliver a command long after the controller gave up on it.
         else if (worker && cluster.lateCommandDelayMs) {
           cluster.runAt(cluster.now + cluster.lateCommandDelayMs(), () => {
             const arrives = () => void worker.receiveCommands(effect.fencingToken, effect.agentEpoch, effect.commands);
--- a/test/simulation/fixtures.ts
+++ b/test/simulation/fixtures.ts
@@ -1,8 +1,8 @@
-/** What simulations and most tests start from: machine types, settings of a controller, a job. */
+/** Default machine types, controller settings, job and peer status of simulations and tests. */
 import type { ControllerSettings } from '@archpost/controller';
 import type { JobSpec, MachineType, PeerStatus } from '@archpost/protocol';
 
-/** The machine types of the cloud. */
+/** Machine types of the simulated cloud. */
 export const TYPES: MachineType[] = [
   {
     name: 'small',
@@ -30,7 +30,7 @@
   },
 ];
 
-/** Settings of one of these controllers. */
+/** Returns the settings of one of the controllers `nodes`. */
 export function settings(controller: string, nodes = ['n0', 'n1', 'n2']): ControllerSettings {
   const zone = (name: string) => (name === 'n1' ? 'west' : 'east');
   return {
@@ -54,7 +54,7 @@
   };
 }
 
-/** The specification of a small batch job, apart from what is given. */
+/** Returns the specification of a small batch job with the given fields replaced. */
 export function job(id: string, over: Partial<JobSpec> = {}): JobSpec {
   return {
     id,
@@ -84,7 +84,7 @@
 const SHAPES = { array: 'sweep', gang: 'gang', service: 'standing' } as const;
 const PRIORITIES = ['best_effort', 'standard', 'urgent', 'critical'];
 
-/** The job as its user would submit it. */
+/** Returns the body of the request that submits the job. */
 export function submission(spec: JobSpec): Record<string, unknown> {
   return {
     ref: spec.id,
@@ -110,7 +110,7 @@
   };
 }
 
-/** The status of a controller that is well and has nothing to tell. */
+/** The peer status of a healthy controller without machines or jobs to report. */
 export const STATUS: PeerStatus = {
   node: 'n0',
   shards: [],
--- a/test/simulation/index.ts
+++ b/test/simulation/index.ts
@@ -1,6 +1,6 @@
 /**
- * Simulations of what archpost talks to, written from PROTOCOL: the state service, the cloud, workers and users, joined with
- * real controllers in one simulated time. Nothing here is random.
+ * Simulated state service, cloud, workers and users, written from PROTOCOL, that run with real controllers on one simulated
+ * clock. The simulation is deterministic.
  */
 export * from './cluster.js';
 export * from './controller.js';
--- a/test/simulation/large-fleet.ts
+++ b/test/simulation/large-fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Thousands of machines, at the ratios of the users' larger sites: steps of a day that any number of controllers can be
- * put through. Every rule that can be seen from workers and users is checked at each step of simulated time.
+ * Operational scenarios for thousands of machines and any number of controllers, at the ratios of the users' larger sites.
+ * Every rule that is observable from workers and users is checked at each step of simulated time.
  */
 import assert from 'node:assert/strict';
 import type { ControllerSettings } from '@archpost/controller';
@@ -9,18 +9,18 @@
 
 const TEAMS = ['red', 'blue', 'green', 'pink', 'gold', 'grey', 'teal'];
 
-/** For each machine: changes and requests of the state service a second, sockets, shares of a core for all controllers. */
+/** For each machine: writes and requests to the state service per second, sockets, and cores of all controllers together. */
 const WRITES_PER_MACHINE = 0.2;
 const REQUESTS_PER_MACHINE = 0.5;
 const SOCKETS_PER_MACHINE = 2;
 const CORES_PER_MACHINE = 0.0048;
 
-/** One in so many machines has accelerators; one in so many services' replicas stands on each machine. */
+/** One in this many machines has GPUs; the numbers of replicas per service and of machines per service. */
 const MACHINES_PER_GPU_MACHINE = 15;
 const REPLICAS_PER_SERVICE = 4;
 const MACHINES_PER_SERVICE = 3;
 
-/** Submissions that users make in a tenth of a second. */
+/** Submissions per simulation step of 0.1 s. */
 const SUBMISSIONS_PER_STEP = 20;
 
 const CONTROLLER_DOWN_S = 3;
@@ -34,11 +34,11 @@
   version?: ControllerVersion;
 }
 
-/** The cluster, its services, and what may be done to it. */
+/** A large cluster with its services, and the scenarios that it can be put through. */
 export class LargeFleet {
   readonly cluster: SimulatedCluster;
   private readonly services: string[] = [];
-  /** workers that were killed or cut for good: they may be given back */
+  /** names of the workers that the scenario killed: their machines may be released */
   private readonly lostNames = new Set<string>();
 
   constructor(private readonly options: LargeFleetOptions) {
@@ -75,12 +75,12 @@
     return this.cluster.workers.filter((worker) => !worker.dead);
   }
 
-  /** Machines that have answered whoever holds their shard. */
+  /** Number of live machines that the lease holder of their shard has verified. */
   verifiedCount(): number {
     return this.liveWorkers.filter((worker) => this.cluster.controllers.some((node) => isVerifiedByHolder(node, worker))).length;
   }
 
-  /** Nothing is assigned at first. Returns the seconds until all machines are, and have answered. */
+  /** Runs from an empty state service until all machines are assigned and verified. Returns the seconds that this takes. */
   firstStart(): number {
     return this.runUntilAllVerified('the first start', 60 + this.options.machines / 20);
   }
@@ -92,7 +92,7 @@
     return (cluster.now - from) / 1000;
   }
 
-  /** Services on most machines, submitted at all controllers. Returns the seconds until all replicas run. */
+  /** Submits the services, round robin at all controllers. Returns the seconds until all replicas run. */
   startServices(): number {
     const { cluster } = this;
     const from = cluster.now;
@@ -126,7 +126,7 @@
     });
   }
 
-  /** Tasks of services that run. */
+  /** Number of running service tasks. */
   runningReplicaCount(): number {
     let count = 0;
     for (const worker of this.liveWorkers)
@@ -138,7 +138,7 @@
     this.cluster.runUntil(what, () => this.runningReplicaCount() === this.services.length * REPLICAS_PER_SERVICE, seconds);
   }
 
-  /** One controller ends and is back. Returns the seconds until the last machine has answered. */
+  /** Crashes and restarts one controller. Returns the seconds from the crash until all machines are verified. */
   crashOne(index: number): number {
     const { cluster } = this;
     const node = cluster.controllers[index] as SimulatedController;
@@ -151,7 +151,7 @@
     return (cluster.now - from) / 1000;
   }
 
-  /** All end at once and are back. Returns the seconds from their return until the last machine has answered. */
+  /** Crashes and restarts all controllers at once. Returns the seconds from the restart until all machines are verified. */
   crashAll(): number {
     const { cluster } = this;
     for (const node of cluster.controllers) node.crash();
@@ -161,7 +161,7 @@
     return this.runUntilAllVerified('a crash of all', 120);
   }
 
-  /** Every third machine stops at once. Returns the seconds until they are assigned no more. */
+  /** Kills every third machine at once. Returns the seconds until none of them is assigned. */
   killThird(): number {
     const { cluster } = this;
     const from = cluster.now;
@@ -173,13 +173,13 @@
     }
     const isAnyAssigned = () =>
       cluster.controllers.some((node) => lostWorkers.some((worker) => node.controller.clusterState.machines.has(worker.name)));
-    cluster.runUntil('what was lost is assigned no more', () => !isAnyAssigned(), 120);
+    cluster.runUntil('no lost machine is assigned', () => !isAnyAssigned(), 120);
     return (cluster.now - from) / 1000;
   }
 
   /**
-   * Arrays are cancelled by the hundred while the leader ends. Returns the seconds from the first request until the
-   * last task is gone; the rules say how late each may be.
+   * Cancels many arrays while the leader crashes. Returns the seconds from the first request until the last task is gone.
+   * The rule checker enforces the time limit of each cancellation.
    */
   cancelDuringLeaderCrash(arrays: number): number {
     const { cluster } = this;
@@ -199,12 +199,12 @@
     const leader = cluster.controllers.find((node) => node.controller.leader.isLeading) as SimulatedController;
     leader.crash();
     cluster.runAt(cluster.now + CONTROLLER_DOWN_S * 1000, () => leader.restart());
-    cluster.runUntil('all users are told', () => confirmed.size === arrays, 90);
+    cluster.runUntil('all cancellations confirmed', () => confirmed.size === arrays, 90);
     cluster.runUntil('no cancelled task is left', () => runningCount() === 0, 60);
     return (cluster.now - from) / 1000;
   }
 
-  /** As a user does: asks again, elsewhere, until it is answered. */
+  /** Cancels the job as a user: retries at the next controller until a response confirms it. */
   private cancel(id: string, at: number, confirmed: Set<string>): void {
     const { cluster } = this;
     const up = cluster.controllers.filter((node) => node.up);
@@ -221,7 +221,7 @@
     });
   }
 
-  /** Each controller ends and is back, one after the other. Returns the seconds that it takes in all. */
+  /** Restarts the controllers one after another. Returns the seconds until the last one is ready. */
   rollingRestart(): number {
     const { cluster } = this;
     const from = cluster.now;
@@ -236,15 +236,15 @@
     return seconds;
   }
 
-  /** Nobody threw away what could be reached, and every controller answers for every service. */
+  /** Checks that no reachable machine was released, and that every controller reports a sample of the services as running. */
   check(): void {
     const wronglyReleased = this.cluster.workers.filter((worker) => worker.dead && !this.lostNames.has(worker.name));
     assert.deepEqual(
       wronglyReleased.map((worker) => worker.name),
       [],
-      'machines that were given back though they could be reached',
+      'reachable machines that were released',
     );
-    // What others run is told anew every few seconds, to who began again too.
+    // Controllers report their running jobs to each other every few seconds, also to restarted controllers.
     this.cluster.run(STATUS_PROPAGATION_S);
     const sample = this.services.filter((_, index) => index % Math.ceil(this.services.length / 10) === 0);
     for (const node of this.cluster.controllers)
--- a/test/simulation/rules.ts
+++ b/test/simulation/rules.ts
@@ -1,30 +1,30 @@
-/** The rules, judged from outside: by what workers run and what users were told, never by the controllers' own state. */
+/** Checks the rules from outside: by the workers' tasks and the responses to users, never by the state of controllers. */
 import type { JobSpec, TaskStatus } from '@archpost/protocol';
 import type { SimulatedCluster } from './cluster.js';
 import { settings } from './fixtures.js';
 import type { SimulatedWorker } from './worker.js';
 
-/** Time that a cancellation has, as in the settings of the simulated controllers. */
+/** Time limit of a cancellation, as in the settings of the simulated controllers. */
 const CANCEL_MS = settings('n0').workers.cancelS * 1000;
 
-/** A task that a worker had at some moment of this step. */
+/** A task that was on a worker during the current step. */
 interface TaskOnWorker {
   worker: SimulatedWorker;
   key: string;
   task: TaskStatus;
 }
 
-/** PROTOCOL's rules, and those that LATER.md adds for jobs that await others. */
+/** Checks the rules of PROTOCOL, and those that LATER.md adds for jobs with dependencies. */
 export class RuleChecker {
-  /** when a user was first told that the job is done */
+  /** time of the first response to a user that called the job done */
   private readonly doneAt = new Map<string, number>();
-  /** the workers' tasks by job, and the step that they are of */
+  /** the workers' tasks by job, and the step for which they were indexed */
   private readonly tasksByJob = new Map<string, TaskOnWorker[]>();
   private indexedAt = -1;
 
   constructor(private readonly cluster: SimulatedCluster) {}
 
-  /** `ran_twice`, `wrong_place`, `too_early` and `ran_cancelled`, at the moment of each start. */
+  /** Checks `ran_twice`, `wrong_place`, `too_early` and `ran_cancelled` when a worker starts a task. */
   checkStart(worker: SimulatedWorker, id: string, index: number): void {
     const { cluster } = this;
     const spec = cluster.specs.get(id) as JobSpec;
@@ -50,27 +50,27 @@
     if (worker.spot && !spec.allowsSpot) cluster.fail(`wrong_place: ${spec.id} on a spot machine`);
   }
 
-  /** A worker began this task in this step. */
+  /** Records a task that a worker started in the current step. */
   recordStart(worker: SimulatedWorker, key: string, task: TaskStatus): void {
     const known = this.tasksByJob.get(task.job);
     if (known) known.push({ worker, key, task });
     else this.tasksByJob.set(task.job, [{ worker, key, task }]);
   }
 
-  /** All tasks of the job that any worker had as this step began, or has been given since. */
+  /** All tasks of the job that were on workers at the first start of the current step, or were started since. */
   private tasksOf(id: string): readonly TaskOnWorker[] {
     if (this.indexedAt !== this.cluster.now) this.indexTasksByJob();
     return this.tasksByJob.get(id) ?? [];
   }
 
-  /** Sorted out once a step: looking through thousands of machines for each start took most of a test's time. */
+  /** Indexes the workers' tasks once per step: scanning thousands of machines at each start took most of a test's time. */
   private indexTasksByJob(): void {
     this.indexedAt = this.cluster.now;
     this.tasksByJob.clear();
     for (const worker of this.cluster.workers) for (const [key, task] of worker.tasks) this.recordStart(worker, key, task);
   }
 
-  /** `quota`, `ran_cancelled` and `orphaned`, by what is on the machines now. */
+  /** Checks `quota`, `ran_cancelled` and `orphaned` against the tasks that are on the machines now. */
   checkStep(): void {
     const { cluster } = this;
     this.indexedAt = -1;
@@ -83,26 +83,29 @@
         usage.set(spec.team, (usage.get(spec.team) ?? 0) + spec.gpus);
         if (this.isOverdue(this.cancelledAt(task.job))) cluster.fail(`ran_cancelled: ${task.job} on ${worker.name}`);
         if (this.isOverdue(this.doneAt.get(task.job)))
-          cluster.fail(`orphaned: ${task.job}/${task.index} runs on, it was told done`);
+          cluster.fail(`orphaned: ${task.job}/${task.index} still runs, but its job was reported done`);
       }
     }
     for (const team of cluster.tune(settings('n0', cluster.names)).teams)
       if ((usage.get(team.name) ?? 0) > team.maxGpus) cluster.fail(`quota: ${team.name}`);
   }
 
-  /** A user was told this of the job. `orphaned`: it goes on though one that it needs was told to be cancelled. */
+  /**
+   * Records a status of the job that a user received. Checks `orphaned`: a job must not remain active after one of its
+   * dependencies was reported cancelled.
+   */
   recordAnswer(id: string, status: string): void {
     const { cluster } = this;
     if (status === 'aborted' && !cluster.cancelledAt.has(id)) cluster.cancelledAt.set(id, cluster.now);
     if (status === 'done' && !this.doneAt.has(id)) this.doneAt.set(id, cluster.now);
     if ((status === 'queued' || status === 'running') && this.isOverdue(this.cancelledAt(id)))
-      cluster.fail(`orphaned: ${id} is called ${status}, and one that it needs was cancelled`);
+      cluster.fail(`orphaned: ${id} is reported ${status}, but it or one of its dependencies was cancelled`);
   }
 
-  /** When a user was first told that the job, or one that it needs directly or through others, is cancelled. */
+  /** Time at which a user was first told that the job or one of its direct or transitive dependencies is cancelled. */
   private cancelledAt(id: string): number | undefined {
     let earliest = this.cluster.cancelledAt.get(id);
-    // It is asked for every task at every step: most jobs await none.
+    // This is called for every task in every step, and most jobs have no dependencies.
     if (!this.cluster.awaits.has(id)) return earliest;
     const seen = new Set([id]);
     const open = [...(this.cluster.awaits.get(id) ?? [])];
--- a/test/simulation/state-service.ts
+++ b/test/simulation/state-service.ts
@@ -1,34 +1,34 @@
-/** The state service, as PROTOCOL describes it. */
+/** A simulated state service that follows PROTOCOL. */
 import type { Controller, Effect } from '@archpost/controller';
 import type { KeyChange, StoredKey } from '@archpost/protocol';
 
 interface Key {
   value: unknown;
-  /** at which it was written last */
+  /** revision of the last write */
   revision: number;
   lease: number | null;
 }
 
-/** What the state service takes. Tests lower it, as the service may without notice. */
+/** Limits of the state service. Tests lower them, as the real service may without notice. */
 export interface StateServiceLimits {
   valueBytes: number;
   writesPerTransaction: number;
   writesPerS: number;
 }
 
-/** Strongly consistent keys with leases, as PROTOCOL describes them. */
+/** A strongly consistent key-value store with leases and a change log. */
 export class SimulatedStateService {
   revision = 1;
   limits: StateServiceLimits | null = null;
-  /** changes that may be made now, of those that the rate allows */
+  /** writes that the rate limit allows at `allowanceUpdatedAt`; a token bucket with a capacity of one second */
   private writeAllowance = 0;
   private allowanceUpdatedAt = 0;
-  /** changes refused because they were too many, and transactions refused as too large */
+  /** number of transactions rejected by the rate limit, and of those rejected as too large */
   rateLimitedCount = 0;
   tooLargeCount = 0;
-  /** changes that a watch can still be given; whoever is further behind has to read all keys again */
+  /** length of the change log that a watch can resume from; a watch that is further behind requires a new snapshot */
   changesKept = Number.POSITIVE_INFINITY;
-  /** pages in which all keys are read, each at its own time */
+  /** number of pages of a snapshot; each page is read in a step of its own */
   pages = 1;
   readonly keys = new Map<string, Key>();
   readonly log: KeyChange[] = [];
@@ -61,7 +61,7 @@
     }
   }
 
-  /** The refusal of a transaction that exceeds a limit, or null. */
+  /** Returns the error outcome of a transaction that exceeds a limit; null: it exceeds none. */
   private refusalOf(
     transaction: Extract<Effect, { type: 'compareAndSwap' }>,
     now: number,
@@ -115,13 +115,13 @@
     return this.log.slice(first);
   }
 
-  /** The changes after this revision are known no more. */
+  /** Whether some of the changes after the revision are no longer in the change log. */
   hasCompacted(revision: number): boolean {
     const oldest = this.log[this.log.length - this.changesKept - 1];
     return oldest !== undefined && oldest.revision > revision;
   }
 
-  /** A page of all keys in their order, beginning after `since`; the last page bears all that are left. */
+  /** Returns the page of the sorted keys that begins after the key `since`. The last page contains all remaining keys. */
   page(since: string, isLast: boolean): StoredKey[] {
     const rows = this.rows()
       .filter((row) => row.key > since)
--- a/test/simulation/worker.ts
+++ b/test/simulation/worker.ts
@@ -1,4 +1,4 @@
-/** A machine and its worker, as PROTOCOL describes them. */
+/** A simulated machine and its worker, which follow PROTOCOL. */
 import type { Controller } from '@archpost/controller';
 import type { Command, Heartbeat, JobSpec, MachineType, TaskStatus } from '@archpost/protocol';
 import type { SimulatedCluster } from './cluster.js';
@@ -7,7 +7,7 @@
 
 const HEARTBEAT_INTERVAL_MS = 2000;
 
-/** A worker waits for an answer so long, and then so long until it tries the next controller. */
+/** Time that a worker waits for a response, and its delay before it tries the next controller. */
 const RESPONSE_TIMEOUT_MS = 4000;
 const NEXT_CONTROLLER_DELAY_MS = 1000;
 
@@ -15,7 +15,7 @@
   startedAt: number;
 }
 
-/** One worker: its lease, its agent epoch, the fencing token that it obeys, and the tasks that it runs. */
+/** One worker: its lease, its agent epoch, the highest fencing token that it accepted, and its tasks. */
 export class SimulatedWorker {
   agentEpoch = 1;
   sequence = 0;
@@ -26,12 +26,13 @@
   nextHeartbeatAt = 0;
   controllerIndex = 0;
   preemptionNoticeS: number | null = null;
-  /** no power, or given back */
+  /** whether the machine lost power or was released */
   dead = false;
-  /** executes nothing and answers nothing, and may go on later */
+  /** whether the machine hangs: it executes and answers nothing until it resumes */
   hung = false;
-  /** commands that arrive only once it goes on */
+  /** commands that a hung machine receives when it resumes */
   heldCommands: (() => void)[] = [];
+  /** whether all tasks on the machine fail */
   isFaulty = false;
 
   constructor(
@@ -45,7 +46,7 @@
     this.createdAt = cluster.now;
   }
 
-  /** Loses power and is back at once: its numbers start over and nothing is on it. */
+  /** Reboots the machine: its epoch, sequence and fencing token start over, and its tasks are gone. */
   reboot(): void {
     this.cluster.note(`${this.name} begins again`);
     this.agentEpoch = 1;
@@ -172,7 +173,10 @@
     if (now >= this.nextHeartbeatAt) this.sendHeartbeat();
   }
 
-  /** One heartbeat at a time is under way: without an answer in time the next goes to the next controller, a second later. */
+  /**
+   * Only one heartbeat is in flight. If its response doesn't arrive before the timeout, the next heartbeat goes to the next
+   * controller, a second later.
+   */
   private expectResponse(): void {
     this.nextHeartbeatAt = this.cluster.now + RESPONSE_TIMEOUT_MS + NEXT_CONTROLLER_DELAY_MS;
     this.controllerIndex++;
@@ -195,7 +199,7 @@
     };
     if (!node.up || cluster.losesHeartbeats(this.name) || cluster.isPartitioned(node.name, this.name)) return tryNextController();
     if (node.isPaused) {
-      // Nobody answers for 4 s; the report is read when the controller goes on.
+      // No response arrives within 4 s; the controller processes the heartbeat when it resumes.
       this.controllerIndex++;
       this.nextHeartbeatAt = cluster.now + 5000;
     }
