--- a/test/loopback/http-api-server.ts
+++ b/test/loopback/http-api-server.ts
@@ -28,7 +28,7 @@
   options: Pick<HttpApiOptions, 'onRequest'> & Partial<HttpApiOptions>,
 ): Promise<ListeningHttpApi> {
   const api = new HttpApi({ isReady: () => true, loadShedder: new LoadShedder(() => 0), ...options });
-  // Whatever fails: a server that is left open keeps the test from ending.
+  // Registered first, so that it is closed even if `listen` fails: an open server would keep the test from ending.
   context.after(() => api.close());
   const server = await api.listen('127.0.0.1', 0);
   return { api, port: (server.address() as net.AddressInfo).port };
--- a/test/loopback/worker-fleet.ts
+++ b/test/loopback/worker-fleet.ts
@@ -32,7 +32,7 @@
   private controllerIndex = 0;
   private timer: NodeJS.Timeout | null = null;
   private isStopped = false;
-  /** limits the worker to a single connection, as PROTOCOL requires */
+  /** its own single connection, as a real worker has */
   private readonly agent = new http.Agent({ keepAlive: true, maxSockets: 1 });
   /** number of heartbeats with response status 200 */
   acceptedHeartbeats = 0;
--- a/test/measure/costs.ts
+++ b/test/measure/costs.ts
@@ -49,8 +49,8 @@
 
   readonly meter = (_node: string, input: string, ms: number): void => {
     this.ms += ms;
-    if (input === 'receiveSnapshot') this.row.add('all keys taken, ms of processor', ms);
-    if (input === 'tick') this.row.add('one tick, ms of processor', ms);
+    if (input === 'receiveSnapshot') this.row.add('snapshot processed, processor ms', ms);
+    if (input === 'tick') this.row.add('one tick, processor ms', ms);
   };
 
   /** Returns the sum since the last call, in milliseconds, and resets it. */
@@ -67,7 +67,7 @@
   const fleet = new LargeFleet({ machines, controllers, version });
   const { cluster } = fleet;
   const phase = (name: string, seconds: number) => {
-    row.add(`${name}, ms of processor a second at each controller`, processor.takeMs() / controllers / Math.max(0.1, seconds));
+    row.add(`${name}, processor ms per second at each controller`, processor.takeMs() / controllers / Math.max(0.1, seconds));
     cluster.trace = [];
   };
   const timed = (name: string, step: () => number) => {
@@ -75,18 +75,18 @@
     row.add(`${name}, s`, step());
     phase(name, (cluster.now - from) / 1000);
   };
-  timed('first start until all machines answer', () => fleet.firstStart());
+  timed('first start until all machines are verified', () => fleet.firstStart());
   timed('services submitted until all replicas run', () => fleet.startServices());
   cluster.statuses = 0;
   cluster.statusBytes = 0;
   cluster.run(STEADY_S);
   phase('steady', STEADY_S);
-  row.add('bytes of a status', cluster.statusBytes / cluster.statuses);
-  timed('crash of one until the last machine answers', () => fleet.crashOne(run % controllers));
-  timed('return of all until the last machine answers', () => fleet.crashAll());
-  timed('roll', () => fleet.rollingRestart());
-  timed('cancelled burst until the last task is gone', () => fleet.cancelDuringLeaderCrash(Math.floor(machines / 13)));
-  timed('a third lost until no grant is left', () => fleet.killThird());
+  row.add('status size, bytes', cluster.statusBytes / cluster.statuses);
+  timed('crash of one until all machines are verified', () => fleet.crashOne(run % controllers));
+  timed('restart of all until all machines are verified', () => fleet.crashAll());
+  timed('rolling restart', () => fleet.rollingRestart());
+  timed('cancellation of arrays until the last task is gone', () => fleet.cancelDuringLeaderCrash(Math.floor(machines / 13)));
+  timed('loss of a third until none of it is assigned', () => fleet.killThird());
 }
 
 const runs = Number(process.argv[2] ?? 3);
@@ -97,7 +97,7 @@
 for (const { machines, controllers, row } of columns)
   for (let run = 0; run < runs; run++) measure(row, machines, controllers, run);
 console.log(
-  `| least / median / p99 of ${runs} runs | ${columns.map((c) => `${c.machines} machines, ${c.controllers}`).join(' | ')} |`,
+  `| min / median / p99 of ${runs} runs | ${columns.map((c) => `${c.machines} machines, ${c.controllers}`).join(' | ')} |`,
 );
 console.log(`| --- |${columns.map(() => ' --- |').join('')}`);
 for (const name of columns[0]?.row.quantities.keys() ?? [])
--- a/test/measure/ledger.ts
+++ b/test/measure/ledger.ts
@@ -73,6 +73,7 @@
 
 /** File names of the profiles that were read. */
 const readNames = new Set<string>();
+
 /** Waits for `count` new profiles. Returns all that were written since the last call. */
 async function readNewProfiles(count: number): Promise<CpuProfile[]> {
   for (;;) {
@@ -126,20 +127,20 @@
 const grantCount = () => [...state.state.keys.keys()].filter((key) => key.startsWith('a/g/')).length;
 while (grantCount() < machines) await sleep(100);
 await sleep(SETTLE_MS / 4);
-await measurePhase('machines without work', () => sleep(phaseS * 1000));
+await measurePhase('idle machines', () => sleep(phaseS * 1000));
 await measurePhase('services submitted', async () => {
   for (let index = 0; index < machines / MACHINES_PER_SERVICE; index++)
     await submit(`run-s${index}`, { shape: 'service', tasks: REPLICAS_PER_SERVICE, priority: 3, cpus: 1, memory: 1 });
   await sleep(SETTLE_MS);
 });
-await measurePhase('services run, users ask', () => queryStatuses(phaseS, () => submitted));
+await measurePhase('running services, status queries', () => queryStatuses(phaseS, () => submitted));
 const arrayTimer = setInterval(
   () => void submit(`run-a${arrays++}`, { tasks: ARRAY_TASKS, cpus: 0.5, memory: 0.5, priority: 1 }),
   ARRAY_INTERVAL_MS,
 );
 await sleep(SETTLE_MS);
-await measurePhase('arrays too', () => queryStatuses(phaseS, () => submitted.slice(-150)));
-await measurePhase('one controller ends and returns', async () => {
+await measurePhase('services and arrays, status queries', () => queryStatuses(phaseS, () => submitted.slice(-150)));
+await measurePhase('crash and restart of one controller', async () => {
   const crashed = controllers[2] as ControllerProcess;
   if (isProfiled) {
     crashed.signal('SIGUSR2');
--- a/test/measure/loopback.ts
+++ b/test/measure/loopback.ts
@@ -46,7 +46,7 @@
 const from = Date.now();
 while (grantCount() < machines && !controller.ended) await sleep(POLL_INTERVAL_MS);
 console.log(`${grantCount()} machines granted after ${Date.now() - from} ms`);
-await printUsage('no work');
+await printUsage('idle');
 for (let index = 0; index < machines / MACHINES_PER_SERVICE; index++) {
   const service = job(`run-s${index}`, { shape: 'service', tasks: REPLICAS_PER_SERVICE, priority: 3, cpus: 1, memory: 1 });
   await fleet.post(publicAddress, '/v2/runs', submission(service));
