--- a/test/client-responses.test.ts
+++ b/test/client-responses.test.ts
@@ -25,7 +25,7 @@
     assert.equal(cluster.queryStatus('run-once', node), 'done');
     assert.equal(cluster.queryStatus('run-gone', node), 'aborted');
   }
-  assert.equal(cluster.trace.filter((line) => line.includes('user told 201')).length, 2);
+  assert.equal(cluster.trace.filter((line) => line.includes('user received 201')).length, 2);
 });
 
 test('a burst of status queries costs one read, and everybody is answered', () => {
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -38,7 +38,7 @@
   );
 
   const lines = cluster.trace.join('\n');
-  assert.ok(lines.indexOf(`${machine} is given back`) < lines.lastIndexOf('starts run-s'));
+  assert.ok(lines.indexOf(`${machine} is released`) < lines.lastIndexOf('starts run-s'));
   assertGoldenTrace(cluster, 'takeover-with-a-silent-worker');
 });
 
--- a/test/failure-detection.test.ts
+++ b/test/failure-detection.test.ts
@@ -86,7 +86,7 @@
   for (const worker of cluster.workers.filter((candidate) => candidate.dead)) {
     assert.ok(
       west(worker.name) &&
-        lines.indexOf(`${worker.name} kills its tasks: lease over`) < lines.indexOf(`${worker.name} is given back`),
+        lines.indexOf(`${worker.name} kills its tasks: lease expired`) < lines.indexOf(`${worker.name} is released`),
     );
   }
   assertGoldenTrace(cluster, 'zone-cut-from-everything');
@@ -108,7 +108,7 @@
   cluster.isPartitioned = () => false;
   cluster.run(30);
   assert.deepEqual(
-    cluster.trace.filter((line) => /given back|lease over/.test(line)),
+    cluster.trace.filter((line) => /is released|lease expired/.test(line)),
     [],
   );
   assert.equal(cluster.runningTasks('run-k'), 60);
--- a/test/heartbeats.test.ts
+++ b/test/heartbeats.test.ts
@@ -18,7 +18,7 @@
   cluster.run(15);
   const since = cluster.trace.slice(before);
   assert.deepEqual(
-    since.filter((line) => line.includes('kills') || line.includes('given back')),
+    since.filter((line) => line.includes('kills') || line.includes('is released')),
     [],
   );
   assert.equal(cluster.runningTasks('run-z'), 4);
@@ -222,7 +222,7 @@
     90,
   );
   assert.deepEqual(
-    cluster.trace.filter((line) => line.includes('lease over')),
+    cluster.trace.filter((line) => line.includes('lease expired')),
     [],
   );
 });
--- a/test/simulation/cluster.ts
+++ b/test/simulation/cluster.ts
@@ -149,7 +149,7 @@
     if (!worker) return;
     worker.dead = true;
     worker.tasks.clear();
-    this.note(`${name} is given back`);
+    this.note(`${name} is released`);
   }
 
   run(seconds: number): void {
@@ -185,7 +185,7 @@
       status = code;
     });
     this.runUntil(`${spec.id} accepted`, () => status !== 0, 6);
-    this.note(`user told ${status} for ${spec.id}`);
+    this.note(`user received ${status} for ${spec.id}`);
   }
 
   cancel(id: string, at = this.controllers.find((node) => node.up) as SimulatedController): void {
@@ -195,7 +195,7 @@
     });
     this.runUntil(`${id} cancelled`, () => answer !== '', 6);
     this.rules.recordAnswer(id, answer);
-    this.note(`user told ${answer} for ${id}`);
+    this.note(`user received ${answer} for ${id}`);
   }
 
   /** Queries the job as a user. Returns its status, or the status code of an error response. */
--- a/test/simulation/controller.ts
+++ b/test/simulation/controller.ts
@@ -115,13 +115,13 @@
   pause(): void {
     this.isPaused = true;
     this.pausedAt = this.cluster.now;
-    this.cluster.note(`${this.name} stands still`);
+    this.cluster.note(`${this.name} is paused`);
   }
 
   /** Resumes the process. Inputs that arrived during the pause are processed first, oldest first; with `lost` they are lost. */
   resume(lost = false): void {
     this.isPaused = false;
-    this.cluster.note(`${this.name} goes on`);
+    this.cluster.note(`${this.name} resumes`);
     this.controller.processPaused(this.cluster.now - this.pausedAt, this.cluster.now);
     // The controller learns of lost inputs by its own timeouts.
     for (const input of this.backlog.splice(0)) lost ? input.lost() : input.run();
--- a/test/simulation/worker.ts
+++ b/test/simulation/worker.ts
@@ -48,7 +48,7 @@
 
   /** Reboots the machine: its epoch, sequence and fencing token start over, and its tasks are gone. */
   reboot(): void {
-    this.cluster.note(`${this.name} begins again`);
+    this.cluster.note(`${this.name} reboots`);
     this.agentEpoch = 1;
     this.sequence = 0;
     this.fencingToken = 0;
@@ -142,7 +142,7 @@
     if (this.dead || this.hung) return;
     for (const deliver of this.heldCommands.splice(0)) deliver();
     if (now - this.leaseRenewedAt > leaseMs) {
-      if (this.tasks.size > 0) this.cluster.note(`${this.name} kills its tasks: lease over`);
+      if (this.tasks.size > 0) this.cluster.note(`${this.name} kills its tasks: lease expired`);
       this.tasks.clear();
       this.agentEpoch++;
       this.leaseRenewedAt = now;
--- a/test/starved-controller.test.ts
+++ b/test/starved-controller.test.ts
@@ -63,7 +63,7 @@
 }
 
 const released = (cluster: SimulatedCluster) =>
-  cluster.trace.flatMap((line) => /(m\d+) is given back/.exec(line)?.[1] ?? []).sort();
+  cluster.trace.flatMap((line) => /(m\d+) is released/.exec(line)?.[1] ?? []).sort();
 
 const namesOf = (workers: readonly SimulatedWorker[]) => workers.map(({ name }) => name).sort();
 
