--- a/packages/controller/src/heartbeats/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeats/heartbeat-reconciler.ts
@@ -42,8 +42,8 @@
 
   /**
    * Reconciles a heartbeat that the worker sent on its own or, with `positionAtSend`, the status in its response to a command.
-   * `positionAtSend`: the position of the newest heartbeat that was known when the command was sent. A missing task doesn't refute
-   * a start that is in flight: the heartbeat or status may have been created before the start.
+   * `positionAtSend`: the position of the newest heartbeat that was known when the command was sent. A missing task doesn't
+   * refute a start that is in flight: the heartbeat or status may have been created before the start.
    */
   reconcile(machine: Machine, heartbeat: Heartbeat, now: Milliseconds, positionAtSend: HeartbeatPosition | null = null): void {
     this.allocations.advanceTo(now);
@@ -97,7 +97,7 @@
     machine.probeRequested = true;
   }
 
-  /** Takes from the heartbeat of an unverified machine only the epoch that a probe is addressed to, and the probe's priority. */
+  /** Records only what a probe of an unverified machine depends on: the epoch that it is addressed to, and its priority. */
   private recordUnverified({ tenure }: Machine, heartbeat: Heartbeat): void {
     if (heartbeat.agentEpoch > tenure.agentEpoch) tenure.agentEpoch = heartbeat.agentEpoch;
     for (const task of heartbeat.tasks)
--- a/packages/http-api/src/token-bucket.ts
+++ b/packages/http-api/src/token-bucket.ts
@@ -1,23 +1,23 @@
-/** A rate limiter that refuses rather than waits. */
+/** A rate limiter that rejects immediately instead of waiting. */
 
-/** A token bucket that holds one second's worth of tokens, and at least one. A rate of 0 never gives any. */
+/** A token bucket that holds one second's worth of tokens, and at least one. With a rate of 0 it is always empty. */
 export class TokenBucket {
   private tokens: number;
   private refilledAt = 0;
 
-  /** @param clock milliseconds of a monotonic clock */
+  /** @param clock returns milliseconds of a monotonic clock */
   constructor(
-    private readonly perS: number,
+    private readonly tokensPerS: number,
     private readonly clock: () => number,
   ) {
-    this.tokens = perS;
+    this.tokens = tokensPerS;
   }
 
-  /** Takes a token if there is one, and returns whether there was. */
+  /** Takes a token if one is available, and returns whether it did. */
   take(): boolean {
     const now = this.clock();
-    const limit = this.perS > 0 ? Math.max(1, this.perS) : 0;
-    this.tokens = Math.min(limit, this.tokens + ((now - this.refilledAt) / 1000) * this.perS);
+    const limit = this.tokensPerS > 0 ? Math.max(1, this.tokensPerS) : 0;
+    this.tokens = Math.min(limit, this.tokens + ((now - this.refilledAt) / 1000) * this.tokensPerS);
     this.refilledAt = now;
     if (this.tokens < 1) return false;
     this.tokens--;
--- a/packages/worker-client/src/worker-connection-pool.ts
+++ b/packages/worker-client/src/worker-connection-pool.ts
@@ -1,28 +1,28 @@
-/** Connections to workers: one for each, and no more than this process has sockets for. */
+/** Connections to workers: one per worker, up to a maximum number. */
 import { HttpClient } from '@archpost/http-client';
 
 interface WorkerConnection {
   client: HttpClient;
-  /** in milliseconds of the time of day */
-  usedAt: number;
+  /** wall-clock time of the last use, in milliseconds */
+  lastUsedAt: number;
 }
 
-/** Beyond its size the connection that was not used for longest is closed, with the call on it if there is one. */
+/** At its maximum size, the pool closes the least recently used connection for a new one, and ends the call on it, if any. */
 export class WorkerConnectionPool {
   private readonly connections = new Map<string, WorkerConnection>();
 
   constructor(private readonly maxConnections: number) {}
 
-  /** The client of this worker, on a new connection if it has none. */
+  /** Returns the client of a worker. Creates a client with a new connection if there is none. */
   get(address: string): HttpClient {
-    const known = this.connections.get(address);
-    if (known) {
-      known.usedAt = Date.now();
-      return known.client;
+    const existing = this.connections.get(address);
+    if (existing) {
+      existing.lastUsedAt = Date.now();
+      return existing.client;
     }
     if (this.connections.size >= this.maxConnections) this.closeLeastRecentlyUsed();
     const client = new HttpClient(address, 1);
-    this.connections.set(address, { client, usedAt: Date.now() });
+    this.connections.set(address, { client, lastUsedAt: Date.now() });
     return client;
   }
 
@@ -34,11 +34,11 @@
 
   private closeLeastRecentlyUsed(): void {
     let oldestAddress: string | null = null;
-    let oldestUse = Number.POSITIVE_INFINITY;
-    for (const [address, { usedAt }] of this.connections) {
-      if (usedAt >= oldestUse) continue;
+    let oldestUsedAt = Number.POSITIVE_INFINITY;
+    for (const [address, { lastUsedAt }] of this.connections) {
+      if (lastUsedAt >= oldestUsedAt) continue;
       oldestAddress = address;
-      oldestUse = usedAt;
+      oldestUsedAt = lastUsedAt;
     }
     if (oldestAddress === null) return;
     this.connections.get(oldestAddress)?.client.close();
--- a/test/loopback/worker-fleet.ts
+++ b/test/loopback/worker-fleet.ts
@@ -1,21 +1,21 @@
-/** Workers on loopback, each with an address of its own (127.x.y.z): they send heartbeats, and carry out commands. */
+/** Workers on loopback, each with its own address (127.x.y.z), that send heartbeats and execute commands. */
 import http from 'node:http';
 import net from 'node:net';
 import { pack, unpackMap } from '@archpost/protocol';
 import type { ListedMachine } from './cloud-server.js';
-import { type LoopbackAnswer, type LoopbackRequest, serverFor } from './http.js';
+import { createServer, type LoopbackRequest, type LoopbackResponse } from './http.js';
 
 const NEXT_CONTROLLER_DELAY_MS = 1000;
 const CHANGE_HEARTBEAT_DELAY_MS = 500;
 
-/** A command, as it is on the wire. */
+/** A command in wire format. */
 interface Order {
   verb: 'run' | 'stop' | 'clear';
   piece: string;
   try: number;
 }
 
-/** A task, as it is on the wire. */
+/** A task in wire format. */
 interface Task {
   piece: string;
   try: number;
@@ -23,25 +23,25 @@
   cause?: string;
 }
 
-/** One worker. Its tasks run until they are stopped, or for as long as the fleet says. */
+/** One worker. A task runs until it is stopped or the fleet's `runMs` for it has elapsed. */
 export class LoopbackWorker {
   readonly tasks = new Map<string, Task>();
   private fencingToken = 0;
   private sequence = 0;
-  /** index of the controller to which heartbeats go */
-  private target = 0;
+  /** index of the controller that receives the heartbeats */
+  private controllerIndex = 0;
   private timer: NodeJS.Timeout | null = null;
   private isStopped = false;
-  /** its own connection, as a worker has one */
+  /** its own single connection, as a real worker has */
   private readonly agent = new http.Agent({ keepAlive: true, maxSockets: 1 });
-  /** heartbeats that were answered 200 */
-  answered = 0;
-  /** it answers nothing and sends nothing, as a machine without power */
+  /** number of heartbeats with response status 200 */
+  acceptedHeartbeats = 0;
+  /** whether the worker neither responds nor sends, like a machine without power */
   private isDead = false;
-  /** when the last heartbeat that was answered 200 was sent */
-  renewedAt = 0;
-  /** the longest time between the sending of two heartbeats that were answered 200, one after the other */
-  longestUnrenewedMs = 0;
+  /** send time of the last heartbeat with response status 200 */
+  leaseRenewedAt = 0;
+  /** longest time between the send times of two consecutive heartbeats with response status 200 */
+  longestRenewalGapMs = 0;
 
   constructor(
     readonly machine: ListedMachine,
@@ -58,7 +58,7 @@
     this.agent.destroy();
   }
 
-  /** Ends without a word: connections to it stay open, and nothing is answered. */
+  /** Simulates a loss of power: connections to the worker stay open, but it no longer responds. */
   die(): void {
     this.isDead = true;
     this.stop();
@@ -66,12 +66,12 @@
 
   private schedule(ms: number): void {
     if (this.timer) clearTimeout(this.timer);
-    // A heartbeat that was under way at the end must not be followed by another.
+    // The response to a heartbeat that was in flight at `stop` must not schedule another one.
     if (this.isStopped) return;
     this.timer = setTimeout(() => void this.sendHeartbeat(), ms);
   }
 
-  private heartbeat(): Record<string, unknown> {
+  private nextHeartbeat(): Record<string, unknown> {
     const { name, address, type, zone } = this.machine;
     const pieces = [...this.tasks.values()];
     const numbers = { shift: 1, tally: ++this.sequence, baton: this.fencingToken };
@@ -82,48 +82,49 @@
     const { controllers } = this.fleet;
     const sentAt = Date.now();
     const answer = await this.fleet.post(
-      controllers[this.target % controllers.length] as string,
+      controllers[this.controllerIndex % controllers.length] as string,
       '/checkin',
-      this.heartbeat(),
+      this.nextHeartbeat(),
       this.agent,
     );
     const redirectIndex = typeof answer?.body.home === 'string' ? this.fleet.names.indexOf(answer.body.home) : -1;
     if (answer?.status === 200) {
-      this.answered++;
+      this.acceptedHeartbeats++;
       this.recordRenewal(sentAt);
-      this.obey(answer.body);
+      this.acceptCommands(answer.body);
       this.schedule(this.fleet.reportMs * (0.75 + 0.5 * Math.random()));
-    } else if (answer?.status === 421 && redirectIndex >= 0 && redirectIndex !== this.target % controllers.length) {
-      this.target = redirectIndex;
+    } else if (answer?.status === 421 && redirectIndex >= 0 && redirectIndex !== this.controllerIndex % controllers.length) {
+      this.controllerIndex = redirectIndex;
       this.schedule(Math.random() * CHANGE_HEARTBEAT_DELAY_MS);
     } else {
-      this.target++;
+      this.controllerIndex++;
       this.schedule(NEXT_CONTROLLER_DELAY_MS);
     }
   }
 
   private recordRenewal(sentAt: number): void {
-    if (this.renewedAt > 0) this.longestUnrenewedMs = Math.max(this.longestUnrenewedMs, sentAt - this.renewedAt);
-    this.renewedAt = sentAt;
+    if (this.leaseRenewedAt > 0) this.longestRenewalGapMs = Math.max(this.longestRenewalGapMs, sentAt - this.leaseRenewedAt);
+    this.leaseRenewedAt = sentAt;
   }
 
-  private obey(body: Record<string, unknown>): boolean {
+  /** Executes the commands unless their fencing token is stale. Returns false if it is. */
+  private acceptCommands(body: Record<string, unknown>): boolean {
     const fencingToken = Number(body.baton ?? 0);
     if (fencingToken < this.fencingToken) return false;
     this.fencingToken = fencingToken;
-    for (const order of (body.orders ?? []) as Order[]) this.carryOut(order);
+    for (const order of (body.orders ?? []) as Order[]) this.executeCommand(order);
     return true;
   }
 
-  private carryOut({ verb, piece, try: attempt }: Order): void {
+  private executeCommand({ verb, piece, try: attempt }: Order): void {
     const key = `${piece}/${attempt}`;
     const task = this.tasks.get(key);
-    if (verb === 'run' && !task) this.run(key, { piece, try: attempt, status: 'running' });
+    if (verb === 'run' && !task) this.startTask(key, { piece, try: attempt, status: 'running' });
     if (verb === 'stop' && task) Object.assign(task, { status: 'ended', cause: 'stopped' });
     if (verb === 'clear' && task?.status === 'ended') this.tasks.delete(key);
   }
 
-  private run(key: string, task: Task): void {
+  private startTask(key: string, task: Task): void {
     this.tasks.set(key, task);
     const runMs = this.fleet.runMs(task.piece);
     if (!Number.isFinite(runMs)) return;
@@ -134,55 +135,55 @@
     }, runMs);
   }
 
-  /** Responds to direct commands, or to a probe. */
-  handle({ path, body }: LoopbackRequest): LoopbackAnswer | Promise<LoopbackAnswer> {
+  /** Responds to direct commands and probes. */
+  handle({ path, body }: LoopbackRequest): LoopbackResponse | Promise<LoopbackResponse> {
     if (this.isDead) return new Promise(() => {});
-    if (path === '/show') return { status: 200, body: this.heartbeat() };
-    const isCurrent = Number(body.shift) === 1 && this.obey(body);
+    if (path === '/show') return { status: 200, body: this.nextHeartbeat() };
+    const isCurrent = Number(body.shift) === 1 && this.acceptCommands(body);
     if (isCurrent && (body.orders as Order[]).length > 0) this.schedule(CHANGE_HEARTBEAT_DELAY_MS);
-    return { status: isCurrent ? 200 : 409, body: this.heartbeat() };
+    return { status: isCurrent ? 200 : 409, body: this.nextHeartbeat() };
   }
 }
 
-/** What became of requests to controllers. */
+/** Outcomes of the POST requests to controllers. */
 export interface RequestCounts {
   sent: number;
-  /** answers by their status */
+  /** number of responses by status code */
   readonly byStatus: Map<number, number>;
-  /** no answer within the time that a worker waits */
+  /** requests without a response within the timeout of a worker */
   timedOut: number;
-  /** no connection, or it was closed before the answer */
+  /** requests whose connection failed or was closed before the response */
   connectionFailed: number;
 }
 
-/** Many workers that share one HTTP server, and an HTTP client of a user. */
+/** Many workers that share one HTTP server, and an HTTP client for user requests. */
 export class WorkerFleet {
-  /** how long a task runs, by its name */
+  /** run time of a task, by its name */
   runMs: (task: string) => number = () => Number.POSITIVE_INFINITY;
   readonly workers: LoopbackWorker[] = [];
-  /** of the POST requests so far */
+  /** counts of the POST requests so far */
   readonly counts: RequestCounts = { sent: 0, byStatus: new Map(), timedOut: 0, connectionFailed: 0 };
   private readonly byAddress = new Map<string, LoopbackWorker>();
   private readonly listeners: net.Server[] = [];
   private readonly agent = new http.Agent({ keepAlive: true });
-  private readonly server = serverFor((request) => {
+  private readonly server = createServer((request) => {
     const worker = this.byAddress.get(request.to);
     return worker ? worker.handle(request) : { status: 404, body: {} };
   });
 
-  /** The controllers' names and public addresses, in the same order. */
+  /** `names` and `controllers`: the controllers' names and public addresses, in the same order */
   constructor(
     readonly names: string[],
     readonly controllers: string[],
     readonly reportMs = 2000,
   ) {}
 
-  /** Adds workers until there are `count`, in the zones by turns; or only the given one of so many parts of them. */
+  /** Adds `count` workers that alternate between the zones, or only those of the given part if they are split into `parts`. */
   async add(count: number, zones: string[], part = 0, parts = 1): Promise<void> {
-    for (let index = this.workers.length, known = 0; known < count; index++) {
+    for (let index = this.workers.length, counted = 0; counted < count; index++) {
       const host = `127.${1 + (index >> 16)}.${(index >> 8) & 255}.${index & 255}`;
       if (host.endsWith('.0') || host.endsWith('.255')) continue;
-      if (known++ % parts !== part) continue;
+      if (counted++ % parts !== part) continue;
       const listener = net.createServer((socket) => this.server.emit('connection', socket));
       const port = await new Promise<number>((resolve, reject) => {
         listener.once('error', reject);
@@ -208,7 +209,7 @@
     this.agent.destroy();
   }
 
-  /** Sends a GET request, as a user does. Returns the status code; null: no response came. */
+  /** Sends a GET request as a user. Returns the status code; null: there was no response. */
   get(address: string, path: string): Promise<number | null> {
     const [host, port] = address.split(':') as [string, string];
     return new Promise((resolve) => {
@@ -221,7 +222,7 @@
     });
   }
 
-  /** Sends a POST request. Returns its response; null: none came. */
+  /** Sends a POST request. Returns the response; null: there was none. */
   post(
     address: string,
     path: string,
--- a/test/measure/starvation.ts
+++ b/test/measure/starvation.ts
@@ -1,9 +1,9 @@
-// What one real controller does to healthy machines while it, its workers or its state service are short of processor. Each
-// side is a process of its own, and one of them is stopped and continued by signals:
+// Measures how many healthy machines one real controller releases while the controller, its workers or its state service are
+// starved of processor time. Each side is a separate process; one side is repeatedly stopped and continued by signals:
 //
 //     node tools/measure.mjs starvation SIDE STOPPED_MS PERIOD_MS [MACHINES] [REPORT_S] [SECONDS] [SOCKETS] [DEAD]
 //
-// SIDE: controller, workers, both, state or none. DEAD: machines that die after a third of the time.
+// SIDE: controller, workers, both, state or none. DEAD: number of machines that die after a third of the time.
 
 import { type ChildProcess, fork } from 'node:child_process';
 import { CloudServer, type ListedMachine } from '../loopback/cloud-server.js';
@@ -11,25 +11,25 @@
 import { StateServer } from '../loopback/state-server.js';
 import { WorkerFleet } from '../loopback/worker-fleet.js';
 
-/** First arguments of the processes that this one starts. */
+/** First arguments of the child processes. */
 const WORKERS_ROLE = 'role-workers';
 const STATE_ROLE = 'role-state';
 
 const WORKER_PROCESSES = 4;
 const ZONES = ['east', 'west'];
 const LEASE_MS = 12_000;
-const POLL_MS = 100;
+const POLL_INTERVAL_MS = 100;
 
-/** Nothing is disturbed at first, so that the start of the fleet is not what is measured. */
-const UNDISTURBED_MS = 15_000;
+/** Time without disturbance at first, so that the start of the fleet is not measured. */
+const WARM_UP_MS = 15_000;
 
-/** What is under way at the end has this long. */
+/** Time after the disturbance in which pending requests end. */
 const SETTLE_MS = 1000;
 
-/** Releases of healthy machines that are printed with what they rested on. */
+/** Maximum number of releases of healthy machines that are printed with their evidence. */
 const MAX_EVIDENCE = 12;
 
-/** What is played. */
+/** The parameters of a run. */
 interface Run {
   side: string;
   stoppedMs: number;
@@ -41,7 +41,7 @@
   dead: number;
 }
 
-/** The arguments of a process of workers: which part of all workers it has. */
+/** The options of a worker process, which runs one part of all workers. */
 interface WorkersPart {
   machines: number;
   part: number;
@@ -49,14 +49,14 @@
   controller: string;
 }
 
-/** What a process of workers says when it is asked. */
+/** The summary that a worker process reports on request. */
 interface WorkersSummary {
   sent: number;
   timedOut: number;
   connectionFailed: number;
   byStatus: [number, number][];
-  /** workers whose lease ran out between two answers */
-  leasesOver: number;
+  /** number of workers whose lease expired between two renewals */
+  expiredLeases: number;
 }
 
 type ToWorkers = { type: 'start' } | { type: 'die'; count: number } | { type: 'summary' };
@@ -65,7 +65,7 @@
   | { type: 'dead'; names: string[] }
   | { type: 'summary'; summary: WorkersSummary };
 
-/** All processes of a run. */
+/** The processes and services of a run. */
 interface Processes {
   controller: ControllerProcess;
   workers: ChildProcess[];
@@ -73,13 +73,13 @@
   cloud: CloudServer;
 }
 
-/** What was seen while a side was disturbed. */
+/** Observations made while a side was disturbed. */
 interface Observation {
-  /** when the machines died; null: none did */
+  /** when the machines died; null: none died */
   diedAt: number | null;
   deadNames: ReadonlySet<string>;
-  /** when each machine's release was seen */
-  returnedAt: ReadonlyMap<string, number>;
+  /** when the release of each machine was observed */
+  releasedAt: ReadonlyMap<string, number>;
   processorMs: number;
 }
 
@@ -87,11 +87,11 @@
 
 function summaryOf(fleet: WorkerFleet): WorkersSummary {
   const { sent, timedOut, connectionFailed, byStatus } = fleet.counts;
-  const leasesOver = fleet.workers.filter(({ longestUnrenewedMs }) => longestUnrenewedMs > LEASE_MS).length;
-  return { sent, timedOut, connectionFailed, byStatus: [...byStatus], leasesOver };
+  const expiredLeases = fleet.workers.filter(({ longestRenewalGapMs }) => longestRenewalGapMs > LEASE_MS).length;
+  return { sent, timedOut, connectionFailed, byStatus: [...byStatus], expiredLeases };
 }
 
-/** A process of workers. */
+/** Runs a worker process. */
 async function runWorkers({ machines, part, reportS, controller }: WorkersPart): Promise<void> {
   const fleet = new WorkerFleet(['n0'], [controller], reportS * 1000);
   await fleet.add(machines, ZONES, part, WORKER_PROCESSES);
@@ -108,7 +108,7 @@
   });
 }
 
-/** The state service, in a process of its own. */
+/** Runs the state service as a separate process. */
 async function runState(): Promise<void> {
   const state = new StateServer();
   process.send?.(await state.listen());
@@ -118,7 +118,7 @@
   return fork(process.argv[1] as string, [role, JSON.stringify(options)], { stdio: 'inherit' });
 }
 
-/** The next message of this type from the process. */
+/** Returns the next message of this type from the process. */
 function messageOf<Type extends FromWorkers['type']>(
   child: ChildProcess,
   type: Type,
@@ -139,7 +139,7 @@
   return { side: side ?? 'controller', stoppedMs, periodMs, machines, reportS, seconds, sockets: sockets ?? enoughSockets, dead };
 }
 
-/** Starts everything, and waits until the controller is up. */
+/** Starts all processes, waits until the controller is ready and starts the heartbeats. */
 async function startAll({ machines, reportS, sockets }: Run): Promise<Processes> {
   const publicAddress = await freeAddress();
   const state = forkRole(STATE_ROLE, {});
@@ -169,7 +169,7 @@
     for (const child of [...workers, state]) child.kill('SIGKILL');
     controller.stop();
   });
-  while (!(await controller.isUp())) await sleep(POLL_MS);
+  while (!(await controller.isUp())) await sleep(POLL_INTERVAL_MS);
   for (const child of workers) child.send({ type: 'start' } satisfies ToWorkers);
   return { controller, workers, state, cloud };
 }
@@ -180,7 +180,7 @@
   if (side === 'state') state.kill(signal);
 }
 
-/** Has machines of the first process die. Returns their names. */
+/** Kills machines of the first worker process. Returns their names. */
 async function killMachines({ workers }: Processes, count: number): Promise<string[]> {
   const child = workers[0] as ChildProcess;
   const answer = messageOf(child, 'dead');
@@ -188,10 +188,10 @@
   return (await answer).names;
 }
 
-/** Stops and continues the side, period by period, until the time is over. */
+/** Stops and continues the side once per period until the end of the run. */
 async function disturb(run: Run, processes: Processes): Promise<Observation> {
   const { controller, cloud } = processes;
-  const returnedAt = new Map<string, number>();
+  const releasedAt = new Map<string, number>();
   const deadNames = new Set<string>();
   let diedAt: number | null = null;
   const from = Date.now();
@@ -205,12 +205,12 @@
     await sleep(run.stoppedMs);
     signalSide(run.side, processes, 'SIGCONT');
     await sleep(Math.max(0, run.periodMs - run.stoppedMs));
-    for (const name of cloud.returned) if (!returnedAt.has(name)) returnedAt.set(name, Date.now());
+    for (const name of cloud.releasedMachines) if (!releasedAt.has(name)) releasedAt.set(name, Date.now());
   }
-  return { diedAt, deadNames, returnedAt, processorMs: controller.processorMs() - processorBefore };
+  return { diedAt, deadNames, releasedAt, processorMs: controller.processorMs() - processorBefore };
 }
 
-/** What all workers saw. */
+/** Sums the summaries of all workers. */
 async function workersFigures({ workers }: Processes): Promise<Record<string, unknown>> {
   const summaries = await Promise.all(
     workers.map(async (child) => {
@@ -227,16 +227,16 @@
     answers,
     noAnswerIn4S: total(({ timedOut }) => timedOut),
     connectionFailed: total(({ connectionFailed }) => connectionFailed),
-    workersWhoseLeaseRanOut: total(({ leasesOver }) => leasesOver),
+    workersWhoseLeaseRanOut: total(({ expiredLeases }) => expiredLeases),
   };
 }
 
-/** What the controller did, by its log. */
+/** Figures of the controller, taken from its log. */
 function controllerFigures({ log, ended }: ControllerProcess, deadNames: ReadonlySet<string>): Record<string, unknown> {
   const releases: Record<string, number> = {};
-  const ofHealthy = log.filter(({ msg, machine }) => msg === 'releasing machine' && !deadNames.has(String(machine)));
-  for (const { reason } of ofHealthy) releases[String(reason)] = (releases[String(reason)] ?? 0) + 1;
-  const evidence = ofHealthy.map(({ contactAgeS, readableS, unanswered }) => ({ contactAgeS, readableS, unanswered }));
+  const healthyReleases = log.filter(({ msg, machine }) => msg === 'releasing machine' && !deadNames.has(String(machine)));
+  for (const { reason } of healthyReleases) releases[String(reason)] = (releases[String(reason)] ?? 0) + 1;
+  const evidence = healthyReleases.map(({ contactAgeS, readableS, unanswered }) => ({ contactAgeS, readableS, unanswered }));
   const heartbeatsReceived = log
     .filter(({ msg }) => msg === 'process')
     .reduce((sum, { heartbeats }) => sum + Number(heartbeats), 0);
@@ -244,25 +244,25 @@
   return { ended, releases, evidence: evidence.slice(0, MAX_EVIDENCE), heartbeatsReceived, pausesLogged };
 }
 
-/** How long dead machines stayed: the shortest, the median and the longest time. */
-function deadFigures({ deadNames, returnedAt, diedAt }: Observation): Record<string, unknown> {
+/** Minimum, median and maximum time from the death of a machine to its release. */
+function deadFigures({ deadNames, releasedAt, diedAt }: Observation): Record<string, unknown> {
   const delays = [...deadNames]
-    .flatMap((name) => returnedAt.get(name) ?? [])
+    .flatMap((name) => releasedAt.get(name) ?? [])
     .map((at) => at - (diedAt ?? at))
     .sort((a, b) => a - b);
   const deadReleaseMs = [delays[0], delays[Math.floor(delays.length / 2)], delays.at(-1)];
   return { deadReleased: delays.length, deadReleaseMs };
 }
 
-async function play(run: Run): Promise<void> {
+async function measureRun(run: Run): Promise<void> {
   const processes = await startAll(run);
-  await sleep(UNDISTURBED_MS);
+  await sleep(WARM_UP_MS);
   const observation = await disturb(run, processes);
   await sleep(SETTLE_MS);
   const { controller, cloud } = processes;
   const figures = {
     ...run,
-    healthyReleased: [...cloud.returned].filter((name) => !observation.deadNames.has(name)).length,
+    healthyReleased: [...cloud.releasedMachines].filter((name) => !observation.deadNames.has(name)).length,
     ...controllerFigures(controller, observation.deadNames),
     ...deadFigures(observation),
     ...(await workersFigures(processes)),
@@ -275,4 +275,4 @@
 const [role, options] = process.argv.slice(2);
 if (role === WORKERS_ROLE) await runWorkers(JSON.parse(options ?? '{}') as WorkersPart);
 else if (role === STATE_ROLE) await runState();
-else await play(parseRun(process.argv.slice(2)));
+else await measureRun(parseRun(process.argv.slice(2)));
--- a/test/resource-cleanup.test.ts
+++ b/test/resource-cleanup.test.ts
@@ -11,7 +11,7 @@
 import { ServiceLog } from '../packages/server/src/service-log.js';
 import { CloudServer } from './loopback/cloud-server.js';
 import { freeAddress } from './loopback/controller-process.js';
-import { listen, serverFor } from './loopback/http.js';
+import { createServer, listen } from './loopback/http.js';
 import { StateServer } from './loopback/state-server.js';
 import { STATUS, settings } from './simulation/fixtures.js';
 
@@ -51,7 +51,7 @@
 /** A state service that refuses all requests, and records their paths. */
 async function refusingStateService(context: TestContext): Promise<{ address: string; paths: string[] }> {
   const paths: string[] = [];
-  const server = serverFor(({ path }) => {
+  const server = createServer(({ path }) => {
     paths.push(path);
     return { status: 503, body: {} };
   });
@@ -120,7 +120,7 @@
   const server = await api.listen('127.0.0.1', 0);
   const { port } = server.address() as net.AddressInfo;
   const heartbeatStart = `POST ${PATHS.heartbeat} HTTP/1.1\r\nHost: c\r\nContent-Length: 9\r\n\r\n`;
-  const queries = [`GET ${PATHS.jobs}/run-000001 HTTP/1.1\r\nHost: c\r\n\r\n`, `GET ${PATHS.up} HTTP/1.1\r\nHost: c\r\n\r\n`];
+  const queries = [`GET ${PATHS.jobs}/run-000001 HTTP/1.1\r\nHost: c\r\n\r\n`, `GET ${PATHS.health} HTTP/1.1\r\nHost: c\r\n\r\n`];
   const starts = ['', 'GET', heartbeatStart, ...queries];
   let responses = 0;
   const clients = starts.map((start) => {
--- a/test/scenarios/limit-scenarios.ts
+++ b/test/scenarios/limit-scenarios.ts
@@ -1,9 +1,9 @@
-/** Clusters of which the state service has announced lower limits. */
+/** Clusters whose state service has announced lower limits. */
 
 import type { ControllerSettings } from '@archpost/controller';
 import { SimulatedCluster } from '../simulation/index.js';
 
-/** The limits that are announced. */
+/** The announced limits. */
 export const ANNOUNCED_LIMITS = { valueKib: 2, writesPerTransaction: 4, writesPerS: 45 };
 
 /** Settings of a controller that knows the announced limits. */
@@ -16,7 +16,7 @@
 /** A settled cluster of small machines whose controllers know the announced limits. */
 export function clusterWithAnnouncedLimits(machines: number): SimulatedCluster {
   const cluster = new SimulatedCluster(undefined, withAnnouncedLimits);
-  for (let index = 0; index < machines; index++) cluster.machine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
+  for (let index = 0; index < machines; index++) cluster.addMachine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.runUntilSettled();
   return cluster;
 }
--- a/test/simulation-rules.test.ts
+++ b/test/simulation-rules.test.ts
@@ -8,13 +8,13 @@
 const PLANTED: { rule: RegExp; plant: (cluster: SimulatedCluster, worker: SimulatedWorker) => void }[] = [
   {
     rule: /too_early: run-b\/0 starts before run-a is done/,
-    plant: (_cluster, worker) => worker.obey([{ type: 'start', job: 'run-b', index: 0, attempt: 1 }]),
+    plant: (_cluster, worker) => worker.executeCommands([{ type: 'start', job: 'run-b', index: 0, attempt: 1 }]),
   },
   {
     rule: /ran_cancelled: run-b on m0/,
     plant: (cluster, worker) => {
       cluster.finished.add('run-a/0');
-      worker.obey([{ type: 'start', job: 'run-b', index: 0, attempt: 1 }]);
+      worker.executeCommands([{ type: 'start', job: 'run-b', index: 0, attempt: 1 }]);
       cluster.finished.clear();
       cluster.rules.recordAnswer('run-a', 'aborted');
       worker.hung = true;
@@ -26,11 +26,11 @@
     plant: (cluster, worker) => {
       cluster.rules.recordAnswer('run-a', 'aborted');
       cluster.run(37);
-      worker.obey([{ type: 'start', job: 'run-a', index: 0, attempt: 1 }]);
+      worker.executeCommands([{ type: 'start', job: 'run-a', index: 0, attempt: 1 }]);
     },
   },
   {
-    rule: /orphaned: run-b is called queued/,
+    rule: /orphaned: run-b is reported queued/,
     plant: (cluster) => {
       cluster.rules.recordAnswer('run-a', 'aborted');
       cluster.run(37);
@@ -38,9 +38,9 @@
     },
   },
   {
-    rule: /orphaned: run-a\/0 runs on, it was told done/,
+    rule: /orphaned: run-a\/0 still runs, but its job was reported done/,
     plant: (cluster, worker) => {
-      worker.obey([{ type: 'start', job: 'run-a', index: 0, attempt: 1 }]);
+      worker.executeCommands([{ type: 'start', job: 'run-a', index: 0, attempt: 1 }]);
       cluster.rules.recordAnswer('run-a', 'done');
       worker.hung = true;
       cluster.run(37);
--- a/test/simulation/large-fleet.ts
+++ b/test/simulation/large-fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Thousands of machines, at the ratios of the users' larger sites: steps of a day that any number of controllers can be
- * put through. Every rule that can be seen from workers and users is checked at each step of simulated time.
+ * Operational scenarios for thousands of machines and any number of controllers, at the ratios of the users' larger sites.
+ * Every rule that is observable from workers and users is checked at each step of simulated time.
  */
 import assert from 'node:assert/strict';
 import type { ControllerSettings } from '@archpost/controller';
@@ -9,23 +9,23 @@
 
 const TEAMS = ['red', 'blue', 'green', 'pink', 'gold', 'grey', 'teal'];
 
-/** For each machine: changes and requests of the state service a second, sockets, shares of a core for all controllers. */
+/** For each machine: writes and requests to the state service per second, sockets, and cores of all controllers together. */
 const WRITES_PER_MACHINE = 0.2;
 const REQUESTS_PER_MACHINE = 0.5;
 const SOCKETS_PER_MACHINE = 2;
 const CORES_PER_MACHINE = 0.0048;
 
-/** One in so many machines has accelerators; one in so many services' replicas stands on each machine. */
-const ACCELERATED_EACH = 15;
-const REPLICAS = 4;
+/** One in this many machines has GPUs; the numbers of replicas per service and of machines per service. */
+const MACHINES_PER_GPU_MACHINE = 15;
+const REPLICAS_PER_SERVICE = 4;
 const MACHINES_PER_SERVICE = 3;
 
-/** Submissions that users make in a tenth of a second. */
+/** Submissions per simulation step of 0.1 s. */
 const SUBMISSIONS_PER_STEP = 20;
 
 const CONTROLLER_DOWN_S = 3;
 
-const DISPLAY_LAG_S = 5;
+const STATUS_PROPAGATION_S = 5;
 
 /** The size of the fleet, and the version that its controllers run. */
 export interface LargeFleetOptions {
@@ -34,12 +34,12 @@
   version?: ControllerVersion;
 }
 
-/** The cluster, its services, and what may be done to it. */
+/** A large cluster with its services, and the scenarios that it can be put through. */
 export class LargeFleet {
   readonly cluster: SimulatedCluster;
   private readonly services: string[] = [];
-  /** workers that were killed or cut for good: they may be given back */
-  private readonly lost = new Set<string>();
+  /** names of the workers that the scenario killed: their machines may be released */
+  private readonly lostNames = new Set<string>();
 
   constructor(private readonly options: LargeFleetOptions) {
     const names = Array.from({ length: options.controllers }, (_, index) => `n${index}`);
@@ -47,9 +47,9 @@
     if (options.version) for (const node of this.cluster.controllers) node.version = options.version;
     if (options.version) for (const node of this.cluster.controllers) node.restart();
     for (let index = 0; index < options.machines; index++)
-      this.cluster.machine(
+      this.cluster.addMachine(
         `m${100_000 + index}`,
-        index % ACCELERATED_EACH === 0 ? 'big' : 'small',
+        index % MACHINES_PER_GPU_MACHINE === 0 ? 'big' : 'small',
         index % 2 === 0 ? 'east' : 'west',
       );
   }
@@ -71,28 +71,28 @@
     };
   }
 
-  private get alive(): SimulatedWorker[] {
+  private get liveWorkers(): SimulatedWorker[] {
     return this.cluster.workers.filter((worker) => !worker.dead);
   }
 
-  /** Machines that have answered whoever holds their shard. */
-  answering(): number {
-    return this.alive.filter((worker) => this.cluster.controllers.some((node) => answers(node, worker))).length;
+  /** Number of live machines that the lease holder of their shard has verified. */
+  verifiedCount(): number {
+    return this.liveWorkers.filter((worker) => this.cluster.controllers.some((node) => isVerifiedByHolder(node, worker))).length;
   }
 
-  /** Nothing is assigned at first. Returns the seconds until all machines are, and have answered. */
+  /** Runs from an empty state service until all machines are assigned and verified. Returns the seconds that this takes. */
   firstStart(): number {
-    return this.untilAllAnswer('the first start', 60 + this.options.machines / 20);
+    return this.runUntilAllVerified('the first start', 60 + this.options.machines / 20);
   }
 
-  private untilAllAnswer(what: string, seconds: number): number {
+  private runUntilAllVerified(what: string, seconds: number): number {
     const { cluster } = this;
     const from = cluster.now;
-    cluster.runUntil(`${what}: all machines answer`, () => this.answering() === this.alive.length, seconds);
+    cluster.runUntil(`${what}: all machines answer`, () => this.verifiedCount() === this.liveWorkers.length, seconds);
     return (cluster.now - from) / 1000;
   }
 
-  /** Services on most machines, submitted at all controllers. Returns the seconds until all replicas run. */
+  /** Submits the services, round robin at all controllers. Returns the seconds until all replicas run. */
   startServices(): number {
     const { cluster } = this;
     const from = cluster.now;
@@ -104,7 +104,7 @@
         job(id, {
           team: TEAMS[index % TEAMS.length],
           shape: 'service',
-          tasks: REPLICAS,
+          tasks: REPLICAS_PER_SERVICE,
           priority: 3,
           jobClass: 'serve',
           spread: true,
@@ -113,7 +113,7 @@
       );
       if (index % SUBMISSIONS_PER_STEP === SUBMISSIONS_PER_STEP - 1) cluster.run(0.1);
     }
-    this.untilServicesRun('all replicas run', 120);
+    this.runUntilServicesRun('all replicas run', 120);
     return (cluster.now - from) / 1000;
   }
 
@@ -122,23 +122,23 @@
     const up = cluster.controllers.filter((node) => node.up);
     cluster.specs.set(spec.id, spec);
     (up[at % up.length] as SimulatedController).submit(spec, (status) => {
-      if (status !== 201 && status !== 200) cluster.at(cluster.now + 1000, () => this.submit(spec, at + 1));
+      if (status !== 201 && status !== 200) cluster.runAt(cluster.now + 1000, () => this.submit(spec, at + 1));
     });
   }
 
-  /** Tasks of services that run. */
-  replicas(): number {
+  /** Number of running service tasks. */
+  runningReplicaCount(): number {
     let count = 0;
-    for (const worker of this.alive)
+    for (const worker of this.liveWorkers)
       for (const task of worker.tasks.values()) if (task.state === 'running' && task.job.startsWith('run-s')) count++;
     return count;
   }
 
-  untilServicesRun(what: string, seconds: number): void {
-    this.cluster.runUntil(what, () => this.replicas() === this.services.length * REPLICAS, seconds);
+  runUntilServicesRun(what: string, seconds: number): void {
+    this.cluster.runUntil(what, () => this.runningReplicaCount() === this.services.length * REPLICAS_PER_SERVICE, seconds);
   }
 
-  /** One controller ends and is back. Returns the seconds until the last machine has answered. */
+  /** Crashes and restarts one controller. Returns the seconds from the crash until all machines are verified. */
   crashOne(index: number): number {
     const { cluster } = this;
     const node = cluster.controllers[index] as SimulatedController;
@@ -147,64 +147,64 @@
     cluster.run(CONTROLLER_DOWN_S);
     node.restart();
     cluster.run(0.1);
-    this.untilAllAnswer('a crash', 90);
+    this.runUntilAllVerified('a crash', 90);
     return (cluster.now - from) / 1000;
   }
 
-  /** All end at once and are back. Returns the seconds from their return until the last machine has answered. */
+  /** Crashes and restarts all controllers at once. Returns the seconds from the restart until all machines are verified. */
   crashAll(): number {
     const { cluster } = this;
     for (const node of cluster.controllers) node.crash();
     cluster.run(CONTROLLER_DOWN_S);
     for (const node of cluster.controllers) node.restart();
     cluster.run(0.1);
-    return this.untilAllAnswer('a crash of all', 120);
+    return this.runUntilAllVerified('a crash of all', 120);
   }
 
-  /** Every third machine stops at once. Returns the seconds until they are assigned no more. */
-  loseThird(): number {
+  /** Kills every third machine at once. Returns the seconds until none of them is assigned. */
+  killThird(): number {
     const { cluster } = this;
     const from = cluster.now;
-    const lostWorkers = this.alive.filter((_worker, index) => index % 3 === 1);
+    const lostWorkers = this.liveWorkers.filter((_worker, index) => index % 3 === 1);
     for (const worker of lostWorkers) {
-      this.lost.add(worker.name);
+      this.lostNames.add(worker.name);
       worker.dead = true;
       worker.tasks.clear();
     }
     const isAnyAssigned = () =>
       cluster.controllers.some((node) => lostWorkers.some((worker) => node.controller.clusterState.machines.has(worker.name)));
-    cluster.runUntil('what was lost is assigned no more', () => !isAnyAssigned(), 120);
+    cluster.runUntil('no lost machine is assigned', () => !isAnyAssigned(), 120);
     return (cluster.now - from) / 1000;
   }
 
   /**
-   * Arrays are cancelled by the hundred while the leader ends. Returns the seconds from the first request until the
-   * last task is gone; the rules say how late each may be.
+   * Cancels many arrays while the leader crashes. Returns the seconds from the first request until the last task is gone.
+   * The rule checker enforces the time limit of each cancellation.
    */
-  cancelWhileTheLeaderEnds(arrays: number): number {
+  cancelDuringLeaderCrash(arrays: number): number {
     const { cluster } = this;
     const ids = Array.from({ length: arrays }, (_, index) => `run-c${index}`);
     ids.forEach((id, index) => {
       this.submit(job(id, { team: TEAMS[index % TEAMS.length], tasks: 4, cpus: 0.5, memory: 0.5, estimatedRunS: 10_000 }), index);
     });
     const runningCount = () =>
-      this.alive.reduce((count, worker) => count + [...worker.tasks.values()].filter(isCancelledArray).length, 0);
+      this.liveWorkers.reduce((count, worker) => count + [...worker.tasks.values()].filter(isCancelledArray).length, 0);
     cluster.runUntil('the arrays run', () => runningCount() >= 2 * arrays, 90);
     const from = cluster.now;
     const confirmed = new Set<string>();
     ids.forEach((id, index) => {
-      cluster.at(cluster.now + 100 + 5 * index, () => this.cancel(id, index, confirmed));
+      cluster.runAt(cluster.now + 100 + 5 * index, () => this.cancel(id, index, confirmed));
     });
     cluster.run(1);
     const leader = cluster.controllers.find((node) => node.controller.leader.isLeading) as SimulatedController;
     leader.crash();
-    cluster.at(cluster.now + CONTROLLER_DOWN_S * 1000, () => leader.restart());
-    cluster.runUntil('all users are told', () => confirmed.size === arrays, 90);
+    cluster.runAt(cluster.now + CONTROLLER_DOWN_S * 1000, () => leader.restart());
+    cluster.runUntil('all cancellations confirmed', () => confirmed.size === arrays, 90);
     cluster.runUntil('no cancelled task is left', () => runningCount() === 0, 60);
     return (cluster.now - from) / 1000;
   }
 
-  /** As a user does: asks again, elsewhere, until it is answered. */
+  /** Cancels the job as a user: retries at the next controller until a response confirms it. */
   private cancel(id: string, at: number, confirmed: Set<string>): void {
     const { cluster } = this;
     const up = cluster.controllers.filter((node) => node.up);
@@ -216,13 +216,13 @@
       confirmed.add(id);
       cluster.rules.recordAnswer(id, String(body.status));
     });
-    cluster.at(cluster.now + 2000, () => {
+    cluster.runAt(cluster.now + 2000, () => {
       if (!answered && !confirmed.has(id)) this.cancel(id, at + 1, confirmed);
     });
   }
 
-  /** Each controller ends and is back, one after the other. Returns the seconds that it takes in all. */
-  roll(): number {
+  /** Restarts the controllers one after another. Returns the seconds until the last one is ready. */
+  rollingRestart(): number {
     const { cluster } = this;
     const from = cluster.now;
     for (const node of cluster.controllers) {
@@ -232,27 +232,27 @@
       cluster.runUntil(`${node.name} is ready`, () => node.controller.isReady, 30);
     }
     const seconds = (cluster.now - from) / 1000;
-    this.untilAllAnswer('a roll', 90);
+    this.runUntilAllVerified('a roll', 90);
     return seconds;
   }
 
-  /** Nobody threw away what could be reached, and every controller answers for every service. */
+  /** Checks that no reachable machine was released, and that every controller reports a sample of the services as running. */
   check(): void {
-    const thrownAway = this.cluster.workers.filter((worker) => worker.dead && !this.lost.has(worker.name));
+    const wronglyReleased = this.cluster.workers.filter((worker) => worker.dead && !this.lostNames.has(worker.name));
     assert.deepEqual(
-      thrownAway.map((worker) => worker.name),
+      wronglyReleased.map((worker) => worker.name),
       [],
-      'machines that were given back though they could be reached',
+      'reachable machines that were released',
     );
-    // What others run is told anew every few seconds, to who began again too.
-    this.cluster.run(DISPLAY_LAG_S);
+    // Controllers report their running jobs to each other every few seconds, also to restarted controllers.
+    this.cluster.run(STATUS_PROPAGATION_S);
     const sample = this.services.filter((_, index) => index % Math.ceil(this.services.length / 10) === 0);
     for (const node of this.cluster.controllers)
       for (const id of sample) assert.equal(this.cluster.queryStatus(id, node), 'running');
   }
 }
 
-function answers(node: SimulatedController, worker: SimulatedWorker): boolean {
+function isVerifiedByHolder(node: SimulatedController, worker: SimulatedWorker): boolean {
   const machine = node.controller.clusterState.machines.get(worker.name);
   return node.up && machine?.tenure.isVerified === true && node.controller.shardController.heldShards.has(machine.shard);
 }
