--- a/packages/http-api/src/http-api.ts
+++ b/packages/http-api/src/http-api.ts
@@ -1,6 +1,7 @@
 /**
  * The HTTP interface to users and workers. It decodes requests, admits or rejects them, and passes admitted ones to its
- * owner with an id, by which the owner responds. Frequent requests (heartbeats, status queries, health checks) bypass Express.
+ * `onRequest` callback with an id, by which their response is sent. Frequent requests (heartbeats, status queries, health
+ * checks) bypass Express.
  */
 import type http from 'node:http';
 import type net from 'node:net';
--- a/packages/http-api/src/load-shedder.ts
+++ b/packages/http-api/src/load-shedder.ts
@@ -40,7 +40,7 @@
   private rejectedMutations = 0;
 
   /**
-   * @param clock milliseconds of a monotonic clock
+   * @param clock returns milliseconds of a monotonic clock
    * @param mutationsPerS submissions and cancellations that are admitted per second under overload
    */
   constructor(
--- a/packages/server/src/settings/feasibility.ts
+++ b/packages/server/src/settings/feasibility.ts
@@ -47,7 +47,7 @@
 
 /**
  * Checks the time limit of cancellations. After each read of all changes, workers get responses for the part of `cancel_s`
- * that exceeds `lease_s + report_s`. That part must be longer than the time between two reads, `WATCH_S`
+ * that exceeds `lease_s + report_s`. That part must be longer than the time between two reads, `MAX_WATCH_WAIT_S`
  * (docs/design.md, "Who may answer workers").
  */
 function requireCancellationTime(path: string, workers: PlatformSettings['params']['workers']): void {
