--- a/test/malformed-answers.test.ts
+++ b/test/malformed-answers.test.ts
@@ -1,4 +1,4 @@
-// Malformed answers of the state service, the cloud and workers are refused or read
+// Malformed responses of the state service, the cloud and workers are refused or read
 // as recorded in test/recorded/malformed-input.json.
 
 import { test } from 'node:test';
@@ -16,11 +16,11 @@
   unpack,
   unpackMap,
 } from '@archpost/protocol';
-import { BODIES, type Body, placesIn, resultOf, VALUES, withValue } from './malformed-support/malformed-values.js';
+import { BODIES, type Body, pathsIn, resultOf, VALUES, withValue } from './malformed-support/malformed-values.js';
 import { compareWithRecorded, type Table } from './malformed-support/recorded-results.js';
-import { REPORT, TASK } from './malformed-support/request-bodies.js';
+import { HEARTBEAT, TASK } from './malformed-support/request-bodies.js';
 
-/** What reads the bodies of answers, by what answers. */
+/** Functions that read the bodies of responses, by the kind of response. */
 const BODY_READERS: Record<string, (body: Body) => unknown> = {
   'keys of the state service': parseKeyPage,
   'changes of the state service': parseChanges,
@@ -34,8 +34,8 @@
   'report in the answer of a worker': parseHeartbeat,
 };
 
-/** Good bodies of answers; each of their fields is replaced by values of all types. */
-const ANSWERS: Record<string, Body> = {
+/** Valid bodies of responses; each of their fields is replaced by values of all types. */
+const VALID_BODIES: Record<string, Body> = {
   'keys of the state service': { rows: [{ k: 'a/x', v: { s: 0 }, stamp: 3 }], has_next: true, ledger: 4 },
   'changes of the state service': { ledger: 4, log: [{ write: 'a/x', remove: null, v: 1, stamp: 3 }] },
   'lease of the state service': { permit: 5 },
@@ -63,16 +63,16 @@
     has_next: false,
   },
   'rented machines of the cloud': { hosts: ['n-1', 'n-2'] },
-  'report in the answer of a worker': { ...REPORT, pieces: [TASK] },
+  'report in the answer of a worker': { ...HEARTBEAT, pieces: [TASK] },
 };
 
-/** All values in a result without the names of their fields, which are internal. */
+/** Returns all values in a result, without the names of their fields, which are internal. */
 function valuesIn(result: unknown): string[] {
   const isTree = typeof result === 'object' && result !== null && !(result instanceof Uint8Array);
   return isTree ? Object.values(result).flatMap(valuesIn).sort() : [`${typeof result} ${String(result)}`];
 }
 
-/** The values that are read from a body; null: it can't be read. */
+/** Returns the values that are read from a body, or null if it is refused. */
 function valuesRead(read: (body: Body) => unknown, body: Body): unknown {
   return resultOf(() => {
     const result = read(body);
@@ -80,20 +80,20 @@
   });
 }
 
-test('answers of the state service, the cloud and workers: malformed bodies are refused or read as recorded', () => {
+test('responses of the state service, the cloud and workers: malformed bodies are refused or read as recorded', () => {
   const table: Table = {};
-  for (const [answer, read] of Object.entries(BODY_READERS)) {
-    const good = ANSWERS[answer] as Body;
-    table[`${answer}: good`] = valuesRead(read, good);
-    table[`${answer}: an empty map`] = valuesRead(read, {});
-    for (const place of placesIn(good))
+  for (const [kind, read] of Object.entries(BODY_READERS)) {
+    const valid = VALID_BODIES[kind] as Body;
+    table[`${kind}: good`] = valuesRead(read, valid);
+    table[`${kind}: an empty map`] = valuesRead(read, {});
+    for (const path of pathsIn(valid))
       for (const [title, value] of VALUES)
-        table[`${answer}: ${place.join('.')}: ${title}`] = valuesRead(read, withValue(good, place, value) as Body);
+        table[`${kind}: ${path.join('.')}: ${title}`] = valuesRead(read, withValue(valid, path, value) as Body);
   }
   compareWithRecorded('answers', table);
 });
 
-test('answers that are no MessagePack map are refused as recorded', () => {
+test('responses that are not a MessagePack map are refused as recorded', () => {
   const table: Table = {};
   for (const [title, bytes] of BODIES) {
     table[`${title}: a map`] = resultOf(() => {
--- a/test/malformed-http-bodies.test.ts
+++ b/test/malformed-http-bodies.test.ts
@@ -3,12 +3,12 @@
 
 import { test } from 'node:test';
 import { pack } from '@archpost/protocol';
-import { answersTo, request } from './malformed-support/http-exchange.js';
+import { request, responsesTo } from './malformed-support/http-exchange.js';
 import { BODIES, VALUES, withField } from './malformed-support/malformed-values.js';
 import { compareWithRecorded } from './malformed-support/recorded-results.js';
-import { REPORT, SUBMISSION, TASK } from './malformed-support/request-bodies.js';
+import { HEARTBEAT, SUBMISSION, TASK } from './malformed-support/request-bodies.js';
 
-test('HTTP: a body that is empty, too large or no MessagePack map is answered as recorded', async (context) => {
+test('HTTP: a body that is empty, too large or not a MessagePack map is answered as recorded', async (context) => {
   const requests = BODIES.flatMap(([title, body]): [string, Buffer][] => [
     [`submission: ${title}`, request('POST', '/v2/runs', body)],
     [`report: ${title}`, request('POST', '/checkin', body)],
@@ -18,10 +18,10 @@
       Buffer.concat([Buffer.from('\r\n'), request('POST', '/checkin', body)]),
     ],
   ]);
-  compareWithRecorded('bodies', await answersTo(context, requests));
+  compareWithRecorded('bodies', await responsesTo(context, requests));
 });
 
-/** Values that are wrong in a way of their own. */
+/** Values that are invalid for one field. */
 const SUBMISSION_VALUES: [string, unknown][] = [
   ['ref', 'run-a b'],
   ['ref', `run-${'a'.repeat(64)}`],
@@ -60,15 +60,15 @@
 }
 
 test('HTTP: a submission with a field that is missing or wrong is answered as recorded', async (context) => {
-  const ofAllTypes = Object.keys(SUBMISSION).flatMap((field) =>
+  const valuesOfAllTypes = Object.keys(SUBMISSION).flatMap((field) =>
     VALUES.map(([title, value]): [string, string, unknown] => [`${field}: ${title}`, field, value]),
   );
-  const ofTheirOwn = SUBMISSION_VALUES.map(([field, value], index): [string, string, unknown] => [
+  const valuesOfOneField = SUBMISSION_VALUES.map(([field, value], index): [string, string, unknown] => [
     `${field}, special ${index}`,
     field,
     value,
   ]);
-  const requests = [...ofAllTypes, ...ofTheirOwn].map(([title, field, value], row): [string, Buffer] => [
+  const requests = [...valuesOfAllTypes, ...valuesOfOneField].map(([title, field, value], row): [string, Buffer] => [
     title,
     submissionWith(field, value, row),
   ]);
@@ -77,19 +77,19 @@
     ['it awaits itself', request('POST', '/v2/runs', pack({ ...SUBMISSION, ref: 'run-self', awaits: ['run-self'] }))],
     ['fields that are unknown', request('POST', '/v2/runs', pack({ ...SUBMISSION, ref: 'run-more', more: 1 }))],
   );
-  compareWithRecorded('submissions', await answersTo(context, requests));
+  compareWithRecorded('submissions', await responsesTo(context, requests));
 });
 
-/** Each request comes from a machine of its own: the controller would remember the one before. */
-const reportWith = (field: string, value: unknown, row: number): Buffer =>
-  request('POST', '/checkin', pack(withField({ ...REPORT, host: `n-${row}` }, field, value)));
+/** Encodes a heartbeat from a machine of its own, since the controller keeps state of each machine. */
+const heartbeatWith = (field: string, value: unknown, row: number): Buffer =>
+  request('POST', '/checkin', pack(withField({ ...HEARTBEAT, host: `n-${row}` }, field, value)));
 
-function reportWithTask(field: string, value: unknown, row: number): Buffer {
+function heartbeatWithTask(field: string, value: unknown, row: number): Buffer {
   const pieces = [withField(TASK, field, value)];
-  return request('POST', '/checkin', pack({ ...REPORT, host: `t-${row}`, pieces }));
+  return request('POST', '/checkin', pack({ ...HEARTBEAT, host: `t-${row}`, pieces }));
 }
 
-const REPORT_VALUES: [string, unknown][] = [
+const HEARTBEAT_VALUES: [string, unknown][] = [
   ['host', 'x'.repeat(190)],
   ['host', 'x'.repeat(191)],
   ['address', 'x'.repeat(100)],
@@ -116,14 +116,14 @@
 
 test('HTTP: a heartbeat with a field that is missing or wrong is answered as recorded', async (context) => {
   const requests: [string, Buffer][] = [];
-  for (const field of Object.keys(REPORT))
-    for (const [title, value] of VALUES) requests.push([`${field}: ${title}`, reportWith(field, value, requests.length)]);
+  for (const field of Object.keys(HEARTBEAT))
+    for (const [title, value] of VALUES) requests.push([`${field}: ${title}`, heartbeatWith(field, value, requests.length)]);
   for (const field of Object.keys(TASK))
     for (const [title, value] of VALUES)
-      requests.push([`task, ${field}: ${title}`, reportWithTask(field, value, requests.length)]);
-  for (const [field, value] of REPORT_VALUES)
-    requests.push([`${field}, special ${requests.length}`, reportWith(field, value, requests.length)]);
+      requests.push([`task, ${field}: ${title}`, heartbeatWithTask(field, value, requests.length)]);
+  for (const [field, value] of HEARTBEAT_VALUES)
+    requests.push([`${field}, special ${requests.length}`, heartbeatWith(field, value, requests.length)]);
   for (const [field, value] of TASK_VALUES)
-    requests.push([`task, ${field}, special ${requests.length}`, reportWithTask(field, value, requests.length)]);
-  compareWithRecorded('reports', await answersTo(context, requests));
+    requests.push([`task, ${field}, special ${requests.length}`, heartbeatWithTask(field, value, requests.length)]);
+  compareWithRecorded('reports', await responsesTo(context, requests));
 });
--- a/test/malformed-http-headers.test.ts
+++ b/test/malformed-http-headers.test.ts
@@ -1,13 +1,13 @@
-// Requests with odd headers or first lines are answered (status, headers and bytes)
+// Requests with malformed headers or request lines are answered (status, headers and bytes)
 // as recorded in test/recorded/malformed-input.json.
 
 import { test } from 'node:test';
 import { pack } from '@archpost/protocol';
-import { answersTo, rawRequest } from './malformed-support/http-exchange.js';
+import { rawRequest, responsesTo } from './malformed-support/http-exchange.js';
 import { compareWithRecorded } from './malformed-support/recorded-results.js';
 
-/** Heads that are odd, for any request with a body; the first line is put before them. */
-const ODD_HEADS: [string, string[], Uint8Array][] = [
+/** Malformed or unusual headers of a request with a body, and the body; a request line is put before them. */
+const MALFORMED_HEADERS: [string, string[], Uint8Array][] = [
   ['no host', ['Content-Length: 1'], pack({})],
   ['two hosts', ['Host: c', 'Host: d', 'Content-Length: 1'], pack({})],
   ['no length', ['Host: c'], Buffer.alloc(0)],
@@ -41,9 +41,9 @@
   ['a header that is too long', ['Host: c', `odd: ${'x'.repeat(20_000)}`, 'Content-Length: 1'], pack({})],
 ];
 
-const FIRST_LINES = ['POST /v2/runs HTTP/1.1', 'POST /v2/runs HTTP/1.0', 'POST /checkin HTTP/1.1', 'POST /checkin HTTP/1.0'];
+const REQUEST_LINES = ['POST /v2/runs HTTP/1.1', 'POST /v2/runs HTTP/1.0', 'POST /checkin HTTP/1.1', 'POST /checkin HTTP/1.0'];
 
-const ODD_FIRST_LINES = [
+const MALFORMED_REQUEST_LINES = [
   'GET /up',
   'GET /up HTTP/3.0',
   'GET  /up HTTP/1.1',
@@ -52,10 +52,14 @@
   '\x16\x03\x01',
 ];
 
-test('HTTP: odd headers and first lines are answered as recorded', async (context) => {
-  const requests = FIRST_LINES.flatMap((first) =>
-    ODD_HEADS.map(([title, lines, body]): [string, Buffer] => [`${first}, ${title}`, rawRequest([first, ...lines], body)]),
+test('HTTP: malformed headers and request lines are answered as recorded', async (context) => {
+  const requests = REQUEST_LINES.flatMap((requestLine) =>
+    MALFORMED_HEADERS.map(([title, lines, body]): [string, Buffer] => [
+      `${requestLine}, ${title}`,
+      rawRequest([requestLine, ...lines], body),
+    ]),
   );
-  for (const first of ODD_FIRST_LINES) requests.push([JSON.stringify(first), rawRequest([first, 'Host: c'])]);
-  compareWithRecorded('headers', await answersTo(context, requests));
+  for (const requestLine of MALFORMED_REQUEST_LINES)
+    requests.push([JSON.stringify(requestLine), rawRequest([requestLine, 'Host: c'])]);
+  compareWithRecorded('headers', await responsesTo(context, requests));
 });
--- a/test/malformed-http-paths.test.ts
+++ b/test/malformed-http-paths.test.ts
@@ -2,12 +2,12 @@
 // as recorded in test/recorded/malformed-input.json.
 
 import { test } from 'node:test';
-import { answersTo, request } from './malformed-support/http-exchange.js';
+import { request, responsesTo } from './malformed-support/http-exchange.js';
 import { compareWithRecorded } from './malformed-support/recorded-results.js';
 
 const METHODS = ['GET', 'POST', 'PUT', 'PATCH', 'DELETE', 'HEAD', 'OPTIONS', 'BREW', 'post'];
 
-const PATHS_ASKED = [
+const REQUESTED_PATHS = [
   '/',
   '/up',
   '/up/',
@@ -33,10 +33,10 @@
 ];
 
 test('HTTP: an unknown path or a wrong method is answered as recorded', async (context) => {
-  const requests = PATHS_ASKED.flatMap((path) =>
+  const requests = REQUESTED_PATHS.flatMap((path) =>
     METHODS.map((method): [string, Buffer] => [`${method} ${path}`, request(method, path)]),
   );
-  compareWithRecorded('paths and methods', await answersTo(context, requests));
+  compareWithRecorded('paths and methods', await responsesTo(context, requests));
 });
 
 const JOB_NAMES = [
@@ -81,5 +81,5 @@
     [`cancellation of ${name} by GET`, request('GET', `/v2/runs/${name}/cancel`)],
     [`status of ${name} by POST`, request('POST', `/v2/runs/${name}`)],
   ]);
-  compareWithRecorded('job names', await answersTo(context, requests));
+  compareWithRecorded('job names', await responsesTo(context, requests));
 });
--- a/test/malformed-peer-messages.test.ts
+++ b/test/malformed-peer-messages.test.ts
@@ -6,21 +6,21 @@
 import { decodePeerMessage, encodePeerMessage, parseHeartbeat } from '@archpost/protocol';
 import { resultOf } from './malformed-support/malformed-values.js';
 import { compareWithRecorded, type Table } from './malformed-support/recorded-results.js';
-import { REPORT, TASK } from './malformed-support/request-bodies.js';
+import { HEARTBEAT, TASK } from './malformed-support/request-bodies.js';
 import { STATUS } from './simulation/index.js';
 
-/** Bodies of the frames in these chunks. */
+/** Returns the bodies of the frames in these chunks, in hexadecimal. */
 function readFrames(chunks: Buffer[]): string[] {
   const reader = new FrameReader();
   return chunks.flatMap((chunk) => reader.push(chunk)).map((body) => body.toString('hex'));
 }
 
-/** The message between controllers as it is encoded again after it was read. */
+/** Decodes a peer message and returns its new encoding in hexadecimal. */
 const readPeerMessage = (bytes: Buffer): string => Buffer.from(encodePeerMessage(decodePeerMessage(bytes))).toString('hex');
 
-const LARGEST_FRAME = 4 << 20;
+const MAX_FRAME_BYTES = 4 << 20;
 
-const head = (length: number): string => length.toString(16).padStart(8, '0');
+const lengthPrefix = (length: number): string => length.toString(16).padStart(8, '0');
 
 const FRAMES: [string, string][] = [
   ['nothing', ''],
@@ -31,9 +31,9 @@
   ['a whole frame', '000000020102'],
   ['a whole frame and a truncated one', '0000000201020000000203'],
   ['a whole frame and a byte', '00000002010200'],
-  ['the largest length, nothing behind it', head(LARGEST_FRAME)],
-  ['a length that is one too large', head(LARGEST_FRAME + 1)],
-  ['a whole frame, then a length that is too large', `000000020102${head(LARGEST_FRAME + 1)}`],
+  ['the largest length, nothing behind it', lengthPrefix(MAX_FRAME_BYTES)],
+  ['a length that is one too large', lengthPrefix(MAX_FRAME_BYTES + 1)],
+  ['a whole frame, then a length that is too large', `000000020102${lengthPrefix(MAX_FRAME_BYTES + 1)}`],
   ['the largest length of four bytes', 'ffffffff'],
   ['a length with its first bit set', '80000000'],
   ['text', Buffer.from('GET /up HTTP/1.1\r\n\r\n').toString('hex')],
@@ -51,10 +51,10 @@
   compareWithRecorded('frames', table);
 });
 
-/** A whole message: a status and a report. */
+/** Encodes a message with a status and a heartbeat. */
 function wholeMessage(): Buffer {
   const heartbeat = parseHeartbeat({
-    ...REPORT,
+    ...HEARTBEAT,
     shift: 2,
     tally: 70_000,
     baton: 2 ** 40,
@@ -99,7 +99,7 @@
   ['a name and trailing zero bytes', '1a01610000'],
 ];
 
-test('messages between controllers: a malformed one is refused or read as recorded', () => {
+test('peer messages: a malformed message is refused or read as recorded', () => {
   const whole = wholeMessage();
   const table: Table = { 'a whole message': resultOf(() => readPeerMessage(whole)) };
   for (const [title, hex] of MESSAGES) table[title] = resultOf(() => readPeerMessage(Buffer.from(hex, 'hex')));
--- a/test/malformed-settings.test.ts
+++ b/test/malformed-settings.test.ts
@@ -7,16 +7,16 @@
 import { join } from 'node:path';
 import { test } from 'node:test';
 import { stringify } from 'smol-toml';
-import { OMITTED, type Path, placesIn, VALUES, withField, withValue } from './malformed-support/malformed-values.js';
+import { OMITTED, type Path, pathsIn, VALUES, withField, withValue } from './malformed-support/malformed-values.js';
 import { compareWithRecorded, type Table } from './malformed-support/recorded-results.js';
 import {
-  directory,
-  file,
-  GOOD_SETTINGS,
   refusalOf,
   SETTINGS,
   settingsRefusal,
+  testDirectory,
+  VALID_SETTINGS,
   withoutDirectory,
+  writeTestFile,
 } from './malformed-support/settings-files.js';
 
 const TOML_VALUES: [string, unknown][] = [
@@ -36,10 +36,10 @@
 ];
 
 test('settings: each table and field that is missing or wrong is refused with the recorded line', () => {
-  const table: Table = { 'good settings': refusalOf(GOOD_SETTINGS) };
-  for (const place of placesIn(SETTINGS))
+  const table: Table = { 'good settings': refusalOf(VALID_SETTINGS) };
+  for (const path of pathsIn(SETTINGS))
     for (const [title, value] of TOML_VALUES)
-      table[`${place.join('.')}: ${title}`] = refusalOf(stringify(withValue(SETTINGS, place, value)));
+      table[`${path.join('.')}: ${title}`] = refusalOf(stringify(withValue(SETTINGS, path, value)));
   compareWithRecorded('settings', table);
 });
 
@@ -83,10 +83,10 @@
 
 test('settings: impossible limits and unreadable files are refused with the recorded line', () => {
   const table: Table = {};
-  for (const [title, place, value] of IMPOSSIBLE) table[title] = refusalOf(stringify(withValue(SETTINGS, place, value)));
+  for (const [title, path, value] of IMPOSSIBLE) table[title] = refusalOf(stringify(withValue(SETTINGS, path, value)));
   for (const [title, text] of UNREADABLE_TOML) table[title] = refusalOf(text);
-  table['no such file'] = withoutDirectory(settingsRefusal(join(directory, 'none.toml'), null));
-  table['a directory'] = withoutDirectory(settingsRefusal(`${directory}/`, null));
+  table['no such file'] = withoutDirectory(settingsRefusal(join(testDirectory, 'none.toml'), null));
+  table['a directory'] = withoutDirectory(settingsRefusal(`${testDirectory}/`, null));
   compareWithRecorded('unreadable settings', table);
 });
 
@@ -107,18 +107,18 @@
 ];
 
 test("settings: an operators' file that is unreadable or has wrong types is refused with the recorded line", () => {
-  const settings = file('settings.toml', GOOD_SETTINGS);
-  const refusal = (text: string) => withoutDirectory(settingsRefusal(settings, file('operator.json', text)));
+  const settings = writeTestFile('settings.toml', VALID_SETTINGS);
+  const refusal = (text: string) => withoutDirectory(settingsRefusal(settings, writeTestFile('operator.json', text)));
   const table: Table = {};
   for (const field of Object.keys(OPERATOR)) {
     for (const [title, value] of VALUES) table[`${field}: ${title}`] = refusal(JSON.stringify(withField(OPERATOR, field, value)));
   }
   for (const [title, text] of UNREADABLE_JSON) table[title] = refusal(text);
-  table['no such file'] = withoutDirectory(settingsRefusal(settings, join(directory, 'none.json')));
+  table['no such file'] = withoutDirectory(settingsRefusal(settings, join(testDirectory, 'none.json')));
   compareWithRecorded("operators' settings", table);
 });
 
-/** What the built program prints, and its exit code. */
+/** Runs the built program; returns its output and exit code. */
 function runProgram(programArguments: string[], environment: Record<string, string> = {}): unknown {
   const { stdout, stderr, status } = spawnSync(process.execPath, ['target/archpost.mjs', ...programArguments], {
     encoding: 'utf8',
@@ -128,23 +128,23 @@
 }
 
 test('settings: the built program prints the recorded lines and ends with the recorded code', () => {
-  assert.ok(existsSync('target/archpost.mjs'), 'npm run build comes before');
-  const good = file('good.toml', GOOD_SETTINGS);
-  const wrong = file('wrong.toml', stringify(withValue(SETTINGS, ['params', 'workers', 'lease_s'], 'long')));
-  const broken = file('broken.toml', 'host_name = ');
-  const operator = file('many.json', JSON.stringify({ max_machines: 10_000 }));
-  const wrongOperator = file('wrong.json', JSON.stringify({ hold: 'yes' }));
-  const none = file('empty.json', '{}');
+  assert.ok(existsSync('target/archpost.mjs'), 'target/archpost.mjs is missing: run npm run build first');
+  const valid = writeTestFile('good.toml', VALID_SETTINGS);
+  const wrong = writeTestFile('wrong.toml', stringify(withValue(SETTINGS, ['params', 'workers', 'lease_s'], 'long')));
+  const broken = writeTestFile('broken.toml', 'host_name = ');
+  const operator = writeTestFile('many.json', JSON.stringify({ max_machines: 10_000 }));
+  const wrongOperator = writeTestFile('wrong.json', JSON.stringify({ hold: 'yes' }));
+  const none = writeTestFile('empty.json', '{}');
   compareWithRecorded('program', {
     'no arguments': runProgram([]),
-    'an unknown option': runProgram(['--config', good, '--odd']),
-    'good settings': runProgram(['--config', good, '--operator', none, '--check']),
-    'settings that are short': runProgram(['--config', good, '--operator', operator, '--check']),
+    'an unknown option': runProgram(['--config', valid, '--odd']),
+    'good settings': runProgram(['--config', valid, '--operator', none, '--check']),
+    'settings that are short': runProgram(['--config', valid, '--operator', operator, '--check']),
     'a wrong field': runProgram(['--config', wrong, '--operator', none, '--check']),
     'a wrong field, not only to be checked': runProgram(['--config', wrong, '--operator', none]),
     'no TOML': runProgram(['--config', broken, '--operator', none, '--check']),
-    'no such file': runProgram(['--config', join(directory, 'none.toml'), '--check']),
-    "a wrong field of the operators'": runProgram(['--config', good, '--operator', wrongOperator, '--check']),
-    'an unknown level of logs': runProgram(['--config', good, '--operator', none], { LOG_LEVEL: 'odd' }),
+    'no such file': runProgram(['--config', join(testDirectory, 'none.toml'), '--check']),
+    "a wrong field of the operators'": runProgram(['--config', valid, '--operator', wrongOperator, '--check']),
+    'an unknown level of logs': runProgram(['--config', valid, '--operator', none], { LOG_LEVEL: 'odd' }),
   });
 });
--- a/test/malformed-stored-rows.test.ts
+++ b/test/malformed-stored-rows.test.ts
@@ -1,4 +1,4 @@
-// Stored values that can't be read are passed over as recorded, and the rows beside them are read.
+// Stored values that can't be read are skipped as recorded, and the other rows are read.
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -9,7 +9,7 @@
 interface Outcome {
   value: string;
   warnedOf: string[];
-  /** of what is known, the parts that differ from the load of the good rows alone */
+  /** the parts of the cluster state that differ from those after loading only the good rows */
   known: Record<string, unknown>;
 }
 
@@ -25,7 +25,7 @@
   );
 }
 
-/** A value of each kind that is stored last is read after the good rows, one that is stored first before them. */
+/** Loads a malformed value before the good rows or after them, and returns the result. */
 function outcomeOf(key: string, value: unknown, isFirst: boolean): Outcome {
   const controller = newController();
   const row = { key, value, stamp: isFirst ? 1 : 9 };
@@ -38,7 +38,7 @@
   };
   const { jobs, machines } = whatIsKnown(controller) as { jobs: Record<string, unknown>; machines: Record<string, unknown> };
   assert.ok('run-good' in jobs && 'run-parts' in jobs, `jobs beside ${key} ${text}`);
-  // What is read of a machine's images belongs to its grant.
+  // The row under `a/c/` holds the images of the machine `good` itself, so it isn't an unrelated row here.
   if (key !== 'a/c/good') assert.ok('good' in machines, `the machine beside ${key} ${text}`);
   return outcome;
 }
--- a/test/malformed-support/http-exchange.ts
+++ b/test/malformed-support/http-exchange.ts
@@ -1,4 +1,4 @@
-/** Sends requests byte by byte to the HTTP interface of a controller in a simulated cluster, and reads the answers. */
+/** Sends requests as raw bytes to the HTTP interface of a controller in a simulated cluster, and reads the responses. */
 
 import assert from 'node:assert/strict';
 import net from 'node:net';
@@ -9,35 +9,35 @@
 import { type SimulatedCluster, smallCluster } from '../simulation/index.js';
 import type { Table } from './recorded-results.js';
 
-/** Identifiers of requests to a controller in a simulated cluster: beyond those that the simulated users take. */
+/** The first request identifier of these tests, above the identifiers that simulated users are given. */
 const FIRST_REQUEST_ID = 1_000_000;
 
-/** Simulated seconds after which a request that has no answer fails the test. */
-const ANSWER_WITHIN_S = 10;
+/** Simulated seconds after which a request without a response fails the test. */
+const SIMULATED_RESPONSE_TIMEOUT_S = 10;
 
-/** Hands a request to a controller of a simulated cluster and lets time pass there until it is answered. */
-function handOver(cluster: SimulatedCluster, request: ApiRequest, isAnswered: () => boolean): void {
-  const { controller: core } = cluster.controller('n0');
+/** Passes a request to a controller of a simulated cluster and runs the cluster until the request is answered. */
+function deliverRequest(cluster: SimulatedCluster, request: ApiRequest, isAnswered: () => boolean): void {
+  const { controller } = cluster.controller('n0');
   const id = FIRST_REQUEST_ID + request.id;
   const { now } = cluster;
-  if (request.kind === 'heartbeat') core.receiveHeartbeat(id, request.heartbeat, now);
-  else if (request.kind === 'submit') core.submitJob(id, request.body, now, now);
-  else if (request.kind === 'statusQuery') core.queryJobStatus(id, request.job, now);
-  else core.cancelJob(id, request.job, now);
+  if (request.kind === 'heartbeat') controller.receiveHeartbeat(id, request.heartbeat, now);
+  else if (request.kind === 'submit') controller.submitJob(id, request.body, now, now);
+  else if (request.kind === 'statusQuery') controller.queryJobStatus(id, request.job, now);
+  else controller.cancelJob(id, request.job, now);
   cluster.controller('n0').applyEffects();
-  cluster.runUntil(`an answer to ${request.kind}`, isAnswered, ANSWER_WITHIN_S);
+  cluster.runUntil(`a response to ${request.kind}`, isAnswered, SIMULATED_RESPONSE_TIMEOUT_S);
 }
 
 /** Opens the HTTP interface of a controller with four machines in a simulated cluster; returns its port. */
 async function openController(context: TestContext): Promise<number> {
   const cluster = smallCluster(4);
-  const { controller: core } = cluster.controller('n0');
-  const takeEffects = core.takeEffects.bind(core);
+  const { controller } = cluster.controller('n0');
+  const takeEffects = controller.takeEffects.bind(controller);
   const answered = new Set<number>();
   const { api, port } = await listeningHttpApi(context, {
-    onRequest: (request) => handOver(cluster, request, () => answered.has(request.id)),
+    onRequest: (request) => deliverRequest(cluster, request, () => answered.has(request.id)),
   });
-  core.takeEffects = () => {
+  controller.takeEffects = () => {
     const effects = takeEffects();
     for (const effect of effects) {
       if (effect.type !== 'respond' || effect.id < FIRST_REQUEST_ID) continue;
@@ -49,22 +49,22 @@
   return port;
 }
 
-const PATIENCE_MS = 20_000;
+const SOCKET_TIMEOUT_MS = 20_000;
 
-/** The end of a body in chunks, with which Node itself answers at times. */
+/** The end of a chunked body; some responses that Node generates itself are chunked. */
 const LAST_CHUNK = '0\r\n\r\n';
 
-/** A request with a body of which the length is given. */
+/** Encodes a request with a Content-Length header and a body. */
 export function request(method: string, path: string, body: Uint8Array = Buffer.alloc(0), headers: string[] = []): Buffer {
   const lines = [`${method} ${path} HTTP/1.1`, 'Host: c', ...headers, `Content-Length: ${body.length}`];
   return Buffer.concat([Buffer.from(`${lines.join('\r\n')}\r\n\r\n`, 'latin1'), body]);
 }
 
-/** A request whose head is given line by line. */
+/** Encodes a request whose head is given line by line. */
 export const rawRequest = (lines: string[], body: Uint8Array = Buffer.alloc(0)): Buffer =>
   Buffer.concat([Buffer.from(`${lines.join('\r\n')}\r\n\r\n`, 'latin1'), body]);
 
-/** An answer as it is recorded: without its date. */
+/** A response as it is recorded, without its date header. */
 interface Reply {
   status: string;
   headers: string[];
@@ -72,7 +72,7 @@
   decoded: unknown;
 }
 
-function decoded(body: Buffer): unknown {
+function decodeBody(body: Buffer): unknown {
   try {
     return unpack(body);
   } catch {
@@ -80,7 +80,7 @@
   }
 }
 
-/** The answer, once it is whole; null: more is to come. */
+/** Returns the response if it is complete, else null. */
 function parseReply(bytes: Buffer, hasBody: boolean, isClosed: boolean): Reply | null {
   const end = bytes.indexOf('\r\n\r\n');
   if (end < 0) return null;
@@ -88,17 +88,18 @@
   const rest = bytes.subarray(end + 4);
   if (status?.includes(' 100 ')) return parseReply(rest, hasBody, isClosed);
   const length = headers.map((line) => /^content-length: (\d+)$/i.exec(line)?.[1]).find((each) => each !== undefined);
-  const isWhole = length === undefined ? isClosed || rest.toString('latin1').endsWith(LAST_CHUNK) : rest.length >= Number(length);
-  if (hasBody && !isWhole) return null;
+  const isComplete =
+    length === undefined ? isClosed || rest.toString('latin1').endsWith(LAST_CHUNK) : rest.length >= Number(length);
+  if (hasBody && !isComplete) return null;
   return {
     status: status as string,
     headers: headers.filter((line) => !/^date:/i.test(line)),
     body: rest.toString('hex'),
-    decoded: decoded(rest),
+    decoded: decodeBody(rest),
   };
 }
 
-/** Sends bytes on a new connection; the first answer, or that the connection was closed without one. */
+/** Sends bytes on a new connection; resolves with the first response, or states that the connection was closed without one. */
 function exchange(port: number, bytes: Buffer): Promise<Reply | 'closed without an answer'> {
   const hasBody = !bytes.subarray(0, 5).equals(Buffer.from('HEAD '));
   return new Promise((resolve, reject) => {
@@ -108,7 +109,7 @@
       socket.destroy();
       resolve(reply);
     };
-    socket.setTimeout(PATIENCE_MS, () => reject(new Error(`no answer to ${bytes.subarray(0, 60).toString('latin1')}`)));
+    socket.setTimeout(SOCKET_TIMEOUT_MS, () => reject(new Error(`no response to ${bytes.subarray(0, 60).toString('latin1')}`)));
     socket.on('error', () => {});
     socket.on('data', (chunk: Buffer) => {
       received = Buffer.concat([received, chunk]);
@@ -119,12 +120,12 @@
   });
 }
 
-/** The answers of one new controller to these requests, one after the other. */
-export async function answersTo(context: TestContext, requests: [string, Buffer][]): Promise<Table> {
+/** Sends the requests one after another to one new controller; returns its responses by the titles of the requests. */
+export async function responsesTo(context: TestContext, requests: [string, Buffer][]): Promise<Table> {
   const port = await openController(context);
   const table: Table = {};
   for (const [title, bytes] of requests) {
-    assert.ok(!(title in table), `two requests are called ${title}`);
+    assert.ok(!(title in table), `two requests have the title ${title}`);
     table[title] = await exchange(port, bytes);
   }
   return table;
--- a/test/malformed-support/malformed-values.ts
+++ b/test/malformed-support/malformed-values.ts
@@ -1,13 +1,13 @@
-/** Values and bodies of wrong types, and how they are put into good ones. */
+/** Values and bodies of wrong types, and functions that put them into valid ones. */
 import { pack } from '@archpost/protocol';
 
 /** A map as it is decoded from a body. */
 export type Body = Record<string, unknown>;
 
-/** Stands for a field that is left out. */
+/** Marks a field that is to be omitted. */
 export const OMITTED = Symbol('omitted');
 
-/** Values of all types; most are wrong for most fields. */
+/** Values of all types; most of them are invalid for most fields. */
 export const VALUES: [string, unknown][] = [
   ['omitted', OMITTED],
   ['null', null],
@@ -25,15 +25,15 @@
   ['bytes', new Uint8Array([1, 2])],
 ];
 
-/** A copy of the map with another value in this field. */
+/** Returns a copy of the map with another value in this field. */
 export function withField(map: Body, field: string, value: unknown): Body {
-  const { [field]: _, ...others } = map;
-  return value === OMITTED ? others : { ...others, [field]: value };
+  const { [field]: _, ...otherFields } = map;
+  return value === OMITTED ? otherFields : { ...otherFields, [field]: value };
 }
 
-const LONGEST_BODY = 64 * 1024;
+const MAX_BODY_BYTES = 64 * 1024;
 
-/** Bodies that are empty, too large, or no MessagePack map. */
+/** Bodies that are empty, too large or not a MessagePack map, by title. */
 export const BODIES: [string, Uint8Array][] = [
   ['empty', Buffer.alloc(0)],
   ['never used in MessagePack', Buffer.from('c1', 'hex')],
@@ -58,24 +58,24 @@
   ['a text that claims to be huge', Buffer.from('dbffffffff', 'hex')],
   ['a text that is not UTF-8', Buffer.from('81a3726566a2ff80', 'hex')],
   ['nested deeply', Buffer.concat([Buffer.alloc(20_000, 0x91), Buffer.from('c0', 'hex')])],
-  ['as large as allowed, no map', Buffer.alloc(LONGEST_BODY)],
-  ['a byte larger than allowed', Buffer.alloc(LONGEST_BODY + 1)],
-  ['four times as large as allowed', Buffer.alloc(4 * LONGEST_BODY)],
+  ['as large as allowed, no map', Buffer.alloc(MAX_BODY_BYTES)],
+  ['a byte larger than allowed', Buffer.alloc(MAX_BODY_BYTES + 1)],
+  ['four times as large as allowed', Buffer.alloc(4 * MAX_BODY_BYTES)],
 ];
 
-/** Keys and indices from the root of a tree to a place in it. */
+/** Keys and indices from the root of a tree to one of its nodes. */
 export type Path = (string | number)[];
 
-/** All places in a tree: tables, lists and fields. */
-export function placesIn(tree: unknown, at: Path = []): Path[] {
+/** Returns the paths of all tables, lists and fields in a tree. */
+export function pathsIn(tree: unknown, at: Path = []): Path[] {
   if (typeof tree !== 'object' || tree === null) return [at];
-  const inside = Object.entries(tree).flatMap(([key, value]) =>
-    placesIn(value, [...at, Array.isArray(tree) ? Number(key) : key]),
+  const innerPaths = Object.entries(tree).flatMap(([key, value]) =>
+    pathsIn(value, [...at, Array.isArray(tree) ? Number(key) : key]),
   );
-  return at.length === 0 ? inside : [at, ...inside];
+  return at.length === 0 ? innerPaths : [at, ...innerPaths];
 }
 
-/** A copy of the tree with another value at this place. */
+/** Returns a copy of the tree with another value at this path. */
 export function withValue(tree: unknown, [key, ...deeper]: Path, value: unknown): unknown {
   if (key === undefined) return value;
   const copy = structuredClone(tree) as Record<string | number, unknown>;
@@ -86,7 +86,7 @@
   return copy;
 }
 
-/** What a function returns, or that it throws: its words are for logs. */
+/** Returns the result of a function, or `refused` if it throws; the text of the error isn't compared. */
 export function resultOf(read: () => unknown): unknown {
   try {
     return read();
--- a/test/malformed-support/recorded-results.ts
+++ b/test/malformed-support/recorded-results.ts
@@ -1,6 +1,6 @@
 /**
- * Comparison with test/recorded/malformed-input.json, which has a section for each test. `UPDATE_TRACES=1` records anew; the
- * test files that share it are then run one at a time.
+ * Compares results with test/recorded/malformed-input.json, which has a section for each test. With `UPDATE_TRACES=1` the results
+ * are recorded instead; the test files that share the file must then run one at a time.
  */
 import assert from 'node:assert/strict';
 import { existsSync, mkdirSync, readFileSync, writeFileSync } from 'node:fs';
@@ -10,7 +10,7 @@
 /** Results by the title of their input. */
 export type Table = Record<string, unknown>;
 
-/** One result a line, so that a difference shows the input whose result has changed. */
+/** Formats one result per line, so that a diff shows the input whose result has changed. */
 function formatTables(tables: Record<string, Table>): string {
   const sections = Object.entries(tables).map(([section, table]) => {
     const rows = Object.entries(table).map(([title, result]) => `  ${JSON.stringify(title)}: ${JSON.stringify(result)}`);
@@ -23,7 +23,7 @@
   return existsSync(RECORDED) ? JSON.parse(readFileSync(RECORDED, 'utf8')) : {};
 }
 
-/** Compares the results of a section with the recorded ones, one by one. */
+/** Asserts that the results of a section equal the recorded ones, one by one. */
 export function compareWithRecorded(section: string, measured: Table): void {
   if (process.env.UPDATE_TRACES === '1') {
     mkdirSync('test/recorded', { recursive: true });
--- a/test/malformed-support/request-bodies.ts
+++ b/test/malformed-support/request-bodies.ts
@@ -1,6 +1,6 @@
-/** Good bodies of a submission and of a heartbeat, as they are on the wire. */
+/** Valid bodies of a submission and of a heartbeat, with the field names of the wire. */
 
-/** A good submission. */
+/** A valid submission. */
 export const SUBMISSION = {
   ref: 'run-a',
   jobclass: 'batch',
@@ -25,11 +25,11 @@
   awaits: null,
 };
 
-/** A task of a heartbeat. */
+/** A valid task of a heartbeat. */
 export const TASK = { piece: 'run-a/0', try: 1, status: 'running', cause: null, saved: false };
 
-/** A good heartbeat. */
-export const REPORT = {
+/** A valid heartbeat. */
+export const HEARTBEAT = {
   host: 'n-1',
   address: '1.2.3.4:5',
   build: 'small',
--- a/test/malformed-support/settings-files.ts
+++ b/test/malformed-support/settings-files.ts
@@ -1,4 +1,4 @@
-/** Settings files that are good, and what the program says of others. */
+/** Valid settings, and the program's error lines for invalid settings files. */
 
 import { mkdtempSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -7,7 +7,7 @@
 import { loadSettings } from '../../packages/server/src/settings/load-settings.js';
 import { SettingsError } from '../../packages/server/src/settings/settings-error.js';
 
-/** The line that the program prints about its settings, and its exit code; null: they are accepted. */
+/** Returns the error line that the program prints about its settings and its exit code, or null if the settings are accepted. */
 export function settingsRefusal(path: string, operatorPath: string | null): { line: string; exitCode: number } | null {
   try {
     loadSettings(path, operatorPath);
@@ -17,7 +17,7 @@
   }
 }
 
-/** Good settings of the platform. */
+/** Valid settings of a controller. */
 export const SETTINGS = {
   host_name: 'a',
   location: 'east',
@@ -38,24 +38,24 @@
   },
 };
 
-/** Where the files of this test are written. */
-export const directory = mkdtempSync(join(tmpdir(), 'archpost-malformed-'));
+/** The directory in which the files of the test are written. */
+export const testDirectory = mkdtempSync(join(tmpdir(), 'archpost-malformed-'));
 
-/** Writes a file for this test; returns its path. */
-export function file(name: string, text: string | Uint8Array): string {
-  const path = join(directory, name);
+/** Writes a file for the test and returns its path. */
+export function writeTestFile(name: string, text: string | Uint8Array): string {
+  const path = join(testDirectory, name);
   writeFileSync(path, text);
   return path;
 }
 
-/** The result with the directory of the test taken out of its line. */
+/** Removes the path of the test directory from a result. */
 export function withoutDirectory<T>(result: T): T {
-  return JSON.parse(JSON.stringify(result).replaceAll(`${directory}/`, ''));
+  return JSON.parse(JSON.stringify(result).replaceAll(`${testDirectory}/`, ''));
 }
 
-/** The good settings as TOML. */
-export const GOOD_SETTINGS = stringify(SETTINGS);
+/** The valid settings as TOML. */
+export const VALID_SETTINGS = stringify(SETTINGS);
 
-/** What the program says of settings with this text. */
+/** Returns the error line and the exit code for a settings file with this text, or null if it is accepted. */
 export const refusalOf = (text: string | Uint8Array): unknown =>
-  withoutDirectory(settingsRefusal(file('settings.toml', text), null));
+  withoutDirectory(settingsRefusal(writeTestFile('settings.toml', text), null));
