--- a/test/client-responses.test.ts
+++ b/test/client-responses.test.ts
@@ -1,4 +1,4 @@
-// Linearizable answers to users while reads, writes and their answers are slow or lost.
+// Responses to users stay linearizable while reads, writes and their responses are slow or lost.
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -6,7 +6,7 @@
 import { LoadShedder } from '../packages/http-api/src/load-shedder.js';
 import { holderOf, job, type SimulatedCluster, type SimulatedController, shardOf, smallCluster } from './simulation/index.js';
 
-test('repeats of submissions and cancellations that come late change nothing', () => {
+test('late repeats of submissions and cancellations change nothing', () => {
   const cluster = smallCluster(8);
   cluster.submit(job('run-once', { estimatedRunS: 3 }));
   cluster.submit(job('run-gone', { estimatedRunS: 400 }));
@@ -28,76 +28,76 @@
   assert.equal(cluster.trace.filter((line) => line.includes('user received 201')).length, 2);
 });
 
-test('a burst of status queries costs one read, and everybody is answered', () => {
+test('a burst of 1,000 status queries shares reads of the state service, and every query is answered within a second', () => {
   const cluster = smallCluster(4);
   for (let index = 0; index < 10; index++) cluster.submit(job(`run-${index}`, { tasks: 1, estimatedRunS: 600 }));
   cluster.run(5);
   const node = cluster.controllers[1];
   assert.ok(node);
-  const said = new Map<string, number>();
+  const responseCounts = new Map<string, number>();
   for (let index = 0; index < 1000; index++) {
     const id = index < 990 ? `run-${index % 10}` : `run-none-${index}`;
-    node.queryStatus(id, (status) => said.set(`${id} ${status}`, (said.get(`${id} ${status}`) ?? 0) + 1));
+    node.queryStatus(id, (status) => responseCounts.set(`${id} ${status}`, (responseCounts.get(`${id} ${status}`) ?? 0) + 1));
   }
   cluster.run(1);
-  for (let index = 0; index < 10; index++) assert.equal(said.get(`run-${index} 200`), 99);
-  assert.equal([...said.keys()].filter((key) => key.endsWith(' 404')).length, 10);
+  for (let index = 0; index < 10; index++) assert.equal(responseCounts.get(`run-${index} 200`), 99);
+  assert.equal([...responseCounts.keys()].filter((key) => key.endsWith(' 404')).length, 10);
 });
 
-test('load shedding in a burst is fair: no job goes unanswered for long, and no submission pays for it', () => {
+test('load shedding in a burst of status queries is fair: no job goes without a response for long, and submissions are admitted', () => {
   let now = 0;
-  const door = new LoadShedder(() => now);
-  const last = new Map<string, number>();
-  let asked = 0;
-  let answered = 0;
-  let longest = 0;
+  const loadShedder = new LoadShedder(() => now);
+  const lastAdmittedAt = new Map<string, number>();
+  let queryCount = 0;
+  let admittedCount = 0;
+  let longestGapMs = 0;
   for (now = 0; now < 120_000; now += 10) {
-    // Timers are somewhat late all the while, and far too late for a while.
-    if (now % 100 === 0) door.recordTimerDelay(now > 40_000 && now < 60_000 ? 900 : 250);
+    // Timers are 250 ms late all the time, and 900 ms late for 20 s.
+    if (now % 100 === 0) loadShedder.recordTimerDelay(now > 40_000 && now < 60_000 ? 900 : 250);
     const id = `run-${(now / 10) % 100}`;
-    asked++;
-    if (door.admitStatusQuery(id)) {
-      answered++;
-      door.recordStatusResponse(id);
-      longest = Math.max(longest, now - (last.get(id) ?? 0));
-      last.set(id, now);
+    queryCount++;
+    if (loadShedder.admitStatusQuery(id)) {
+      admittedCount++;
+      loadShedder.recordStatusResponse(id);
+      longestGapMs = Math.max(longestGapMs, now - (lastAdmittedAt.get(id) ?? 0));
+      lastAdmittedAt.set(id, now);
     }
-    if (now < 40_000) assert.ok(door.admitMutation());
+    if (now < 40_000) assert.ok(loadShedder.admitMutation());
   }
-  assert.ok(answered < asked / 3, `${answered} of ${asked} answered`);
-  assert.equal(last.size, 100);
-  assert.ok(longest < 35_000, `a job went without an answer for ${longest} ms`);
+  assert.ok(admittedCount < queryCount / 3, `${admittedCount} of ${queryCount} queries admitted`);
+  assert.equal(lastAdmittedAt.size, 100);
+  assert.ok(longestGapMs < 35_000, `a job went without a response for ${longestGapMs} ms`);
 });
 
-/** What a controller answers to one request, once it does. */
-function said(
+/** Sends one request; returns a function that waits for the response and returns its status code and job status. */
+function sendRequest(
   cluster: SimulatedCluster,
-  ask: (then: (status: number, body: Record<string, unknown>) => void) => void,
+  send: (onResponse: (status: number, body: Record<string, unknown>) => void) => void,
 ): () => string {
-  let answer = '';
-  ask((status, body) => {
-    answer = `${status} ${String(body.status ?? '')}`.trim();
+  let response = '';
+  send((status, body) => {
+    response = `${status} ${String(body.status ?? '')}`.trim();
   });
   return () => {
-    if (answer === '') cluster.runUntil('answered', () => answer !== '', 6);
-    return answer;
+    if (response === '') cluster.runUntil('the response arrives', () => response !== '', 6);
+    return response;
   };
 }
 
-test('the answer to an acceptance is slow: a job that others have called cancelled by then is not called queued', () => {
+test('the response to a submission is slow: a job that another controller cancelled meanwhile is reported as aborted, not as queued', () => {
   const cluster = smallCluster(4);
   cluster.transactionResponseMs = (n) => (n === 'n0' ? 1200 : 10);
-  const slow = said(cluster, (then) => cluster.controller('n0').submit(job('run-a'), then));
+  const slowResponse = sendRequest(cluster, (onResponse) => cluster.controller('n0').submit(job('run-a'), onResponse));
   cluster.specs.set('run-a', job('run-a'));
   cluster.run(0.3);
   assert.equal(cluster.queryStatus('run-a', cluster.controller('n1')), 'running');
   cluster.cancel('run-a', cluster.controller('n1'));
-  assert.equal(slow(), '200 aborted');
+  assert.equal(slowResponse(), '200 aborted');
 });
 
-test('only the answer is lost: what was accepted, done or cancelled is never called anything older, by any controller', () => {
+test('only transaction responses are lost: no controller reports an older state of a job that was accepted, done or cancelled', () => {
   const cluster = smallCluster(6);
-  // Each transaction is carried out at once, and every other answer is lost.
+  // Each transaction is applied at once, and every other response is lost.
   let count = 0;
   cluster.losesTransactionResponse = (_e, apply) => {
     if (count++ % 2 === 0) return false;
@@ -109,57 +109,60 @@
     const spec = job(id, { estimatedRunS: 2, team: ['red', 'blue', 'green'][index % 3] as string });
     cluster.specs.set(id, spec);
     const at = (i: number) => cluster.controllers[(index + i) % 3] as SimulatedController;
-    const first = said(cluster, (then) => at(0).submit(spec, then));
-    const again = said(cluster, (then) => at(1).submit(spec, then));
-    assert.match(`${first()} ${again()}`, /^(200|201) \w+ (200|201) \w+$/);
+    const first = sendRequest(cluster, (onResponse) => at(0).submit(spec, onResponse));
+    const repeated = sendRequest(cluster, (onResponse) => at(1).submit(spec, onResponse));
+    assert.match(`${first()} ${repeated()}`, /^(200|201) \w+ (200|201) \w+$/);
     for (const node of cluster.controllers) assert.notEqual(cluster.queryStatus(id, node), '404');
     if (index % 2 === 0) {
-      // Everybody asks while it is called off, and right after.
-      const told = said(cluster, (then) => at(2).cancel(id, then));
-      const answer = told().replace('200 ', '');
+      // All controllers are queried right after the cancellation, and the job is submitted again to each.
+      const cancellation = sendRequest(cluster, (onResponse) => at(2).cancel(id, onResponse));
+      const answer = cancellation().replace('200 ', '');
       assert.ok(['aborted', 'done'].includes(answer), answer);
       for (const node of cluster.controllers) assert.equal(cluster.queryStatus(id, node), answer);
-      for (const node of cluster.controllers) assert.equal(said(cluster, (then) => node.submit(spec, then))(), `200 ${answer}`);
+      for (const node of cluster.controllers)
+        assert.equal(sendRequest(cluster, (onResponse) => node.submit(spec, onResponse))(), `200 ${answer}`);
     } else cluster.runUntil('done', () => cluster.queryStatus(id, at(0)) === 'done', 20);
     const final = cluster.queryStatus(id, at(1));
     for (const node of cluster.controllers) assert.equal(cluster.queryStatus(id, node), final);
   }
 });
 
-test('a cancellation, a status query and a repeated submission meet the end of the last task, at a controller whose replica is stale', () => {
+test('a controller with a stale replica reports the current status to queries, repeated submissions and cancellations of ended jobs', () => {
   const cluster = smallCluster(4);
   for (const id of ['run-d', 'run-c']) cluster.submit(job(id, { estimatedRunS: id === 'run-d' ? 6 : 500 }));
-  const behind = cluster.controllers.find((node) => node.name !== holderOf(cluster, shardOf(cluster, 'run-d')));
-  const told = cluster.controllers.find((node) => node !== behind);
-  assert.ok(behind && told);
+  const staleController = cluster.controllers.find((node) => node.name !== holderOf(cluster, shardOf(cluster, 'run-d')));
+  const currentController = cluster.controllers.find((node) => node !== staleController);
+  assert.ok(staleController && currentController);
   cluster.runUntil('running', () => cluster.runningTasks('run-d') === 1 && cluster.runningTasks('run-c') === 1);
   cluster.run(2);
-  behind.isWatchLagging = true;
-  cluster.runUntil('done', () => cluster.queryStatus('run-d', told) === 'done', 8);
-  cluster.cancel('run-c', told);
+  staleController.isWatchLagging = true;
+  cluster.runUntil('done', () => cluster.queryStatus('run-d', currentController) === 'done', 8);
+  cluster.cancel('run-c', currentController);
   const answers = ['run-d', 'run-c'].flatMap((id) => [
-    said(cluster, (then) => behind.queryStatus(id, then)),
-    said(cluster, (then) => behind.submit(job(id), then)),
-    said(cluster, (then) => behind.cancel(id, then)),
+    sendRequest(cluster, (onResponse) => staleController.queryStatus(id, onResponse)),
+    sendRequest(cluster, (onResponse) => staleController.submit(job(id), onResponse)),
+    sendRequest(cluster, (onResponse) => staleController.cancel(id, onResponse)),
   ]);
   cluster.run(0.6);
-  behind.isWatchLagging = false;
+  staleController.isWatchLagging = false;
   assert.deepEqual(
-    answers.map((a) => a()),
+    answers.map((response) => response()),
     ['200 done', '200 done', '200 done', '200 aborted', '200 aborted', '200 aborted'],
   );
 });
 
-test('one-task jobs come four a second for a minute, a quarter of them cancelled: all end as their users were told', () => {
+test('240 one-task jobs are submitted one after another, a quarter of them cancelled: each ends in the state that its user was told', () => {
   const cluster = smallCluster(8);
   const cancelled = new Set<string>();
   for (let index = 0; index < 240; index++) {
     const id = `run-s${index}`;
     const spec = job(id, { estimatedRunS: 2, team: ['red', 'blue', 'green'][index % 3] as string, imageSizeGb: 0 });
     cluster.specs.set(id, spec);
-    const told = said(cluster, (then) => (cluster.controllers[index % 3] as SimulatedController).submit(spec, then));
+    const submission = sendRequest(cluster, (onResponse) =>
+      (cluster.controllers[index % 3] as SimulatedController).submit(spec, onResponse),
+    );
     cluster.run(0.2);
-    assert.equal(told().slice(0, 3), '201');
+    assert.equal(submission().slice(0, 3), '201');
     if (index % 4 === 3)
       (cluster.controllers[(index + 1) % 3] as SimulatedController).cancel(
         id,
@@ -173,7 +176,7 @@
       cluster.queryStatus(`run-s${index}`, cluster.controllers[(index + 2) % 3] as SimulatedController),
       cancelled.has(`run-s${index}`) ? 'aborted' : 'done',
     );
-  // Queues are empty again: no write waits for ever, and no machine is out of use.
+  // The write queues are empty again, and no machine was released.
   for (const node of cluster.controllers) assert.equal(node.controller.writer.queueLength, 0);
   assert.deepEqual(
     cluster.workers.filter((worker) => worker.dead),
@@ -181,15 +184,15 @@
   );
 });
 
-test('jobs that can not run or lack a field are never accepted: not in an outage, not refused alone, not repeated', () => {
+test('jobs that cannot run or lack a field are never accepted: not in an outage, not by a controller cut off from the state service', () => {
   const cluster = smallCluster(4);
-  const never = [job('run-x0', { cpus: 4000 }), job('run-x1', { team: 'nobody' }), job('run-x2', { zone: 'nowhere' })];
+  const unrunnableJobs = [job('run-x0', { cpus: 4000 }), job('run-x1', { team: 'nobody' }), job('run-x2', { zone: 'nowhere' })];
   const answers = (node: SimulatedController) => [
-    ...never.map((spec) => said(cluster, (then) => node.submit(spec, then))()),
-    said(cluster, (then) => node.submit(job('run-x3'), then, 'pieces'))(),
+    ...unrunnableJobs.map((spec) => sendRequest(cluster, (onResponse) => node.submit(spec, onResponse))()),
+    sendRequest(cluster, (onResponse) => node.submit(job('run-x3'), onResponse, 'pieces'))(),
   ];
-  const wrong = ['422', '422', '422', '400'];
-  for (const node of cluster.controllers) assert.deepEqual(answers(node), wrong);
+  const expected = ['422', '422', '422', '400'];
+  for (const node of cluster.controllers) assert.deepEqual(answers(node), expected);
   cluster.controller('n1').isRefusedByStateService = true;
   cluster.run(6);
   assert.deepEqual(answers(cluster.controller('n1')), ['503', '503', '503', '400']);
@@ -200,18 +203,19 @@
   cluster.isStateServiceDown = false;
   cluster.run(6);
   for (const node of cluster.controllers) {
-    assert.deepEqual(answers(node), wrong);
-    assert.equal(said(cluster, (then) => node.cancel('run-x0', then))(), '404');
+    assert.deepEqual(answers(node), expected);
+    assert.equal(sendRequest(cluster, (onResponse) => node.cancel('run-x0', onResponse))(), '404');
     assert.equal(cluster.queryStatus('run-x3', node), '404');
   }
-  // A cancellation of a job that is done answers so, and its repeats too.
+  // The response to a cancellation of a finished job says that it is done, also when repeated.
   cluster.submit(job('run-d', { estimatedRunS: 1 }));
   cluster.runUntil('done', () => cluster.queryStatus('run-d') === 'done', 20);
-  for (const node of cluster.controllers) assert.equal(said(cluster, (then) => node.cancel('run-d', then))(), '200 done');
+  for (const node of cluster.controllers)
+    assert.equal(sendRequest(cluster, (onResponse) => node.cancel('run-d', onResponse))(), '200 done');
 });
 
-// The two differ in what they store: at the second controller the job awaited is done, and needs no edge any more.
-test('an acceptance without an answer is repeated elsewhere, where what it awaits is done meanwhile', () => {
+// The two acceptances store different records: at the second controller the dependency is done, so no edge to it is stored.
+test('a submission without a response is repeated at another controller after its dependency is done: the job runs once', () => {
   for (const isLate of [false, true]) {
     const cluster = smallCluster(4);
     const [first, second] = cluster.controllers as [SimulatedController, SimulatedController];
@@ -226,9 +230,10 @@
     first.submit(cluster.specs.get('run-b') as JobSpec, () => {});
     cluster.run(0.3);
     cluster.losesTransactionResponse = null;
-    cluster.runUntil('the first is done', () => cluster.queryStatus('run-a', second) === 'done', 30);
+    cluster.runUntil('the dependency is done', () => cluster.queryStatus('run-a', second) === 'done', 30);
     cluster.submit(cluster.specs.get('run-b') as JobSpec, second, ['run-a']);
-    cluster.runUntil('the second is done', () => cluster.allTasksDone('run-b'), 40);
-    for (const node of cluster.controllers) cluster.runUntil('told', () => cluster.queryStatus('run-b', node) === 'done', 10);
+    cluster.runUntil('the dependent job is done', () => cluster.allTasksDone('run-b'), 40);
+    for (const node of cluster.controllers)
+      cluster.runUntil('its status is done', () => cluster.queryStatus('run-b', node) === 'done', 10);
   }
 });
--- a/test/duplicate-names.test.ts
+++ b/test/duplicate-names.test.ts
@@ -1,15 +1,15 @@
-// Two processes that were started with one `host_name`: the later one must not act, and says why.
+// Two processes that were started with one `host_name`: the later one must not act, and logs why.
 //
-// What happens: each takes the other's leases for its own from before a restart, and claims them anew as soon as it has read the
-// other's claim. The leases go to and fro for as long as both run; fencing tokens keep either from doing harm with an old one.
-// Why: a claim compares the name of the lease's holder alone (`ShardLeases.claimIfDue`).
+// Each process takes the leases of the other one for its own leases from before a restart, and claims them again as soon as it
+// reads the other's claim, because a claim compares only the name of the lease holder (`ShardLeases.claimIfDue`). The leases
+// alternate for as long as both processes run; fencing tokens prevent either from acting under an outdated lease.
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { job, SimulatedCluster, shardOf } from './simulation/index.js';
 
-/** The first claims of both, and one more for each. */
-const MOST_CLAIMS = 4;
+/** The first claim of each process, and one more for each. */
+const MAX_CLAIMS = 4;
 
 test('two processes with one host_name: the leases of their shards do not go to and fro', () => {
   const cluster = new SimulatedCluster(['n0', 'n1', 'n2']);
@@ -25,5 +25,5 @@
     revisions.add(cluster.controller('n1').controller.clusterState.leaseOf(shard)?.revision ?? 0);
   }
   assert.equal(cluster.runningTasks('run-v'), 4);
-  assert.ok(revisions.size <= MOST_CLAIMS, `${revisions.size} claims in 60 s`);
+  assert.ok(revisions.size <= MAX_CLAIMS, `${revisions.size} claims in 60 s`);
 });
--- a/test/failover-partitions.test.ts
+++ b/test/failover-partitions.test.ts
@@ -1,16 +1,17 @@
-// Failover by a partition or by refusals of the state service: shards go to controllers that can serve them, and return.
+// Failover by a partition or by refusals of the state service: controllers that can serve a shard acquire it, and it returns
+// later.
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { holderOf, job, SimulatedCluster, type SimulatedController, shardOf, smallCluster } from './simulation/index.js';
 import { LargeFleet } from './simulation/large-fleet.js';
 
-test('a single controller that the state service refuses loses its shards to the others, and one returns later', () => {
+test('a controller that the state service refuses loses its shard to another one, and gets it back later', () => {
   const cluster = smallCluster(6);
 
   cluster.controller('n1').isRefusedByStateService = true;
   cluster.runUntil(
-    'taken over',
+    'another controller holds the shard',
     () => cluster.controllers[0]?.controller.clusterState.leaseOf(1)?.holder.controller !== 'n1',
     40,
   );
@@ -20,26 +21,26 @@
 
   cluster.controller('n1').isRefusedByStateService = false;
   cluster.runUntil(
-    'home again',
+    'the preferred holder has the shard again',
     () => cluster.controllers[0]?.controller.clusterState.leaseOf(1)?.holder.controller === 'n1',
     60,
   );
 });
 
-test('after a partition a shard returns to its preferred holder only once its services run again: a change of holder stops starts', () => {
+test('after a partition a shard returns to its preferred holder only once its services run again, since a change of holder suspends starts', () => {
   const cluster = smallCluster(12);
   cluster.submit(job('run-q', { team: 'blue', shape: 'service', tasks: 10, priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-q') === 10);
   const shard = shardOf(cluster, 'run-q');
   const preferredHolder = holderOf(cluster, shard);
   const zone = cluster.controller(preferredHolder).controller.settings.zone;
-  const inside = (name: string) =>
+  const isInZone = (name: string) =>
     name === preferredHolder || cluster.workers.find((worker) => worker.name === name)?.zone === zone;
 
-  // Its home is cut off whole; a machine there dies, the others' work ends by its leases.
+  // The preferred holder's whole zone is partitioned; one machine there dies, and the tasks of the others end with their leases.
   for (const node of cluster.controllers)
     if (node.name !== preferredHolder && node.controller.settings.zone === zone) node.crash();
-  cluster.isPartitioned = (a, b) => inside(a) !== inside(b);
+  cluster.isPartitioned = (a, b) => isInZone(a) !== isInZone(b);
   cluster.controller(preferredHolder).isRefusedByStateService = true;
   const deadWorker = cluster.workers.find(
     (worker) => worker.zone === zone && cluster.machinesRunning('run-q').includes(worker.name),
@@ -50,13 +51,13 @@
   }
   const otherController = cluster.controllers.find((node) => node.up && node.name !== preferredHolder) as SimulatedController;
   cluster.runUntil(
-    'taken over',
+    'another controller holds the shard',
     () => (otherController.controller.clusterState.leaseOf(shard)?.holder.controller ?? preferredHolder) !== preferredHolder,
     40,
   );
-  cluster.runUntil('its leases are over', () => !cluster.machinesRunning('run-q').some(inside), 40);
+  cluster.runUntil('the tasks in the zone have ended', () => !cluster.machinesRunning('run-q').some(isInZone), 40);
 
-  // The cloud can't tell that the dead one is gone for a while: what may be on it waits.
+  // For 15 s the cloud doesn't confirm that the dead machine is gone: tasks that may run on it are not started elsewhere.
   cluster.isCloudDown = true;
   cluster.isPartitioned = () => false;
   cluster.controller(preferredHolder).isRefusedByStateService = false;
@@ -66,14 +67,14 @@
   });
 
   cluster.runUntil(
-    'at home',
+    'the preferred holder has the shard again',
     () => otherController.controller.clusterState.leaseOf(shard)?.holder.controller === preferredHolder,
     90,
   );
   assert.equal(cluster.runningTasks('run-q'), 10);
 });
 
-/** All machines are in one shard, which is probed six at a time; those of the partitioned zone come first by name. */
+/** All machines are in one shard and are probed six at a time; the machines of the partitioned zone are first by name. */
 function clusterWithOneShard(west: number, east: number): SimulatedCluster {
   const cluster = new SimulatedCluster(['n0', 'n1', 'n2'], (settings) => ({
     ...settings,
@@ -98,20 +99,25 @@
   assert.equal(holderOf(cluster, shard), 'n0');
   cluster.controller('n0').crash();
   const { clusterState } = cluster.controller('n2').controller;
-  cluster.runUntil('taken over', () => clusterState.leaseOf(shard)?.holder.controller === 'n2', 40);
+  cluster.runUntil('another controller holds the shard', () => clusterState.leaseOf(shard)?.holder.controller === 'n2', 40);
   cluster.run(15);
 
   assert.deepEqual(
     cluster.workers.filter((worker) => worker.dead && !isWest(worker.name)).map((worker) => worker.name),
     [],
-    'machines that can be reached',
+    'no reachable machine is released',
+  );
+  const reachableMachines = [...clusterState.machines.values()].filter((machine) => !isWest(machine.name));
+  assert.equal(
+    reachableMachines.filter((machine) => machine.tenure.isVerified).length,
+    40,
+    'all reachable machines have answered',
   );
-  const seen = [...clusterState.machines.values()].filter((machine) => !isWest(machine.name));
-  assert.equal(seen.filter((machine) => machine.tenure.isVerified).length, 40, 'all of them have answered');
 });
 
-// The few that had answered were not asked again before the verdict, and afterwards the same four, some dead, for ever:
-// no controller held anything, and nothing that was lost was given back.
+// The few machines that had answered were not probed again before the controller concluded that it was cut off from its
+// workers, and afterwards the same four, some of them dead, were probed for ever: no controller held a shard, and no lost
+// machine was released.
 test('a third of the machines lost during failovers is not taken for a partition', () => {
   const fleet = new LargeFleet({ machines: 600, controllers: 3 });
   const { cluster } = fleet;
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -1,4 +1,4 @@
-// Failover: another controller acquires a shard whose holder crashed or paused; nothing runs twice, and nothing is lost.
+// Failover: another controller acquires a shard whose holder crashed or paused; no task runs twice, and none is lost.
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -28,7 +28,7 @@
   worker.hung = true;
 
   cluster.run(30);
-  assert.deepEqual(cluster.machinesRunning('run-s'), [machine], 'nothing proves that it is gone yet');
+  assert.deepEqual(cluster.machinesRunning('run-s'), [machine], 'the machine is not known to be released yet');
 
   cluster.isCloudDown = false;
   cluster.runUntil(
@@ -39,10 +39,10 @@
 
   const lines = cluster.trace.join('\n');
   assert.ok(lines.indexOf(`${machine} is released`) < lines.lastIndexOf('starts run-s'));
-  assertGoldenTrace(cluster, 'takeover-with-a-silent-worker');
+  assertGoldenTrace(cluster, 'failover-with-a-silent-worker');
 });
 
-test('a late transaction of a dead holder changes nothing', () => {
+test('a late transaction of a crashed holder changes nothing', () => {
   const cluster = smallCluster(6);
   const lateWrites: (() => void)[] = [];
   cluster.submit(job('run-t', { tasks: 2, estimatedRunS: 3 }));
@@ -53,12 +53,12 @@
     lateWrites.push(apply);
     return true;
   };
-  cluster.runUntil('its end was to be written', () => lateWrites.length > 0, 30);
+  cluster.runUntil('a write of its completion was sent', () => lateWrites.length > 0, 30);
   cluster.controller(holder).crash();
   cluster.losesTransactionResponse = null;
   cluster.run(1);
   cluster.controller(holder).restart();
-  cluster.runUntil('done again', () => cluster.queryStatus('run-t') === 'done', 40);
+  cluster.runUntil('done', () => cluster.queryStatus('run-t') === 'done', 40);
 
   const before = JSON.stringify(cluster.stateService.rows());
   for (const apply of lateWrites) apply();
@@ -67,7 +67,7 @@
   assertGoldenTrace(cluster, 'late-transaction');
 });
 
-test("a gang that was partly started when its shard's holder crashed runs whole, once", () => {
+test("a gang that was partly started when its shard's holder crashed runs with all its tasks, once", () => {
   const cluster = new SimulatedCluster();
   for (let index = 0; index < 4; index++) cluster.addMachine(`m${index}`, 'small', 'east');
   cluster.runUntilSettled();
@@ -107,11 +107,11 @@
   assert.equal(cluster.runningTasks('run-r'), 0);
 
   cluster.isCloudDown = false;
-  cluster.runUntil('its turn', () => cluster.runningTasks('run-r') === 1, 120);
-  assertGoldenTrace(cluster, 'quota-with-unresolved-places');
+  cluster.runUntil('the waiting job runs', () => cluster.runningTasks('run-r') === 1, 120);
+  assertGoldenTrace(cluster, 'quota-with-unverified-allocations');
 });
 
-test('the leader and the holders change ten times in two minutes, twice inside an outage: work runs once and to its end', () => {
+test('leader and holders change ten times in two minutes, twice in an outage: each job runs to completion once', () => {
   const cluster = smallCluster(8);
   for (let index = 0; index < 6; index++)
     cluster.submit(job(`run-t${index}`, { team: ['red', 'blue', 'green'][index % 3] as string, tasks: 3, estimatedRunS: 25 }));
@@ -119,10 +119,12 @@
 
   for (let index = 0; index < 10; index++) {
     cluster.isStateServiceDown = index === 3 || index === 4;
-    const ends = cluster.controller(index % 2 === 0 ? holderOf(cluster, 'lead') || 'n2' : holderOf(cluster, index % 3) || 'n0');
-    ends.crash();
+    const crashedController = cluster.controller(
+      index % 2 === 0 ? holderOf(cluster, 'lead') || 'n2' : holderOf(cluster, index % 3) || 'n0',
+    );
+    crashedController.crash();
     cluster.run(index % 4 === 0 ? 0.3 : 3);
-    ends.restart();
+    crashedController.restart();
     cluster.run(9);
   }
 
@@ -130,15 +132,15 @@
   assert.equal(cluster.runningTasks('run-v'), 2);
 });
 
-test('tasks of one array end far apart, and the holder crashes in between: what is done is not run again', () => {
+test('tasks of one array end far apart, and the holder crashes in between: tasks that are done do not run again', () => {
   const cluster = smallCluster(1);
-  // One machine, room for one: they run one after the other.
+  // One machine with capacity for one task: the tasks run one after another.
   cluster.submit(job('run-f', { tasks: 3, cpus: 4, estimatedRunS: 8 }));
 
   for (let index = 1; index <= 3; index++) {
-    cluster.runUntil('one more ended', () => cluster.finished.size === index, 60);
+    cluster.runUntil('one more task is done', () => cluster.finished.size === index, 60);
     const owner = cluster.controller(holderOf(cluster, 0));
-    // At once after the end, or when it is known and what was to be stored of it is lost.
+    // The holder crashes right after the task ends, or once it knows of the end while its writes of it are lost.
     cluster.losesTransactionResponse = (transaction) =>
       transaction.writes.some((write) => 'put' in write && /^a\/[pj]\//.test(write.put));
     cluster.run(index === 1 ? 0 : 1.5);
@@ -152,10 +154,10 @@
   cluster.runUntil('done', () => cluster.queryStatus('run-f') === 'done', 60);
   for (let index = 0; index < 3; index++)
     assert.equal(cluster.trace.filter((line) => line.includes(`starts run-f/${index}`)).length, 1);
-  assertGoldenTrace(cluster, 'ends-far-apart');
+  assertGoldenTrace(cluster, 'tasks-end-far-apart');
 });
 
-test('all controllers crash and one is back within a second, the others later; then a shard changes its holder to and fro', () => {
+test('all controllers crash three times, and one restarts before the others: the service and the array keep running', () => {
   const cluster = smallCluster(8);
   cluster.submit(job('run-v', { shape: 'service', tasks: 3, priority: 3, jobClass: 'serve' }));
   cluster.submit(job('run-a', { team: 'blue', tasks: 4, estimatedRunS: 40 }));
@@ -174,7 +176,7 @@
   assert.equal(cluster.runningTasks('run-v'), 3);
 });
 
-test('all controllers are away for longer than a lease: what died with it runs again, once', () => {
+test('all controllers are down for longer than a lease: tasks that ended with their leases run again, once', () => {
   const cluster = smallCluster(6);
   cluster.submit(job('run-v', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
   cluster.submit(job('run-a', { team: 'blue', tasks: 3, estimatedRunS: 30 }));
@@ -195,37 +197,37 @@
   );
 });
 
-// A rename by tool had left the two sides of the move's flag with different names: what was known from the old shard stayed.
-test('what is known of a machine does not outlive its move to another shard', () => {
-  const core = new Controller(settings('n0'), 'boot');
+// Reader and writer of the flag of a move once used different names for it, so the tenure of the old shard stayed.
+test('a machine gets a new tenure when it moves to another shard', () => {
+  const controller = new Controller(settings('n0'), 'boot');
   const assignment = (shard: number) => ({ s: shard, a: 'm0:1', t: 'std', z: 'za', sp: false });
-  core.replica.set('a/g/m0', assignment(0), 1);
-  const machine = core.clusterState.machines.get('m0');
+  controller.replica.set('a/g/m0', assignment(0), 1);
+  const machine = controller.clusterState.machines.get('m0');
   assert.ok(machine);
   const tenure = machine.tenure;
 
-  core.replica.set('a/g/m0', { ...assignment(0), mv: 1 }, 2);
-  assert.equal(machine.tenure, tenure, 'a move that is ordered changes nothing yet');
+  controller.replica.set('a/g/m0', { ...assignment(0), mv: 1 }, 2);
+  assert.equal(machine.tenure, tenure, 'an ordered move keeps the tenure');
 
-  core.replica.set('a/g/m0', assignment(1), 3);
+  controller.replica.set('a/g/m0', assignment(1), 3);
   assert.equal(machine.shard, 1);
   assert.notEqual(machine.tenure, tenure, 'the move begins a new tenure');
 });
 
-// Only leases that another controller took were logged as lost, not those that ended with the state lease.
-test('shard leases that end with the state lease are logged as lost, each once', () => {
+// Only leases that another controller acquired were logged as lost, not those that ended with the state lease.
+test('shard leases that end with the state lease are each logged as lost once', () => {
   const cluster = smallCluster(4);
   const node = cluster.controllers[0] as SimulatedController;
-  const held = [...node.controller.shardController.heldShards.keys()].map(String);
-  assert.ok(held.length > 0);
-  const lost: string[] = [];
+  const heldLeases = [...node.controller.shardController.heldShards.keys()].map(String);
+  assert.ok(heldLeases.length > 0);
+  const lostLeases: string[] = [];
   cluster.onLog = (controller, { message, fields }) => {
-    if (controller === node.name && message === 'shard lease lost') lost.push(String(fields?.lease));
+    if (controller === node.name && message === 'shard lease lost') lostLeases.push(String(fields?.lease));
   };
   node.controller.receiveLeaseState(null, 0, cluster.now);
   node.applyEffects();
   assert.deepEqual(
-    lost.filter((lease) => lease !== 'lead'),
-    held,
+    lostLeases.filter((lease) => lease !== 'lead'),
+    heldLeases,
   );
 });
--- a/test/fencing.test.ts
+++ b/test/fencing.test.ts
@@ -1,4 +1,4 @@
-// Fencing: commands and transactions that arrive late find a higher token or another revision, and change nothing.
+// Fencing: late commands and transactions are rejected by a higher fencing token or a newer revision, and change nothing.
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -14,7 +14,7 @@
   smallCluster,
 } from './simulation/index.js';
 
-test('a machine that hangs and goes on later does not run what was started elsewhere', () => {
+test('a machine that hangs and resumes later does not run a task that was started elsewhere', () => {
   const cluster = smallCluster(6);
   cluster.submit(job('run-h', { shape: 'service', priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-h') === 1);
@@ -29,43 +29,43 @@
 
   cluster.run(30);
   assert.equal(cluster.runningTasks('run-h'), 1);
-  assertGoldenTrace(cluster, 'hung-machine-goes-on');
+  assertGoldenTrace(cluster, 'hung-machine-resumes');
 });
 
-test('a start whose answer was lost, and which comes late, finds a higher fencing token', () => {
+test('a late start command whose response was lost is rejected by a higher fencing token', () => {
   const cluster = smallCluster(2);
   const worker = cluster.workers[0];
   assert.ok(worker);
 
-  // Hangs just as starts are sent: they are held, and executed when it goes on.
+  // The worker hangs as start commands are sent to it: they are held, and delivered when it resumes.
   worker.hung = true;
   cluster.submit(job('run-l', { tasks: 4, estimatedRunS: 60 }));
   cluster.run(4);
   worker.hung = false;
 
   cluster.runUntil('all running', () => cluster.runningTasks('run-l') === 4, 60);
-  assertGoldenTrace(cluster, 'late-start-finds-a-higher-token');
+  assertGoldenTrace(cluster, 'late-start-is-rejected');
 });
 
-test('the release of a shard lease is carried out, its answer lost and the watch late: the old holder starts nothing more', () => {
+test('the release of a shard lease is applied, but its response is lost and the watch lags: the old holder starts no more tasks', () => {
   const cluster = smallCluster(8);
   const { preferredHolder, currentHolder } = holdShardElsewhere(cluster);
 
-  // Carried out at once; the old holder learns of it neither by the answer nor by its watch.
+  // The release is applied at once; the old holder learns of it neither by the response nor by its watch.
   cluster.losesTransactionResponse = (transaction, apply) => {
     if (!transaction.writes.some((write) => 'del' in write && write.del === 'a/h/1')) return false;
     currentHolder.isWatchLagging = true;
     apply();
     return true;
   };
-  cluster.runUntil('claimed by its home', () => storedLeaseHolder(cluster, 1) === 'n1', 80);
+  cluster.runUntil('the preferred holder has the lease', () => storedLeaseHolder(cluster, 1) === 'n1', 80);
   assert.ok(currentHolder.isWatchLagging);
   const machinesOfShard = [...currentHolder.controller.clusterState.machines.values()]
     .filter((machine) => machine.shard === 1)
     .map((machine) => machine.name);
   assert.ok(machinesOfShard.length >= 2);
 
-  // Each of them reaches one machine alone: what both start is started twice.
+  // The two controllers reach different machines, so that a task which both start would run twice.
   const last = machinesOfShard.at(-1);
   cluster.isPartitioned = (a, b) =>
     (a === preferredHolder.name && b !== last && machinesOfShard.includes(b)) || (a === currentHolder.name && b === last);
@@ -77,10 +77,10 @@
   cluster.run(4);
 
   assert.equal(cluster.runningTasks('run-twice'), 1);
-  assertGoldenTrace(cluster, 'released-and-not-told');
+  assertGoldenTrace(cluster, 'lease-release-without-response');
 });
 
-test('a start is delayed on its way while its sender restarts: it finds a higher fencing token', () => {
+test('a start command that is delayed while its sender restarts is rejected by a higher fencing token', () => {
   const cluster = smallCluster(4);
   cluster.losesCommands = () => true;
   cluster.lateCommandDelayMs = () => 9000;
@@ -106,22 +106,22 @@
   assert.equal(cluster.trace.filter((line) => line.includes('starts run-a')).length, 1);
 });
 
-test('a start is lost for good: the fencing token rises, and the task is started anew', () => {
+test('a start command is lost: the fencing token is raised, and the task is started again', () => {
   const cluster = smallCluster(4);
   cluster.losesCommands = () => true;
   cluster.submit(job('run-a', { estimatedRunS: 60 }));
 
   const highestToken = () => Math.max(...cluster.workers.map((worker) => worker.fencingToken));
-  const before = highestToken();
+  const tokenBefore = highestToken();
 
   cluster.run(1);
   cluster.losesCommands = () => false;
   cluster.runUntil('running', () => cluster.runningTasks('run-a') === 1, 20);
 
-  assert.ok(highestToken() > before);
+  assert.ok(highestToken() > tokenBefore);
 });
 
-test('direct commands to a machine are lost while the cloud is down: the answers to its heartbeats stop what is cancelled', () => {
+test('direct commands to a machine are lost while the cloud is down: the responses to its heartbeats stop cancelled tasks', () => {
   const cluster = smallCluster(4);
   cluster.submit(job('run-c', { zone: 'east', estimatedRunS: 500 }));
   cluster.runUntil('running', () => cluster.runningTasks('run-c') === 1);
@@ -131,10 +131,10 @@
   cluster.losesCommands = (_controller, name) => name === machine;
   cluster.cancel('run-c');
 
-  cluster.runUntil('gone', () => cluster.machinesRunning('run-c').length === 0, 36);
+  cluster.runUntil('the task is stopped', () => cluster.machinesRunning('run-c').length === 0, 36);
 });
 
-test('a machine executes its starts and its answer can not be read: nothing is started elsewhere', () => {
+test('a machine executes start commands and its response is unreadable: no task is started elsewhere', () => {
   const cluster = smallCluster(4);
   cluster.garblesCommandResponses = () => true;
   cluster.submit(job('run-a', { tasks: 3, estimatedRunS: 60 }));
@@ -142,12 +142,12 @@
   cluster.run(5);
   cluster.garblesCommandResponses = () => false;
 
-  cluster.runUntil('running, once', () => cluster.runningTasks('run-a') === 3, 30);
+  cluster.runUntil('running', () => cluster.runningTasks('run-a') === 3, 30);
   cluster.run(10);
   assert.equal(cluster.runningTasks('run-a'), 3);
 });
 
-test('a heartbeat with a higher fencing token than a controller knows is refused, so that the worker finds another', () => {
+test('a heartbeat with a higher fencing token than the controller knows is refused, so that the worker turns to another controller', () => {
   const cluster = smallCluster(8);
   const worker = cluster.workers[0] as SimulatedWorker;
   cluster.run(5);
@@ -158,8 +158,8 @@
   assert.ok(cluster.controllers.some((node) => deliverHeartbeatCopy(node, worker.nextHeartbeat()) === 200));
 });
 
-/** A job is cancelled while its start is on its way; then the start comes back, not carried out. */
-function cancelledWhileItsStartIsSent(cluster: SimulatedCluster, fail: () => void, mend: () => void): void {
+/** Cancels a job whose start commands are being sent; then the commands fail without being executed. */
+function cancelWhileStartsFail(cluster: SimulatedCluster, fail: () => void, repair: () => void): void {
   fail();
   cluster.submit(job('run-a', { tasks: 2, estimatedRunS: 300 }));
   const owner = cluster.controller(holderOf(cluster, shardOf(cluster, 'run-a')));
@@ -167,7 +167,7 @@
   cluster.runUntil('sent', () => allocations().some((allocation) => allocation.phase === 'sent'), 5);
 
   cluster.cancel('run-a');
-  mend();
+  repair();
   cluster.trace = [];
   cluster.run(20);
 
@@ -175,13 +175,13 @@
     cluster.trace.filter((line) => line.includes('starts run-a')),
     [],
   );
-  assert.equal(owner.controller.clusterState.jobs.has('run-a'), false, 'nothing is kept of it');
+  assert.equal(owner.controller.clusterState.jobs.has('run-a'), false, 'the job is removed from the cluster state');
 }
 
-// A start that came back unsent was sent again, whatever had become of its job meanwhile.
-test('a start that could not be sent is not sent again once its job is cancelled', () => {
+// A start command that could not be sent was sent again without a check whether its job had been cancelled.
+test('a start command that could not be sent is not sent again once its job is cancelled', () => {
   const cluster = smallCluster(4);
-  cancelledWhileItsStartIsSent(
+  cancelWhileStartsFail(
     cluster,
     () => {
       cluster.refusesCommands = () => true;
@@ -192,8 +192,8 @@
   );
 });
 
-// At the slowest rate of changes 240 tokens take a quarter of a minute to raise, and no stop leaves before its machine's is.
-test('hundreds of machines lost their commands: those with cancelled work get their fencing tokens, and their stops, first', () => {
+// At 15 writes per second it takes about 15 s to raise 240 tokens, and a machine gets no stop command before its token is raised.
+test('commands to 240 machines are lost: machines with cancelled work get new fencing tokens and stop commands first', () => {
   const cluster = new SimulatedCluster(undefined, (settings) => ({
     ...settings,
     state: { ...settings.state, writesPerS: 15, writesPerTransaction: 4 },
@@ -206,26 +206,26 @@
   cluster.runUntil('all run', () => ids.every((id) => cluster.runningTasks(id) === 40), 60);
   cluster.run(20);
 
-  // A second task for each machine: its start is lost, and nothing is answered meanwhile that could stop anything.
+  // A second task for each machine: its start command is lost, and no heartbeat response can stop tasks meanwhile.
   cluster.losesCommands = () => true;
   cluster.submit(job('run-more', { tasks: 240, cpus: 1, estimatedRunS: 500 }));
   const owner = cluster.controller(holderOf(cluster, shardOf(cluster, 'run-0')));
   const machines = () => [...owner.controller.clusterState.machines.values()];
-  const sent = () =>
+  const sentStarts = () =>
     [...(owner.controller.clusterState.jobs.get('run-more')?.tenure.allocations.values() ?? [])].filter(
       (allocation) => allocation.phase === 'sent',
     );
-  cluster.runUntil('the starts are under way', () => sent().length > 200, 20);
+  cluster.runUntil('the start commands are pending', () => sentStarts().length > 200, 20);
   cluster.isStateServiceDown = true;
-  const waiting = () => machines().filter((machine) => machine.tenure.hasUncertainCommand).length;
-  cluster.runUntil('they are lost', () => waiting() > 200, 20);
+  const uncertainCount = () => machines().filter((machine) => machine.tenure.hasUncertainCommand).length;
+  cluster.runUntil('the start commands are lost', () => uncertainCount() > 200, 20);
   cluster.isStateServiceDown = false;
   cluster.losesHeartbeats = () => true;
 
   cluster.cancel('run-5');
   cluster.losesCommands = () => false;
 
-  // Sooner than by their leases, which run out after twelve seconds.
-  cluster.runUntil('what is cancelled is gone', () => cluster.machinesRunning('run-5').length === 0, 6);
-  assert.ok(waiting() > 20, `${waiting()} machines still wait for their tokens`);
+  // Sooner than the end of their leases, which expire after 12 s.
+  cluster.runUntil('the cancelled tasks are stopped', () => cluster.machinesRunning('run-5').length === 0, 6);
+  assert.ok(uncertainCount() > 20, `${uncertainCount()} machines still wait for a new token`);
 });
--- a/test/heartbeat-connections.test.ts
+++ b/test/heartbeat-connections.test.ts
@@ -1,4 +1,4 @@
-// Connections on which workers send heartbeats, and those that are no worker's.
+// Connections on which workers send heartbeats, and other connections to the same listener.
 
 import assert from 'node:assert/strict';
 import net from 'node:net';
@@ -19,7 +19,7 @@
   body: Record<string, unknown> | null;
 }
 
-/** A client that speaks bytes. */
+/** A client that sends raw bytes and reads HTTP responses. */
 class RawClient {
   private received = Buffer.alloc(0);
   private wake: () => void = () => {};
@@ -37,7 +37,7 @@
     socket.on('error', () => {});
   }
 
-  /** The next answer; null: the connection was closed instead. */
+  /** Resolves with the next response, or with null if the connection is closed instead. */
   async reply(): Promise<Reply | null> {
     for (;;) {
       const end = this.received.indexOf('\r\n\r\n');
@@ -63,21 +63,21 @@
   }
 }
 
-interface Door {
+interface TestServer {
   api: HttpApi;
-  /** what was handed on, in order */
+  /** requests that the HTTP API passed on, in order */
   requests: ApiRequest[];
-  /** answers are given by the test itself */
+  /** whether the test itself sends the responses */
   isHeld: boolean;
   connect(): Promise<RawClient>;
 }
 
-async function door(context: TestContext, connections = new ConnectionLimiter(100)): Promise<Door> {
+async function startServer(context: TestContext, connections = new ConnectionLimiter(100)): Promise<TestServer> {
   const requests: ApiRequest[] = [];
   const { api, port }: ListeningHttpApi = await listeningHttpApi(context, {
     onRequest: (each) => {
       requests.push(each);
-      if (!opened.isHeld) api.respond(each.id, 200, { kind: each.kind });
+      if (!server.isHeld) api.respond(each.id, 200, { kind: each.kind });
     },
     connections,
   });
@@ -85,19 +85,19 @@
     new Promise<RawClient>((resolve) => {
       const socket = net.connect(port, '127.0.0.1', () => resolve(new RawClient(socket)));
     });
-  const opened: Door = { api, requests, isHeld: false, connect };
-  return opened;
+  const server: TestServer = { api, requests, isHeld: false, connect };
+  return server;
 }
 
-test('heartbeats, whole and in pieces, are taken one after the other on one connection', async (context) => {
-  const { api, requests, connect } = await door(context);
+test('heartbeats, whole and in fragments, are processed one after another on one connection', async (context) => {
+  const { api, requests, connect } = await startServer(context);
   const client = await connect();
   client.socket.write(request(IDLE_HEARTBEAT));
   const first = await client.reply();
   assert.equal(first?.status, 200);
   assert.deepEqual(first?.body, { kind: 'heartbeat' });
   assert.doesNotMatch(first?.head ?? '', /connection: close/);
-  // Cut within the head, and within the body.
+  // Split within the head, and within the body.
   const bytes = request(IDLE_HEARTBEAT);
   for (const [from, to] of [
     [0, 40],
@@ -116,17 +116,17 @@
   await client.closed();
 });
 
-const LONGEST_BODY = 64 * 1024;
+const MAX_BODY_BYTES = 64 * 1024;
 
-test('what is no heartbeat is answered: other requests on the same connection, bodies too large, malformed ones', async (context) => {
-  const { connect } = await door(context);
+test('other requests on a heartbeat connection, oversized bodies and malformed requests get a response', async (context) => {
+  const { connect } = await startServer(context);
   const mixed = await connect();
   mixed.socket.write(request(IDLE_HEARTBEAT));
   assert.equal((await mixed.reply())?.status, 200);
   mixed.socket.write(`GET ${PATHS.health} HTTP/1.1\r\nHost: c\r\n\r\n`);
   assert.equal((await mixed.reply())?.status, 200);
   mixed.socket.write(request(IDLE_HEARTBEAT));
-  assert.deepEqual((await mixed.reply())?.body, { kind: 'heartbeat' }, 'by the HTTP server from then on');
+  assert.deepEqual((await mixed.reply())?.body, { kind: 'heartbeat' }, 'answered by the HTTP server from now on');
   mixed.socket.write(request(pack({}), 'POST /elsewhere'));
   assert.equal((await mixed.reply())?.status, 404);
 
@@ -135,48 +135,48 @@
   assert.deepEqual((await user.reply())?.body, { kind: 'statusQuery' });
 
   const large = await connect();
-  large.socket.write(request(Buffer.alloc(LONGEST_BODY + 1)));
+  large.socket.write(request(Buffer.alloc(MAX_BODY_BYTES + 1)));
   assert.equal((await large.reply())?.status, 400);
   large.socket.write(request(IDLE_HEARTBEAT));
-  assert.equal((await large.reply())?.status, 200, 'the connection goes on');
+  assert.equal((await large.reply())?.status, 200, 'the connection stays open');
 
   const chunked = await connect();
   const head = `POST ${PATHS.heartbeat} HTTP/1.1\r\nHost: c\r\nTransfer-Encoding: chunked\r\n\r\n${IDLE_HEARTBEAT.length.toString(16)}\r\n`;
   chunked.socket.write(Buffer.concat([Buffer.from(head), IDLE_HEARTBEAT, Buffer.from('\r\n0\r\n\r\n')]));
   assert.equal((await chunked.reply())?.status, 200);
 
-  const rubbish = await connect();
-  rubbish.socket.write(`POST ${PATHS.heartbeat} HTTP/1.1\r\nContent-Length: none of it\r\n\r\n`);
-  assert.notEqual((await rubbish.reply())?.status, 200);
-  const other = await connect();
-  other.socket.write('no HTTP at all\r\n\r\n');
-  assert.equal((await other.reply())?.status, 400);
+  const invalidLength = await connect();
+  invalidLength.socket.write(`POST ${PATHS.heartbeat} HTTP/1.1\r\nContent-Length: none of it\r\n\r\n`);
+  assert.notEqual((await invalidLength.reply())?.status, 200);
+  const notHttp = await connect();
+  notHttp.socket.write('no HTTP at all\r\n\r\n');
+  assert.equal((await notHttp.reply())?.status, 400);
 });
 
-test('what comes before the last heartbeat was answered ends the connection; the answer is then dropped', async (context) => {
-  const opened = await door(context);
-  const { api, requests, connect } = opened;
-  opened.isHeld = true;
-  const together = await connect();
-  together.socket.write(Buffer.concat([request(IDLE_HEARTBEAT), request(IDLE_HEARTBEAT)]));
-  await together.closed();
-  assert.equal(requests.length, 1, 'one at a time');
-  const flood = await connect();
-  flood.socket.write(request(IDLE_HEARTBEAT));
+test('bytes that arrive before the last heartbeat is answered close the connection, and its response is dropped', async (context) => {
+  const server = await startServer(context);
+  const { api, requests, connect } = server;
+  server.isHeld = true;
+  const pipelining = await connect();
+  pipelining.socket.write(Buffer.concat([request(IDLE_HEARTBEAT), request(IDLE_HEARTBEAT)]));
+  await pipelining.closed();
+  assert.equal(requests.length, 1, 'one heartbeat at a time');
+  const flooding = await connect();
+  flooding.socket.write(request(IDLE_HEARTBEAT));
   while (requests.length < 2) await new Promise((resolve) => setTimeout(resolve, 5));
-  flood.socket.write(Buffer.alloc(4 * LONGEST_BODY));
-  await flood.closed();
+  flooding.socket.write(Buffer.alloc(4 * MAX_BODY_BYTES));
+  await flooding.closed();
   for (const { id } of requests) api.respond(id, 200, {});
   const next = await connect();
   next.socket.write(request(IDLE_HEARTBEAT));
   while (requests.length < 3) await new Promise((resolve) => setTimeout(resolve, 5));
   api.respond(requests[2]?.id ?? 0, 200, {});
-  assert.equal((await next.reply())?.status, 200, 'others are served');
+  assert.equal((await next.reply())?.status, 200, 'a new connection is served');
 });
 
-test('a connection is closed when its client says so, and beyond the sockets that workers may have', async (context) => {
+test('a connection is closed if its client asks for it, or if workers use more sockets than they may', async (context) => {
   const connections = new ConnectionLimiter(4);
-  const { connect } = await door(context, connections);
+  const { connect } = await startServer(context, connections);
   const leaving = await connect();
   leaving.socket.write(request(IDLE_HEARTBEAT, undefined, 'Connection: close\r\n'));
   assert.match((await leaving.reply())?.head ?? '', /connection: close/);
@@ -191,9 +191,9 @@
   assert.doesNotMatch((await staying[1]?.reply())?.head ?? '', /connection: close/);
 });
 
-// The HTTP server behind the listener listens nowhere, and Node looks for half requests only at servers that do: such a
-// connection was kept for ever.
-test('a connection with no request, or half of one, is closed after a while', async (context) => {
+// The HTTP server behind the listener doesn't listen itself, and Node closes incomplete requests only of servers that listen:
+// such a connection was kept for ever.
+test('a connection with no request or an incomplete one is closed after a timeout', async (context) => {
   const listener = new HttpListener({ onHeartbeat: assert.fail, onOtherRequest: assert.fail }, 100);
   context.after(() => listener.close());
   await new Promise<void>((resolve) => listener.server.listen(0, '127.0.0.1', resolve));
@@ -204,17 +204,18 @@
     return client;
   };
   const silent = connect('');
-  const halfQuestion = connect(`GET ${PATHS.jobs}/run-000001 HTTP/1.1\r\nHost: c\r\n`);
-  const more = setInterval(() => halfQuestion.socket.write('X-More: 1\r\n'), 20);
-  context.after(() => clearInterval(more));
-  await Promise.all([silent.closed(), halfQuestion.closed()]);
+  const incomplete = connect(`GET ${PATHS.jobs}/run-000001 HTTP/1.1\r\nHost: c\r\n`);
+  const headerTimer = setInterval(() => incomplete.socket.write('X-More: 1\r\n'), 20);
+  context.after(() => clearInterval(headerTimer));
+  await Promise.all([silent.closed(), incomplete.closed()]);
 });
 
-// A heartbeat with a negative length, or one that is no number, waited ten seconds for a body that can't come, and its connection
-// was closed without an answer; one with a length and chunks was taken, though two readers could cut its body differently.
-test('a heartbeat whose body has no certain length is answered 400 and its connection is closed', async (context) => {
-  const { requests, connect } = await door(context);
-  const odd: [string, string[]][] = [
+// A heartbeat whose length was negative or no number waited ten seconds for a body that couldn't arrive, and its connection was
+// closed without a response; one with both a length and chunks was accepted, though two HTTP parsers may delimit its body
+// differently.
+test('a heartbeat whose body length is invalid or ambiguous is answered 400 and its connection is closed', async (context) => {
+  const { requests, connect } = await startServer(context);
+  const invalidHeaders: [string, string[]][] = [
     ['negative', ['Content-Length: -1']],
     ['no number', ['Content-Length: x']],
     ['empty', ['Content-Length:']],
@@ -227,7 +228,7 @@
     ['a length and chunks', [`Content-Length: ${IDLE_HEARTBEAT.length}`, 'Transfer-Encoding: chunked']],
     ['an unknown transfer encoding', ['Transfer-Encoding: odd']],
   ];
-  for (const [what, headers] of odd) {
+  for (const [what, headers] of invalidHeaders) {
     const client = await connect();
     client.socket.write(`POST ${PATHS.heartbeat} HTTP/1.1\r\nHost: c\r\n${headers.join('\r\n')}\r\n\r\n`);
     const reply = await client.reply();
@@ -238,5 +239,5 @@
   assert.equal(requests.length, 0);
   const good = await connect();
   good.socket.write(request(IDLE_HEARTBEAT));
-  assert.equal((await good.reply())?.status, 200, 'others are served');
+  assert.equal((await good.reply())?.status, 200, 'a new connection is served');
 });
--- a/test/job-dependencies.test.ts
+++ b/test/job-dependencies.test.ts
@@ -1,4 +1,4 @@
-// Dependencies between jobs: when a job may start, and how a cancellation reaches all that need it.
+// Dependencies between jobs: when a job may start, and how a cancellation reaches all dependent jobs.
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -36,9 +36,9 @@
   awaits,
 });
 
-test('awaits: a list of job ids, each taken once; absent, null and empty are alike; what is wrong is named', () => {
-  for (const none of [undefined, null, []]) {
-    const parsed = parseSubmission(submission(none));
+test('awaits is a list of job ids without duplicates; absent, null and empty mean the same; an invalid entry is named', () => {
+  for (const empty of [undefined, null, []]) {
+    const parsed = parseSubmission(submission(empty));
     assert.ok('spec' in parsed);
     assert.deepEqual(parsed.awaits, []);
   }
@@ -50,20 +50,21 @@
   assert.deepEqual(parseSubmission(submission([7])), { field: 'awaits.0' });
 });
 
-function chain(cluster: SimulatedCluster, ids: string[], over: Parameters<typeof job>[1] = {}): void {
+/** Submits jobs that each depend on the one before. */
+function submitChain(cluster: SimulatedCluster, ids: string[], options: Parameters<typeof job>[1] = {}): void {
   ids.forEach((id, index) => {
     cluster.submit(
-      job(id, { estimatedRunS: 3, ...over }),
+      job(id, { estimatedRunS: 3, ...options }),
       cluster.controllers[index % cluster.controllers.length],
       index === 0 ? [] : [ids[index - 1] as string],
     );
   });
 }
 
-// too_early: a start before the end of the job awaited is stored. The cluster checks it at each start.
-test('a chain runs in its order, over a failover of each shard', () => {
+// The simulation rule `too_early` is checked at each start: no job may start before the end of its dependency is stored.
+test('a chain of jobs runs in order, also when a holder of one of their shards crashes', () => {
   const cluster = smallCluster(6);
-  chain(cluster, ['run-1', 'run-2', 'run-3'], { tasks: 3 });
+  submitChain(cluster, ['run-1', 'run-2', 'run-3'], { tasks: 3 });
   cluster.runUntil('the first is done', () => cluster.allTasksDone('run-1'), 40);
   const holder = holderOf(cluster, shardOf(cluster, 'run-2'));
   cluster.controller(holder).crash();
@@ -72,11 +73,11 @@
   cluster.run(15);
   for (const id of ['run-1', 'run-2', 'run-3'])
     for (const node of cluster.controllers) assert.equal(cluster.queryStatus(id, node), 'done');
-  assertGoldenTrace(cluster, 'chain-over-a-takeover');
+  assertGoldenTrace(cluster, 'chain-over-a-failover');
 });
 
-/** Submits at one controller and says how that was answered. */
-function told(
+/** Submits a job to one controller and returns the status code of the response. */
+function submitTo(
   cluster: SimulatedCluster,
   id: string,
   awaits: string[],
@@ -93,11 +94,11 @@
   return status;
 }
 
-test('a job that names itself or one never accepted is refused, after a reading newer than the request', () => {
+test('a job that depends on itself or on a job never accepted is refused, based on a read that began after the request', () => {
   const cluster = smallCluster(4);
-  assert.equal(told(cluster, 'run-self', ['run-self']), 422);
-  assert.equal(told(cluster, 'run-x', ['run-never']), 422);
-  // Accepted elsewhere a moment ago, and not read here yet: the reading is waited for.
+  assert.equal(submitTo(cluster, 'run-self', ['run-self']), 422);
+  assert.equal(submitTo(cluster, 'run-x', ['run-never']), 422);
+  // The dependency was just accepted by another controller and isn't in this one's replica: it waits for the read.
   const [first, second] = cluster.controllers as [SimulatedController, SimulatedController];
   first.isWatchLagging = true;
   cluster.submit(job('run-new'), second);
@@ -108,30 +109,30 @@
     status = code;
   });
   cluster.run(0.5);
-  assert.equal(status, 0, 'not decided by what is known here');
+  assert.equal(status, 0, 'not decided by the stale replica');
   first.isWatchLagging = false;
   cluster.run(0.5);
   assert.equal(status, 201);
-  // Without a reading nothing is refused: the user is to ask again.
+  // Without a read no job is refused for good: the user has to retry.
   first.isWatchLagging = true;
-  assert.equal(told(cluster, 'run-z', ['run-unread'], first), 503);
+  assert.equal(submitTo(cluster, 'run-z', ['run-unread'], first), 503);
 });
 
-test('a cancellation reaches all that need the job, at every controller, by one change', () => {
+test('a cancellation reaches all dependent jobs, at every controller, with one stored change', () => {
   const cluster = smallCluster(6);
-  chain(
+  submitChain(
     cluster,
     Array.from({ length: 40 }, (_, index) => `run-${index}`),
     { estimatedRunS: 300 },
   );
   cluster.run(2);
-  const before = cluster.changes.get('j') ?? 0;
+  const changesBefore = cluster.changes.get('j') ?? 0;
   cluster.cancel('run-0');
   cluster.run(1);
-  assert.equal((cluster.changes.get('j') ?? 0) - before, 1);
+  assert.equal((cluster.changes.get('j') ?? 0) - changesBefore, 1);
   for (const node of cluster.controllers)
     for (const id of ['run-1', 'run-20', 'run-39']) assert.equal(cluster.queryStatus(id, node), 'aborted');
-  // A controller that begins again derives the same, and nothing goes back.
+  // A controller that restarts derives the same states, and no job returns to an earlier state.
   cluster.controller('n1').crash();
   cluster.controller('n1').restart();
   cluster.run(20);
@@ -140,29 +141,29 @@
   assert.equal(cluster.machinesRunning('run-39').length, 0);
 });
 
-test('a job submitted after the cancellation of one that it needs is accepted, and cancelled', () => {
+test('a job submitted after the cancellation of its dependency is accepted, and cancelled', () => {
   const cluster = smallCluster(4);
   cluster.submit(job('run-a'));
   cluster.cancel('run-a');
-  assert.equal(told(cluster, 'run-b', ['run-a'], cluster.controllers[2]), 201);
+  assert.equal(submitTo(cluster, 'run-b', ['run-a'], cluster.controllers[2]), 201);
   cluster.run(1);
   assert.equal(cluster.queryStatus('run-b'), 'aborted');
 });
 
-// A cancellation that meets the end of the last task: one record decides, and everything follows it.
-test('a cancellation answered with done lets the jobs after it go on; one that comes first stops them', () => {
+// The cancellation arrives as the last task ends: one stored record decides, and all dependent jobs follow it.
+test('a cancellation that is answered with done does not stop dependent jobs', () => {
   const cluster = smallCluster(6);
   cluster.submit(job('run-a', { estimatedRunS: 2 }));
   cluster.submit(job('run-b', { estimatedRunS: 2 }), cluster.controllers[1], ['run-a']);
   cluster.runUntil('done', () => cluster.allTasksDone('run-a'), 40);
-  cluster.runUntil('stored', () => cluster.queryStatus('run-a') === 'done', 10);
+  cluster.runUntil('its end is stored', () => cluster.queryStatus('run-a') === 'done', 10);
   cluster.cancel('run-a');
-  cluster.runUntil('the next runs', () => cluster.allTasksDone('run-b'), 40);
+  cluster.runUntil('the dependent job is done', () => cluster.allTasksDone('run-b'), 40);
   cluster.run(2);
   assert.equal(cluster.queryStatus('run-b'), 'done');
 });
 
-test('a cancellation meets the end of the last task at any moment: all that follows agrees with its answer', () => {
+test('a cancellation arrives at any moment around the end of the last task: all dependent jobs agree with its response', () => {
   const answers = new Set<string>();
   for (let offset = 0; offset <= 2000; offset += 100) {
     const cluster = smallCluster(4);
@@ -185,8 +186,8 @@
   assert.deepEqual([...answers].sort(), ['aborted', 'done']);
 });
 
-// Nobody can read the cancellation meanwhile; nobody may start, or call queued, what it stops.
-test('a cancellation just before an outage longer than a cancellation may take reaches all jobs after it', () => {
+// No controller can read the cancellation meanwhile, and none may start a job that it stops or report it as queued.
+test('a cancellation just before an outage that is longer than the cancellation limit reaches all dependent jobs', () => {
   const cluster = smallCluster(4);
   cluster.submit(job('run-a', { estimatedRunS: 2 }));
   cluster.submit(job('run-b', { estimatedRunS: 1, team: 'blue' }), undefined, ['run-a']);
@@ -202,17 +203,17 @@
   for (const node of cluster.controllers) assert.equal(cluster.queryStatus('run-b', node), 'aborted');
 });
 
-test('a diamond: the last job starts after both sides, and is cancelled with either', () => {
+test('the last job of a diamond of dependencies starts after both sides, and is cancelled with either', () => {
   const cluster = smallCluster(8);
-  const diamond = (p: string) => {
-    cluster.submit(job(`run-${p}0`, { estimatedRunS: 2 }));
-    cluster.submit(job(`run-${p}1`, { team: 'blue', estimatedRunS: 3 }), cluster.controllers[1], [`run-${p}0`]);
-    cluster.submit(job(`run-${p}2`, { team: 'green', estimatedRunS: 9 }), cluster.controllers[2], [`run-${p}0`]);
-    cluster.submit(job(`run-${p}3`, { estimatedRunS: 2 }), cluster.controllers[0], [`run-${p}1`, `run-${p}2`]);
+  const submitDiamond = (prefix: string) => {
+    cluster.submit(job(`run-${prefix}0`, { estimatedRunS: 2 }));
+    cluster.submit(job(`run-${prefix}1`, { team: 'blue', estimatedRunS: 3 }), cluster.controllers[1], [`run-${prefix}0`]);
+    cluster.submit(job(`run-${prefix}2`, { team: 'green', estimatedRunS: 9 }), cluster.controllers[2], [`run-${prefix}0`]);
+    cluster.submit(job(`run-${prefix}3`, { estimatedRunS: 2 }), cluster.controllers[0], [`run-${prefix}1`, `run-${prefix}2`]);
   };
-  diamond('a');
+  submitDiamond('a');
   cluster.runUntil('the last is done', () => cluster.allTasksDone('run-a3'), 60);
-  diamond('b');
+  submitDiamond('b');
   cluster.runUntil('one side is done', () => cluster.allTasksDone('run-b1'), 40);
   cluster.run(2);
   cluster.cancel('run-b2');
@@ -221,25 +222,25 @@
   assert.equal(cluster.queryStatus('run-b1'), 'done');
 });
 
-test('a stored list of awaited jobs that can not be read keeps that one job waiting, and harms nothing else', () => {
+test('a stored dependency list that cannot be read blocks only its own job', () => {
   const cluster = smallCluster(4);
   const conditions = { type: 'compareAndSwap' as const, id: 0, conditions: [] };
-  const sp = (id: string) => {
+  const encodedSpec = (id: string) => {
     cluster.specs.set(id, job(id));
     return encodeJobSpec(job(id));
   };
   const records: [string, unknown][] = [
-    ['a/j/run-odd', { s: 3, t: 0, sp: sp('run-odd'), aw: 'run-a' }],
-    ['a/j/run-odder', { s: 3, t: 0, sp: sp('run-odder'), aw: [], x: { k: 5 } }],
-    // Of a cycle, which no user can make.
-    ['a/j/run-p', { s: 3, t: 0, sp: sp('run-p'), aw: ['run-q'] }],
-    ['a/j/run-q', { s: 3, t: 0, sp: { ...sp('run-q'), rank: 2, deadlineS: 9 }, aw: ['run-p'] }],
-    // Of a version that knows more.
-    ['a/j/run-new', { s: 0, t: 0, sp: { ...sp('run-new'), colour: 'red' }, future: true }],
+    ['a/j/run-odd', { s: 3, t: 0, sp: encodedSpec('run-odd'), aw: 'run-a' }],
+    ['a/j/run-odder', { s: 3, t: 0, sp: encodedSpec('run-odder'), aw: [], x: { k: 5 } }],
+    // Two jobs of a cycle, which no submission can create.
+    ['a/j/run-p', { s: 3, t: 0, sp: encodedSpec('run-p'), aw: ['run-q'] }],
+    ['a/j/run-q', { s: 3, t: 0, sp: { ...encodedSpec('run-q'), rank: 2, deadlineS: 9 }, aw: ['run-p'] }],
+    // A record of a later version, with additional fields.
+    ['a/j/run-new', { s: 0, t: 0, sp: { ...encodedSpec('run-new'), colour: 'red' }, future: true }],
   ];
   for (const [put, value] of records)
     cluster.stateService.compareAndSwap({ ...conditions, writes: [{ put, value }] }, cluster.now);
-  cluster.runUntil('others run', () => cluster.allTasksDone('run-new'), 40);
+  cluster.runUntil('another job runs', () => cluster.allTasksDone('run-new'), 40);
   for (const id of ['run-odd', 'run-odder', 'run-p', 'run-q']) assert.equal(cluster.queryStatus(id), 'queued');
   cluster.cancel('run-q');
   cluster.cancel('run-odd');
@@ -247,19 +248,19 @@
   for (const id of ['run-odd', 'run-p', 'run-q']) assert.equal(cluster.queryStatus(id), 'aborted');
 });
 
-// Each end and each submission may cost in proportion to its edges, not to all jobs: the time is not bounded
-// here, but a cost that grew with their product would not end.
-test('a job awaited by thousands, and a chain of hundreds, are released one after another', () => {
+// The end of a job and a submission may cost time in proportion to their edges, not to the number of jobs. The test sets no time
+// limit, but with a cost that grew with the product of both it would not end.
+test('3,000 jobs that depend on one job, and a chain of 500 behind one of them, are blocked and then cancelled with it', () => {
   const cluster = smallCluster(4);
   const first = cluster.controllers[0] as SimulatedController;
   cluster.submit(job('run-root', { estimatedRunS: 60 }));
   const conditions = { type: 'compareAndSwap' as const, id: 0, conditions: [] };
-  const writes = Array.from({ length: 3000 }, (_, index) => {
+  const dependents = Array.from({ length: 3000 }, (_, index) => {
     const id = `run-w${index}`;
     cluster.specs.set(id, job(id, { priority: index === 2999 ? 2 : 0 }));
     return { put: `a/j/${id}`, value: { s: 3, t: 0, sp: encodeJobSpec(cluster.specs.get(id) as JobSpec), aw: ['run-root'] } };
   });
-  const links = Array.from({ length: 500 }, (_, index) => {
+  const chain = Array.from({ length: 500 }, (_, index) => {
     const id = `run-c${index}`;
     cluster.specs.set(id, job(id));
     return {
@@ -272,7 +273,7 @@
       },
     };
   });
-  cluster.stateService.compareAndSwap({ ...conditions, writes: [...links, ...writes] }, cluster.now);
+  cluster.stateService.compareAndSwap({ ...conditions, writes: [...chain, ...dependents] }, cluster.now);
   cluster.run(1);
   assert.equal(first.controller.clusterState.jobs.get('run-root')?.priority, 2);
   assert.equal(first.controller.clusterState.jobs.get('run-c499')?.isBlocked, true);
@@ -282,8 +283,8 @@
   assert.equal(first.controller.clusterState.jobs.size, 0);
 });
 
-/** For long by hand: WALKS=500 npm test. */
-test('seeded random simulations with chains of jobs: none starts too early, none is left of what was cancelled', () => {
+/** A longer run by hand: WALKS=500 npm test. */
+test('seeded random simulations with chains of jobs: no job starts too early, and no task of a cancelled job is left', () => {
   for (let seed = 1; seed <= Number(process.env.WALKS ?? 8); seed++) {
     try {
       new RandomizedSimulation(seed, { pipelines: true }).run(120);
--- a/test/known-red.test.ts
+++ b/test/known-red.test.ts
@@ -1,4 +1,4 @@
-// The list of tests that are known to be red passes over just what it names, and a line that can't be meant fails the run.
+// The list of known failures (KNOWN-RED.txt) excuses only the tests that it names, and a malformed line fails the run.
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -8,7 +8,7 @@
 const result = (file: string, title: string, outcome: TestResult['outcome']): TestResult => ({ file, title, outcome });
 const passing = result('test/b.test.ts', 'another', 'passed');
 
-test('an entry passes over the failure of its test, whatever the number of entries, and a title may hold a semicolon', () => {
+test('an entry excuses the failure of its test, whatever the number of entries, and a title may contain a semicolon', () => {
   const titles = ['one', 'two; in parts', 'three', 'four'];
   const { entries, errors } = parseKnownRed(`${titles.map((title) => entry(`test/a.test.ts: ${title}`)).join('\n')}\n`);
   assert.deepEqual(errors, []);
@@ -17,7 +17,7 @@
   assert.equal(judge(entries, [...results, passing, result('test/a.test.ts', 'five', 'failed')]).isRed, true);
 });
 
-test('a title that stands in two files is passed over in the one that is named', () => {
+test('a title that is used in two files is excused only in the file that is named', () => {
   const { entries } = parseKnownRed(entry('test/a.test.ts: same'));
   const named = result('test/a.test.ts', 'same', 'failed');
   assert.equal(judge(entries, [named, passing]).isRed, false);
@@ -29,10 +29,10 @@
   assert.equal(judge(entries, [passing]).isRed, true);
   assert.equal(judge(entries, [passing, result('test/a.test.ts', 'one', 'notRun')]).isRed, true);
   assert.equal(judge(entries, [passing, result('test/a.test.ts', 'one', 'passed')]).isRed, false);
-  assert.equal(judge([], []).isRed, true, 'nothing ran');
+  assert.equal(judge([], []).isRed, true, 'a run without tests is red');
 });
 
-test('a malformed entry is told with its line and what is wrong', () => {
+test('a malformed entry is reported with its line number and problem', () => {
   const good = entry('test/a.test.ts: one');
   for (const [line, problem] of [
     ['one; a command; seen; issue 3', 'does not begin with'],
--- a/test/lag-meter.test.ts
+++ b/test/lag-meter.test.ts
@@ -1,10 +1,9 @@
-// How far behind this process is, as its controller is told.
+// The lag of this process that is recorded at its controller.
 //
-// What happened: a controller with 360 sockets for 600 machines that ran for 30 ms of each 0.75 s released 550 healthy machines.
-// Why: a tick that is interrupted takes 0.7 s, and the next one is put off by as long on purpose, so that a lag measured by the
-// ticks' own timer was none.
-// What showed it: `releasing machine` with contactAgeS 28.5, readableS 24.5 and unanswered 0, though the process had been stopped
-// for 27 of these 28 s.
+// A lag measured by the timer of the ticks was zero on a starved process: an interrupted tick takes 0.7 s, and the next one is
+// deferred by as long on purpose. A controller with 360 sockets for 600 machines that ran for 30 ms of each 0.75 s therefore
+// released 550 healthy machines; it logged `releasing machine` with contactAgeS 28.5, readableS 24.5 and unanswered 0, though
+// the process had been stopped for 27 of these 28 s.
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -20,13 +19,13 @@
   return new Inbox({ clock, onTurnEnd: () => {}, maxClientRequestAgeMs: 1000, onError: (error) => assert.fail(String(error)) });
 }
 
-/** Keeps the process from doing anything else. */
+/** Blocks the event loop. */
 function block(): void {
   const until = clock() + BLOCKED_MS;
   while (clock() < until);
 }
 
-test('the time that ticks take, and that inputs wait behind them, is measured as lag', async (context) => {
+test('the duration of ticks and the time that inputs wait behind them are measured as lag', async (context) => {
   const inbox = newInbox();
   const lags: number[] = [];
   const controller = { recordLag: (lagMs: number) => lags.push(lagMs), tick: block };
@@ -44,7 +43,7 @@
   assert.ok(Math.max(...lags) >= BLOCKED_MS / 2, `${lags}`);
 });
 
-test('rejected connections are a lag until their workers come back, and only while there are new ones', async (context) => {
+test('rejected connections count as lag only while new ones are rejected', async (context) => {
   const inbox = newInbox();
   const lags: number[] = [];
   const connections = { rejectedTotal: 3 };
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -5,8 +5,8 @@
 import { job, SimulatedCluster } from './simulation/index.js';
 import { LargeFleet } from './simulation/large-fleet.js';
 
-/** Some 900 machines, a service of two replicas on most of them, and everything that can go wrong. */
-function roughDay(controllerCount: number): void {
+/** Runs 900 machines with 300 services of four replicas through one fault after another, and checks that no work is lost. */
+function runFaultSequence(controllerCount: number): void {
   const names = Array.from({ length: controllerCount }, (_, index) => `n${index}`);
   const cluster = new SimulatedCluster(names, (settings) => ({
     ...settings,
@@ -24,8 +24,8 @@
   for (let index = 0; index < machines; index++)
     cluster.addMachine(`m${1000 + index}`, 'small', index % 2 === 0 ? 'east' : 'west', index % 10 === 9);
   cluster.runUntilSettled();
-  const granted = cluster.changes.get('g') ?? 0;
-  assert.ok(granted < 1.1 * machines, `${granted} changes to grant ${machines} machines`);
+  const assignmentChanges = cluster.changes.get('g') ?? 0;
+  assert.ok(assignmentChanges < 1.1 * machines, `${assignmentChanges} changes to assign ${machines} machines`);
   const teams = ['red', 'blue', 'green', 'pink', 'gold', 'grey', 'teal'];
   for (let index = 0; index < 300; index++) {
     const id = `run-s${index}`;
@@ -33,14 +33,17 @@
       job(id, { team: teams[index % 7] as string, shape: 'service', tasks: 4, priority: 3, jobClass: 'serve', spread: true }),
     );
   }
-  const up = () => Array.from({ length: 300 }, (_, index) => cluster.runningTasks(`run-s${index}`)).reduce((a, b) => a + b, 0);
-  cluster.runUntil('all replicas run', () => up() === 1200, 60);
+  const runningReplicas = () =>
+    Array.from({ length: 300 }, (_, index) => cluster.runningTasks(`run-s${index}`)).reduce((a, b) => a + b, 0);
+  cluster.runUntil('all replicas run', () => runningReplicas() === 1200, 60);
   cluster.trace = [];
-  const lost = () =>
-    cluster.workers.filter((worker) => worker.dead && !worker.spot && !gone.has(worker.name)).map((worker) => worker.name);
-  const gone = new Set<string>();
+  const lostMachines = () =>
+    cluster.workers
+      .filter((worker) => worker.dead && !worker.spot && !failedMachines.has(worker.name))
+      .map((worker) => worker.name);
+  const failedMachines = new Set<string>();
 
-  // All controllers crash, and once more while they start: work goes on, no machine is thrown away.
+  // All controllers crash, and again while they start: tasks keep running, and no machine is released.
   cluster.changes.clear();
   for (const wait of [3, 2]) {
     for (const node of cluster.controllers) node.crash();
@@ -50,29 +53,29 @@
   }
   cluster.runUntil(
     'all machines answer their new holders',
-    () => answering(cluster) === cluster.workers.filter((worker) => !worker.dead).length,
+    () => countVerifiedMachines(cluster) === cluster.workers.filter((worker) => !worker.dead).length,
     30,
   );
-  assert.equal(up(), 1200);
-  assert.deepEqual(lost(), []);
-  assert.ok((cluster.changes.get('g') ?? 0) < 20, `${cluster.changes.get('g')} grants written anew for nothing`);
-  assert.ok((cluster.changes.get('h') ?? 0) <= 4 * (controllerCount + 1), `${cluster.changes.get('h')} changes of holdings`);
+  assert.equal(runningReplicas(), 1200);
+  assert.deepEqual(lostMachines(), []);
+  assert.ok((cluster.changes.get('g') ?? 0) < 20, `${cluster.changes.get('g')} assignments written again without need`);
+  assert.ok((cluster.changes.get('h') ?? 0) <= 4 * (controllerCount + 1), `${cluster.changes.get('h')} changes of lease records`);
 
-  // A controller is refused by the state service, and comes back.
-  const alone = cluster.controllers[controllerCount - 1] as (typeof cluster.controllers)[number];
-  alone.isRefusedByStateService = true;
+  // The state service refuses one controller for 30 s.
+  const refusedController = cluster.controllers[controllerCount - 1] as (typeof cluster.controllers)[number];
+  refusedController.isRefusedByStateService = true;
   cluster.run(30);
-  alone.isRefusedByStateService = false;
+  refusedController.isRefusedByStateService = false;
   cluster.run(10);
-  assert.equal(up(), 1200);
-  assert.deepEqual(lost(), []);
+  assert.equal(runningReplicas(), 1200);
+  assert.deepEqual(lostMachines(), []);
 
-  // A zone is cut off for less than its leases last, while machines of the other die and hang.
-  const west = (x: string) => (x.startsWith('n') ? x === 'n1' : (Number(x.slice(1)) - 1000) % 2 === 1);
-  cluster.isPartitioned = (a, b) => west(a) !== west(b);
-  const hit = cluster.workers.filter((worker) => !worker.spot && !worker.dead && !west(worker.name)).slice(0, 40);
-  hit.forEach((worker, index) => {
-    gone.add(worker.name);
+  // One zone is partitioned for less than a lease lasts, while machines of the other zone die or hang.
+  const isWest = (name: string) => (name.startsWith('n') ? name === 'n1' : (Number(name.slice(1)) - 1000) % 2 === 1);
+  cluster.isPartitioned = (a, b) => isWest(a) !== isWest(b);
+  const failingWorkers = cluster.workers.filter((worker) => !worker.spot && !worker.dead && !isWest(worker.name)).slice(0, 40);
+  failingWorkers.forEach((worker, index) => {
+    failedMachines.add(worker.name);
     if (index % 2 === 0) {
       worker.dead = true;
       worker.tasks.clear();
@@ -81,11 +84,11 @@
   cluster.run(15);
   cluster.isPartitioned = () => false;
   cluster.run(2);
-  for (const worker of hit) worker.hung = false;
-  cluster.runUntil('what stood there runs elsewhere', () => up() === 1200, 90);
-  assert.deepEqual(lost(), []);
+  for (const worker of failingWorkers) worker.hung = false;
+  cluster.runUntil('their tasks run elsewhere', () => runningReplicas() === 1200, 90);
+  assert.deepEqual(lostMachines(), []);
 
-  // All cheap machines are taken, some without a word; every controller is restarted in turn.
+  // All spot machines are preempted, half of them without a notice; every controller is restarted in turn.
   for (const worker of cluster.workers.filter((candidate) => candidate.spot && !candidate.dead)) {
     if (Number(worker.name.slice(1)) % 20 === 9) worker.preemptionNoticeS = 10;
     else {
@@ -100,13 +103,14 @@
     cluster.run(6);
   }
   cluster.runUntil(
-    'all settled',
-    () => up() === 1200 && answering(cluster) === cluster.workers.filter((worker) => !worker.dead).length,
+    'all replicas run and all machines answer',
+    () =>
+      runningReplicas() === 1200 && countVerifiedMachines(cluster) === cluster.workers.filter((worker) => !worker.dead).length,
     60,
   );
-  assert.deepEqual(lost(), []);
+  assert.deepEqual(lostMachines(), []);
 
-  // What is said and asked doesn't grow with what hasn't changed, once images are stored too.
+  // Once the cached images are stored too, unchanged state causes no writes and only small peer messages.
   cluster.run(30);
   cluster.changes.clear();
   cluster.forwardedHeartbeats = 0;
@@ -114,20 +118,20 @@
   cluster.statusBytes = 0;
   cluster.run(20);
   const live = cluster.workers.filter((worker) => !worker.dead).length;
-  assert.deepEqual([...cluster.changes], [], 'nothing changed, nothing is written');
-  // A report in five is passed on whole, of machines whose owner sits elsewhere.
-  assert.ok(cluster.forwardedHeartbeats < (live * 20) / 2 / 3, `${cluster.forwardedHeartbeats} reports passed on`);
+  assert.deepEqual([...cluster.changes], [], 'no writes without changes');
+  // Of machines whose shard holder is in the other zone, one heartbeat in five is forwarded in full.
+  assert.ok(cluster.forwardedHeartbeats < (live * 20) / 2 / 3, `${cluster.forwardedHeartbeats} heartbeats forwarded`);
   assert.ok(
     cluster.statusBytes / cluster.statuses < 25_000,
     `${Math.round(cluster.statusBytes / cluster.statuses)} bytes a status`,
   );
-  // Over the whole day: no more than leaves connections for commands.
-  assert.ok(cluster.maxPendingProbes <= 1000 / 8, `${cluster.maxPendingProbes} questions at once`);
+  // During the whole test the probes leave connections for commands.
+  assert.ok(cluster.maxPendingProbes <= 1000 / 8, `${cluster.maxPendingProbes} concurrent probes`);
   for (const node of cluster.controllers) assert.equal(node.controller.writer.queueLength, 0);
 }
 
-/** Machines that answered whoever holds their share. */
-function answering(cluster: SimulatedCluster): number {
+/** Counts the machines that have answered the holder of their shard. */
+function countVerifiedMachines(cluster: SimulatedCluster): number {
   let count = 0;
   for (const worker of cluster.workers) {
     if (worker.dead) continue;
@@ -143,34 +147,35 @@
   return count;
 }
 
-for (const nodes of [3, 7]) test(`900 machines, ${nodes} controllers, one fault after the other`, () => roughDay(nodes));
+for (const nodes of [3, 7])
+  test(`900 machines, ${nodes} controllers: services survive one fault after another`, () => runFaultSequence(nodes));
 
 const MACHINES = 4000;
 
-/** By hand, for all that is asked of the size: FLEETS=3,7,15 npm test. */
+/** Numbers of controllers. By hand, for all required sizes: FLEETS=3,7,15 npm test. */
 const FLEETS = (process.env.FLEETS ?? '3').split(',').map(Number);
 
 for (const controllers of FLEETS)
-  test(`${MACHINES} machines, ${controllers} controllers: start, crashes, a roll, a cancelled burst, a third lost`, () => {
+  test(`${MACHINES} machines, ${controllers} controllers: start, crashes, a rolling restart, cancellations, loss of a third`, () => {
     const fleet = new LargeFleet({ machines: MACHINES, controllers });
     const { cluster } = fleet;
     fleet.firstStart();
-    const granted = cluster.changes.get('g') ?? 0;
-    assert.ok(granted < 1.1 * MACHINES, `${granted} changes to grant ${MACHINES} machines`);
+    const assignmentChanges = cluster.changes.get('g') ?? 0;
+    assert.ok(assignmentChanges < 1.1 * MACHINES, `${assignmentChanges} changes to assign ${MACHINES} machines`);
     fleet.startServices();
     cluster.trace = [];
     cluster.changes.clear();
     fleet.crashOne(0);
     fleet.crashAll();
-    fleet.runUntilServicesRun('services run on', 1);
-    assert.ok((cluster.changes.get('g') ?? 0) < 20, `${cluster.changes.get('g')} grants written anew for nothing`);
+    fleet.runUntilServicesRun('services run after the crashes', 1);
+    assert.ok((cluster.changes.get('g') ?? 0) < 20, `${cluster.changes.get('g')} assignments written again without need`);
     fleet.rollingRestart();
-    fleet.runUntilServicesRun('services run on after a roll', 1);
+    fleet.runUntilServicesRun('services run after a rolling restart', 1);
     fleet.check();
     cluster.trace = [];
     fleet.cancelDuringLeaderCrash(300);
     cluster.trace = [];
     fleet.killThird();
-    fleet.runUntilServicesRun('all replicas have another place', 120);
+    fleet.runUntilServicesRun('all replicas run again', 120);
     fleet.check();
   });
--- a/test/load-shedding.test.ts
+++ b/test/load-shedding.test.ts
@@ -1,4 +1,4 @@
-// Overload: heartbeats first, then decisions, then users; connections of users are given up before those of workers.
+// Overload: heartbeats come first, then control events, then users; connections of users are closed before those of workers.
 
 import assert from 'node:assert/strict';
 import net from 'node:net';
@@ -8,7 +8,7 @@
 import { Inbox, TIME_SLICE_MS } from '../packages/server/src/inbox.js';
 import { IDLE_HEARTBEAT, type ListeningHttpApi, listeningHttpApi } from './loopback/http-api-server.js';
 
-test('with few sockets left users lose theirs before workers do', async (context) => {
+test('with few sockets left, connections of users are closed before those of workers', async (context) => {
   const connections = new ConnectionLimiter(20);
   const { api, port }: ListeningHttpApi = await listeningHttpApi(context, {
     onRequest: ({ id }) => api.respond(id, 200, {}),
@@ -16,147 +16,154 @@
   });
   const sockets = Array.from({ length: 17 }, () => net.connect(port, '127.0.0.1'));
   for (let index = 0; index < 500 && connections.openCount < 17; index++) await new Promise((resolve) => setTimeout(resolve, 10));
-  const closes = async (path: string) => {
+  const closesConnection = async (path: string) => {
     const response = await fetch(`http://127.0.0.1:${port}${path}`, { method: 'POST', body: new Uint8Array([0x80]) });
-    // Read to its end, so that the connection is used again: another one would change the count.
+    // The body is read to its end so that the connection is reused: a new connection would change the count.
     await response.arrayBuffer();
     return response.headers.get('connection') === 'close';
   };
-  assert.equal(await closes('/v2/runs'), false, '18 of 20');
+  assert.equal(await closesConnection('/v2/runs'), false, '18 of 20');
   sockets.push(net.connect(port, '127.0.0.1'));
   for (let index = 0; index < 500 && connections.openCount < 19; index++) await new Promise((resolve) => setTimeout(resolve, 10));
-  assert.equal(await closes('/checkin'), false, 'a worker stays with 19 of 20');
-  assert.equal(await closes('/v2/runs'), true, 'a user does not');
+  assert.equal(await closesConnection('/checkin'), false, 'a worker keeps its connection at 19 of 20');
+  assert.equal(await closesConnection('/v2/runs'), true, 'a user does not keep it');
   for (const socket of sockets) socket.destroy();
 });
 
-test('overload: heartbeats first, then decisions, then users, and users who waited too long are refused', async () => {
+test('in overload heartbeats are processed first, then control events, then users, and users who waited too long are refused', async () => {
   let now = 0;
-  const seen: string[] = [];
+  const processed: string[] = [];
   const inbox = new Inbox({ clock: () => now, onTurnEnd: () => {}, maxClientRequestAgeMs: 1500, onError: assert.ifError });
   inbox.enqueueMutation(
-    () => seen.push('old user'),
-    () => seen.push('old user refused'),
+    () => processed.push('old user'),
+    () => processed.push('old user refused'),
   );
   now = 2000;
   for (let index = 0; index < 6; index++) {
     inbox.enqueueMutation(
-      () => seen.push(`user ${index}`),
-      () => seen.push(`user ${index} refused`),
+      () => processed.push(`user ${index}`),
+      () => processed.push(`user ${index} refused`),
     );
   }
-  inbox.enqueueControlEvent(() => seen.push('decision'));
+  inbox.enqueueControlEvent(() => processed.push('control event'));
   inbox.enqueueHeartbeat(() => {
-    seen.push('report');
+    processed.push('heartbeat');
   });
   inbox.runTurn();
-  inbox.enqueueHeartbeat(() => seen.push('later report'));
+  inbox.enqueueHeartbeat(() => processed.push('later heartbeat'));
   inbox.runTurn();
-  assert.deepEqual(seen, [
-    'report',
-    'decision',
+  assert.deepEqual(processed, [
+    'heartbeat',
+    'control event',
     'old user refused',
     'user 0',
     'user 1',
     'user 2',
-    'later report',
+    'later heartbeat',
     'user 3',
     'user 4',
     'user 5',
   ]);
 });
 
-test('a pause of the process is noticed before any input is taken, and status queries come last', () => {
+test('a pause of the process is noticed before the next input is processed, and status queries come last', () => {
   let now = 0;
-  const seen: string[] = [];
+  const processed: string[] = [];
   const inbox = new Inbox({
     clock: () => now,
     onTurnEnd: () => {},
     maxClientRequestAgeMs: 1500,
-    onProcessPause: (ms) => seen.push(`stood still for ${ms}`),
+    onProcessPause: (ms) => processed.push(`paused for ${ms} ms`),
     onError: assert.ifError,
   });
   inbox.enqueueStatusQuery(
-    () => seen.push('old question'),
-    () => seen.push('old question refused'),
+    () => processed.push('old status query'),
+    () => processed.push('old status query refused'),
   );
   inbox.enqueueHeartbeat(() => {
-    seen.push('report');
-    // It stands still in the middle of its inputs.
+    processed.push('heartbeat');
+    // The process pauses while it processes its inputs.
     now += 5000;
   });
-  inbox.enqueueControlEvent(() => seen.push('decision'));
+  inbox.enqueueControlEvent(() => processed.push('control event'));
   inbox.runTurn();
   inbox.enqueueStatusQuery(
-    () => seen.push('question'),
-    () => seen.push('question refused'),
+    () => processed.push('status query'),
+    () => processed.push('status query refused'),
   );
   inbox.enqueueMutation(
-    () => seen.push('submission'),
-    () => seen.push('submission refused'),
+    () => processed.push('submission'),
+    () => processed.push('submission refused'),
   );
   now += 100;
   inbox.runTurn();
-  assert.deepEqual(seen, ['report', 'stood still for 5000', 'decision', 'old question refused', 'submission', 'question']);
+  assert.deepEqual(processed, [
+    'heartbeat',
+    'paused for 5000 ms',
+    'control event',
+    'old status query refused',
+    'submission',
+    'status query',
+  ]);
 });
 
-// A backlog was taken whole, seconds on a small share of a core: no health check was answered meanwhile, no answer left,
-// and the load balancer took every controller for dead.
-test('a backlog is taken in slices, heartbeats first, in their order, and says how long it has waited', () => {
+// A backlog was processed in one turn, which took seconds on a small share of a core: meanwhile no health check was answered and
+// no response was sent, and the load balancer considered every controller dead.
+test('a backlog is processed in time slices, heartbeats first, in order, and its queue delay is reported', () => {
   let now = 0;
-  const taken: string[] = [];
+  const processed: string[] = [];
   const inbox = new Inbox({
     clock: () => now,
-    onTurnEnd: () => taken.push('answers leave'),
+    onTurnEnd: () => processed.push('responses are sent'),
     maxClientRequestAgeMs: 1500,
     onError: assert.ifError,
   });
   const input = (name: string) => () => {
     now += 0.4 * TIME_SLICE_MS;
-    taken.push(name);
+    processed.push(name);
   };
-  for (let index = 0; index < 5; index++) inbox.enqueueHeartbeat(input(`report ${index}`));
-  inbox.enqueueControlEvent(input('decision 0'));
+  for (let index = 0; index < 5; index++) inbox.enqueueHeartbeat(input(`heartbeat ${index}`));
+  inbox.enqueueControlEvent(input('control event 0'));
   now += 50;
   assert.equal(inbox.queueDelayMs, 50);
   inbox.runTurn();
-  inbox.enqueueHeartbeat(input('report 5'));
+  inbox.enqueueHeartbeat(input('heartbeat 5'));
   inbox.runTurn();
   inbox.runTurn();
-  assert.deepEqual(taken, [
-    'report 0',
-    'report 1',
-    'report 2',
-    'decision 0',
-    'answers leave',
-    'report 3',
-    'report 4',
-    'report 5',
-    'answers leave',
-    'answers leave',
+  assert.deepEqual(processed, [
+    'heartbeat 0',
+    'heartbeat 1',
+    'heartbeat 2',
+    'control event 0',
+    'responses are sent',
+    'heartbeat 3',
+    'heartbeat 4',
+    'heartbeat 5',
+    'responses are sent',
+    'responses are sent',
   ]);
   assert.equal(inbox.queueDelayMs, 0);
 });
 
-test('while heartbeats wait a few submissions a second are taken all the same, the others refused', () => {
+test('while heartbeats wait, a few submissions per second are still admitted and the others refused', () => {
   let now = 0;
   const shedding = new LoadShedder(() => now, 2);
   shedding.recordTimerDelay(2000);
-  const tries = () => Array.from({ length: 4 }, () => shedding.admitMutation());
-  assert.deepEqual(tries(), [true, true, false, false]);
+  const admissions = () => Array.from({ length: 4 }, () => shedding.admitMutation());
+  assert.deepEqual(admissions(), [true, true, false, false]);
   now = 500;
-  assert.deepEqual(tries(), [true, false, false, false]);
+  assert.deepEqual(admissions(), [true, false, false, false]);
   now = 60_000;
-  assert.deepEqual(tries(), [true, true, false, false], 'no more at once after a long time');
+  assert.deepEqual(admissions(), [true, true, false, false], 'the burst limit holds after a long time');
   assert.deepEqual(shedding.takeRejectedCounts(), { statusQueries: 0, mutations: 7 });
 });
 
-test('load shedding lets heartbeats pass, and refuses users at once when more is asked than can be done', async (context) => {
+test('load shedding admits heartbeats and refuses requests of users at once in overload', async (context) => {
   const shedding = new LoadShedder(() => 0);
-  const seen: string[] = [];
+  const processed: string[] = [];
   const { api, port }: ListeningHttpApi = await listeningHttpApi(context, {
     onRequest: (request) => {
-      seen.push(request.kind);
+      processed.push(request.kind);
       api.respond(request.id, 200, {});
     },
     loadShedder: shedding,
@@ -174,7 +181,7 @@
   shedding.recordTimerDelay(2000);
   assert.deepEqual(await call(`${PATHS.jobs}/run-000001`), { status: 503, retry: '1' });
   assert.deepEqual(await call(PATHS.jobs, pack({})), { status: 503, retry: '1' });
-  assert.equal((await call(PATHS.heartbeat, IDLE_HEARTBEAT)).status, 200, 'reports are taken all the same');
+  assert.equal((await call(PATHS.heartbeat, IDLE_HEARTBEAT)).status, 200, 'heartbeats are still processed');
   assert.equal((await call(PATHS.health)).status, 200);
-  assert.deepEqual(seen, ['heartbeat', 'statusQuery', 'heartbeat']);
+  assert.deepEqual(processed, ['heartbeat', 'statusQuery', 'heartbeat']);
 });
--- a/test/loopback-fleet.test.ts
+++ b/test/loopback-fleet.test.ts
@@ -14,8 +14,9 @@
 const SOCKETS = 2400;
 
 /**
- * At a report each 2 s the 4,000 workers, which are one process, need a whole core for themselves. Beside a few busy
- * processes they answered no question in time, were given back, and the verdict was the machine's, not the controller's.
+ * Interval of heartbeats. With one each 2 s the 4,000 workers, which are one process, need a whole core: beside a few busy
+ * processes they answered no probe in time and were released, so that the test measured the load of the machine, not the
+ * controller.
  */
 const REPORT_S = 6;
 
@@ -28,37 +29,37 @@
   });
   const operator = join(mkdtempSync(join(tmpdir(), 'archpost-operator-')), 'operator.json');
   writeFileSync(operator, JSON.stringify({ max_machines: FLEET_MACHINES }));
-  const granted = () => [...state.state.keys.keys()].filter((key) => key.startsWith('a/g/')).length;
-  let mostMb = 0;
-  let mostSockets = 0;
-  const look = () => {
+  const assignedCount = () => [...state.state.keys.keys()].filter((key) => key.startsWith('a/g/')).length;
+  let maxMb = 0;
+  let maxSockets = 0;
+  const measure = () => {
     assert.equal(controller.ended, null, JSON.stringify(controller.log.slice(-3)));
-    mostMb = Math.max(mostMb, controller.residentMb());
-    mostSockets = Math.max(mostSockets, controller.openSockets());
+    maxMb = Math.max(maxMb, controller.residentMb());
+    maxSockets = Math.max(maxSockets, controller.openSockets());
   };
   try {
     controller.start(['--operator', operator]);
-    await waitForCount('it is up', 1, async () => Number(await controller.isUp()));
+    await waitForCount('the controller is up', 1, async () => Number(await controller.isUp()));
     fleet.start();
-    await waitForCount('all are granted', FLEET_MACHINES, () => {
-      look();
-      return granted();
+    await waitForCount('all machines are assigned', FLEET_MACHINES, () => {
+      measure();
+      return assignedCount();
     });
-    const before = fleet.workers.map((worker) => worker.acceptedHeartbeats);
-    await waitForCount('all are answered, again and again', FLEET_MACHINES, () => {
-      look();
-      return fleet.workers.filter((worker, index) => worker.acceptedHeartbeats >= (before[index] as number) + 3).length;
+    const acceptedBefore = fleet.workers.map((worker) => worker.acceptedHeartbeats);
+    await waitForCount('all workers got three more responses', FLEET_MACHINES, () => {
+      measure();
+      return fleet.workers.filter((worker, index) => worker.acceptedHeartbeats >= (acceptedBefore[index] as number) + 3).length;
     });
-    assert.equal(cloud.releasedMachines.size, 0, 'machines that were given back');
+    assert.equal(cloud.releasedMachines.size, 0, 'no machine is released');
     const heap = controller.log.find(({ msg: message }) => message === 'heap');
     assert.deepEqual([heap?.kind, heap?.heapMb], ['thread', threadHeapMb({ memoryMb: MEMORY_MB, sockets: SOCKETS })]);
-    assert.ok(mostMb > 0 && mostMb <= MEMORY_MB, `${mostMb} MB of ${MEMORY_MB}`);
-    assert.ok(mostSockets <= SOCKETS, `${mostSockets} sockets of ${SOCKETS}`);
-    const short = controller.log.filter(({ msg: message }) => message === 'settings insufficient for max_machines');
+    assert.ok(maxMb > 0 && maxMb <= MEMORY_MB, `${maxMb} MB of ${MEMORY_MB}`);
+    assert.ok(maxSockets <= SOCKETS, `${maxSockets} sockets of ${SOCKETS}`);
+    const shortages = controller.log.filter(({ msg: message }) => message === 'settings insufficient for max_machines');
     assert.deepEqual(
-      short.map(({ what }) => what),
+      shortages.map(({ what }) => what),
       ['machine_limits.max_sockets'],
-      'told once',
+      'logged once',
     );
   } finally {
     close();
