--- a/test/failure-detection.test.ts
+++ b/test/failure-detection.test.ts
@@ -73,7 +73,7 @@
   assert.equal(cluster.runningTasks('run-v'), 2);
 });
 
-test('in a zone partitioned also from the state service, tasks end with their leases and restart elsewhere once the machines are released', () => {
+test('in a zone that is also partitioned from the state service, tasks end with their leases and restart elsewhere after the release', () => {
   const cluster = smallCluster(8);
   cluster.submit(job('run-z', { shape: 'service', tasks: 6, priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-z') === 6);
@@ -96,7 +96,7 @@
   assertGoldenTrace(cluster, 'zone-partitioned-from-everything');
 });
 
-test('a controller that loses contact to all its workers releases none, during or after it, and other controllers renew their leases', () => {
+test('a controller that loses contact with all its workers releases none, then or later, and other controllers renew their leases', () => {
   const cluster = new SimulatedCluster(['n0', 'n1', 'n2'], (settings) => ({ ...settings, teams: settings.teams.slice(0, 1) }));
   for (let index = 0; index < 40; index++) cluster.addMachine(`m${100 + index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.runUntilSettled();
@@ -187,7 +187,7 @@
   );
 });
 
-test('a controller that lost contact to its workers regains it though a quarter of them died meanwhile', () => {
+test('a controller that lost contact with its workers regains it though a quarter of them died meanwhile', () => {
   const cluster = new SimulatedCluster(['n0']);
   for (let index = 0; index < 16; index++) cluster.addMachine(`m${index}`);
   cluster.runUntilSettled();
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -5,7 +5,7 @@
 import { job, SimulatedCluster } from './simulation/index.js';
 import { LargeFleet } from './simulation/large-fleet.js';
 
-/** Runs 900 machines with 300 services of four replicas through one fault after another, and checks that no work is lost. */
+/** Runs 900 machines and 300 services of four replicas through one fault after another; checks that no healthy machine is lost. */
 function runFaultSequence(controllerCount: number): void {
   const names = Array.from({ length: controllerCount }, (_, index) => `n${index}`);
   const cluster = new SimulatedCluster(names, (settings) => ({
--- a/test/load-shedding.test.ts
+++ b/test/load-shedding.test.ts
@@ -26,7 +26,7 @@
   sockets.push(net.connect(port, '127.0.0.1'));
   for (let index = 0; index < 500 && connections.openCount < 19; index++) await new Promise((resolve) => setTimeout(resolve, 10));
   assert.equal(await closesConnection('/checkin'), false, 'a worker keeps its connection at 19 of 20');
-  assert.equal(await closesConnection('/v2/runs'), true, 'a user does not keep it');
+  assert.equal(await closesConnection('/v2/runs'), true, 'a user does not keep its connection');
   for (const socket of sockets) socket.destroy();
 });
 
