--- a/packages/controller/src/capacity/index.ts
+++ b/packages/controller/src/capacity/index.ts
@@ -6,6 +6,6 @@
 export { pendingDemands, servesDemand } from './demand.js';
 export { MachineAssigner } from './machine-assigner.js';
 export type { UnassignedMachine } from './machine-assignment.js';
-export { MachineTypeCatalogue } from './machine-type-catalogue.js';
+export { MachineTypeCatalog } from './machine-type-catalog.js';
 export type { ProvisioningOutcome } from './provisioner.js';
 export { ShardRebalancer } from './shard-rebalancer.js';
--- a/packages/controller/src/capacity/machine-type-catalogue.ts
+++ b/packages/controller/src/capacity/machine-type-catalog.ts
@@ -1,5 +1,5 @@
 /**
- * The catalogue of the cloud's machine types: fetches it periodically, and stores it so that a controller can start while the
+ * The catalog of the cloud's machine types: fetches it periodically, and stores it so that a controller can start while the
  * cloud's API is down.
  *
  * Owns the time of the last request. The types themselves are part of the cluster state.
@@ -22,16 +22,16 @@
 /** The interval at which the leader refreshes known types: prices and zones may change. */
 const KNOWN_TYPES_INTERVAL_MS = 60_000;
 
-/** A write of the catalogue that has been queued for longer is dropped. */
+/** A write of the catalog that has been queued for longer is dropped. */
 const WRITE_EXPIRY_MS = 10_000;
 
-type MachineTypeCatalogueContext = ClusterStateView & ReplicaView & StateWriting & EffectSink;
+type MachineTypeCatalogContext = ClusterStateView & ReplicaView & StateWriting & EffectSink;
 
 /** Fetches the machine types, applies them to the cluster state, and stores them if they aren't stored yet. */
-export class MachineTypeCatalogue {
+export class MachineTypeCatalog {
   private requestedAt: Milliseconds = NEVER;
 
-  constructor(private readonly context: MachineTypeCatalogueContext) {}
+  constructor(private readonly context: MachineTypeCatalogContext) {}
 
   /** Fetches the types if the interval has passed. Known types are refreshed only by the leader. */
   tick(isLeading: boolean, now: Milliseconds): void {
--- a/packages/controller/src/capacity/move-options.ts
+++ b/packages/controller/src/capacity/move-options.ts
@@ -14,7 +14,7 @@
 const SERVICE_DISPLACEMENT_WAIT_S = 3;
 
 /** A shard reserves this many idle ordinary machines for work that can't use spot machines. */
-const MIN_IDLE_ORDINARY_MACHINES = 3;
+const MIN_IDLE_ON_DEMAND_MACHINES = 3;
 
 /** Work of the source shard competes for the machine once it has waited this long. */
 const MIN_COMPETING_WAIT_S = 0.2;
@@ -88,7 +88,7 @@
       if (summary.tasks > 0 && !mayDisplaceProtectedWork) return true;
     }
     // Ordinary machines are kept for work that can't use spot machines.
-    if (demand.spot && !machine.spot && this.idleCount(shard) <= MIN_IDLE_ORDINARY_MACHINES) return true;
+    if (demand.spot && !machine.spot && this.idleCount(shard) <= MIN_IDLE_ON_DEMAND_MACHINES) return true;
     return capacity.gpus > 0 && demand.priority < URGENT_PRIORITY && summary.tasks > 0;
   }
 
--- a/packages/controller/src/controller-parts.ts
+++ b/packages/controller/src/controller-parts.ts
@@ -5,7 +5,7 @@
  * Owns the parts.
  */
 import { TaskAllocations } from './allocation/index.js';
-import { MachineTypeCatalogue } from './capacity/index.js';
+import { MachineTypeCatalog } from './capacity/index.js';
 import { type ContextParts, ControllerContext } from './controller-context.js';
 import { DebugFigures } from './debug-figures.js';
 import { EffectBuffer } from './effect-buffer.js';
@@ -43,7 +43,7 @@
   readonly stateServiceFreshness: StateServiceFreshness;
   readonly peerRegistry: PeerRegistry;
   readonly cancellationFreshness: CancellationFreshness;
-  readonly machineTypeCatalogue: MachineTypeCatalogue;
+  readonly machineTypeCatalog: MachineTypeCatalog;
   readonly clientRequests: ClientRequests;
   readonly heartbeatReconciler: HeartbeatReconciler;
   readonly shardController: ShardController;
@@ -71,7 +71,7 @@
     this.stateServiceFreshness = new StateServiceFreshness(context);
     this.peerRegistry = new PeerRegistry(context);
     this.cancellationFreshness = new CancellationFreshness(otherControllers(settings), incarnation);
-    this.machineTypeCatalogue = new MachineTypeCatalogue(context);
+    this.machineTypeCatalog = new MachineTypeCatalog(context);
 
     this.clientRequests = new ClientRequests(context);
     const allocations = new TaskAllocations(context);
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -119,7 +119,7 @@
     parts.shardLeases.tick(now);
     parts.shardController.tick(now);
     parts.leader.tick(now);
-    parts.machineTypeCatalogue.tick(parts.leader.isLeading, now);
+    parts.machineTypeCatalog.tick(parts.leader.isLeading, now);
     parts.debugFigures.tick(now);
     parts.writer.setRate(ownWritesPerS(parts.context, parts.writeRateLimit.perSecond(now), now));
     parts.statusExchange.tick(now);
@@ -236,7 +236,7 @@
   receiveMachineTypes(types: MachineType[] | null, now: Milliseconds): void {
     this.beginInput(now);
     if (types === null || types.length === 0) return;
-    this.parts.machineTypeCatalogue.receive(types, now);
+    this.parts.machineTypeCatalog.receive(types, now);
     this.flushWrites(now);
   }
 
--- a/packages/controller/src/shards/command-dispatcher.ts
+++ b/packages/controller/src/shards/command-dispatcher.ts
@@ -10,7 +10,7 @@
 import type { HeartbeatReconciliation } from './heartbeat-reconciliation.js';
 import { composeCommands, hasCommandsDue } from './machine-commands.js';
 import { mayCommand, needsProbe, selectForProbing } from './probe-selection.js';
-import type { WorkerAnswers } from './worker-answers.js';
+import type { WorkerResponses } from './worker-responses.js';
 
 /** Epoch in messages to an agent whose epoch is unknown. The agent's response contains its actual epoch. */
 const FIRST_EPOCH = 1;
@@ -29,9 +29,9 @@
     private readonly context: CommandDispatcherContext,
     private readonly allocations: TaskAllocations,
     reconciler: HeartbeatReconciliation,
-    workerAnswers: WorkerAnswers,
+    workerResponses: WorkerResponses,
   ) {
-    this.outcomes = new CommandOutcomes(context, allocations, reconciler, workerAnswers);
+    this.outcomes = new CommandOutcomes(context, allocations, reconciler, workerResponses);
   }
 
   /** Sends the commands that are due to machines that need no probe, and probes as many of the others as the limits allow. */
--- a/packages/controller/src/shards/command-outcomes.ts
+++ b/packages/controller/src/shards/command-outcomes.ts
@@ -7,7 +7,7 @@
 import type { ClusterStateView, Logger } from '../context/index.js';
 import { type Allocation, type HeartbeatPosition, type Machine, type Milliseconds, NEVER } from '../model/index.js';
 import type { HeartbeatReconciliation } from './heartbeat-reconciliation.js';
-import type { WorkerAnswers } from './worker-answers.js';
+import type { WorkerResponses } from './worker-responses.js';
 
 /** Delay before the next message to a machine that didn't answer. */
 const UNANSWERED_RETRY_MS = 700;
@@ -46,7 +46,7 @@
     private readonly context: CommandOutcomesContext,
     private readonly allocations: TaskAllocations,
     private readonly reconciler: HeartbeatReconciliation,
-    private readonly workerAnswers: WorkerAnswers,
+    private readonly workerResponses: WorkerResponses,
   ) {}
 
   /** Processes the outcome of `pending`, the machine's last command, which the caller has already removed from its tenure. */
@@ -73,7 +73,7 @@
       this.context.log('warn', 'unreadable worker response', { machine: machine.name });
       return this.handleUnanswered(pending, 'lost', now);
     }
-    this.recordAnswer(machine, now);
+    this.recordResponse(machine, now);
     this.reconciler.reconcile(machine, heartbeat, now, positionAtSend);
     // A task that was started but is missing from the status has already ended.
     for (const allocation of starts) if (this.allocations.isStartPending(allocation)) this.allocations.free(allocation);
@@ -96,7 +96,7 @@
     heartbeat: Heartbeat | null,
     now: Milliseconds,
   ): void {
-    this.recordAnswer(machine, now);
+    this.recordResponse(machine, now);
     for (const allocation of starts) this.allocations.revertStart(allocation);
     if (heartbeat === null) return;
     this.reconciler.reconcile(machine, heartbeat, now, positionAtSend);
@@ -105,8 +105,8 @@
   }
 
   /** Records that the machine answered, which also shows that workers can be reached from this controller. */
-  private recordAnswer({ tenure }: Machine, now: Milliseconds): void {
-    this.workerAnswers.recordAnswer(now);
+  private recordResponse({ tenure }: Machine, now: Milliseconds): void {
+    this.workerResponses.recordResponse(now);
     tenure.unansweredCommands = 0;
     tenure.unansweredSince = null;
   }
@@ -119,7 +119,7 @@
 
   private handleUnanswered({ machine, starts, isProbe }: PendingCommand, kind: 'lost' | 'refused', now: Milliseconds): void {
     const { tenure } = machine;
-    if (hasRecentContact(machine, now)) this.workerAnswers.recordUnanswered(machine);
+    if (hasRecentContact(machine, now)) this.workerResponses.recordUnanswered(machine);
     tenure.unansweredCommands++;
     if (tenure.unansweredSince === null) tenure.unansweredSince = now;
     tenure.retryAt = now + UNANSWERED_RETRY_MS;
--- a/packages/controller/src/shards/failure-detector.ts
+++ b/packages/controller/src/shards/failure-detector.ts
@@ -7,21 +7,21 @@
 import type { ClusterStateView, EffectSink, Logger, PeerDirectory, SettingsView } from '../context/index.js';
 import type { Machine, Milliseconds } from '../model/index.js';
 import { RecoveryProbes } from './recovery-probes.js';
-import type { WorkerAnswers } from './worker-answers.js';
+import type { WorkerResponses } from './worker-responses.js';
 import { isLossWidespread, isNearlyAllUnanswered, isZoneCutOff, referenceHealth, type ZoneHealth } from './zone-health.js';
 
 /**
  * If no worker answers for this long, although workers whose heartbeats arrive were probed, this controller counts as cut off
  * from the workers.
  */
-const NO_ANSWER_LIMIT_MS = 2000;
+const NO_RESPONSE_LIMIT_MS = 2000;
 
 /**
  * No worker seems to answer once this many workers whose heartbeats arrive have not answered, and the last answer of any worker
  * is older than the time below.
  */
 const MIN_UNANSWERED_MACHINES = 3;
-const NO_ANSWER_SUSPICION_MS = 1500;
+const NO_RESPONSE_SUSPICION_MS = 1500;
 
 /** A machine whose last heartbeat is younger than this counts as in contact in the health of its zone. */
 const RECENT_HEARTBEAT_MS = 4000;
@@ -36,7 +36,7 @@
 const HEALTHY_PROBE_INTERVAL_MS = 1000;
 
 /** An answer of any worker within this many heartbeat intervals shows that this controller isn't cut off. */
-const ANSWER_FRESH_INTERVALS = 2;
+const RESPONSE_FRESH_INTERVALS = 2;
 
 /** If there is no healthy machine to probe, a silence counts after this multiple of the tolerated silence. */
 const UNCONFIRMED_SILENCE_FACTOR = 2;
@@ -56,25 +56,25 @@
   /** since when this controller seems cut off from all workers; null if it doesn't */
   private unreachableSince: Milliseconds | null = null;
   /** since when no worker seems to answer; null if some do */
-  private noAnswerSince: Milliseconds | null = null;
+  private noResponseSince: Milliseconds | null = null;
 
   constructor(
     private readonly context: FailureDetectorContext,
     private readonly allocations: TaskAllocations,
-    private readonly workerAnswers: WorkerAnswers,
+    private readonly workerResponses: WorkerResponses,
   ) {
     this.recoveryProbes = new RecoveryProbes(context);
   }
 
   /** Resets suspicions from before a pause of this process, since they may be due to the pause. */
   onProcessPaused(): void {
-    this.noAnswerSince = null;
+    this.noResponseSince = null;
     this.unreachableSince = null;
   }
 
   /** Updates which zones are cut off and whether workers can be reached. Called at each tick, before machines are checked. */
   evaluate(now: Milliseconds): void {
-    this.evaluateAnswers(now);
+    this.evaluateResponses(now);
     this.healthByZone = this.computeZoneHealth(now);
     this.evaluateZones(now);
     this.evaluateReachability(now);
@@ -110,8 +110,8 @@
     if (!hasRecovered || this.reachesWorkers) return;
     this.reachesWorkers = true;
     this.unreachableSince = null;
-    this.noAnswerSince = null;
-    this.workerAnswers.forgetUnanswered();
+    this.noResponseSince = null;
+    this.workerResponses.forgetUnanswered();
     for (const machine of this.context.clusterState.machines.values()) machine.tenure.unansweredCommands = 0;
     this.context.log('info', 'workers reachable again');
   }
@@ -124,31 +124,31 @@
    */
   confirmSilence(now: Milliseconds, silentMs: Milliseconds): boolean {
     const { workers, policy } = this.context.settings;
-    const answeredMs = now - this.workerAnswers.lastAnswerAt;
-    if (answeredMs < ANSWER_FRESH_INTERVALS * 1000 * workers.heartbeatIntervalS) return true;
+    const sinceResponseMs = now - this.workerResponses.lastResponseAt;
+    if (sinceResponseMs < RESPONSE_FRESH_INTERVALS * 1000 * workers.heartbeatIntervalS) return true;
     return this.probeHealthy(now) === 0 && silentMs > UNCONFIRMED_SILENCE_FACTOR * 1000 * policy.silentS;
   }
 
   /** Tracks since when no worker answers. After a long enough such period it restarts the silence of all machines. */
-  private evaluateAnswers(now: Milliseconds): void {
-    if (this.isNoWorkerAnswering(now)) {
-      if (this.noAnswerSince === null) this.noAnswerSince = now;
+  private evaluateResponses(now: Milliseconds): void {
+    if (this.isNoWorkerResponding(now)) {
+      if (this.noResponseSince === null) this.noResponseSince = now;
       // Probes are requested at once, because the suspicion is decided before `confirmSilence` considers the last answer too old,
       // and healthy machines aren't probed otherwise.
       this.probeHealthy(now);
       return;
     }
-    const suspicionMs = this.noAnswerSince === null ? 0 : now - this.noAnswerSince;
-    this.noAnswerSince = null;
+    const suspicionMs = this.noResponseSince === null ? 0 : now - this.noResponseSince;
+    this.noResponseSince = null;
     // If probed machines answered promptly, this controller was not cut off, so the silence of other machines counts.
-    if (suspicionMs < NO_ANSWER_LIMIT_MS) return;
+    if (suspicionMs < NO_RESPONSE_LIMIT_MS) return;
     for (const machine of this.context.clusterState.machines.values())
       if (this.allocations.heldShards.has(machine.shard)) this.restartSilence(machine, now);
   }
 
-  private isNoWorkerAnswering(now: Milliseconds): boolean {
-    const { unansweredCount, lastAnswerAt } = this.workerAnswers;
-    return unansweredCount >= MIN_UNANSWERED_MACHINES && now - lastAnswerAt > NO_ANSWER_SUSPICION_MS;
+  private isNoWorkerResponding(now: Milliseconds): boolean {
+    const { unansweredCount, lastResponseAt } = this.workerResponses;
+    return unansweredCount >= MIN_UNANSWERED_MACHINES && now - lastResponseAt > NO_RESPONSE_SUSPICION_MS;
   }
 
   private computeZoneHealth(now: Milliseconds): ReadonlyMap<number, ZoneHealth> {
@@ -197,12 +197,12 @@
     const { clusterState, settings } = this.context;
     const health = referenceHealth(this.healthByZone, clusterState.zoneNames.indexOf(settings.zone));
     const seemsCutOff = isNearlyAllUnanswered(health);
-    if (!seemsCutOff && this.noAnswerSince === null) {
+    if (!seemsCutOff && this.noResponseSince === null) {
       this.unreachableSince = null;
       return;
     }
-    this.unreachableSince ??= seemsCutOff ? now : (this.noAnswerSince ?? now);
-    if (now - this.unreachableSince < NO_ANSWER_LIMIT_MS) return;
+    this.unreachableSince ??= seemsCutOff ? now : (this.noResponseSince ?? now);
+    if (now - this.unreachableSince < NO_RESPONSE_LIMIT_MS) return;
     this.reachesWorkers = false;
     this.recoveryProbes.begin(now);
     this.context.log('warn', 'workers unreachable', { lost: health.unanswered, of: health.total });
--- a/packages/controller/src/shards/local-health.ts
+++ b/packages/controller/src/shards/local-health.ts
@@ -11,7 +11,7 @@
 import type { Milliseconds } from '../model/index.js';
 
 /** A shorter lag is ignored: it is normal jitter of a process that has sufficient CPU time. */
-const ORDINARY_LAG_MS = 100;
+const MAX_IGNORED_LAG_MS = 100;
 
 /** Intervals that ended longer ago are discarded: no delay that old is subtracted from a silence. */
 const WINDOW_MS = 120_000;
@@ -38,7 +38,7 @@
    */
   recordLag(lagMs: Milliseconds, now: Milliseconds): void {
     if (!(lagMs >= 0 && lagMs <= now)) return this.logImplausible(lagMs);
-    if (lagMs <= ORDINARY_LAG_MS) return;
+    if (lagMs <= MAX_IGNORED_LAG_MS) return;
     this.addUnread(now - lagMs, now);
   }
 
--- a/packages/controller/src/shards/machine-lifecycle.ts
+++ b/packages/controller/src/shards/machine-lifecycle.ts
@@ -18,7 +18,7 @@
 import { FailureDetector } from './failure-detector.js';
 import { MachineReleases } from './machine-releases.js';
 import { isUnresponsive, type MachineSilence } from './machine-silence.js';
-import type { WorkerAnswers } from './worker-answers.js';
+import type { WorkerResponses } from './worker-responses.js';
 
 /** Cancelled work is overdue after this fraction of the time within which a cancellation must be completed. */
 const OVERDUE_CANCELLATION_FRACTION = 0.5;
@@ -47,10 +47,10 @@
   constructor(
     private readonly context: MachineLifecycleContext,
     private readonly allocations: TaskAllocations,
-    workerAnswers: WorkerAnswers,
+    workerResponses: WorkerResponses,
     private readonly silence: MachineSilence,
   ) {
-    this.failureDetector = new FailureDetector(context, allocations, workerAnswers);
+    this.failureDetector = new FailureDetector(context, allocations, workerResponses);
     this.assignmentUpdates = new AssignmentUpdates(context, allocations);
     this.releases = new MachineReleases(context, allocations, this.assignmentUpdates, silence);
   }
--- a/packages/controller/src/shards/recovery-probes.ts
+++ b/packages/controller/src/shards/recovery-probes.ts
@@ -12,7 +12,7 @@
 const PROBE_ROUND_INTERVAL_MS = 1500;
 
 /** Consecutive answers that count as recovery: more than in one round, so that reacquired shards aren't released again soon. */
-const ANSWERS_TO_RECOVER = 6;
+const RESPONSES_TO_RECOVER = 6;
 
 /** If this controller's own zone has at least this many machines, only those are probed. */
 const MIN_MACHINES_OF_OWN_ZONE = 3;
@@ -34,7 +34,7 @@
   private round: ProbeRound = { answered: 0, silent: [] };
   private roundCount = 0;
   private nextRoundAt: Milliseconds = 0;
-  private consecutiveAnswers = 0;
+  private consecutiveResponses = 0;
   /** names of machines that did not answer in a round in which at least half of the others did */
   private readonly individuallySilent = new Set<string>();
 
@@ -42,7 +42,7 @@
 
   /** Begins probing because workers can no longer be reached. Earlier answers don't count. */
   begin(now: Milliseconds): void {
-    this.consecutiveAnswers = 0;
+    this.consecutiveResponses = 0;
     this.individuallySilent.clear();
     this.nextRoundAt = now;
   }
@@ -62,11 +62,11 @@
     const name = this.pendingProbes.get(id);
     if (name === undefined) return false;
     this.pendingProbes.delete(id);
-    this.consecutiveAnswers = isAnswered ? this.consecutiveAnswers + 1 : 0;
+    this.consecutiveResponses = isAnswered ? this.consecutiveResponses + 1 : 0;
     if (isAnswered) this.round.answered++;
     else this.round.silent.push(name);
     if (this.pendingProbes.size === 0) this.endRound();
-    return this.consecutiveAnswers >= ANSWERS_TO_RECOVER;
+    return this.consecutiveResponses >= RESPONSES_TO_RECOVER;
   }
 
   private probeableMachines(): Machine[] {
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -40,7 +40,7 @@
 import type { ProgressWriter } from './progress-writer.js';
 import { shardDebugSummary } from './shard-debug-summary.js';
 import { ShardSummaries } from './shard-summary.js';
-import { WorkerAnswers } from './worker-answers.js';
+import { WorkerResponses } from './worker-responses.js';
 
 /** Interval between checks of all jobs of the shards held here. */
 const JOB_CHECK_INTERVAL_MS = 300;
@@ -74,7 +74,7 @@
   readonly allocations: TaskAllocations;
   private readonly machineLifecycle: MachineLifecycle;
   private readonly commandDispatcher: CommandDispatcher;
-  private readonly workerAnswers = new WorkerAnswers();
+  private readonly workerResponses = new WorkerResponses();
   private readonly localHealth: LocalHealth;
   private readonly imageCacheWriter: ImageCacheWriter;
   private readonly jobChecks: JobChecks;
@@ -93,8 +93,8 @@
     this.jobChecks = new JobChecks(context, allocations, progressWriter);
     this.localHealth = new LocalHealth(context);
     const silence = new MachineSilence(context, this.localHealth);
-    this.machineLifecycle = new MachineLifecycle(context, this.allocations, this.workerAnswers, silence);
-    this.commandDispatcher = new CommandDispatcher(context, this.allocations, reconciler, this.workerAnswers);
+    this.machineLifecycle = new MachineLifecycle(context, this.allocations, this.workerResponses, silence);
+    this.commandDispatcher = new CommandDispatcher(context, this.allocations, reconciler, this.workerResponses);
     this.queueOrder = new QueueOrder(context, this.allocations);
     this.scheduler = new Scheduler(context, this.allocations, this.queueOrder);
     this.shardSummaries = new ShardSummaries(context, this.allocations, this.queueOrder, this.scheduler);
@@ -224,7 +224,7 @@
   onProcessPaused(pauseMs: Milliseconds, now: Milliseconds): void {
     this.allocations.advanceTo(now);
     this.localHealth.recordLag(pauseMs, now);
-    this.workerAnswers.recordAnswer(now);
+    this.workerResponses.recordResponse(now);
     this.machineLifecycle.failureDetector.onProcessPaused();
     for (const machine of this.context.clusterState.machines.values()) {
       machine.tenure.lastHeartbeatAt = Math.min(now, machine.tenure.lastHeartbeatAt + pauseMs);
--- a/packages/controller/src/shards/worker-answers.ts
+++ b/packages/controller/src/shards/worker-responses.ts
@@ -5,14 +5,14 @@
 import type { Machine, Milliseconds } from '../model/index.js';
 
 /** Tracks the answers of all workers as a group. */
-export class WorkerAnswers {
-  private lastAnswerTime: Milliseconds = 0;
-  /** names of machines that left a command unanswered since `lastAnswerTime`, although their heartbeats arrive */
+export class WorkerResponses {
+  private lastResponseTime: Milliseconds = 0;
+  /** names of machines that left a command unanswered since `lastResponseTime`, although their heartbeats arrive */
   private readonly unansweredMachines = new Set<string>();
 
   /** Time of the last answer of any worker to a command or probe. */
-  get lastAnswerAt(): Milliseconds {
-    return this.lastAnswerTime;
+  get lastResponseAt(): Milliseconds {
+    return this.lastResponseTime;
   }
 
   /** Number of machines that left a command unanswered since the last answer of any worker, although their heartbeats arrive. */
@@ -21,8 +21,8 @@
   }
 
   /** Records an answer of a worker, or the end of a pause of this process. Missing answers before `now` no longer count. */
-  recordAnswer(now: Milliseconds): void {
-    this.lastAnswerTime = now;
+  recordResponse(now: Milliseconds): void {
+    this.lastResponseTime = now;
     this.unansweredMachines.clear();
   }
 
