--- a/packages/controller/src/allocation/held-shards.ts
+++ b/packages/controller/src/allocation/held-shards.ts
@@ -29,7 +29,7 @@
     return this.leaseRevisions.keys();
   }
 
-  /** The revision at which the shard's lease was acquired; null if the shard is not held. */
+  /** Returns the revision at which the shard's lease was acquired; null if the shard is not held. */
   leaseRevisionOf(shard: number): number | null {
     return this.leaseRevisions.get(shard) ?? null;
   }
@@ -49,7 +49,7 @@
     return (this.leaseRevisions.get(shard) ?? 0) * ATTEMPTS_PER_LEASE + this.attemptCounter++;
   }
 
-  /** Conditions of a write for the shard: its lease must still be the one that this controller acquired. */
+  /** Returns the conditions of a write for the shard: its lease must still be the one that this controller acquired. */
   leaseConditions(shard: number): RevisionCondition[] {
     return [{ key: StateKey.shardLease(shard), revision: this.leaseRevisions.get(shard) ?? IMPOSSIBLE_REVISION }];
   }
--- a/packages/controller/src/allocation/index.ts
+++ b/packages/controller/src/allocation/index.ts
@@ -1,5 +1,5 @@
 /**
- * Allocation: which task is allocated to which machine in the shards held here, which machines accept starts, and whether task
+ * Allocation: which task is allocated to which machine in the held shards, which machines accept starts, and whether task
  * failures are attributed to jobs or to machines. Owns the allocations of jobs and machines.
  */
 export { freeResourcesOf } from './free-resources.js';
--- a/packages/controller/src/allocation/machine-schedulability.ts
+++ b/packages/controller/src/allocation/machine-schedulability.ts
@@ -1,6 +1,6 @@
 /**
- * Whether a machine accepts starts: it answers commands, every task on it is known, and it isn't about to move or be released.
- * Owns no state.
+ * Whether a machine accepts starts: it responds to commands, every task on it is known, and it isn't about to move or be
+ * released. Owns no state.
  */
 import type { SettingsView } from '../context/index.js';
 import type { Machine, Milliseconds } from '../model/index.js';
--- a/packages/controller/src/allocation/start-freshness.ts
+++ b/packages/controller/src/allocation/start-freshness.ts
@@ -16,8 +16,9 @@
   constructor(private readonly context: SettingsView & StateFreshness & PeerDirectory) {}
 
   /**
-   * Whether the replica is recent enough for starts. If the state service answers no controller, none can read a newer state, so
-   * starts continue for a fraction of the cancellation time. If it answers another controller, they stop once the watch is late.
+   * Whether the replica is recent enough for starts. If the state service responds to no controller, none can read a newer state,
+   * so starts continue for a fraction of the cancellation time. If it responds to another controller, starts stop once the watch
+   * is late.
    */
   mayStart(now: Milliseconds): boolean {
     if (this.context.isCatchingUp()) return false;
--- a/packages/controller/src/allocation/task-allocations.ts
+++ b/packages/controller/src/allocation/task-allocations.ts
@@ -1,6 +1,6 @@
 /**
- * The allocations of tasks to machines in the shards held here: their phases, requested stops, and the failure of a gang that
- * loses a task. Owns the allocations, the set of held shards, and the unmet demand of the last scheduling run.
+ * The allocations of tasks to machines in the held shards: their phases, requested stops, and the failure of a gang that loses a
+ * task. Owns the allocations, the set of held shards, and the unmet demand of the last scheduling run.
  */
 import type {
   ClusterStateView,
@@ -29,7 +29,7 @@
 /** The fields that the caller sets in a new allocation. */
 type NewAllocation = Pick<Allocation, 'job' | 'taskIndex' | 'attempt' | 'machine' | 'phase' | 'plannedAt'>;
 
-/** Key of one attempt of a task, unique among the allocations of a machine. */
+/** Returns the key of one attempt of a task, which is unique among the allocations of a machine. */
 export function taskKey(job: string, taskIndex: number, attempt: number): string {
   return `${job}/${taskIndex}/${attempt}`;
 }
@@ -47,10 +47,10 @@
   PeerDirectory &
   Logger;
 
-/** Holds the allocations of the shards held here, and changes them. */
+/** Holds the allocations of the held shards, and changes them. */
 export class TaskAllocations {
   readonly heldShards = new HeldShards();
-  /** something changed that may let a scheduling run allocate more tasks */
+  /** whether a scheduling run is due because something changed that may let it allocate more tasks */
   schedulingRequested = true;
   readonly failureAttribution: FailureAttribution;
   readonly startFreshness: StartFreshness;
@@ -89,7 +89,7 @@
     return this.heldShards.has(shard) && this.context.isLeaseValid(now);
   }
 
-  /** The held shards for which this controller may send commands, allocate tasks and release machines. */
+  /** Returns the held shards for which this controller may send commands, allocate tasks and release machines. */
   actingShards(): ReadonlySet<number> {
     const shards = new Set<number>();
     for (const shard of this.heldShards.keys()) if (this.context.mayActFor(shard)) shards.add(shard);
@@ -191,7 +191,9 @@
     allocation.job.lastStopAt = this.now;
   }
 
-  /** Grace period for stops of the job's tasks: time to save for checkpointing tasks, zero for all others, which can't save. */
+  /**
+   * Returns the grace period of stops of the job's tasks: time to save for checkpointing tasks, 0 for others, which can't save.
+   */
   stopGraceS(job: Job): number {
     return job.spec.checkpointIntervalS > 0 ? job.spec.checkpointSaveS + this.context.settings.workers.gangPeerS : 0;
   }
--- a/packages/controller/src/capacity/autoscaler.ts
+++ b/packages/controller/src/capacity/autoscaler.ts
@@ -1,7 +1,7 @@
 /**
  * The autoscaler: provisions machines for pending work, and releases machines that never came up. It acts on the leader only.
- * Owns the start time of this controller's leadership. Machine lists, requests, pools, releases and boot times have a module
- * each; `demand-provisioning` or `spare-capacity` decides which machines to request.
+ * Owns the start time of this controller's leadership. Machine lists, requests, pools, releases and boot times are tracked by a
+ * module each; `demand-provisioning` or `spare-capacity` decides which machines to request.
  */
 import {
   type ListedMachine,
@@ -25,7 +25,7 @@
 /** The limit of machines in one request for a kind that fails to boot. */
 const MAX_MACHINES_OF_FAILING_KIND = 2;
 
-/** Added to the lag of machine lists: after both, a list shows the machines that an earlier leader requested. */
+/** The margin on the lag of machine lists: after lag and margin, a list shows the machines that an earlier leader requested. */
 const LIST_LAG_MARGIN_MS = 2000;
 
 /** A running machine from which no heartbeat has arrived is released only after the leadership has lasted this long. */
@@ -37,13 +37,13 @@
 /** The parts of the controller's context that the autoscaler uses. */
 type AutoscalerContext = SettingsView & ClusterStateView & EffectSink & Logger;
 
-/** The queries that other parts of the controller answer for the autoscaler. */
+/** Queries of the autoscaler to other parts of the controller. */
 export interface AutoscalerDependencies {
-  /** Reports whether a write of the machine's assignment is pending. */
+  /** Whether a write of the machine's assignment is pending. */
   isAssignmentPending(machine: string): boolean;
   /** Returns machines that were assigned so recently that the demands of their shards may not reflect them yet. */
   recentlyAssigned(now: Milliseconds): InstanceKind[];
-  /** Reports whether the zone is cut off from this controller. */
+  /** Whether the zone is cut off from this controller. */
   isZoneCut(zone: string): boolean;
 }
 
@@ -108,7 +108,7 @@
     this.tracker.forget(machine);
   }
 
-  /** Reports whether the machine was released so recently that a heartbeat from it may be out of date. */
+  /** Whether the machine was released so recently that a heartbeat from it may be out of date. */
   isRecentlyReleased(machine: string, now: Milliseconds): boolean {
     return this.releases.isRecent(machine, now);
   }
@@ -124,7 +124,7 @@
     return this.pools.availableTypes();
   }
 
-  /** Reports whether `availableTypes` includes the type. */
+  /** Whether `availableTypes` includes the type. */
   isTypeAvailable(type: string): boolean {
     return this.pools.isTypeAvailable(type);
   }
@@ -161,7 +161,7 @@
     }
   }
 
-  /** Reports whether a list may not show the machines yet that a previous leader requested before the takeover. */
+  /** Whether a list may not show the machines yet that a previous leader requested before the takeover. */
   private mayMissEarlierRequests(now: Milliseconds): boolean {
     const untilListedMs = this.machineList.maxLagMs + LIST_LAG_MARGIN_MS;
     return this.term.isTakeover && now - this.term.since < untilListedMs;
@@ -236,9 +236,9 @@
   }
 
   /**
-   * Reports whether the machine failed, or exceeded twice the boot time limit of its type. Running machines get a grace period
-   * after a leadership begins, since heartbeats of their workers may not have reached the new leader yet. Without it, a new
-   * leader released all long-running machines that had not reported within its first second.
+   * Whether the machine failed, or exceeded twice the boot time limit of its type. Running machines get a grace period after a
+   * leadership begins, since heartbeats of their workers may not have reached the new leader yet. Without it, a new leader
+   * released all long-running machines that had not reported within its first second.
    */
   private hasFailedToBoot(listed: ListedMachine, now: Milliseconds): boolean {
     if (listed.state === 'failed') return true;
--- a/packages/controller/src/capacity/boot-monitor.ts
+++ b/packages/controller/src/capacity/boot-monitor.ts
@@ -32,7 +32,7 @@
     return this.estimator.limitMs(type, machineTypeNamed(this.context, type)?.bootS ?? DEFAULT_BOOT_S, now);
   }
 
-  /** Reports whether machines of the kind fail to boot. A change since the last call is logged with the fields of `kind`. */
+  /** Whether machines of the kind fail to boot. A change since the last call is logged with the fields of `kind`. */
   isFailing(kind: InstanceKind, now: Milliseconds): boolean {
     const isFailing = this.estimator.isFailing(kind, this.limitMs(kind.type, now), now);
     const key = instanceKindKey(kind);
--- a/packages/controller/src/capacity/boot-time-estimator.ts
+++ b/packages/controller/src/capacity/boot-time-estimator.ts
@@ -65,7 +65,7 @@
     }
   }
 
-  /** Reports whether several machines of the kind are overdue and none has come up within the last `limitMs`. */
+  /** Whether several machines of the kind are overdue and none has come up within the last `limitMs`. */
   isFailing(kind: InstanceKind, limitMs: Milliseconds, now: Milliseconds): boolean {
     const key = instanceKindKey(kind);
     if ((this.overdueByKind.get(key) ?? 0) < MIN_OVERDUE_TO_FAIL) return false;
--- a/packages/controller/src/capacity/demand-provisioning.ts
+++ b/packages/controller/src/capacity/demand-provisioning.ts
@@ -46,7 +46,9 @@
   return [...requests.values()];
 }
 
-/** The limit of machines per demand. It grows with the cluster, since a wave of losses affects a fraction of all machines. */
+/**
+ * Returns the limit of machines per demand. It grows with the cluster, since a wave of losses affects a fraction of all machines.
+ */
 function requestLimit(machineCount: number): number {
   return Math.max(MIN_REQUEST_LIMIT, machineCount / CLUSTER_MACHINES_PER_REQUESTED_MACHINE);
 }
@@ -67,7 +69,7 @@
   return offers;
 }
 
-/** Adds idle ordinary machines: rebalancing will move them to the shards with pending work. */
+/** Adds idle on-demand machines: rebalancing will move them to the shards with pending work. */
 function addIdleOffers(offers: CapacityOffer[], snapshot: ScaleOutSnapshot): void {
   for (const shard of snapshot.shards.values()) {
     for (const summary of shard.machines) {
@@ -98,8 +100,8 @@
 }
 
 /**
- * Reports whether the offer is reserved for other work. Idle machines serve only work that needs accelerators; those without
- * accelerators also serve other urgent work.
+ * Whether the offer is reserved for other work. Idle machines serve only work that needs accelerators; those without accelerators
+ * also serve other urgent work.
  */
 function isReservedForOtherWork(offer: CapacityOffer, demand: ResourceDemand): boolean {
   return offer.isIdle && demand.gpus === 0 && (demand.priority < URGENT_PRIORITY || offer.type.gpus > 0);
--- a/packages/controller/src/capacity/demand.ts
+++ b/packages/controller/src/capacity/demand.ts
@@ -19,7 +19,7 @@
   remainingTasks: number;
 }
 
-/** Reports whether the tasks of the demand may run on machines of this kind, regardless of whether they fit. */
+/** Whether the tasks of the demand may run on machines of this kind, regardless of whether they fit. */
 export function matchesDemand(demand: ResourceDemand, type: string, zone: string, spot: boolean): boolean {
   return (
     (demand.types.length === 0 || demand.types.includes(type)) &&
@@ -29,7 +29,7 @@
   );
 }
 
-/** Reports whether a task of the demand may run on a machine of this kind, and fits on it when it is empty. */
+/** Whether a task of the demand may run on a machine of this kind, and fits on it when it is empty. */
 export function servesDemand(demand: ResourceDemand, type: MachineType, zone: string, spot: boolean): boolean {
   return countThatFit(demand, type) >= 1 && matchesDemand(demand, type.name, zone, spot);
 }
--- a/packages/controller/src/capacity/instance-choice.ts
+++ b/packages/controller/src/capacity/instance-choice.ts
@@ -5,10 +5,10 @@
 import type { InstanceOption } from './instance-kind.js';
 import type { ScaleOutSnapshot } from './scale-out.js';
 
-/** Ordinary machines are provisioned for work of the lowest priority only after it has waited this long. */
+/** On-demand machines are provisioned for work of the lowest priority only after it has waited this long. */
 const LOWEST_PRIORITY_WAIT_S = 60;
 
-/** A machine is expensive if its price per processor core exceeds this multiple of the lowest price on ordinary machines. */
+/** A machine is expensive if its price per processor core exceeds this multiple of the lowest price of on-demand machines. */
 const EXPENSIVE_FACTOR = 3;
 
 /** Replaces `EXPENSIVE_FACTOR` for machines with accelerators that would serve work of the lowest priority. */
@@ -26,13 +26,13 @@
 
 /** The reference data for comparing the prices of options. */
 export interface Market {
-  /** the lowest price of a processor core on an ordinary machine, per hour */
+  /** the lowest price of a processor core on an on-demand machine, per hour */
   lowestPricePerCpu: number;
   /** number of machines by zone, including those that are being requested */
   machinesPerZone: ReadonlyMap<string, number>;
 }
 
-/** Returns the lowest price of a processor core on an ordinary machine; infinite if there is no such option. */
+/** Returns the lowest price of a processor core on an on-demand machine; infinite if there is no such option. */
 export function cheapestPricePerCpu(options: readonly InstanceOption[]): number {
   return Math.min(...options.map(({ kind, type }) => (kind.spot ? Number.POSITIVE_INFINITY : type.price / type.cpus)));
 }
@@ -62,7 +62,7 @@
 
 const hourlyPrice = ({ kind, type }: InstanceOption): number => (kind.spot ? type.spotPrice : type.price);
 
-/** Reports whether the price of the option is acceptable for this demand. */
+/** Whether the price of the option is acceptable for this demand. */
 function isPriceAcceptable(option: InstanceOption, demand: ResourceDemand, { lowestPricePerCpu }: Market): boolean {
   if (demand.gpus !== 0 || demand.priority >= URGENT_PRIORITY) return true;
   const { kind, type } = option;
@@ -70,7 +70,7 @@
   // Work that can wait gets no expensive machine: a cheap one may become free in time.
   if (pricePerCpu > EXPENSIVE_FACTOR * lowestPricePerCpu && demand.slackS > type.bootS + DEFERRABLE_SLACK_S) return false;
   if (demand.priority !== LOWEST_PRIORITY) return true;
-  // The lowest priority gets idle and cheap machines: an ordinary one only after a long wait, so that it starts at all, and
+  // The lowest priority gets idle and cheap machines: an on-demand one only after a long wait, so that it starts at all, and
   // practically none with accelerators.
   const maxFactor = type.gpus > 0 ? EXPENSIVE_GPU_FACTOR : EXPENSIVE_FACTOR;
   if (pricePerCpu > maxFactor * lowestPricePerCpu) return false;
--- a/packages/controller/src/capacity/instance-kind.ts
+++ b/packages/controller/src/capacity/instance-kind.ts
@@ -1,9 +1,9 @@
-/** The offers of the cloud: machine types by zone, ordinary or spot. Pure functions of the known machine types. */
+/** The machine kinds that the cloud offers. Pure functions of the machine types in the cluster state. */
 import type { MachineType } from '@archpost/protocol';
 import type { ClusterStateView, SettingsView } from '../context/index.js';
 import type { Machine } from '../model/index.js';
 
-/** A machine type in a zone, ordinary or spot. */
+/** A machine type in a zone, on-demand or spot. */
 export interface InstanceKind {
   /** the machine type's name */
   type: string;
@@ -38,7 +38,7 @@
 }
 
 /**
- * Returns every kind that can be provisioned, ordered by type, then by zone, ordinary before spot. The order breaks ties between
+ * Returns every kind that can be provisioned, ordered by type, then by zone, on-demand before spot. The order breaks ties between
  * equally good options. A type that lists no zones is offered in all zones.
  */
 export function instanceOptions(context: SettingsView & ClusterStateView): InstanceOption[] {
--- a/packages/controller/src/capacity/instance-pools.ts
+++ b/packages/controller/src/capacity/instance-pools.ts
@@ -21,7 +21,7 @@
   retryAt: Milliseconds;
   /** consecutive refusals */
   refusals: number;
-  /** the last request was for ordinary machines and was fulfilled completely */
+  /** the last request was for on-demand machines and was fulfilled completely */
   wasFilled: boolean;
 }
 
@@ -29,19 +29,19 @@
 export class InstancePools {
   private readonly pools = new Map<string, InstancePool>();
 
-  /** Reports whether the retry delay of the kind has passed. */
+  /** Whether the retry delay of the kind has passed. */
   isRequestDue(kind: InstanceKind, now: Milliseconds): boolean {
     return now >= this.pool(kind).retryAt;
   }
 
-  /** Returns the types of which the cloud provisioned all ordinary machines of the last request. */
+  /** Returns the types of which the cloud provisioned all on-demand machines of the last request. */
   availableTypes(): string[] {
     const types = new Set<string>();
     for (const [key, pool] of this.pools) if (pool.wasFilled) types.add(typeOfKey(key));
     return [...types];
   }
 
-  /** Reports whether `availableTypes` includes the type. */
+  /** Whether `availableTypes` includes the type. */
   isTypeAvailable(type: string): boolean {
     for (const [key, pool] of this.pools) if (pool.wasFilled && typeOfKey(key) === type) return true;
     return false;
--- a/packages/controller/src/capacity/machine-assigner.ts
+++ b/packages/controller/src/capacity/machine-assigner.ts
@@ -56,7 +56,7 @@
     return [...this.unassignedHeartbeats.values()].map(({ machine }) => machine);
   }
 
-  /** Reports whether a write of the machine's assignment is pending. */
+  /** Whether a write of the machine's assignment is pending. */
   isAssignmentPending(machine: string): boolean {
     return this.pendingWrites.has(machine);
   }
@@ -129,7 +129,7 @@
   }
 
   /**
-   * Returns the shard of the first demand that the machine serves, or null. For ordinary machines with accelerators, work that
+   * Returns the shard of the first demand that the machine serves, or null. For on-demand machines with accelerators, work that
    * needs accelerators comes first. The tasks that the machine will run are counted as served.
    */
   private findShardWithDemand(unassigned: UnassignedMachine, pending: PendingDemand[]): number | null {
--- a/packages/controller/src/capacity/machine-type-catalog.ts
+++ b/packages/controller/src/capacity/machine-type-catalog.ts
@@ -42,7 +42,7 @@
     this.context.emit({ type: 'fetchMachineTypes' });
   }
 
-  /** Applies a list that the cloud returned, and stores it if none is stored. */
+  /** Applies a list that the cloud returned, and stores it if none is stored. Nothing is stored before the replica is loaded. */
   receive(types: MachineType[], now: Milliseconds): void {
     this.context.clusterState.setMachineTypes(types);
     const { replica } = this.context;
@@ -62,7 +62,7 @@
     });
   }
 
-  /** Writes the key unless it exists. In that case another controller has already stored the same list. */
+  /** Writes the key unless it exists. If it exists, another controller has already stored the same list. */
   private storeIfAbsent(key: string, value: unknown, now: Milliseconds): void {
     this.context.writer.add({
       key,
--- a/packages/controller/src/capacity/move-options.ts
+++ b/packages/controller/src/capacity/move-options.ts
@@ -13,7 +13,7 @@
 /** Services are displaced only for work that has waited at least this long. */
 const SERVICE_DISPLACEMENT_WAIT_S = 3;
 
-/** A shard reserves this many idle ordinary machines for work that can't use spot machines. */
+/** A shard reserves this many idle on-demand machines for work that can't use spot machines. */
 const MIN_IDLE_ON_DEMAND_MACHINES = 3;
 
 /** Work of the source shard competes for the machine once it has waited this long. */
@@ -76,7 +76,7 @@
     return summary.protectedPriority < demand.priority && servesDemand(demand, capacity, zone, machine.spot);
   }
 
-  /** Reports whether the machine is reserved for other work: for what runs on it, or for work that can use no other kind. */
+  /** Whether the machine is reserved for other work: for what runs on it, or for work that can use no other kind. */
   private isReserved({ machine, summary, shard, capacity }: MovableMachine, work: PendingDemand): boolean {
     const { demand } = work;
     const mayDisplaceProtectedWork = this.mayDisplaceProtectedWork(work, capacity);
@@ -87,14 +87,14 @@
       if (demand.priority < HIGHEST_PRIORITY || demand.waitS < SCARCE_MACHINE_WAIT_S) return true;
       if (summary.tasks > 0 && !mayDisplaceProtectedWork) return true;
     }
-    // Ordinary machines are kept for work that can't use spot machines.
+    // On-demand machines are kept for work that can't use spot machines.
     if (demand.spot && !machine.spot && this.idleCount(shard) <= MIN_IDLE_ON_DEMAND_MACHINES) return true;
     return capacity.gpus > 0 && demand.priority < URGENT_PRIORITY && summary.tasks > 0;
   }
 
   /**
-   * Reports whether the work may displace protected work: it has the highest priority, has waited longer than its own shard
-   * takes to clear a machine, and would use at least half of the machine.
+   * Whether the work may displace protected work: it has the highest priority, has waited longer than its own shard takes to
+   * clear a machine, and would use at least half of the machine.
    */
   private mayDisplaceProtectedWork({ demand, remainingTasks }: PendingDemand, capacity: MachineType): boolean {
     return (
@@ -104,13 +104,13 @@
     );
   }
 
-  /** Reports whether the shard has work for the machine's accelerators, and no more machines of its type can be provisioned. */
+  /** Whether the shard has work for the machine's accelerators, and no more machines of its type can be provisioned. */
   private isScarce(machine: Machine, shard: ShardSummary, capacity: MachineType): boolean {
     if (capacity.gpus === 0 || machine.spot || this.context.isTypeAvailable(capacity.name)) return false;
     return this.context.clusterState.shardsWithGpuWork.has(shard.shard);
   }
 
-  /** Returns the number of idle ordinary machines without accelerators in the shard; computed on first use. */
+  /** Returns the number of idle on-demand machines without accelerators in the shard; computed on first use. */
   private idleCount(shard: ShardSummary): number {
     const cached = this.idleCounts.get(shard.shard);
     if (cached !== undefined) return cached;
@@ -124,7 +124,7 @@
   }
 }
 
-/** Reports whether the shard has pending work of its own that is at least as important as the demand. */
+/** Whether the shard has pending work of its own that is at least as important as the demand. */
 function hasCompetingDemand(shard: ShardSummary, demand: ResourceDemand): boolean {
   return shard.demands.some(
     (own) =>
@@ -133,7 +133,7 @@
   );
 }
 
-/** Reports whether the machine would serve pending work of its own shard, of at least the priority of the demand. */
+/** Whether the machine would serve pending work of its own shard, of at least the priority of the demand. */
 function servesOwnDemand({ shard, capacity, zone, machine }: MovableMachine, demand: ResourceDemand): boolean {
   return shard.demands.some((own) => own.priority >= demand.priority && servesDemand(own, capacity, zone, machine.spot));
 }
--- a/packages/controller/src/capacity/provisioner.ts
+++ b/packages/controller/src/capacity/provisioner.ts
@@ -16,7 +16,7 @@
 /** The minimum interval between two requests, regardless of the cloud's rate limit. */
 const MIN_REQUEST_INTERVAL_MS = 300;
 
-/** Added to the lag of machine lists: after both, a list shows the result of a request that got no response. */
+/** The margin on the lag of machine lists: after lag and margin, a list shows the result of a request that got no response. */
 const UNCERTAIN_REQUEST_MARGIN_MS = 3000;
 
 /** The bounds of the maximum retry delay. */
@@ -67,7 +67,7 @@
     this.parts.tracker.onLeaseAcquired();
   }
 
-  /** Reports whether the interval since the last request has passed. */
+  /** Whether the interval since the last request has passed. */
   isRequestDue(now: Milliseconds): boolean {
     return now >= this.nextRequestAt;
   }
--- a/packages/controller/src/capacity/recent-releases.ts
+++ b/packages/controller/src/capacity/recent-releases.ts
@@ -40,18 +40,18 @@
     }
   }
 
-  /** Reports whether a release of the machine is recorded, even one that is too old for `isRecent`. */
+  /** Whether a release of the machine is recorded, even one that is too old for `isRecent`. */
   isRemembered(machine: string): boolean {
     return this.releasedAt.has(machine);
   }
 
-  /** Reports whether the machine was released so recently that a heartbeat from it may be out of date. */
+  /** Whether the machine was released so recently that a heartbeat from it may be out of date. */
   isRecent(machine: string, now: Milliseconds): boolean {
     const releasedAt = this.releasedAt.get(machine);
     return releasedAt !== undefined && now - releasedAt < STALE_REPORT_MS;
   }
 
-  /** Reports whether the machine was released so recently that the cloud may still list it. */
+  /** Whether the machine was released so recently that the cloud may still list it. */
   mayBeListed(machine: string, now: Milliseconds): boolean {
     const releasedAt = this.releasedAt.get(machine);
     return releasedAt !== undefined && now - releasedAt < RELEASE_VISIBILITY_MS;
--- a/packages/controller/src/capacity/scale-out.ts
+++ b/packages/controller/src/capacity/scale-out.ts
@@ -17,10 +17,10 @@
   readonly arriving: readonly InstanceKind[];
   /** all kinds that can be provisioned, in the order of `instanceOptions` */
   readonly options: readonly InstanceOption[];
-  /** Reports whether the retry delay of the kind has passed. The order of first calls determines the order of available types. */
+  /** Whether the retry delay of the kind has passed. The order of first calls determines the order of available types. */
   isRequestDue(kind: InstanceKind): boolean;
-  /** Reports whether machines of the kind fail to boot. Logs a change with the fields of `kind`. */
+  /** Whether machines of the kind fail to boot. Logs a change with the fields of `kind`. */
   isFailing(kind: InstanceKind): boolean;
-  /** Reports whether the zone is cut off from this controller. */
+  /** Whether the zone is cut off from this controller. */
   isZoneCut(zone: string): boolean;
 }
--- a/packages/controller/src/model/effects.ts
+++ b/packages/controller/src/model/effects.ts
@@ -1,6 +1,6 @@
 /**
- * Effects: the operations that a controller's decisions request from the outside. The state machine only emits them. The I/O
- * layer executes them and returns each outcome as an input with the `id` of the effect, where the effect has one.
+ * Effects: the operations outside the state machine that a controller's decisions require. The state machine only emits them. The
+ * I/O layer executes them and returns each outcome as an input with the `id` of the effect, where the effect has one.
  */
 import type { Command, Heartbeat, KeyWrite, PeerStatus, ProvisioningRequest, RevisionCondition } from '@archpost/protocol';
 
--- a/packages/controller/src/model/job.ts
+++ b/packages/controller/src/model/job.ts
@@ -186,7 +186,7 @@
     this.effectiveDeadlineSpanMs = this.deadlineSpanMs;
   }
 
-  /** The number of running tasks, according to the last heartbeats of their workers. */
+  /** Returns the number of running tasks, according to the last heartbeats of their workers. */
   runningCount(): number {
     let count = 0;
     for (const { phase, status } of this.tenure.allocations.values())
@@ -194,7 +194,7 @@
     return count;
   }
 
-  /** The number of tasks that are neither done nor allocated. */
+  /** Returns the number of tasks that are neither done nor allocated. */
   pendingCount(): number {
     let allocatedUndone = 0;
     for (const allocation of this.tenure.allocations.values()) if (!this.done[allocation.taskIndex]) allocatedUndone++;
@@ -202,8 +202,8 @@
   }
 
   /**
-   * The index of a task that is neither done nor allocated; `NO_TASK` if there is none. Tasks whose allocation was released come
-   * first. The caller must allocate the task at once: a task that was never allocated isn't returned a second time.
+   * Returns the index of a task that is neither done nor allocated; `NO_TASK` if there is none. Tasks whose allocation was
+   * released come first. The caller must allocate the task at once: a task that was never allocated isn't returned a second time.
    */
   nextPendingTask(): number {
     const { tenure } = this;
@@ -229,7 +229,7 @@
     return index === NO_TASK ? this.nextPendingTask() : index;
   }
 
-  /** The indices of all tasks that are neither done nor allocated. */
+  /** Returns the indices of all tasks that are neither done nor allocated. */
   pendingTasks(): number[] {
     const result: number[] = [];
     for (let index = 0; index < this.spec.tasks; index++) if (this.isPending(index)) result.push(index);
--- a/packages/controller/src/model/machine.ts
+++ b/packages/controller/src/model/machine.ts
@@ -49,7 +49,7 @@
  * | nothing: the machine is being released | `releaseReason` is set; `isReleasing` once the request to the cloud was sent |
  * | nothing: a command is in flight | `pendingCommandId` is set |
  * | nothing: the fencing token must be raised | `hasUncertainCommand`; `isRaisingToken` once the rewrite is queued |
- * | a probe | not `isVerified` (`isProbed` once the first was sent), or silent, not answering commands, or `probeRequested` |
+ * | a probe | not `isVerified` (`isProbed` once the first was sent), or silent, not responding, or `probeRequested` |
  * | commands | otherwise |
  */
 export class MachineTenure {
@@ -64,7 +64,7 @@
    * shifted by pauses of this process
    */
   lastContactAt: Milliseconds;
-  /** the machine has answered a probe under the current fencing token, so its heartbeats show everything that is on it */
+  /** the machine has responded to a probe under the current fencing token, so its heartbeats show everything that is on it */
   isVerified = false;
   /** a probe was sent in this tenure, or since the token was last raised; only then does silence count against the machine */
   isProbed = false;
@@ -114,8 +114,8 @@
   }
 
   /**
-   * Records that the tasks on the machine are known: the machine has answered under the current fencing token, or the cloud has
-   * confirmed that nothing runs on it any more.
+   * Records that the tasks on the machine are known: the machine has responded under the current fencing token, or the cloud has
+   * confirmed that nothing runs on it anymore.
    */
   recordVerified(): void {
     this.isVerified = true;
@@ -123,8 +123,8 @@
   }
 
   /**
-   * Records that the fencing token was raised: no earlier command can be executed any more, and the machine has to be probed
-   * under the new token.
+   * Records that the fencing token was raised: no earlier command can be executed anymore, and the machine has to be probed under
+   * the new token.
    */
   recordTokenRaised(): void {
     this.hasUncertainCommand = false;
@@ -183,7 +183,7 @@
   /** a probe is requested, for example because a heartbeat contradicts the expected state */
   probeRequested = false;
   probeRequestedAt: Milliseconds = NEVER;
-  /** when commands other than probes were last sent to it */
+  /** when a command or probe was last sent to it */
   lastCommandAt: Milliseconds = NEVER;
   /** there may be commands to send: a start, a stop, or the removal of an ended task */
   commandsDue = true;
--- a/packages/controller/src/model/priorities.ts
+++ b/packages/controller/src/model/priorities.ts
@@ -1,6 +1,6 @@
 /** Constants for jobs of the highest priority, cancelled jobs and scarce machines. */
 
-/** The priority of jobs that are scheduled before all others; once urgent, they take precedence over quotas too. */
+/** The priority of jobs that are scheduled before all others. Once overdue, they may preempt work within a quota too. */
 export const HIGHEST_PRIORITY = 3;
 
 /** Above every job priority: cancelled tasks must end in time, so machines that run them are probed and commanded first. */
--- a/packages/controller/src/model/resources.ts
+++ b/packages/controller/src/model/resources.ts
@@ -19,7 +19,7 @@
   machine: Machine;
 }
 
-/** Reports whether the free resources cover the required ones. */
+/** Whether the free resources cover the required ones. */
 export function fits(resources: Resources, free: Resources): boolean {
   return (
     resources.cpus <= free.cpus + RESOURCE_TOLERANCE &&
--- a/packages/controller/src/scheduling/array-postponement.ts
+++ b/packages/controller/src/scheduling/array-postponement.ts
@@ -16,7 +16,9 @@
  */
 const MAX_ARRAY_WAIT_MS = 180_000;
 
-/** Time from now to the start deadline of an array that can meet none of its deadlines, plus the expected time for its tasks. */
+/**
+ * An array that can meet none of its deadlines is due after this time, counted from now, plus the expected time for its tasks.
+ */
 const MISSED_ALL_DEADLINES_DELAY_MS = 1e7;
 
 /** Sets the start deadlines of waiting arrays to deadlines that they can meet together. */
@@ -75,7 +77,10 @@
     });
   }
 
-  /** Processor cores that CPU arrays of the job's shard and priority use. About as many become free for waiting arrays. */
+  /**
+   * Returns the number of processor cores that CPU arrays of the job's shard and priority use. About as many become free for
+   * waiting arrays.
+   */
   private cpusInUseByArrays(job: Job): number {
     let cpus = 0;
     for (const other of this.context.clusterState.jobs.values()) {
--- a/packages/controller/src/scheduling/gang-service-eviction.ts
+++ b/packages/controller/src/scheduling/gang-service-eviction.ts
@@ -1,6 +1,6 @@
 /**
- * Eviction of services for gangs: when a gang doesn't fit otherwise, machines with accelerators are cleared of their services,
- * as many machines as the gang lacks or none. Owns the time of the last eviction.
+ * Eviction of services for gangs: when a gang doesn't fit otherwise, machines with accelerators are cleared of their services:
+ * enough machines for all of the gang's tasks, or none. Owns the time of the last eviction.
  */
 import { freeResourcesOf, type TaskAllocations, type UnmetDemand } from '../allocation/index.js';
 import type { ClusterStateView, Logger, SettingsView } from '../context/index.js';
@@ -104,8 +104,8 @@
 }
 
 /**
- * Chooses as many machines as the gang lacks, those with the fewest processor cores used by services first; null if the gang
- * lacks none, or if the machines are not enough.
+ * Chooses enough machines for the gang's tasks that don't fit otherwise, those with the fewest processor cores used by services
+ * first. Returns null if all tasks fit already, or if the clearable machines are not enough.
  */
 function chooseMachines(gang: Job, { tasksThatFit, clearable }: GangCandidates): Machine[] | null {
   let missing = gang.spec.tasks - tasksThatFit;
--- a/packages/controller/src/scheduling/gpu-machines.ts
+++ b/packages/controller/src/scheduling/gpu-machines.ts
@@ -29,8 +29,8 @@
   }
 
   /**
-   * Whether the machine has accelerator work, or its services leave too few resources for any. More work on the machine then
-   * doesn't prevent its release.
+   * Whether the machine has accelerator work, or its services leave too few resources for any. The machine then stays in use
+   * anyway, so additional work doesn't delay its release.
    */
   isOccupied(machine: Machine): boolean {
     return hasGpuWork(machine) || !this.leavesCapacityForGpuWork(machine);
--- a/packages/controller/src/scheduling/placement-constraints.ts
+++ b/packages/controller/src/scheduling/placement-constraints.ts
@@ -38,7 +38,7 @@
   return (counts.get(zoneIndex) ?? 0) < maxTasksPerZone(job);
 }
 
-/** A job that is spread over zones has at most half of its tasks, rounded up, in one zone. */
+/** Returns the maximum number of the job's tasks in one zone: half of its tasks, rounded up, if it is spread over zones. */
 function maxTasksPerZone(job: Job): number {
   return job.spec.spread ? Math.ceil(job.spec.tasks / 2) : Number.POSITIVE_INFINITY;
 }
--- a/packages/controller/src/scheduling/quota-status.ts
+++ b/packages/controller/src/scheduling/quota-status.ts
@@ -42,7 +42,7 @@
   return result;
 }
 
-/** `demand`: the resources requested by the job and all earlier jobs of its team. */
+/** Returns the job's status. `demand`: the resources requested by the job and all earlier jobs of its team. */
 function quotaStatusOf(job: Job, team: Team, demand: { cpus: number; gpus: number }): QuotaStatus {
   // Jobs of a team without any guarantee are never within quota: they yield to the work of all other teams.
   const hasGuarantee = team.cpus > 0 || team.gpus > 0;
--- a/packages/controller/src/scheduling/relocation-targets.ts
+++ b/packages/controller/src/scheduling/relocation-targets.ts
@@ -37,7 +37,9 @@
     return true;
   }
 
-  /** `remaining`: the free resources of targets that are used by earlier services of the source machine. */
+  /**
+   * Whether the service may move to the target and fits there beside earlier services of the source, subtracted in `remaining`.
+   */
   private isUsableTarget(
     target: FreeResources,
     source: Machine,
--- a/packages/controller/src/scheduling/scheduler.ts
+++ b/packages/controller/src/scheduling/scheduler.ts
@@ -46,7 +46,7 @@
   | 'ready'
   /** deferred to a later run, which is due even if nothing else triggers one */
   | 'postponed'
-  /** one of its tasks may run on a machine that has not answered yet; the answer triggers another run */
+  /** one of its tasks may run on a machine that has not responded to a probe yet; the response triggers another run */
   | 'unverified'
   /** retried after all other jobs */
   | 'crash-looping';
--- a/packages/controller/src/scheduling/start-deadlines.ts
+++ b/packages/controller/src/scheduling/start-deadlines.ts
@@ -10,15 +10,15 @@
 const ATTAINABLE_GRACE_MS = 1000;
 
 /**
- * Time from arrival to the start deadline of a job that has missed all objectives of its class: such a job is due after
- * all other jobs.
+ * Time from `eligibleAt` to the start deadline of a job that has missed all objectives of its class: such a job is due after all
+ * other jobs.
  */
 const MISSED_ALL_OBJECTIVES_DELAY_MS = 1e7;
 
 /** The deadline, in seconds, of a job that has neither objectives nor a deadline of its own. */
 const DEFAULT_DEADLINE_S = 600;
 
-/** An objective for the time since a job's arrival. */
+/** An objective for the time since `eligibleAt`, the start of a job's waiting time. */
 interface TimeObjective {
   /** `wait`: the job's tasks run within the time; `finished`: they are done within the time */
   readonly kind: 'wait' | 'finished';
@@ -28,7 +28,7 @@
 /** Computes start deadlines from the objectives in the settings. */
 export class StartDeadlines {
   private readonly timeObjectives = new Map<string, TimeObjective[]>();
-  /** by job class, one for each objective about deadlines: how many times the time to its deadline a job may take */
+  /** by job class, one for each deadline objective: the multiple of the time to its deadline that a job may take */
   private readonly deadlineMultiples = new Map<string, number[]>();
   /** the multiples of all classes, since the class of the job that a deadline is inherited from isn't known */
   private readonly inheritedMultiples: readonly number[];
@@ -47,8 +47,8 @@
   }
 
   /**
-   * Returns the first of the job's start deadlines that can still be met. A job that has missed all of them is due
-   * after all other jobs.
+   * Returns the first of the job's start deadlines that can still be met. If there is none, returns `eligibleAt` plus
+   * `MISSED_ALL_OBJECTIVES_DELAY_MS` if the job's class has time objectives, or else plus the job's own deadline or the default.
    */
   startDeadlineOf(job: Job, now: Milliseconds): Milliseconds {
     return this.attainableStartDeadlines(job, now)[0] ?? this.fallbackDeadline(job);
--- a/packages/controller/src/scheduling/team-usage.ts
+++ b/packages/controller/src/scheduling/team-usage.ts
@@ -68,8 +68,8 @@
 }
 
 /**
- * Counts each unverified machine as a whole for every team of its shard: any of them may have work on a machine that has not
- * answered yet.
+ * Counts each machine that has not responded since its shard was taken over as a whole for every team of the shard: any of these
+ * teams may have work on it.
  */
 function addUnverifiedMachines(
   usage: TeamUsage,
--- a/packages/controller/src/shards/assignment-updates.ts
+++ b/packages/controller/src/shards/assignment-updates.ts
@@ -43,7 +43,7 @@
   /**
    * Raises the machine's fencing token, because an unanswered command may still be executed late. The new token is the revision
    * of the rewritten assignment. Once the worker has received it, it rejects commands with a lower token. Until the machine has
-   * answered under the new token, it is unverified.
+   * responded under the new token, it is unverified.
    */
   raiseFencingToken(machine: Machine): void {
     if (machine.assignmentWriteQueued) return;
@@ -72,7 +72,7 @@
 
   /**
    * Deletes the assignment and the image cache record of a released machine. The deletion of the assignment is retried until it
-   * succeeds, as long as the machine is in the cluster state and its shard is held here.
+   * succeeds, as long as the machine is in the cluster state and its shard is held by this controller.
    */
   removeAssignment(machine: Machine): void {
     this.removeStoredImages(machine);
--- a/packages/controller/src/shards/command-dispatcher.ts
+++ b/packages/controller/src/shards/command-dispatcher.ts
@@ -57,7 +57,7 @@
     // The command was sent in an earlier tenure of the shard.
     if (machine.tenure.pendingCommandId !== id) return;
     machine.tenure.pendingCommandId = null;
-    // An answer to a probe of a verified, responsive machine changes nothing for the scheduler.
+    // A response to a probe of a verified, responsive machine changes nothing for the scheduler.
     if (!isProbe || !machine.tenure.isVerified || machine.tenure.unansweredCommands > 0)
       this.allocations.schedulingRequested = true;
     if (this.allocations.heldShards.has(machine.shard)) this.outcomes.handle(pending, outcome, now);
@@ -71,7 +71,7 @@
   }
 
   private probe(machine: Machine, now: Milliseconds): void {
-    // Silence counts from the first probe: until then the machine was not expected to answer.
+    // Silence counts from the first probe: until then the machine was not expected to respond.
     if (!machine.tenure.isProbed) {
       machine.tenure.isProbed = true;
       machine.tenure.lastHeartbeatAt = now;
--- a/packages/controller/src/shards/command-outcomes.ts
+++ b/packages/controller/src/shards/command-outcomes.ts
@@ -1,6 +1,6 @@
 /**
- * Applies the outcome of a command or probe to the machine and to the tasks whose starts the command contained. Owns no state:
- * it writes to the tenure of the machine and passes the status in an answer to heartbeat reconciliation.
+ * Applies the outcome of a command or probe to the machine and to the tasks whose starts the command contained. Owns no state: it
+ * writes to the tenure of the machine and passes the status in a response to heartbeat reconciliation.
  */
 import type { Heartbeat } from '@archpost/protocol';
 import { hasRecentContact, type TaskAllocations } from '../allocation/index.js';
@@ -9,7 +9,7 @@
 import type { HeartbeatReconciliation } from './heartbeat-reconciliation.js';
 import type { WorkerResponses } from './worker-responses.js';
 
-/** Delay before the next message to a machine that didn't answer. */
+/** Delay before the next message to a machine that didn't respond. */
 const UNANSWERED_RETRY_MS = 700;
 
 /**
@@ -25,22 +25,22 @@
   starts: readonly Allocation[];
   /** whether it contains no commands, so that a late delivery has no effect */
   isProbe: boolean;
-  /** position of the newest heartbeat that was processed before it was sent: the answer is newer */
+  /** position of the newest heartbeat that was processed before it was sent: the response is newer */
   positionAtSend: HeartbeatPosition;
 }
 
 /**
  * The outcome of a command. `ok`: the worker executed it. `stale`: the worker rejected it because of its fencing token or agent
- * epoch. `lost`: no answer arrived, and the command may still be executed. `refused`: no connection to the worker could be made,
- * so the command was not sent. `withheld`: this controller did not send it because of its own delay. `heartbeat`: the worker's
- * status in the answer; null if it could not be read.
+ * epoch. `lost`: no response arrived, and the command may still be executed. `refused`: no connection to the worker could be
+ * made, so the command was not sent. `withheld`: this controller did not send it because of its own delay. `heartbeat`: the
+ * worker's status in the response; null if it could not be read.
  */
 export type CommandOutcome = { kind: 'ok' | 'stale'; heartbeat: Heartbeat | null } | { kind: 'lost' | 'refused' | 'withheld' };
 
 /** The parts of the controller's context that `CommandOutcomes` uses. */
 type CommandOutcomesContext = ClusterStateView & Logger;
 
-/** Processes the outcomes of commands to machines of shards held here. */
+/** Processes the outcomes of commands to machines of held shards. */
 export class CommandOutcomes {
   constructor(
     private readonly context: CommandOutcomesContext,
@@ -69,7 +69,7 @@
   private handleExecuted(pending: PendingCommand, heartbeat: Heartbeat | null, now: Milliseconds): void {
     const { machine, starts, isProbe, positionAtSend } = pending;
     if (heartbeat === null) {
-      // The commands were executed, but the machine's tasks are unknown, as without an answer.
+      // The commands were executed, but the machine's tasks are unknown, as if no response had arrived.
       this.context.log('warn', 'unreadable worker response', { machine: machine.name });
       return this.handleUnanswered(pending, 'lost', now);
     }
@@ -104,7 +104,7 @@
       machine.tenure.retryAt = now + HIGHER_TOKEN_RETRY_MS;
   }
 
-  /** Records that the machine answered, which also shows that workers can be reached from this controller. */
+  /** Records that the machine responded, which also shows that workers can be reached from this controller. */
   private recordResponse({ tenure }: Machine, now: Milliseconds): void {
     this.workerResponses.recordResponse(now);
     tenure.unansweredCommands = 0;
--- a/packages/controller/src/shards/failure-detector.ts
+++ b/packages/controller/src/shards/failure-detector.ts
@@ -1,7 +1,7 @@
 /**
- * Infers from the answers and the silence of workers which of them this controller can reach: whether a zone is cut off from it,
- * and whether it is itself cut off. A worker whose heartbeats arrive isn't necessarily reachable, and a worker that doesn't
- * answer isn't necessarily dead. Owns the set of zones that are cut off, and the time since which no worker answers.
+ * Infers from the responses and the silence of workers which of them this controller can reach: whether a zone is cut off from
+ * it, and whether it is itself cut off. A worker whose heartbeats arrive isn't necessarily reachable, and a worker that doesn't
+ * respond isn't necessarily dead. Owns the set of zones that are cut off, and the time since which no worker responds.
  */
 import { hasRecentContact, type TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, EffectSink, Logger, PeerDirectory, SettingsView } from '../context/index.js';
@@ -11,14 +11,14 @@
 import { isLossWidespread, isNearlyAllUnanswered, isZoneCutOff, referenceHealth, type ZoneHealth } from './zone-health.js';
 
 /**
- * If no worker answers for this long, although workers whose heartbeats arrive were probed, this controller counts as cut off
+ * If no worker responds for this long, although workers whose heartbeats arrive were probed, this controller counts as cut off
  * from the workers.
  */
 const NO_RESPONSE_LIMIT_MS = 2000;
 
 /**
- * No worker seems to answer once this many workers whose heartbeats arrive have not answered, and the last answer of any worker
- * is older than the time below.
+ * No worker seems to respond once this many workers whose heartbeats arrive have left a command unanswered, and the last response
+ * of any worker is older than `NO_RESPONSE_SUSPICION_MS`.
  */
 const MIN_UNANSWERED_MACHINES = 3;
 const NO_RESPONSE_SUSPICION_MS = 1500;
@@ -26,7 +26,7 @@
 /** A machine whose last heartbeat is younger than this counts as in contact in the health of its zone. */
 const RECENT_HEARTBEAT_MS = 4000;
 
-/** A machine that did not answer this many commands in a row counts as unanswered in the health of its zone. */
+/** A machine that left this many commands in a row unanswered counts as unanswered in the health of its zone. */
 const UNANSWERED_AFTER_COMMANDS = 2;
 
 /** Maximum number of healthy machines for which one check requests probes. */
@@ -35,7 +35,7 @@
 /** Minimum interval between probes of a healthy machine. */
 const HEALTHY_PROBE_INTERVAL_MS = 1000;
 
-/** An answer of any worker within this many heartbeat intervals shows that this controller isn't cut off. */
+/** A response of any worker within this many heartbeat intervals shows that this controller isn't cut off. */
 const RESPONSE_FRESH_INTERVALS = 2;
 
 /** If there is no healthy machine to probe, a silence counts after this multiple of the tolerated silence. */
@@ -55,7 +55,7 @@
   private healthByZone: ReadonlyMap<number, ZoneHealth> = new Map();
   /** since when this controller seems cut off from all workers; null if it doesn't */
   private unreachableSince: Milliseconds | null = null;
-  /** since when no worker seems to answer; null if some do */
+  /** since when no worker seems to respond; null if some do */
   private noResponseSince: Milliseconds | null = null;
 
   constructor(
@@ -104,7 +104,7 @@
     if (!this.recoveryProbes.tick(now)) this.reachesWorkers = true;
   }
 
-  /** Processes the outcome of a recovery probe. `isAnswered`: whether the worker answered. */
+  /** Processes the outcome of a recovery probe. `isAnswered`: whether the worker responded. */
   handleProbeOutcome(id: number, isAnswered: boolean): void {
     const hasRecovered = this.recoveryProbes.handleOutcome(id, isAnswered);
     if (!hasRecovered || this.reachesWorkers) return;
@@ -117,9 +117,9 @@
   }
 
   /**
-   * Whether a machine may be released for a silence of `silentMs`. Some worker must have answered recently; otherwise this
-   * controller may be cut off from all workers, and in one such partition, of 30 s, it released 115 live machines. Without a
-   * recent answer, it requests probes of machines whose heartbeats arrive here or at another controller. If there are none,
+   * Whether a machine may be released for a silence of `silentMs`. Some worker must have responded recently. Otherwise this
+   * controller may be cut off from all workers: in one such partition of 30 s, it released 115 live machines. Without a recent
+   * response, this method requests probes of machines whose heartbeats arrive at this or another controller. If there are none,
    * twice the tolerated silence is required.
    */
   confirmSilence(now: Milliseconds, silentMs: Milliseconds): boolean {
@@ -129,18 +129,21 @@
     return this.probeHealthy(now) === 0 && silentMs > UNCONFIRMED_SILENCE_FACTOR * 1000 * policy.silentS;
   }
 
-  /** Tracks since when no worker answers. After a long enough such period it restarts the silence of all machines. */
+  /**
+   * Tracks since when no worker responds. When such a period ends after `NO_RESPONSE_LIMIT_MS` or more, restarts the silence of
+   * all machines of the held shards, since this controller may have been cut off.
+   */
   private evaluateResponses(now: Milliseconds): void {
     if (this.isNoWorkerResponding(now)) {
       if (this.noResponseSince === null) this.noResponseSince = now;
-      // Probes are requested at once, because the suspicion is decided before `confirmSilence` considers the last answer too old,
-      // and healthy machines aren't probed otherwise.
+      // Probes are requested at once, because the suspicion is decided before `confirmSilence` considers the last response too
+      // old, and healthy machines aren't probed otherwise.
       this.probeHealthy(now);
       return;
     }
     const suspicionMs = this.noResponseSince === null ? 0 : now - this.noResponseSince;
     this.noResponseSince = null;
-    // If probed machines answered promptly, this controller was not cut off, so the silence of other machines counts.
+    // If probed machines responded promptly, this controller was not cut off, so the silence of other machines counts.
     if (suspicionMs < NO_RESPONSE_LIMIT_MS) return;
     for (const machine of this.context.clusterState.machines.values())
       if (this.allocations.heldShards.has(machine.shard)) this.restartSilence(machine, now);
@@ -169,7 +172,7 @@
   }
 
   /**
-   * Updates which zones are cut off. When a partition ends, workers need a moment to return from the controller that answered
+   * Updates which zones are cut off. When a partition ends, workers need a moment to return from the controller that responded to
    * them in the meantime, so the silence of the zone's machines restarts.
    */
   private evaluateZones(now: Milliseconds): void {
@@ -230,7 +233,7 @@
   }
 
   /**
-   * Restarts the silence of a machine, because this controller may have caused it. For a machine that hasn't answered since its
+   * Restarts the silence of a machine, because this controller may have caused it. For a machine that hasn't responded since its
    * shard was taken over, up to half of the tolerated silence stays counted, because the machine blocks work of the shard.
    */
   private restartSilence({ tenure }: Machine, now: Milliseconds): void {
--- a/packages/controller/src/shards/heartbeat-reconciliation.ts
+++ b/packages/controller/src/shards/heartbeat-reconciliation.ts
@@ -5,9 +5,9 @@
 /** Reconciles the status that a worker reports with the stored and the intended state. */
 export interface HeartbeatReconciliation {
   /**
-   * Processes a heartbeat, or the status in a worker's answer to a command. `positionAtSend`: for an answer, the position of the
-   * newest heartbeat that was processed before the command was sent, which the answer is newer than; null for a heartbeat that
-   * the worker sent unprompted and that may be a delayed duplicate.
+   * Processes a heartbeat, or the status in a worker's response to a command. `positionAtSend`: for a response, the position of
+   * the newest heartbeat that was processed before the command was sent, which the response is newer than; null for a heartbeat
+   * that the worker sent unprompted and that may be a delayed duplicate.
    */
   reconcile(machine: Machine, heartbeat: Heartbeat, now: Milliseconds, positionAtSend: HeartbeatPosition | null): void;
 }
--- a/packages/controller/src/shards/job-checks.ts
+++ b/packages/controller/src/shards/job-checks.ts
@@ -1,6 +1,6 @@
 /**
- * Periodic checks of the jobs of the shards held here: stores completed tasks that are due, frees planned allocations that
- * waited too long for their start, and ends tasks that exceeded their grace period. Owns no state.
+ * Periodic checks of the jobs of the held shards: stores completed tasks that are due, frees planned allocations that waited too
+ * long for their start, and ends tasks that exceeded their grace period. Owns no state.
  */
 import type { TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, Logger, SettingsView } from '../context/index.js';
@@ -23,7 +23,7 @@
   );
 }
 
-/** Checks the jobs of the shards held here, at intervals that the shard controller sets. */
+/** Checks the jobs of the held shards, at intervals that the shard controller sets. */
 export class JobChecks {
   constructor(
     private readonly context: JobChecksContext,
@@ -31,7 +31,7 @@
     private readonly progressWriter: ProgressWriter,
   ) {}
 
-  /** Checks each job of the shards held here once. */
+  /** Checks each job of the held shards once. */
   checkAll(now: Milliseconds): void {
     for (const job of this.context.clusterState.jobs.values()) {
       if (!this.allocations.heldShards.has(job.shard)) continue;
@@ -54,7 +54,7 @@
       if (this.isPlanOverdue(first, now)) this.releasePlan(job, planned);
       return;
     }
-    // The gang was found partly started after a takeover, and its missing tasks can't be on a machine that hasn't answered yet.
+    // The gang was found partly started after a takeover, and its missing tasks can't be on a machine that hasn't responded yet.
     if (allocations.length < job.spec.tasks && job.doneCount < job.spec.tasks && !this.allocations.mayRunUnreported(job))
       this.allocations.failGang(job);
   }
--- a/packages/controller/src/shards/job-completion-writer.ts
+++ b/packages/controller/src/shards/job-completion-writer.ts
@@ -17,7 +17,7 @@
     private readonly allocations: TaskAllocations,
   ) {}
 
-  /** Queues the write of the completion, unless one is queued. All tasks of the job must be done, and its shard held here. */
+  /** Queues the write of the completion, unless one is queued. All tasks of the job must be done, and its shard held. */
   write(job: Job): void {
     if (job.tenure.completionWriteQueued) return;
     job.tenure.completionWriteQueued = true;
--- a/packages/controller/src/shards/machine-commands.ts
+++ b/packages/controller/src/shards/machine-commands.ts
@@ -129,7 +129,7 @@
 }
 
 /**
- * Whether the commands can wait to be sent together with later ones. With one message and answer per command, the short
+ * Whether the commands can wait to be sent together with later ones. With one message and response per command, the short
  * low-priority tasks of one large array took all of the CPU time (docs/incidents/inc-3aa6-leith-ops.md).
  */
 function canDefer(machine: Machine, commands: readonly Command[], starts: readonly Allocation[], now: Milliseconds): boolean {
--- a/packages/controller/src/shards/machine-lifecycle.ts
+++ b/packages/controller/src/shards/machine-lifecycle.ts
@@ -1,7 +1,7 @@
 /**
- * Lifecycle of the machines of the shards held here: releases machines that are silent, unreachable, or have cancelled work that
- * does not end; releases or moves empty machines; and raises fencing tokens. Decides about each machine separately, whereas the
- * failure detector evaluates them as a group. Owns no state of its own: it uses its parts and the tenures of the machines.
+ * Lifecycle of the machines of the held shards: releases machines that are silent, unreachable, or have cancelled work that does
+ * not end; releases or moves empty machines; and raises fencing tokens. Decides about each machine separately, whereas the
+ * failure detector evaluates them as a group. Owns no state except that of its parts and the tenures of the machines.
  */
 import { hasRecentPeerContact, isEmpty, type TaskAllocations } from '../allocation/index.js';
 import type {
@@ -38,7 +38,7 @@
 /** The parts of the controller's context that `MachineLifecycle` uses. */
 type MachineLifecycleContext = SettingsView & ClusterStateView & ReplicaView & StateWriting & PeerDirectory & EffectSink & Logger;
 
-/** Checks the machines of the shards held here, and releases, moves or fences them. */
+/** Checks the machines of the held shards, and releases, moves or fences them. */
 export class MachineLifecycle {
   readonly failureDetector: FailureDetector;
   private readonly assignmentUpdates: AssignmentUpdates;
@@ -173,9 +173,9 @@
   }
 
   /**
-   * Whether the machine is in a zone that is also cut off from the state service, for longer than its lease. The controllers of
-   * such a zone stop answering workers, so the leases of the workers expire and their tasks end. The machine then only prevents
-   * its tasks from restarting elsewhere, so it is released.
+   * Whether the machine has been silent for longer than its lease, and its zone is also cut off from the state service. The
+   * controllers of such a zone stop responding to workers, so the leases of the workers expire and their tasks end. The machine
+   * then only prevents its tasks from restarting elsewhere, so it is released.
    */
   private isCutOffBeyondLease(machine: Machine, now: Milliseconds): boolean {
     const { leaseS, heartbeatIntervalS } = this.context.settings.workers;
@@ -205,9 +205,9 @@
 
 /**
  * Whether the machine's silence counts: it is verified, or was probed after the last contact. Heartbeats of an unverified machine
- * don't count, only its answers do. During a first start that takes longer than the worker leases, the first answer of a machine
- * shows only its agent epoch, and machines that were never probed precede it in the probe order. Without this condition, 1,312 of
- * 4,000 machines, all of which sent heartbeats, were released as silent within 90 s (docs/incidents/
+ * don't count, only its responses do. During a first start that takes longer than the worker leases, the first response of a
+ * machine shows only its agent epoch, and machines that were never probed precede it in the probe order. Without this condition,
+ * 1,312 of 4,000 machines, all of which sent heartbeats, were released as silent within 90 s (docs/incidents/
  * first-start-of-a-large-fleet.md). Pauses of this process shift the start of a silence, but don't invalidate the probe.
  */
 function isContactExpected({ tenure, lastProbeAt }: Machine): boolean {
--- a/packages/controller/src/shards/machine-releases.ts
+++ b/packages/controller/src/shards/machine-releases.ts
@@ -18,7 +18,7 @@
 /** The parts of the controller's context that `MachineReleases` uses. */
 type MachineReleasesContext = ClusterStateView & EffectSink & Logger;
 
-/** Releases machines of the shards held here. */
+/** Releases machines of the held shards. */
 export class MachineReleases {
   /** the machines of each pending request, by effect id */
   private readonly pendingReleases = new Map<number, readonly Machine[]>();
--- a/packages/controller/src/shards/probe-selection.ts
+++ b/packages/controller/src/shards/probe-selection.ts
@@ -1,6 +1,6 @@
 /**
  * Decides which machines may be sent commands, which are probed instead, and in which order. A probe is a message without
- * commands; its answer is the worker's status. Owns no state.
+ * commands; the response to it is the worker's status. Owns no state.
  */
 import { hasCancelledWork, hasRecentContact } from '../allocation/index.js';
 import type { SettingsView } from '../context/index.js';
@@ -20,7 +20,7 @@
 const PROBE_AFTER_SILENT_INTERVALS = 2;
 
 /**
- * Probes per tick that are reserved for machines beyond the maximum silence, until it is known whether they answer. Otherwise
+ * Probes per tick that are reserved for machines beyond the maximum silence, until it is known whether they respond. Otherwise
  * machines that seem silent only because this controller is slow would precede them indefinitely.
  */
 const RESERVED_PROBES = 4;
@@ -45,7 +45,7 @@
 }
 
 /**
- * Whether the machine must be probed before it is sent commands: it is unverified, silent or doesn't answer, or a probe of it was
+ * Whether the machine must be probed before it is sent commands: it is unverified, silent or unresponsive, or a probe of it was
  * requested.
  */
 export function needsProbe(machine: Machine, context: SettingsView, now: Milliseconds): boolean {
@@ -118,7 +118,7 @@
   return hasCancelledWork(machine) ? CANCELLED_WORK_PRIORITY : machine.tenure.reportedPriority;
 }
 
-/** Sort key that only distinguishes whether the machine left a command unanswered, not how many. */
+/** Returns a sort key that only distinguishes whether the machine left a command unanswered, not how many. */
 function unansweredOrder({ tenure }: Machine): number {
   return Math.min(tenure.unansweredCommands, 1);
 }
--- a/packages/controller/src/shards/progress-writer.ts
+++ b/packages/controller/src/shards/progress-writer.ts
@@ -11,7 +11,7 @@
 /** The parts of the controller's context that `ProgressWriter` uses. */
 type ProgressWriterContext = InputClock & ClusterStateView & ReplicaView & StateWriting & Logger;
 
-/** Records and stores the progress of the jobs of the shards held here. */
+/** Records and stores the progress of the jobs of the held shards. */
 export class ProgressWriter {
   private readonly completions: JobCompletionWriter;
   private readonly checkpoints: TaskCheckpointWriter;
--- a/packages/controller/src/shards/recovery-probes.ts
+++ b/packages/controller/src/shards/recovery-probes.ts
@@ -1,6 +1,7 @@
 /**
  * Detects when workers can be reached from this controller again. A controller that can't reach workers releases its shards and
- * then sends no commands whose answers would show recovery, so it probes a few machines in rounds. Owns the state of the rounds.
+ * then sends no commands whose responses would show recovery, so it probes a few machines in rounds. Owns the state of the
+ * rounds.
  */
 import type { ClusterStateView, EffectSink, SettingsView } from '../context/index.js';
 import type { Machine, Milliseconds } from '../model/index.js';
@@ -11,7 +12,9 @@
 /** Minimum interval between the starts of rounds. A round also waits until all probes of the previous one have an outcome. */
 const PROBE_ROUND_INTERVAL_MS = 1500;
 
-/** Consecutive answers that count as recovery: more than in one round, so that reacquired shards aren't released again soon. */
+/**
+ * Consecutive responses that count as recovery: more than one round has, so that reacquired shards aren't released again soon.
+ */
 const RESPONSES_TO_RECOVER = 6;
 
 /** If this controller's own zone has at least this many machines, only those are probed. */
@@ -20,7 +23,7 @@
 /** The outcomes of the probes of one round. */
 interface ProbeRound {
   answered: number;
-  /** names of the machines that did not answer */
+  /** names of the machines that did not respond */
   silent: string[];
 }
 
@@ -35,12 +38,12 @@
   private roundCount = 0;
   private nextRoundAt: Milliseconds = 0;
   private consecutiveResponses = 0;
-  /** names of machines that did not answer in a round in which at least half of the others did */
+  /** names of machines that did not respond in a round in which at least half of the probed machines did */
   private readonly individuallySilent = new Set<string>();
 
   constructor(private readonly context: RecoveryProbesContext) {}
 
-  /** Begins probing because workers can no longer be reached. Earlier answers don't count. */
+  /** Begins probing because workers can no longer be reached. Earlier responses don't count. */
   begin(now: Milliseconds): void {
     this.consecutiveResponses = 0;
     this.individuallySilent.clear();
@@ -92,7 +95,7 @@
   }
 
   /**
-   * If at least half of the round's probes were answered, the machines that didn't answer are at fault themselves, and are
+   * If at least half of the round's probes were answered, the machines that didn't respond are at fault themselves, and are
    * excluded from later rounds while enough others remain. Without this, after a loss of a third of all machines, the same four
    * were probed indefinitely and the dead machines were not released (docs/incidents/a-third-lost-during-a-takeover.md).
    */
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -42,10 +42,10 @@
 import { ShardSummaries } from './shard-summary.js';
 import { WorkerResponses } from './worker-responses.js';
 
-/** Interval between checks of all jobs of the shards held here. */
+/** Interval between checks of all jobs of the held shards. */
 const JOB_CHECK_INTERVAL_MS = 300;
 
-/** Interval at which a debug summary of each shard held here is logged. */
+/** Interval at which a debug summary of each held shard is logged. */
 const SUMMARY_LOG_INTERVAL_MS = 10_000;
 
 /** Objects that the shard controller shares with heartbeat reconciliation and therefore doesn't create itself. */
@@ -69,7 +69,7 @@
   EffectSink &
   Logger;
 
-/** Decides for the shards held here which tasks start on which machines, which stop, and what is stored. */
+/** Decides for the held shards which tasks start on which machines, which stop, and what is stored. */
 export class ShardController {
   readonly allocations: TaskAllocations;
   private readonly machineLifecycle: MachineLifecycle;
@@ -100,19 +100,19 @@
     this.shardSummaries = new ShardSummaries(context, this.allocations, this.queueOrder, this.scheduler);
   }
 
-  /** The shards held here, with the revisions at which their leases were acquired. */
+  /** The held shards, with the revisions at which their leases were acquired. */
   get heldShards(): TaskAllocations['heldShards'] {
     return this.allocations.heldShards;
   }
 
   /**
-   * Whether every machine of the shard has answered since the lease was acquired, and all tasks of jobs of the highest priority
+   * Whether every machine of the shard has responded since the lease was acquired, and all tasks of jobs of the highest priority
    * that can be scheduled are allocated.
    */
   isSettled(shard: number): boolean {
     for (const machine of this.context.clusterState.machines.values())
       if (machine.shard === shard && machine.tenure.isUnverifiedTakeover) return false;
-    // `unmetDemand` doesn't suffice: the scheduler omits tasks that may run on a machine that has not answered yet.
+    // `unmetDemand` doesn't suffice: the scheduler omits tasks that may run on a machine that has not responded yet.
     for (const job of this.context.clusterState.jobs.values())
       if (
         job.shard === shard &&
@@ -187,7 +187,7 @@
     this.allocations.schedulingRequested = true;
   }
 
-  /** Whether this controller can reach workers, as far as their answers show. */
+  /** Whether this controller can reach workers, according to their responses. */
   get reachesWorkers(): boolean {
     return this.machineLifecycle.failureDetector.reachesWorkers;
   }
@@ -202,7 +202,7 @@
     this.commandDispatcher.handleOutcome(id, outcome, now);
   }
 
-  /** Processes the outcome of a recovery probe. `isAnswered`: whether the worker answered. */
+  /** Processes the outcome of a recovery probe. `isAnswered`: whether the worker responded. */
   handleProbeOutcome(id: number, isAnswered: boolean): void {
     this.machineLifecycle.failureDetector.handleProbeOutcome(id, isAnswered);
   }
@@ -256,14 +256,14 @@
     this.commandDispatcher.dispatchAll(now);
   }
 
-  /** The shard's summary for the leader and the status exchange. It may be cached for a short time. */
+  /** Returns the shard's summary for the leader and the status exchange. It may be cached for a short time. */
   shardSummary(shard: number, now: Milliseconds): ShardSummary {
     return this.shardSummaries.summaryOf(shard, now);
   }
 
   /**
-   * Task counts of the jobs of the shards held here, by job id, for status queries at other controllers. Jobs without running,
-   * completed or failed tasks are omitted.
+   * Returns the task counts of the jobs of the held shards, by job id, for status queries at other controllers. Jobs without
+   * running, completed or failed tasks are omitted.
    */
   runningJobs(): Map<string, RunningTasks> {
     const result = new Map<string, RunningTasks>();
--- a/packages/controller/src/shards/shard-debug-summary.ts
+++ b/packages/controller/src/shards/shard-debug-summary.ts
@@ -1,4 +1,4 @@
-/** The debug log line about a shard held here, which is logged every few seconds for readers of the log. Owns no state. */
+/** The debug log line about a held shard, which is logged every few seconds for operators. Owns no state. */
 import type { MachineSummary } from '@archpost/protocol';
 import type { TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView } from '../context/index.js';
@@ -46,7 +46,7 @@
   };
 }
 
-/** Suffix that marks spot machines. */
+/** Returns the suffix that marks spot machines, or the empty string. */
 function spotMark(machine: Machine | undefined): string {
   return machine?.spot ? '*' : '';
 }
--- a/packages/controller/src/shards/shard-summary.ts
+++ b/packages/controller/src/shards/shard-summary.ts
@@ -28,7 +28,7 @@
   summary: ShardSummary;
 }
 
-/** Key of a demand; demands with equal keys are merged. */
+/** Returns the key of a demand; demands with equal keys are merged. */
 function demandKey(demand: ResourceDemand, shape: Job['spec']['shape']): string {
   const { cpus, gpus, memory, types, zone, spot, priority, withinQuota, excludedZones } = demand;
   return [cpus, gpus, memory, types, zone, spot, priority, withinQuota, shape, excludedZones].join('/');
@@ -41,7 +41,7 @@
   existing.slackS = Math.min(existing.slackS, demand.slackS);
 }
 
-/** Creates and caches the summaries of the shards held here. */
+/** Creates and caches the summaries of the held shards. */
 export class ShardSummaries {
   private readonly summaries = new Map<number, CachedSummary>();
 
@@ -89,7 +89,7 @@
     return summaries;
   }
 
-  /** The priority that a task must exceed to preempt all tasks on the machine. */
+  /** Returns the priority that a task must exceed to preempt all tasks on the machine. */
   private protectedPriority(machine: Machine, quotaStatuses: QuotaStatuses, evacuable: Set<Machine>): number {
     let priority = NOTHING_PROTECTED;
     for (const { job, phase } of machine.tenure.allocations.values()) {
@@ -101,7 +101,7 @@
     return priority;
   }
 
-  /** The demands of the shard's tasks for which no machine was found, merged by key. */
+  /** Returns the demands of the shard's tasks for which no machine was found, merged by key. */
   private collectDemands(shard: number, now: Milliseconds): ResourceDemand[] {
     const demands = new Map<string, ResourceDemand>();
     for (const unmet of this.allocations.unmetDemand) {
@@ -136,7 +136,7 @@
     };
   }
 
-  /** Zones in which the job's placement constraints allow no further task. */
+  /** Returns the zones in which the job's placement constraints allow no further task. */
   private excludedZones(job: Job): string[] {
     const { settings, clusterState } = this.context;
     const counts = tasksPerZone(job);
--- a/packages/controller/src/shards/task-checkpoint-writer.ts
+++ b/packages/controller/src/shards/task-checkpoint-writer.ts
@@ -28,7 +28,7 @@
 
   /**
    * Writes the first part of the job's progress that has a completed task not yet stored, at most one part per checkpoint
-   * interval. The job's shard must be held here. Until a completion is stored, the worker keeps the result.
+   * interval. This controller must hold the job's shard. Until a completion is stored, the worker keeps the result.
    */
   write(job: Job): void {
     const { tenure } = job;
--- a/packages/controller/src/shards/worker-responses.ts
+++ b/packages/controller/src/shards/worker-responses.ts
@@ -1,26 +1,28 @@
 /**
- * Tracks whether workers answer commands and probes, which the failure detector uses to distinguish a fault of this controller
- * from a fault of a machine. Owns the time of the last answer and the set of machines that have not answered since.
+ * Tracks whether workers respond to commands and probes, which the failure detector uses to distinguish a fault of this
+ * controller from a fault of a machine. Owns the time of the last response and the set of machines that have not responded since.
  */
 import type { Machine, Milliseconds } from '../model/index.js';
 
-/** Tracks the answers of all workers as a group. */
+/** Tracks the responses of all workers as a group. */
 export class WorkerResponses {
   private lastResponseTime: Milliseconds = 0;
   /** names of machines that left a command unanswered since `lastResponseTime`, although their heartbeats arrive */
   private readonly unansweredMachines = new Set<string>();
 
-  /** Time of the last answer of any worker to a command or probe. */
+  /** Time of the last response of any worker to a command or probe. */
   get lastResponseAt(): Milliseconds {
     return this.lastResponseTime;
   }
 
-  /** Number of machines that left a command unanswered since the last answer of any worker, although their heartbeats arrive. */
+  /**
+   * Number of machines that left a command unanswered since the last response of any worker, although their heartbeats arrive.
+   */
   get unansweredCount(): number {
     return this.unansweredMachines.size;
   }
 
-  /** Records an answer of a worker, or the end of a pause of this process. Missing answers before `now` no longer count. */
+  /** Records a response of a worker, or the end of a pause of this process. Missing responses before `now` no longer count. */
   recordResponse(now: Milliseconds): void {
     this.lastResponseTime = now;
     this.unansweredMachines.clear();
@@ -31,7 +33,7 @@
     this.unansweredMachines.add(machine.name);
   }
 
-  /** Discards missing answers, because recovery probes show that workers can be reached again. */
+  /** Discards missing responses, because recovery probes show that workers can be reached again. */
   forgetUnanswered(): void {
     this.unansweredMachines.clear();
   }
--- a/packages/controller/src/shards/zone-health.ts
+++ b/packages/controller/src/shards/zone-health.ts
@@ -5,18 +5,18 @@
 import type { PeerDirectory, SettingsView } from '../context/index.js';
 import type { Milliseconds } from '../model/index.js';
 
-/** Minimum number of machines for a conclusion from their silence or missing answers. */
+/** Minimum number of machines for a conclusion from their silence or missing responses. */
 const MIN_MACHINES_TO_CONCLUDE = 3;
 
 /** The same for the silence of another zone that has no other controllers whose silence could confirm it. */
 const MIN_MACHINES_OF_REMOTE_ZONE = 2;
 
-/** Counts of the machines of a zone that belong to shards held here. */
+/** Counts of the machines of a zone that belong to held shards. */
 export interface ZoneHealth {
   total: number;
   /** machines whose heartbeats recently arrived at this controller */
   inContact: number;
-  /** machines that did not answer their last commands, including machines whose heartbeats arrive */
+  /** machines that did not respond to their last commands, including machines whose heartbeats arrive */
   unanswered: number;
 }
 
@@ -34,7 +34,7 @@
 }
 
 /**
- * The counts from which this controller concludes whether it is itself cut off: those of its own zone if that has enough
+ * Returns the counts from which this controller concludes whether it is itself cut off: those of its own zone if that has enough
  * machines, or else those of all zones together.
  */
 export function referenceHealth(zones: ReadonlyMap<number, ZoneHealth>, ownZoneIndex: number): ZoneHealth {
@@ -50,8 +50,9 @@
 }
 
 /**
- * Whether the zone is cut off from this controller: all of its machines are silent, or at least half of its machines and all of
- * its controllers.
+ * Whether the zone is cut off from this controller. A zone with other controllers is cut off if none of these is alive and at
+ * least half of the zone's machines are silent. Any other zone is cut off if all of its machines, of which there must be enough
+ * for a conclusion, are silent. The second rule also applies to this controller's own zone.
  */
 export function isZoneCutOff(
   zone: string,
