--- a/test/malformed-stored-rows.test.ts
+++ b/test/malformed-stored-rows.test.ts
@@ -2,8 +2,8 @@
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { loadRows, newController, warnedKeys, whatIsKnown } from './recorded-support/controller-reader.js';
-import { GOOD_ROWS, MALFORMED, WRONG } from './recorded-support/malformed-rows.js';
+import { loadRows, newController, summarizeClusterState, warnedKeys } from './recorded-support/controller-reader.js';
+import { GOOD_ROWS, MALFORMED, WRONG_TYPE_VALUES } from './recorded-support/malformed-rows.js';
 import { assertAsRecorded } from './recorded-support/recorded-data.js';
 
 interface Outcome {
@@ -16,7 +16,7 @@
 const GOOD_ALONE = (() => {
   const controller = newController();
   loadRows(controller, GOOD_ROWS);
-  return whatIsKnown(controller);
+  return summarizeClusterState(controller);
 })();
 
 function differences(known: Record<string, unknown>): Record<string, unknown> {
@@ -34,9 +34,12 @@
   const outcome = {
     value: text.length > 600 ? `${text.slice(0, 60)}... (${text.length} characters)` : text,
     warnedOf: warnedKeys(controller),
-    known: differences(whatIsKnown(controller)),
+    known: differences(summarizeClusterState(controller)),
+  };
+  const { jobs, machines } = summarizeClusterState(controller) as {
+    jobs: Record<string, unknown>;
+    machines: Record<string, unknown>;
   };
-  const { jobs, machines } = whatIsKnown(controller) as { jobs: Record<string, unknown>; machines: Record<string, unknown> };
   assert.ok('run-good' in jobs && 'run-parts' in jobs, `jobs beside ${key} ${text}`);
   // The row under `a/c/` holds the images of the machine `good` itself, so it isn't an unrelated row here.
   if (key !== 'a/c/good') assert.ok('good' in machines, `the machine beside ${key} ${text}`);
@@ -50,7 +53,7 @@
   test(`malformed values ${order} good rows: as many warnings as recorded for their keys, and the good rows are read`, () => {
     const outcomes = Object.entries(MALFORMED).map(([key, values]): [string, Outcome[]] => [
       key,
-      [...WRONG, ...values].map((value) => outcomeOf(key, value, isFirst)),
+      [...WRONG_TYPE_VALUES, ...values].map((value) => outcomeOf(key, value, isFirst)),
     ]);
     assertAsRecorded(`malformed-${order}-good-rows`, Object.fromEntries(outcomes), 2);
   });
--- a/test/recorded-peer-messages.test.ts
+++ b/test/recorded-peer-messages.test.ts
@@ -8,7 +8,7 @@
 import { days } from './recorded-support/played-days.js';
 import { assertAsRecorded, production } from './recorded-support/recorded-data.js';
 
-test('messages between controllers, of this version and the one in production, are decoded and encoded to the same bytes', () => {
+test('peer messages of this version and of the production version are decoded and encoded to the same bytes', () => {
   const present = days.flatMap((day) => Object.values(day.messages.examples).flat());
   for (const hex of [...present, ...production.messages])
     assert.equal(Buffer.from(encodePeerMessage(decodePeerMessage(Buffer.from(hex, 'hex')))).toString('hex'), hex);
@@ -21,7 +21,7 @@
     assert.deepEqual(decodePeerMessage(Buffer.from(hex, 'hex')), FULL_MESSAGES[index]);
 });
 
-/** How a message is read: its bytes when it is encoded again, or that it is refused. */
+/** The outcome of decoding a message: the bytes to which it is encoded again, or that it is refused. */
 function outcomeOfBytes(bytes: Buffer): string {
   let message: PeerMessage;
   try {
@@ -35,7 +35,7 @@
 test('malformed messages between controllers are refused or read as recorded', () => {
   const samples = production.messages.map((hex) => Buffer.from(hex, 'hex'));
   const shortest = samples.reduce((least, bytes) => (bytes.length < least.length ? bytes : least));
-  const alone = [
+  const shortMessages = [
     '',
     'ff',
     '00',
@@ -51,7 +51,7 @@
     '0a00',
     '1200',
   ];
-  const outcomes = Object.fromEntries(alone.map((hex) => [hex, outcomeOfBytes(Buffer.from(hex, 'hex'))]));
+  const outcomes = Object.fromEntries(shortMessages.map((hex) => [hex, outcomeOfBytes(Buffer.from(hex, 'hex'))]));
   const isReadTo = Array.from({ length: shortest.length + 1 }, (_, length) =>
     outcomeOfBytes(shortest.subarray(0, length)) === 'refused' ? '-' : 'r',
   ).join('');
@@ -65,6 +65,6 @@
     return digest.digest('hex');
   });
   const newerField = Buffer.concat([shortest, Buffer.from('f2070161', 'hex')]);
-  assert.equal(outcomeOfBytes(newerField), outcomeOfBytes(shortest), 'a newer field is passed over');
+  assert.equal(outcomeOfBytes(newerField), outcomeOfBytes(shortest), 'a field of a newer version is skipped');
   assertAsRecorded('malformed-messages', { alone: outcomes, shortest: shortest.toString('hex'), isReadTo, flipped }, 2);
 });
--- a/test/recorded-rows.test.ts
+++ b/test/recorded-rows.test.ts
@@ -1,4 +1,4 @@
-// Stored rows of this version and of the one in production are decoded and encoded alike.
+// Stored rows of this version and of the production version are decoded, and encoded to the same values.
 
 import assert from 'node:assert/strict';
 import { createHash } from 'node:crypto';
@@ -14,23 +14,30 @@
   stateSizeLimits,
 } from '@archpost/controller';
 import type { JobSpec } from '@archpost/protocol';
-import { loadRows, newController, type Row, type Tune, warnedKeys, whatIsKnown } from './recorded-support/controller-reader.js';
+import {
+  loadRows,
+  newController,
+  type Row,
+  summarizeClusterState,
+  type Tune,
+  warnedKeys,
+} from './recorded-support/controller-reader.js';
 import type { RecordedDay } from './recorded-support/day-recording.js';
-import { days, played } from './recorded-support/played-days.js';
+import { days, daysByName } from './recorded-support/played-days.js';
 import { JOB_STATES } from './recorded-support/record-kinds.js';
 import { assertAsRecorded, production } from './recorded-support/recorded-data.js';
-import { DAYS, fallingTo } from './recorded-support/simulated-days.js';
+import { DAYS, withAnnouncedValueKib } from './recorded-support/simulated-days.js';
 import { settings } from './simulation/index.js';
 
-test('rows of the version in production are read without a warning, and read as recorded', () => {
+test('rows of the production version are read without a warning, and to the recorded state', () => {
   const controller = newController();
   loadRows(controller, production.rows);
   assert.deepEqual(warnedKeys(controller), []);
-  assertAsRecorded('known-of-production', whatIsKnown(controller), 2);
+  assertAsRecorded('cluster-state-of-production', summarizeClusterState(controller), 2);
 });
 
-/** The value of a job's record as its codec encodes what it decodes of it. */
-function encodedAgain(key: string, value: unknown): unknown {
+/** Decodes the value of a job's record and returns the result of encoding it again. */
+function reencode(key: string, value: unknown): unknown {
   const decoded = parseJobRecord(value);
   if (decoded.state === 'cancelled') return encodeCancelledJob(key, { ...(value as object), s: 0 }, 100_000);
   if (decoded.state === 'done') return encodeDoneJob(decoded.submittedAt, decoded.tasks, decoded.endedAt ?? Number.NaN);
@@ -50,27 +57,27 @@
     const record = value as { s: number; e?: number; x?: unknown };
     if (record.x !== undefined) continue;
     states.add(JOB_STATES[record.s] as string);
-    // The version in production doesn't store when a job was done.
+    // The production version doesn't store when a job was done.
     if (record.s === 1 && record.e === undefined) {
       assert.equal(parseJobRecord(value).state, 'done');
       assert.equal(parseJobRecord(value).endedAt, null);
-    } else assert.equal(JSON.stringify(encodedAgain(key, value)), JSON.stringify(value), key);
+    } else assert.equal(JSON.stringify(reencode(key, value)), JSON.stringify(value), key);
   }
   assert.deepEqual([...states].sort(), ['accepted', 'cancelled', 'done']);
 });
 
-test('a record that awaits others is decoded and encoded to the same JSON text', () => {
+test('a record of a job with dependencies is decoded and encoded to the same JSON text', () => {
   const changes = days.flatMap((day) => day.changes.examples['a/j/ accepted, awaits others'] ?? []);
   assert.ok(changes.length > 0);
   for (const text of changes) {
     const { put, value } = JSON.parse(text) as { put: string; value: unknown };
-    assert.equal(JSON.stringify(encodedAgain(put, value)), JSON.stringify(value));
+    assert.equal(JSON.stringify(reencode(put, value)), JSON.stringify(value));
   }
 });
 
 test('a record whose lists are in parts is decoded with its parts, and encoded to the same record and parts', () => {
-  const rows = (played['lists of jobs in parts'] as RecordedDay).rows;
-  const { maxWriteBytes } = stateSizeLimits(fallingTo(2)(settings('n0')).state);
+  const rows = (daysByName['lists of jobs in parts'] as RecordedDay).rows;
+  const { maxWriteBytes } = stateSizeLimits(withAnnouncedValueKib(2)(settings('n0')).state);
   let compared = 0;
   for (const { key, value } of rows.filter((row) => row.key.startsWith('a/j/'))) {
     const decoded = parseJobRecord(value);
@@ -111,7 +118,7 @@
     }
   };
   for (const [name, { tune }] of Object.entries(DAYS))
-    compare((played[name] as RecordedDay).rows, tune ?? ((settings) => settings));
+    compare((daysByName[name] as RecordedDay).rows, tune ?? ((settings) => settings));
   compare(production.rows, (settings) => settings);
   assert.ok(compared >= 4, `${compared}`);
 });
--- a/test/recorded-support/controller-reader.ts
+++ b/test/recorded-support/controller-reader.ts
@@ -1,4 +1,4 @@
-/** A controller that loads stored rows, and what it has made of them. The only places of these tests that touch a controller's own names. */
+/** Loads stored rows into a controller and summarizes its state. Only this file of these tests uses a controller's own names. */
 import { Controller, type ControllerSettings } from '@archpost/controller';
 import type { StoredKey } from '@archpost/protocol';
 import { settings } from '../simulation/index.js';
@@ -6,25 +6,25 @@
 /** Changes the settings of a controller. */
 export type Tune = (settings: ControllerSettings) => ControllerSettings;
 
-/** A stored key as it is recorded. */
+/** A recorded row of the state service. */
 export interface Row {
   key: string;
   value: unknown;
   stamp: number;
 }
 
-/** A controller that has loaded nothing. */
+/** A controller that has loaded no rows. */
 export function newController(tune: Tune = (settings) => settings): Controller {
   return new Controller(tune(settings('n0')), 'present');
 }
 
-/** Hands the rows to the controller as a snapshot of the state service. */
+/** Loads the rows into the controller as a snapshot of the state service. */
 export function loadRows(controller: Controller, rows: Row[]): void {
   const keys = rows.map(({ key, value, stamp: revision }): StoredKey => ({ key, value, revision }));
   controller.receiveSnapshot(keys, Math.max(...rows.map((row) => row.stamp)), 0);
 }
 
-/** The keys that warnings were logged for since the last call, in their order. */
+/** The keys for which warnings were logged since the last call, in the order of the warnings. */
 export function warnedKeys(controller: Controller): string[] {
   const warnings = controller
     .takeEffects()
@@ -32,12 +32,12 @@
   return warnings.map((warning) => String(warning.fields?.key));
 }
 
-/** What a controller has made of the rows, under names of this file. */
-export function whatIsKnown(controller: Controller): Record<string, unknown> {
+/** Summarizes what a controller has read from the rows. The names in the summary are independent of the controller's names. */
+export function summarizeClusterState(controller: Controller): Record<string, unknown> {
   const { clusterState } = controller;
-  const jobs = [...clusterState.jobs.values()].map((known) => [
-    known.spec.id,
-    { state: known.state, done: known.doneCount, mayNotStart: known.isBlocked, types: known.typeIndices?.length ?? null },
+  const jobs = [...clusterState.jobs.values()].map((job) => [
+    job.spec.id,
+    { state: job.state, done: job.doneCount, mayNotStart: job.isBlocked, types: job.typeIndices?.length ?? null },
   ]);
   const machines = [...clusterState.machines.values()].map((machine) => [
     machine.name,
--- a/test/recorded-support/full-messages.ts
+++ b/test/recorded-support/full-messages.ts
@@ -1,7 +1,7 @@
 /** Messages between controllers with every field set. */
 import type { PeerMessage } from '@archpost/protocol';
 
-/** Values that the recorded days don't reach: every field is set, and every state of a task is told. */
+/** Values that don't occur on the recorded days: every field is set, and tasks are in every state. */
 export const FULL_MESSAGES: PeerMessage[] = [
   {
     node: 'n1',
--- a/test/recorded-support/malformed-rows.ts
+++ b/test/recorded-support/malformed-rows.ts
@@ -1,4 +1,4 @@
-/** Stored rows that can't be read, or only in part, and rows that must be read beside them. */
+/** Stored rows that can't be read, or only in part, and valid rows that must be read despite them. */
 
 import { encodeJobSpec } from '@archpost/controller';
 import { job, TYPES } from '../simulation/index.js';
@@ -8,40 +8,40 @@
 
 const SPEC = encodeJobSpec(job('run-bad', { tasks: 9, machineTypes: ['small'] }));
 
-const GRANT = { s: 0, a: 'bad', t: 'small', z: 'east', sp: false };
+const ASSIGNMENT = { s: 0, a: 'bad', t: 'small', z: 'east', sp: false };
 
 const PARTS = { s: 0, t: 5, sp: SPEC, x: { k: 'group', n: 1 } };
 
-const STATUS_ROW = play(DAYS['work and trouble of each kind'] as Day).rows.find((row) => row.key.startsWith('a/s/'));
+const STATUS_ROW = play(DAYS['work and faults of each kind'] as Day).rows.find((row) => row.key.startsWith('a/s/'));
 
 function without(value: object, ...names: string[]): object {
   return Object.fromEntries(Object.entries(value).filter(([name]) => !names.includes(name)));
 }
 
-/** Values that are of a wrong type wherever they are stored. */
-export const WRONG: unknown[] = [null, 7, true, 'text', '', [], {}, [null], [7]];
+/** Values that have a wrong type under every key. */
+export const WRONG_TYPE_VALUES: unknown[] = [null, 7, true, 'text', '', [], {}, [null], [7]];
 
-/** For each key, values as they could come from a newer version or a fault, beside those of a wrong type. */
+/** For each key, values that a newer version or a fault could store, in addition to WRONG_TYPE_VALUES. */
 export const MALFORMED: Record<string, unknown[]> = {
   'a/h/0': [{ node: 'n0' }, { boot: 'b' }, { node: 7, boot: 'b' }, { node: 'n0', boot: 'b', newer: 1 }],
   'a/h/lead': [{ node: 'n0' }, { node: 'n0', boot: null }],
   'a/h/99': [{ node: 'unknown', boot: 'b' }],
   'a/g/bad': [
-    without(GRANT, 's'),
-    without(GRANT, 'a'),
-    without(GRANT, 't'),
-    without(GRANT, 'z'),
-    without(GRANT, 'sp'),
-    { ...GRANT, s: '0' },
-    { ...GRANT, s: 99 },
-    { ...GRANT, s: null },
-    { ...GRANT, t: 7 },
-    { ...GRANT, t: 'unknown' },
-    { ...GRANT, z: null },
-    { ...GRANT, mv: 'x' },
-    { ...GRANT, mv: null, x: null },
-    { ...GRANT, newer: { deep: 1 } },
-    { ...GRANT, mv: 2, x: true, n: 5 },
+    without(ASSIGNMENT, 's'),
+    without(ASSIGNMENT, 'a'),
+    without(ASSIGNMENT, 't'),
+    without(ASSIGNMENT, 'z'),
+    without(ASSIGNMENT, 'sp'),
+    { ...ASSIGNMENT, s: '0' },
+    { ...ASSIGNMENT, s: 99 },
+    { ...ASSIGNMENT, s: null },
+    { ...ASSIGNMENT, t: 7 },
+    { ...ASSIGNMENT, t: 'unknown' },
+    { ...ASSIGNMENT, z: null },
+    { ...ASSIGNMENT, mv: 'x' },
+    { ...ASSIGNMENT, mv: null, x: null },
+    { ...ASSIGNMENT, newer: { deep: 1 } },
+    { ...ASSIGNMENT, mv: 2, x: true, n: 5 },
   ],
   'a/j/run-bad': [
     { s: 0, t: 5 },
@@ -115,9 +115,9 @@
   'b/other': [{ any: 1 }],
 };
 
-/** What is loaded with each malformed value, and must be read all the same. */
+/** Rows that are loaded together with each malformed value and must be read. */
 export const GOOD_ROWS: Row[] = [
-  { key: 'a/g/good', value: { ...GRANT, a: 'good' }, stamp: 2 },
+  { key: 'a/g/good', value: { ...ASSIGNMENT, a: 'good' }, stamp: 2 },
   { key: 'a/j/run-good', value: { s: 0, t: 5, sp: encodeJobSpec(job('run-good', { tasks: 40_000 })) }, stamp: 3 },
   { key: 'a/j/run-parts', value: { ...PARTS, sp: { ...SPEC, id: 'run-parts' } }, stamp: 4 },
 ];
--- a/test/recorded-support/record-kinds.ts
+++ b/test/recorded-support/record-kinds.ts
@@ -1,16 +1,16 @@
-/** The kinds of stored changes and of messages between controllers, of which a recording must hold each. */
+/** The kinds of stored changes and of messages between controllers. The recordings must contain each of them. */
 
 import assert from 'node:assert/strict';
 import type { KeyWrite, PeerMessage } from '@archpost/protocol';
 
-/** Stored states of a job, by their number. */
+/** Names of the stored states of a job, indexed by the stored number. */
 export const JOB_STATES = ['accepted', 'done', 'cancelled', 'accepted, awaits others'];
 
 function kindOfJob(stored: { s: number; x?: unknown }): string {
   return `a/j/ ${JOB_STATES[stored.s]}${stored.x === undefined ? '' : ', lists in parts'}`;
 }
 
-function kindOfGrant(stored: { mv?: number; x?: boolean; n?: number }): string {
+function kindOfAssignment(stored: { mv?: number; x?: boolean; n?: number }): string {
   const marks = [
     stored.mv === undefined ? [] : ['to be moved'],
     stored.x === undefined ? [] : ['to be given back'],
@@ -25,15 +25,15 @@
   const prefix = key.startsWith('a/types') ? 'a/types' : key.slice(0, 4);
   if (!('put' in write)) return `${prefix} removed`;
   if (prefix === 'a/j/') return kindOfJob(write.value as Parameters<typeof kindOfJob>[0]);
-  if (prefix === 'a/g/') return kindOfGrant(write.value as Parameters<typeof kindOfGrant>[0]);
+  if (prefix === 'a/g/') return kindOfAssignment(write.value as Parameters<typeof kindOfAssignment>[0]);
   if (prefix === 'a/p/') return /\.\d+$/.test(key) ? 'a/p/ part of a chunk' : 'a/p/ whole chunk';
   if (prefix === 'a/types') return key === prefix ? 'a/types whole list' : 'a/types part of the list';
   if (prefix === 'a/x/') return 'ty' in (write.value as object) ? 'a/x/ machine types' : 'a/x/ awaited jobs';
   return prefix;
 }
 
-/** The kinds of changes that the days must hold. */
-export const CHANGES = [
+/** The kinds of changes that the recorded days must contain. */
+export const CHANGE_KINDS = [
   'a/h/',
   'a/h/ removed',
   'a/n/',
@@ -59,7 +59,7 @@
   'a/x/ awaited jobs',
 ];
 
-/** All that a message tells of; the digest is over whole messages, of which this chooses the examples. */
+/** The kind of a message, by what it contains. It selects the recorded examples; the digest covers all messages whole. */
 export function kindOfMessage({ status, heartbeat }: PeerMessage): string {
   if (heartbeat) {
     const states = new Set(heartbeat.tasks.map((task) => task.state));
@@ -75,12 +75,12 @@
     heard: status.unchangedHeartbeats.length > 0,
     plenty: status.availableTypes.length > 0,
   };
-  const told = Object.entries(lists).flatMap(([name, isTold]) => (isTold ? [name] : []));
-  return `status${status.isLeader ? ' of the leader' : ''}, tells ${told.join(' and ') || 'nothing'}`;
+  const listed = Object.entries(lists).flatMap(([name, isListed]) => (isListed ? [name] : []));
+  return `status${status.isLeader ? ' of the leader' : ''}, tells ${listed.join(' and ') || 'nothing'}`;
 }
 
-/** The kinds of messages that the days must hold. */
-export const MESSAGES = [
+/** The kinds of messages that the recorded days must contain. */
+export const MESSAGE_KINDS = [
   /^report, tasks none$/,
   /^report, tasks .*exited/,
   /^report, tasks .*running/,
--- a/test/recorded-support/recorded-data.ts
+++ b/test/recorded-support/recorded-data.ts
@@ -1,10 +1,10 @@
-/** Comparison with the files in test/recorded. `UPDATE_TRACES=1` writes them anew: a difference there is a change of format. */
+/** Comparison with the files in test/recorded. `UPDATE_TRACES=1` rewrites them; a difference is a change of a format. */
 
 import assert from 'node:assert/strict';
 import { mkdirSync, readFileSync, writeFileSync } from 'node:fs';
 import type { Row } from './controller-reader.js';
 
-/** JSON with a line for each value below the given depth, so that a reader sees one row or change a line. */
+/** JSON with one line for each value at the given depth, so that a diff shows one row or change per line. */
 function formatted(value: unknown, depth: number, indent = ''): string {
   const isOpen = depth > 0 && typeof value === 'object' && value !== null && Object.keys(value).length > 0;
   if (!isOpen) return JSON.stringify(value);
@@ -15,7 +15,7 @@
   return `{\n${fields.join(',\n')}\n${indent}}`;
 }
 
-/** Compares the value with the recorded one of this name; objects above the depth have a line for each field. */
+/** Asserts that the value equals the recorded one. Objects above the depth have a line for each field in the file. */
 export function assertAsRecorded(name: string, value: unknown, depth: number): void {
   const path = `test/recorded/${name}.json`;
   const text = `${formatted(value, depth)}\n`;
--- a/test/recorded-support/recording.ts
+++ b/test/recorded-support/recording.ts
@@ -1,9 +1,9 @@
 /** Collects what a simulated cluster stores or sends, for comparison with a recording. */
 import { createHash } from 'node:crypto';
 
-/** Whole examples of each kind, and a digest over everything in its order. */
+/** The first examples of each kind, and a digest over all texts in their order. */
 export class Recording {
-  private static readonly MOST_EXAMPLES = 3;
+  private static readonly MAX_EXAMPLES = 3;
   readonly examples: Record<string, string[]> = {};
   private readonly digest = createHash('sha256');
   count = 0;
@@ -13,7 +13,7 @@
     this.digest.update(`${text}\n`);
     this.examples[kind] ??= [];
     const examples = this.examples[kind] as string[];
-    if (examples.length < Recording.MOST_EXAMPLES) examples.push(text);
+    if (examples.length < Recording.MAX_EXAMPLES) examples.push(text);
   }
 
   sha256(): string {
--- a/test/recorded-support/simulated-days.ts
+++ b/test/recorded-support/simulated-days.ts
@@ -1,26 +1,26 @@
-/** Scenarios that together bring about every kind of stored change and of message between controllers. */
+/** Scenarios that together cause every kind of stored change and of message between controllers. */
 
 import assert from 'node:assert/strict';
 import { encodeJobSpec } from '@archpost/controller';
 import { holderOf, job, type SimulatedCluster, shardOf } from '../simulation/index.js';
 import type { Tune } from './controller-reader.js';
 
-/** A scenario, and the settings with which it is played. */
+/** A scenario and the settings with which it runs. */
 export interface Day {
   tune?: Tune;
   run(cluster: SimulatedCluster): void;
 }
 
 /** The controllers of a simulated day. */
-export const NAMES = ['n0', 'n1', 'n2'];
+export const CONTROLLER_NAMES = ['n0', 'n1', 'n2'];
 
 function addMachines(cluster: SimulatedCluster, count: number, type = 'small'): void {
   for (let index = 0; index < count; index++)
     cluster.addMachine(`m${index}`, type, index % 2 === 0 ? 'east' : 'west', index === count - 1);
 }
 
-/** Limits that are announced to fall: long lists and long progress go into parts. */
-export const fallingTo =
+/** Settings with an announced lower size limit, so that long lists and long progress are stored in parts. */
+export const withAnnouncedValueKib =
   (valueKib: number): Tune =>
   (settings) => ({ ...settings, state: { ...settings.state, valueKib: 16, next: { valueKib, writesPerTransaction: 4 } } });
 
@@ -36,7 +36,7 @@
   );
 }
 
-function workAndTrouble(cluster: SimulatedCluster): void {
+function workAndFaults(cluster: SimulatedCluster): void {
   addMachines(cluster, 6);
   cluster.run(15);
   submitEachShape(cluster);
@@ -48,16 +48,17 @@
     'run-red-array',
     'run-partly',
   ]);
-  // The leader alone is not heard by the others, so that they tell it by way of the state service.
+  // No messages pass between the leader and the other controllers, so they store their statuses for it in the state service.
   const leader = holderOf(cluster, 'lead');
-  cluster.isPartitioned = (a, b) => NAMES.includes(a) && NAMES.includes(b) && (a === leader) !== (b === leader);
+  cluster.isPartitioned = (a, b) =>
+    CONTROLLER_NAMES.includes(a) && CONTROLLER_NAMES.includes(b) && (a === leader) !== (b === leader);
   cluster.run(8);
   cluster.cancel('run-called-off');
   cluster.run(14);
   cluster.isPartitioned = () => false;
   cluster.addMachine('late', 'small', 'west');
   cluster.run(3);
-  // Commands that are lost raise the token of their machine.
+  // Lost commands lead to a higher fencing token of their machine.
   cluster.losesCommands = (_node, machine) => machine === 'm1';
   cluster.submit(job('run-lost', { team: 'blue', tasks: 12, cpus: 1, estimatedRunS: 4 }));
   cluster.run(8);
@@ -66,7 +67,7 @@
   assert.ok(noticed);
   noticed.preemptionNoticeS = 10;
   cluster.run(15);
-  // A machine that hangs goes back, and with it what is stored of it.
+  // A hung machine is released, and its stored rows are deleted.
   const hung = cluster.worker('m2');
   assert.ok(hung);
   hung.hung = true;
@@ -77,12 +78,12 @@
   cluster.run(30);
 }
 
-function machinesThatMove(cluster: SimulatedCluster): void {
+function movedMachines(cluster: SimulatedCluster): void {
   addMachines(cluster, 6);
   cluster.run(15);
   for (const team of ['red', 'blue', 'green']) {
     cluster.submit(job(`run-${team}`, { team, tasks: 12, cpus: 2, memory: 1, estimatedRunS: 4 }));
-    cluster.runUntil('all is done, on machines of other shares too', () => cluster.allTasksDone(`run-${team}`), 90);
+    cluster.runUntil('all tasks are done, also on machines of other shards', () => cluster.allTasksDone(`run-${team}`), 90);
   }
   cluster.run(90);
 }
@@ -90,13 +91,13 @@
 function progressInParts(cluster: SimulatedCluster): void {
   addMachines(cluster, 6);
   cluster.runUntilSettled();
-  // All but the last 500 tasks are done, and stored as one whole chunk.
+  // All but the last 500 tasks are done, and stored as one whole chunk of progress.
   const spec = job('run-large', { tasks: 9000, cpus: 0.5, memory: 0.1, estimatedRunS: 4 });
   cluster.specs.set(spec.id, spec);
   for (let index = 0; index < 8500; index++) cluster.finished.add(`run-large/${index}`);
   putRow(cluster, 'a/p/run-large/0', 'f'.repeat(8500 / 4));
   putRow(cluster, 'a/j/run-large', { s: 0, t: 0, sp: encodeJobSpec(spec) });
-  cluster.runUntil('the rest is done', () => cluster.allTasksDone('run-large'), 200);
+  cluster.runUntil('the remaining tasks are done', () => cluster.allTasksDone('run-large'), 200);
   cluster.run(5);
 }
 
@@ -117,7 +118,7 @@
   cluster.submit(job('run-chain', { machineTypes: types, estimatedRunS: 300 }), cluster.controllers[1], first);
   cluster.submit(job('run-off', { machineTypes: types, estimatedRunS: 300 }), cluster.controllers[2], first);
   cluster.cancel('run-off');
-  cluster.runUntil('it runs', () => cluster.runningTasks('run-chain') === 1, 120);
+  cluster.runUntil('the job with dependencies runs', () => cluster.runningTasks('run-chain') === 1, 120);
   assert.ok(shardOf(cluster, 'run-chain') >= 0);
 }
 
@@ -126,8 +127,8 @@
   cluster.run(20);
 }
 
-/** The cloud rents machines out, and the leader tells which types it still has. */
-function rentedMachines(cluster: SimulatedCluster): void {
+/** The leader provisions machines, and reports the machine types that are still available. */
+function provisionedMachines(cluster: SimulatedCluster): void {
   cluster.bootTimeMs = () => 3000;
   addMachines(cluster, 3);
   cluster.run(20);
@@ -139,16 +140,16 @@
 
 /** The scenarios by the names of their recordings. */
 export const DAYS: Record<string, Day> = {
-  'work and trouble of each kind': { run: workAndTrouble },
-  'machines that move and go back': {
+  'work and faults of each kind': { run: workAndFaults },
+  'moved and released machines': {
     tune: (settings) => ({ ...settings, policy: { ...settings.policy, holdSpareCapacity: false, idleS: 10, maxMachines: null } }),
-    run: machinesThatMove,
+    run: movedMachines,
   },
-  'rented machines': {
+  'provisioned machines': {
     tune: (settings) => ({ ...settings, policy: { ...settings.policy, maxMachines: null } }),
-    run: rentedMachines,
+    run: provisionedMachines,
   },
-  'progress in parts': { tune: fallingTo(2), run: progressInParts },
-  'lists of jobs in parts': { tune: fallingTo(2), run: listsInParts },
-  'machine types in parts': { tune: fallingTo(0.3), run: machineTypesInParts },
+  'progress in parts': { tune: withAnnouncedValueKib(2), run: progressInParts },
+  'lists of jobs in parts': { tune: withAnnouncedValueKib(2), run: listsInParts },
+  'machine types in parts': { tune: withAnnouncedValueKib(0.3), run: machineTypesInParts },
 };
--- a/test/upgrade/production-version.ts
+++ b/test/upgrade/production-version.ts
@@ -1,5 +1,5 @@
-// The version in production under today's names: the one place that knows what that version calls its inputs, effects,
-// settings and tables. Its bundle is never edited.
+// Adapts the production version to the current names. Only this file knows that version's names of inputs, effects, settings
+// and members. Its bundle is never edited.
 import type { Controller, ControllerSettings, Effect } from '@archpost/controller';
 import type { Heartbeat, PeerMessage, PeerStatus } from '@archpost/protocol';
 import type { ControllerVersion } from '../simulation/controller.js';
@@ -7,8 +7,8 @@
 
 type Fields = Record<string, unknown>;
 
-/** Fields of heartbeats, statuses and commands, today's name first. They are the same wherever they occur. */
-const MESSAGE_FIELDS: readonly (readonly [today: string, then: string])[] = [
+/** Fields of heartbeats, statuses and commands: the current name and the production version's, the same in all of them. */
+const MESSAGE_FIELDS: readonly (readonly [current: string, production: string])[] = [
   ['address', 'addr'],
   ['agentEpoch', 'session'],
   ['sequence', 'seq'],
@@ -37,21 +37,21 @@
   ['replicaLoaded', 'loaded'],
   ['cancellationRevision', 'cancelStamp'],
 ];
-const TO_THEN = new Map(MESSAGE_FIELDS);
-const TO_TODAY = new Map(MESSAGE_FIELDS.map(([today, then]) => [then, today]));
+const TO_PRODUCTION = new Map(MESSAGE_FIELDS);
+const TO_CURRENT = new Map(MESSAGE_FIELDS.map(([current, production]) => [production, current]));
 
-/** The message with the fields of all its records renamed. */
-function renamed(value: unknown, names: ReadonlyMap<string, string>): unknown {
-  if (Array.isArray(value)) return value.map((element) => renamed(element, names));
+/** Returns a copy of the message in which the fields of all records are renamed. */
+function renameFields(value: unknown, names: ReadonlyMap<string, string>): unknown {
+  if (Array.isArray(value)) return value.map((element) => renameFields(element, names));
   if (typeof value !== 'object' || value === null) return value;
-  return Object.fromEntries(Object.entries(value).map(([name, field]) => [names.get(name) ?? name, renamed(field, names)]));
+  return Object.fromEntries(Object.entries(value).map(([name, field]) => [names.get(name) ?? name, renameFields(field, names)]));
 }
 
 /**
- * Members of the core's objects that tests look at, and what they were called then. Where two objects had members of
- * different names for what has one name today, the one that the object has is meant.
+ * Members that tests read, by their current names, with their names in the production version. If there are several, the one
+ * that exists in the object is used.
  */
-const MEMBERS: Record<string, readonly string[]> = {
+const PRODUCTION_MEMBER_NAMES: Record<string, readonly string[]> = {
   clusterState: ['table'],
   finishedJobs: ['finals'],
   leaseOf: ['holder'],
@@ -79,27 +79,28 @@
   return typeof value === 'object' && value !== null ? (originals.get(value) ?? value) : value;
 }
 
-/** The same object, whose members, and those of all that it leads to, have today's names. */
-function underTodaysNames(value: unknown): unknown {
+/** Returns a view of the object. Its members, and those of all objects reached through it, have the current names. */
+function withCurrentNames(value: unknown): unknown {
   if (typeof value !== 'object' || value === null) return value;
   const view: object = new Proxy(value, {
     get(target, name) {
-      // What is grouped by tenure today stood beside everything else.
+      // Members that are now grouped in `tenure` were members of the object itself.
       if (name === 'tenure') return view;
-      const then = typeof name === 'string' ? MEMBERS[name]?.find((member) => member in target) : undefined;
-      const member = Reflect.get(target, then ?? name, target);
+      const productionName =
+        typeof name === 'string' ? PRODUCTION_MEMBER_NAMES[name]?.find((member) => member in target) : undefined;
+      const member = Reflect.get(target, productionName ?? name, target);
       if (name === 'releaseReason' && member === '') return null;
-      if (typeof member !== 'function') return underTodaysNames(member);
-      // Shards' leases had strings for names.
+      if (typeof member !== 'function') return withCurrentNames(member);
+      // Lease names of shards were strings.
       if (name === 'mayActUnder') return (lease: unknown, now: unknown) => member.call(target, String(lease), now);
-      return (...inputs: unknown[]) => underTodaysNames(member.apply(target, inputs.map(original)));
+      return (...inputs: unknown[]) => withCurrentNames(member.apply(target, inputs.map(original)));
     },
   });
   originals.set(view, value);
   return view;
 }
 
-function settingsThen(settings: ControllerSettings): unknown {
+function toProductionSettings(settings: ControllerSettings): unknown {
   const { name, controllers, shardCount, teams, objectives, workers, maxSockets, state, cloud, policy, ...same } = settings;
   const limits = ({ requestsPerS, writesPerS, valueKib, writesPerTransaction }: Partial<ControllerSettings['state']>) => ({
     rps: requestsPerS,
@@ -107,7 +108,7 @@
     valueKb: valueKib,
     txnOps: writesPerTransaction,
   });
-  const given = (record: Fields) => Object.fromEntries(Object.entries(record).filter(([, value]) => value !== undefined));
+  const definedFields = (record: Fields) => Object.fromEntries(Object.entries(record).filter(([, value]) => value !== undefined));
   return {
     ...same,
     node: name,
@@ -121,17 +122,17 @@
       times: deadlineMultiple,
     })),
     workers: (({ heartbeatIntervalS, ...rest }) => ({ ...rest, reportS: heartbeatIntervalS }))(workers),
-    state: { ...limits(state), next: state.next && given(limits(state.next)) },
+    state: { ...limits(state), next: state.next && definedFields(limits(state.next)) },
     cloud: (({ requestsPerS, ...rest }) => ({ ...rest, rps: requestsPerS }))(cloud),
     policy: (({ holdSpareCapacity, ...rest }) => ({ ...rest, hold: holdSpareCapacity }))(policy),
   };
 }
 
-const statusToday = (status: unknown) => renamed(status, TO_TODAY) as PeerStatus;
-const heartbeatToday = (heartbeat: unknown) => renamed(heartbeat, TO_TODAY) as Heartbeat;
+const toCurrentStatus = (status: unknown) => renameFields(status, TO_CURRENT) as PeerStatus;
+const toCurrentHeartbeat = (heartbeat: unknown) => renameFields(heartbeat, TO_CURRENT) as Heartbeat;
 
-/** What the production version asks for, under today's names. */
-function effectToday(effect: Fields): Effect {
+/** Converts an effect of the production version to the current names. */
+function toCurrentEffect(effect: Fields): Effect {
   const { t, ...rest } = effect as Fields & { id: number; to: string };
   switch (t) {
     case 'txn': {
@@ -161,61 +162,62 @@
     case 'answer':
       return { ...rest, type: 'respond' } as unknown as Effect;
     case 'status':
-      return { type: 'sendStatus', to: rest.to, status: statusToday(rest.status) };
+      return { type: 'sendStatus', to: rest.to, status: toCurrentStatus(rest.status) };
     case 'relay':
-      return { type: 'forwardHeartbeat', to: rest.to, heartbeat: heartbeatToday(rest.report) };
+      return { type: 'forwardHeartbeat', to: rest.to, heartbeat: toCurrentHeartbeat(rest.report) };
     case 'log':
       return { type: 'log', level: rest.level, message: rest.msg, fields: rest.data } as Effect;
     default:
-      throw new Error(`the version in production has an effect that isn't known here: ${t}`);
+      throw new Error(`unknown effect of the production version: ${t}`);
   }
 }
 
-/** Inputs: what they were called then, and how what they bring is told in the names of then. */
-type Input = (core: Record<string, (...inputs: unknown[]) => unknown>, ...inputs: unknown[]) => unknown;
+/** Passes an input to the production version's method for it, with its values converted to that version's names. */
+type InputAdapter = (core: Record<string, (...inputs: unknown[]) => unknown>, ...inputs: unknown[]) => unknown;
 
-const stamped = (list: unknown) => (list as Fields[]).map(({ revision, ...row }) => ({ ...row, stamp: revision }));
-const outcomeThen = (outcome: unknown) => renamed(outcome, TO_THEN);
-const provisioningOutcomeThen = (outcome: Fields) => (outcome.kind === 'outOfCapacity' ? { kind: 'full' } : outcome);
+const withStamps = (list: unknown) => (list as Fields[]).map(({ revision, ...row }) => ({ ...row, stamp: revision }));
+const toProductionOutcome = (outcome: unknown) => renameFields(outcome, TO_PRODUCTION);
+const toProductionProvisioningOutcome = (outcome: Fields) => (outcome.kind === 'outOfCapacity' ? { kind: 'full' } : outcome);
 
-const INPUTS: Record<string, Input> = {
-  receiveSnapshot: (core, rows, ...rest) => core.loaded?.(stamped(rows), ...rest),
-  receiveChanges: (core, changes, ...rest) => core.changes?.(stamped(changes), ...rest),
+const INPUT_ADAPTERS: Record<string, InputAdapter> = {
+  receiveSnapshot: (core, rows, ...rest) => core.loaded?.(withStamps(rows), ...rest),
+  receiveChanges: (core, changes, ...rest) => core.changes?.(withStamps(changes), ...rest),
   receiveCompareAndSwapOutcome: (core, ...inputs) => core.txnResult?.(...inputs),
   receiveLeaseState: (core, ...inputs) => core.leaseState?.(...inputs),
   submitJob: (core, ...inputs) => core.submit?.(...inputs),
   queryJobStatus: (core, ...inputs) => core.poll?.(...inputs),
   cancelJob: (core, ...inputs) => core.cancel?.(...inputs),
-  receiveHeartbeat: (core, id, heartbeat, now) => core.report?.(id, renamed(heartbeat, TO_THEN), now),
-  receiveForwardedHeartbeat: (core, heartbeat, now) => core.relayed?.(renamed(heartbeat, TO_THEN), now),
-  receiveCommandOutcome: (core, id, outcome, now) => core.commandResult?.(id, outcomeThen(outcome), now),
+  receiveHeartbeat: (core, id, heartbeat, now) => core.report?.(id, renameFields(heartbeat, TO_PRODUCTION), now),
+  receiveForwardedHeartbeat: (core, heartbeat, now) => core.relayed?.(renameFields(heartbeat, TO_PRODUCTION), now),
+  receiveCommandOutcome: (core, id, outcome, now) => core.commandResult?.(id, toProductionOutcome(outcome), now),
   receiveProbeOutcome: (core, ...inputs) => core.asked?.(...inputs),
   receiveMachineTypes: (core, ...inputs) => core.types?.(...inputs),
-  receiveMachineList: (core, machines, now) => core.listed?.(machines && renamed(machines, TO_THEN), now),
-  receiveProvisioningOutcome: (core, id, outcome, now) => core.rented?.(id, provisioningOutcomeThen(outcome as Fields), now),
+  receiveMachineList: (core, machines, now) => core.listed?.(machines && renameFields(machines, TO_PRODUCTION), now),
+  receiveProvisioningOutcome: (core, id, outcome, now) =>
+    core.rented?.(id, toProductionProvisioningOutcome(outcome as Fields), now),
   receiveReleaseOutcome: (core, ...inputs) => core.returned?.(...inputs),
-  receivePeerStatus: (core, status, now) => core.peerStatus?.(renamed(status, TO_THEN), now),
+  receivePeerStatus: (core, status, now) => core.peerStatus?.(renameFields(status, TO_PRODUCTION), now),
   peerDisconnected: (core, ...inputs) => core.peerDown?.(...inputs),
   processPaused: (core, ...inputs) => core.paused?.(...inputs),
-  takeEffects: (core) => ((core.drain?.() ?? []) as Fields[]).map(effectToday),
+  takeEffects: (core) => ((core.drain?.() ?? []) as Fields[]).map(toCurrentEffect),
 };
 
-/** Makes a controller of the version in production, whose members have today's names. */
+/** Constructs a controller of the production version whose members have the current names. */
 function ProductionController(settings: ControllerSettings, incarnation: string): object {
-  const core = new production.Core(settingsThen(settings), incarnation);
-  const view = underTodaysNames(core) as Fields;
+  const core = new production.Core(toProductionSettings(settings), incarnation);
+  const view = withCurrentNames(core) as Fields;
   return new Proxy(core, {
     get(_target, name) {
-      const input = INPUTS[String(name)];
+      const input = INPUT_ADAPTERS[String(name)];
       if (!input) return view[String(name)];
-      return (...inputs: unknown[]) => input(core as unknown as Parameters<Input>[0], ...inputs);
+      return (...inputs: unknown[]) => input(core as unknown as Parameters<InputAdapter>[0], ...inputs);
     },
   });
 }
 
-/** The version in production, to be run by a simulated cluster. */
+/** The production version, as a simulated cluster runs it. */
 export const PRODUCTION: ControllerVersion = {
   Controller: ProductionController as unknown as typeof Controller,
-  encodePeerMessage: (message) => production.encodePeer(renamed(message, TO_THEN)),
-  decodePeerMessage: (bytes) => renamed(production.decodePeer(bytes), TO_TODAY) as PeerMessage,
+  encodePeerMessage: (message) => production.encodePeer(renameFields(message, TO_PRODUCTION)),
+  decodePeerMessage: (bytes) => renameFields(production.decodePeer(bytes), TO_CURRENT) as PeerMessage,
 };
