--- a/test/process-pauses.test.ts
+++ b/test/process-pauses.test.ts
@@ -1,11 +1,12 @@
-// Pauses of a controller's process: what was silent meanwhile says nothing, and what was decided before is not carried out after.
+// Pauses of a controller's process: silence of machines during a pause does not count, and decisions that were made before a
+// pause are not carried out after it.
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { deadWorkers } from './scenarios/on-call-scenarios.js';
 import { assertGoldenTrace, holderOf, job, type SimulatedCluster, shardOf, smallCluster } from './simulation/index.js';
 
-const killed = (cluster: SimulatedCluster) => cluster.trace.filter((line) => line.includes('kills'));
+const killLines = (cluster: SimulatedCluster) => cluster.trace.filter((line) => line.includes('kills'));
 
 for (const seconds of [0.9, 6, 16, 19, 25, 45]) {
   test(`the holder's process pauses for ${seconds} s: nothing runs twice or after its cancellation, no machine is released`, () => {
@@ -16,7 +17,7 @@
     const owner = cluster.controller(holderOf(cluster, shardOf(cluster, 'run-v')));
     const other = cluster.controllers.find((node) => node !== owner);
     assert.ok(other);
-    // Decided just before: starts and a write are under way when it stops.
+    // Decided just before the pause: starts and a write are in flight when it begins.
     cluster.submit(job('run-w', { tasks: 4, estimatedRunS: 4 }));
     owner.pause();
     cluster.cancel('run-c', other);
@@ -24,17 +25,17 @@
     cluster.run(seconds);
     owner.resume();
     cluster.runUntil('the cancelled job is gone', () => cluster.machinesRunning('run-c').length === 0, 36);
-    cluster.runUntil('the rest is done', () => cluster.finished.size === 8, 60);
+    cluster.runUntil('the remaining tasks are done', () => cluster.finished.size === 8, 60);
     cluster.run(20);
     assert.equal(cluster.runningTasks('run-v'), 2);
-    assert.deepEqual(deadWorkers(cluster), [], 'it did not hold its own sleep against the machines');
-    assert.deepEqual(killed(cluster), [], 'the others answered the workers');
+    assert.deepEqual(deadWorkers(cluster), [], 'no machine is released for silence during the pause');
+    assert.deepEqual(killLines(cluster), [], 'the other controllers answered the workers');
     assert.equal(cluster.queryStatus('run-c'), 'aborted');
-    if (seconds === 25) assertGoldenTrace(cluster, 'owner-stands-still');
+    if (seconds === 25) assertGoldenTrace(cluster, 'lease-holder-paused');
   });
 }
 
-test("what came while the holder's process was paused is lost: it probes its machines, and releases none", () => {
+test("inputs that arrive while the holder's process is paused are lost: it probes its machines, and releases none", () => {
   const cluster = smallCluster(8);
   cluster.submit(job('run-v', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-v') === 2);
@@ -47,7 +48,7 @@
   assert.equal(cluster.runningTasks('run-v'), 2);
 });
 
-test('nothing is started after a pause before what is new has been read', () => {
+test('after a pause nothing is started before the newest changes of the state service are read', () => {
   const cluster = smallCluster(2);
   cluster.submit(job('run-a', { tasks: 4, estimatedRunS: 4 }));
   cluster.runUntil('full', () => cluster.runningTasks('run-a') === 4);
@@ -59,7 +60,7 @@
   owner.pause();
   cluster.cancel('run-z', other);
   cluster.run(6);
-  // It goes on with room for the cancelled job and old news of it; the state service is slow.
+  // It resumes with free resources for the cancelled job and an outdated replica, and can't read the state service yet.
   owner.isRefusedByStateService = true;
   owner.resume();
   cluster.run(6);
@@ -69,28 +70,28 @@
   assert.ok(!cluster.trace.some((line) => line.includes('starts run-z')));
 });
 
-test('after a pause the former leader and holder takes no shard back by force, and gets its own once they are settled', () => {
+test('after a pause the former leader and lease holder does not contend for its shard, and gets it back after the takeover is settled', () => {
   const cluster = smallCluster(8);
-  const lead = cluster.controller(holderOf(cluster, 2));
+  const formerHolder = cluster.controller(holderOf(cluster, 2));
   const revision = () => cluster.controllers[0]?.controller.clusterState.leaseOf(2)?.revision;
-  lead.pause();
+  formerHolder.pause();
   cluster.runUntil(
     'taken over',
-    () => !['', lead.name].includes(cluster.controllers[0]?.controller.clusterState.leaseOf(2)?.holder.controller ?? ''),
+    () => !['', formerHolder.name].includes(cluster.controllers[0]?.controller.clusterState.leaseOf(2)?.holder.controller ?? ''),
     40,
   );
-  const during = revision();
-  lead.resume();
+  const revisionAfterTakeover = revision();
+  formerHolder.resume();
   cluster.run(1);
-  assert.equal(revision(), during, 'no fight for it');
-  cluster.runUntil('home again', () => holderOf(cluster, 2) === lead.name, 40);
-  const home = revision();
+  assert.equal(revision(), revisionAfterTakeover, 'the lease is not contended for');
+  cluster.runUntil('the former holder has the lease again', () => holderOf(cluster, 2) === formerHolder.name, 40);
+  const revisionAfterReturn = revision();
   cluster.run(20);
-  assert.equal(revision(), home);
+  assert.equal(revision(), revisionAfterReturn);
   assert.deepEqual(deadWorkers(cluster), []);
 });
 
-test('all controllers pause for longer than a cancellation may take: what was cancelled before is not started after', () => {
+test('all controllers pause for longer than a cancellation may take: a job cancelled before the pause is not started after it', () => {
   const cluster = smallCluster(6);
   cluster.submit(job('run-s', { shape: 'service', tasks: 2, priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-s') === 2);
--- a/test/randomized-simulation.test.ts
+++ b/test/randomized-simulation.test.ts
@@ -1,24 +1,24 @@
-// Seeded random simulations through pairs of troubles.
+// Seeded random simulations with pairs of faults.
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { RandomizedSimulation, type RandomizedSimulationOptions } from './randomized/randomized-simulation.js';
 import { PRODUCTION } from './upgrade/production-version.js';
 
-/** Troubles in pairs and threes, every rule checked after each step; for long by hand: WALKS=500 npm test. */
-test('seeded random simulations through pairs of faults break no rule, and leave nothing waiting or forgotten', () => {
+/** Two or three faults at a time, every rule checked after each step. For longer, by hand: WALKS=500 npm test. */
+test('seeded random simulations with pairs of faults break no rule, and no job is left waiting or lost', () => {
   for (let seed = 1; seed <= Number(process.env.WALKS ?? 16); seed++) {
-    const walk = new RandomizedSimulation(seed);
+    const simulation = new RandomizedSimulation(seed);
     try {
-      walk.run(120);
+      simulation.run(120);
     } catch (e) {
       assert.fail(`seed ${seed}: ${e instanceof Error ? e.message : e}`);
     }
   }
 });
 
-/** The ratios of the users' larger sites: changes a second, sizes after the fall, processor time, sockets. */
-const AT_SIZE: RandomizedSimulationOptions = {
+/** The ratios of the users' larger sites: changes per second, lowered size limits, processor time, sockets. */
+const PRODUCTION_RATIOS: RandomizedSimulationOptions = {
   pipelines: true,
   machines: { small: 240, big: 24 },
   nextLimits: { valueKib: 2, writesPerTransaction: 4, writesPerS: 15 },
@@ -34,14 +34,14 @@
   }),
 };
 
-/** For longer by hand: SIZE_WALKS=20 npm test. */
-test('random simulations at the size and the ratios of production, with chains at full rate, over a roll and without', () => {
+/** For longer, by hand: SIZE_WALKS=20 npm test. */
+test('random simulations with the ratios of production and job chains at full rate break no rule, with an upgrade and without', () => {
   for (let seed = 1; seed <= Number(process.env.SIZE_WALKS ?? 1); seed++) {
-    for (const from of [undefined, PRODUCTION]) {
+    for (const version of [undefined, PRODUCTION]) {
       try {
-        new RandomizedSimulation(seed, { ...AT_SIZE, ...(from && { initialVersion: from }) }).run(90);
+        new RandomizedSimulation(seed, { ...PRODUCTION_RATIOS, ...(version && { initialVersion: version }) }).run(90);
       } catch (e) {
-        assert.fail(`seed ${seed}${from ? ', over a roll' : ''}: ${e instanceof Error ? e.message : e}`);
+        assert.fail(`seed ${seed}${version ? ', with an upgrade' : ''}: ${e instanceof Error ? e.message : e}`);
       }
     }
   }
--- a/test/resource-cleanup.test.ts
+++ b/test/resource-cleanup.test.ts
@@ -1,4 +1,4 @@
-// What owns sockets, timers and loops ends all of them with `close`.
+// Objects that own sockets, timers or loops end all of them in `close`.
 
 import assert from 'node:assert/strict';
 import net from 'node:net';
@@ -15,14 +15,14 @@
 import { StateServer } from './loopback/state-server.js';
 import { STATUS, settings } from './simulation/fixtures.js';
 
-/** Turns of the event loop in which closed sockets disappear. They take a handful; the bound only ends a failing test. */
+/** Bound on the event-loop turns until closed sockets disappear. A few turns suffice; the bound only ends a failing test. */
 const MAX_TURNS = 10_000;
 
-/** Sockets and pending connections; their two ends count apart. */
+/** Sockets and pending connections. The two ends of a connection count separately. */
 const SOCKETS = /^TCP/;
 const SOCKETS_AND_TIMERS = /^(TCP|Timeout$)/;
 
-/** Names of the resources of these kinds that keep this process running, in order. */
+/** Sorted names of the resources of these kinds that keep this process running. */
 function activeResources(kinds: RegExp): string[] {
   return process
     .getActiveResourcesInfo()
@@ -34,18 +34,18 @@
   return new Promise((resolve) => setImmediate(resolve));
 }
 
-/** Asserts that within a few turns no resources are left but these. */
+/** Asserts that within MAX_TURNS turns no other resources are left than those in `before`. */
 async function assertReleased(before: string[], kinds = SOCKETS_AND_TIMERS): Promise<void> {
   for (let turn = 0; turn < MAX_TURNS && activeResources(kinds).join() !== before.join(); turn++) await nextTurn();
   assert.deepEqual(activeResources(kinds), before);
 }
 
-// What an earlier test closed may take a turn yet, and would count as there before.
+// Resources that an earlier test closed may take another turn to disappear, and would otherwise be counted in `before`.
 beforeEach(() => assertReleased([]));
 
-/** Waits for something that happens sooner or later, however long it takes. */
-async function waitUntil(holds: () => boolean): Promise<void> {
-  while (!holds()) await new Promise((resolve) => setTimeout(resolve, 5));
+/** Waits until the condition holds, without a time limit. */
+async function waitUntil(condition: () => boolean): Promise<void> {
+  while (!condition()) await new Promise((resolve) => setTimeout(resolve, 5));
 }
 
 /** A state service that refuses all requests, and records their paths. */
@@ -81,11 +81,11 @@
   await waitUntil(() => paths.includes(PATHS.leases));
   client.close();
   await assertReleased(before);
-  assert.deepEqual(await outcome, { kind: 'refused' }, 'it was not sent');
-  assert.deepEqual(paths, [PATHS.leases], 'nothing but the lease, which does not wait');
+  assert.deepEqual(await outcome, { kind: 'refused' }, 'the write was not sent');
+  assert.deepEqual(paths, [PATHS.leases], 'only the lease request is sent, since it does not wait for the budget');
 });
 
-test('peer transports with links both ways end their sockets and timers', async () => {
+test('peer transports connected in both directions end their sockets and timers', async () => {
   const before = activeResources(SOCKETS_AND_TIMERS);
   const nodes = ['n1', 'n2'];
   const addresses = [await freeAddress(), await freeAddress()];
@@ -112,7 +112,7 @@
   const before = activeResources(SOCKETS_AND_TIMERS);
   const received: string[] = [];
   const api = new HttpApi({
-    // No response: the clients wait for it.
+    // Sends no response, so that the clients wait.
     onRequest: (request) => received.push(request.kind),
     isReady: () => true,
     loadShedder: new LoadShedder(() => 0),
@@ -138,14 +138,14 @@
   );
 });
 
-/** A log that records errors alone. */
+/** A log that records only errors. */
 function errorLog(errors: unknown[]): ServiceLog {
   const ignore = () => {};
   const logger = { debug: ignore, info: ignore, warn: ignore, error: (fields: unknown) => errors.push(fields) };
   return new ServiceLog(logger as unknown as ConstructorParameters<typeof ServiceLog>[0]);
 }
 
-test('a service that is up ends its servers, clients and timers', async () => {
+test('a running service ends its servers, clients and timers', async () => {
   const beforeAll = activeResources(SOCKETS_AND_TIMERS);
   const stateServer = new StateServer();
   const cloudServer = new CloudServer(() => []);
@@ -174,7 +174,7 @@
   service.close();
   await assertReleased(before, SOCKETS);
   cloudServer.close();
-  // Its timers for watches that wait would be left otherwise.
+  // Otherwise the timers of its pending watches would be left.
   stateServer.close();
   await assertReleased(beforeAll);
   assert.deepEqual(errors, []);
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -1,4 +1,4 @@
-// Settings: what is read, what is refused and by which line.
+// Settings: what is read, what is refused, and which field an error names.
 
 import assert from 'node:assert/strict';
 import { mkdtempSync, writeFileSync } from 'node:fs';
@@ -48,37 +48,40 @@
 max_sockets = 1200
 `;
 
-function file(text: string): string {
+function writeSettings(text: string): string {
   const path = join(mkdtempSync(join(tmpdir(), 'archpost-')), 'settings.toml');
   writeFileSync(path, text);
   return path;
 }
 
-test('settings: unknown fields are ignored; a bad file is named with its field', () => {
-  assert.equal(loadSettings(file(SETTINGS), null).controller.name, 'a');
-  const wrong = file(SETTINGS.replace('lease_s = 12.0', 'lease_s = "long"'));
+test('unknown fields of the settings are ignored; an error names the file and the field', () => {
+  assert.equal(loadSettings(writeSettings(SETTINGS), null).controller.name, 'a');
+  const wrongFile = writeSettings(SETTINGS.replace('lease_s = 12.0', 'lease_s = "long"'));
   assert.throws(
-    () => loadSettings(wrong, null),
-    (e) => e instanceof SettingsError && e.message.includes('params.workers.lease_s') && e.message.includes(wrong),
+    () => loadSettings(wrongFile, null),
+    (e) => e instanceof SettingsError && e.message.includes('params.workers.lease_s') && e.message.includes(wrongFile),
   );
-  assert.throws(() => loadSettings(file('host_name = '), null), /not valid TOML/);
+  assert.throws(() => loadSettings(writeSettings('host_name = '), null), /not valid TOML/);
   assert.throws(() => loadSettings('/nowhere/settings.toml', null), /no such file/);
 });
 
-test('settings under which rules could not be kept, or nothing be served, are refused by the field', () => {
-  const refused = (from: string, to: string, named: RegExp) =>
+test('settings with which the rules cannot be kept, or no request can be served, are refused with the name of the field', () => {
+  const assertRefused = (from: string, to: string, named: RegExp) =>
     assert.throws(
-      () => loadSettings(file(SETTINGS.replace(from, to)), null),
+      () => loadSettings(writeSettings(SETTINGS.replace(from, to)), null),
       (e) => e instanceof SettingsError && named.test(e.message) && !e.message.includes('\n'),
     );
-  refused('cancel_s = 37.0', 'cancel_s = 16.5', /params\.workers\.cancel_s: .*2\.5 s/);
-  refused('write_rps = 20.0', 'write_rps = 0.5', /params\.state\.write_rps/);
-  refused('mem_mb = 178.0', 'mem_mb = 32.0', /params\.machine_limits\.mem_mb/);
-  refused('max_sockets = 1200', 'max_sockets = 40', /params\.machine_limits\.max_sockets/);
-  assert.equal(loadSettings(file(SETTINGS.replace('cancel_s = 37.0', 'cancel_s = 17.0')), null).controller.workers.cancelS, 17);
+  assertRefused('cancel_s = 37.0', 'cancel_s = 16.5', /params\.workers\.cancel_s: .*2\.5 s/);
+  assertRefused('write_rps = 20.0', 'write_rps = 0.5', /params\.state\.write_rps/);
+  assertRefused('mem_mb = 178.0', 'mem_mb = 32.0', /params\.machine_limits\.mem_mb/);
+  assertRefused('max_sockets = 1200', 'max_sockets = 40', /params\.machine_limits\.max_sockets/);
+  assert.equal(
+    loadSettings(writeSettings(SETTINGS.replace('cancel_s = 37.0', 'cancel_s = 17.0')), null).controller.workers.cancelS,
+    17,
+  );
 });
 
-test('settings that can not carry the machines they allow: one line each, and they are in order all the same', async () => {
+test('settings too low for the number of machines that they allow are reported in one line each, and accepted', async () => {
   const controller = new ControllerProcess({
     name: 'n0',
     zone: 'east',
@@ -95,7 +98,7 @@
   const operator = join(mkdtempSync(join(tmpdir(), 'archpost-operator-')), 'operator.json');
   writeFileSync(operator, JSON.stringify({ max_machines: FLEET_MACHINES }));
   controller.start(['--operator', operator, '--check']);
-  await waitForCount('it has ended', 1, () => Number(controller.ended !== null));
+  await waitForCount('the process has ended', 1, () => Number(controller.ended !== null));
   assert.equal(controller.ended?.code, 0);
   const lines = controller.output.trim().split('\n');
   assert.equal(lines.length, 4);
--- a/test/simulation-rules.test.ts
+++ b/test/simulation-rules.test.ts
@@ -1,18 +1,18 @@
-// The rules that the simulation judges by.
+// The rule checker of the simulation.
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { job, type SimulatedCluster, type SimulatedWorker, smallCluster } from './simulation/index.js';
 
-/** Each of these breaks a rule on purpose: the rule checker must see it. */
-const PLANTED: { rule: RegExp; plant: (cluster: SimulatedCluster, worker: SimulatedWorker) => void }[] = [
+/** Each entry breaks a rule on purpose, and the rule checker must fail with the message. */
+const VIOLATIONS: { rule: RegExp; violate: (cluster: SimulatedCluster, worker: SimulatedWorker) => void }[] = [
   {
     rule: /too_early: run-b\/0 starts before run-a is done/,
-    plant: (_cluster, worker) => worker.executeCommands([{ type: 'start', job: 'run-b', index: 0, attempt: 1 }]),
+    violate: (_cluster, worker) => worker.executeCommands([{ type: 'start', job: 'run-b', index: 0, attempt: 1 }]),
   },
   {
     rule: /ran_cancelled: run-b on m0/,
-    plant: (cluster, worker) => {
+    violate: (cluster, worker) => {
       cluster.finished.add('run-a/0');
       worker.executeCommands([{ type: 'start', job: 'run-b', index: 0, attempt: 1 }]);
       cluster.finished.clear();
@@ -23,7 +23,7 @@
   },
   {
     rule: /ran_cancelled: run-a starts/,
-    plant: (cluster, worker) => {
+    violate: (cluster, worker) => {
       cluster.rules.recordAnswer('run-a', 'aborted');
       cluster.run(37);
       worker.executeCommands([{ type: 'start', job: 'run-a', index: 0, attempt: 1 }]);
@@ -31,7 +31,7 @@
   },
   {
     rule: /orphaned: run-b is reported queued/,
-    plant: (cluster) => {
+    violate: (cluster) => {
       cluster.rules.recordAnswer('run-a', 'aborted');
       cluster.run(37);
       cluster.rules.recordAnswer('run-b', 'queued');
@@ -39,7 +39,7 @@
   },
   {
     rule: /orphaned: run-a\/0 still runs, but its job was reported done/,
-    plant: (cluster, worker) => {
+    violate: (cluster, worker) => {
       worker.executeCommands([{ type: 'start', job: 'run-a', index: 0, attempt: 1 }]);
       cluster.rules.recordAnswer('run-a', 'done');
       worker.hung = true;
@@ -48,13 +48,13 @@
   },
 ];
 
-test('the rule checker of the simulation sees each of the rules broken', () => {
-  for (const { rule, plant } of PLANTED) {
+test('the rule checker of the simulation detects each violation', () => {
+  for (const { rule, violate } of VIOLATIONS) {
     const cluster = smallCluster(1);
     for (const node of cluster.controllers) node.crash();
     cluster.specs.set('run-a', job('run-a'));
     cluster.specs.set('run-b', job('run-b'));
     cluster.awaits.set('run-b', ['run-a']);
-    assert.throws(() => plant(cluster, cluster.worker('m0') as SimulatedWorker), rule);
+    assert.throws(() => violate(cluster, cluster.worker('m0') as SimulatedWorker), rule);
   }
 });
--- a/test/starved-controller.test.ts
+++ b/test/starved-controller.test.ts
@@ -1,12 +1,10 @@
-// A controller that is short of processor must not hold its own delay against machines.
+// A controller that is short of processor time must not count its own delay as silence of machines.
 //
-// What happened: one controller of 200 machines that could take 30 heartbeats a second, where 100 a second came, released 99
-// healthy machines as silent within 110 s; with 10 a second it released 196. Ran it for a tenth of a second in every second,
-// a machine that was really dead was never released.
-// Why: the age of a machine's last heartbeat counted in full, though the heartbeats that would have shown it to be alive were
-// waiting for this controller to read them. Only one gap of 0.8 s or more was forgiven, and those without any limit.
-// What showed it: with the budget of 30 a second 541 to 1,641 heartbeats waited in the controller's own queue; with gaps of a
-// second the age of a dead machine's last heartbeat stayed below a second for 96 s (both trials on the way to the mend).
+// Guards against two faults. If the age of a machine's last heartbeat counts in full while newer heartbeats (541 to 1,641) wait
+// in the controller's own queue, healthy machines are released as silent: with 200 machines that send 100 heartbeats a second,
+// 99 within 110 s by a controller that processes 30 a second, and 196 by one that processes 10. If each gap of 0.8 s or more in
+// the controller's execution is subtracted without a limit, a controller that runs for 0.1 s of every second never releases a
+// dead machine: the age of its last heartbeat stayed below a second for 96 s.
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -22,14 +20,14 @@
 const MACHINES = 200;
 const SILENT_S = 7;
 
-/** A machine that is gone is released after so many times `silent_s`, as soon as three commands in a row got no answer. */
+/** A dead machine is released after this multiple of `silent_s`, as soon as three commands in a row got no response. */
 const SILENCE_LIMIT_FACTOR = 3;
 const UNANSWERED_COMMANDS = 3;
 const COMMAND_TIMEOUT_S = 2.5;
 const RETRY_S = 0.7;
 
-/** 100 heartbeats a second come to a controller that is alone. */
-const SHORTAGES: readonly (readonly [what: string, budget: ProcessorBudget])[] = [
+/** Processor budgets. A controller that is alone receives 100 heartbeats a second. */
+const BUDGETS: readonly (readonly [what: string, budget: ProcessorBudget])[] = [
   ['half of the heartbeats', { runMs: 100, periodMs: 100, inputsPerStep: 5 }],
   ['a third of the heartbeats', { runMs: 100, periodMs: 100, inputsPerStep: 3 }],
   ['a seventh of the time', { runMs: 100, periodMs: 700, inputsPerStep: 30 }],
@@ -46,7 +44,7 @@
   cluster.runUntilSettled();
   cluster.submit(job('run-v', { shape: 'service', tasks: 100, priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-v') === 100);
-  // Not all heartbeats at once.
+  // Spreads the heartbeats over time.
   cluster.workers.forEach((worker, index) => {
     worker.nextHeartbeatAt += 100 * ((7 * index) % 20);
   });
@@ -68,8 +66,8 @@
 const namesOf = (workers: readonly SimulatedWorker[]) => workers.map(({ name }) => name).sort();
 
 /**
- * How long a machine that is gone may stay: the limit of its silence, and the commands that confirm it. The outcome of each may
- * wait for two periods and behind one input of each machine.
+ * The longest time until a dead machine is released: the limit of its silence, and the commands that confirm it. The outcome of
+ * each command may wait for two periods and behind one input of each machine.
  */
 function releaseLimitS({ runMs, periodMs, inputsPerStep }: ProcessorBudget): number {
   const inputsPerPeriod = (inputsPerStep * runMs) / 100;
@@ -77,7 +75,7 @@
   return SILENCE_LIMIT_FACTOR * SILENT_S + UNANSWERED_COMMANDS * (COMMAND_TIMEOUT_S + RETRY_S + waitS);
 }
 
-for (const [what, budget] of SHORTAGES) {
+for (const [what, budget] of BUDGETS) {
   test(`a controller that has processor time for ${what} releases no healthy machine`, () => {
     const cluster = runningCluster(['n0']);
     (cluster.controllers[0] as SimulatedController).processorBudget = budget;
@@ -85,7 +83,7 @@
     assert.deepEqual(released(cluster), []);
   });
 
-  test(`a controller that has processor time for ${what} releases machines that died, and these alone`, () => {
+  test(`a controller that has processor time for ${what} releases the machines that died, and only these`, () => {
     const cluster = runningCluster(['n0']);
     (cluster.controllers[0] as SimulatedController).processorBudget = budget;
     cluster.run(20);
@@ -98,7 +96,7 @@
   });
 }
 
-test('a controller that was short of processor for an hour has released the machines that died, and these alone', () => {
+test('a controller that is short of processor time for an hour releases the machines that die, and only these', () => {
   const cluster = runningCluster(['n0']);
   const budget: ProcessorBudget = { runMs: 100, periodMs: 1000, inputsPerStep: 60 };
   (cluster.controllers[0] as SimulatedController).processorBudget = budget;
@@ -112,8 +110,8 @@
   }
 });
 
-for (const [what, budget] of SHORTAGES) {
-  test(`one of three controllers has processor time for ${what}: no healthy machine is released, and a twentieth that dies is`, () => {
+for (const [what, budget] of BUDGETS) {
+  test(`one of three controllers has processor time for ${what}: the twentieth of the machines that dies is released, and no healthy machine`, () => {
     const cluster = runningCluster(['n0', 'n1', 'n2']);
     (cluster.controllers[1] as SimulatedController).processorBudget = budget;
     cluster.run(20);
@@ -124,7 +122,7 @@
   });
 }
 
-test('while a third of the machines really die the others are kept, all controllers being short of processor', () => {
+test('when a third of the machines die while all controllers are short of processor time, only these are released', () => {
   const cluster = runningCluster(['n0', 'n1', 'n2']);
   const budget: ProcessorBudget = { runMs: 100, periodMs: 700, inputsPerStep: 30 };
   for (const node of cluster.controllers) node.processorBudget = budget;
@@ -135,7 +133,7 @@
   assert.deepEqual(released(cluster), namesOf(dying));
 });
 
-test('cancelled work on machines that hang is gone in time though the controller is short of processor', () => {
+test('cancelled tasks on hung machines are gone in time although the controller is short of processor time', () => {
   const cluster = runningCluster(['n0']);
   cluster.submit(job('run-c', { tasks: 8, estimatedRunS: 500 }));
   cluster.runUntil('running', () => cluster.runningTasks('run-c') === 8);
@@ -144,13 +142,13 @@
   const hanging = cluster.machinesRunning('run-c');
   for (const worker of cluster.workers) if (hanging.includes(worker.name)) worker.hung = true;
   cluster.cancel('run-c');
-  // The rules, checked at each step, say how long a cancelled task may be on a machine.
+  // The rules, checked at each step, limit how long a cancelled task may be on a machine.
   cluster.run(45);
   assert.deepEqual(cluster.machinesRunning('run-c'), []);
   assert.deepEqual(released(cluster), [...hanging].sort());
 });
 
-test('a spot machine that is gone at the end of its notice is released as soon by a controller that is short of processor', () => {
+test('a spot machine that dies at the end of its notice is released as soon by a controller that is short of processor time', () => {
   const releaseAfterMs = (budget: ProcessorBudget | null) => {
     const cluster = runningCluster(['n0']);
     const worker = workerRunning(cluster, 'run-v');
@@ -166,7 +164,7 @@
   assert.ok(releaseAfterMs(budget) <= releaseAfterMs(null) + 3 * budget.periodMs);
 });
 
-test('commands that the controller withheld since it was late are not held against the machine', () => {
+test('commands that a delayed controller withholds do not count as unanswered by the machine', () => {
   const cluster = runningCluster(['n0']);
   const worker = workerRunning(cluster, 'run-v');
   cluster.withholdsCommands = (_controller, machine) => machine === worker.name;
@@ -177,7 +175,7 @@
   assert.equal(tenure?.unansweredCommands, 0);
 });
 
-test('a measurement of lag that can not be right forgives nothing, and is logged once', () => {
+test('an implausible lag measurement does not delay the release of a dead machine, and is logged once', () => {
   const cluster = runningCluster(['n0']);
   const { controller } = cluster.controllers[0] as SimulatedController;
   const messages: string[] = [];
--- a/test/state-service-limits.test.ts
+++ b/test/state-service-limits.test.ts
@@ -1,4 +1,4 @@
-// Limits of the state service, which may fall without notice: sizes of values and the rate of writes.
+// Limits of the state service, which may be lowered without notice: the size of values and the rate of writes.
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -21,7 +21,7 @@
 import { ANNOUNCED_LIMITS, clusterWithAnnouncedLimits, withAnnouncedLimits } from './scenarios/limit-scenarios.js';
 import { job, type SimulatedController, STATUS, settings, TYPES } from './simulation/index.js';
 
-test('the sizes in use fit the present limits and the announced ones; what is not announced stays', () => {
+test('the size limits in use fit the present limits and the announced ones; limits that are not announced stay', () => {
   const { state } = withAnnouncedLimits({
     state: { requestsPerS: 100, writesPerS: 60, writesPerTransaction: 12 },
   } as ControllerSettings);
@@ -33,7 +33,7 @@
   });
 });
 
-test('the rate of writes falls to the announced one at a refusal, and rises again while there is none', () => {
+test('the write rate falls to the announced rate at a refusal, and rises again without refusals', () => {
   const rate = new WriteRateLimit({
     requestsPerS: 100,
     writesPerS: 60,
@@ -54,9 +54,9 @@
   assert.equal(steady.perSecond(0), 60);
 });
 
-test('a write that is too large, its key included, is not sent, is logged once, and holds nothing else back', () => {
+test('a write that is too large, its key included, is not sent, is reported once, and delays no other write', () => {
   const sent: string[] = [];
-  const told: string[] = [];
+  const reported: string[] = [];
   const outcomes: string[] = [];
   const writer = new StateWriter(
     { writesPerS: 50, writesPerTransaction: 4, maxWriteBytes: 100 },
@@ -69,7 +69,7 @@
       leaseId: () => null,
       afterBarrier: (now, run) => run(now),
       onLeaseLost: () => {},
-      onTooLarge: (key, bytes) => told.push(`${key} ${bytes}`),
+      onTooLarge: (key, bytes) => reported.push(`${key} ${bytes}`),
     },
   );
   const add = (key: string, value: string) =>
@@ -87,11 +87,11 @@
   add('a/long', 'é'.repeat(50));
   writer.flush(100);
   assert.deepEqual(sent, ['a/fits']);
-  assert.deepEqual(told, ['a/long 108', `a/${'k'.repeat(95)} 101`]);
+  assert.deepEqual(reported, ['a/long 108', `a/${'k'.repeat(95)} 101`]);
   assert.deepEqual(outcomes, ['a/long dropped', `a/${'k'.repeat(95)} dropped`, 'a/long dropped']);
 });
 
-test('a status that is stored for the leader, the images of a machine and the machine types fit a value', () => {
+test('a status that is stored for the leader and the images of a machine fit a value', () => {
   const machines = Array.from({ length: 60 }, (_, index) => ({
     name: `n-${String(index).padStart(6, '0')}`,
     freeCpus: 4,
@@ -117,7 +117,7 @@
     slackS: 5,
     excludedZones: [],
   };
-  const whole: PeerStatus = {
+  const fullStatus: PeerStatus = {
     ...STATUS,
     shards: [{ shard: 0, machines, demands: Array.from({ length: 32 }, () => demand) }],
     runningJobs: [{ job: 'run-a', count: 1, done: 0, failed: 0 }],
@@ -137,9 +137,9 @@
     })),
   };
   const limit = 2 * 1024 - 64;
-  const status = fitStoredStatus('a/s/n0', whole, limit);
+  const status = fitStoredStatus('a/s/n0', fullStatus, limit);
   assert.ok(encodedBytes('a/s/n0', encodeStatus(status)) <= limit);
-  assert.ok((status.shards[0]?.demands.length ?? 0) > 0, 'waiting work is told above all');
+  assert.ok((status.shards[0]?.demands.length ?? 0) > 0, 'the demands of waiting tasks are kept');
   assert.deepEqual(parseStatus(encodeStatus(status)), status);
 
   const cluster = clusterWithAnnouncedLimits(2);
@@ -150,17 +150,17 @@
     machine.images.set(clusterState.imageNames.intern(`image-${index}-${'x'.repeat(100)}`), 1);
   const images = clusterState.imagesToStore(machine);
   assert.ok(encodedBytes('a/c/m0', images) <= limit);
-  assert.equal(images.at(-1)?.[0].startsWith('image-29'), true, 'the last used are kept');
+  assert.equal(images.at(-1)?.[0].startsWith('image-29'), true, 'the last used images are kept');
 });
 
-// A start while the cloud's interface is down knows the machine types by what is stored.
-test('machine types that outgrow a value are stored in parts, and known to a start once all parts are', () => {
+// A controller that starts while the cloud API is down knows the machine types only from stored rows.
+test('machine types that exceed a value are stored in parts, and a starting controller knows them once it has all parts', () => {
   const types = Array.from({ length: 20 }, (_, index) => ({
     ...(TYPES[0] as MachineType),
     name: `type-${index}-${'x'.repeat(60)}`,
   }));
-  const s = withAnnouncedLimits(settings('n0', ['n0']));
-  const first = new Controller(s, 'first');
+  const limitedSettings = withAnnouncedLimits(settings('n0', ['n0']));
+  const first = new Controller(limitedSettings, 'first');
   first.receiveSnapshot([], 1, 0);
   first.takeEffects();
   first.receiveMachineTypes(types, 0);
@@ -178,17 +178,17 @@
   const parts = rows.filter((row) => row.key.startsWith('a/types'));
   assert.equal(parts.length, 20);
   for (const row of parts) assert.ok(encodedBytes(row.key, row.value) <= 2 * 1024 - 64);
-  const some = new Controller(s, 'some');
-  some.receiveSnapshot(parts.slice(1), 50, 0);
-  assert.equal(some.clusterState.areMachineTypesKnown, false, 'a job must not be refused by half a list');
-  const all = new Controller(s, 'all');
-  all.receiveSnapshot(parts, 50, 0);
-  assert.equal(all.clusterState.areMachineTypesKnown, true);
-  assert.equal(all.clusterState.machineTypes.length, 20);
+  const partial = new Controller(limitedSettings, 'some');
+  partial.receiveSnapshot(parts.slice(1), 50, 0);
+  assert.equal(partial.clusterState.areMachineTypesKnown, false, 'a job must not be refused because of an incomplete list');
+  const complete = new Controller(limitedSettings, 'all');
+  complete.receiveSnapshot(parts, 50, 0);
+  assert.equal(complete.clusterState.areMachineTypesKnown, true);
+  assert.equal(complete.clusterState.machineTypes.length, 20);
 });
 
-// Bits that were stored by whole chunks, which another version does, and in parts have to be united.
-test('progress of 100,000 tasks is laid out within a value, and each task is found in one part', () => {
+// Progress that another version stored in whole chunks and progress that is stored in parts have to be combined.
+test('progress of 100,000 tasks is stored in parts that fit a value, and each task is in one part', () => {
   const layout = new ProgressLayout(16, 2 * 1024 - 64);
   const tasks = 100_000;
   const parts = layout.parts(tasks);
@@ -196,7 +196,7 @@
   for (const part of parts) {
     assert.equal(part.from, next);
     assert.equal(layout.firstTask(part.name), part.from);
-    assert.ok(!/^\d+$/.test(part.name), 'the name of a whole chunk belongs to other versions');
+    assert.ok(!/^\d+$/.test(part.name), 'other versions store whole chunks under integer names');
     const digits = packBits(new Uint8Array(tasks).fill(1), part.from, part.to);
     assert.ok(encodedBytes(`a/p/run-${'x'.repeat(64)}/${part.name}`, digits) <= 2 * 1024 - 64);
     next = part.to;
@@ -205,7 +205,7 @@
   assert.deepEqual([...layout.parse('0.125', '8001')], [4099, 4108]);
   for (const digits of ['8g', 8, null]) assert.throws(() => layout.parse('0', digits));
   assert.throws(() => layout.parse('odd', 'ff'));
-  // What fits one value is stored as ever.
+  // Progress that fits one value is stored in whole chunks, as before.
   assert.deepEqual(layout.parts(400), [{ name: '0', from: 0, to: 400 }]);
   assert.deepEqual(
     new ProgressLayout(16, 16 * 1024 - 64).parts(40_000).map((part) => part.name),
@@ -214,7 +214,7 @@
   for (const name of ['', 'x', '-1', '1e3', '0.5.1']) assert.equal(layout.firstTask(name), null);
 });
 
-// A 429 costs neither a lease nor a share nor an acceptance, and no storm of repeats follows it.
+// A 429 must not lead to the loss of a lease, a shard or an acceptance, or to a storm of retries.
 test('while writes are refused for their rate, shard leases stay, submissions are accepted and retries stay few', () => {
   const cluster = clusterWithAnnouncedLimits(8);
   cluster.stateService.limits = { valueBytes: 2048, writesPerTransaction: 4, writesPerS: ANNOUNCED_LIMITS.writesPerS };
@@ -222,11 +222,11 @@
   const ids = Array.from({ length: 400 }, (_, index) => `run-${index}`);
   ids.forEach((id, index) => {
     cluster.specs.set(id, job(id, { cpus: 0.2, memory: 0.2, estimatedRunS: 3 }));
-    const ask = () =>
+    const submit = () =>
       cluster.controllers[index % 3]?.submit(cluster.specs.get(id) as JobSpec, (status) => {
-        if (status === 503) cluster.runAt(cluster.now + 1000, ask);
+        if (status === 503) cluster.runAt(cluster.now + 1000, submit);
       });
-    cluster.runAt(cluster.now + index * 20, ask);
+    cluster.runAt(cluster.now + index * 20, submit);
   });
   cluster.runUntil('all done', () => ids.every((id) => cluster.allTasksDone(id)), 120);
   assert.deepEqual(
--- a/test/stored-records.test.ts
+++ b/test/stored-records.test.ts
@@ -1,4 +1,4 @@
-// Reading of stored records: in any order, unreadable ones passed over, jobs restored by their records.
+// Reading of stored records: in any order, with unreadable ones skipped, and jobs restored from their records.
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -9,12 +9,12 @@
 import { createServer, listen } from './loopback/http.js';
 import { holderOf, job, settings, shardOf, smallCluster } from './simulation/index.js';
 
-test('records that can not be read are passed over, and nothing else suffers, also at a restart', () => {
+test('unreadable records are skipped, and other records are not affected, also at a restart', () => {
   const cluster = smallCluster(4);
   cluster.submit(job('run-a', { tasks: 2, estimatedRunS: 30 }));
   cluster.runUntil('running', () => cluster.runningTasks('run-a') === 2);
   const conditions = { type: 'compareAndSwap' as const, id: 0, conditions: [] };
-  const odd: [string, unknown][] = [
+  const unreadable: [string, unknown][] = [
     ['a/j/run-odd', { s: 0, t: 0 }],
     ['a/j/run-null', null],
     ['a/g/odd', 5],
@@ -23,7 +23,8 @@
     ['a/p/run-a/x', 7],
     ['a/zzz', [1]],
   ];
-  for (const [put, value] of odd) cluster.stateService.compareAndSwap({ ...conditions, writes: [{ put, value }] }, cluster.now);
+  for (const [put, value] of unreadable)
+    cluster.stateService.compareAndSwap({ ...conditions, writes: [{ put, value }] }, cluster.now);
   cluster.run(2);
   const owner = cluster.controller(holderOf(cluster, shardOf(cluster, 'run-a')));
   owner.crash();
@@ -34,7 +35,7 @@
   cluster.runUntil('done', () => cluster.queryStatus('run-b', owner) === 'done', 30);
 });
 
-/** One stored record, in the order in which the state service took them. */
+/** One stored record. Lists of them are in the order in which the state service stored them. */
 type Stored = [key: string, value: unknown];
 
 const accepted = (id: string, aw: string[] = []): Stored => [
@@ -46,7 +47,7 @@
 
 const cancelled = (id: string): Stored => [`a/j/${id}`, { s: 2, t: 0, sp: encodeJobSpec(job(id)) }];
 
-/** Two chains that share a job: one loses its first job, the other goes on; one job is done before it is named. */
+/** Two chains that share a job: one loses its first job, the other continues. One job is done before another depends on it. */
 const HISTORY: Stored[] = [
   accepted('run-a'),
   accepted('run-d'),
@@ -57,9 +58,9 @@
   accepted('run-e', ['run-d']),
 ];
 
-/** What a controller holds of each job. */
-function derived(core: Controller, ids: string[]): Record<string, string> {
-  const { jobs, finishedJobs } = core.clusterState;
+/** The state of each job in a controller. */
+function jobStates(controller: Controller, ids: string[]): Record<string, string> {
+  const { jobs, finishedJobs } = controller.clusterState;
   return Object.fromEntries(ids.map((id) => [id, finishedJobs.get(id) ?? (jobs.get(id)?.isBlocked ? 'waits' : 'may start')]));
 }
 
@@ -69,23 +70,24 @@
     for (const rest of permutations([...list.slice(0, index), ...list.slice(index + 1)])) yield [first, ...rest];
 }
 
-/** Feeds the records in every order, and all of them anew at the end: what is derived has to be the same. */
-function inEveryOrder(history: Stored[], expected: Record<string, string>): void {
+/** Reads the records in every order, and all of them again at the end. The states of the jobs have to be the same. */
+function assertInEveryOrder(history: Stored[], expected: Record<string, string>): void {
   const stamped = history.map(([key, value], index) => ({ key, value, revision: index + 1 }));
   const rows = [...new Map(stamped.map((row) => [row.key, row])).values()];
   for (const order of permutations(stamped)) {
-    const core = new Controller(settings('n0'), 'boot');
-    for (const { key, value, revision } of order) core.replica.set(key, value, revision);
-    const said = order.map((row) => `${row.key} ${row.revision}`).join(', ');
-    assert.deepEqual(derived(core, Object.keys(expected)), expected, said);
-    core.receiveSnapshot(rows, stamped.length, 100);
-    assert.deepEqual(derived(core, Object.keys(expected)), expected, `read again: ${said}`);
+    const controller = new Controller(settings('n0'), 'boot');
+    for (const { key, value, revision } of order) controller.replica.set(key, value, revision);
+    const orderText = order.map((row) => `${row.key} ${row.revision}`).join(', ');
+    assert.deepEqual(jobStates(controller, Object.keys(expected)), expected, orderText);
+    controller.receiveSnapshot(rows, stamped.length, 100);
+    assert.deepEqual(jobStates(controller, Object.keys(expected)), expected, `read again: ${orderText}`);
   }
 }
 
-// What is derived must not depend on the order in which records are read: own writes come ahead of others' older ones.
+// The states must not depend on the order in which records are read: a controller reads its own writes before older writes of
+// other controllers.
 test('whatever the order in which records are read, and read again, the same jobs wait, may start and are cancelled', () => {
-  inEveryOrder(HISTORY, {
+  assertInEveryOrder(HISTORY, {
     'run-a': 'cancelled',
     'run-b': 'cancelled',
     'run-d': 'done',
@@ -94,42 +96,43 @@
   });
 });
 
-test('a list of awaited jobs in parts is known once all parts are, whatever comes first', () => {
+test('a list of dependencies in parts is known once all parts are read, in any order', () => {
   const inParts: Stored = ['a/j/run-p', { s: 3, t: 0, sp: encodeJobSpec(job('run-p')), aw: ['run-d'], x: { k: 'group', n: 2 } }];
   const part = (index: number, id: string): Stored => [`a/x/run-p/group/${index}`, { aw: [id] }];
   const common = [accepted('run-d'), done('run-d'), inParts, part(0, 'run-d')];
-  inEveryOrder(common, { 'run-p': 'waits' });
-  inEveryOrder([...common, part(1, 'run-d')], { 'run-p': 'may start' });
-  inEveryOrder([...common, part(1, 'run-open')], { 'run-p': 'waits' });
-  inEveryOrder([...common, part(1, 'run-a'), cancelled('run-a')], { 'run-p': 'cancelled' });
+  assertInEveryOrder(common, { 'run-p': 'waits' });
+  assertInEveryOrder([...common, part(1, 'run-d')], { 'run-p': 'may start' });
+  assertInEveryOrder([...common, part(1, 'run-open')], { 'run-p': 'waits' });
+  assertInEveryOrder([...common, part(1, 'run-a'), cancelled('run-a')], { 'run-p': 'cancelled' });
 });
 
-// A record that came after unreadable progress was left half read: a job without the jobs that it awaits.
-test('a job whose progress can not be read still awaits what its record says', () => {
+// Guards against a record that is left half read after unreadable progress: the job would have no dependencies.
+test('a job whose progress cannot be read has the dependencies of its record', () => {
   for (const digits of ['not digits', 7, null]) {
-    const core = new Controller(settings('n0'), 'boot');
-    core.replica.set('a/p/run-m/0', digits, 1);
-    core.replica.set('a/p/run-m/odd', 'ff', 2);
-    for (const [index, [key, value]] of HISTORY.slice(0, 3).entries()) core.replica.set(key, value, index + 3);
-    assert.equal(core.clusterState.jobs.get('run-m')?.isBlocked, true);
-    assert.equal(core.clusterState.jobs.get('run-a')?.isBlocked, false);
-    core.replica.set(...cancelled('run-a'), 9);
-    assert.equal(core.clusterState.finishedJobs.get('run-m'), 'cancelled');
+    const controller = new Controller(settings('n0'), 'boot');
+    controller.replica.set('a/p/run-m/0', digits, 1);
+    controller.replica.set('a/p/run-m/odd', 'ff', 2);
+    for (const [index, [key, value]] of HISTORY.slice(0, 3).entries()) controller.replica.set(key, value, index + 3);
+    assert.equal(controller.clusterState.jobs.get('run-m')?.isBlocked, true);
+    assert.equal(controller.clusterState.jobs.get('run-a')?.isBlocked, false);
+    controller.replica.set(...cancelled('run-a'), 9);
+    assert.equal(controller.clusterState.finishedJobs.get('run-m'), 'cancelled');
   }
 });
 
-// What is found on a machine before its record was taken into the table came in without the jobs that it awaits.
-test('a job enters the registry by its record alone, also where a machine names it first', () => {
-  const core = new Controller(settings('n0'), 'boot');
-  for (const [index, [key, value]] of HISTORY.slice(0, 4).entries()) core.replica.set(key, value, index + 1);
-  core.clusterState.jobs.delete('run-m');
-  const job = core.clusterState.restoreJob('run-m', core.replica.get('a/j/run-m'), 100);
+// Guards against a job that is found on a machine before its record is processed and enters the cluster state without its
+// dependencies.
+test('a job enters the registry only from its record, also if a machine reports it first', () => {
+  const controller = new Controller(settings('n0'), 'boot');
+  for (const [index, [key, value]] of HISTORY.slice(0, 4).entries()) controller.replica.set(key, value, index + 1);
+  controller.clusterState.jobs.delete('run-m');
+  const job = controller.clusterState.restoreJob('run-m', controller.replica.get('a/j/run-m'), 100);
   assert.equal(job?.isBlocked, true);
-  assert.equal(core.clusterState.restoreJob('run-never', null, 100), null);
+  assert.equal(controller.clusterState.restoreJob('run-never', null, 100), null);
 });
 
-// An input that failed took all that waited with it: changes that were lost so were never read again.
-test('an input that fails costs no other, and a change that can not be taken none that come with it', () => {
+// Guards against a failed input that discards all inputs queued behind it: changes that are lost this way are never read again.
+test('a failed input affects no other input, and a change that cannot be processed no other change of its batch', () => {
   const seen: string[] = [];
   const failed: unknown[] = [];
   const inbox = new Inbox({
@@ -163,18 +166,19 @@
   assert.deepEqual(errors, ['a/odd', 'a/odd']);
 });
 
-// A new holder that found the work counted its time anew: jobs that are over leave the table of all but their owner.
-test('the time of a cancellation counts from its first reading, whoever finds a task of the job later', () => {
-  const core = new Controller(settings('n0'), 'boot');
+// Finished jobs leave the cluster state of all controllers but the lease holder. Guards against a new lease holder that finds a
+// task of a cancelled job and counts the time of the cancellation anew.
+test('the time of a cancellation counts from its first reading, also if a task of the job is found later', () => {
+  const controller = new Controller(settings('n0'), 'boot');
   const [key, value] = accepted('run-a');
-  core.receiveChanges([{ key, value, revision: 1 }], 1, 900, 1000);
-  core.receiveChanges([{ key, value: cancelled('run-a')[1], revision: 2 }], 2, 1900, 2000);
-  assert.equal(core.clusterState.jobs.has('run-a'), false, 'nothing is left to do for it here');
-  assert.equal(core.clusterState.restoreJob('run-a', core.replica.get(key), 30_000)?.cancelledAt, 2000);
+  controller.receiveChanges([{ key, value, revision: 1 }], 1, 900, 1000);
+  controller.receiveChanges([{ key, value: cancelled('run-a')[1], revision: 2 }], 2, 1900, 2000);
+  assert.equal(controller.clusterState.jobs.has('run-a'), false, 'nothing is left to do for it here');
+  assert.equal(controller.clusterState.restoreJob('run-a', controller.replica.get(key), 30_000)?.cancelledAt, 2000);
 });
 
-test('a list in pages is taken whole: a later page is asked for again, one that can not be read is told', async () => {
-  let asked = 0;
+test('a paged list is read whole: a refused page is requested again, and an unreadable one is reported', async () => {
+  let requestCount = 0;
   let isReadable = true;
   const host = (index: number) => ({
     ref: `n-${index}`,
@@ -185,9 +189,9 @@
     age_s: 1,
   });
   const server = createServer(({ query }) => {
-    asked++;
+    requestCount++;
     if (query.get('since') === null) return { status: 200, body: { hosts: [host(1)], has_next: true } };
-    if (asked === 2) return { status: 429, body: {} };
+    if (requestCount === 2) return { status: 429, body: {} };
     return { status: 200, body: isReadable ? { hosts: [host(2)], has_next: false } : { hosts: 'none' } };
   });
   const cloud = new CloudClient(await listen(server), 100);
@@ -205,7 +209,7 @@
   server.closeAllConnections();
 });
 
-test('all keys are loaded though a page fails on the way', async () => {
+test('all keys are loaded although one page fails at first', async () => {
   let pages = 0;
   const server = createServer(({ path, query }) => {
     if (path === '/leases') return { status: 200, body: { permit: 1 } };
--- a/test/wire-formats.test.ts
+++ b/test/wire-formats.test.ts
@@ -48,12 +48,12 @@
 });
 
 test('a removed key has no value in the changes, and must not stop the watch', () => {
-  const r = parseChanges({ ledger: 433, log: [{ remove: 'a/d', stamp: 432 }] });
-  assert.deepEqual(r, { revision: 433, changes: [{ key: 'a/d', value: undefined, revision: 432 }] });
+  const parsed = parseChanges({ ledger: 433, log: [{ remove: 'a/d', stamp: 432 }] });
+  assert.deepEqual(parsed, { revision: 433, changes: [{ key: 'a/d', value: undefined, revision: 432 }] });
 });
 
-test('a heartbeat forwarded between controllers arrives as it was', () => {
-  const report = {
+test('a heartbeat forwarded between controllers arrives unchanged', () => {
+  const heartbeat = {
     machine: 'n-1',
     address: '10.1.0.1:9000',
     type: 'g8',
@@ -67,12 +67,12 @@
       { job: 'run-1', index: 3, attempt: 2 ** 45 + 1, state: 'exited' as const, exitReason: 'done' as const, saved: false },
     ],
   };
-  assert.deepEqual(decodePeerMessage(encodePeerMessage({ node: 'a', status: null, heartbeat: report })).heartbeat, report);
+  assert.deepEqual(decodePeerMessage(encodePeerMessage({ node: 'a', status: null, heartbeat })).heartbeat, heartbeat);
 });
 
-// A heartbeat whose `status` was `constructor` was decoded to a function: the word was looked up in an object, which has the
-// members of every object beside its own.
-test('words that every object has as members are taken as unknown ones', () => {
+// Guards against words that are looked up in a plain object, which also has inherited members: a heartbeat whose `status` was
+// `constructor` was decoded to a function.
+test('words that are inherited members of every object are treated as unknown words', () => {
   for (const word of ['constructor', 'toString', 'valueOf', 'hasOwnProperty', '__proto__', 'isPrototypeOf']) {
     const heartbeat = parseHeartbeat({
       ...{ host: 'n-1', address: '10.1.0.1:9000', build: 'g8', yard: 'a', loaners: false, shift: 1, tally: 1 },
