--- a/packages/http-api/src/heartbeat-connection.ts
+++ b/packages/http-api/src/heartbeat-connection.ts
@@ -1,7 +1,7 @@
 /**
- * A connection on which a worker sends heartbeats, by far the most frequent requests. Node's HTTP server needs 1.5 times the
- * CPU time, because it creates streams for each request and response. This class passes received bytes directly to the
- * parser, and sends a response with a single write.
+ * A connection on which a worker sends heartbeats, by far the most frequent requests. Node's HTTP server would take 1.5 times
+ * as much CPU time per request, because it creates streams for each request and response. This class passes received bytes
+ * directly to the parser, and sends a response with a single write.
  */
 import type net from 'node:net';
 import { MAX_BODY_BYTES, PATHS } from '@archpost/protocol';
--- a/packages/http-api/src/http-api.ts
+++ b/packages/http-api/src/http-api.ts
@@ -14,7 +14,7 @@
 import { PendingRequests } from './pending-requests.js';
 import { HttpResponder, type Responder } from './responder.js';
 
-/** An admitted request. Its id is the one that `HttpApi.respond` takes. */
+/** An admitted request. Its id is passed to `HttpApi.respond` to respond to it. */
 export type ApiRequest =
   | { kind: 'heartbeat'; id: number; heartbeat: Heartbeat }
   /** `body`: null if it can't be decoded as a map */
@@ -124,7 +124,7 @@
     this.options.onRequest({ kind: 'cancel', id, job });
   }
 
-  /** Reads a heartbeat on a connection whose first request was another one, so that Node's HTTP server serves it. */
+  /** Reads a heartbeat on a connection that Node's HTTP server serves, because its first request was not a heartbeat. */
   private readHeartbeat(request: http.IncomingMessage, response: http.ServerResponse): void {
     const chunks: Buffer[] = [];
     let size = 0;
@@ -150,8 +150,8 @@
   }
 
   /**
-   * Processes paths with a plain job id without Express, which would take several times as much CPU time as the query itself.
-   * At peak load, queries arrive at eight times the usual rate.
+   * Processes a status query. If the path contains a plain job id, Express is bypassed, because it would take several times as
+   * much CPU time as the query itself. At peak load, queries arrive at eight times the usual rate.
    */
   private receiveStatusQuery(request: http.IncomingMessage, path: string, response: http.ServerResponse): void {
     const job = path.slice(STATUS_QUERY_PREFIX.length);
--- a/packages/http-api/src/pending-requests.ts
+++ b/packages/http-api/src/pending-requests.ts
@@ -2,7 +2,7 @@
 import type { ClientKind } from './connection-limiter.js';
 import type { Responder } from './responder.js';
 
-/** What is needed to respond to a request. */
+/** The responder of a request, and the data that its response depends on. */
 export interface PendingRequest {
   responder: Responder;
   clientKind: ClientKind;
--- a/packages/http-api/src/responder.ts
+++ b/packages/http-api/src/responder.ts
@@ -1,4 +1,4 @@
-/** Sending of responses, through Node's HTTP server or directly to a socket. */
+/** Sends responses, through Node's HTTP server or directly to a socket. */
 import http from 'node:http';
 
 /** A response with its body encoded as MessagePack. */
--- a/packages/server/src/request-limits.ts
+++ b/packages/server/src/request-limits.ts
@@ -11,20 +11,23 @@
 const MIN_LEASE_S = 1;
 const MAX_LEASE_S = 600;
 
-/** Requests per second of this controller to the state service, from the lower of the current and the announced limit. */
+/**
+ * Returns the number of requests per second that this controller may send to the state service, from the lower of the current
+ * and the announced limit.
+ */
 export function stateRequestsPerS({ state, controllers }: ControllerSettings): number {
   const limit = Math.min(state.requestsPerS, state.next?.requestsPerS ?? state.requestsPerS);
   return (limit * USED_FRACTION) / controllers.length;
 }
 
-/** Requests per second of this controller to the cloud. */
+/** Returns the number of requests per second that this controller may send to the cloud. */
 export function cloudRequestsPerS({ cloud, controllers }: ControllerSettings): number {
   return cloud.requestsPerS * Math.max(MIN_CLOUD_FRACTION, USED_FRACTION / controllers.length);
 }
 
 /**
- * The duration of the lease at the state service, in milliseconds: half of the maximum time of a cancellation. Such a lease
- * survives short outages, and leaves the other controllers time to take over.
+ * Returns the duration of the lease at the state service, in milliseconds: half of the maximum time of a cancellation. Such a
+ * lease survives short outages, and leaves the other controllers time to take over.
  */
 export function stateLeaseMs({ workers }: ControllerSettings): number {
   return Math.round(Math.min(MAX_LEASE_S, Math.max(MIN_LEASE_S, workers.cancelS / 2)) * 1000);
--- a/packages/server/src/service.ts
+++ b/packages/server/src/service.ts
@@ -21,7 +21,7 @@
 
 /**
  * Submissions and cancellations that are admitted per second and core under overload. Each takes a few milliseconds, so
- * they take a tenth of the CPU time.
+ * they take a tenth of the core's CPU time.
  */
 const MUTATIONS_PER_S_PER_CORE = 30;
 
@@ -72,8 +72,8 @@
       clockDrift: CLOCK_DRIFT_FRACTION,
     });
     this.cloud = new CloudClient(settings.cloudAddress, cloudRequestsPerS(controllerSettings));
-    // All workers may connect to one controller, with one connection each. Connections for commands, of which the least
-    // recently used ones are closed, must leave enough sockets for them and for users.
+    // All workers may connect to one controller, with one connection each. The connections for commands must leave enough
+    // sockets for these connections and for users, so the least recently used ones are closed.
     this.workers = new WorkerClient(maxCommandSockets(settings));
     this.peers = new PeerTransport(settings.peers);
     this.api = this.createApi();
--- a/packages/server/src/settings/operator-settings.ts
+++ b/packages/server/src/settings/operator-settings.ts
@@ -3,7 +3,7 @@
 import * as z from 'zod';
 import { positiveNumber } from './field-schemas.js';
 
-/** Rejects unknown fields: the operators' file is written for this version, so an unknown field is a typing error. */
+/** Rejects unknown fields: the operators' file is written for this version, so an unknown field is a typo. */
 export const operatorSchema = z.strictObject({
   plan_wait_s: positiveNumber.default(10),
   silent_s: positiveNumber.nullish(),
--- a/packages/server/src/sizing.ts
+++ b/packages/server/src/sizing.ts
@@ -25,12 +25,15 @@
 const IDLE_PROCESS_MB = 80;
 const KB_PER_MACHINE = 24;
 
-/** Maximum number of open connections to workers for commands. */
+/** Returns the maximum number of open connections to workers for commands. */
 export function maxCommandSockets({ maxSockets }: Settings): number {
   return Math.floor(maxSockets * COMMAND_SOCKET_FRACTION);
 }
 
-/** Sockets for connections from workers and users: those not reserved for peers and for connections that this process opens. */
+/**
+ * Returns the number of sockets for connections from workers and users: those not reserved for peers and for connections that
+ * this process opens.
+ */
 export function maxInboundSockets(settings: Settings): number {
   const peerSockets = SOCKETS_PER_PEER * settings.peers.length;
   return Math.max(1, settings.maxSockets - maxCommandSockets(settings) - STATE_SOCKETS - CLOUD_SOCKETS - peerSockets);
@@ -42,7 +45,9 @@
   what: 'machine_limits.max_sockets' | 'machine_limits.mem_mb' | 'state.write_rps';
   /** maximum number of machines, set by the operators */
   machines: number;
+  /** the configured value */
   have: number;
+  /** the value that the maximum number of machines requires */
   need: number;
   /** the missing amount, rounded up */
   short: number;
--- a/packages/server/src/tick-timer.ts
+++ b/packages/server/src/tick-timer.ts
@@ -42,7 +42,7 @@
     this.inbox.enqueueControlEvent(() => this.tick());
   }
 
-  /** Schedules the next tick even if this one throws. */
+  /** Runs a tick, and schedules the next one even if this one throws. */
   private tick(): void {
     const startedAt = monotonicMs();
     try {
