--- a/test/loopback/single-controller.ts
+++ b/test/loopback/single-controller.ts
@@ -13,7 +13,7 @@
   reportS?: number;
 }
 
-/** The controller and the services and workers that it talks to. */
+/** The controller, and the services and workers that it communicates with. */
 export interface SingleController {
   state: StateServer;
   cloud: CloudServer;
--- a/test/loopback/worker-fleet.ts
+++ b/test/loopback/worker-fleet.ts
@@ -81,19 +81,19 @@
   private async sendHeartbeat(): Promise<void> {
     const { controllers } = this.fleet;
     const sentAt = Date.now();
-    const answer = await this.fleet.post(
+    const response = await this.fleet.post(
       controllers[this.controllerIndex % controllers.length] as string,
       '/checkin',
       this.nextHeartbeat(),
       this.agent,
     );
-    const redirectIndex = typeof answer?.body.home === 'string' ? this.fleet.names.indexOf(answer.body.home) : -1;
-    if (answer?.status === 200) {
+    const redirectIndex = typeof response?.body.home === 'string' ? this.fleet.names.indexOf(response.body.home) : -1;
+    if (response?.status === 200) {
       this.acceptedHeartbeats++;
       this.recordRenewal(sentAt);
-      this.acceptCommands(answer.body);
+      this.acceptCommands(response.body);
       this.schedule(this.fleet.reportMs * (0.75 + 0.5 * Math.random()));
-    } else if (answer?.status === 421 && redirectIndex >= 0 && redirectIndex !== this.controllerIndex % controllers.length) {
+    } else if (response?.status === 421 && redirectIndex >= 0 && redirectIndex !== this.controllerIndex % controllers.length) {
       this.controllerIndex = redirectIndex;
       this.schedule(Math.random() * CHANGE_HEARTBEAT_DELAY_MS);
     } else {
@@ -178,7 +178,7 @@
     readonly reportMs = 2000,
   ) {}
 
-  /** Adds `count` workers that alternate between the zones, or only those of the given part if they are split into `parts`. */
+  /** Adds `count` workers that alternate between the zones. If they are split into `parts`, adds only those of one `part`. */
   async add(count: number, zones: string[], part = 0, parts = 1): Promise<void> {
     for (let index = this.workers.length, counted = 0; counted < count; index++) {
       const host = `127.${1 + (index >> 16)}.${(index >> 8) & 255}.${index & 255}`;
--- a/test/measure/costs.ts
+++ b/test/measure/costs.ts
@@ -32,9 +32,9 @@
   readonly quantities = new Map<string, Distribution>();
 
   add(name: string, value: number): void {
-    const known = this.quantities.get(name) ?? new Distribution();
-    this.quantities.set(name, known);
-    known.add(value);
+    const distribution = this.quantities.get(name) ?? new Distribution();
+    this.quantities.set(name, distribution);
+    distribution.add(value);
   }
 }
 
--- a/test/measure/ledger.ts
+++ b/test/measure/ledger.ts
@@ -124,8 +124,8 @@
 for (const controller of controllers) controller.start([], environment('no'));
 for (const controller of controllers) while (!(await controller.isUp())) await sleep(UP_POLL_INTERVAL_MS);
 fleet.start();
-const grantCount = () => [...state.state.keys.keys()].filter((key) => key.startsWith('a/g/')).length;
-while (grantCount() < machines) await sleep(100);
+const assignedCount = () => [...state.state.keys.keys()].filter((key) => key.startsWith('a/g/')).length;
+while (assignedCount() < machines) await sleep(100);
 await sleep(SETTLE_MS / 4);
 await measurePhase('idle machines', () => sleep(phaseS * 1000));
 await measurePhase('services submitted', async () => {
--- a/test/measure/loopback.ts
+++ b/test/measure/loopback.ts
@@ -29,10 +29,10 @@
 async function printUsage(what: string): Promise<void> {
   for (let index = 0; index < WINDOWS && !controller.ended; index++) {
     const before = controller.processorMs();
-    const answered = fleet.workers.reduce((count, worker) => count + worker.acceptedHeartbeats, 0);
+    const acceptedBefore = fleet.workers.reduce((count, worker) => count + worker.acceptedHeartbeats, 0);
     await sleep(WINDOW_MS);
     const perS = (value: number) => Math.round((value * 1000) / WINDOW_MS);
-    const heartbeats = fleet.workers.reduce((count, worker) => count + worker.acceptedHeartbeats, 0) - answered;
+    const heartbeats = fleet.workers.reduce((count, worker) => count + worker.acceptedHeartbeats, 0) - acceptedBefore;
     console.log(
       `${what}: ${controller.residentMb().toFixed(0)} MB, ${controller.openSockets()} sockets, ` +
         `${perS(controller.processorMs() - before)} processor ms per second, ${perS(heartbeats)} heartbeats per second`,
@@ -42,10 +42,10 @@
 
 console.log(`up after ${await startAndWait()} ms with ${controller.residentMb().toFixed(0)} MB`);
 fleet.start();
-const grantCount = () => [...state.state.keys.keys()].filter((key) => key.startsWith('a/g/')).length;
+const assignedCount = () => [...state.state.keys.keys()].filter((key) => key.startsWith('a/g/')).length;
 const from = Date.now();
-while (grantCount() < machines && !controller.ended) await sleep(POLL_INTERVAL_MS);
-console.log(`${grantCount()} machines granted after ${Date.now() - from} ms`);
+while (assignedCount() < machines && !controller.ended) await sleep(POLL_INTERVAL_MS);
+console.log(`${assignedCount()} machines assigned after ${Date.now() - from} ms`);
 await printUsage('idle');
 for (let index = 0; index < machines / MACHINES_PER_SERVICE; index++) {
   const service = job(`run-s${index}`, { shape: 'service', tasks: REPLICAS_PER_SERVICE, priority: 3, cpus: 1, memory: 1 });
--- a/test/measure/starvation.ts
+++ b/test/measure/starvation.ts
@@ -183,9 +183,9 @@
 /** Kills machines of the first worker process. Returns their names. */
 async function killMachines({ workers }: Processes, count: number): Promise<string[]> {
   const child = workers[0] as ChildProcess;
-  const answer = messageOf(child, 'dead');
+  const response = messageOf(child, 'dead');
   child.send({ type: 'die', count } satisfies ToWorkers);
-  return (await answer).names;
+  return (await response).names;
 }
 
 /** Stops and continues the side once per period until the end of the run. */
@@ -210,13 +210,13 @@
   return { diedAt, deadNames, releasedAt, processorMs: controller.processorMs() - processorBefore };
 }
 
-/** Sums the summaries of all workers. */
+/** Sums the summaries of all worker processes. */
 async function workersFigures({ workers }: Processes): Promise<Record<string, unknown>> {
   const summaries = await Promise.all(
     workers.map(async (child) => {
-      const answer = messageOf(child, 'summary');
+      const response = messageOf(child, 'summary');
       child.send({ type: 'summary' } satisfies ToWorkers);
-      return (await answer).summary;
+      return (await response).summary;
     }),
   );
   const total = (of: (summary: WorkersSummary) => number) => summaries.reduce((sum, summary) => sum + of(summary), 0);
--- a/test/randomized/randomized-simulation.ts
+++ b/test/randomized/randomized-simulation.ts
@@ -52,7 +52,7 @@
     this.faultKinds = options.faultKinds ?? FAULTS;
     this.random = new Random(seed);
     this.cluster = this.createCluster();
-    if (options.initialVersion) this.startWith(options.initialVersion);
+    if (options.initialVersion) this.startWithVersion(options.initialVersion);
     this.addMachines();
     this.cluster.runUntilSettled();
     this.users = new SimulatedUsers(this.cluster, this.random, options, () => this.isUpgraded);
@@ -84,13 +84,13 @@
     for (let index = 0; index < big; index++) this.cluster.addMachine(`g${index}`, 'big', index % 2 === 0 ? 'east' : 'west');
   }
 
-  private startWith(old: ControllerVersion): void {
+  private startWithVersion(initialVersion: ControllerVersion): void {
     this.cluster.controllers.forEach((node, index) => {
-      const present = node.version;
-      node.version = old;
+      const currentVersion = node.version;
+      node.version = initialVersion;
       node.restart();
       this.cluster.runAt(UPGRADE_AT_MS + index * UPGRADE_INTERVAL_MS, () => {
-        node.version = present;
+        node.version = currentVersion;
         if (node.up) node.crash();
         node.restart();
       });
@@ -174,22 +174,26 @@
     if (findings().length > 0) this.cluster.fail(`not recovered long after the faults:\n${findings().join('\n')}`);
   }
 
-  /** Checks after the faults that every controller answers for every accepted job, and that every job that can run has run. */
+  /** Checks after the faults that every controller returns a status for every accepted job, and that every job that can run has run. */
   private checkRecovery(): void {
     const { cluster, users } = this;
-    for (const [id, known] of users.trackedJobs) if (!known.accepted) cluster.specs.has(id) && users.request('submit', id);
+    for (const [id, tracked] of users.trackedJobs) if (!tracked.accepted) cluster.specs.has(id) && users.request('submit', id);
     cluster.run(60);
     // Services never end; cancelling them frees the capacity that the other jobs need.
     for (let index = 0; index < 5; index++) {
-      for (const [id, known] of users.trackedJobs)
-        if (known.accepted && known.finalStatus === null && (known.cancelRequested || cluster.specs.get(id)?.shape === 'service'))
+      for (const [id, tracked] of users.trackedJobs)
+        if (
+          tracked.accepted &&
+          tracked.finalStatus === null &&
+          (tracked.cancelRequested || cluster.specs.get(id)?.shape === 'service')
+        )
           users.request('cancel', id);
       cluster.run(2);
     }
     const unfinished = () =>
-      [...users.trackedJobs].filter(([id, known]) => {
+      [...users.trackedJobs].filter(([id, tracked]) => {
         const spec = cluster.specs.get(id);
-        if (!known.accepted || known.finalStatus !== null || !spec || users.hasCancelledDependency(id)) return false;
+        if (!tracked.accepted || tracked.finalStatus !== null || !spec || users.hasCancelledDependency(id)) return false;
         return !Array.from({ length: spec.tasks }, (_, index) => cluster.finished.has(`${id}/${index}`)).some((isDone) => isDone);
       });
     for (let index = 0; index < 30 && unfinished().length > 0; index++) cluster.run(10);
@@ -197,23 +201,23 @@
     if (left.length > 0) this.cluster.fail(`unfinished long after the faults:\n${left.join('\n')}`);
     this.checkSettled();
     if (cluster.stateService.tooLargeCount > 0) cluster.fail(`${cluster.stateService.tooLargeCount} transactions were too large`);
-    for (const node of cluster.controllers) this.checkAllAnswered(node);
+    for (const node of cluster.controllers) this.checkStatusResponses(node);
   }
 
-  /** Checks that the controller answers for every accepted job, and reports dependents of cancelled jobs as cancelled. */
-  private checkAllAnswered(node: SimulatedController): void {
+  /** Checks that the controller returns a status for every accepted job, and reports dependents of cancelled jobs as cancelled. */
+  private checkStatusResponses(node: SimulatedController): void {
     const { cluster, users } = this;
-    const accepted = [...users.trackedJobs].filter(([, known]) => known.accepted);
-    for (let at = 0; at < accepted.length; at += QUERIES_AT_ONCE) {
-      const some = accepted.slice(at, at + QUERIES_AT_ONCE);
-      for (const [id, known] of some) {
-        known.answeredAt = -1;
+    const accepted = [...users.trackedJobs].filter(([, tracked]) => tracked.accepted);
+    for (let start = 0; start < accepted.length; start += QUERIES_AT_ONCE) {
+      const batch = accepted.slice(start, start + QUERIES_AT_ONCE);
+      for (const [id, tracked] of batch) {
+        tracked.lastResponseAt = -1;
         users.request('poll', id, node);
       }
-      for (let index = 0; index < 30 && some.some(([, known]) => known.answeredAt < 0); index++) cluster.run(0.1);
-      for (const [id, known] of some) {
-        if (known.answeredAt < 0) cluster.fail(`forgotten: ${id} has no answer from ${node.name}`);
-        if (users.hasCancelledDependency(id) && known.finalStatus !== 'aborted')
+      for (let index = 0; index < 30 && batch.some(([, tracked]) => tracked.lastResponseAt < 0); index++) cluster.run(0.1);
+      for (const [id, tracked] of batch) {
+        if (tracked.lastResponseAt < 0) cluster.fail(`forgotten: ${id} has no answer from ${node.name}`);
+        if (users.hasCancelledDependency(id) && tracked.finalStatus !== 'aborted')
           cluster.fail(`orphaned: ${id} remains active at ${node.name}`);
       }
     }
--- a/test/randomized/users.ts
+++ b/test/randomized/users.ts
@@ -3,14 +3,14 @@
 import { job, type SimulatedCluster, type SimulatedController } from '../simulation/index.js';
 import type { Random } from './random.js';
 
-/** What users know of a job from the responses of all controllers. */
+/** The state of a job according to the responses that users received from all controllers. */
 export interface TrackedJob {
   accepted: boolean;
   /** the final status that a response reported; null: none did */
   finalStatus: 'done' | 'aborted' | null;
   cancelRequested: boolean;
   /** time of the last response about the job */
-  answeredAt: number;
+  lastResponseAt: number;
 }
 
 const TEAMS = ['red', 'blue', 'green'] as const;
@@ -61,11 +61,11 @@
     return up.length > 0 ? this.random.pick(up) : undefined;
   }
 
-  /** Checks a response against what was known of the job when the request was sent (`before`). */
-  private recordAnswer(id: string, before: TrackedJob, status: number, state: string): void {
+  /** Checks a response against the tracked state of the job when the request was sent (`before`). */
+  private recordResponse(id: string, before: TrackedJob, status: number, state: string): void {
     if (status === 503 || status === 429) return;
-    const known = this.trackedJobs.get(id) as TrackedJob;
-    known.answeredAt = this.cluster.now;
+    const tracked = this.trackedJobs.get(id) as TrackedJob;
+    tracked.lastResponseAt = this.cluster.now;
     if (before.accepted && (status === 404 || status === 400 || status === 422))
       this.cluster.fail(`forgotten: ${id} answered ${status}`);
     // Simulated users submit only jobs that can run and dependencies that were accepted.
@@ -77,8 +77,8 @@
       this.cluster.fail(`went_back: ${id} reported cancelled, but no user cancelled it`);
     if (state === 'done' && !this.cluster.allTasksDone(id))
       this.cluster.fail(`not_done: ${id} is reported done with unfinished tasks`);
-    if (state === 'done' || state === 'aborted') known.finalStatus = state;
-    known.accepted = true;
+    if (state === 'done' || state === 'aborted') tracked.finalStatus = state;
+    tracked.accepted = true;
     this.cluster.rules.recordAnswer(id, state);
   }
 
@@ -103,21 +103,21 @@
   /** Gives half of the jobs up to three dependencies among the recently accepted jobs, in whatever state these are. */
   private chooseDependencies(id: string): void {
     if (!this.options.pipelines || !this.mayUseNewFeatures() || this.random.next() < 0.5) return;
-    const known = [...this.trackedJobs]
+    const recentJobs = [...this.trackedJobs]
       .filter(([other, candidate]) => candidate.accepted && this.cluster.specs.get(other)?.shape !== 'service')
       .slice(-8);
-    if (known.length === 0) return;
-    const names = Array.from({ length: 1 + this.random.below(3) }, () => this.random.pick(known)[0]);
+    if (recentJobs.length === 0) return;
+    const names = Array.from({ length: 1 + this.random.below(3) }, () => this.random.pick(recentJobs)[0]);
     this.cluster.awaits.set(id, [...new Set(names)]);
   }
 
   request(kind: 'submit' | 'poll' | 'cancel', id: string, node = this.anyController()): void {
     const spec = this.cluster.specs.get(id);
-    const known = this.trackedJobs.get(id);
-    if (!node || !spec || !known) return;
-    const before = { ...known };
-    if (kind === 'cancel') known.cancelRequested = true;
-    const then = (status: number, body: Record<string, unknown>) => this.recordAnswer(id, before, status, String(body.status));
+    const tracked = this.trackedJobs.get(id);
+    if (!node || !spec || !tracked) return;
+    const before = { ...tracked };
+    if (kind === 'cancel') tracked.cancelRequested = true;
+    const then = (status: number, body: Record<string, unknown>) => this.recordResponse(id, before, status, String(body.status));
     if (kind === 'submit') node.submit(spec, then);
     else if (kind === 'poll') node.queryStatus(id, then);
     else node.cancel(id, then);
@@ -178,7 +178,7 @@
         }),
       );
     this.chooseDependencies(id);
-    this.trackedJobs.set(id, { accepted: false, finalStatus: null, cancelRequested: false, answeredAt: this.cluster.now });
+    this.trackedJobs.set(id, { accepted: false, finalStatus: null, cancelRequested: false, lastResponseAt: this.cluster.now });
     this.request('submit', id);
   }
 
@@ -233,7 +233,7 @@
     const id = `run-w${this.jobCount++}`;
     this.cluster.specs.set(id, job(id, { team: this.random.pick(TEAMS), ...over }));
     if (awaits.length > 0) this.cluster.awaits.set(id, awaits);
-    this.trackedJobs.set(id, { accepted: false, finalStatus: null, cancelRequested: false, answeredAt: this.cluster.now });
+    this.trackedJobs.set(id, { accepted: false, finalStatus: null, cancelRequested: false, lastResponseAt: this.cluster.now });
     this.request('submit', id);
     return id;
   }
@@ -252,8 +252,8 @@
       if (this.trackedJobs.get(id)?.finalStatus !== null) this.toCancel.delete(id);
       else if (this.random.next() < 0.05) this.request('cancel', id);
     }
-    const open = [...this.trackedJobs].filter(([, known]) => known.accepted && known.finalStatus === null);
-    for (let index = 0; index < open.length / 50; index++) this.request('poll', this.random.pick(open)[0]);
+    const activeJobs = [...this.trackedJobs].filter(([, tracked]) => tracked.accepted && tracked.finalStatus === null);
+    for (let index = 0; index < activeJobs.length / 50; index++) this.request('poll', this.random.pick(activeJobs)[0]);
   }
 
   /** Performs the user actions of one simulation step of 0.1 s. */
@@ -278,15 +278,15 @@
     if (this.random.next() < 0.025) this.request('cancel', this.random.pick(recent));
     // Repeats submissions that were not accepted and cancellations that were not confirmed.
     for (const id of recent) {
-      const known = this.trackedJobs.get(id) as TrackedJob;
-      if (!known.accepted && this.random.next() < 0.1) this.request('submit', id);
-      if (known.cancelRequested && known.finalStatus === null && this.random.next() < 0.1) this.request('cancel', id);
+      const tracked = this.trackedJobs.get(id) as TrackedJob;
+      if (!tracked.accepted && this.random.next() < 0.1) this.request('submit', id);
+      if (tracked.cancelRequested && tracked.finalStatus === null && this.random.next() < 0.1) this.request('cancel', id);
     }
   }
 
   /** Cancels those of the last six submitted jobs that were accepted and have no final status. */
   cancelRecentJobs(): void {
-    for (const [id, known] of [...this.trackedJobs].slice(-6))
-      if (known.accepted && !known.finalStatus) this.request('cancel', id);
+    for (const [id, tracked] of [...this.trackedJobs].slice(-6))
+      if (tracked.accepted && !tracked.finalStatus) this.request('cancel', id);
   }
 }
--- a/test/scenarios/loopback-fixtures.ts
+++ b/test/scenarios/loopback-fixtures.ts
@@ -13,10 +13,10 @@
 export async function waitForCount(what: string, wanted: number, count: () => number | Promise<number>): Promise<void> {
   let highest = -1;
   for (let waited = 0; waited < STANDSTILL_LIMIT_MS; waited += POLL_INTERVAL_MS) {
-    const present = await count();
-    if (present === wanted) return;
-    if (present > highest) waited = 0;
-    highest = Math.max(highest, present);
+    const current = await count();
+    if (current === wanted) return;
+    if (current > highest) waited = 0;
+    highest = Math.max(highest, current);
     await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
   }
   assert.fail(`no progress: ${what}: ${highest} of ${wanted}`);
--- a/test/scenarios/partition-scenarios.ts
+++ b/test/scenarios/partition-scenarios.ts
@@ -3,13 +3,13 @@
 import type { Heartbeat } from '@archpost/protocol';
 import type { SimulatedCluster, SimulatedController, SimulatedWorker } from '../simulation/index.js';
 
-/** The first worker that runs a task of the job. */
+/** Returns the first worker that runs a task of the job. */
 export const workerRunning = (cluster: SimulatedCluster, id: string) =>
   cluster.workers.find((worker) => worker.name === cluster.machinesRunning(id)[0]) as SimulatedWorker;
 
 /**
  * Delivers a copy of a heartbeat to a controller, as if the network had delayed it. Returns the status code of the response;
- * 0: there was none.
+ * 0 if there is none.
  */
 export const deliverHeartbeatCopy = (node: SimulatedController, heartbeat: Heartbeat) => {
   let responseStatus = 0;
--- a/test/simulation/cluster.ts
+++ b/test/simulation/cluster.ts
@@ -18,7 +18,9 @@
   readonly specs = new Map<string, JobSpec>();
   /** ids of the dependencies of each job; every submission of the job lists them */
   readonly awaits = new Map<string, string[]>();
+  /** time of the first response that reported a job as cancelled, by job id */
   readonly cancelledAt = new Map<string, number>();
+  /** tasks that ended as done, as `job/index` */
   readonly finished = new Set<string>();
   readonly rules = new RuleChecker(this);
   /** ids of jobs whose tasks fail on every machine */
@@ -34,7 +36,7 @@
   isPartitioned: (a: string, b: string) => boolean = () => false;
   /** Reports whether commands and responses of the controller don't reach the machine; the machine's heartbeats still arrive. */
   losesControllerMessages: (controller: string, machine: string) => boolean = () => false;
-  /** Reports whether direct commands of the controller to the machine are lost; its heartbeats are still answered. */
+  /** Reports whether direct commands of the controller to the machine are lost; the machine's heartbeats still get responses. */
   losesCommands: (controller: string, machine: string) => boolean = () => false;
   /** Reports whether the controller can't connect to the machine, so that direct commands are not sent. */
   refusesCommands: (controller: string, machine: string) => boolean = () => false;
@@ -128,7 +130,7 @@
     return names;
   }
 
-  /** The cloud's machine list; empty in clusters whose cloud has no capacity. */
+  /** Returns the cloud's machine list; empty in clusters whose cloud has no capacity. */
   machineList(): ListedMachine[] {
     if (!this.bootTimeMs) return [];
     return this.workers
@@ -189,24 +191,24 @@
   }
 
   cancel(id: string, at = this.controllers.find((node) => node.up) as SimulatedController): void {
-    let answer = '';
+    let response = '';
     at.cancel(id, (_code, body) => {
-      answer = String(body.status ?? body.error);
+      response = String(body.status ?? body.error);
     });
-    this.runUntil(`${id} cancelled`, () => answer !== '', 6);
-    this.rules.recordAnswer(id, answer);
-    this.note(`user received ${answer} for ${id}`);
+    this.runUntil(`${id} cancelled`, () => response !== '', 6);
+    this.rules.recordAnswer(id, response);
+    this.note(`user received ${response} for ${id}`);
   }
 
   /** Queries the job as a user. Returns its status, or the status code of an error response. */
   queryStatus(id: string, at = this.controllers.find((node) => node.up) as SimulatedController): string {
-    let answer = '';
+    let response = '';
     at.queryStatus(id, (code, body) => {
-      answer = code === 200 ? String(body.status) : String(code);
+      response = code === 200 ? String(body.status) : String(code);
     });
-    this.runUntil(`${id} answered`, () => answer !== '', 6);
-    this.rules.recordAnswer(id, answer);
-    return answer;
+    this.runUntil(`${id} answered`, () => response !== '', 6);
+    this.rules.recordAnswer(id, response);
+    return response;
   }
 
   machinesRunning(id: string): string[] {
@@ -228,7 +230,7 @@
     assert.fail(`${what}\n${this.trace.join('\n')}`);
   }
 
-  /** Whether all tasks of the job are done. */
+  /** Returns whether all tasks of the job are done. */
   allTasksDone(id: string): boolean {
     const spec = this.specs.get(id);
     if (!spec) return false;
@@ -266,11 +268,11 @@
 
 const firstUpController = (cluster: SimulatedCluster) => cluster.controllers.find((node) => node.up);
 
-/** The job's shard in the cluster state of the first running controller; -1: the job is not in it. */
+/** Returns the job's shard in the cluster state of the first running controller; -1 if the job is not in it. */
 export const shardOf = (cluster: SimulatedCluster, id: string): number =>
   firstUpController(cluster)?.controller.clusterState.jobs.get(id)?.shard ?? -1;
 
-/** The shard's lease holder in the cluster state of the first running controller; empty: none. */
+/** Returns the name of the shard's lease holder in the cluster state of the first running controller; empty if there is none. */
 export const holderOf = (cluster: SimulatedCluster, shard: number | 'lead'): string =>
   firstUpController(cluster)?.controller.clusterState.leaseOf(shard)?.holder.controller ?? '';
 
--- a/test/simulation/controller.ts
+++ b/test/simulation/controller.ts
@@ -54,7 +54,7 @@
   private backlog: { run: () => void; lost: () => void }[] = [];
   /** whether the state service rejects the requests of this controller only */
   isRefusedByStateService = false;
-  /** maximum number of inputs processed per simulation step; the others wait, and heartbeats are processed first */
+  /** maximum number of inputs processed per simulation step; further inputs wait, and heartbeats are processed first */
   inputsPerTick = Number.POSITIVE_INFINITY;
   private readonly waitingInputs: { heartbeats: (() => void)[]; others: (() => void)[] } = { heartbeats: [], others: [] };
   /** null: processor time is unlimited */
@@ -148,7 +148,7 @@
   /** Processes up to `inputsPerTick` of the waiting inputs. */
   private processWaitingInputs(): void {
     const { heartbeats, others } = this.waitingInputs;
-    for (let taken = 0; taken < this.inputsPerTick && heartbeats.length + others.length > 0; taken++) {
+    for (let count = 0; count < this.inputsPerTick && heartbeats.length + others.length > 0; count++) {
       (heartbeats.shift() ?? others.shift())?.();
       this.applyEffects();
     }
@@ -307,9 +307,9 @@
         // The network may deliver a command long after the controller gave up on it.
         else if (worker && cluster.lateCommandDelayMs) {
           cluster.runAt(cluster.now + cluster.lateCommandDelayMs(), () => {
-            const arrives = () => void worker.receiveCommands(effect.fencingToken, effect.agentEpoch, effect.commands);
-            if (worker.hung) worker.heldCommands.push(arrives);
-            else if (!worker.dead) arrives();
+            const deliver = () => void worker.receiveCommands(effect.fencingToken, effect.agentEpoch, effect.commands);
+            if (worker.hung) worker.heldCommands.push(deliver);
+            else if (!worker.dead) deliver();
           });
         }
         return schedule(2500, () => {
@@ -317,13 +317,13 @@
           core.receiveCommandOutcome(effect.id, { kind: 'lost' }, cluster.now);
         });
       }
-      const answered = (outcome: Parameters<Controller['receiveCommandOutcome']>[1]) => () => {
+      const receiveOutcome = (outcome: Parameters<Controller['receiveCommandOutcome']>[1]) => () => {
         this.pendingProbes -= probeCount;
         core.receiveCommandOutcome(effect.id, outcome, cluster.now);
       };
       const outcome = worker.receiveCommands(effect.fencingToken, effect.agentEpoch, effect.commands);
       const unreadable = outcome.kind === 'ok' && cluster.garblesCommandResponses(this.name, effect.machine);
-      schedule(10, answered(unreadable ? { ...outcome, heartbeat: null } : outcome), answered({ kind: 'lost' }));
+      schedule(10, receiveOutcome(unreadable ? { ...outcome, heartbeat: null } : outcome), receiveOutcome({ kind: 'lost' }));
     } else if (effect.type === 'probe') {
       const worker = cluster.worker(effect.address);
       const isAnswered =
@@ -339,9 +339,9 @@
       const node = cluster.controller(effect.to);
       const copy = this.transmit(node, { node: this.name, status: effect.status, heartbeat: null }).status as PeerStatus;
       if (node.up && !cluster.isPartitioned(this.name, node.name) && !cluster.losesPeerMessages(this.name, node.name)) {
-        const arrives = () => node.up && node.enqueueInput(() => node.controller.receivePeerStatus(copy, cluster.now));
-        if (cluster.delaysPeerMessages(this.name, node.name)) cluster.runAt(cluster.now + 15_000, arrives);
-        else arrives();
+        const deliver = () => node.up && node.enqueueInput(() => node.controller.receivePeerStatus(copy, cluster.now));
+        if (cluster.delaysPeerMessages(this.name, node.name)) cluster.runAt(cluster.now + 15_000, deliver);
+        else deliver();
       }
     } else if (effect.type === 'forwardHeartbeat') {
       cluster.forwardedHeartbeats++;
--- a/test/simulation/large-fleet.ts
+++ b/test/simulation/large-fleet.ts
@@ -15,7 +15,7 @@
 const SOCKETS_PER_MACHINE = 2;
 const CORES_PER_MACHINE = 0.0048;
 
-/** One in this many machines has GPUs; the numbers of replicas per service and of machines per service. */
+/** Number of machines per machine with GPUs, of replicas per service, and of machines per service. */
 const MACHINES_PER_GPU_MACHINE = 15;
 const REPLICAS_PER_SERVICE = 4;
 const MACHINES_PER_SERVICE = 3;
@@ -34,7 +34,7 @@
   version?: ControllerVersion;
 }
 
-/** A large cluster with its services, and the scenarios that it can be put through. */
+/** A large cluster with its services, and the scenarios that run on it. */
 export class LargeFleet {
   readonly cluster: SimulatedCluster;
   private readonly services: string[] = [];
@@ -75,7 +75,7 @@
     return this.cluster.workers.filter((worker) => !worker.dead);
   }
 
-  /** Number of live machines that the lease holder of their shard has verified. */
+  /** Returns the number of live machines that the lease holder of their shard has verified. */
   verifiedCount(): number {
     return this.liveWorkers.filter((worker) => this.cluster.controllers.some((node) => isVerifiedByHolder(node, worker))).length;
   }
@@ -88,7 +88,7 @@
   private runUntilAllVerified(what: string, seconds: number): number {
     const { cluster } = this;
     const from = cluster.now;
-    cluster.runUntil(`${what}: all machines answer`, () => this.verifiedCount() === this.liveWorkers.length, seconds);
+    cluster.runUntil(`${what}: all machines verified`, () => this.verifiedCount() === this.liveWorkers.length, seconds);
     return (cluster.now - from) / 1000;
   }
 
@@ -126,7 +126,7 @@
     });
   }
 
-  /** Number of running service tasks. */
+  /** Returns the number of running service tasks. */
   runningReplicaCount(): number {
     let count = 0;
     for (const worker of this.liveWorkers)
@@ -209,15 +209,15 @@
     const { cluster } = this;
     const up = cluster.controllers.filter((node) => node.up);
     const node = up[at % up.length];
-    let answered = false;
+    let isConfirmed = false;
     node?.cancel(id, (status, body) => {
-      answered = status === 200;
-      if (!answered) return;
+      isConfirmed = status === 200;
+      if (!isConfirmed) return;
       confirmed.add(id);
       cluster.rules.recordAnswer(id, String(body.status));
     });
     cluster.runAt(cluster.now + 2000, () => {
-      if (!answered && !confirmed.has(id)) this.cancel(id, at + 1, confirmed);
+      if (!isConfirmed && !confirmed.has(id)) this.cancel(id, at + 1, confirmed);
     });
   }
 
--- a/test/simulation/rules.ts
+++ b/test/simulation/rules.ts
@@ -1,4 +1,4 @@
-/** Checks the rules from outside: by the workers' tasks and the responses to users, never by the state of controllers. */
+/** Checks the rules from outside: against the workers' tasks and the responses to users, never against controllers' state. */
 import type { JobSpec, TaskStatus } from '@archpost/protocol';
 import type { SimulatedCluster } from './cluster.js';
 import { settings } from './fixtures.js';
@@ -16,7 +16,7 @@
 
 /** Checks the rules of PROTOCOL, and those that LATER.md adds for jobs with dependencies. */
 export class RuleChecker {
-  /** time of the first response to a user that called the job done */
+  /** time of the first response that reported the job as done, by job id */
   private readonly doneAt = new Map<string, number>();
   /** the workers' tasks by job, and the step for which they were indexed */
   private readonly tasksByJob = new Map<string, TaskOnWorker[]>();
@@ -28,8 +28,8 @@
   checkStart(worker: SimulatedWorker, id: string, index: number): void {
     const { cluster } = this;
     const spec = cluster.specs.get(id) as JobSpec;
-    for (const other of cluster.awaits.get(id) ?? [])
-      if (!cluster.allTasksDone(other)) cluster.fail(`too_early: ${id}/${index} starts before ${other} is done`);
+    for (const dependency of cluster.awaits.get(id) ?? [])
+      if (!cluster.allTasksDone(dependency)) cluster.fail(`too_early: ${id}/${index} starts before ${dependency} is done`);
     this.checkPlace(worker, spec, index);
     if (this.isOverdue(this.cancelledAt(id))) cluster.fail(`ran_cancelled: ${id} starts`);
   }
@@ -52,12 +52,12 @@
 
   /** Records a task that a worker started in the current step. */
   recordStart(worker: SimulatedWorker, key: string, task: TaskStatus): void {
-    const known = this.tasksByJob.get(task.job);
-    if (known) known.push({ worker, key, task });
+    const jobTasks = this.tasksByJob.get(task.job);
+    if (jobTasks) jobTasks.push({ worker, key, task });
     else this.tasksByJob.set(task.job, [{ worker, key, task }]);
   }
 
-  /** All tasks of the job that were on workers at the first start of the current step, or were started since. */
+  /** Returns all tasks of the job that were on workers at the first start of the current step, or were started since. */
   private tasksOf(id: string): readonly TaskOnWorker[] {
     if (this.indexedAt !== this.cluster.now) this.indexTasksByJob();
     return this.tasksByJob.get(id) ?? [];
@@ -102,19 +102,19 @@
       cluster.fail(`orphaned: ${id} is reported ${status}, but it or one of its dependencies was cancelled`);
   }
 
-  /** Time at which a user was first told that the job or one of its direct or transitive dependencies is cancelled. */
+  /** Returns the time of the first response that reported the job or one of its direct or transitive dependencies as cancelled. */
   private cancelledAt(id: string): number | undefined {
     let earliest = this.cluster.cancelledAt.get(id);
     // This is called for every task in every step, and most jobs have no dependencies.
     if (!this.cluster.awaits.has(id)) return earliest;
     const seen = new Set([id]);
-    const open = [...(this.cluster.awaits.get(id) ?? [])];
-    for (let other = open.pop(); other !== undefined; other = open.pop()) {
-      if (seen.has(other)) continue;
-      seen.add(other);
-      const at = this.cluster.cancelledAt.get(other);
+    const unvisited = [...(this.cluster.awaits.get(id) ?? [])];
+    for (let dependency = unvisited.pop(); dependency !== undefined; dependency = unvisited.pop()) {
+      if (seen.has(dependency)) continue;
+      seen.add(dependency);
+      const at = this.cluster.cancelledAt.get(dependency);
       if (at !== undefined && (earliest === undefined || at < earliest)) earliest = at;
-      open.push(...(this.cluster.awaits.get(other) ?? []));
+      unvisited.push(...(this.cluster.awaits.get(dependency) ?? []));
     }
     return earliest;
   }
--- a/test/simulation/worker.ts
+++ b/test/simulation/worker.ts
@@ -28,7 +28,7 @@
   preemptionNoticeS: number | null = null;
   /** whether the machine lost power or was released */
   dead = false;
-  /** whether the machine hangs: it executes and answers nothing until it resumes */
+  /** whether the machine hangs: it executes no commands and sends no responses until it resumes */
   hung = false;
   /** commands that a hung machine receives when it resumes */
   heldCommands: (() => void)[] = [];
@@ -174,8 +174,8 @@
   }
 
   /**
-   * Only one heartbeat is in flight. If its response doesn't arrive before the timeout, the next heartbeat goes to the next
-   * controller, a second later.
+   * Schedules the next heartbeat for the case that the response to this one doesn't arrive before the timeout: it goes to the
+   * next controller, a second after the timeout. Only one heartbeat is in flight.
    */
   private expectResponse(): void {
     this.nextHeartbeatAt = this.cluster.now + RESPONSE_TIMEOUT_MS + NEXT_CONTROLLER_DELAY_MS;
