--- a/packages/controller/src/scheduling/team-usage.ts
+++ b/packages/controller/src/scheduling/team-usage.ts
@@ -68,8 +68,8 @@
 }
 
 /**
- * Counts each machine that has not responded since its shard was taken over as a whole for every team of the shard: any of these
- * teams may have work on it.
+ * Counts the whole capacity of each machine that has not responded since its shard was taken over, for every team of the shard:
+ * any of these teams may have work on the machine.
  */
 function addUnverifiedMachines(
   usage: TeamUsage,
--- a/packages/controller/src/shards/zone-health.ts
+++ b/packages/controller/src/shards/zone-health.ts
@@ -50,9 +50,9 @@
 }
 
 /**
- * Whether the zone is cut off from this controller. A zone with other controllers is cut off if none of these is alive and at
- * least half of the zone's machines are silent. Any other zone is cut off if all of its machines, of which there must be enough
- * for a conclusion, are silent. The second rule also applies to this controller's own zone.
+ * Whether the zone is cut off from this controller. Another zone that has controllers is cut off if none of them is alive and at
+ * least half of the zone's machines are silent. A zone without other controllers, and this controller's own zone, are cut off if
+ * all of their machines are silent and there are enough machines for this conclusion.
  */
 export function isZoneCutOff(
   zone: string,
