--- a/test/mixed-versions.test.ts
+++ b/test/mixed-versions.test.ts
@@ -80,15 +80,15 @@
     );
   put('a/p/run-large/0', 'f'.repeat(8500 / 4));
   put('a/j/run-large', { s: 0, t: 0, sp: encodeJobSpec(spec) });
-  const owner = cluster.controller(holderOf(cluster, 0));
+  const holder = cluster.controller(holderOf(cluster, 0));
   cluster.runUntil(
     'the old version has stored progress',
     () => cluster.stateService.keys.get('a/p/run-large/0')?.value !== 'f'.repeat(8500 / 4),
     30,
   );
-  const doneCount = () => owner.controller.clusterState.jobs.get('run-large')?.doneCount ?? 0;
+  const doneCount = () => holder.controller.clusterState.jobs.get('run-large')?.doneCount ?? 0;
   const doneByOld = doneCount();
-  upgrade(owner, present);
+  upgrade(holder, present);
   cluster.runUntil('the new version has stored progress in parts', () => cluster.stateService.keys.has('a/p/run-large/0.25'), 60);
   cluster.run(4);
   const stored = String(cluster.stateService.keys.get('a/p/run-large/0.25')?.value);
@@ -96,7 +96,7 @@
     (count, digit) => count + Number.parseInt(digit, 16).toString(2).replaceAll('0', '').length,
     0,
   );
-  upgrade(owner, PRODUCTION_VERSION);
+  upgrade(holder, PRODUCTION_VERSION);
   cluster.run(1);
   assert.ok(doneCount() > doneByOld, 'the old version reads what the new one stored');
   assert.ok(doneCount() >= 8192 + doneByNew);
@@ -127,7 +127,7 @@
   stamp: number;
 }
 
-/** Runs the production version through every kind of key and message. Returns the stored rows and the last kinds of messages. */
+/** Runs the production version through every kind of key and message. Returns the rows and the last message of up to 12 kinds. */
 function recordProduction(): { rows: RecordedRow[]; messages: string[] } {
   const { cluster } = productionCluster();
   const messages = new Map<string, string>();
@@ -191,16 +191,16 @@
 // LATER.md promises that no job with dependencies meets an old controller. If one does, it must not run too early.
 test('a job with dependencies is skipped by an old controller, which can still cancel it', () => {
   const { cluster, present } = productionCluster(4);
-  const owner = cluster.controller(holderOf(cluster, 0));
-  for (const node of cluster.controllers) if (node !== owner) upgrade(node, present);
+  const holder = cluster.controller(holderOf(cluster, 0));
+  for (const node of cluster.controllers) if (node !== holder) upgrade(node, present);
   cluster.run(25);
-  const other = cluster.controllers.find((node) => node !== owner) as SimulatedController;
+  const other = cluster.controllers.find((node) => node !== holder) as SimulatedController;
   cluster.submit(job('run-first', { estimatedRunS: 300 }), other);
   cluster.submit(job('run-next'), other, ['run-first']);
   cluster.run(10);
   assert.equal(cluster.machinesRunning('run-next').length, 0);
   assert.equal(cluster.queryStatus('run-next', other), 'queued');
-  cluster.cancel('run-next', owner);
+  cluster.cancel('run-next', holder);
   cluster.run(1);
   assert.equal(cluster.queryStatus('run-next', other), 'aborted');
 });
@@ -217,7 +217,7 @@
 }
 
 // LATER.md promises that no new feature is used before all controllers are upgraded. If an upgrade outlasts that promise, these
-// are the rules that break: the old version drops `awaits` of a job that it accepts before it stores the job.
+// are the rules that break: the old version drops the `awaits` of a submission before it stores the job.
 test('a chain submitted to an old controller breaks too_early, orphaned and ran_cancelled; submitted to a new one, it breaks no rule', () => {
   const submitB = (cluster: SimulatedCluster, to: string) =>
     cluster.controller(to).submit(cluster.specs.get('run-b') as JobSpec, () => {});
--- a/test/peer-messages.test.ts
+++ b/test/peer-messages.test.ts
@@ -17,9 +17,9 @@
     for (let at = 0; at < bytes.length; at += size) read.push(...reader.push(bytes.subarray(at, at + size)));
     assert.deepEqual(read, bodies, `in chunks of ${size}`);
   }
-  const head = Buffer.alloc(4);
-  head.writeUInt32BE(MAX_FRAME_BYTES + 1);
-  assert.throws(() => new FrameReader().push(head), { bytes: MAX_FRAME_BYTES + 1 });
+  const header = Buffer.alloc(4);
+  header.writeUInt32BE(MAX_FRAME_BYTES + 1);
+  assert.throws(() => new FrameReader().push(header), { bytes: MAX_FRAME_BYTES + 1 });
 });
 
 test('a frame beyond the limit closes only its own connection, and its size and sender are reported', async () => {
@@ -37,7 +37,7 @@
   peers.message$.subscribe(({ node: controller }) => senders.push(controller));
   peers.unreadable$.subscribe(({ peer, error }) => problems.push(`${peer}: ${error}`));
   await peers.listen('127.0.0.1', port);
-  const link = (controller: string) => {
+  const connect = (controller: string) => {
     const socket = net.connect(port, '127.0.0.1');
     const send = () =>
       socket.write(
@@ -46,19 +46,19 @@
     send();
     return { socket, send };
   };
-  const until = async (description: string, condition: () => boolean) => {
+  const waitUntil = async (description: string, condition: () => boolean) => {
     for (let index = 0; index < 500 && !condition(); index++) await new Promise((resolve) => setTimeout(resolve, 10));
     assert.ok(condition(), description);
   };
-  const first = link('n1');
-  const second = link('n2');
-  await until('messages of both have arrived', () => senders.length === 2);
-  const head = Buffer.alloc(4);
-  head.writeUInt32BE(MAX_FRAME_BYTES + 1);
-  first.socket.write(head);
-  await until('its connection is closed', () => first.socket.closed);
+  const first = connect('n1');
+  const second = connect('n2');
+  await waitUntil('messages of both have arrived', () => senders.length === 2);
+  const header = Buffer.alloc(4);
+  header.writeUInt32BE(MAX_FRAME_BYTES + 1);
+  first.socket.write(header);
+  await waitUntil('its connection is closed', () => first.socket.closed);
   second.send();
-  await until('the other connection still works', () => senders.length === 3);
+  await waitUntil('the other connection still works', () => senders.length === 3);
   assert.deepEqual(problems, [`n1: a frame of ${MAX_FRAME_BYTES + 1} bytes`]);
   second.socket.destroy();
   peers.close();
--- a/test/recorded-days.test.ts
+++ b/test/recorded-days.test.ts
@@ -3,9 +3,9 @@
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { days, daysByName } from './recorded-support/played-days.js';
 import { CHANGE_KINDS, MESSAGE_KINDS } from './recorded-support/record-kinds.js';
 import { assertAsRecorded } from './recorded-support/recorded-data.js';
+import { days, daysByName } from './recorded-support/recorded-days.js';
 
 for (const [name, day] of Object.entries(daysByName)) {
   const file = `day-${name.replaceAll(' ', '-')}`;
--- a/test/recorded-peer-messages.test.ts
+++ b/test/recorded-peer-messages.test.ts
@@ -5,8 +5,8 @@
 import { test } from 'node:test';
 import { decodePeerMessage, encodePeerMessage, type PeerMessage } from '@archpost/protocol';
 import { FULL_MESSAGES } from './recorded-support/full-messages.js';
-import { days } from './recorded-support/played-days.js';
 import { assertAsRecorded, production } from './recorded-support/recorded-data.js';
+import { days } from './recorded-support/recorded-days.js';
 
 test('peer messages of this version and of the production version are decoded and encoded to the same bytes', () => {
   const present = days.flatMap((day) => Object.values(day.messages.examples).flat());
--- a/test/recorded-rows.test.ts
+++ b/test/recorded-rows.test.ts
@@ -23,9 +23,9 @@
   warnedKeys,
 } from './recorded-support/controller-reader.js';
 import type { RecordedDay } from './recorded-support/day-recording.js';
-import { days, daysByName } from './recorded-support/played-days.js';
 import { JOB_STATES } from './recorded-support/record-kinds.js';
 import { assertAsRecorded, production } from './recorded-support/recorded-data.js';
+import { days, daysByName } from './recorded-support/recorded-days.js';
 import { DAYS, withAnnouncedValueKib } from './recorded-support/simulated-days.js';
 import { settings } from './simulation/index.js';
 
--- a/test/recorded-support/day-recording.ts
+++ b/test/recorded-support/day-recording.ts
@@ -17,7 +17,7 @@
 }
 
 /** Runs a day on a new cluster, and checks that its rows are read without a warning. */
-export function play({ tune, run }: Day): RecordedDay {
+export function recordDay({ tune, run }: Day): RecordedDay {
   const cluster = new SimulatedCluster(CONTROLLER_NAMES, tune);
   const changes = new Recording();
   const messages = new Recording();
--- a/test/recorded-support/malformed-rows.ts
+++ b/test/recorded-support/malformed-rows.ts
@@ -3,7 +3,7 @@
 import { encodeJobSpec } from '@archpost/controller';
 import { job, TYPES } from '../simulation/index.js';
 import type { Row } from './controller-reader.js';
-import { play } from './day-recording.js';
+import { recordDay } from './day-recording.js';
 import { DAYS, type Day } from './simulated-days.js';
 
 const SPEC = encodeJobSpec(job('run-bad', { tasks: 9, machineTypes: ['small'] }));
@@ -12,7 +12,7 @@
 
 const PARTS = { s: 0, t: 5, sp: SPEC, x: { k: 'group', n: 1 } };
 
-const STATUS_ROW = play(DAYS['work and faults of each kind'] as Day).rows.find((row) => row.key.startsWith('a/s/'));
+const STATUS_ROW = recordDay(DAYS['work and faults of each kind'] as Day).rows.find((row) => row.key.startsWith('a/s/'));
 
 function without(value: object, ...names: string[]): object {
   return Object.fromEntries(Object.entries(value).filter(([name]) => !names.includes(name)));
--- a/test/rolling-upgrade.test.ts
+++ b/test/rolling-upgrade.test.ts
@@ -82,8 +82,9 @@
     node.resume();
   },
   'a partition between old and new controllers': (cluster) => {
-    const cut = new Set(['n0', 'n1']);
-    cluster.isPartitioned = (a, b) => CONTROLLER_NAMES.includes(a) && CONTROLLER_NAMES.includes(b) && cut.has(a) !== cut.has(b);
+    const oneSide = new Set(['n0', 'n1']);
+    cluster.isPartitioned = (a, b) =>
+      CONTROLLER_NAMES.includes(a) && CONTROLLER_NAMES.includes(b) && oneSide.has(a) !== oneSide.has(b);
     cluster.run(25);
     cluster.isPartitioned = () => false;
   },
--- a/test/state-service-outages.test.ts
+++ b/test/state-service-outages.test.ts
@@ -66,12 +66,12 @@
   cluster.runUntil('full', () => cluster.runningTasks('run-a') === 4);
   cluster.submit(job('run-z', { tasks: 2, estimatedRunS: 9 }));
   cluster.run(1);
-  const owner = cluster.controller(holderOf(cluster, 0));
-  owner.isRefusedByStateService = true;
+  const holder = cluster.controller(holderOf(cluster, 0));
+  holder.isRefusedByStateService = true;
   cluster.run(0.5);
   cluster.cancel(
     'run-z',
-    cluster.controllers.find((node) => node !== owner),
+    cluster.controllers.find((node) => node !== holder),
   );
   cluster.runUntil('resources become free', () => cluster.finished.size === 4, 12);
   cluster.run(15);
@@ -187,15 +187,15 @@
         cluster.submit(job(id, { team: ['red', 'blue', 'green'][index] as string, tasks: 3, estimatedRunS: 500 }));
       cluster.runUntil('running', () => ids.every((id) => cluster.runningTasks(id) === 3));
       cluster.run(3);
-      const old = cluster.controller(holderOf(cluster, 0));
-      const confirming = cluster.controllers.filter((node) => node !== old)[confirmingIndex];
+      const holder = cluster.controller(holderOf(cluster, 0));
+      const confirming = cluster.controllers.filter((node) => node !== holder)[confirmingIndex];
       assert.ok(confirming);
-      fault.before?.(cluster, confirming.name, old.name);
+      fault.before?.(cluster, confirming.name, holder.name);
       cluster.run(14);
       // All workers report to it alone, and it receives the messages of the other two controllers.
-      for (const worker of cluster.workers) worker.controllerIndex = cluster.controllers.indexOf(old);
-      cluster.isPartitioned = (a, b) => a !== old.name && a.startsWith('n') && !b.startsWith('n');
-      old.isRefusedByStateService = true;
+      for (const worker of cluster.workers) worker.controllerIndex = cluster.controllers.indexOf(holder);
+      cluster.isPartitioned = (a, b) => a !== holder.name && a.startsWith('n') && !b.startsWith('n');
+      holder.isRefusedByStateService = true;
       // The third controller can't read the cancellation either: only messages of the confirming controller reveal it.
       for (const node of cluster.controllers) if (node !== confirming) node.isWatchLagging = true;
       cluster.run(0.2);
--- a/test/stored-records.test.ts
+++ b/test/stored-records.test.ts
@@ -26,13 +26,13 @@
   for (const [put, value] of unreadable)
     cluster.stateService.compareAndSwap({ ...conditions, writes: [{ put, value }] }, cluster.now);
   cluster.run(2);
-  const owner = cluster.controller(holderOf(cluster, shardOf(cluster, 'run-a')));
-  owner.crash();
+  const holder = cluster.controller(holderOf(cluster, shardOf(cluster, 'run-a')));
+  holder.crash();
   cluster.run(0.2);
-  owner.restart();
-  cluster.runUntil('done', () => cluster.queryStatus('run-a', owner) === 'done', 60);
-  cluster.submit(job('run-b', { estimatedRunS: 2 }), owner);
-  cluster.runUntil('done', () => cluster.queryStatus('run-b', owner) === 'done', 30);
+  holder.restart();
+  cluster.runUntil('done', () => cluster.queryStatus('run-a', holder) === 'done', 60);
+  cluster.submit(job('run-b', { estimatedRunS: 2 }), holder);
+  cluster.runUntil('done', () => cluster.queryStatus('run-b', holder) === 'done', 30);
 });
 
 /** One stored record. Lists of them are in the order in which the state service stored them. */
