--- a/packages/controller/src/capacity/machine-type-catalogue.ts
+++ b/packages/controller/src/capacity/machine-type-catalog.ts
@@ -1,5 +1,5 @@
 /**
- * The catalogue of the cloud's machine types: fetches it periodically, and stores it so that a controller can start while the
+ * The catalog of the cloud's machine types: fetches it periodically, and stores it so that a controller can start while the
  * cloud's API is down.
  *
  * Owns the time of the last request. The types themselves are part of the cluster state.
@@ -22,16 +22,16 @@
 /** The interval at which the leader refreshes known types: prices and zones may change. */
 const KNOWN_TYPES_INTERVAL_MS = 60_000;
 
-/** A write of the catalogue that has been queued for longer is dropped. */
+/** A write of the catalog that has been queued for longer is dropped. */
 const WRITE_EXPIRY_MS = 10_000;
 
-type MachineTypeCatalogueContext = ClusterStateView & ReplicaView & StateWriting & EffectSink;
+type MachineTypeCatalogContext = ClusterStateView & ReplicaView & StateWriting & EffectSink;
 
 /** Fetches the machine types, applies them to the cluster state, and stores them if they aren't stored yet. */
-export class MachineTypeCatalogue {
+export class MachineTypeCatalog {
   private requestedAt: Milliseconds = NEVER;
 
-  constructor(private readonly context: MachineTypeCatalogueContext) {}
+  constructor(private readonly context: MachineTypeCatalogContext) {}
 
   /** Fetches the types if the interval has passed. Known types are refreshed only by the leader. */
   tick(isLeading: boolean, now: Milliseconds): void {
@@ -42,7 +42,7 @@
     this.context.emit({ type: 'fetchMachineTypes' });
   }
 
-  /** Applies a list that the cloud returned, and stores it if none is stored. */
+  /** Applies a list that the cloud returned, and stores it if none is stored. Nothing is stored before the replica is loaded. */
   receive(types: MachineType[], now: Milliseconds): void {
     this.context.clusterState.setMachineTypes(types);
     const { replica } = this.context;
@@ -62,7 +62,7 @@
     });
   }
 
-  /** Writes the key unless it exists. In that case another controller has already stored the same list. */
+  /** Writes the key unless it exists. If it exists, another controller has already stored the same list. */
   private storeIfAbsent(key: string, value: unknown, now: Milliseconds): void {
     this.context.writer.add({
       key,
--- a/packages/controller/src/shards/command-dispatcher.ts
+++ b/packages/controller/src/shards/command-dispatcher.ts
@@ -10,7 +10,7 @@
 import type { HeartbeatReconciliation } from './heartbeat-reconciliation.js';
 import { composeCommands, hasCommandsDue } from './machine-commands.js';
 import { mayCommand, needsProbe, selectForProbing } from './probe-selection.js';
-import type { WorkerAnswers } from './worker-answers.js';
+import type { WorkerResponses } from './worker-responses.js';
 
 /** Epoch in messages to an agent whose epoch is unknown. The agent's response contains its actual epoch. */
 const FIRST_EPOCH = 1;
@@ -29,9 +29,9 @@
     private readonly context: CommandDispatcherContext,
     private readonly allocations: TaskAllocations,
     reconciler: HeartbeatReconciliation,
-    workerAnswers: WorkerAnswers,
+    workerResponses: WorkerResponses,
   ) {
-    this.outcomes = new CommandOutcomes(context, allocations, reconciler, workerAnswers);
+    this.outcomes = new CommandOutcomes(context, allocations, reconciler, workerResponses);
   }
 
   /** Sends the commands that are due to machines that need no probe, and probes as many of the others as the limits allow. */
@@ -57,7 +57,7 @@
     // The command was sent in an earlier tenure of the shard.
     if (machine.tenure.pendingCommandId !== id) return;
     machine.tenure.pendingCommandId = null;
-    // An answer to a probe of a verified, responsive machine changes nothing for the scheduler.
+    // A response to a probe of a verified, responsive machine changes nothing for the scheduler.
     if (!isProbe || !machine.tenure.isVerified || machine.tenure.unansweredCommands > 0)
       this.allocations.schedulingRequested = true;
     if (this.allocations.heldShards.has(machine.shard)) this.outcomes.handle(pending, outcome, now);
@@ -71,7 +71,7 @@
   }
 
   private probe(machine: Machine, now: Milliseconds): void {
-    // Silence counts from the first probe: until then the machine was not expected to answer.
+    // Silence counts from the first probe: until then the machine was not expected to respond.
     if (!machine.tenure.isProbed) {
       machine.tenure.isProbed = true;
       machine.tenure.lastHeartbeatAt = now;
--- a/packages/controller/src/shards/command-outcomes.ts
+++ b/packages/controller/src/shards/command-outcomes.ts
@@ -1,15 +1,15 @@
 /**
- * Applies the outcome of a command or probe to the machine and to the tasks whose starts the command contained. Owns no state:
- * it writes to the tenure of the machine and passes the status in an answer to heartbeat reconciliation.
+ * Applies the outcome of a command or probe to the machine and to the tasks whose starts the command contained. Owns no state: it
+ * writes to the tenure of the machine and passes the status in a response to heartbeat reconciliation.
  */
 import type { Heartbeat } from '@archpost/protocol';
 import { hasRecentContact, type TaskAllocations } from '../allocation/index.js';
 import type { ClusterStateView, Logger } from '../context/index.js';
 import { type Allocation, type HeartbeatPosition, type Machine, type Milliseconds, NEVER } from '../model/index.js';
 import type { HeartbeatReconciliation } from './heartbeat-reconciliation.js';
-import type { WorkerAnswers } from './worker-answers.js';
+import type { WorkerResponses } from './worker-responses.js';
 
-/** Delay before the next message to a machine that didn't answer. */
+/** Delay before the next message to a machine that didn't respond. */
 const UNANSWERED_RETRY_MS = 700;
 
 /**
@@ -25,28 +25,28 @@
   starts: readonly Allocation[];
   /** whether it contains no commands, so that a late delivery has no effect */
   isProbe: boolean;
-  /** position of the newest heartbeat that was processed before it was sent: the answer is newer */
+  /** position of the newest heartbeat that was processed before it was sent: the response is newer */
   positionAtSend: HeartbeatPosition;
 }
 
 /**
  * The outcome of a command. `ok`: the worker executed it. `stale`: the worker rejected it because of its fencing token or agent
- * epoch. `lost`: no answer arrived, and the command may still be executed. `refused`: no connection to the worker could be made,
- * so the command was not sent. `withheld`: this controller did not send it because of its own delay. `heartbeat`: the worker's
- * status in the answer; null if it could not be read.
+ * epoch. `lost`: no response arrived, and the command may still be executed. `refused`: no connection to the worker could be
+ * made, so the command was not sent. `withheld`: this controller did not send it because of its own delay. `heartbeat`: the
+ * worker's status in the response; null if it could not be read.
  */
 export type CommandOutcome = { kind: 'ok' | 'stale'; heartbeat: Heartbeat | null } | { kind: 'lost' | 'refused' | 'withheld' };
 
 /** The parts of the controller's context that `CommandOutcomes` uses. */
 type CommandOutcomesContext = ClusterStateView & Logger;
 
-/** Processes the outcomes of commands to machines of shards held here. */
+/** Processes the outcomes of commands to machines of held shards. */
 export class CommandOutcomes {
   constructor(
     private readonly context: CommandOutcomesContext,
     private readonly allocations: TaskAllocations,
     private readonly reconciler: HeartbeatReconciliation,
-    private readonly workerAnswers: WorkerAnswers,
+    private readonly workerResponses: WorkerResponses,
   ) {}
 
   /** Processes the outcome of `pending`, the machine's last command, which the caller has already removed from its tenure. */
@@ -69,11 +69,11 @@
   private handleExecuted(pending: PendingCommand, heartbeat: Heartbeat | null, now: Milliseconds): void {
     const { machine, starts, isProbe, positionAtSend } = pending;
     if (heartbeat === null) {
-      // The commands were executed, but the machine's tasks are unknown, as without an answer.
+      // The commands were executed, but the machine's tasks are unknown, as if no response had arrived.
       this.context.log('warn', 'unreadable worker response', { machine: machine.name });
       return this.handleUnanswered(pending, 'lost', now);
     }
-    this.recordAnswer(machine, now);
+    this.recordResponse(machine, now);
     this.reconciler.reconcile(machine, heartbeat, now, positionAtSend);
     // A task that was started but is missing from the status has already ended.
     for (const allocation of starts) if (this.allocations.isStartPending(allocation)) this.allocations.free(allocation);
@@ -96,7 +96,7 @@
     heartbeat: Heartbeat | null,
     now: Milliseconds,
   ): void {
-    this.recordAnswer(machine, now);
+    this.recordResponse(machine, now);
     for (const allocation of starts) this.allocations.revertStart(allocation);
     if (heartbeat === null) return;
     this.reconciler.reconcile(machine, heartbeat, now, positionAtSend);
@@ -104,9 +104,9 @@
       machine.tenure.retryAt = now + HIGHER_TOKEN_RETRY_MS;
   }
 
-  /** Records that the machine answered, which also shows that workers can be reached from this controller. */
-  private recordAnswer({ tenure }: Machine, now: Milliseconds): void {
-    this.workerAnswers.recordAnswer(now);
+  /** Records that the machine responded, which also shows that workers can be reached from this controller. */
+  private recordResponse({ tenure }: Machine, now: Milliseconds): void {
+    this.workerResponses.recordResponse(now);
     tenure.unansweredCommands = 0;
     tenure.unansweredSince = null;
   }
@@ -119,7 +119,7 @@
 
   private handleUnanswered({ machine, starts, isProbe }: PendingCommand, kind: 'lost' | 'refused', now: Milliseconds): void {
     const { tenure } = machine;
-    if (hasRecentContact(machine, now)) this.workerAnswers.recordUnanswered(machine);
+    if (hasRecentContact(machine, now)) this.workerResponses.recordUnanswered(machine);
     tenure.unansweredCommands++;
     if (tenure.unansweredSince === null) tenure.unansweredSince = now;
     tenure.retryAt = now + UNANSWERED_RETRY_MS;
--- a/packages/controller/src/shards/recovery-probes.ts
+++ b/packages/controller/src/shards/recovery-probes.ts
@@ -1,6 +1,7 @@
 /**
  * Detects when workers can be reached from this controller again. A controller that can't reach workers releases its shards and
- * then sends no commands whose answers would show recovery, so it probes a few machines in rounds. Owns the state of the rounds.
+ * then sends no commands whose responses would show recovery, so it probes a few machines in rounds. Owns the state of the
+ * rounds.
  */
 import type { ClusterStateView, EffectSink, SettingsView } from '../context/index.js';
 import type { Machine, Milliseconds } from '../model/index.js';
@@ -11,8 +12,10 @@
 /** Minimum interval between the starts of rounds. A round also waits until all probes of the previous one have an outcome. */
 const PROBE_ROUND_INTERVAL_MS = 1500;
 
-/** Consecutive answers that count as recovery: more than in one round, so that reacquired shards aren't released again soon. */
-const ANSWERS_TO_RECOVER = 6;
+/**
+ * Consecutive responses that count as recovery: more than one round has, so that reacquired shards aren't released again soon.
+ */
+const RESPONSES_TO_RECOVER = 6;
 
 /** If this controller's own zone has at least this many machines, only those are probed. */
 const MIN_MACHINES_OF_OWN_ZONE = 3;
@@ -20,7 +23,7 @@
 /** The outcomes of the probes of one round. */
 interface ProbeRound {
   answered: number;
-  /** names of the machines that did not answer */
+  /** names of the machines that did not respond */
   silent: string[];
 }
 
@@ -34,15 +37,15 @@
   private round: ProbeRound = { answered: 0, silent: [] };
   private roundCount = 0;
   private nextRoundAt: Milliseconds = 0;
-  private consecutiveAnswers = 0;
-  /** names of machines that did not answer in a round in which at least half of the others did */
+  private consecutiveResponses = 0;
+  /** names of machines that did not respond in a round in which at least half of the probed machines did */
   private readonly individuallySilent = new Set<string>();
 
   constructor(private readonly context: RecoveryProbesContext) {}
 
-  /** Begins probing because workers can no longer be reached. Earlier answers don't count. */
+  /** Begins probing because workers can no longer be reached. Earlier responses don't count. */
   begin(now: Milliseconds): void {
-    this.consecutiveAnswers = 0;
+    this.consecutiveResponses = 0;
     this.individuallySilent.clear();
     this.nextRoundAt = now;
   }
@@ -62,11 +65,11 @@
     const name = this.pendingProbes.get(id);
     if (name === undefined) return false;
     this.pendingProbes.delete(id);
-    this.consecutiveAnswers = isAnswered ? this.consecutiveAnswers + 1 : 0;
+    this.consecutiveResponses = isAnswered ? this.consecutiveResponses + 1 : 0;
     if (isAnswered) this.round.answered++;
     else this.round.silent.push(name);
     if (this.pendingProbes.size === 0) this.endRound();
-    return this.consecutiveAnswers >= ANSWERS_TO_RECOVER;
+    return this.consecutiveResponses >= RESPONSES_TO_RECOVER;
   }
 
   private probeableMachines(): Machine[] {
@@ -92,7 +95,7 @@
   }
 
   /**
-   * If at least half of the round's probes were answered, the machines that didn't answer are at fault themselves, and are
+   * If at least half of the round's probes were answered, the machines that didn't respond are at fault themselves, and are
    * excluded from later rounds while enough others remain. Without this, after a loss of a third of all machines, the same four
    * were probed indefinitely and the dead machines were not released (docs/incidents/a-third-lost-during-a-takeover.md).
    */
