--- a/packages/controller/src/leadership/running-task-deltas.ts
+++ b/packages/controller/src/leadership/running-task-deltas.ts
@@ -26,7 +26,7 @@
   constructor(private readonly maxJobsPerStatus = MAX_JOBS_PER_STATUS) {}
 
   /**
-   * The entries of the next status. `running` is kept until the next call and must not be modified until then.
+   * Returns the entries of the next status. `running` is kept until the next call and must not be modified until then.
    * `runningJobsComplete`: the receiver discards all earlier entries. An entry without tasks means that the job no longer runs.
    */
   next(running: ReadonlyMap<string, RunningTasks>): Pick<PeerStatus, 'runningJobs' | 'runningJobsComplete'> {
@@ -41,8 +41,8 @@
 
   private addChanges(running: ReadonlyMap<string, RunningTasks>): void {
     for (const [job, tasks] of running) {
-      const known = this.published.get(job);
-      if (known?.count !== tasks.count || known.done !== tasks.done || known.failed !== tasks.failed)
+      const previous = this.published.get(job);
+      if (previous?.count !== tasks.count || previous.done !== tasks.done || previous.failed !== tasks.failed)
         this.pending.set(job, tasks);
     }
     for (const job of this.published.keys()) if (!running.has(job)) this.pending.set(job, NO_TASKS);
--- a/packages/controller/src/leadership/shard-return.ts
+++ b/packages/controller/src/leadership/shard-return.ts
@@ -31,7 +31,9 @@
     shiftTimes(this.settledSince, pausedMs);
   }
 
-  /** The first held shard that is due to be returned; null: none is. `releasingLeases`: leases whose release is pending. */
+  /**
+   * Returns the first held shard that is due to be returned; null: none is. `releasingLeases`: leases whose release is pending.
+   */
   nextShard(held: Iterable<LeaseName>, releasingLeases: ReadonlySet<LeaseName>, now: Milliseconds): number | null {
     for (const lease of held) {
       if (lease === LEADER_LEASE || releasingLeases.has(lease)) continue;
@@ -44,14 +46,14 @@
   }
 
   private isDue(shard: number, now: Milliseconds): boolean {
-    const holder = this.holderSelection.preferredHolder(shard);
-    if (holder === this.context.settings.name) return false;
-    if (!this.holderSelection.canHoldShards(holder, now) || !this.holderSelection.holdsNoLease(holder)) {
-      this.preferredHolderIdleSince.delete(holder);
+    const preferred = this.holderSelection.preferredHolder(shard);
+    if (preferred === this.context.settings.name) return false;
+    if (!this.holderSelection.canHoldShards(preferred, now) || !this.holderSelection.holdsNoLease(preferred)) {
+      this.preferredHolderIdleSince.delete(preferred);
       return false;
     }
-    const idleSince = this.preferredHolderIdleSince.get(holder) ?? now;
-    this.preferredHolderIdleSince.set(holder, idleSince);
+    const idleSince = this.preferredHolderIdleSince.get(preferred) ?? now;
+    this.preferredHolderIdleSince.set(preferred, idleSince);
     const isSettled = this.isSettledLongEnough(shard, now);
     return isSettled || now - idleSince >= MAX_UNSETTLED_MS;
   }
