--- a/packages/controller/src/context/peers.ts
+++ b/packages/controller/src/context/peers.ts
@@ -13,7 +13,7 @@
   readonly isConnected: boolean;
 }
 
-/** The other controllers by name. A controller from which no status has arrived is missing. */
+/** The other controllers by name. A controller from which no status has arrived is not included. */
 export interface PeerDirectory {
   readonly peers: ReadonlyMap<string, PeerView>;
 
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -88,7 +88,10 @@
     return this.parts.effects.take();
   }
 
-  /** The process was paused for `pausedMs`, until `now`. Must be called before the inputs that queued up during the pause. */
+  /**
+   * Called when the process was paused for `pausedMs`, until `now`. Must be called before the inputs that queued up during the
+   * pause.
+   */
   processPaused(pausedMs: Milliseconds, now: Milliseconds): void {
     this.beginInput(now);
     this.parts.processPause.processPaused(pausedMs, now);
@@ -129,7 +132,7 @@
 
   // Inputs from the state service
 
-  /** All keys were read. `revision`: that of the first page; later changes arrive through `receiveChanges`. */
+  /** Called when all keys were read. `revision`: that of the first page; later changes arrive through `receiveChanges`. */
   receiveSnapshot(rows: StoredKey[], revision: number, now: Milliseconds): void {
     this.beginInput(now);
     this.parts.replica.reset(rows, revision);
@@ -137,8 +140,8 @@
   }
 
   /**
-   * Keys changed, up to `revision`. `asOf`: when the request that read the changes was sent, by the same clock as `now`. They
-   * include every change that was committed by then.
+   * Called when changes of keys were read, up to `revision`. `asOf`: when the request that read them was sent, by the same clock
+   * as `now`. The changes include every change that was committed by then.
    */
   receiveChanges(changes: KeyChange[], revision: number, asOf: Milliseconds, now: Milliseconds): void {
     this.beginInput(now);
@@ -150,7 +153,7 @@
     this.flushWrites(now);
   }
 
-  /** A transaction completed or timed out. `id`: that of its `compareAndSwap` effect. */
+  /** Called when a transaction completed or timed out. `id`: that of its `compareAndSwap` effect. */
   receiveCompareAndSwapOutcome(id: number, outcome: CompareAndSwapOutcome, now: Milliseconds): void {
     this.beginInput(now);
     const { parts } = this;
@@ -161,8 +164,8 @@
   }
 
   /**
-   * The lease on the state service was granted or renewed; `leaseId` null: there is none. `validUntil`: the earliest possible
-   * expiry, by the same clock as `now`; ignored without a lease.
+   * Called when the lease on the state service was granted or renewed, or has ended. `leaseId`: null if there is no lease.
+   * `validUntil`: the earliest possible expiry, by the same clock as `now`; ignored without a lease.
    */
   receiveLeaseState(leaseId: number | null, validUntil: Milliseconds, now: Milliseconds): void {
     this.beginInput(now);
@@ -179,8 +182,8 @@
   // Inputs from clients
 
   /**
-   * A client submits a job. `body`: the parsed request body; null: it could not be parsed. `wallClockMs`: the time of day in
-   * milliseconds since 1970.
+   * Called when a client submits a job. `body`: the parsed request body; null: it could not be parsed. `wallClockMs`: the time of
+   * day in milliseconds since 1970.
    */
   submitJob(id: number, body: MessagePackMap | null, now: Milliseconds, wallClockMs: Milliseconds): void {
     this.beginInput(now);
@@ -188,13 +191,13 @@
     this.flushWrites(now);
   }
 
-  /** A client requests the status of the job with this id. */
+  /** Called when a client requests the status of the job with this id. */
   queryJobStatus(id: number, job: string, now: Milliseconds): void {
     this.beginInput(now);
     this.parts.clientRequests.queryStatus(id, job, now);
   }
 
-  /** A client cancels the job with this id. */
+  /** Called when a client cancels the job with this id. */
   cancelJob(id: number, job: string, now: Milliseconds): void {
     this.beginInput(now);
     this.parts.clientRequests.cancel(id, job, now);
@@ -203,28 +206,31 @@
 
   // Inputs from workers
 
-  /** A worker sent a heartbeat to this controller and waits for the response. */
+  /** Called when a worker sent a heartbeat to this controller. The worker waits for the response. */
   receiveHeartbeat(id: number, heartbeat: Heartbeat, now: Milliseconds): void {
     this.beginInput(now);
     this.parts.heartbeatResponder.receive(id, heartbeat, now);
     this.flushWrites(now);
   }
 
-  /** Another controller answered a heartbeat and forwarded it to this one, which holds the lease of the machine's shard. */
+  /**
+   * Called when another controller answered a heartbeat and forwarded it to this one, which holds the lease of the machine's
+   * shard.
+   */
   receiveForwardedHeartbeat(heartbeat: Heartbeat, now: Milliseconds): void {
     this.beginInput(now);
     this.parts.heartbeatResponder.receiveForwarded(heartbeat, now);
     this.flushWrites(now);
   }
 
-  /** A worker responded to commands, or the request timed out. `id`: that of the `command` effect. */
+  /** Called when a worker responded to commands, or the request timed out. `id`: that of the `command` effect. */
   receiveCommandOutcome(id: number, outcome: CommandOutcome, now: Milliseconds): void {
     this.beginInput(now);
     this.parts.shardController.handleCommandOutcome(id, outcome, now);
     this.flushWrites(now);
   }
 
-  /** A worker responded to a probe, or the probe timed out. `id`: that of the `probe` effect. */
+  /** Called when a worker responded to a probe, or the probe timed out. `id`: that of the `probe` effect. */
   receiveProbeOutcome(id: number, isAnswered: boolean, now: Milliseconds): void {
     this.beginInput(now);
     this.parts.shardController.handleProbeOutcome(id, isAnswered);
@@ -232,7 +238,7 @@
 
   // Inputs from the cloud
 
-  /** The cloud listed its machine types; null: the request failed. An empty list is ignored. */
+  /** Called when the cloud listed its machine types. `types`: null if the request failed. An empty list is ignored. */
   receiveMachineTypes(types: MachineType[] | null, now: Milliseconds): void {
     this.beginInput(now);
     if (types === null || types.length === 0) return;
@@ -240,14 +246,16 @@
     this.flushWrites(now);
   }
 
-  /** The cloud listed the provisioned machines; null: the request failed. */
+  /** Called when the cloud listed the provisioned machines. `machines`: null if the request failed. */
   receiveMachineList(machines: ListedMachine[] | null, now: Milliseconds): void {
     this.beginInput(now);
     const { leader } = this.parts;
     leader.autoscaler.receiveMachineList(machines, leader.isLeading, now);
   }
 
-  /** The cloud responded to a provisioning request, or the request timed out. `id`: that of the `provision` effect. */
+  /**
+   * Called when the cloud responded to a provisioning request, or the request timed out. `id`: that of the `provision` effect.
+   */
   receiveProvisioningOutcome(id: number, outcome: ProvisioningOutcome, now: Milliseconds): void {
     this.beginInput(now);
     this.parts.leader.autoscaler.handleProvisioningOutcome(id, outcome, now);
@@ -255,8 +263,8 @@
   }
 
   /**
-   * The cloud responded to a release request; `isReleased` false: it refused, or the request timed out. `id`: that of the
-   * `release` effect.
+   * Called when the cloud responded to a release request, or the request timed out. `isReleased`: false if the cloud refused or
+   * did not respond. `id`: that of the `release` effect.
    */
   receiveReleaseOutcome(id: number, isReleased: boolean, now: Milliseconds): void {
     this.beginInput(now);
@@ -268,7 +276,7 @@
 
   // Inputs from the other controllers
 
-  /** Another controller's status arrived over the link to it, which is therefore up. */
+  /** Called when another controller's status arrived over the link to it, which is therefore up. */
   receivePeerStatus(status: PeerStatus, now: Milliseconds): void {
     this.beginInput(now);
     const { parts } = this;
@@ -278,7 +286,7 @@
     this.flushWrites(now);
   }
 
-  /** The link to another controller is down. */
+  /** Called when the link to another controller is down. */
   peerDisconnected(controller: string, now: Milliseconds): void {
     this.beginInput(now);
     this.parts.peerRegistry.peerDisconnected(controller);
--- a/packages/controller/src/heartbeats/heartbeat-evaluation.ts
+++ b/packages/controller/src/heartbeats/heartbeat-evaluation.ts
@@ -1,6 +1,7 @@
 /**
- * Evaluation of heartbeats: whether a heartbeat counts, given what is known of its worker. Copies can arrive late and messages
- * can be lost, so most of the rules guard against processing an old heartbeat as a new one. Pure; owns no state.
+ * Evaluation of heartbeats: whether a heartbeat counts, given the newest message that this controller received from its worker.
+ * Copies can arrive late and messages can be lost, so most of the rules guard against processing an old heartbeat as a new one.
+ * Pure; owns no state.
  */
 import type { Heartbeat } from '@archpost/protocol';
 import type { HeartbeatPosition, MachineTenure, Milliseconds } from '../model/index.js';
@@ -17,11 +18,11 @@
 
 /** The result of evaluating a heartbeat, or the status in a command response. */
 export type HeartbeatEvaluation =
-  /** newer than all that is known: it counts. `hasGapBefore`: messages before it didn't arrive here */
+  /** newer than all earlier messages of the worker: it counts. `hasGapBefore`: messages before it didn't arrive here */
   | { readonly kind: 'accepted'; readonly hasGapBefore: boolean }
   /**
-   * a response that is not newer than what was known when its command was sent: the agent restarted, and none of its earlier
-   * tasks runs any more
+   * a response that is not newer than the newest heartbeat received before its command was sent: the agent restarted, and none of
+   * its earlier tasks runs any more
    */
   | { readonly kind: 'agentRestarted' }
   /**
@@ -29,7 +30,7 @@
    * late copy
    */
   | { readonly kind: 'unverified' }
-  /** not newer than what is known: a late copy, or the agent restarted */
+  /** not newer than the newest message received: a late copy, or the agent restarted */
   | { readonly kind: 'stale' }
   /** the sequence is higher than the worker can have reached: a copy from before an agent restart, or many messages were lost */
   | { readonly kind: 'implausible' };
--- a/packages/controller/src/heartbeats/heartbeat-forwarding.ts
+++ b/packages/controller/src/heartbeats/heartbeat-forwarding.ts
@@ -39,7 +39,9 @@
   );
 }
 
-/** Whether two heartbeats of a worker report the same. One with a preemption notice always differs, so that it is forwarded. */
+/**
+ * Whether two heartbeats of a worker report the same state. One with a preemption notice always differs, so that it is forwarded.
+ */
 function isSameHeartbeat(heartbeat: Heartbeat, other: Heartbeat): boolean {
   if (
     heartbeat.agentEpoch !== other.agentEpoch ||
@@ -54,7 +56,7 @@
 
 type HeartbeatForwardingContext = SettingsView & ClusterStateView & PeerDirectory & EffectSink;
 
-/** Keeps and forwards heartbeats that this controller answers for other shard holders. */
+/** Keeps the heartbeats that this controller answers on behalf of other lease holders, and forwards them to these. */
 export class HeartbeatForwarding {
   private readonly forwardingStates = new Map<string, ForwardingState>();
 
@@ -79,8 +81,8 @@
   }
 
   /**
-   * The machines whose heartbeats arrived here recently and haven't changed since they were forwarded, by the controller that
-   * holds their shard.
+   * Returns the machines whose heartbeats arrived here recently and haven't changed since they were forwarded, by the controller
+   * that holds their shard.
    */
   unchangedByHolder(now: Milliseconds): Map<string, UnchangedHeartbeat[]> {
     const byHolder = new Map<string, UnchangedHeartbeat[]>();
--- a/packages/controller/src/heartbeats/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeats/heartbeat-reconciler.ts
@@ -104,7 +104,7 @@
       tenure.reportedPriority = Math.max(tenure.reportedPriority, this.reportedPriorityOf(task.job));
   }
 
-  /** The priority of a probe for a machine that reports tasks of the job. Cancelled tasks have to end in time. */
+  /** Returns the priority of a probe for a machine that reports tasks of the job. Cancelled tasks have to end in time. */
   private reportedPriorityOf(jobId: string): number {
     const { finishedJobs, jobs } = this.context.clusterState;
     if (finishedJobs.get(jobId) === 'cancelled') return CANCELLED_WORK_PRIORITY;
@@ -141,7 +141,8 @@
   private recordPeerContact(machine: Machine, peer: string, now: Milliseconds): void {
     machine.lastPeerContactAt = now;
     machine.tenure.lastContactAt = now;
-    // The machine switches controllers: perhaps no controller's responses reach it. One that stays with a controller gets them.
+    // The machine switches controllers: perhaps no controller's responses reach it. A machine that stays with one controller gets
+    // its responses.
     if (machine.lastPeerInContact !== peer && machine.lastPeerInContact !== null) this.requestProbe(machine, now);
     machine.lastPeerInContact = peer;
   }
--- a/packages/controller/src/heartbeats/heartbeat-responder.ts
+++ b/packages/controller/src/heartbeats/heartbeat-responder.ts
@@ -106,7 +106,7 @@
     return now - confirmedAt < (cancelS - leaseS - intervalS) * 1000;
   }
 
-  /** The number of responses by status code since the last call. Resets the counts. */
+  /** Returns the number of responses by status code since the last call, and resets the counts. */
   takeResponseCounts(): Record<string, number> {
     const counts = Object.fromEntries(this.responseCounts);
     this.responseCounts.clear();
@@ -114,9 +114,9 @@
   }
 
   /**
-   * Commands that stop the reported tasks of finished jobs. They are part of the response, whichever controller sends it: a
-   * separate command may not reach the worker although the response does, and it is the response that lets the tasks continue. A
-   * job that is done may have a second attempt of a task left, which the holder of its shard no longer knows.
+   * Returns commands that stop the reported tasks of finished jobs. They are part of the response, whichever controller sends it:
+   * a separate command may not reach the worker although the response does, and it is the response that lets the tasks continue.
+   * A job that is done may have a second attempt of a task left, which the holder of its shard no longer knows.
    */
   private buildStopCommands(heartbeat: Heartbeat): Command[] {
     const { finishedJobs } = this.context.clusterState;
--- a/packages/controller/src/heartbeats/worker-routing.ts
+++ b/packages/controller/src/heartbeats/worker-routing.ts
@@ -36,8 +36,8 @@
   constructor(private readonly context: SettingsView & PeerDirectory) {}
 
   /**
-   * The controller that the worker is to be redirected to; null: this controller is to answer it. `holder`: the controller that
-   * holds the machine's shard; null: none does. A returned redirect is recorded as carried out.
+   * Returns the controller that the worker is to be redirected to; null: this controller is to answer it. `holder`: the
+   * controller that holds the machine's shard; null: none does. A returned redirect is recorded as carried out.
    */
   chooseRedirectTarget(heartbeat: Heartbeat, holder: string | null, now: Milliseconds): string | null {
     const controller = this.preferredController(heartbeat.zone, holder, now);
@@ -50,7 +50,7 @@
     this.servedAt.set(machine, now);
   }
 
-  /** The number of workers that this controller answered recently. */
+  /** Returns the number of workers that this controller answered recently. */
   servedWorkerCount(now: Milliseconds): number {
     this.deleteExpired(now);
     return this.servedAt.size;
@@ -75,10 +75,10 @@
   }
 
   /**
-   * Whether the worker may be redirected to the controller. A redirected worker that returns got no response there while its
-   * lease was running, so it is redirected once, then answered here. Only a few workers are redirected, as a trial, to a
-   * controller that answers hardly any: one that had lost all of its workers was still considered healthy, and 115 leases expired
-   * while workers went to it and back (docs/incidents/hunt-2b89-apart.md).
+   * Whether the worker may be redirected to the controller. A redirected worker that returns got no response from that
+   * controller, and part of its lease has passed, so it is redirected once and then answered here. Only a few workers are
+   * redirected, as a trial, to a controller that answers hardly any: one that had lost all of its workers was still considered
+   * healthy, and 115 leases expired while workers went to it and back (docs/incidents/hunt-2b89-apart.md).
    */
   private mayRedirectTo(machine: string, to: string, now: Milliseconds): boolean {
     const previous = this.redirects.get(machine);
@@ -102,9 +102,9 @@
   }
 
   /**
-   * The controller that a worker in the zone should send its heartbeats to, as far as this controller knows. In order of
-   * preference: the holder of its shard if that is in the zone, this controller if it is in the zone, another controller in the
-   * zone, the holder, this controller.
+   * Returns the controller that a worker in the zone should send its heartbeats to, judging from the last statuses of the peers.
+   * In order of preference: the holder of its shard if that is in the zone, this controller if it is in the zone, another
+   * controller in the zone, the holder, this controller.
    */
   private preferredController(zone: string, holder: string | null, now: Milliseconds): string {
     const { name: ownName, zone: ownZone, controllers } = this.context.settings;
--- a/packages/controller/src/jobs/acceptance-writer.ts
+++ b/packages/controller/src/jobs/acceptance-writer.ts
@@ -36,7 +36,7 @@
       sizeLimits.maxWriteBytes,
     );
     if (encoded === null || encoded.parts.length === 0) return encoded;
-    // If the list is stored in parts, it is stored whole, so that a repeated submission finds the same parts.
+    // If the list is stored in parts, it includes dependencies that are done, so that a repeated submission finds the same parts.
     return encodeAcceptedJob(key, { spec: orderedSpec, awaits, submittedAt: wallClockMs }, sizeLimits.maxWriteBytes);
   }
 
@@ -49,7 +49,8 @@
   }
 
   /**
-   * Moves the known machine types to the front: an older version reads only the first types, preferably ones that it knows.
+   * Moves the machine types that the cloud offers to the front. A version without support for parts reads only the types in the
+   * record itself, so these should be types that exist.
    */
   private knownTypesFirst(types: string[]): string[] {
     const known = new Set(this.context.clusterState.machineTypes.flatMap((type) => (type ? [type.name] : [])));
--- a/packages/controller/src/jobs/cancellations.ts
+++ b/packages/controller/src/jobs/cancellations.ts
@@ -12,7 +12,7 @@
 /** The parts of the controller's context that cancellations use. */
 type CancellationsContext = ClusterStateView & ReplicaView & StateWriting;
 
-/** Answers each cancellation once. The answer for a job that is already finished is its final state. */
+/** Responds to each cancellation once. The response for a job that is already finished contains its final state. */
 export class Cancellations {
   constructor(
     private readonly context: CancellationsContext,
--- a/packages/controller/src/jobs/client-requests.ts
+++ b/packages/controller/src/jobs/client-requests.ts
@@ -47,7 +47,9 @@
     this.statusQueries = new StatusQueries(context, this.responses);
   }
 
-  /** `body`: null if it isn't a MessagePack map; `wallClockMs`: the time of day. */
+  /**
+   * Handles a submission. `body`: null if it isn't a MessagePack map. `wallClockMs`: the time of day in milliseconds since 1970.
+   */
   submit(id: number, body: MessagePackMap | null, now: Milliseconds, wallClockMs: number): void {
     this.responses.recordRequestOpened();
     const request = readSubmissionRequest(body);
@@ -55,13 +57,13 @@
     else this.responses.respond(id, HttpStatus.badRequest, malformedSubmissionBody(request));
   }
 
-  /** `job`: as the user wrote it; an id that no job can have is answered like an unknown one. */
+  /** Handles a cancellation. `job`: the id as the user wrote it; an id that no job can have is answered like an unknown one. */
   cancel(id: number, job: string, now: Milliseconds): void {
     this.responses.recordRequestOpened();
     this.cancellations.cancel(id, job, now);
   }
 
-  /** `job`: as for `cancel`. */
+  /** Handles a status query. `job`: as for `cancel`. */
   queryStatus(id: number, job: string, now: Milliseconds): void {
     this.responses.recordRequestOpened();
     this.statusQueries.query(id, job, now);
--- a/packages/controller/src/jobs/client-responses.ts
+++ b/packages/controller/src/jobs/client-responses.ts
@@ -79,8 +79,8 @@
   }
 
   /**
-   * For a request with several possible responses, of which only the first is sent. Returns a function that runs `respond`
-   * unless a response was sent already. If none was sent by `expiresAt`, the request is refused.
+   * Returns a function that runs `respond`, unless a response to the request was sent already: a request may have several
+   * possible responses, of which only the first is sent. If none was sent by `expiresAt`, the request is refused.
    */
   respondOnce(id: number, expiresAt: Milliseconds): (respond: () => void) => void {
     let isAnswered = false;
--- a/packages/controller/src/jobs/deadline-queue.ts
+++ b/packages/controller/src/jobs/deadline-queue.ts
@@ -11,8 +11,8 @@
   private readonly deadlines: Deadline[] = [];
 
   /**
-   * Runs `run` at the first tick at or after `at`. The insertion point is searched from the end, since most deadlines are
-   * later than all those in the queue; a request that waited for a read barrier before has an earlier one.
+   * Runs `run` at the first tick at or after `at`. The insertion point is searched from the end, since most deadlines are later
+   * than all those in the queue; only the deadline of a request that waited for a read barrier first is earlier.
    */
   add(at: Milliseconds, run: () => void): void {
     const index = this.deadlines.findLastIndex((deadline) => deadline.at <= at) + 1;
--- a/packages/controller/src/jobs/status-queries.ts
+++ b/packages/controller/src/jobs/status-queries.ts
@@ -20,9 +20,9 @@
 /** The parts of the controller's context that status queries use. */
 type StatusQueriesContext = ClusterStateView & ReplicaView & PeerDirectory & EffectSink;
 
-/** Answers queries linearizably: for a finished job at once, for any other after a read that is newer than the query. */
+/** Answers queries linearizably: for a finished job immediately, for any other job after a read that is newer than the query. */
 export class StatusQueries {
-  /** queries that wait until the replica is as new as they are, in order of arrival */
+  /** queries that wait until the replica holds the state as of their arrival, in order of arrival */
   private readonly pending: StatusQuery[] = [];
 
   constructor(
--- a/packages/controller/src/jobs/submissions.ts
+++ b/packages/controller/src/jobs/submissions.ts
@@ -11,10 +11,10 @@
 /** Within this time after a job's acceptance, no other response can have reported the job's end. */
 const PROMPT_RESPONSE_MS = 150;
 
-/** What submissions need of the controller. */
+/** The parts of the controller's context that submissions use. */
 type SubmissionsContext = SettingsView & InputClock & ClusterStateView & ReplicaView & StateWriting & PeerDirectory;
 
-/** Answers each submission once. The answer to a repeated submission is the job's status, and nothing is stored. */
+/** Responds to each submission once. The response to a repeated submission is the job's status; nothing is stored. */
 export class Submissions {
   private readonly acceptanceWriter: AcceptanceWriter;
 
@@ -25,7 +25,7 @@
     this.acceptanceWriter = new AcceptanceWriter(context);
   }
 
-  /** `wallClockMs`: time of day, which is stored with the job. */
+  /** Handles a submission. `wallClockMs`: the time of day in milliseconds since 1970, which is stored with the job. */
   submit(id: number, submission: Submission, now: Milliseconds, wallClockMs: number): void {
     const { clusterState } = this.context;
     const job = submission.spec.id;
@@ -78,8 +78,9 @@
   }
 
   /**
-   * The state service's answer to the transaction may be delayed. Meanwhile the job may have finished, or been cancelled at
-   * another controller, which has reported that: the response must not contain an older status.
+   * Responds to a submission whose job was stored. If the state service's response was delayed, the job may meanwhile have
+   * finished, or been cancelled at another controller that has reported this to a user. The response must not contain an older
+   * status, so it is sent only after a newer read.
    */
   private respondAccepted(id: number, job: string, sentAt: Milliseconds): void {
     const { now } = this.context;
--- a/packages/controller/src/leadership/cancellation-freshness.ts
+++ b/packages/controller/src/leadership/cancellation-freshness.ts
@@ -10,7 +10,7 @@
 import type { PeerStatus } from '@archpost/protocol';
 import type { Milliseconds } from '../model/index.js';
 
-/** A ping older than this is discarded: its echo would prove nothing useful any more. */
+/** A ping older than this is discarded: the time that its echo would prove is too old to be of use. */
 const PING_EXPIRY_MS = 60_000;
 
 /** The status fields with which a controller proves to a peer how fresh its status is. */
@@ -35,7 +35,10 @@
     private readonly incarnation: string,
   ) {}
 
-  /** A new ping to the controller, and the echo of its last ping (empty if it sent none), for a status that is sent at `now`. */
+  /**
+   * Returns a new ping to the controller, and the echo of its last ping (empty if it sent none), for a status that is sent at
+   * `now`.
+   */
   pingAndEcho(controller: string, now: Milliseconds): PingAndEcho {
     const ping = `${this.incarnation}/${++this.pingCount}`;
     this.pingSentAt.set(ping, now);
@@ -53,7 +56,7 @@
   }
 
   /**
-   * The time up to which every confirmed cancellation is known to this controller: `now` without peers, minus infinity while a
+   * Returns the time up to which this controller knows every confirmed cancellation: `now` without peers, minus infinity while a
    * peer has proved nothing.
    */
   freshAsOf(now: Milliseconds): Milliseconds {
--- a/packages/controller/src/leadership/holder-selection.ts
+++ b/packages/controller/src/leadership/holder-selection.ts
@@ -15,7 +15,7 @@
 export class HolderSelection {
   constructor(private readonly context: HolderSelectionContext) {}
 
-  /** The controller that should hold the lease while that controller is fit to. */
+  /** Returns the name of the controller that should hold the lease whenever that controller is fit to hold it. */
   preferredHolder(lease: LeaseName): string {
     const { controllers, name } = this.context.settings;
     return controllers[preferredHolderIndex(lease, controllers.length)]?.name ?? name;
--- a/packages/controller/src/leadership/idle-machine-scale-in.ts
+++ b/packages/controller/src/leadership/idle-machine-scale-in.ts
@@ -89,8 +89,8 @@
 }
 
 /**
- * The multiple of the configured idle time for which a machine may stay idle. It is higher for cheap machines: they cost little,
- * and a replacement takes its boot time, which has to be paid and waited for.
+ * Returns the multiple of the configured idle time for which a machine may stay idle. It is higher for cheap machines: they cost
+ * little, and a replacement takes its boot time, which has to be paid and waited for.
  */
 function idleFactor(type: MachineType | null, spot: boolean, highestPrice: number): number {
   if (!type) return 1;
--- a/packages/controller/src/leadership/index.ts
+++ b/packages/controller/src/leadership/index.ts
@@ -3,8 +3,8 @@
  * leader; the registry of peers and the status exchange with them; the freshness of the replica and of the known cancellations;
  * and the application of changed keys.
  *
- * Owns the leases that this controller holds, the peers' statuses, and the times up to which the state service and the peers
- * have confirmed that nothing is unknown here.
+ * Owns the leases that this controller holds, the peers' statuses, and two times: up to which the replica has all changes of the
+ * state service, and up to which this controller knows all confirmed cancellations.
  */
 export { CancellationFreshness } from './cancellation-freshness.js';
 export { Leader } from './leader.js';
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -28,7 +28,9 @@
 const ROUND_INTERVAL_MS_PER_MACHINE = 1;
 const MAX_ROUND_INTERVAL_MS = 1500;
 
-/** No round runs on an older replica: other controllers may have changed the state that the round decides about. */
+/**
+ * No round runs while the replica is older than this: other controllers may have changed the state that the round decides about.
+ */
 const MAX_REPLICA_AGE_MS = 4000;
 
 /** A peer's shard summary is used up to this age, so that the loss of a few statuses has no effect. */
@@ -38,7 +40,7 @@
 const MIN_MOVES_PER_ROUND = 6;
 const MOVES_FRACTION_OF_WRITES = 0.03;
 
-/** Idle machines that a round may retire, for each move that it may order. */
+/** Number of idle machines that a round may retire, per move that it may order. */
 const RETIREMENTS_PER_MOVE = 0.5;
 
 type LeaderContext = SettingsView &
@@ -103,7 +105,7 @@
     this.machineAssigner.recordHeartbeat(unassigned, now);
   }
 
-  /** The machines without a shard that recently sent heartbeats to this controller, for the status to the leader. */
+  /** Returns the machines without a shard that recently sent heartbeats to this controller, for the status to the leader. */
   unassignedMachines(now: Milliseconds): UnassignedMachine[] {
     return this.machineAssigner.recentlyReported(now);
   }
@@ -152,7 +154,9 @@
     return Math.max(MIN_MOVES_PER_ROUND, Math.floor(MOVES_FRACTION_OF_WRITES * writes));
   }
 
-  /** The summary of each shard, as its holder reports it. A shard whose holder sent no recent status has none. */
+  /**
+   * Returns the summary of each shard, as its lease holder reports it. A shard whose lease holder sent no recent status has none.
+   */
   private shardSummaries(now: Milliseconds): Map<number, ShardSummary> {
     const { clusterState, peers } = this.context;
     const summaries = new Map<number, ShardSummary>();
--- a/packages/controller/src/leadership/lease-claims.ts
+++ b/packages/controller/src/leadership/lease-claims.ts
@@ -33,7 +33,7 @@
  */
 const WAIT_PER_CONTROLLER_MS = 150;
 
-/** No lease is claimed on an older replica: the lease may have a new holder by now. */
+/** No lease is claimed while the replica is older than this: the lease may have a new holder by now. */
 const MAX_REPLICA_AGE_MS = 3000;
 
 /** A claim or presence write that has been queued for longer is dropped, and queued again if it is still needed. */
@@ -110,7 +110,7 @@
     });
   }
 
-  /** How long this controller waits for the other controllers before it claims a lease without a holder. */
+  /** Returns how long this controller lets other controllers claim a lease without a holder before it claims the lease itself. */
   private waitBeforeClaim(lease: LeaseName, heldCount: number, now: Milliseconds): Milliseconds {
     const self = this.context.settings.name;
     const preferred = this.holderSelection.preferredHolder(lease);
--- a/packages/controller/src/leadership/lease-names.ts
+++ b/packages/controller/src/leadership/lease-names.ts
@@ -12,15 +12,15 @@
   return SHARD_NUMBER.test(stored) ? Number(stored) : null;
 }
 
-/** All leases of a cluster with `shardCount` shards, in the order in which they are claimed: the leader lease first. */
+/** Returns all leases of a cluster with `shardCount` shards, in the order in which they are claimed: the leader lease first. */
 export function allLeaseNames(shardCount: number): LeaseName[] {
   return [LEADER_LEASE, ...Array.from({ length: shardCount }, (_, shard) => shard)];
 }
 
 /**
- * The controller that should hold the lease while that controller is healthy, as an index into the sorted list of controllers.
- * Shards are distributed round-robin. The leader lease belongs to the last controller, which has the fewest shards if they don't
- * divide evenly.
+ * Returns the controller that should hold the lease while that controller is healthy, as an index into the sorted list of
+ * controllers. Shards are distributed round-robin. The leader lease belongs to the last controller, which has the fewest shards
+ * if they don't divide evenly.
  */
 export function preferredHolderIndex(lease: LeaseName, controllerCount: number): number {
   return lease === LEADER_LEASE ? controllerCount - 1 : lease % controllerCount;
--- a/packages/controller/src/leadership/peer-registry.ts
+++ b/packages/controller/src/leadership/peer-registry.ts
@@ -10,7 +10,9 @@
 import { parseStatus } from '../state/index.js';
 import type { PauseListener } from './process-pause.js';
 
-/** A peer whose last status is older is considered dead, or its link down. Statuses are sent every 0.7 s. */
+/**
+ * A peer whose last status is older than this is considered dead, or its link is considered down. Statuses are sent every 0.7 s.
+ */
 const PEER_SILENT_MS = 3500;
 
 interface Peer {
@@ -70,7 +72,10 @@
     return false;
   }
 
-  /** The peer's running jobs after this status, which lists all of them or only those that changed since the previous status. */
+  /**
+   * Returns the peer's running jobs as of this status, which lists all of them or only those that changed since the previous
+   * status.
+   */
   private mergeRunningJobs(status: PeerStatus): Map<string, RunningTasks> {
     const previous = status.runningJobsComplete ? undefined : this.registry.get(status.node)?.runningJobs;
     const runningJobs = previous ?? new Map<string, RunningTasks>();
--- a/packages/controller/src/leadership/process-pause.ts
+++ b/packages/controller/src/leadership/process-pause.ts
@@ -1,7 +1,8 @@
 /**
- * Pauses of this process: it got no processor time while all other processes kept running. A silence during a pause is due to the
- * pause and no evidence about workers, peers or the state service. So the age of every silence is reduced by the length of the
- * pause. Leases, and the age of what the state service confirmed, are not adjusted: that time did pass.
+ * Pauses of this process: it got no processor time while all other processes kept running. A silence during a pause is caused by
+ * the pause and is no evidence that a worker, a peer or the state service failed, so the age of every silence is reduced by the
+ * length of the pause. The expiry of leases and the ages of the replica and of the known cancellations are not adjusted: for them
+ * the time did pass.
  *
  * Owns no state.
  */
--- a/packages/controller/src/leadership/state-lease.ts
+++ b/packages/controller/src/leadership/state-lease.ts
@@ -9,10 +9,13 @@
 
 /** Is notified of changes in the validity of the state lease. */
 export interface StateLeaseListener {
-  /** The lease has ended or can no longer be relied on. Everything that was attached to it counts as lost. */
+  /** Called when the lease has ended or can no longer be relied on. Everything that was attached to it counts as lost. */
   onStateLeaseLost(): void;
 
-  /** The lease was renewed `overdueMs` after its assumed expiry. No part of this controller could rely on it in between. */
+  /**
+   * Called when the lease was renewed `overdueMs` after its assumed expiry. In between, no part of this controller acted under
+   * it.
+   */
   onStateLeaseRenewedLate(overdueMs: Milliseconds, now: Milliseconds): void;
 }
 
--- a/packages/controller/src/leadership/state-service-freshness.ts
+++ b/packages/controller/src/leadership/state-service-freshness.ts
@@ -33,7 +33,10 @@
     return this.lastReadAt < this.lastPauseAt && this.clock.now - this.lastPauseAt < MAX_CATCH_UP_MS;
   }
 
-  /** Records that the replica has all changes up to `asOf`, when the request for them was sent. Responses may be out of order. */
+  /**
+   * Records that the replica has all changes up to `asOf`, the time when the request for them was sent. Responses may arrive out
+   * of order.
+   */
   recordReplicaRead(asOf: Milliseconds, now: Milliseconds): void {
     if (asOf > this.lastReadAt) this.lastReadAt = asOf;
     this.lastResponseAt = now;
--- a/packages/controller/src/leadership/status-assembly.ts
+++ b/packages/controller/src/leadership/status-assembly.ts
@@ -28,7 +28,7 @@
     private readonly sources: StatusSources,
   ) {}
 
-  /** The status as of `now`. */
+  /** Returns this controller's status as of `now`. */
   assemble(now: Milliseconds): PeerStatus {
     const { context } = this;
     const { shardController, leader, workerRouting } = this.sources;
--- a/packages/controller/src/leadership/write-rate-quota.ts
+++ b/packages/controller/src/leadership/write-rate-quota.ts
@@ -14,12 +14,12 @@
 /** Minimum quota of a controller, whatever the limit. */
 const MIN_WRITES_PER_S = 1;
 
-/** The quota of one controller, in writes per second, before any status is known: an equal share of the limit. */
+/** Returns the quota of one controller, in writes per second, before any status is known: an equal share of the limit. */
 export function initialWritesPerS(limitPerS: number, controllerCount: number): number {
   return Math.max(MIN_WRITES_PER_S, limitPerS * (USED_FRACTION / Math.max(1, controllerCount)));
 }
 
-/** The quota of this controller, in writes per second, given that all controllers together may make `limitPerS`. */
+/** Returns the quota of this controller, in writes per second, given that all controllers together may make `limitPerS`. */
 export function ownWritesPerS(
   context: SettingsView & StateWriting & PeerDirectory,
   limitPerS: number,
--- a/packages/controller/src/state/assignment-record.ts
+++ b/packages/controller/src/state/assignment-record.ts
@@ -37,7 +37,10 @@
   n?: number;
 }
 
-/** `rewriteOf`: the stored revision, if an unchanged assignment is rewritten only to get a higher revision. */
+/**
+ * Returns the record of an assignment. `rewriteOf`: the stored revision, if an unchanged assignment is rewritten only to get a
+ * higher revision.
+ */
 export function encodeAssignment(assignment: MachineAssignment, rewriteOf?: number): unknown {
   const stored: StoredAssignment = {
     s: assignment.shard,
@@ -52,7 +55,9 @@
   return stored;
 }
 
-/** Throws `UnreadableRecordError` if the shard, type or zone is missing. The other fields aren't validated. */
+/**
+ * Decodes an assignment. Throws `UnreadableRecordError` if the shard, type or zone is missing. The other fields aren't validated.
+ */
 export function parseAssignment(value: unknown): MachineAssignment {
   const stored = value as Partial<StoredAssignment> | null;
   if (typeof stored?.s !== 'number' || typeof stored.t !== 'string' || typeof stored.z !== 'string')
--- a/packages/controller/src/state/cluster-state.ts
+++ b/packages/controller/src/state/cluster-state.ts
@@ -23,7 +23,7 @@
 /** What one changed key affects. `none`: no listener has to be notified. */
 export type AppliedChange = { kind: 'none' } | LeaseChange | MachineChange | JobsChange;
 
-/** The lease of a shard, or the leader's lease, was acquired, changed its holder or ended. */
+/** A change of a shard lease or of the leader lease: it was acquired, changed its holder or ended. */
 export interface LeaseChange {
   kind: 'lease';
   /** the lease's name as text: a shard's number, or `LEADER_LEASE` */
@@ -154,7 +154,7 @@
     this.machineRegistry.refreshCapacities();
   }
 
-  /** Shortest boot time of the known machine types without accelerators that can run the job; 0 if there is none. */
+  /** Returns the shortest boot time of the known machine types without accelerators that can run the job; 0 if there is none. */
   bootTimeFor(job: Job): Milliseconds {
     return this.machineTypeRegistry.bootTimeFor(job);
   }
@@ -164,30 +164,30 @@
     this.imageCaches.restoreImages(machine);
   }
 
-  /** The machine's most recently used images, as many as fit into one stored value. */
+  /** Returns the machine's most recently used images, as many as fit into one stored value. */
   imagesToStore(machine: Machine): StoredImage[] {
     return this.imageCaches.imagesToStore(machine);
   }
 
-  /** The machine's current assignment, without a requested move or release. */
+  /** Returns the machine's current assignment, without a requested move or release. */
   assignmentOf(machine: Machine): MachineAssignment {
     return this.machineRegistry.assignmentOf(machine);
   }
 
-  /** The lease of a shard or of the leader; null if no controller holds it. */
+  /** Returns the lease of a shard or of the leader; null if no controller holds it. */
   leaseOf(lease: LeaseName): ShardLease | null {
     return this.leaseRegistry.leaseOf(lease);
   }
 
   /**
-   * The fencing token for commands to the machine. The machine's agent rejects commands with a lower token than the highest
-   * that it has seen. The token rises at each takeover of the shard and at each rewrite of the assignment.
+   * Returns the fencing token for commands to the machine. The machine's agent rejects commands with a lower token than the
+   * highest that it has seen. The token rises at each takeover of the shard and at each rewrite of the assignment.
    */
   fencingToken(machine: Machine): number {
     return Math.max(machine.assignmentRevision, this.leaseOf(machine.shard)?.revision ?? 0);
   }
 
-  /** The job with this id, restored from its record if it was forgotten; null if there are no tasks to run or stop. */
+  /** Returns the job with this id, restored from its record if it was forgotten; null if there are no tasks to run or stop. */
   restoreJob(id: string, record: ReplicaEntry | null, now: Milliseconds): Job | null {
     return this.jobRegistry.restore(id, record, now);
   }
--- a/packages/controller/src/state/image-caches.ts
+++ b/packages/controller/src/state/image-caches.ts
@@ -34,7 +34,7 @@
       machine.images.set(this.imageNames.intern(name), sizeGb);
   }
 
-  /** The machine's most recently used images, as many as fit into one stored value. */
+  /** Returns the machine's most recently used images, as many as fit into one stored value. */
   imagesToStore(machine: Machine): StoredImage[] {
     const recent = [...machine.images].slice(-MAX_STORED_IMAGES);
     const images = recent.map(([index, sizeGb]): StoredImage => [this.imageNames.nameOf(index), sizeGb]);
--- a/packages/controller/src/state/job-dependencies.ts
+++ b/packages/controller/src/state/job-dependencies.ts
@@ -26,12 +26,12 @@
 /** Assumed time to fetch a GB of an image. */
 const IMAGE_FETCH_MS_PER_GB = 1000;
 
-/** Expected time from the start of a job to its end: the fetch of its image and the run of one task. */
+/** Returns the expected time from the start of a job to its end: the fetch of its image and the run of one task. */
 export function expectedDurationMs(job: Job): Milliseconds {
   return job.expectedRunMs + job.spec.imageSizeGb * IMAGE_FETCH_MS_PER_GB;
 }
 
-/** Wall-clock time by which the job has to start to meet its effective deadline. */
+/** Returns the wall-clock time by which the job has to start to meet its effective deadline. */
 function latestStartOf(job: Job): Milliseconds {
   return job.effectiveDeadlineAt - expectedDurationMs(job);
 }
@@ -135,7 +135,10 @@
 
   // ---- inherited priority and deadline
 
-  /** New edges of a job can only raise what its dependencies inherit, so their other dependents aren't examined. */
+  /**
+   * Propagates the job's requirements to its dependencies after edges were added. New edges can only raise what the dependencies
+   * inherit, so their other dependents aren't examined.
+   */
   private propagateRequirements(job: Job): void {
     const raised = new Set<Job>([job]);
     for (const next of this.dependentsFirst(job)) {
@@ -172,7 +175,7 @@
     }
   }
 
-  /** The job and its direct and indirect dependencies, in topological order: each job comes after its dependents. */
+  /** Returns the job and its direct and indirect dependencies, in topological order: each job comes after its dependents. */
   private dependentsFirst(job: Job): Job[] {
     const seen = new Set<Job>([job]);
     const order: Job[] = [];
--- a/packages/controller/src/state/job-record.ts
+++ b/packages/controller/src/state/job-record.ts
@@ -95,7 +95,10 @@
 
 const STATE_BY_CODE = { [ACCEPTED]: 'live', [DONE]: 'done', [CANCELLED]: 'cancelled', [ACCEPTED_WITH_AWAITS]: 'live' } as const;
 
-/** Throws `UnreadableRecordError` if the value is no job record, or if the record of a live job has no specification. */
+/**
+ * Decodes a job record. Throws `UnreadableRecordError` if the value is no job record, or if the record of a live job has no
+ * specification.
+ */
 export function parseJobRecord(value: unknown): StoredJob {
   const parsed = recordSchema.safeParse(value);
   if (!parsed.success) throw new UnreadableRecordError('job', parsed.error);
@@ -116,7 +119,7 @@
   };
 }
 
-/** Like `parseJobRecord`, but returns null if the record can't be read. */
+/** Decodes a job record like `parseJobRecord`, but returns null if the record can't be read. */
 export function readJobRecord(value: unknown): StoredJob | null {
   try {
     return parseJobRecord(value);
@@ -126,14 +129,14 @@
   }
 }
 
-/** Throws `UnreadableRecordError` if the value is no part of a job record. */
+/** Decodes a part of a job record. Throws `UnreadableRecordError` if the value is no such part. */
 export function parseJobPart(value: unknown): JobPart {
   const parsed = partSchema.safeParse(value);
   if (!parsed.success) throw new UnreadableRecordError('job part', parsed.error);
   return { awaits: parsed.data.aw ?? [], types: parsed.data.ty ?? [] };
 }
 
-/** The number of leading names that fit into `maxBytes` of a JSON list. */
+/** Returns the number of leading names that fit into `maxBytes` of a JSON list. */
 function countNamesThatFit(names: readonly string[], maxBytes: number): number {
   let usedBytes = 0;
   let count = 0;
@@ -190,7 +193,10 @@
   awaits: number;
 }
 
-/** Returns null if the record doesn't fit without its lists, or if not even one machine type fits. */
+/**
+ * Counts the names of each list that fit into the record itself. Returns null if the record doesn't fit even without its lists,
+ * or if not one of its machine types fits.
+ */
 function countNamesInRecord(
   key: string,
   { spec, awaits, submittedAt }: AcceptedJob,
--- a/packages/controller/src/state/job-registry.ts
+++ b/packages/controller/src/state/job-registry.ts
@@ -92,7 +92,7 @@
     return jobsChange(jobs, stored.awaits === null ? 'the list of awaited jobs' : null);
   }
 
-  /** The job with this id, restored from its record if it was forgotten; null if there are no tasks to run or stop. */
+  /** Returns the job with this id, restored from its record if it was forgotten; null if there are no tasks to run or stop. */
   restore(id: string, entry: ReplicaEntry | null, now: Milliseconds): Job | null {
     const existing = this.jobs.get(id);
     if (existing || !entry) return existing ?? null;
@@ -111,7 +111,8 @@
 
   /**
    * Adds a job to the table; no other function does. The job is added only after its record was applied: its dependencies and
-   * whether it has ended. Jobs that are cancelled by that are appended to `cancelledJobs`.
+   * whether it has ended. Jobs that are cancelled because of a cancelled dependency in the record are appended to
+   * `cancelledJobs`.
    */
   private register(spec: JobSpec, stored: StoredJob, now: Milliseconds, cancelledJobs: Job[]): Job {
     const job = this.host.createJob(spec);
@@ -146,7 +147,10 @@
     job.eligibleAt = job.dependenciesDoneAt > 0 ? Math.min(now, job.dependenciesDoneAt - this.wallClockOffsetMs) : now;
   }
 
-  /** The time limit for stopping a cancelled job counts from when this controller first read the cancellation. */
+  /**
+   * Sets the time of cancellation of a cancelled job. The time limit for stopping its tasks counts from when this controller
+   * first read the cancellation.
+   */
   private recordCancellationTime(job: Job, now: Milliseconds): void {
     if (job.state !== 'cancelled') return;
     const readAt = this.cancellationReadAt.get(job.spec.id) ?? now;
--- a/packages/controller/src/state/keys.ts
+++ b/packages/controller/src/state/keys.ts
@@ -3,10 +3,10 @@
  * kind describes the values. The key formats are fixed: other versions use the same keys.
  */
 
-/** The name of the leader's lease, which is part of a stored key. */
+/** The name of the leader lease, which is part of a stored key. */
 export const LEADER_LEASE = 'lead';
 
-/** The name of a lease that controllers compete for: the leader's lease, or the number of a shard. */
+/** The name of a lease that controllers compete for: the leader lease, or the number of a shard. */
 export type LeaseName = typeof LEADER_LEASE | number;
 
 /** Builds the key of each kind of record. */
@@ -23,7 +23,7 @@
   machineTypesPart: (index: number) => `a/types/${index}`,
   /** a part of a job's lists: see job-record.ts */
   jobPart: (id: string, group: string, index: number) => `a/x/${id}/${group}/${index}`,
-  /** marks a controller as present; attached to the controller's lease at the state service */
+  /** marks a controller as present; attached to the controller's lease on the state service */
   presence: (controller: string) => `a/n/${controller}`,
   /** a controller's status, for the leader while the link between the two is down */
   status: (controller: string) => `a/s/${controller}`,
@@ -76,7 +76,9 @@
   return { kind: 'other', name: key };
 }
 
-/** The letter after the root. The log counts writes by this letter, such as `g` for assignments, `t` for machine types. */
+/**
+ * Returns the letter after the root. The log counts writes by this letter, such as `g` for assignments, `t` for machine types.
+ */
 export function keyKindLetter(key: string): string {
   return key.slice(StateKey.root.length, StateKey.root.length + 1);
 }
--- a/packages/controller/src/state/lease-record.ts
+++ b/packages/controller/src/state/lease-record.ts
@@ -1,6 +1,6 @@
 /**
- * The stored records that are attached to a controller's lease on the state service: the holder of a shard's lease or of the
- * leader's lease, and the presence of a controller. The service removes both when the controller's lease ends.
+ * The stored records that are attached to a controller's lease on the state service: the holder of a shard lease or of the leader
+ * lease, and the presence of a controller. The service removes both when the controller's lease ends.
  *
  * Stored field names are fixed: other versions read and write the same records.
  *
@@ -12,7 +12,7 @@
  */
 import { UnreadableRecordError } from './unreadable-record-error.js';
 
-/** The holder of a shard's lease, or of the leader's. */
+/** The holder of a shard lease or of the leader lease. */
 export interface LeaseHolder {
   controller: string;
   /** unique to each start of a controller's process, so that an earlier process isn't mistaken for the current one */
@@ -34,7 +34,7 @@
   return stored;
 }
 
-/** Throws `UnreadableRecordError` if the controller's name or incarnation is missing. */
+/** Decodes a lease holder. Throws `UnreadableRecordError` if the controller's name or incarnation is missing. */
 export function parseLeaseHolder(value: unknown): LeaseHolder {
   const stored = value as Partial<StoredHolder> | null;
   if (typeof stored?.node !== 'string' || typeof stored.boot !== 'string') throw new UnreadableRecordError('lease holder');
--- a/packages/controller/src/state/lease-registry.ts
+++ b/packages/controller/src/state/lease-registry.ts
@@ -38,7 +38,7 @@
     shiftTimes(this.absentSince, pausedMs);
   }
 
-  /** The lease of a shard or of the leader; null if no controller holds it. */
+  /** Returns the lease of a shard or of the leader; null if no controller holds it. */
   leaseOf(lease: LeaseName): ShardLease | null {
     return this.leasesByName.get(String(lease)) ?? null;
   }
--- a/packages/controller/src/state/limits.ts
+++ b/packages/controller/src/state/limits.ts
@@ -10,7 +10,7 @@
 /** The settings give size limits in KiB. */
 export const BYTES_PER_KIB = 1024;
 
-/** Size of a write as the service counts it: the key and the value as JSON. `value`: undefined for a removal. */
+/** Returns the size of a write as the service counts it: the key and the value as JSON. `value`: undefined for a removal. */
 export function encodedBytes(key: string, value: unknown): number {
   const json = value === undefined ? '' : JSON.stringify(value);
   return Buffer.byteLength(key) + Buffer.byteLength(json);
@@ -24,7 +24,7 @@
   writesPerTransaction: number;
 }
 
-/** Returns the smaller one of each present and announced limit. */
+/** Returns the smaller of the present and the announced value of each limit. */
 export function stateSizeLimits(state: ControllerSettings['state']): StateSizeLimits {
   const valueKib = Math.min(state.valueKib, state.next?.valueKib ?? state.valueKib);
   return {
--- a/packages/controller/src/state/machine-registry.ts
+++ b/packages/controller/src/state/machine-registry.ts
@@ -8,7 +8,7 @@
 import type { MachineTypeRegistry } from './machine-type-registry.js';
 import type { ReplicaEntry } from './replica.js';
 
-/** A machine's assignment was set or removed. */
+/** A change of a machine's assignment, which was set or removed. */
 export interface MachineChange {
   kind: 'machine';
   machine: Machine;
@@ -30,7 +30,9 @@
 
   constructor(private readonly parts: MachineRegistryParts) {}
 
-  /** Applies an assignment or its removal; null if the removed machine was unknown. Throws if the record can't be read. */
+  /**
+   * Applies an assignment or its removal. Returns null if the removed machine was unknown. Throws if the record can't be read.
+   */
   applyAssignment(name: string, entry: ReplicaEntry | null, now: Milliseconds): MachineChange | null {
     if (!entry) return this.remove(name);
     const assignment = parseAssignment(entry.value);
@@ -48,7 +50,7 @@
     return { kind: 'machine', machine, isShardChanged };
   }
 
-  /** The machine's current assignment, without a requested move or release. */
+  /** Returns the machine's current assignment, without a requested move or release. */
   assignmentOf(machine: Machine): MachineAssignment {
     return {
       shard: machine.shard,
--- a/packages/controller/src/state/machine-type-registry.ts
+++ b/packages/controller/src/state/machine-type-registry.ts
@@ -28,8 +28,8 @@
   }
 
   /**
-   * Applies one part of a stored list. Sets the types once all parts were read, unless a list is already known, and then
-   * returns true. Throws if the part can't be read.
+   * Applies one part of a stored list. Once all parts were read, sets the types and returns true, unless a list is already known.
+   * Otherwise returns false. Throws if the part can't be read.
    */
   applyStoredPart(name: string, value: unknown): boolean {
     const part = parseMachineTypesPart(value);
@@ -39,7 +39,7 @@
     return true;
   }
 
-  /** Shortest boot time of the known machine types without accelerators that can run the job; 0 if there is none. */
+  /** Returns the shortest boot time of the known machine types without accelerators that can run the job; 0 if there is none. */
   bootTimeFor(job: Job): Milliseconds {
     let bootS = Number.POSITIVE_INFINITY;
     for (const machineType of this.types)
--- a/packages/controller/src/state/machine-types-record.ts
+++ b/packages/controller/src/state/machine-types-record.ts
@@ -39,7 +39,9 @@
   return types.map((type): MachineTypesPart => ({ count: types.length, list: [type] }));
 }
 
-/** Throws `UnreadableRecordError` if the value is no part of a list. The types in the list aren't validated. */
+/**
+ * Decodes a part of a list. Throws `UnreadableRecordError` if the value is no such part. The types in the list aren't validated.
+ */
 export function parseMachineTypesPart(value: unknown): MachineTypesPart {
   const part = value as Partial<MachineTypesPart> | null;
   if (!Array.isArray(part?.list) || typeof part.count !== 'number') throw new UnreadableRecordError('machine types part');
--- a/packages/controller/src/state/progress-layout.ts
+++ b/packages/controller/src/state/progress-layout.ts
@@ -60,12 +60,12 @@
     return this.chunkDigits * TASKS_PER_DIGIT;
   }
 
-  /** Index of a part's first digit within its chunk. */
+  /** Returns the index of a part's first digit within its chunk. */
   private partStart(part: number): number {
     return Math.floor((part * this.chunkDigits) / this.partsPerChunk);
   }
 
-  /** The parts that hold the progress of a job with `taskCount` tasks, ordered by task index. */
+  /** Returns the parts that hold the progress of a job with `taskCount` tasks, ordered by task index. */
   parts(taskCount: number): ProgressPart[] {
     // A job that fits into the first part of a chunk is stored under the chunk's number, as in versions without parts.
     const isSplit = this.partsPerChunk > 1 && taskCount > this.partStart(1) * TASKS_PER_DIGIT;
@@ -94,7 +94,7 @@
     }
   }
 
-  /** Index of the first task that the part with this name covers; null if no part can have this name. */
+  /** Returns the index of the first task that the part with this name covers; null if no part can have this name. */
   firstTask(name: string): number | null {
     const position = /^\d+(\.\d+)?$/.test(name) ? Number(name) : Number.NaN;
     const first = Math.round(position * this.chunkDigits) * TASKS_PER_DIGIT;
--- a/packages/controller/src/state/replica.ts
+++ b/packages/controller/src/state/replica.ts
@@ -35,12 +35,12 @@
     private readonly onListenerError: ListenerErrorHandler,
   ) {}
 
-  /** The key's entry; null if the key doesn't exist. */
+  /** Returns the key's entry; null if the key doesn't exist. */
   get(key: string): ReplicaEntry | null {
     return this.entries.get(key) ?? null;
   }
 
-  /** All keys that exist. */
+  /** Returns all keys that exist. */
   keys(): IterableIterator<string> {
     return this.entries.keys();
   }
--- a/packages/controller/src/state/state-writer.ts
+++ b/packages/controller/src/state/state-writer.ts
@@ -25,7 +25,7 @@
 /** Pause after the service refused a transaction or didn't answer. */
 const REFUSAL_PAUSE_MS = 300;
 
-/** Size limits of writes and transactions, and this controller's part of the service's rate limit. */
+/** Size limits of writes and transactions, and this controller's share of the service's rate limit. */
 export interface StateWriterLimits extends StateSizeLimits {
   writesPerS: number;
 }
@@ -35,7 +35,7 @@
   /** receives each written value before the watch reports it */
   readonly replica: Replica;
   emit(effect: Effect): void;
-  /** Returns the id of this controller's lease at the state service; null: it has none. */
+  /** Returns the id of this controller's lease on the state service; null: it has none. */
   leaseId(): number | null;
   /** Calls `run` once the replica holds every change that was committed by `now`. */
   afterBarrier(now: Milliseconds, run: (now: Milliseconds) => void): void;
@@ -78,12 +78,15 @@
     return this.queue.length;
   }
 
-  /** Writes per second that this controller could use: the waiting writes, and its average rate over the last few seconds. */
+  /**
+   * Returns the writes per second that this controller could use: the waiting writes, and its average rate over the last few
+   * seconds.
+   */
   wantedWritesPerS(now: Milliseconds): number {
     return this.queue.length + this.statistics.recentPerS(now);
   }
 
-  /** Sets the part of the service's rate limit that this controller may use until the next call. */
+  /** Sets the share of the service's rate limit that this controller may use until the next call. */
   setRate(writesPerS: number): void {
     this.budget.setRate(writesPerS);
   }
@@ -211,7 +214,7 @@
     for (const write of writes) write.onOutcome('ok');
   }
 
-  /** Writes whose conditions failed are resolved after a fresh read. The other writes are queued again. */
+  /** Resolves the writes whose conditions failed, once a fresh read is available. Queues the other writes again. */
   private handleFailedConditions(writes: readonly QueuedWrite[], keys: readonly string[], now: Milliseconds): void {
     const failedKeys = new Set(keys);
     for (const write of writes) {
@@ -222,7 +225,10 @@
     if (failedKeys.size === 0) this.pausedUntil = now + UNEXPLAINED_FAILURE_PAUSE_MS;
   }
 
-  /** An invalid write must not block the others: each write is sent again alone, and the invalid one is dropped. */
+  /**
+   * Sends each write again alone, so that an invalid write does not block the others. An invalid write that was sent alone is
+   * dropped, or, if an earlier copy of it may be applied, resolved after a fresh read.
+   */
   private handleInvalid(writes: readonly QueuedWrite[], now: Milliseconds): void {
     for (const write of writes) {
       if (writes.length > 1) this.queue.add({ ...write, sendAlone: true }, now);
@@ -232,8 +238,8 @@
   }
 
   /**
-   * The lease that the transaction named has ended. If this controller gave up that lease before, its current lease isn't
-   * affected.
+   * Handles the end of the lease that the transaction named. If this controller gave up that lease before, its current lease
+   * isn't affected.
    */
   private handleLeaseNotFound({ writes, leaseId }: SentTransaction, now: Milliseconds): void {
     if (leaseId !== null && leaseId === this.host.leaseId()) this.host.onLeaseLost();
@@ -248,7 +254,10 @@
     for (const write of writes) this.queue.add(write, now);
   }
 
-  /** The replica is at least as fresh as the failure, so its entry shows whether an earlier copy of the write was applied. */
+  /**
+   * Determines the outcome of a failed write after a fresh read: the replica then shows whether an earlier copy of the write was
+   * applied.
+   */
   private resolveFailedWrite(write: QueuedWrite): void {
     write.onOutcome(isAlreadyApplied(write, this.host.replica.get(write.key)) ? 'ok' : 'conflict');
   }
--- a/packages/controller/src/state/transactions-in-flight.ts
+++ b/packages/controller/src/state/transactions-in-flight.ts
@@ -4,7 +4,7 @@
 /** A transaction that was sent. */
 export interface SentTransaction {
   writes: readonly QueuedWrite[];
-  /** this controller's lease at the state service when the transaction was sent; null: it had none */
+  /** this controller's lease on the state service when the transaction was sent; null: it had none */
   leaseId: number | null;
 }
 
--- a/packages/controller/src/state/write-batch.ts
+++ b/packages/controller/src/state/write-batch.ts
@@ -16,13 +16,13 @@
 export interface WriteBatchLimits {
   /** maximum number of writes that the service accepts in one transaction */
   writesPerTransaction: number;
-  /** maximum number of writes in this batch, by the rate limit too; may have a fraction */
+  /** maximum number of writes in this batch, given also what the rate limit allows now; may have a fraction */
   maxWrites: number;
   /** maximum number of acceptances of jobs among the writes */
   maxAcceptances: number;
 }
 
-/** The conditions of a write: the revision of its own key, and the revisions of other keys that it depends on. */
+/** Returns the conditions of a write: the revision of its own key, and the revisions of other keys that it depends on. */
 function conditionsOf(write: QueuedWrite): RevisionCondition[] {
   return [{ key: write.key, revision: write.expectedRevision }, ...(write.conditions ?? [])];
 }
@@ -53,7 +53,7 @@
     return this.acceptsConditions(conditionsOf(write));
   }
 
-  /** `bytes`: encoded size of the write, including the key. */
+  /** Adds a write. `bytes`: its encoded size, including the key. */
   add(write: QueuedWrite, bytes: number): void {
     if (write.priority === WritePriority.acceptance) this.acceptancesLeft--;
     this.bytes += bytes;
@@ -62,7 +62,7 @@
     this.writes.push(write);
   }
 
-  /** Returns the effect that sends the batch. `leaseId`: this controller's lease at the state service; null: it has none. */
+  /** Returns the effect that sends the batch. `leaseId`: this controller's lease on the state service; null: it has none. */
   toEffect(id: number, leaseId: number | null): Effect {
     return {
       type: 'compareAndSwap',
--- a/packages/controller/src/state/write-budget.ts
+++ b/packages/controller/src/state/write-budget.ts
@@ -1,5 +1,5 @@
 /**
- * The number of writes that may be sent now: a token bucket, refilled at this controller's part of the service's rate limit.
+ * The number of writes that may be sent now: a token bucket, refilled at this controller's share of the service's rate limit.
  */
 import type { Milliseconds } from '../model/index.js';
 
@@ -23,7 +23,7 @@
     return this.availableWrites;
   }
 
-  /** Sets the part of the service's rate limit that this controller may use from now on. */
+  /** Sets the share of the service's rate limit that this controller may use from now on. */
   setRate(writesPerS: number): void {
     this.writesPerS = writesPerS;
   }
--- a/packages/controller/src/state/write-queue.ts
+++ b/packages/controller/src/state/write-queue.ts
@@ -45,7 +45,7 @@
   expectedRevision: number;
   /** revisions that other keys must still have */
   conditions?: RevisionCondition[];
-  /** whether the key is attached to this controller's lease at the state service, which removes the key when the lease ends */
+  /** whether the key is attached to this controller's lease on the state service, which removes the key when the lease ends */
   attachedToLease?: boolean;
   /** one of `WritePriority` */
   priority: number;
@@ -106,12 +106,12 @@
     this.detach(write);
   }
 
-  /** Number of waiting writes that had this priority when the queue was last reordered. */
+  /** Returns the number of waiting writes that had this priority when the queue was last reordered. */
   count(priority: number): number {
     return this.countByPriority.get(priority) ?? 0;
   }
 
-  /** The waiting writes, ordered by their current priority. No write may be added or removed during the iteration. */
+  /** Returns the waiting writes, ordered by their current priority. No write may be added or removed during the iteration. */
   inOrder(now: Milliseconds): IterableIterator<QueuedWrite> {
     for (const write of this.withChangingPriority) {
       const priority = currentPriorityOf(write, now);
--- a/packages/controller/src/state/write-rate-limit.ts
+++ b/packages/controller/src/state/write-rate-limit.ts
@@ -30,7 +30,7 @@
     this.refusedAt = now;
   }
 
-  /** Writes per second that all controllers together may send. */
+  /** Returns the writes per second that all controllers together may send. */
   perSecond(now: Milliseconds): number {
     if (this.refusedAt === null) return this.highestPerS;
     const recoveryS = Math.max(0, now - this.refusedAt - RATE_PAUSE_MS) / 1000;
--- a/packages/controller/src/state/write-statistics.ts
+++ b/packages/controller/src/state/write-statistics.ts
@@ -26,7 +26,7 @@
     }
   }
 
-  /** Writes per second, averaged over the last few seconds. */
+  /** Returns the writes per second, averaged over the last few seconds. */
   recentPerS(now: Milliseconds): number {
     this.decayTo(now);
     return this.decayedWrites / DECAYED_SUM_SECONDS;
--- a/packages/http-client/src/http-exchange.ts
+++ b/packages/http-client/src/http-exchange.ts
@@ -75,9 +75,9 @@
   }
 
   /**
-   * After a pause of the process, responses may be waiting to be read, so a late timer first allows LATE_TIMER_MS to read them.
-   * Timers run before sockets are read in each iteration of the event loop, so the call fails only after one more read, in
-   * `setImmediate`.
+   * Fails the call, or first extends the wait if this process was delayed. After a pause of the process, responses may be waiting
+   * to be read, so a late timer first allows LATE_TIMER_MS to read them. Timers run before sockets are read in each iteration of
+   * the event loop, so the call fails only after one more read, in `setImmediate`.
    */
   private handleTimeout(): void {
     const now = monotonicMs();
--- a/packages/protocol/src/peer/peer-status.ts
+++ b/packages/protocol/src/peer/peer-status.ts
@@ -73,7 +73,9 @@
   /** from the leader only: machine types of which the cloud still has on-demand machines */
   availableTypes: string[];
   isLeader: boolean;
-  /** whether the sender's lease at the state service is valid, so that it may answer workers */
+  /**
+   * whether the sender may answer heartbeats, that is, whether it knows every cancellation confirmed up to a recent enough time
+   */
   mayAnswerWorkers: boolean;
   /** whether the sender can connect to workers */
   reachesWorkers: boolean;
--- a/packages/state-client/src/lease-renewer.ts
+++ b/packages/state-client/src/lease-renewer.ts
@@ -1,4 +1,4 @@
-/** This controller's lease at the state service, to which it attaches its keys. */
+/** This controller's lease on the state service, to which it attaches its keys. */
 import { type CallOutcome, Delay, monotonicMs } from '@archpost/http-client';
 import { encodeLeaseRequest, leaseRenewalPath, PATHS, pack, parseLeaseId, unpackMap } from '@archpost/protocol';
 import { Subject } from 'rxjs';
--- a/packages/state-client/src/replica-reader.ts
+++ b/packages/state-client/src/replica-reader.ts
@@ -89,7 +89,10 @@
     void this.run();
   }
 
-  /** Requests a read of changes that begins after this call: immediately if urgent, otherwise unless the watch reads soon. */
+  /**
+   * Requests a read of changes that begins after this call: immediately if urgent, otherwise only if the watch does not read
+   * soon.
+   */
   requestReadBarrier(isUrgent: boolean): void {
     this.barrier.request(isUrgent, this.revision !== 0);
   }
