--- a/test/measure/starvation.ts
+++ b/test/measure/starvation.ts
@@ -220,11 +220,12 @@
     }),
   );
   const total = (of: (summary: WorkersSummary) => number) => summaries.reduce((sum, summary) => sum + of(summary), 0);
-  const answers: Record<string, number> = {};
-  for (const [status, count] of summaries.flatMap(({ byStatus }) => byStatus)) answers[status] = (answers[status] ?? 0) + count;
+  const responseCounts: Record<string, number> = {};
+  for (const [status, count] of summaries.flatMap(({ byStatus }) => byStatus))
+    responseCounts[status] = (responseCounts[status] ?? 0) + count;
   return {
     heartbeatsSent: total(({ sent }) => sent),
-    answers,
+    answers: responseCounts,
     noAnswerIn4S: total(({ timedOut }) => timedOut),
     connectionFailed: total(({ connectionFailed }) => connectionFailed),
     workersWhoseLeaseRanOut: total(({ expiredLeases }) => expiredLeases),
--- a/test/mixed-versions.test.ts
+++ b/test/mixed-versions.test.ts
@@ -20,12 +20,12 @@
   ['new', 'old'],
 ] as const) {
   test(`leader of the ${leaderVersion} version, lease holders of the ${holderVersion} version: machines are moved to shards with waiting tasks`, () => {
-    const { cluster, present } = productionCluster(0);
+    const { cluster, currentVersion } = productionCluster(0);
     const leaderName = holderOf(cluster, 'lead');
     for (const name of CONTROLLER_NAMES)
-      if ((name === leaderName) === (leaderVersion === 'new')) upgrade(cluster.controller(name), present);
+      if ((name === leaderName) === (leaderVersion === 'new')) upgrade(cluster.controller(name), currentVersion);
     cluster.run(25);
-    assert.equal(cluster.controller(holderOf(cluster, 'lead')).runningVersion === present, leaderVersion === 'new');
+    assert.equal(cluster.controller(holderOf(cluster, 'lead')).runningVersion === currentVersion, leaderVersion === 'new');
     for (let index = 0; index < 6; index++) cluster.addMachine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
     for (const team of ['red', 'blue', 'green']) {
       cluster.submit(job(`run-${team}`, { team, tasks: 12, cpus: 2, memory: 1, estimatedRunS: 4 }));
@@ -43,18 +43,18 @@
   ['new', 'old'],
 ] as const) {
   test(`a cancellation confirmed by the ${confirmingVersion} version is enforced by the ${enforcingVersion} version, and stays after an upgrade`, () => {
-    const { cluster, present } = productionCluster();
+    const { cluster, currentVersion } = productionCluster();
     cluster.submit(job('run-c', { tasks: 3, estimatedRunS: 300 }));
     cluster.runUntil('running', () => cluster.runningTasks('run-c') === 3);
     const holder = holderOf(cluster, shardOf(cluster, 'run-c'));
     const other = CONTROLLER_NAMES.find((name) => name !== holder) as string;
-    upgrade(cluster.controller(enforcingVersion === 'new' ? holder : other), present);
+    upgrade(cluster.controller(enforcingVersion === 'new' ? holder : other), currentVersion);
     cluster.run(25);
     cluster.cancel('run-c', cluster.controller(other));
     cluster.runUntil('gone', () => cluster.machinesRunning('run-c').length === 0, 30);
     for (const node of cluster.controllers) assert.equal(cluster.queryStatus('run-c', node), 'aborted');
     for (const name of CONTROLLER_NAMES) {
-      upgrade(cluster.controller(name), present);
+      upgrade(cluster.controller(name), currentVersion);
       cluster.run(10);
     }
     for (const node of cluster.controllers) assert.equal(cluster.queryStatus('run-c', node), 'aborted');
@@ -65,7 +65,7 @@
 // multiplies it by the same chunk size to get the first task, so it reads the parts and runs no finished task again.
 test('progress of a large array that a new lease holder stored in parts is read by an old one, and the reverse', () => {
   const next = { valueKib: 2, writesPerTransaction: 4 };
-  const { cluster, present } = productionCluster(6, (settings) => ({
+  const { cluster, currentVersion } = productionCluster(6, (settings) => ({
     ...settings,
     state: { ...settings.state, valueKib: 16, next },
   }));
@@ -88,7 +88,7 @@
   );
   const doneCount = () => holder.controller.clusterState.jobs.get('run-large')?.doneCount ?? 0;
   const doneByOld = doneCount();
-  upgrade(holder, present);
+  upgrade(holder, currentVersion);
   cluster.runUntil('the new version has stored progress in parts', () => cluster.stateService.keys.has('a/p/run-large/0.25'), 60);
   cluster.run(4);
   const stored = String(cluster.stateService.keys.get('a/p/run-large/0.25')?.value);
@@ -105,11 +105,11 @@
 
 test('a job whose list of machine types exceeds a stored value: an old lease holder starts it on an allowed machine type', () => {
   const next = { valueKib: 2, writesPerTransaction: 4 };
-  const { cluster, present } = productionCluster(4, (settings) => ({
+  const { cluster, currentVersion } = productionCluster(4, (settings) => ({
     ...settings,
     state: { ...settings.state, valueKib: 16, next },
   }));
-  upgrade(cluster.controller('n1'), present);
+  upgrade(cluster.controller('n1'), currentVersion);
   cluster.run(20);
   const types = [...Array.from({ length: 63 }, (_, index) => `none-${index}-${'x'.repeat(60)}`), 'small'];
   const team = ['red', 'blue', 'green'].find((name) => {
@@ -190,9 +190,9 @@
 
 // LATER.md promises that no job with dependencies meets an old controller. If one does, it must not run too early.
 test('a job with dependencies is skipped by an old controller, which can still cancel it', () => {
-  const { cluster, present } = productionCluster(4);
+  const { cluster, currentVersion } = productionCluster(4);
   const holder = cluster.controller(holderOf(cluster, 0));
-  for (const node of cluster.controllers) if (node !== holder) upgrade(node, present);
+  for (const node of cluster.controllers) if (node !== holder) upgrade(node, currentVersion);
   cluster.run(25);
   const other = cluster.controllers.find((node) => node !== holder) as SimulatedController;
   cluster.submit(job('run-first', { estimatedRunS: 300 }), other);
@@ -207,8 +207,8 @@
 
 /** A cluster with one upgraded controller, the first job of a chain submitted to it, and a second job not submitted yet. */
 function clusterWithOneUpgradedController(): SimulatedCluster {
-  const { cluster, present } = productionCluster();
-  upgrade(cluster.controller('n0'), present);
+  const { cluster, currentVersion } = productionCluster();
+  upgrade(cluster.controller('n0'), currentVersion);
   cluster.run(10);
   cluster.submit(job('run-a', { team: 'blue', estimatedRunS: 30 }), cluster.controller('n0'));
   cluster.specs.set('run-b', job('run-b', { estimatedRunS: 300 }));
@@ -237,7 +237,7 @@
   const status = lateCancellation.queryStatus('run-b', lateCancellation.controller('n1'));
   lateCancellation.awaits.set('run-b', ['run-a']);
   lateCancellation.now += 2000;
-  assert.throws(() => lateCancellation.rules.recordAnswer('run-b', status), /orphaned: run-b is reported running/);
+  assert.throws(() => lateCancellation.rules.recordReportedStatus('run-b', status), /orphaned: run-b is reported running/);
   assert.throws(() => lateCancellation.run(1), /ran_cancelled: run-b on/);
 
   const newController = clusterWithOneUpgradedController();
--- a/test/randomized/faults.ts
+++ b/test/randomized/faults.ts
@@ -88,7 +88,7 @@
     this.pendingUndos.push({ at: this.cluster.now + seconds * 1000, run });
   }
 
-  /** Begins a fault and schedules its end; the duration of some kinds is shorter than `seconds`. */
+  /** Begins a fault and schedules its end. Some kinds have a duration other than `seconds`, or no end. */
   begin(kind: Fault, seconds: number): void {
     const { cluster } = this;
     const node = this.random.pick(cluster.controllers);
--- a/test/randomized/invariants.ts
+++ b/test/randomized/invariants.ts
@@ -3,7 +3,8 @@
 
 /**
  * Checks that no job is allocated while it waits for a dependency or is cancelled only through one. The cancellation of
- * dependents is derived, not stored, which is safe only for jobs without allocations (docs/design.md, "Pipelines").
+ * dependents is derived, not stored, which is safe only for jobs without allocations (docs/design.md, "Pipelines"). Controllers
+ * that run the version `old` are not checked.
  */
 export function checkDerivedState(cluster: SimulatedCluster, old: ControllerVersion | undefined): void {
   for (const node of cluster.controllers) if (node.up && node.runningVersion !== old) checkJobs(cluster, node);
--- a/test/randomized/randomized-simulation.ts
+++ b/test/randomized/randomized-simulation.ts
@@ -216,7 +216,7 @@
       }
       for (let index = 0; index < 30 && batch.some(([, tracked]) => tracked.lastResponseAt < 0); index++) cluster.run(0.1);
       for (const [id, tracked] of batch) {
-        if (tracked.lastResponseAt < 0) cluster.fail(`forgotten: ${id} has no answer from ${node.name}`);
+        if (tracked.lastResponseAt < 0) cluster.fail(`forgotten: ${id} has no response from ${node.name}`);
         if (users.hasCancelledDependency(id) && tracked.finalStatus !== 'aborted')
           cluster.fail(`orphaned: ${id} remains active at ${node.name}`);
       }
--- a/test/randomized/users.ts
+++ b/test/randomized/users.ts
@@ -67,9 +67,9 @@
     const tracked = this.trackedJobs.get(id) as TrackedJob;
     tracked.lastResponseAt = this.cluster.now;
     if (before.accepted && (status === 404 || status === 400 || status === 422))
-      this.cluster.fail(`forgotten: ${id} answered ${status}`);
+      this.cluster.fail(`forgotten: ${id} got status code ${status}`);
     // Simulated users submit only jobs that can run and dependencies that were accepted.
-    if (status === 422) this.cluster.fail(`forgotten: ${id} refused`);
+    if (status === 422) this.cluster.fail(`forgotten: ${id} was rejected`);
     if (status !== 200 && status !== 201) return;
     if (before.finalStatus && state !== before.finalStatus)
       this.cluster.fail(`went_back: ${id} was ${before.finalStatus}, is reported ${state}`);
@@ -79,7 +79,7 @@
       this.cluster.fail(`not_done: ${id} is reported done with unfinished tasks`);
     if (state === 'done' || state === 'aborted') tracked.finalStatus = state;
     tracked.accepted = true;
-    this.cluster.rules.recordAnswer(id, state);
+    this.cluster.rules.recordReportedStatus(id, state);
   }
 
   /** Whether a user requested the cancellation of the job or of one of its direct or transitive dependencies. */
--- a/test/rolling-upgrade.test.ts
+++ b/test/rolling-upgrade.test.ts
@@ -26,10 +26,10 @@
   ['n2', 'n1', 'n0'],
 ]) {
   test(`a rolling upgrade in the order ${order}: jobs that either version accepted run once, and every controller reports them done`, () => {
-    const { cluster, present } = productionCluster();
+    const { cluster, currentVersion } = productionCluster();
     const ids = submitJobOfEachKind(cluster, 'before');
     for (const name of order) {
-      upgrade(cluster.controller(name), present);
+      upgrade(cluster.controller(name), currentVersion);
       cluster.run(4);
       ids.push(...submitJobOfEachKind(cluster, name));
       cluster.run(6);
@@ -46,14 +46,14 @@
 }
 
 test('shards fail over from old to new controllers and back to a controller that restarts with the old version', () => {
-  const { cluster, present } = productionCluster();
+  const { cluster, currentVersion } = productionCluster();
   cluster.submit(job('run-s', { shape: 'service', priority: 3, jobClass: 'serve' }));
   cluster.runUntil('running', () => cluster.runningTasks('run-s') === 1);
   const first = holderOf(cluster, shardOf(cluster, 'run-s'));
   const others = CONTROLLER_NAMES.filter((name) => name !== first);
   // Both other controllers are new: one of them takes over the shard from an old lease holder that has crashed.
   for (const name of others) {
-    upgrade(cluster.controller(name), present);
+    upgrade(cluster.controller(name), currentVersion);
     cluster.run(25);
   }
   cluster.controller(first).crash();
@@ -103,11 +103,11 @@
 
 for (const [name, injectFault] of Object.entries(FAULTS_DURING_UPGRADE)) {
   test(`a rolling upgrade with ${name} in its middle breaks no rule and loses no job`, () => {
-    const { cluster, present } = productionCluster();
+    const { cluster, currentVersion } = productionCluster();
     const ids = submitJobOfEachKind(cluster, 'a');
     cluster.submit(job('run-called-off', { tasks: 3, estimatedRunS: 300 }));
     cluster.run(3);
-    upgrade(cluster.controller('n0'), present);
+    upgrade(cluster.controller('n0'), currentVersion);
     cluster.run(3);
     injectFault(cluster);
     cluster.run(1);
@@ -118,11 +118,11 @@
     );
     const readyController = cluster.controllers.find((node) => node.controller.isReady) as SimulatedController;
     cluster.cancel('run-called-off', readyController);
-    upgrade(cluster.controller('n1'), present);
+    upgrade(cluster.controller('n1'), currentVersion);
     cluster.run(4);
     injectFault(cluster);
     cluster.run(2);
-    upgrade(cluster.controller('n2'), present);
+    upgrade(cluster.controller('n2'), currentVersion);
     cluster.run(20);
     ids.push(...submitJobOfEachKind(cluster, 'b'));
     cluster.runUntil('all jobs are done', () => allDone(cluster, ids), 240);
--- a/test/scenarios/upgrade-scenarios.ts
+++ b/test/scenarios/upgrade-scenarios.ts
@@ -5,20 +5,20 @@
 /** The production version of the controller. */
 export const PRODUCTION_VERSION: ControllerVersion = PRODUCTION;
 
-/** Returns a settled cluster whose controllers run the production version, and the current version (`present`). */
+/** Returns a settled cluster whose controllers run the production version, and the current version (`currentVersion`). */
 export function productionCluster(
   machines = 6,
   tune?: ConstructorParameters<typeof SimulatedCluster>[1],
-): { cluster: SimulatedCluster; present: ControllerVersion } {
+): { cluster: SimulatedCluster; currentVersion: ControllerVersion } {
   const cluster = new SimulatedCluster(undefined, tune);
-  const present = (cluster.controllers[0] as SimulatedController).version;
+  const currentVersion = (cluster.controllers[0] as SimulatedController).version;
   for (const node of cluster.controllers) {
     node.version = PRODUCTION_VERSION;
     node.restart();
   }
   for (let index = 0; index < machines; index++) cluster.addMachine(`m${index}`, 'small', index % 2 === 0 ? 'east' : 'west');
   cluster.runUntilSettled();
-  return { cluster, present };
+  return { cluster, currentVersion };
 }
 
 /** Crashes the controller and restarts it with the other version. */
--- a/test/simulation-rules.test.ts
+++ b/test/simulation-rules.test.ts
@@ -16,7 +16,7 @@
       cluster.finished.add('run-a/0');
       worker.executeCommands([{ type: 'start', job: 'run-b', index: 0, attempt: 1 }]);
       cluster.finished.clear();
-      cluster.rules.recordAnswer('run-a', 'aborted');
+      cluster.rules.recordReportedStatus('run-a', 'aborted');
       worker.hung = true;
       cluster.run(37);
     },
@@ -24,7 +24,7 @@
   {
     rule: /ran_cancelled: run-a starts/,
     violate: (cluster, worker) => {
-      cluster.rules.recordAnswer('run-a', 'aborted');
+      cluster.rules.recordReportedStatus('run-a', 'aborted');
       cluster.run(37);
       worker.executeCommands([{ type: 'start', job: 'run-a', index: 0, attempt: 1 }]);
     },
@@ -32,16 +32,16 @@
   {
     rule: /orphaned: run-b is reported queued/,
     violate: (cluster) => {
-      cluster.rules.recordAnswer('run-a', 'aborted');
+      cluster.rules.recordReportedStatus('run-a', 'aborted');
       cluster.run(37);
-      cluster.rules.recordAnswer('run-b', 'queued');
+      cluster.rules.recordReportedStatus('run-b', 'queued');
     },
   },
   {
     rule: /orphaned: run-a\/0 still runs, but its job was reported done/,
     violate: (cluster, worker) => {
       worker.executeCommands([{ type: 'start', job: 'run-a', index: 0, attempt: 1 }]);
-      cluster.rules.recordAnswer('run-a', 'done');
+      cluster.rules.recordReportedStatus('run-a', 'done');
       worker.hung = true;
       cluster.run(37);
     },
--- a/test/simulation/cluster.ts
+++ b/test/simulation/cluster.ts
@@ -196,7 +196,7 @@
       response = String(body.status ?? body.error);
     });
     this.runUntil(`${id} cancelled`, () => response !== '', 6);
-    this.rules.recordAnswer(id, response);
+    this.rules.recordReportedStatus(id, response);
     this.note(`user received ${response} for ${id}`);
   }
 
@@ -206,8 +206,8 @@
     at.queryStatus(id, (code, body) => {
       response = code === 200 ? String(body.status) : String(code);
     });
-    this.runUntil(`${id} answered`, () => response !== '', 6);
-    this.rules.recordAnswer(id, response);
+    this.runUntil(`the status of ${id} received`, () => response !== '', 6);
+    this.rules.recordReportedStatus(id, response);
     return response;
   }
 
--- a/test/simulation/large-fleet.ts
+++ b/test/simulation/large-fleet.ts
@@ -214,7 +214,7 @@
       isConfirmed = status === 200;
       if (!isConfirmed) return;
       confirmed.add(id);
-      cluster.rules.recordAnswer(id, String(body.status));
+      cluster.rules.recordReportedStatus(id, String(body.status));
     });
     cluster.runAt(cluster.now + 2000, () => {
       if (!isConfirmed && !confirmed.has(id)) this.cancel(id, at + 1, confirmed);
--- a/test/simulation/rules.ts
+++ b/test/simulation/rules.ts
@@ -91,10 +91,10 @@
   }
 
   /**
-   * Records a status of the job that a user received. Checks `orphaned`: a job must not remain active after one of its
-   * dependencies was reported cancelled.
+   * Records a status of the job that a user received. Checks `orphaned`: a job must not be reported active longer than
+   * `CANCEL_MS` after the job or one of its dependencies was reported cancelled.
    */
-  recordAnswer(id: string, status: string): void {
+  recordReportedStatus(id: string, status: string): void {
     const { cluster } = this;
     if (status === 'aborted' && !cluster.cancelledAt.has(id)) cluster.cancelledAt.set(id, cluster.now);
     if (status === 'done' && !this.doneAt.has(id)) this.doneAt.set(id, cluster.now);
