--- a/packages/controller/src/scheduling/gang-service-eviction.ts
+++ b/packages/controller/src/scheduling/gang-service-eviction.ts
@@ -1,6 +1,6 @@
 /**
- * Eviction of services for gangs: if a gang doesn't fit otherwise, machines with accelerators are cleared of their services, either
- * enough of them for all of the gang's tasks or none. Owns the time of the last eviction.
+ * Eviction of services for gangs: if a gang doesn't fit otherwise, machines with accelerators are cleared of their services,
+ * either enough of them for all of the gang's tasks or none. Owns the time of the last eviction.
  */
 import { freeResourcesOf, type TaskAllocations, type UnmetDemand } from '../allocation/index.js';
 import type { ClusterStateView, Logger, SettingsView } from '../context/index.js';
