--- a/packages/cloud-client/src/cloud-client.ts
+++ b/packages/cloud-client/src/cloud-client.ts
@@ -43,7 +43,7 @@
 
 /** Owns the connections to the cloud. Calls wait for the request budget. */
 export class CloudClient {
-  /** Emits what could not be parsed, such as `machine list`, although the response had status 200. */
+  /** Emits the name of a content that could not be parsed, such as `machine list`, although the response had status 200. */
   readonly unreadable$ = new Subject<string>();
   private readonly client: HttpClient;
   private readonly budget: RequestBudget;
--- a/packages/controller/src/heartbeats/heartbeat-evaluation.ts
+++ b/packages/controller/src/heartbeats/heartbeat-evaluation.ts
@@ -18,7 +18,7 @@
 
 /** The result of evaluating a heartbeat, or the status in a command response. */
 export type HeartbeatEvaluation =
-  /** newer than all earlier messages of the worker: it counts. `hasGapBefore`: messages before it didn't arrive here */
+  /** newer than all earlier messages of the worker: it counts. `hasGapBefore`: messages before it didn't reach this controller */
   | { readonly kind: 'accepted'; readonly hasGapBefore: boolean }
   /**
    * a response that is not newer than the newest heartbeat received before its command was sent: the agent restarted, and none of
--- a/packages/controller/src/heartbeats/heartbeat-forwarding.ts
+++ b/packages/controller/src/heartbeats/heartbeat-forwarding.ts
@@ -81,8 +81,8 @@
   }
 
   /**
-   * Returns the machines whose heartbeats arrived here recently and haven't changed since they were forwarded, by the controller
-   * that holds their shard.
+   * Returns the machines whose heartbeats this controller received recently and which haven't changed since they were forwarded,
+   * by the controller that holds their shard.
    */
   unchangedByHolder(now: Milliseconds): Map<string, UnchangedHeartbeat[]> {
     const byHolder = new Map<string, UnchangedHeartbeat[]>();
--- a/packages/controller/src/heartbeats/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeats/heartbeat-reconciler.ts
@@ -63,7 +63,7 @@
         this.resetEpoch(machine);
         return this.accept(machine, heartbeat, now, true);
       case 'accepted':
-        // A message that the worker sent didn't arrive here, so the responses may not reach the worker either.
+        // A message that the worker sent didn't reach this controller, so the responses may not reach the worker either.
         if (evaluation.hasGapBefore) this.requestProbe(machine, now);
         return this.accept(machine, heartbeat, now, positionAtSend !== null);
       default:
@@ -76,11 +76,11 @@
     const machine = this.context.clusterState.machines.get(unchanged.machine);
     if (!machine || !this.allocations.holdsShard(machine.shard, now)) return;
     const { tenure } = machine;
-    // The report is older than the newest message received here: the other controller answered a late copy.
+    // The report is older than the newest message that this controller received: the other controller answered a late copy.
     if (tenure.isVerified && isNewer(tenure, unchanged)) return;
     this.recordPeerContact(machine, from, now);
     if (!tenure.isVerified || unchanged.agentEpoch !== tenure.agentEpoch || unchanged.sequence <= tenure.sequence) return;
-    // The heartbeat that the report refers to didn't arrive here, or the reported sequence is implausible.
+    // The heartbeat that the report refers to didn't reach this controller, or the reported sequence is implausible.
     if (tenure.sequence < unchanged.forwardedSequence || isImplausible(tenure, unchanged.sequence, now)) {
       this.requestProbe(machine, now);
       return;
@@ -89,7 +89,10 @@
     this.recordContact(machine, now);
   }
 
-  /** Requests a probe of the machine, unless one was requested recently. The response resolves what its heartbeats leave open. */
+  /**
+   * Requests a probe of the machine, unless one was requested recently. The response resolves the inconsistency of its
+   * heartbeats.
+   */
   requestProbe(machine: Machine, now: Milliseconds): void {
     const intervalMs = this.context.settings.workers.heartbeatIntervalS * (PROBE_REQUEST_INTERVALS * 1000);
     if (now - machine.probeRequestedAt < intervalMs) return;
@@ -111,7 +114,7 @@
     return jobs.get(jobId)?.priority ?? NO_REPORTED_PRIORITY;
   }
 
-  /** Handles a restart of the agent: none of its earlier tasks exists any more, and its epochs and sequences start again. */
+  /** Handles a restart of the agent: none of its earlier tasks exists any longer, and its epoch and sequence start again. */
   private resetEpoch(machine: Machine): void {
     this.context.log('info', 'worker agent restarted', { machine: machine.name });
     for (const allocation of [...machine.tenure.allocations.values()])
--- a/packages/controller/src/heartbeats/heartbeat-responder.ts
+++ b/packages/controller/src/heartbeats/heartbeat-responder.ts
@@ -64,7 +64,7 @@
       return this.respond(id, HTTP_MISDIRECTED_REQUEST, encodeRedirect(null));
     }
     // The worker has seen a higher fencing token than this controller knows. It would drop any response with the lower token, and
-    // keep sending its heartbeats here until its lease expires. Another controller must answer it.
+    // keep sending its heartbeats to this controller until its lease expires. Another controller must answer it.
     if (heartbeat.fencingToken > clusterState.fencingToken(machine))
       return this.respond(id, HTTP_SERVICE_UNAVAILABLE, NOT_ENTITLED_BODY);
     const holder = clusterState.leaseOf(machine.shard)?.holder.controller ?? null;
--- a/packages/controller/src/heartbeats/worker-routing.ts
+++ b/packages/controller/src/heartbeats/worker-routing.ts
@@ -76,9 +76,9 @@
 
   /**
    * Whether the worker may be redirected to the controller. A redirected worker that returns got no response from that
-   * controller, and part of its lease has passed, so it is redirected once and then answered here. Only a few workers are
-   * redirected, as a trial, to a controller that answers hardly any: one that had lost all of its workers was still considered
-   * healthy, and 115 leases expired while workers went to it and back (docs/incidents/hunt-2b89-apart.md).
+   * controller, and part of its lease has passed, so it is redirected once and then answered by this controller. Only a few
+   * workers are redirected, as a trial, to a controller that answers hardly any: one that had lost all of its workers was still
+   * considered healthy, and 115 leases expired while workers went to it and back (docs/incidents/hunt-2b89-apart.md).
    */
   private mayRedirectTo(machine: string, to: string, now: Milliseconds): boolean {
     const previous = this.redirects.get(machine);
@@ -93,9 +93,9 @@
   }
 
   /**
-   * Whether the worker may be redirected now. A worker that has tasks and wasn't served here recently got no response from its
-   * previous controller, and part of its lease has passed. It is answered first and redirected at its next heartbeat, so that
-   * its lease doesn't expire while it tries the other controller.
+   * Whether the worker may be redirected now. A worker that has tasks and that this controller didn't serve recently got no
+   * response from its previous controller, and part of its lease has passed. It is answered first and redirected at its next
+   * heartbeat, so that its lease doesn't expire while it tries the other controller.
    */
   private mayRedirectWorker(heartbeat: Heartbeat, now: Milliseconds): boolean {
     return heartbeat.tasks.length === 0 || now - (this.servedAt.get(heartbeat.machine) ?? NEVER) < this.servedWindowMs;
--- a/packages/controller/src/jobs/submission-validation.ts
+++ b/packages/controller/src/jobs/submission-validation.ts
@@ -64,8 +64,8 @@
 }
 
 /**
- * Checks the tasks that have to run at once against the team's limits, where 0 is no limit. An array's tasks may run one by
- * one.
+ * Checks the tasks that have to run at the same time against the team's limits, where 0 is no limit. An array's tasks may run one
+ * by one.
  */
 function findLimitRejection(team: Team, spec: JobSpec): SubmissionRejection | null {
   const count = spec.shape === 'array' ? 1 : spec.tasks;
--- a/packages/controller/src/leadership/status-assembly.ts
+++ b/packages/controller/src/leadership/status-assembly.ts
@@ -1,7 +1,7 @@
 /**
  * Assembly of this controller's status, on which the other controllers base decisions. Owns no state.
  *
- * Fields that depend on the receiver (pings, unchanged heartbeats) or on earlier statuses (running jobs) are left empty here.
+ * Fields that depend on the receiver (pings, unchanged heartbeats) or on earlier statuses (running jobs) are left empty.
  */
 import type { PeerStatus } from '@archpost/protocol';
 import type { ClusterStateView, ReplicaView, SettingsView, StateFreshness, StateWriting } from '../context/index.js';
--- a/packages/controller/src/state/write-batch.ts
+++ b/packages/controller/src/state/write-batch.ts
@@ -16,7 +16,7 @@
 export interface WriteBatchLimits {
   /** maximum number of writes that the service accepts in one transaction */
   writesPerTransaction: number;
-  /** maximum number of writes in this batch, given also what the rate limit allows now; may have a fraction */
+  /** maximum number of writes in this batch, by the limit above and the current rate limit; may have a fraction */
   maxWrites: number;
   /** maximum number of acceptances of jobs among the writes */
   maxAcceptances: number;
--- a/packages/protocol/src/service-response.ts
+++ b/packages/protocol/src/service-response.ts
@@ -7,7 +7,7 @@
   body: MessagePackMap | null;
 }
 
-/** The members of an HTTP call's outcome that are read here: a response, or the reason why there is none. */
+/** The members of an HTTP call's outcome that `decodeServiceResponse` reads: a response, or the reason why there is none. */
 type CallOutcome = { kind: 'response'; status: number; body: Uint8Array } | { kind: 'notSent' | 'unknown' };
 
 /** Decodes the response to a call. Returns null if no response was received. */
--- a/packages/state-client/src/state-service-client.ts
+++ b/packages/state-client/src/state-service-client.ts
@@ -25,7 +25,7 @@
   readonly snapshot$: Observable<Snapshot>;
   readonly changes$: Observable<ReplicaChanges>;
   readonly lease$: Observable<LeaseState>;
-  /** Emits what could not be parsed, such as `keys`, although the response had status 200. */
+  /** Emits the name of a content that could not be parsed, such as `keys`, although the response had status 200. */
   readonly unreadable$: Observable<string>;
   private readonly connection: StateServiceConnection;
   private readonly leaseRenewer: LeaseRenewer;
--- a/packages/state-client/src/state-service-connection.ts
+++ b/packages/state-client/src/state-service-connection.ts
@@ -8,7 +8,7 @@
 
 /** Owns the connections. `close` ends them, and no call is made afterwards. */
 export class StateServiceConnection {
-  /** Emits what could not be parsed, such as `keys`, although the response had status 200. */
+  /** Emits the name of a content that could not be parsed, such as `keys`, although the response had status 200. */
   readonly unreadable$ = new Subject<string>();
   /** Callers take a token before each request. */
   readonly budget: RequestBudget;
