--- a/packages/controller/src/context/effect-sink.ts
+++ b/packages/controller/src/context/effect-sink.ts
@@ -16,8 +16,8 @@
 /** Writes log lines, which are effects too. */
 export interface Logger {
   /**
-   * Writes a log line. `message` is one of the fixed texts in the README's table, which operators search for; variable data goes
-   * into `fields`.
+   * Writes a log line. `message` is one of the fixed texts in docs/operations/logs.md, which operators search for; variable data
+   * goes into `fields`.
    */
   log(level: LogLevel, message: string, fields?: LogFields): void;
 }
