--- a/packages/controller/src/heartbeats/heartbeat-responder.ts
+++ b/packages/controller/src/heartbeats/heartbeat-responder.ts
@@ -64,7 +64,7 @@
       return this.respond(id, HTTP_MISDIRECTED_REQUEST, encodeRedirect(null));
     }
     // The worker has seen a higher fencing token than this controller knows. It would drop any response with the lower token, and
-    // keep sending its heartbeats here until its lease expires. Another controller must answer it.
+    // keep sending its heartbeats to this controller until its lease expires. Another controller must answer it.
     if (heartbeat.fencingToken > clusterState.fencingToken(machine))
       return this.respond(id, HTTP_SERVICE_UNAVAILABLE, NOT_ENTITLED_BODY);
     const holder = clusterState.leaseOf(machine.shard)?.holder.controller ?? null;
@@ -106,7 +106,7 @@
     return now - confirmedAt < (cancelS - leaseS - intervalS) * 1000;
   }
 
-  /** The number of responses by status code since the last call. Resets the counts. */
+  /** Returns the number of responses by status code since the last call, and resets the counts. */
   takeResponseCounts(): Record<string, number> {
     const counts = Object.fromEntries(this.responseCounts);
     this.responseCounts.clear();
@@ -114,9 +114,9 @@
   }
 
   /**
-   * Commands that stop the reported tasks of finished jobs. They are part of the response, whichever controller sends it: a
-   * separate command may not reach the worker although the response does, and it is the response that lets the tasks continue. A
-   * job that is done may have a second attempt of a task left, which the holder of its shard no longer knows.
+   * Returns commands that stop the reported tasks of finished jobs. They are part of the response, whichever controller sends it:
+   * a separate command may not reach the worker although the response does, and it is the response that lets the tasks continue.
+   * A job that is done may have a second attempt of a task left, which the holder of its shard no longer knows.
    */
   private buildStopCommands(heartbeat: Heartbeat): Command[] {
     const { finishedJobs } = this.context.clusterState;
